--- a/crates/capacity/src/bench.rs
+++ b/crates/capacity/src/bench.rs
@@ -287,8 +287,7 @@
     let (front, ready_at) = (at(port()?), at(port()?));
     let ends = format!("front_http = \"{front}\"\nready_port = \"{ready_at}\"\n");
     let settings = core.write("edge", &core.settings(2, 0, &ends))?;
-    let edge =
-        Process::start("edge", &["capacity", "role", "edge"], Some(&settings), &folder.join("edge.log"))?;
+    let edge = Process::start("edge", &["role", "edge"], Some(&settings), &folder.join("edge.log"))?;
     let until = Instant::now() + Duration::from_secs(40);
     while !ready(ready_at) {
         if Instant::now() > until {
--- a/crates/capacity/src/cluster.rs
+++ b/crates/capacity/src/cluster.rs
@@ -5,7 +5,7 @@
 use super::files::{self, Parts};
 use super::machine::{Machine, Watch};
 use super::operator::{self, Operator, Sizes};
-use super::{hollow, workers, CapacityError};
+use super::{simulated_edges, workers, CapacityError};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -201,7 +201,7 @@
             let log = core.folder.join(format!("core-{number}.log"));
             core.processes.push(Process::start(
                 &format!("core-{number}"),
-                &["capacity", "role", "core"],
+                &["role", "core"],
                 Some(&path),
                 &log,
             )?);
@@ -215,7 +215,7 @@
         let text = self.settings(1, number, &more).replace("cold_start = true", "cold_start = false");
         let name = format!("core-{number}");
         let (path, log) = (self.write(&name, &text)?, self.folder.join(format!("{name}-again.log")));
-        self.processes[number] = Process::start(&name, &["capacity", "role", "core"], Some(&path), &log)?;
+        self.processes[number] = Process::start(&name, &["role", "core"], Some(&path), &log)?;
         Ok(())
     }
 
@@ -272,7 +272,7 @@
     told: &impl Serialize,
 ) -> Result<Process, CapacityError> {
     let path = job(folder, name, told)?;
-    Process::start(name, &["capacity", kind, &path], None, &folder.join(format!("{name}.log")))
+    Process::start(name, &[kind, &path], None, &folder.join(format!("{name}.log")))
 }
 
 /// No core machine may take more memory in a measurement: bytes. The machine is not ours alone.
@@ -319,7 +319,7 @@
     let mut first = 0;
     let mut started = Vec::new();
     for (number, gates) in split(cell.gates, cell.together).into_iter().enumerate() {
-        let told = hollow::Job {
+        let told = simulated_edges::Job {
             settings: (first..first + gates).map(|i| core.settings(2, i, "")).collect(),
             requests_per_s: cell.requests_per_s,
             tenants: cell.tenants,
@@ -329,7 +329,7 @@
             counted: if number == 0 { gates } else { 0 },
         };
         first += gates;
-        started.push(start_with(folder, "hollow", &format!("hollow-{number}"), &told)?);
+        started.push(start_with(folder, "edges", &format!("hollow-{number}"), &told)?);
     }
     Ok(started)
 }
@@ -407,7 +407,7 @@
     gates.iter_mut().chain(&mut hands).try_for_each(|p| p.order("end"))?;
     let links_s = links_at.elapsed().as_secs_f64();
     let links_after = children::sent_to_port(core.inner, &pids);
-    let told: Vec<hollow::Report> = gates.iter().map(report).collect::<Result<_, _>>()?;
+    let told: Vec<simulated_edges::Report> = gates.iter().map(report).collect::<Result<_, _>>()?;
     let worked: Vec<workers::Report> = hands.iter().map(report).collect::<Result<_, _>>()?;
     drop((gates, hands));
 
@@ -488,7 +488,7 @@
 }
 
 /// What one gatekeeper used: processor and memory of those that don't count, messages of those that do.
-fn gate_use(told: &[hollow::Report], before: &[Usage], after: &[Usage], seconds: f64) -> GateUse {
+fn gate_use(told: &[simulated_edges::Report], before: &[Usage], after: &[Usage], seconds: f64) -> GateUse {
     let plain = usize::from(told.len() > 1);
     let mut gate = GateUse::default();
     let gates: usize = told[plain..].iter().map(|t| t.gates).sum();
--- a/crates/capacity/src/files.rs
+++ b/crates/capacity/src/files.rs
@@ -1,10 +1,10 @@
 //! Owns what a core machine's files hold by cause: log, snapshot, workers. It reads them after the process that wrote them
 //! has ended, and must never open those of a process that runs.
 
-use crate::store::NAME;
 use rusqlite::Connection;
 use serde::Serialize;
 use std::path::Path;
+use whinstall_gateway::storage::NAME;
 
 /// Entries and bytes of the files, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
--- a/crates/capacity/src/losses.rs
+++ b/crates/capacity/src/losses.rs
@@ -6,7 +6,7 @@
 use super::cluster::{self, Cell, Core};
 use super::machine::{Machine, Watch};
 use super::operator::{self, Operator};
-use super::{hollow, CapacityError};
+use super::{simulated_edges, CapacityError};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -74,7 +74,7 @@
         self.gates.iter_mut().try_for_each(|g| g.order("begin"))
     }
 
-    fn told(&mut self) -> Result<Vec<hollow::Report>, CapacityError> {
+    fn told(&mut self) -> Result<Vec<simulated_edges::Report>, CapacityError> {
         self.gates.iter_mut().try_for_each(|g| g.order("end"))?;
         self.gates.iter().map(cluster::report).collect()
     }
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! Owns the measurement of how each role grows: `toolroom capacity` (docs/CAPACITY.md). It starts a real core, hollow
+//! Owns the measurement of how each role grows: `whinstall-capacity` (docs/CAPACITY.md). It starts a real core, hollow
 //! gatekeepers, workers and an operator on loopback, at several sizes, and writes figures (JSON), a summary (Markdown)
 //! and plots (SVG). It must never outlive its time or touch what it did not start.
 
@@ -7,13 +7,13 @@
 mod cluster;
 mod files;
 mod fit;
-mod hollow;
 mod losses;
 mod machine;
 mod operator;
 mod plan;
 mod plot;
 mod report;
+mod simulated_edges;
 mod workers;
 
 use std::path::{Path, PathBuf};
@@ -38,27 +38,23 @@
     Drawing(String, String),
 }
 
-const USAGE: &str = "toolroom capacity --out DIR
+const USAGE: &str = "whinstall-capacity --out DIR
 
 Measures on this machine how the gateway's roles grow, with real processes on loopback, and ends by itself.";
 
-/// Runs if the arguments begin with `capacity`.
-pub fn claim(mut arguments: impl Iterator<Item = String>) -> Option<ExitCode> {
-    if arguments.next()? != "capacity" {
-        return None;
-    }
-    let arguments: Vec<String> = arguments.collect();
+fn main() -> ExitCode {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
     let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    Some(match words[..] {
+    match words[..] {
         ["role", role] => {
             children::end_with_input();
-            crate::run_named(role).unwrap_or(ExitCode::FAILURE)
+            whinstall_gateway::cli::run_role(role).unwrap_or(ExitCode::FAILURE)
         }
-        ["hollow", job] => child(job, hollow::run),
+        ["edges", job] => child(job, simulated_edges::run),
         ["workers", job] => child(job, workers::run),
         ["clients", job] => child(job, bench::run),
         _ => measure(&arguments),
-    })
+    }
 }
 
 /// Runs a process of a measurement.
@@ -91,7 +87,7 @@
     let told = match options.parse(arguments) {
         Ok(told) => told,
         Err(error) => {
-            eprintln!("toolroom capacity: {error}\n\n{}", options.usage(USAGE));
+            eprintln!("whinstall-capacity: {error}\n\n{}", options.usage(USAGE));
             return ExitCode::from(2);
         }
     };
@@ -114,7 +110,7 @@
     match run(&plan, &out) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("toolroom capacity: {error}");
+            eprintln!("whinstall-capacity: {error}");
             ExitCode::FAILURE
         }
     }
@@ -125,7 +121,7 @@
 
 impl Scratch {
     fn new(name: &str) -> Result<Self, CapacityError> {
-        let path = std::env::temp_dir().join(format!("toolroom-capacity-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("whinstall-capacity-{}-{name}", std::process::id()));
         let made = std::fs::remove_dir_all(&path).or(Ok(())).and_then(|()| std::fs::create_dir_all(&path));
         made.map_err(|e| CapacityError::File(path.display().to_string(), e))?;
         Ok(Scratch(path))
--- a/crates/capacity/src/operator.rs
+++ b/crates/capacity/src/operator.rs
@@ -1,7 +1,7 @@
 //! Owns the operator of a measurement: configurations of a wanted size, sent as real ones are, and the time to their
 //! acknowledgement. It must never take a refusal for an acknowledgement.
 
-use super::hollow::PROBE;
+use super::simulated_edges::PROBE;
 use super::CapacityError;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -122,7 +122,7 @@
     }
 
     fn summary(&self, fits: &[(&'static str, Fit)]) -> String {
-        let mut text = String::from("# Figures of `toolroom capacity`\n");
+        let mut text = String::from("# Figures of `whinstall-capacity`\n");
         let titles = "group;size;ready s;gate mcores;gate MB (most);gate msg/s;gate B/s;leader cores;follower cores;leader MB;\
                       disk KB;core to core B/s;descriptors;ack ms;in force;in force ms;beats/s;beats failed;log KB;snapshot KB;workers KB;waited;busy;load;faults";
         table(&mut text, "Measured", titles, self.measured.iter().map(measured_row));
--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -4,12 +4,6 @@
 
 use super::operator::ROUTES_A_HOST;
 use super::{children, CapacityError};
-use crate::edge::desk::{Answer, Arrival};
-use crate::edge::{Edge, Effect, Event};
-use crate::event_loop::EventLoop;
-use crate::link::{Happens, Links};
-use crate::settings::Settings;
-use crate::wire::{self, Load, Msg};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -19,6 +13,12 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use whinstall::{Ending, HostId, RequestId};
+use whinstall_gateway::data_plane::requests::{Answer, Arrival};
+use whinstall_gateway::data_plane::{Edge, Effect, Event};
+use whinstall_gateway::protocol::{self, Load, Msg};
+use whinstall_gateway::runtime::edge_loop::EventLoop;
+use whinstall_gateway::settings::Settings;
+use whinstall_gateway::transport::peer_link::{Happens, Links};
 
 /// The host and path of the route whose `target` tells which change is in force.
 pub const PROBE: (&str, &str) = ("probe.example", "/probe/");
@@ -79,7 +79,7 @@
 struct Run {
     job: Job,
     report: RefCell<Report>,
-    clock: crate::Clock,
+    clock: whinstall_gateway::runtime::Clock,
 }
 
 struct Gate {
@@ -113,7 +113,7 @@
             let mut report = self.run.report.borrow_mut();
             report.uncounted_s = report.uncounted_s.max(now - self.counted_at.replace(now));
         }
-        let bytes = wire::encode(msg);
+        let bytes = protocol::encode(msg);
         let name = kind(&bytes);
         let mut report = self.run.report.borrow_mut();
         if name == "Sync" && way == "said" {
@@ -198,7 +198,7 @@
         if Arc::ptr_eq(&before, &view) {
             return;
         }
-        let number = |view: &crate::config::View| {
+        let number = |view: &whinstall_gateway::configuration::View| {
             view.route(PROBE.0, PROBE.1).map_or(0, |route| route.target.as_millis() as u64)
         };
         let (was, is) = (number(&before), number(&view));
@@ -280,7 +280,8 @@
 
 /// Runs hollow gatekeepers until standard input ends; `begin` and `end` on it bound what is reported.
 pub async fn run(job: Job) -> Result<(), CapacityError> {
-    let run = Rc::new(Run { job, report: RefCell::default(), clock: crate::Clock::new() });
+    let run =
+        Rc::new(Run { job, report: RefCell::default(), clock: whinstall_gateway::runtime::Clock::start() });
     let mut gates = Vec::new();
     for (number, text) in run.job.settings.iter().enumerate() {
         let settings = Settings::read(text).map_err(|e| CapacityError::Child(e.to_string()))?;
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -21,9 +21,9 @@
 #[gtest]
 fn the_small_form_measures_every_cause_and_leaves_nothing_behind() {
     let scratch =
-        Scratch(std::env::temp_dir().join(format!("toolroom-capacity-test-{}", std::process::id())));
-    let ran = Command::new(env!("CARGO_BIN_EXE_toolroom"))
-        .args(["capacity", "--small", "--out"])
+        Scratch(std::env::temp_dir().join(format!("whinstall-capacity-test-{}", std::process::id())));
+    let ran = Command::new(env!("CARGO_BIN_EXE_whinstall-capacity"))
+        .args(["--small", "--out"])
         .arg(&scratch.0)
         .output()
         .expect("it runs");
--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -2,10 +2,10 @@
 //! replicated log whose core is lost for good, or of the program before that log. It must never change that disk, nor
 //! leave an item out.
 
-use crate::config::{Item, Items, Kind, State};
-use crate::core::{snapshot_state, LogCommand};
-use crate::raft::Body;
-use crate::store::{Store, StoreError, EARLIER, NAME, WAL};
+use crate::configuration::{Item, Items, Kind, State};
+use crate::consensus::Body;
+use crate::control_plane::{snapshot_state, LogCommand};
+use crate::storage::{Store, StoreError, EARLIER, NAME, WAL};
 use rusqlite::Connection;
 use serde_json::{json, Map, Value};
 use std::path::{Path, PathBuf};
@@ -45,7 +45,7 @@
 impl Scratch {
     /// With copies of these files, as far as they are there.
     fn of(folder: &Path, names: &[&str]) -> Result<Self, ExportError> {
-        let name = format!("toolroom-export-{}-{:x}", std::process::id(), fastrand::u64(..));
+        let name = format!("whinstall-export-{}-{:x}", std::process::id(), fastrand::u64(..));
         let scratch = Scratch(std::env::temp_dir().join(name));
         std::fs::create_dir(&scratch.0)?;
         for name in names {
--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -1,11 +1,11 @@
 //! The way back when most of the core is lost for good: from a disk that is left, by a call, to a new core.
 
-use crate::config::read_call;
-use crate::core::{Command, Core, Effect, Event, TICK};
-use crate::export::{export, ExportError};
+use crate::cli::export::{export, ExportError};
+use crate::configuration::read_call;
+use crate::control_plane::{Command, Core, Effect, Event, TICK};
 use crate::settings::Settings;
-use crate::store::{Put, Store, NAME, WAL};
-use crate::store_tests::Folder;
+use crate::storage::tests::Folder;
+use crate::storage::{Put, Store, NAME, WAL};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 use std::path::Path;
@@ -20,7 +20,8 @@
 
 impl One {
     fn start(data: &Path) -> Self {
-        let mut settings = Settings::read(include_str!("sim/settings.toml")).expect("settings");
+        let mut settings =
+            Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
         settings.ip = [10, 0, 1, 1].into();
         (settings.seeds, settings.cold_start) = (vec![(settings.ip, 80).into()], true);
         settings.tolerance.machines = 0;
--- a/crates/gateway/src/configuration/active_config.rs
+++ b/crates/gateway/src/configuration/active_config.rs
@@ -1,11 +1,11 @@
 //! Owns what a gatekeeper serves by: routes by host and longest prefix, keys to tenants, bounds on clients; folded
 //! from parts, one of each item. It must never be changed but by folding anew, nor keep an item's JSON.
 
-use super::call::keys;
+use super::change::keys;
 #[cfg(test)]
-use super::items::Items;
-use super::items::{Item, Kind};
-use crate::paths::time;
+use super::item::Items;
+use super::item::{Item, Kind};
+use crate::json_path::time;
 use serde_json::{Map, Value};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
--- a/crates/gateway/src/configuration/change.rs
+++ b/crates/gateway/src/configuration/change.rs
@@ -1,8 +1,8 @@
 //! Owns what an operator's call says and whether the configuration that would stand after it is valid. It must never
 //! put anything into force.
 
-use super::items::{Item, Items, Kind};
-use crate::paths::{At, PathError};
+use super::item::{Item, Items, Kind};
+use crate::json_path::{At, PathError};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -49,7 +49,7 @@
 
 /// The items of a call, each checked for itself.
 pub fn read_call(body: &[u8]) -> Result<Vec<Item>, CallError> {
-    let value = crate::paths::parse(body)?;
+    let value = crate::json_path::parse(body)?;
     let root = At::root(&value);
     root.object()?;
     let mut items = Vec::new();
--- a/crates/gateway/src/configuration/content_hash_tests.rs
+++ b/crates/gateway/src/configuration/content_hash_tests.rs
@@ -1,6 +1,6 @@
 //! When two items say the same: whatever the spelling, on disks of earlier builds, too.
 
-use super::content::{content_hash, meaning_hash};
+use super::content_hash::{content_hash, meaning_hash};
 use super::state::Outcome;
 use super::{read_call, Item, Kind, State};
 use googletest::prelude::*;
--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -1,7 +1,7 @@
 //! Owns the fields of an item as they were sent, held in few bytes: a configuration of tens of thousands of items is
 //! held, told and read many times. It must never change what was sent, nor judge it.
 
-use super::call;
+use super::change;
 use serde::de::{Deserializer, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Serialize, Serializer};
 use serde_json::{Map, Value};
@@ -36,7 +36,7 @@
 
     /// The services that a route names.
     pub fn services(&self) -> Vec<String> {
-        call::services(&self.map()).into_iter().map(str::to_owned).collect()
+        change::services(&self.map()).into_iter().map(str::to_owned).collect()
     }
 
     /// The keys that a tenant has.
@@ -62,7 +62,7 @@
         // Fields of other kinds than a tenant's should be.
         let map = self.map();
         let number = |field: &str| map.get(field).and_then(Value::as_f64).unwrap_or(0.0);
-        let keys = call::keys(&map).map(str::to_owned).collect();
+        let keys = change::keys(&map).map(str::to_owned).collect();
         (keys, (number("rate_per_s"), number("burst_size")))
     }
 }
--- a/crates/gateway/src/configuration/mod.rs
+++ b/crates/gateway/src/configuration/mod.rs
@@ -1,25 +1,25 @@
 //! The operator's configuration: named items with versions of their own, calls that change them, what makes a whole
 //! configuration invalid, and what a gatekeeper serves by. Pure. It must never know a socket or a disk.
 
-pub mod call;
-pub mod content;
+pub mod active_config;
+pub mod change;
+pub mod content_hash;
 pub mod fields;
-pub mod items;
+pub mod item;
 pub mod replica;
 pub mod state;
-pub mod view;
 
-pub use call::read_call;
+pub use active_config::View;
+pub use change::read_call;
 pub use fields::Fields;
-pub use items::{Item, Items, Kind};
+pub use item::{Item, Items, Kind};
 pub use state::State;
-pub use view::View;
 
 /// An operator's call, as [`read_call`] gives it: one entry of the replicated log.
 pub type Order = std::sync::Arc<Vec<Item>>;
 
 #[cfg(test)]
-mod content_tests;
+mod content_hash_tests;
 #[cfg(test)]
 mod race_tests;
 #[cfg(test)]
--- a/crates/gateway/src/configuration/replica.rs
+++ b/crates/gateway/src/configuration/replica.rs
@@ -1,8 +1,8 @@
 //! Owns a gatekeeper's copy of what stands: as of an entry of the core's log. It must never go back to an earlier entry, nor
 //! take changes that don't go on from where it is, nor keep more of an item than is served by.
 
-use super::items::{Item, Kind};
-use super::view::Part;
+use super::active_config::Part;
+use super::item::{Item, Kind};
 use std::collections::BTreeMap;
 
 /// What became of something told.
--- a/crates/gateway/src/configuration/state.rs
+++ b/crates/gateway/src/configuration/state.rs
@@ -10,10 +10,10 @@
 
 mod encoding;
 
-use super::call::CallError;
-use super::content::{content_hash, meaning_hash};
+use super::change::CallError;
+use super::content_hash::{content_hash, meaning_hash};
 use super::fields::{Fields, Quota};
-use super::items::{render, Item, Kind};
+use super::item::{render, Item, Kind};
 pub use encoding::{Decoder, Encoder};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
--- a/crates/gateway/src/configuration/state_measure.rs
+++ b/crates/gateway/src/configuration/state_measure.rs
@@ -1,9 +1,9 @@
-//! Prints what the state machine costs at the size of the largest site: `cargo test --release -p toolroom
+//! Prints what the state machine costs at the size of the largest site: `cargo test --release -p whinstall-gateway
 //! measure_the_largest -- --nocapture`. Times are printed, never judged. Without `--release` at a
 //! tenth of that size.
 
+use super::active_config::Part;
 use super::state::{Outcome, HISTORY_MAX};
-use super::view::Part;
 use super::{Fields, Item, Kind, State, View};
 use googletest::prelude::*;
 use serde_json::{json, Value};
--- a/crates/gateway/src/configuration/state_tests.rs
+++ b/crates/gateway/src/configuration/state_tests.rs
@@ -1,10 +1,10 @@
 //! What each order comes to, that a confirmed one is never refused, that what stands is valid, that members agree, and
 //! that nothing grows without bound.
 
-use super::call::{faults, judge, CallError};
-use super::content::{content_hash, meaning_hash};
+use super::active_config::Part;
+use super::change::{faults, judge, CallError};
+use super::content_hash::{content_hash, meaning_hash};
 use super::state::{Outcome, StateError, HISTORY_MAX, TOMBSTONES_MAX};
-use super::view::Part;
 use super::{Fields, Item, Items, Kind, State, View};
 use googletest::prelude::*;
 use serde_json::{json, Value};
--- a/crates/gateway/src/configuration/tests.rs
+++ b/crates/gateway/src/configuration/tests.rs
@@ -1,8 +1,8 @@
 //! What operators may send, and what must be turned back.
 
-use super::call::{faults, judge};
+use super::active_config::Part;
+use super::change::{faults, judge};
 use super::replica::{Replica, Told};
-use super::view::Part;
 use super::{read_call, Item, Items, Kind, View};
 use googletest::prelude::*;
 use serde_json::{json, Value};
@@ -106,7 +106,7 @@
     }
     // All that JSON can say is read as before.
     let all = r#"{"a":[null,true,false,0,-1,18446744073709551615,-9223372036854775808,1.5,1e300,"x\u00e4\n",{},[]]}"#;
-    let strict = crate::paths::parse(all.as_bytes()).expect("JSON");
+    let strict = crate::json_path::parse(all.as_bytes()).expect("JSON");
     expect_that!(strict, eq(&serde_json::from_str::<Value>(all).expect("JSON")));
 }
 
@@ -233,5 +233,5 @@
 #[gtest]
 fn a_part_is_small() {
     expect_that!(size_of::<Part>(), le(40));
-    expect_that!(size_of::<super::view::Tenant>(), le(56));
+    expect_that!(size_of::<super::active_config::Tenant>(), le(56));
 }
--- a/crates/gateway/src/consensus/mod.rs
+++ b/crates/gateway/src/consensus/mod.rs
@@ -5,21 +5,13 @@
 //! This file owns a member's state, what comes in and what goes out; `election`, `replicate` and `members` the rules.
 
 mod election;
+#[cfg(test)]
+mod injected_fault_tests;
 mod log;
-mod members;
+mod membership;
 #[cfg(test)]
 mod model;
-#[cfg(test)]
-mod model_checks;
-#[cfg(test)]
-mod model_faults;
-#[cfg(test)]
-mod model_time;
-#[cfg(test)]
-mod model_watch;
-#[cfg(test)]
-mod mutant_tests;
-mod replicate;
+mod replication;
 #[cfg(test)]
 mod tests;
 pub mod types;
--- a/crates/gateway/src/consensus/model/checks.rs
+++ b/crates/gateway/src/consensus/model/checks.rs
@@ -3,9 +3,9 @@
 //! Each search says its bounds, and whether it closed (all states within the bounds were seen) or was bounded by a number of
 //! states. `MODEL_STATES` states at the most in the long form.
 
-use super::model::*;
-use super::model_watch::Fault;
+use super::invariants::Fault;
 use super::*;
+use crate::consensus::*;
 use stateright::{Checker, Model};
 use std::time::Instant;
 
@@ -210,7 +210,7 @@
 
 /// `MODEL_STATES` for each part; `MODEL_PART`: only those whose names hold this; `MODEL_THREADS`.
 #[test]
-#[ignore = "long: cargo test -p toolroom raft::model -- --ignored --nocapture"]
+#[ignore = "long: cargo test -p whinstall-gateway consensus::model -- --ignored --nocapture"]
 fn what_may_be_is_well_long() {
     search_all(bound("MODEL_STATES", 400_000) as usize);
 }
@@ -261,7 +261,7 @@
 
 /// `MODEL_WALKS` seeds for each of the wide bounds.
 #[test]
-#[ignore = "long: cargo test -p toolroom raft::model -- --ignored --nocapture"]
+#[ignore = "long: cargo test -p whinstall-gateway consensus::model -- --ignored --nocapture"]
 fn walks_at_random_find_nothing_long() {
     walk_all(bound("MODEL_WALKS", 2_000));
 }
--- a/crates/gateway/src/consensus/model/injected_faults.rs
+++ b/crates/gateway/src/consensus/model/injected_faults.rs
@@ -1,10 +1,10 @@
 //! The faults that are put in and must be found by the model, each from where it needs few steps; and that the code as it
 //! is has none of them from there. Faults that no search sees are in `mutant_tests`.
 
-use super::model::*;
-use super::model_checks::{ahead, bound, cut, quiet, search, timed, ALL, NONE, U};
-use super::model_watch::Fault;
+use super::checks::{ahead, bound, cut, quiet, search, timed, ALL, NONE, U};
+use super::invariants::Fault;
 use super::*;
+use crate::consensus::*;
 use stateright::{Checker, Model};
 use std::time::Instant;
 
@@ -236,7 +236,7 @@
 }
 
 #[test]
-#[ignore = "long: cargo test -p toolroom raft::model -- --ignored --nocapture"]
+#[ignore = "long: cargo test -p whinstall-gateway consensus::model -- --ignored --nocapture"]
 fn each_fault_that_is_put_in_is_found_by_the_shortest_trace() {
     find_all(true);
 }
@@ -254,7 +254,7 @@
 }
 
 #[test]
-#[ignore = "long: cargo test -p toolroom raft::model -- --ignored --nocapture"]
+#[ignore = "long: cargo test -p whinstall-gateway consensus::model -- --ignored --nocapture"]
 fn the_same_starts_without_faults_are_well_long() {
     look_without_faults(bound("MODEL_STATES", 400_000) as usize);
 }
--- a/crates/gateway/src/consensus/model/invariants.rs
+++ b/crates/gateway/src/consensus/model/invariants.rs
@@ -1,12 +1,12 @@
 //! Owns what must never be, and the looks that find it. It must never change a machine.
 
-use super::model::{Agreed, Machine, World};
-use super::*;
+use super::{Agreed, Machine, World};
+use crate::consensus::*;
 use std::sync::Arc;
 
 /// What must never be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) enum Fault {
+pub(in crate::consensus) enum Fault {
     TwoLeaders,
     LeaderLacks,
     Differs,
--- a/crates/gateway/src/consensus/model/mod.rs
+++ b/crates/gateway/src/consensus/model/mod.rs
@@ -4,10 +4,15 @@
 //! Time: every clock stands at [`NOW`]; a tick makes what is remembered older instead, so that no field grows. Without
 //! clocks (`slow` is `None`) nothing binds by time: anybody stands at any moment, which is more than may happen.
 
-use super::model_time::{forget, older, renumber, without_time};
-use super::model_watch::{applied, led, Fault};
-use super::tests::land;
-use super::*;
+mod checks;
+mod injected_faults;
+mod invariants;
+mod time;
+
+use self::invariants::{applied, led, Fault};
+use self::time::{forget, older, renumber, without_time};
+use crate::consensus::tests::land;
+use crate::consensus::*;
 use stateright::{Model, Property};
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Arc;
--- a/crates/gateway/src/consensus/model/time.rs
+++ b/crates/gateway/src/consensus/model/time.rs
@@ -1,8 +1,8 @@
 //! Owns what the model does to times, rounds and numbers of writes, so that none grows. It must never change what may come
 //! of them: only their differences matter to the code, and what is older than any span is all the same.
 
-use super::model::{Machine, ELECTION, NOW};
-use super::*;
+use super::{Machine, ELECTION, NOW};
+use crate::consensus::*;
 
 /// Numbers of writes count from the last one that is synced.
 pub(super) fn renumber(own: &mut Machine) {
--- a/crates/gateway/src/control_plane/calls_tests.rs
+++ b/crates/gateway/src/control_plane/calls_tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Command, Core, Effect, Event};
 use crate::settings::Settings;
-use crate::store::Held;
+use crate::storage::Held;
 use googletest::prelude::*;
 use std::net::IpAddr;
 
@@ -12,7 +12,7 @@
 
 /// The first of these seeds, five seconds after the first start of all; its disk is quick, the others are not there.
 fn started(seeds: &[u8]) -> Core {
-    let mut settings = Settings::read(include_str!("../sim/settings.toml")).expect("settings");
+    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.cold_start) = (ip(1), true);
     settings.seeds = seeds.iter().map(|n| (ip(*n), 80).into()).collect();
     let mut core = Core::new(1000.0, settings, Held::default()).expect("a core");
@@ -67,7 +67,7 @@
     let touch = |core: &mut Core, from: f64, to: f64| {
         let mut now = from;
         while now < to {
-            let ping = crate::wire::Msg::Ping { config: 0, workers: 0, heard: 0 };
+            let ping = crate::protocol::Msg::Ping { config: 0, workers: 0, heard: 0 };
             let mut out = Vec::new();
             core.handle(now, Event::Peer(ip(2), ping), &mut out);
             pass(core, now, now + 0.3, out);
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -3,11 +3,11 @@
 //! refuse or read before most of the core was in touch in the present term.
 
 use super::{fault, CallId, Conn, Effect, LogCommand, Shared};
-use crate::config::state::Outcome;
-use crate::config::{Item, Order, State};
-use crate::journal::Fact;
-use crate::raft::{Index, NodeId, Raft, Term};
-use crate::wire::{Answer, Msg, Wish};
+use crate::configuration::state::Outcome;
+use crate::configuration::{Item, Order, State};
+use crate::consensus::{Index, NodeId, Raft, Term};
+use crate::control_plane::event_journal::Fact;
+use crate::protocol::{Answer, Msg, Wish};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
--- a/crates/gateway/src/control_plane/context.rs
+++ b/crates/gateway/src/control_plane/context.rs
@@ -1,10 +1,10 @@
 //! Owns what the parts of the core share: who this machine is, which core machines it knows, who of them is in touch. It
 //! must never count a machine that is not a member of the log towards most of the core.
 
-use crate::journal::Journal;
-use crate::raft::Ms;
+use crate::consensus::Ms;
+use crate::control_plane::event_journal::Journal;
+use crate::protocol::Member;
 use crate::settings::Settings;
-use crate::wire::Member;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
--- a/crates/gateway/src/control_plane/edge_directory.rs
+++ b/crates/gateway/src/control_plane/edge_directory.rs
@@ -1,8 +1,8 @@
 //! Owns which gatekeepers there are, and which of them are news to whom. One that is back, where it was, is none. It must
 //! never hold one that was not heard for long.
 
-use super::changes::Changes;
-use crate::wire::{Member, Msg};
+use super::change_tracker::Changes;
+use crate::protocol::{Member, Msg};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
 
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -3,12 +3,12 @@
 //! came between. It must never give a whole configuration, or the list of workers, while out of touch with most of the
 //! core: whoever has just started would take it for the newest.
 
-use super::window::{weight, Window};
+use super::in_flight_window::{weight, Window};
 use super::{Conn, Core, Effect, TICK};
-use crate::config::Item;
-use crate::raft::Index;
-use crate::registry::Worker;
-use crate::wire::{Member, Msg};
+use crate::configuration::Item;
+use crate::consensus::Index;
+use crate::discovery::registry::Worker;
+use crate::protocol::{Member, Msg};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
@@ -302,5 +302,5 @@
 }
 
 #[cfg(test)]
-#[path = "gates_tests.rs"]
+#[path = "edge_sessions_tests.rs"]
 mod tests;
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -1,11 +1,11 @@
 //! What gatekeepers are told of core machines.
 
 use super::super::{Command, Conn, Core, Effect, Event, TICK};
-use crate::edge::{self, Edge};
-use crate::registry::{Phase, Worker};
+use crate::data_plane::{self, Edge};
+use crate::discovery::registry::{Phase, Worker};
+use crate::protocol::{encode, Member, Msg};
 use crate::settings::Settings;
-use crate::store::Held;
-use crate::wire::{encode, Member, Msg};
+use crate::storage::Held;
 use googletest::prelude::*;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 /// cut off): it has to hear of the others, or it is alone once that one is replaced.
 #[gtest]
 fn a_gatekeeper_hears_of_machines_that_are_heard_after_it_came() {
-    let mut settings = Settings::read(include_str!("../sim/settings.toml")).expect("settings");
+    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.seeds, settings.cold_start) = (ip(3), vec![(ip(3), 80).into()], false);
     let held = Held { disk: 7, fresh: true, ..Held::default() };
     let mut core = Core::new(1000.0, settings, held).expect("a core");
@@ -81,7 +81,7 @@
 }
 
 fn settings() -> Settings {
-    let mut settings = Settings::read(include_str!("../sim/settings.toml")).expect("settings");
+    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.seeds, settings.cold_start) = (ip(1), vec![(ip(1), 80).into()], true);
     settings
 }
@@ -131,7 +131,7 @@
                     let Some(n) = self.edges.iter().position(|g| g.conn == conn) else { continue };
                     match self.edges[n].lags {
                         true => self.edges[n].waits.push(msg),
-                        false => self.tell(n, edge::Event::Core(ip(1), msg)),
+                        false => self.tell(n, data_plane::Event::Core(ip(1), msg)),
                     }
                 }
                 _ => {}
@@ -145,11 +145,11 @@
         self.carry_out(out);
     }
 
-    fn tell(&mut self, n: usize, event: edge::Event) {
+    fn tell(&mut self, n: usize, event: data_plane::Event) {
         let mut out = Vec::new();
         self.edges[n].edge.handle(self.now, event, &mut out);
         for effect in out {
-            if let edge::Effect::Send(_, msg) = effect {
+            if let data_plane::Effect::Send(_, msg) = effect {
                 self.event(Event::Inbound(self.edges[n].conn, msg));
             }
         }
@@ -172,10 +172,10 @@
         });
         if self.edges[n].conn != conn {
             self.event(Event::Closed(self.edges[n].conn));
-            self.tell(n, edge::Event::LinkDown(ip(1)));
+            self.tell(n, data_plane::Event::LinkDown(ip(1)));
             (self.edges[n].conn, self.edges[n].waits) = (conn, Vec::new());
         }
-        self.tell(n, edge::Event::LinkUp(ip(1)));
+        self.tell(n, data_plane::Event::LinkUp(ip(1)));
         n
     }
 
@@ -186,7 +186,7 @@
             self.event(Event::Tick);
             for n in 0..self.edges.len() {
                 if !self.edges[n].lags {
-                    self.tell(n, edge::Event::Tick);
+                    self.tell(n, data_plane::Event::Tick);
                 }
             }
         }
@@ -202,7 +202,7 @@
             "service_set": { "columns": ["label", "probe_path", "revision"], "records": services },
             "route_set": { "columns": of, "records": routes },
         }});
-        let items = crate::config::read_call(body.to_string().as_bytes()).expect("a call");
+        let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
         self.event(Event::Call(1, Command::Amend(items)));
     }
 
@@ -210,7 +210,7 @@
         let body = json!({ "upsert": { "service_set": {
             "columns": ["label", "probe_path", "revision"], "records": [["s0", "/health", format!("r{version}")]],
         }}});
-        let items = crate::config::read_call(body.to_string().as_bytes()).expect("a call");
+        let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
         self.event(Event::Call(version, Command::Amend(items)));
     }
 
@@ -312,7 +312,7 @@
     cell.edges[n].lags = false;
     cell.said.clear();
     for msg in std::mem::take(&mut cell.edges[n].waits) {
-        cell.tell(n, edge::Event::Core(ip(1), msg));
+        cell.tell(n, data_plane::Event::Core(ip(1), msg));
     }
     cell.play(3.0);
     expect_that!(cell.agree(), eq(true));
@@ -333,7 +333,7 @@
     for round in 0..200 {
         let news = Msg::Workers(vec![worker(300 + round, 1)]);
         for n in 0..5 {
-            cell.tell(n, edge::Event::Core(ip(2), news.clone()));
+            cell.tell(n, data_plane::Event::Core(ip(2), news.clone()));
         }
         cell.play(TICK);
         cell.event(Event::Call(1 << 20, Command::Beat(worker(300 + round, 1))));
@@ -343,7 +343,7 @@
     expect_that!(cell.agree(), eq(true));
     expect_that!(cell.said("workers"), eq(0));
     // One that holds a worker which nobody knows is told all, once.
-    cell.tell(0, edge::Event::Core(ip(2), Msg::Workers(vec![worker(9999, 1)])));
+    cell.tell(0, data_plane::Event::Core(ip(2), Msg::Workers(vec![worker(9999, 1)])));
     cell.play(5.0);
     expect_that!(cell.agree(), eq(true));
     expect_that!(cell.said("workers"), all![gt(0), lt(100 * 600)]);
--- a/crates/gateway/src/control_plane/event_journal.rs
+++ b/crates/gateway/src/control_plane/event_journal.rs
@@ -2,8 +2,8 @@
 //! it happened. The lists of items and workers are views folded from it; of what was folded the newest part is kept,
 //! for whoever asks what this process did. It must never decide anything, nor grow without bound.
 
-use crate::config::Item;
-use crate::registry::{Merge, Phase, Registry, Worker};
+use crate::configuration::Item;
+use crate::discovery::registry::{Merge, Phase, Registry, Worker};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
--- a/crates/gateway/src/control_plane/event_journal_tests.rs
+++ b/crates/gateway/src/control_plane/event_journal_tests.rs
@@ -1,7 +1,7 @@
 //! What the journal keeps, and what it leaves out.
 
-use crate::journal::{Fact, Journal, KEPT};
-use crate::registry::{Phase, Registry, Worker};
+use crate::control_plane::event_journal::{Fact, Journal, KEPT};
+use crate::discovery::registry::{Phase, Registry, Worker};
 use googletest::prelude::*;
 use serde_json::json;
 
--- a/crates/gateway/src/control_plane/in_flight_window.rs
+++ b/crates/gateway/src/control_plane/in_flight_window.rs
@@ -1,7 +1,7 @@
 //! Owns how much was said on a connection that is not known to be heard. The other side tells how many messages it has
 //! heard; each counts them from the connection's start. It must never let one that lags be filled further.
 
-use crate::wire::Msg;
+use crate::protocol::Msg;
 use std::collections::VecDeque;
 
 /// What is on its way on one connection.
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -3,40 +3,44 @@
 //! for no disk; gatekeepers hear what is news (`gates`). Pure; time is passed in. It must never acknowledge what too few
 //! disks hold, nor speak for workers or hand out a whole configuration while it is out of touch with most of the core.
 
-mod changes;
-mod directory;
-mod gates;
-pub mod keeper;
-mod log;
-pub mod roster;
-pub mod seat;
-mod shared;
+mod change_tracker;
+pub mod configuration_service;
+mod context;
+mod edge_directory;
+mod edge_sessions;
+pub mod event_journal;
+#[cfg(test)]
+mod event_journal_tests;
+mod in_flight_window;
+pub mod quota_counter;
+pub mod quota_lease;
+mod replicated_log;
 mod snapshot;
 mod status;
-mod window;
+pub mod worker_membership;
 
-use crate::config::{Order, State};
-use crate::counter::Limit;
-use crate::journal::Fact;
-use crate::raft::{NodeId, Raft};
-use crate::registry::{Phase, Worker};
+use crate::configuration::{Order, State};
+use crate::consensus::{NodeId, Raft};
+use crate::control_plane::event_journal::Fact;
+use crate::control_plane::quota_counter::Limit;
+use crate::discovery::registry::{Phase, Worker};
+use crate::protocol::share_ceilings::Shares;
+use crate::protocol::{Member, Msg, Wish};
 use crate::settings::Settings;
-use crate::shares::Shares;
-use crate::store::{Held, Put};
-use crate::wire::{Member, Msg, Wish};
-use directory::Directory;
-use gates::{Caller, Pace};
-use keeper::Keeper;
-pub use log::LogCommand;
-use log::LogSide;
-use roster::Roster;
-use seat::Seat;
+use crate::storage::{Held, Put};
+use configuration_service::Keeper;
+pub use context::Shared;
+use edge_directory::Directory;
+use edge_sessions::{Caller, Pace};
+use quota_lease::Seat;
+pub use replicated_log::LogCommand;
+use replicated_log::LogSide;
 use serde_json::{json, Value};
-pub use shared::Shared;
 use status::Standings;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::sync::Arc;
+use worker_membership::Roster;
 
 /// A connection that somebody opened to this process.
 pub type Conn = u64;
@@ -51,7 +55,7 @@
     /// A worker has left.
     Departure(String),
     /// Items change.
-    Amend(Vec<crate::config::Item>),
+    Amend(Vec<crate::configuration::Item>),
     /// A call that changes items can't be read: why. Refused like any other, only in touch with most of the core.
     Unreadable(String),
     /// Any other call that can't be read: why. Refused in the same way.
@@ -166,7 +170,7 @@
         let snapshot = held.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
         let me = NodeId { ip: shared.me.ip, disk: held.disk };
         let blank = held.raft.log.is_empty() && held.raft.snapshot.is_none();
-        let raft = Raft::new(shared.ms(now), me, held.raft, log::tuning(&shared.settings));
+        let raft = Raft::new(shared.ms(now), me, held.raft, replicated_log::tuning(&shared.settings));
         let mut core = Core {
             keeper: Keeper::new(state, applied),
             roster: Roster::new(&shared.settings, now, held.workers),
@@ -456,7 +460,7 @@
     pub fn retune(&mut self, settings: Settings, out: &mut Vec<Effect>) {
         let blank = |ip| Member { ip, zone: String::new(), region: String::new() };
         let seeds = settings.seeds.iter().map(|s| blank(s.ip())).collect();
-        self.raft.retune(log::tuning(&settings));
+        self.raft.retune(replicated_log::tuning(&settings));
         self.shared.settings = settings;
         let before = out.len();
         self.meet(seeds, out);
--- a/crates/gateway/src/control_plane/quota_counter/mod.rs
+++ b/crates/gateway/src/control_plane/quota_counter/mod.rs
@@ -11,11 +11,15 @@
 //! holders gave until the life that has it syncs, is seen to have ended (its machine syncs with another life), or
 //! lapses.
 
-mod part;
-
-use crate::shares::{GateShares, Shares};
-use crate::wire::{Charge, Total};
-use part::{coarse, Part, Sums};
+mod allocation;
+#[cfg(test)]
+mod tests;
+#[cfg(test)]
+mod totals_tests;
+
+use crate::protocol::share_ceilings::{GateShares, Shares};
+use crate::protocol::{Charge, Total};
+use allocation::{coarse, Part, Sums};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -112,7 +116,6 @@
     /// Somebody, whose newest record among most of the core this is, of whatever age. Stores begin with one unit.
     Recorded(&'a Shares),
     /// Somebody whose record may be lost: until all other shares lapse, only what gatekeepers bring is granted.
-    #[cfg_attr(not(test), expect(dead_code))]
     Unrecorded,
 }
 
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -1,10 +1,10 @@
 //! The counter and the gatekeepers' side of it against each other: lives that end, holders that are lost, cuts, late
 //! words; by seeds, with the bound of the quota counted exactly.
 
-use crate::counter::{Counter, Limit, Predecessors, Terms};
-use crate::quota::{self, Asked, Quota, Verdict};
-use crate::shares::Shares;
-use crate::wire::{Charge, Total};
+use crate::control_plane::quota_counter::{Counter, Limit, Predecessors, Terms};
+use crate::data_plane::quota_admission::{self, Asked, Quota, Verdict};
+use crate::protocol::share_ceilings::Shares;
+use crate::protocol::{Charge, Total};
 use googletest::prelude::*;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 /// The gatekeeper of this number, which goes by this slack.
 fn quota_with((overshoot, margin): (f64, f64), gate: usize) -> Quota {
     let Terms { every, overdue, lapse } = TERMS;
-    let terms = quota::Terms { every, overdue, lapse, overshoot, margin, horizon: HORIZON };
+    let terms = quota_admission::Terms { every, overdue, lapse, overshoot, margin, horizon: HORIZON };
     let mut quota = Quota::new(terms, &format!("edge-{gate}"));
     quota.gates(8);
     quota
--- a/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
@@ -1,9 +1,9 @@
 //! What the counter keeps by change against the same made anew: sums over gatekeepers, and the record of ceilings that
 //! the core folds from changes; by seeds, over lives that end, silences, changes of holder and lost answers.
 
-use crate::counter::{Counter, Limit, Predecessors, Terms};
-use crate::shares::Shares;
-use crate::wire::Charge;
+use crate::control_plane::quota_counter::{Counter, Limit, Predecessors, Terms};
+use crate::protocol::share_ceilings::Shares;
+use crate::protocol::Charge;
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/gateway/src/control_plane/quota_lease.rs
+++ b/crates/gateway/src/control_plane/quota_lease.rs
@@ -3,12 +3,12 @@
 //! holder without the lease.
 
 use super::Shared;
-use crate::counter::{Counter, Limit, Predecessors, Terms};
-use crate::journal::Fact;
-use crate::raft::Term;
+use crate::consensus::Term;
+use crate::control_plane::event_journal::Fact;
+use crate::control_plane::quota_counter::{Counter, Limit, Predecessors, Terms};
+use crate::protocol::share_ceilings::Shares;
+use crate::protocol::{Charge, Total};
 use crate::settings::Settings;
-use crate::shares::Shares;
-use crate::wire::{Charge, Total};
 
 /// Shares that changed are recorded this often at the most: seconds.
 const RECORD: f64 = 0.3;
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -3,13 +3,13 @@
 
 use super::snapshot::{self, Making, Taking};
 use super::{Core, Effect};
-use crate::config::{Fields, Item, Order};
-use crate::journal::Fact;
-use crate::raft::{Body, Entry, Index, Message, NodeId, Output, Snapshot, Term, Tuning};
+use crate::configuration::{Fields, Item, Order};
+use crate::consensus::{Body, Entry, Index, Message, NodeId, Output, Snapshot, Term, Tuning};
+use crate::control_plane::event_journal::Fact;
+use crate::protocol::share_ceilings::Shares;
+use crate::protocol::{Member, Msg};
 use crate::settings::Settings;
-use crate::shares::Shares;
-use crate::store::Put;
-use crate::wire::{Member, Msg};
+use crate::storage::Put;
 use serde::{Deserialize, Serialize};
 use std::net::IpAddr;
 use std::sync::Arc;
--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -2,11 +2,11 @@
 //! to the disk ahead of the write that makes them count, so that neither heartbeats nor entries wait for megabytes. It
 //! must never decide when the log is cut.
 
-use crate::config::state::{Decoder, Encoder};
-use crate::config::State;
-use crate::raft::{Index, Term};
-use crate::shares::Shares;
-use crate::store::{Part, PART};
+use crate::configuration::state::{Decoder, Encoder};
+use crate::configuration::State;
+use crate::consensus::{Index, Term};
+use crate::protocol::share_ceilings::Shares;
+use crate::storage::{Part, PART};
 use bytes::Bytes;
 use std::sync::Arc;
 
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -1,13 +1,13 @@
 //! Snapshots of megabytes: made, sent, taken and written in small steps while the log goes on. And what each step costs
-//! at the largest size: `cargo test --release -p toolroom measure_a_repair -- --ignored --nocapture`.
+//! at the largest size: `cargo test --release -p whinstall-gateway measure_a_repair -- --ignored --nocapture`.
 
 use super::super::{Core, Effect, Event, TICK};
 use super::{decode, Making, Taking, STEP};
-use crate::config::{Fields, Item, Kind, State};
-use crate::raft::Write;
+use crate::configuration::{Fields, Item, Kind, State};
+use crate::consensus::Write;
+use crate::protocol::Msg;
 use crate::settings::Settings;
-use crate::store::{Put, Store, PART};
-use crate::wire::Msg;
+use crate::storage::{Put, Store, PART};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
@@ -112,8 +112,9 @@
 
 impl Three {
     fn new(name: &str) -> Self {
-        let folder =
-            |n: usize| std::env::temp_dir().join(format!("toolroom-three-{}-{name}-{n}", std::process::id()));
+        let folder = |n: usize| {
+            std::env::temp_dir().join(format!("whinstall-three-{}-{name}-{n}", std::process::id()))
+        };
         let nodes = (0..3).map(|n| Node { core: None, store: None, folder: folder(n) }).collect();
         let (queue, costs, replies) = Default::default();
         let mut three = Three { nodes, now: 1000.0, queue, costs, parts: (0, 0), replies };
@@ -127,7 +128,8 @@
 
     /// With an empty disk, or the one that it had.
     fn start(&mut self, n: usize, empty: bool) {
-        let mut settings = Settings::read(include_str!("../sim/settings.toml")).expect("settings");
+        let mut settings =
+            Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
         (settings.ip, settings.cold_start) = (ip(n), self.now == 1000.0);
         settings.seeds = (0..3).map(|n| (ip(n), 80).into()).collect();
         (self.nodes[n].core, self.nodes[n].store) = (None, None);
@@ -190,23 +192,24 @@
             let what = match &event {
                 Event::Tick => "tick (with a step of a snapshot's making)",
                 Event::Disk(_) => "a sync is done",
-                Event::Inbound(_, Msg::Raft { message: crate::raft::Message::Piece { .. }, .. }) => {
+                Event::Inbound(_, Msg::Raft { message: crate::consensus::Message::Piece { .. }, .. }) => {
                     "take a piece"
                 }
-                Event::Inbound(_, Msg::Raft { message: crate::raft::Message::PieceReply { .. }, .. }) => {
-                    "send pieces"
-                }
+                Event::Inbound(
+                    _,
+                    Msg::Raft { message: crate::consensus::Message::PieceReply { .. }, .. },
+                ) => "send pieces",
                 Event::Call(..) => "a call",
                 _ => "anything else",
             };
             // As it comes off the wire.
             let wire = match &event {
-                Event::Inbound(_, msg) | Event::Peer(_, msg) => Some(crate::wire::encode(msg)),
+                Event::Inbound(_, msg) | Event::Peer(_, msg) => Some(crate::protocol::encode(msg)),
                 _ => None,
             };
             let since = Instant::now();
             if let Some(wire) = &wire {
-                let read = crate::wire::decode(&mut bytes::BytesMut::from(&wire[..]));
+                let read = crate::protocol::decode(&mut bytes::BytesMut::from(&wire[..]));
                 assert!(matches!(read, Ok(Some(_))));
             }
             let (mut out, now) = (Vec::new(), self.now);
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -1,9 +1,9 @@
 //! Owns what operators are told of the core: who is of it, who leads, how far each is, who is out and why, what is being
 //! repaired and since when. It must never decide anything.
 
-use super::log::{tuning, ELECTION};
+use super::replicated_log::{tuning, ELECTION};
 use super::Core;
-use crate::raft::{Index, Ms, NodeId};
+use crate::consensus::{Index, Ms, NodeId};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -1,12 +1,12 @@
 //! Owns the core's part in the list of workers: what they call, who else must know before a leaving worker hears so,
 //! who has fallen silent. It must never acknowledge a worker's leaving before enough of the core knows of it.
 
-use super::changes::Changes;
+use super::change_tracker::Changes;
 use super::{fault, CallId, Effect, Shared};
-use crate::journal::{Fact, Journal};
-use crate::registry::{Merge, Phase, Registry, Worker};
+use crate::control_plane::event_journal::{Fact, Journal};
+use crate::discovery::registry::{Merge, Phase, Registry, Worker};
+use crate::protocol::Msg;
 use crate::settings::Settings;
-use crate::wire::Msg;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
--- a/crates/gateway/src/data_plane/links_tests.rs
+++ b/crates/gateway/src/data_plane/links_tests.rs
@@ -1,8 +1,8 @@
 //! Which core machines a gatekeeper reaches for.
 
 use super::{Edge, Effect, Event, TICK};
+use crate::protocol::{Member, Msg};
 use crate::settings::Settings;
-use crate::wire::{Member, Msg};
 use googletest::prelude::*;
 use std::net::IpAddr;
 
@@ -18,7 +18,7 @@
 /// talks of something else: that address is not reached for any more; seeds and machines that are named always are.
 #[gtest]
 fn an_address_that_belongs_to_somebody_else_is_forgotten() {
-    let mut settings = Settings::read(include_str!("../sim/settings.toml")).expect("settings");
+    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     settings.seeds = vec![(ip(1), 80).into(), (ip(4), 80).into()];
     let mut edge = Edge::new(settings, 1);
     let (mut now, mut out) = (1000.0, Vec::new());
--- a/crates/gateway/src/data_plane/load_table.rs
+++ b/crates/gateway/src/data_plane/load_table.rs
@@ -2,7 +2,7 @@
 //! once, as bytes within a zone cost nothing; those of other zones a few times a second. Pure; time is passed in. It
 //! must never be relied on for more than a choice: datagrams get lost.
 
-use crate::wire::{Load, Member};
+use crate::protocol::{Load, Member};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use whinstall::ground;
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -2,27 +2,30 @@
 //! decides of requests is in `desk`, each service's decision module in `service`. Pure; time is passed in. It must
 //! never go back behind a version that it has served by, and never send a worker what it may have run.
 
-pub mod desk;
 pub mod drain;
-pub mod load;
-pub mod request;
-pub mod service;
-
-use crate::budget;
-use crate::config::replica::{Replica, Told};
-use crate::config::{Kind, View};
-use crate::core::seat;
-use crate::quota::{self, Quota};
-use crate::registry::{Merge, Phase, Registry, Worker};
+pub mod load_table;
+pub mod quota_admission;
+#[cfg(test)]
+mod quota_slack_tests;
+pub mod request_state;
+pub mod requests;
+pub mod retry_budget;
+pub mod upstream_service;
+
+use crate::configuration::replica::{Replica, Told};
+use crate::configuration::{Kind, View};
+use crate::control_plane::quota_lease;
+use crate::discovery::registry::{Merge, Phase, Registry, Worker};
+use crate::protocol::{Load, Member, Msg};
 use crate::settings::Settings;
-use crate::wire::{Load, Member, Msg};
-use desk::{Answer, Request};
 use drain::Drain;
-use load::Loads;
-use service::Service;
+use load_table::Loads;
+use quota_admission::Quota;
+use requests::{Answer, Request};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
+use upstream_service::Service;
 use whinstall::{ground, HostId, RequestId};
 
 /// What happens to this process.
@@ -109,7 +112,7 @@
     pub view: Arc<View>,
     registry: Registry,
     quota: Quota,
-    budget: budget::Terms,
+    budget: retry_budget::Terms,
     services: BTreeMap<Arc<str>, Service>,
     requests: HashMap<RequestId, Request>,
     links: BTreeMap<IpAddr, CoreLink>,
@@ -129,23 +132,23 @@
     drain: Option<Drain>,
 }
 
-fn quota_terms(settings: &Settings) -> quota::Terms {
+fn quota_terms(settings: &Settings) -> quota_admission::Terms {
     let e = &settings.envelope;
-    quota::Terms {
-        every: seat::SYNC_EVERY,
-        overdue: seat::OVERDUE,
-        lapse: seat::lapse(settings),
+    quota_admission::Terms {
+        every: quota_lease::SYNC_EVERY,
+        overdue: quota_lease::OVERDUE,
+        lapse: quota_lease::lapse(settings),
         overshoot: e.quota_overshoot,
         margin: e.quota_margin,
         horizon: e.quota_horizon.as_secs_f64(),
     }
 }
 
-fn budget_terms(settings: &Settings) -> budget::Terms {
+fn budget_terms(settings: &Settings) -> retry_budget::Terms {
     let e = &settings.envelope;
     let (ratio, window, slack) = (e.retry_ratio, e.retry_window.as_secs_f64(), e.retry_slack);
     // As long as it is not known when this life began.
-    budget::Terms { ratio, window, slack, slack_from: f64::INFINITY }
+    retry_budget::Terms { ratio, window, slack, slack_from: f64::INFINITY }
 }
 
 impl Edge {
@@ -404,7 +407,7 @@
         let mut touched: Vec<Arc<str>> = Vec::new();
         for worker in workers {
             let (id, service) = (worker.id.clone(), worker.service.clone());
-            self.names.insert(load::key(&id), id.clone());
+            self.names.insert(load_table::key(&id), id.clone());
             if self.registry.merge(now, worker, KEEP) != Merge::Changed {
                 continue;
             }
--- a/crates/gateway/src/data_plane/quota_slack_tests.rs
+++ b/crates/gateway/src/data_plane/quota_slack_tests.rs
@@ -1,9 +1,9 @@
 //! What a quota may be passed by, each part by itself, at gatekeepers that no counter hears: what standing shares saved up,
 //! and what tenants without a share may spend. What is on its way is in `counter_tests.rs`.
 
-use crate::counter::Limit;
-use crate::quota::{Asked, Quota, Terms, Verdict};
-use crate::wire::Total;
+use crate::control_plane::quota_counter::Limit;
+use crate::data_plane::quota_admission::{Asked, Quota, Terms, Verdict};
+use crate::protocol::Total;
 use googletest::prelude::*;
 use std::sync::Arc;
 
@@ -54,7 +54,7 @@
                     f64::from(u8::from(gate.admit(now, &tenant, limit, Asked::InVain) == Verdict::Pass));
             }
             if let Some((number, charges)) = gate.sync(now).filter(|_| touch) {
-                let total = |c: &crate::wire::Charge| Total {
+                let total = |c: &crate::protocol::Charge| Total {
                     tenant: c.tenant.clone(),
                     total: 0.0,
                     until: c.charged,
@@ -128,7 +128,7 @@
             for gate in &mut gates {
                 gate.admit(now, &tenant, &limit, Asked::Not);
                 if let Some((number, charges)) = gate.sync(now) {
-                    let total = |c: &crate::wire::Charge| Total {
+                    let total = |c: &crate::protocol::Charge| Total {
                         tenant: c.tenant.clone(),
                         total: 0.0,
                         until: c.charged,
--- a/crates/gateway/src/data_plane/request_state.rs
+++ b/crates/gateway/src/data_plane/request_state.rs
@@ -206,5 +206,5 @@
 }
 
 #[cfg(test)]
-#[path = "request_tests.rs"]
+#[path = "request_state_tests.rs"]
 mod tests;
--- a/crates/gateway/src/data_plane/request_state_tests.rs
+++ b/crates/gateway/src/data_plane/request_state_tests.rs
@@ -3,8 +3,8 @@
 //! beside the machine, and what workers say is judged by the program's own code.
 
 use super::*;
-use crate::courier::exchange::{is_sound, judge, whose, Whose};
-use crate::courier::Reply;
+use crate::transport::upstream_pool::exchange::{is_sound, judge, whose, Whose};
+use crate::transport::upstream_pool::Reply;
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{ResponseHead, StatusCode};
 use googletest::prelude::*;
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -2,13 +2,13 @@
 //! carried out, and what a client hears. It must never answer 429 or 503 to what may have run and must not run twice,
 //! nor hold an answer back.
 
-pub use super::request::Answer;
-use super::request::{Progress, Sending};
-use super::service::Sort;
+pub use super::request_state::Answer;
+use super::request_state::{Progress, Sending};
+use super::upstream_service::Sort;
 use super::{drain, Edge, Effect};
-use crate::config::view::Route;
-use crate::counter::Limit;
-use crate::quota::{Asked, Verdict};
+use crate::configuration::active_config::Route;
+use crate::control_plane::quota_counter::Limit;
+use crate::data_plane::quota_admission::{Asked, Verdict};
 use std::sync::Arc;
 use whinstall::{Action, Ending, HostId, RequestId};
 
@@ -39,7 +39,7 @@
     /// Its route.
     pub route: Arc<Route>,
     /// Its tenant, where the configuration has any.
-    pub tenant: Option<Arc<crate::config::view::Tenant>>,
+    pub tenant: Option<Arc<crate::configuration::active_config::Tenant>>,
     /// Seconds that its client waits from now on.
     pub left: f64,
 }
@@ -262,12 +262,15 @@
     /// A worker that is not there any more: another one answered in its place.
     pub fn misdirected(&mut self, now: f64, worker: &HostId, out: &mut Vec<Effect>) {
         let Some(held) = self.registry.get(&worker.0) else { return };
-        let gone = crate::registry::Worker { phase: crate::registry::Phase::Silent, ..held.clone() };
+        let gone = crate::discovery::registry::Worker {
+            phase: crate::discovery::registry::Phase::Silent,
+            ..held.clone()
+        };
         tracing::warn!(worker = %worker.0, "another worker has its address");
         self.workers(now, vec![gone], out);
     }
 }
 
 #[cfg(test)]
-#[path = "desk_tests.rs"]
+#[path = "requests_tests.rs"]
 mod tests;
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -2,12 +2,12 @@
 //! drawn, each request keeps the promises of its one answer.
 
 use super::*;
-use crate::config::read_call;
-use crate::edge::drain::Unanswered;
-use crate::edge::Event;
-use crate::registry::{Phase, Worker};
+use crate::configuration::read_call;
+use crate::data_plane::drain::Unanswered;
+use crate::data_plane::Event;
+use crate::discovery::registry::{Phase, Worker};
+use crate::protocol::Msg;
 use crate::settings::Settings;
-use crate::wire::Msg;
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -54,7 +54,7 @@
 
 impl Day {
     fn new(seed: u64, workers: usize) -> Self {
-        let settings = Settings::read(include_str!("../sim/settings.toml")).expect("settings");
+        let settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
         let rng = fastrand::Rng::with_seed(seed);
         let mut day = Day {
             edge: Edge::new(settings, seed),
@@ -311,11 +311,11 @@
 
 #[gtest]
 fn the_times_of_a_drain_fit_every_grace_period() {
-    let mut settings = Settings::read(include_str!("../sim/settings.toml")).expect("settings");
+    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     for grace_ms in [0, 1, 200, 1000, 2000, 3000, 6000, 30_000] {
         settings.envelope.grace = std::time::Duration::from_millis(grace_ms);
         let grace = grace_ms as f64 / 1e3;
-        let drain = crate::edge::drain::Drain::new(1000.0, &settings);
+        let drain = crate::data_plane::drain::Drain::new(1000.0, &settings);
         expect_that!((drain.closes_at, drain.ends_at), (ge(1000.0), ge(drain.closes_at)), "{grace_ms}");
         expect_that!(drain.ends_at, le(1000.0 + grace), "{grace_ms}");
         // Whoever is broken off was at work in the last sixth.
--- a/crates/gateway/src/data_plane/retry_budget.rs
+++ b/crates/gateway/src/data_plane/retry_budget.rs
@@ -67,5 +67,5 @@
 }
 
 #[cfg(test)]
-#[path = "budget_tests.rs"]
+#[path = "retry_budget_tests.rs"]
 mod tests;
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -2,8 +2,8 @@
 //! and with what becomes of requests, and its budget of further tries. It must never know a socket, and never let the
 //! module send a further try that the budget over all gatekeepers does not allow.
 
-use crate::budget::{Budget, Terms};
-use crate::registry::{Phase, Registry};
+use crate::data_plane::retry_budget::{Budget, Terms};
+use crate::discovery::registry::{Phase, Registry};
 use std::sync::Arc;
 use std::time::Duration;
 use whinstall::{
@@ -116,7 +116,7 @@
     /// The workers that may be sent to.
     pub fn workers(&mut self, now: f64, registry: &Registry, out: &mut Vec<Action>) {
         let mine = registry.all().filter(|w| w.service == self.name && w.phase == Phase::Settled);
-        let entry = |w: &crate::registry::Worker| HostEntry {
+        let entry = |w: &crate::discovery::registry::Worker| HostEntry {
             host: HostId(Arc::clone(&w.id)),
             zone: w.zone.to_string(),
             group: 0,
--- /dev/null
+++ b/crates/gateway/src/discovery/mod.rs
@@ -0,0 +1,5 @@
+//! The workers behind the gateway: what each reports of itself, and the registry that merges these reports.
+
+pub mod registry;
+
+pub use registry::{Merge, Phase, Registry, Worker};
--- /dev/null
+++ b/crates/gateway/src/lib.rs
@@ -0,0 +1,17 @@
+//! whinstall as a whole API gateway: one program with two roles. The `edge` role ([`data_plane`]) serves clients, the
+//! `core` role ([`control_plane`]) keeps the configuration, the workers and the quota counter. docs/ARCHITECTURE.md has
+//! the layers, and which module may use which.
+#![forbid(unsafe_code)]
+
+pub mod cli;
+pub mod configuration;
+pub mod consensus;
+pub mod control_plane;
+pub mod data_plane;
+pub mod discovery;
+pub mod json_path;
+pub mod protocol;
+pub mod runtime;
+pub mod settings;
+pub mod storage;
+pub mod transport;
--- a/crates/gateway/src/protocol/mod.rs
+++ b/crates/gateway/src/protocol/mod.rs
@@ -1,10 +1,12 @@
 //! Owns what the system's own processes say to each other, in MessagePack (`rmp-serde`), each message with its length
 //! ahead. It must never decide anything.
 
-use crate::config::{Item, Order};
-use crate::core::LogCommand;
-use crate::raft::{Index, Message, NodeId};
-use crate::registry::Worker;
+pub mod share_ceilings;
+
+use crate::configuration::{Item, Order};
+use crate::consensus::{Index, Message, NodeId};
+use crate::control_plane::LogCommand;
+use crate::discovery::registry::Worker;
 use bytes::{Buf, BytesMut};
 use serde::{Deserialize, Serialize};
 use std::net::IpAddr;
@@ -263,7 +265,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::registry::Phase;
+    use crate::discovery::registry::Phase;
     use googletest::prelude::*;
 
     /// Guards the bytes between zones, which are dear: what a change, a heartbeat and the regular calls cost
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -1,15 +1,15 @@
 //! The driver of the core role: sockets, disk and clock around the state machine in `core`. It must never decide
 //! anything.
 
-use crate::config::read_call;
-use crate::core::{fault, Command, Conn, Core, Effect, Event, TICK};
-use crate::http::{self, Bounds, Connection, HttpError, Room};
-use crate::link::{self, Events, Happens, Links};
-use crate::paths::{At, PathError};
-use crate::registry::{Phase, Worker};
+use crate::configuration::read_call;
+use crate::control_plane::{fault, Command, Conn, Core, Effect, Event, TICK};
+use crate::discovery::registry::{Phase, Worker};
+use crate::json_path::{At, PathError};
+use crate::protocol::Msg;
 use crate::settings::Settings;
-use crate::store::{Held, Put, Store, StoreError};
-use crate::wire::Msg;
+use crate::storage::{Held, Put, Store, StoreError};
+use crate::transport::http_server::{self, Bounds, Connection, HttpError, Room};
+use crate::transport::peer_link::{self, Events, Happens, Links};
 use actix_http::{Method, Request, StatusCode};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -43,7 +43,7 @@
 
 struct CoreServer {
     core: RefCell<Core>,
-    clock: crate::Clock,
+    clock: crate::runtime::Clock,
     links: Links,
     conns: RefCell<HashMap<Conn, Queue>>,
     calls: RefCell<HashMap<u64, oneshot::Sender<(u16, Value)>>>,
@@ -103,7 +103,7 @@
                 Ok(whole) => self.answer(&whole.head, whole.body.unwrap_or_default()).await,
                 Err(HttpError::Gone) => return,
                 Err(HttpError::Rejected(status, why)) => {
-                    let (mut response, body) = http::plain(status, why);
+                    let (mut response, body) = http_server::plain(status, why);
                     response.force_close();
                     (response, body)
                 }
@@ -126,11 +126,11 @@
     ) -> (actix_http::ResponseBuilder, bytes::Bytes) {
         if self.ending.get() {
             // It may take longer than this process lives: its caller goes on to another machine.
-            return http::json(503, &fault("ending"));
+            return http_server::json(503, &fault("ending"));
         }
         let command = match command(head, &body) {
             Ok(Some(command)) => command,
-            Ok(None) => return http::plain(StatusCode::NOT_FOUND, "no such call"),
+            Ok(None) => return http_server::plain(StatusCode::NOT_FOUND, "no such call"),
             Err(error) => {
                 tracing::warn!(error, path = head.path(), "refused a call");
                 Command::Malformed(error)
@@ -142,33 +142,33 @@
         self.calls.borrow_mut().insert(call, reply);
         self.handle(Event::Call(call, command));
         match answer.await {
-            Ok((status, body)) => http::json(status, &body),
-            Err(_) => http::json(503, &fault("ending")),
+            Ok((status, body)) => http_server::json(status, &body),
+            Err(_) => http_server::json(503, &fault("ending")),
         }
     }
 }
 
 /// The command that a call stands for; `None`: there is no such call.
 fn command(head: &Request, body: &[u8]) -> Result<Option<Command>, String> {
-    if http::is(head, Method::POST, "/whinstall/configuration/amend") {
+    if http_server::is(head, Method::POST, "/whinstall/configuration/amend") {
         // Also a refusal wants most of the core in touch: the log's side decides when it is said.
         let read = read_call(body).map_or_else(|e| Command::Unreadable(e.to_string()), Command::Amend);
         return Ok(Some(read));
     }
-    if http::is(head, Method::GET, "/whinstall/configuration/read") {
+    if http_server::is(head, Method::GET, "/whinstall/configuration/read") {
         return Ok(Some(Command::Read));
     }
-    if http::is(head, Method::GET, "/whinstall/core") {
+    if http_server::is(head, Method::GET, "/whinstall/core") {
         return Ok(Some(Command::Status));
     }
-    if http::is(head, Method::GET, "/whinstall/journal") {
+    if http_server::is(head, Method::GET, "/whinstall/journal") {
         return Ok(Some(Command::Journal));
     }
     let Some(rest) = head.path().strip_prefix("/whinstall/instances/") else { return Ok(None) };
     match rest.split_once('/') {
         Some(("", _)) => Err("an instance without an id".into()),
         Some((id, "heartbeat")) if head.method() == Method::POST => {
-            let value = crate::paths::parse(body).map_err(|e| e.to_string())?;
+            let value = crate::json_path::parse(body).map_err(|e| e.to_string())?;
             beat(id, &At::root(&value)).map(|w| Some(Command::Beat(w))).map_err(|e| e.to_string())
         }
         Some((id, "departure")) if head.method() == Method::POST => Ok(Some(Command::Departure(id.into()))),
@@ -210,19 +210,20 @@
 }
 
 /// Runs the core role until it is asked to end.
-pub async fn run(mut settings: Settings) -> Result<(), crate::RunError> {
+pub async fn run(mut settings: Settings) -> Result<(), crate::runtime::RunError> {
     // Before anything else: an unhandled signal would end the process with all that it has begun.
-    let mut signals = crate::Signals::new().map_err(crate::RunError::Signals)?;
-    let clock = crate::Clock::new();
-    let control = settings.control.ok_or(crate::RunError::NotTold("network.endpoints.control_port"))?;
-    let data = settings.data.clone().ok_or(crate::RunError::NotTold("self.data_path"))?;
+    let mut signals = crate::runtime::Signals::new().map_err(crate::runtime::RunError::Signals)?;
+    let clock = crate::runtime::Clock::start();
+    let control =
+        settings.control.ok_or(crate::runtime::RunError::NotTold("network.endpoints.control_port"))?;
+    let data = settings.data.clone().ok_or(crate::runtime::RunError::NotTold("self.data_path"))?;
     let mut opening = std::pin::pin!(open(&data, settings.is_first_seed()));
     let (store, held) = loop {
         tokio::select! {
-            opened = &mut opening => break opened.map_err(crate::RunError::Store)?,
+            opened = &mut opening => break opened.map_err(crate::runtime::RunError::Store)?,
             signal = signals.next() => match signal {
-                crate::Signal::Reread(reread) => settings = *reread,
-                crate::Signal::End => return Ok(()),
+                crate::runtime::Signal::Reread(reread) => settings = *reread,
+                crate::runtime::Signal::End => return Ok(()),
             },
         }
     };
@@ -239,7 +240,7 @@
     );
     let (port, ip) = (settings.inner_port, settings.ip);
     let room = Room::new(settings.memory as usize / BODIES_PART);
-    let core = Core::new(clock.now(), settings, held).map_err(crate::RunError::State)?;
+    let core = Core::new(clock.now(), settings, held).map_err(crate::runtime::RunError::State)?;
     let server = Rc::new(CoreServer {
         core: RefCell::new(core),
         clock,
@@ -255,13 +256,13 @@
     *server.disk.borrow_mut() = Some(store.serve(move |number| {
         let _ = synced.send(number);
     }));
-    let inner = TcpListener::bind((ip, port)).await.map_err(crate::RunError::Listen)?;
-    let control = TcpListener::bind(control).await.map_err(crate::RunError::Listen)?;
+    let inner = TcpListener::bind((ip, port)).await.map_err(crate::runtime::RunError::Listen)?;
+    let control = TcpListener::bind(control).await.map_err(crate::runtime::RunError::Listen)?;
     let mut out = Vec::new();
     server.core.borrow_mut().start(&mut out);
     server.carry_out(out);
     let (opening, closing) = (Rc::clone(&server), Rc::clone(&server));
-    tokio::task::spawn_local(link::listen(
+    tokio::task::spawn_local(peer_link::listen(
         inner,
         move |conn| {
             let (queue, outgoing) = unbounded_channel();
@@ -279,9 +280,9 @@
     ));
     let serving = Rc::clone(&server);
     tokio::task::spawn_local(async move {
-        let config = http::config();
+        let config = http_server::config();
         loop {
-            let connection = Connection::new(link::accepted(&control).await, &config);
+            let connection = Connection::new(peer_link::accepted(&control).await, &config);
             tokio::task::spawn_local(Rc::clone(&serving).converse(connection));
         }
     });
@@ -292,16 +293,16 @@
             _ = ticks.tick() => server.handle(Event::Tick),
             Some(number) = syncs.recv() => server.handle(Event::Disk(number)),
             signal = signals.next() => match signal {
-                crate::Signal::Reread(settings) => {
+                crate::runtime::Signal::Reread(settings) => {
                     let mut out = Vec::new();
                     server.core.borrow_mut().retune(*settings, &mut out);
                     server.carry_out(out);
                 }
-                crate::Signal::End => break,
+                crate::runtime::Signal::End => break,
             },
         }
         if let Some(error) = server.core.borrow().broken.clone() {
-            return Err(crate::RunError::State(error));
+            return Err(crate::runtime::RunError::State(error));
         }
     }
     tracing::info!(
--- a/crates/gateway/src/runtime/edge_loop.rs
+++ b/crates/gateway/src/runtime/edge_loop.rs
@@ -1,7 +1,7 @@
 //! Owns an edge while it runs: hands it what happens, with the time, and says when its next tick is due. It must never carry
 //! anything out.
 
-use crate::edge::{Edge, Effect};
+use crate::data_plane::{Edge, Effect};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -11,7 +11,7 @@
     /// The state machine.
     pub state: RefCell<Edge>,
     /// Its clock.
-    pub clock: crate::Clock,
+    pub clock: crate::runtime::Clock,
     /// Until when [`EventLoop::due`] waits; woken where something is due earlier.
     due: Cell<f64>,
     wake: Notify,
@@ -19,7 +19,7 @@
 
 impl EventLoop {
     /// With nothing due.
-    pub fn new(edge: Edge, clock: crate::Clock) -> Self {
+    pub fn new(edge: Edge, clock: crate::runtime::Clock) -> Self {
         EventLoop { state: RefCell::new(edge), clock, due: Cell::new(0.0), wake: Notify::new() }
     }
 
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -3,13 +3,13 @@
 
 mod drain;
 
-use crate::courier::{Courier, Forward, Reply, LOOK};
-use crate::edge::desk::{Answer, Arrival};
-use crate::edge::{Edge, Effect, Event};
-use crate::event_loop::EventLoop;
-use crate::http::{self, Bounds, Connection, HttpError, Rested, Room, Whole};
-use crate::link::{self, Events, Links};
+use crate::data_plane::requests::{Answer, Arrival};
+use crate::data_plane::{Edge, Effect, Event};
+use crate::runtime::edge_loop::EventLoop;
 use crate::settings::Settings;
+use crate::transport::http_server::{self, Bounds, Connection, HttpError, Rested, Room, Whole};
+use crate::transport::peer_link::{self, Events, Links};
+use crate::transport::upstream_pool::{Courier, Forward, Reply, LOOK};
 use actix_http::header::HeaderMap;
 use actix_http::{HttpMessage, Response, ResponseBuilder, StatusCode};
 use bytes::Bytes;
@@ -210,7 +210,7 @@
                 },
                 Err(HttpError::Gone) => return,
                 Err(HttpError::Rejected(status, why)) => {
-                    let (mut response, body) = http::plain(status, why);
+                    let (mut response, body) = http_server::plain(status, why);
                     if status == StatusCode::SERVICE_UNAVAILABLE {
                         response.insert_header(("retry-after", NOT_YET.to_string()));
                     }
@@ -240,7 +240,7 @@
             return Some(plain(Answer::Refused(NOT_YET)));
         }
         let Some(route) = view.route(host, head.path()).cloned() else {
-            return Some(http::plain(StatusCode::NOT_FOUND, "no route"));
+            return Some(http_server::plain(StatusCode::NOT_FOUND, "no route"));
         };
         let tenant = match view.keyed && !route.unkeyed {
             false => None,
@@ -249,7 +249,7 @@
                 let key = keys.next().and_then(|k| k.to_str().ok());
                 match key.and_then(|key| view.tenant(key)).filter(|_| keys.next().is_none()) {
                     Some(tenant) => Some(Arc::clone(tenant)),
-                    None => return Some(http::plain(StatusCode::UNAUTHORIZED, "unknown key")),
+                    None => return Some(http_server::plain(StatusCode::UNAUTHORIZED, "unknown key")),
                 }
             }
         };
@@ -257,7 +257,7 @@
         let mut ids = head.headers().get_all("x-attempt-id");
         let attempt_id = match (ids.next(), ids.next()) {
             (Some(id), None) if !id.as_bytes().trim_ascii().is_empty() => id.clone(),
-            _ => return Some(http::plain(StatusCode::BAD_REQUEST, "not one X-Attempt-Id")),
+            _ => return Some(http_server::plain(StatusCode::BAD_REQUEST, "not one X-Attempt-Id")),
         };
         let left = head.headers().get("x-remaining-ms").and_then(|v| v.to_str().ok()?.trim().parse().ok());
         let left = left.and_then(|ms: f64| Duration::try_from_secs_f64(ms / 1e3).ok());
@@ -333,7 +333,7 @@
         Answer::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None, "no answer in time"),
         Answer::Failed | Answer::Worker(_) => (StatusCode::BAD_GATEWAY, None, "failed"),
     };
-    let (mut response, body) = http::plain(status, text);
+    let (mut response, body) = http_server::plain(status, text);
     if let Some(after) = after {
         response.insert_header(("retry-after", format!("{:.3}", after.max(0.001))));
     }
@@ -342,7 +342,7 @@
 
 /// Answers the platform's question whether this gatekeeper is ready.
 async fn readiness(server: Rc<EdgeServer>, listener: TcpListener) {
-    let config = http::config();
+    let config = http_server::config();
     let bounds = Bounds {
         head_bytes: 8192,
         body_bytes: 1024,
@@ -350,7 +350,7 @@
         body_within: Duration::from_secs(2),
     };
     loop {
-        let stream = link::accepted(&listener).await;
+        let stream = peer_link::accepted(&listener).await;
         let (server, mut connection) = (Rc::clone(&server), Connection::new(stream, &config));
         tokio::task::spawn_local(async move {
             let idle = Duration::from_secs(10);
@@ -358,7 +358,7 @@
                 let Ok(_) = connection.request(&bounds, &server.room).await else { return };
                 let ready = server.edge.state.borrow().is_ready(server.edge.clock.now());
                 let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-                let (response, body) = http::plain(status, "");
+                let (response, body) = http_server::plain(status, "");
                 if !matches!(connection.answer(response, body).await, Ok(true)) {
                     return;
                 }
@@ -376,9 +376,9 @@
 }
 
 async fn front(server: Rc<EdgeServer>, listener: TcpListener) {
-    let config = http::config();
+    let config = http_server::config();
     loop {
-        let stream = link::accepted(&listener).await;
+        let stream = peer_link::accepted(&listener).await;
         if server.open.get() >= server.descriptors / 2 {
             // Closed unread: its client may come again elsewhere.
             continue;
@@ -394,20 +394,20 @@
 }
 
 /// Runs the edge role until it is asked to end.
-pub async fn run(settings: Settings) -> Result<(), crate::RunError> {
+pub async fn run(settings: Settings) -> Result<(), crate::runtime::RunError> {
     // Before anybody can connect: an unhandled signal would end the process with all of its connections.
-    let mut signals = crate::Signals::new().map_err(crate::RunError::Signals)?;
-    let front_at = settings.front.ok_or(crate::RunError::NotTold("network.endpoints.front_http"))?;
-    let ready_at = settings.ready.ok_or(crate::RunError::NotTold("network.endpoints.ready_port"))?;
+    let mut signals = crate::runtime::Signals::new().map_err(crate::runtime::RunError::Signals)?;
+    let front_at = settings.front.ok_or(crate::runtime::RunError::NotTold("network.endpoints.front_http"))?;
+    let ready_at = settings.ready.ok_or(crate::runtime::RunError::NotTold("network.endpoints.ready_port"))?;
     let since = std::time::SystemTime::UNIX_EPOCH;
     let life = since.elapsed().map_or(0, |d| d.as_nanos() as u64) ^ fastrand::u64(..);
     tracing::info!(node = settings.node, life, "edge role starts");
     let port = settings.inner_port;
     let descriptors = settings.descriptors.saturating_sub(300).max(64);
     let room = Room::new(settings.memory as usize / BODIES_PART);
-    let hints = UdpSocket::bind((settings.ip, port)).await.map_err(crate::RunError::Listen)?;
+    let hints = UdpSocket::bind((settings.ip, port)).await.map_err(crate::runtime::RunError::Listen)?;
     let server = Rc::new(EdgeServer {
-        edge: EventLoop::new(Edge::new(settings, life), crate::Clock::new()),
+        edge: EventLoop::new(Edge::new(settings, life), crate::runtime::Clock::start()),
         links: Links::new(port),
         pending: RefCell::default(),
         courier: Courier::new(descriptors / 2),
@@ -419,8 +419,8 @@
         descriptors,
         room,
     });
-    let ready = TcpListener::bind(ready_at).await.map_err(crate::RunError::Listen)?;
-    let clients = TcpListener::bind(front_at).await.map_err(crate::RunError::Listen)?;
+    let ready = TcpListener::bind(ready_at).await.map_err(crate::runtime::RunError::Listen)?;
+    let clients = TcpListener::bind(front_at).await.map_err(crate::runtime::RunError::Listen)?;
     server.with(|edge, _, out| edge.start(out));
     tokio::task::spawn_local(readiness(Rc::clone(&server), ready));
     tokio::task::spawn_local(front(Rc::clone(&server), clients));
@@ -450,7 +450,7 @@
             ticking.edge.due().await;
         }
     });
-    while let crate::Signal::Reread(settings) = signals.next().await {
+    while let crate::runtime::Signal::Reread(settings) = signals.next().await {
         server.with(|edge, _, out| edge.retune(*settings, out));
     }
     drain::drain(&server).await;
--- a/crates/gateway/src/runtime/edge_server/drain.rs
+++ b/crates/gateway/src/runtime/edge_server/drain.rs
@@ -1,4 +1,4 @@
-//! The driver of a gatekeeper's drain: waits as the state machine's [`Drain`](crate::edge::drain::Drain) says, and lets
+//! The driver of a gatekeeper's drain: waits as the state machine's [`Drain`](crate::data_plane::drain::Drain) says, and lets
 //! answers go out before the process ends.
 
 use super::EdgeServer;
--- a/crates/gateway/src/runtime/signals_tests.rs
+++ b/crates/gateway/src/runtime/signals_tests.rs
@@ -1,6 +1,6 @@
 //! When a settings file that changes without a signal is read.
 
-use crate::signals::{Stamp, Watch};
+use crate::runtime::signals::{Stamp, Watch};
 use googletest::prelude::*;
 use std::time::{Duration, SystemTime};
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,7 +1,7 @@
 //! Owns the settings file: what a process is told of itself, its network, its platform and the bounds that hold.
 //! It must never guess what the file does not say: what is missing has a stated default or is an error.
 
-use crate::paths::time;
+use crate::json_path::time;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
--- a/crates/gateway/src/storage/bootstrap_marker_tests.rs
+++ b/crates/gateway/src/storage/bootstrap_marker_tests.rs
@@ -1,9 +1,9 @@
 //! The first start cut at each of its steps: a seed of the whole system's first start comes back as one, and nobody else
 //! does.
 
-use crate::bootstrap_mark::NAME as MARK;
-use crate::store::{Held, Store, EARLIER, NAME, WAL};
-use crate::store_tests::Folder;
+use crate::storage::bootstrap_marker::NAME as MARK;
+use crate::storage::tests::Folder;
+use crate::storage::{Held, Store, EARLIER, NAME, WAL};
 use googletest::prelude::*;
 
 fn open(folder: &Folder, first: bool) -> Held {
--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -16,10 +16,15 @@
 //! - What a killed process wrote and did not sync is found at the next start. It is synced, with the folder, before
 //!   anybody hears of it.
 
-use crate::bootstrap_mark;
-use crate::core::LogCommand;
-use crate::raft::{Entry, Index, Members, NodeId, Snapshot, Term, Write};
-use crate::registry::{Phase, Worker};
+pub mod bootstrap_marker;
+#[cfg(test)]
+mod bootstrap_marker_tests;
+#[cfg(test)]
+pub(crate) mod tests;
+
+use crate::consensus::{Entry, Index, Members, NodeId, Snapshot, Term, Write};
+use crate::control_plane::LogCommand;
+use crate::discovery::registry::{Phase, Worker};
 use bytes::{Bytes, BytesMut};
 use rusqlite::config::DbConfig;
 use rusqlite::{params, Connection, OptionalExtension};
@@ -31,14 +36,14 @@
 use std::time::{Duration, SystemTime};
 
 /// The database.
-pub(crate) const NAME: &str = "replica.sqlite";
+pub const NAME: &str = "replica.sqlite";
 /// Its write-ahead log, as SQLite names it.
-pub(crate) const WAL: &str = "replica.sqlite-wal";
+pub const WAL: &str = "replica.sqlite-wal";
 /// The database while it is made, and the journals that SQLite may put beside it.
 const MAKING: [&str; 4] =
     ["replica.making", "replica.making-wal", "replica.making-journal", "replica.making-shm"];
 /// The database of the program before the replicated log.
-pub(crate) const EARLIER: &str = "toolroom.sqlite";
+pub const EARLIER: &str = "toolroom.sqlite";
 
 /// How the tables are laid out.
 const FORMAT: i64 = 1;
@@ -47,7 +52,7 @@
 /// The write-ahead log is cut to so many bytes after it had to grow further.
 const WAL_MOST: i64 = 2 * 1024 * 1024;
 /// Bytes of a snapshot in one row: rows are put together in memory.
-pub(crate) const PART: usize = 64 * 1024;
+pub const PART: usize = 64 * 1024;
 /// Rows of a snapshot are numbered from its index times this, so that those of the next one can be written beside them.
 const PARTS: u64 = 1 << 20;
 /// Rows of snapshots that are no more that go with one write.
@@ -68,7 +73,7 @@
     Row(String),
     /// the disk's format is {0}, of another version of this program
     Format(i64),
-    /// {0} is of the program before the replicated log; see `toolroom export` for how its items are taken over
+    /// {0} is of the program before the replicated log; see `whinstall-gateway export` for how its items are taken over
     Earlier(String),
 }
 
@@ -94,7 +99,7 @@
     /// Was it made just now?
     pub fresh: bool,
     /// The replicated log.
-    pub raft: crate::raft::Held<LogCommand>,
+    pub raft: crate::consensus::Held<LogCommand>,
     /// Workers as they were last known.
     pub workers: Vec<Worker>,
 }
@@ -242,7 +247,7 @@
             (Some(_), Some(_)) => false,
         };
         if fresh {
-            let first = bootstrap_mark::begins(folder, first)?;
+            let first = bootstrap_marker::begins(folder, first)?;
             make(folder, if first { 0 } else { identity() })?;
         }
         // Also for a process that was killed between the new name and this.
@@ -263,7 +268,7 @@
         let held = Held { fresh, ..held(&db)? };
         // What a process that was killed had written, and not synced, must last before it is spoken of.
         File::open(folder.join(WAL))?.sync_all()?;
-        bootstrap_mark::done(folder)?;
+        bootstrap_marker::done(folder)?;
         let behind = held.raft.snapshot.as_ref().map_or(0, |s| s.index);
         let span = Span { behind, last: held.raft.log.last().map_or(behind, |e| e.index) };
         Ok((Store { db, span, ahead: None, tight: false, swept: false }, held))
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -1,12 +1,12 @@
 //! What the replicated log's disk must outlive, against a model in memory and against every way that a loss of power
 //! may leave its files; and the way of items from an earlier disk.
 
-use crate::config::{read_call, Fields, Item, Items, Kind};
-use crate::core::LogCommand;
-use crate::export::{call, export, ExportError};
-use crate::raft::{Body, Entry, NodeId, Snapshot, Write};
-use crate::registry::{Phase, Worker};
-use crate::store::{Held, Part, Put, Store, StoreError, EARLIER, NAME, PART, WAL};
+use crate::cli::export::{call, export, ExportError};
+use crate::configuration::{read_call, Fields, Item, Items, Kind};
+use crate::consensus::{Body, Entry, NodeId, Snapshot, Write};
+use crate::control_plane::LogCommand;
+use crate::discovery::registry::{Phase, Worker};
+use crate::storage::{Held, Part, Put, Store, StoreError, EARLIER, NAME, PART, WAL};
 use googletest::prelude::*;
 use rusqlite::Connection;
 use serde_json::json;
@@ -17,7 +17,7 @@
 
 impl Folder {
     pub(crate) fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("toolroom-ledger-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("whinstall-ledger-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         Folder(folder)
--- a/crates/gateway/src/transport/peer_link.rs
+++ b/crates/gateway/src/transport/peer_link.rs
@@ -1,7 +1,7 @@
 //! Owns connections between the system's own processes: opens them, opens them again, cuts messages out of bytes. It
 //! must never know what a message means.
 
-use crate::wire::{self, Msg};
+use crate::protocol::{self, Msg};
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -78,7 +78,9 @@
     let read = async {
         let mut buffer = BytesMut::with_capacity(4096);
         loop {
-            while let Some(msg) = wire::decode(&mut buffer).map_err(|e| io::Error::other(e.to_string()))? {
+            while let Some(msg) =
+                protocol::decode(&mut buffer).map_err(|e| io::Error::other(e.to_string()))?
+            {
                 heard(msg);
             }
             if buffer.is_empty() && buffer.capacity() > BUFFER_KEPT {
@@ -95,9 +97,9 @@
         let mut out = Vec::new();
         while let Some(msg) = outgoing.recv().await {
             out.clear();
-            out.extend(wire::encode(&msg));
+            out.extend(protocol::encode(&msg));
             while let Ok(msg) = outgoing.try_recv() {
-                out.extend(wire::encode(&msg));
+                out.extend(protocol::encode(&msg));
             }
             writer.write_all(&out).await?;
             if out.capacity() > BUFFER_KEPT {
--- a/crates/gateway/src/transport/upstream_pool.rs
+++ b/crates/gateway/src/transport/upstream_pool.rs
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::http::{self, quiet};
+use crate::transport::http_server::{self, quiet};
 use actix_http::h1::ClientCodec;
 use actix_http::header::{HeaderMap, HeaderValue};
 use actix_http::uri::Uri;
@@ -129,7 +129,7 @@
             open: Rc::default(),
             most,
             learned: Cell::new(None),
-            config: http::config(),
+            config: http_server::config(),
             opened: Cell::new(0),
         }
     }
--- a/crates/gateway/src/transport/upstream_pool/tests.rs
+++ b/crates/gateway/src/transport/upstream_pool/tests.rs
@@ -133,7 +133,7 @@
 }
 
 fn player<T>(with: impl FnOnce(Player) -> T) -> T {
-    local(async { with(Player { config: http::config() }) })
+    local(async { with(Player { config: http_server::config() }) })
 }
 
 const OURS: &str = "X-Attempt-Id: id-1\r\nX-Server-Seal: s\r\n";
@@ -450,20 +450,20 @@
             );
             let told = local(async {
                 let (mut client, server) = tokio::io::duplex(1 << 16);
-                let mut connection = http::Connection::over(server, &http::config());
+                let mut connection = http_server::Connection::over(server, &http_server::config());
                 tokio::io::AsyncWriteExt::write_all(&mut client, text.as_bytes()).await.expect("taken");
                 let second = Duration::from_secs(1);
-                let bounds = http::Bounds {
+                let bounds = http_server::Bounds {
                     head_bytes: 4096,
                     body_bytes: 64,
                     head_within: second,
                     body_within: second,
                 };
-                let whole = connection.request(&bounds, &http::Room::new(4096)).await.ok()?;
+                let whole = connection.request(&bounds, &http_server::Room::new(4096)).await.ok()?;
                 let (method, uri) = (whole.head.method().clone(), whole.head.uri().clone());
                 let headers = whole.head.headers().clone();
                 let forward = Forward { uri, headers, ..forward(method, None, false) };
-                encode(&mut ClientCodec::new(http::config()), &forward, None, "i-1")
+                encode(&mut ClientCodec::new(http_server::config()), &forward, None, "i-1")
             });
             let Some(told) = told else {
                 refused.push(target);
--- a/crates/gateway/tests/cluster.rs
+++ b/crates/gateway/tests/cluster.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::whole::{good, Whole};
+use common::cluster::{good, Whole};
 use common::{hear, say, status, until, BOUND};
 use googletest::prelude::*;
 use std::io::Write;
@@ -148,7 +148,7 @@
     }
     expect_that!(whole.ask("/once/x", "", ""), ends_with("papers"));
     // How the core stands, by the operators' command.
-    let told = Command::new(env!("CARGO_BIN_EXE_toolroom"))
+    let told = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
         .args(["status", "--at", &whole.control.to_string()])
         .output()
         .expect("it runs");
@@ -243,8 +243,9 @@
 
 #[gtest]
 fn the_command_line_says_what_it_takes() {
-    let run =
-        |args: &[&str]| Command::new(env!("CARGO_BIN_EXE_toolroom")).args(args).output().expect("it runs");
+    let run = |args: &[&str]| {
+        Command::new(env!("CARGO_BIN_EXE_whinstall-gateway")).args(args).output().expect("it runs")
+    };
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let help = run(&["--help"]);
     expect_that!(help.status.code(), some(eq(0)));
@@ -253,7 +254,7 @@
     }
     expect_that!(run(&["hammer"]).status.code(), some(eq(2)));
     expect_that!(run(&["--odd"]).status.code(), some(eq(2)));
-    let place = std::env::temp_dir().join(format!("toolroom-check-{}", std::process::id()));
+    let place = std::env::temp_dir().join(format!("whinstall-check-{}", std::process::id()));
     let check = |option: &str, body: &str| {
         std::fs::write(&place, body).expect("written");
         run(&["check", option, &place.display().to_string()])
--- a/crates/gateway/tests/common/cluster.rs
+++ b/crates/gateway/tests/common/cluster.rs
@@ -27,7 +27,7 @@
 
 impl Whole {
     pub fn start(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("toolroom-whole-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("whinstall-whole-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(folder.join("data")).expect("a folder");
         let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
@@ -57,7 +57,7 @@
 
     pub fn run(&self, role: &str, settings: &str) -> Role {
         let log = std::fs::File::create(self.folder.join(format!("{role}.log"))).expect("a file");
-        let child = Command::new(env!("CARGO_BIN_EXE_toolroom"))
+        let child = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
             .arg(role)
             .env("WHINSTALL_NODE_FILE", self.folder.join(format!("{settings}.toml")))
             .stderr(log)
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -3,7 +3,7 @@
 // Each program of tests uses some of it.
 #![allow(dead_code)]
 
-pub mod whole;
+pub mod cluster;
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/gateway/tests/drain.rs
+++ b/crates/gateway/tests/drain.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::whole::{good, Whole, GRACE};
+use common::cluster::{good, Whole, GRACE};
 use common::{hear, status, until, BOUND};
 use googletest::prelude::*;
 use std::io::Write;
--- a/crates/gateway/tests/log_lines.rs
+++ b/crates/gateway/tests/log_lines.rs
@@ -6,8 +6,6 @@
 fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).expect("a folder").map(|e| e.expect("an entry").path()) {
         match entry.is_dir() {
-            // The tool for capacity and the simulated cluster are no part of what runs.
-            true if entry.ends_with("capacity") || entry.ends_with("sim") => {}
             true => sources(&entry, found),
             false => found.push(entry),
         }
@@ -42,7 +40,7 @@
 #[gtest]
 fn each_line_that_can_be_logged_is_in_the_operators_page() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let page = std::fs::read_to_string(root.join("../docs/system-operators.md")).expect("the page");
+    let page = std::fs::read_to_string(root.join("../../docs/system-operators.md")).expect("the page");
     let mut files = Vec::new();
     sources(&root.join("src"), &mut files);
     let mut messages = 0;
--- a/crates/gateway/tests/operator_calls.rs
+++ b/crates/gateway/tests/operator_calls.rs
@@ -29,7 +29,7 @@
     fn start(name: &str) -> Self {
         let port =
             || TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address").port();
-        let folder = std::env::temp_dir().join(format!("toolroom-calls-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("whinstall-calls-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(folder.join("data")).expect("a folder");
         let (data, inner) = (folder.join("data"), port());
@@ -42,7 +42,7 @@
         );
         std::fs::write(folder.join("c.toml"), settings).expect("written");
         let log = std::fs::File::create(folder.join("c.log")).expect("a file");
-        let child = Command::new(env!("CARGO_BIN_EXE_toolroom"))
+        let child = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
             .arg("core")
             .env("WHINSTALL_NODE_FILE", folder.join("c.toml"))
             .stderr(log)
--- a/crates/gateway/tests/seed_list.rs
+++ b/crates/gateway/tests/seed_list.rs
@@ -27,7 +27,7 @@
 
 impl Site {
     fn new(name: &str, net: u8) -> Self {
-        let folder = std::env::temp_dir().join(format!("toolroom-seeds-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("whinstall-seeds-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         Site { folder, ports: [port(), port(), port(), port()], net }
@@ -67,7 +67,7 @@
 
     fn run(&self, n: u8, role: &str, seeds: &[u8], cold: bool) -> Role {
         std::fs::write(self.file(n), self.settings(n, role, seeds, cold)).expect("written");
-        let child = Command::new(env!("CARGO_BIN_EXE_toolroom"))
+        let child = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
             .arg(role)
             .env("WHINSTALL_NODE_FILE", self.file(n))
             .stderr(std::fs::File::create(self.folder.join(format!("{n}.log"))).expect("a file"))
--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -1,9 +1,9 @@
 //! The auditor: what RULES forbids, by what workers, clients and the operator saw.
 
 use super::{Hit, Plan};
-use crate::config::{Item, Kind};
-use crate::edge::desk::Answer;
 use std::collections::{BTreeMap, HashMap};
+use whinstall_gateway::configuration::{Item, Kind};
+use whinstall_gateway::data_plane::requests::Answer;
 
 const DRAIN: f64 = 2.5;
 const SETTLE: f64 = 2.5;
--- a/crates/simulation/src/external_actors.rs
+++ b/crates/simulation/src/external_actors.rs
@@ -1,15 +1,15 @@
 //! Workers, clients and the operator, as PROTOCOL has them.
 
-use super::parties::Party;
+use super::partitions::Party;
 use super::{Call, Caller, Ev, Hit, World};
-use crate::config::{read_call, Kind};
-use crate::core::{self, Command};
-use crate::edge::desk::{Answer, Arrival};
-use crate::registry::{Phase, Worker};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use whinstall::{Ending, HostId, RequestId};
+use whinstall_gateway::configuration::{read_call, Kind};
+use whinstall_gateway::control_plane::{self, Command};
+use whinstall_gateway::data_plane::requests::{Answer, Arrival};
+use whinstall_gateway::discovery::registry::{Phase, Worker};
 
 /// A worker.
 pub struct Wk {
@@ -103,7 +103,7 @@
         if self.spoils(core, &call, &command) {
             return;
         }
-        self.core_event(core, core::Event::Call(call.id, command));
+        self.core_event(core, control_plane::Event::Call(call.id, command));
     }
 
     fn say_of(&mut self, n: usize) -> Worker {
@@ -231,7 +231,7 @@
     pub fn read_back(&mut self) {
         self.operator.done = true;
         for clerk in 0..self.plan.crew.clerks {
-            self.turn(super::clerks::Turn::Read(clerk));
+            self.turn(super::operators::Turn::Read(clerk));
         }
         self.call(0, Caller::Read);
     }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,14 +1,14 @@
 //! The troubles that a story may hold, and the simulated disk: what is synced, what is on its way, what a loss of power
 //! or of the disk leaves.
 
-use super::net::Who;
-use super::severe::Severe;
+use super::network::Who;
+use super::severe_faults::Severe;
 use super::{Ev, World};
-use crate::core::{self, Core};
-use crate::raft::{Index, Snapshot, Term, Write};
-use crate::registry::Phase;
-use crate::settings::Settings;
-use crate::store::{Held, Put};
+use whinstall_gateway::consensus::{Index, Snapshot, Term, Write};
+use whinstall_gateway::control_plane::{self, Core};
+use whinstall_gateway::discovery::registry::Phase;
+use whinstall_gateway::settings::Settings;
+use whinstall_gateway::storage::{Held, Put};
 
 /// A trouble.
 #[derive(Clone, Debug, PartialEq)]
@@ -202,7 +202,7 @@
         node.core = Some(core);
         self.repair_begins(n);
         self.core_effects(n, out);
-        self.after(core::TICK, Ev::CoreTick(n, life));
+        self.after(control_plane::TICK, Ev::CoreTick(n, life));
     }
 
     /// A step in the making of a new disk is done: the mark is there, is synced, the database stands.
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,11 +1,11 @@
 //! The auditor's watch over the control side: is the core settled, who is apart, who may answer what. It looks at
 //! answers, readiness and views, never into a core machine.
 
-use super::clerks::{content, Sort};
 use super::history::{self, Write};
-use super::net::Who;
-use super::parties::Party;
-use super::severe::Trap;
+use super::network::Who;
+use super::operators::{content, Sort};
+use super::partitions::Party;
+use super::severe_faults::Trap;
 use super::{Ev, World};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -55,7 +55,7 @@
     /// Operators' lists of the core, by when each came to be.
     pub lists: Vec<(f64, Vec<usize>)>,
     /// Losses that wait for a moment of a snapshot.
-    pub at_snapshot: Vec<super::severe::AtSnapshot>,
+    pub at_snapshot: Vec<super::severe_faults::AtSnapshot>,
     /// How often each moment of a snapshot came, and how many losses came at one.
     pub moments: BTreeMap<usize, u64>,
     pub struck: u64,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -2,48 +2,36 @@
 //! themselves, with workers, clients and an operator as PROTOCOL has them, and an auditor for the rules. Every run is
 //! told by its seed.
 
-mod actors;
-mod audit;
-mod clerks;
-mod counter_stories;
-mod faults;
-mod history;
-mod history_tests;
-mod net;
-mod parties;
-mod plan;
-mod repairs;
-mod severe;
-mod stories;
-mod stories_bounds;
-mod stories_cut;
-mod stories_long;
-mod stories_race;
-mod stories_repair;
-mod stories_snapshot;
-mod stories_spoiled;
-mod stories_start;
-mod stories_status;
-mod stories_worst;
-mod trials;
-mod watch;
+pub mod auditor;
+pub mod external_actors;
+pub mod faults;
+pub mod history;
+pub mod invariants;
+pub mod misbehaving_core;
+pub mod network;
+pub mod operators;
+pub mod partitions;
+pub mod plan;
+pub mod repair_times;
+pub mod severe_faults;
+pub mod trials;
 
-use crate::config::Item;
-use crate::core::{self, Core};
-use crate::edge::{self, Edge};
-use crate::settings::{Settings, Tolerance};
-use crate::wire::{Load, Msg};
-use actors::{Operator, Wk};
-use audit::Audit;
-use clerks::{Desk, Turn};
+use auditor::Audit;
+use external_actors::{Operator, Wk};
 use faults::{Disk, Fault};
-use net::{LinkKey, Links, Who};
-use parties::{Cut, Party};
-use plan::Plan;
-use repairs::Repairs;
+use invariants::Watch;
+use network::{LinkKey, Links, Who};
+use operators::{Desk, Turn};
+use partitions::{Cut, Party};
+pub use plan::Plan;
+use repair_times::Repairs;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr};
-use watch::Watch;
+use whinstall_gateway::configuration::Item;
+use whinstall_gateway::control_plane::{self, Core};
+use whinstall_gateway::data_plane::{self, Edge};
+use whinstall_gateway::protocol::{Load, Msg};
+use whinstall_gateway::settings::{Settings, Tolerance};
 
 /// What is to happen.
 #[derive(Debug)]
@@ -127,7 +115,7 @@
     pub drift: f64,
     pub frozen: bool,
     /// What came while it was frozen, in order.
-    pub backlog: Vec<core::Event>,
+    pub backlog: Vec<control_plane::Event>,
     pub cold: bool,
     /// On the operator's list.
     pub listed: bool,
@@ -276,7 +264,7 @@
             Who::Core(n) => (n, true),
             Who::Edge(n) => (n, false),
         };
-        let text = include_str!("settings.toml");
+        let text = include_str!("../../gateway/tests/fixtures/settings.toml");
         let mut settings = Settings::read(text).expect("settings");
         settings.node = format!("{}-{n}", if core { "core" } else { "edge" });
         settings.ip = if core { core_ip(n) } else { IpAddr::V4(Ipv4Addr::new(10, 0, 2, n as u8 + 1)) };
@@ -321,7 +309,7 @@
                 edge.start(&mut out);
                 node.edge = Some(edge);
                 self.edge_effects(n, out);
-                self.after(edge::TICK, Ev::EdgeTick(n, life));
+                self.after(data_plane::TICK, Ev::EdgeTick(n, life));
             }
         }
     }
@@ -346,13 +334,13 @@
         }
     }
 
-    pub fn core_event(&mut self, n: usize, event: core::Event) {
+    pub fn core_event(&mut self, n: usize, event: control_plane::Event) {
         let node = &mut self.cores[n];
         let now = 1000.0 + (self.now - node.boot) * node.drift;
         let Some(core) = node.core.as_mut() else { return };
         if node.frozen {
             // It hears of it later; ticks that it missed don't come again.
-            node.backlog.extend(Some(event).filter(|e| !matches!(e, core::Event::Tick)));
+            node.backlog.extend(Some(event).filter(|e| !matches!(e, control_plane::Event::Tick)));
             return;
         }
         let mut out = Vec::new();
@@ -360,15 +348,15 @@
         self.core_effects(n, out);
     }
 
-    fn core_effects(&mut self, n: usize, effects: Vec<core::Effect>) {
+    fn core_effects(&mut self, n: usize, effects: Vec<control_plane::Effect>) {
         for effect in effects {
             match effect {
-                core::Effect::Connect(ip) => self.connect(Who::Core(n), ip),
-                core::Effect::Send(ip, msg) => self.say(Who::Core(n), ip, msg),
-                core::Effect::Return(conn, msg) => self.say_back(conn, msg),
-                core::Effect::Reply(call, status, body) => self.replied(n, call, status, &body),
-                core::Effect::Disconnect(ip) => self.disconnect(Who::Core(n), ip),
-                core::Effect::Persist(put) => {
+                control_plane::Effect::Connect(ip) => self.connect(Who::Core(n), ip),
+                control_plane::Effect::Send(ip, msg) => self.say(Who::Core(n), ip, msg),
+                control_plane::Effect::Return(conn, msg) => self.say_back(conn, msg),
+                control_plane::Effect::Reply(call, status, body) => self.replied(n, call, status, &body),
+                control_plane::Effect::Disconnect(ip) => self.disconnect(Who::Core(n), ip),
+                control_plane::Effect::Persist(put) => {
                     self.snapshot_written(n, &put);
                     let (life, sync) = (self.cores[n].life, self.plan.sync);
                     let takes = sync + faults::size(&put) as f64 / self.plan.disk_rate;
@@ -393,10 +381,10 @@
             return self.at(at, Ev::DiskDone(n, life, put));
         }
         node.disk.land(put);
-        self.core_event(n, core::Event::Disk(put));
+        self.core_event(n, control_plane::Event::Disk(put));
     }
 
-    pub fn edge_call(&mut self, n: usize, f: impl FnOnce(&mut Edge, f64, &mut Vec<edge::Effect>)) {
+    pub fn edge_call(&mut self, n: usize, f: impl FnOnce(&mut Edge, f64, &mut Vec<data_plane::Effect>)) {
         let node = &mut self.edges[n];
         let now = 1000.0 + (self.now - node.boot) * node.drift;
         let Some(edge) = node.edge.as_mut().filter(|_| !node.frozen) else { return };
@@ -405,20 +393,20 @@
         self.edge_effects(n, out);
     }
 
-    fn edge_effects(&mut self, n: usize, effects: Vec<edge::Effect>) {
+    fn edge_effects(&mut self, n: usize, effects: Vec<data_plane::Effect>) {
         let life = self.edges[n].life;
         for effect in effects {
             match effect {
-                edge::Effect::Connect(ip) => self.connect(Who::Edge(n), ip),
-                edge::Effect::Disconnect(ip) => self.disconnect(Who::Edge(n), ip),
-                edge::Effect::Send(ip, msg) => self.say(Who::Edge(n), ip, msg),
-                edge::Effect::Dispatch { id, attempt, worker, within, .. } => {
+                data_plane::Effect::Connect(ip) => self.connect(Who::Edge(n), ip),
+                data_plane::Effect::Disconnect(ip) => self.disconnect(Who::Edge(n), ip),
+                data_plane::Effect::Send(ip, msg) => self.say(Who::Edge(n), ip, msg),
+                data_plane::Effect::Dispatch { id, attempt, worker, within, .. } => {
                     self.dispatched(n, life, id, attempt, worker, within);
                 }
-                edge::Effect::CallOff(id, attempt) => self.called_off(n, life, id, attempt),
-                edge::Effect::Answer(id, answer) => self.answered(n, life, id, answer),
-                edge::Effect::CloseIdle(_) => {}
-                edge::Effect::Tell(to, load) => {
+                data_plane::Effect::CallOff(id, attempt) => self.called_off(n, life, id, attempt),
+                data_plane::Effect::Answer(id, answer) => self.answered(n, life, id, answer),
+                data_plane::Effect::CloseIdle(_) => {}
+                data_plane::Effect::Tell(to, load) => {
                     for ip in to {
                         // One in a hundred is lost.
                         if let (IpAddr::V4(v4), true) = (ip, self.rng.f64() > 0.01) {
@@ -439,10 +427,13 @@
         if self.edges[n].life != life || self.edges[n].edge.is_none() {
             return;
         }
-        self.edge_call(n, |edge, now, out| edge.handle(now, edge::Event::Tick, out));
+        self.edge_call(n, |edge, now, out| edge.handle(now, data_plane::Event::Tick, out));
         let node = &self.edges[n];
         let now = 1000.0 + (self.now - node.boot) * node.drift;
-        let next = node.edge.as_ref().map_or(edge::TICK, |e| (e.next(now) - now).clamp(0.002, edge::TICK));
+        let next = node
+            .edge
+            .as_ref()
+            .map_or(data_plane::TICK, |e| (e.next(now) - now).clamp(0.002, data_plane::TICK));
         self.after(next, Ev::EdgeTick(n, life));
     }
 
@@ -456,9 +447,9 @@
             match first.remove() {
                 Ev::CoreTick(n, life) => {
                     if self.cores[n].life == life && self.cores[n].core.is_some() {
-                        self.core_event(n, core::Event::Tick);
+                        self.core_event(n, control_plane::Event::Tick);
                         self.watch_repair(n);
-                        self.after(core::TICK, Ev::CoreTick(n, life));
+                        self.after(control_plane::TICK, Ev::CoreTick(n, life));
                     }
                 }
                 Ev::EdgeTick(n, life) => self.tick_edge(n, life),
@@ -485,7 +476,9 @@
                 Ev::Ended(hit, ending, misdirected) => self.ended(hit, ending, misdirected),
                 Ev::Told(from, to, load) => {
                     let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 2, from as u8 + 1));
-                    self.edge_call(to, |edge, now, out| edge.handle(now, edge::Event::Told(ip, load), out));
+                    self.edge_call(to, |edge, now, out| {
+                        edge.handle(now, data_plane::Event::Told(ip, load), out)
+                    });
                 }
                 Ev::Operate => self.operate(),
                 Ev::Fault(fault) => self.fault(fault),
@@ -505,12 +498,12 @@
     /// A message counts as said to a core machine.
     pub fn deliver(&mut self, key: LinkKey, conn: u64, forth: bool, msg: Msg) {
         match (key.from, forth) {
-            (_, true) => self.core_event(key.to, core::Event::Inbound(conn, msg)),
-            (Who::Core(n), false) => self.core_event(n, core::Event::Peer(core_ip(key.to), msg)),
+            (_, true) => self.core_event(key.to, control_plane::Event::Inbound(conn, msg)),
+            (Who::Core(n), false) => self.core_event(n, control_plane::Event::Peer(core_ip(key.to), msg)),
             (Who::Edge(n), false) => {
                 let ip = core_ip(key.to);
                 self.heard(n, key.to);
-                self.edge_call(n, |edge, now, out| edge.handle(now, edge::Event::Core(ip, msg), out));
+                self.edge_call(n, |edge, now, out| edge.handle(now, data_plane::Event::Core(ip, msg), out));
             }
         }
     }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,12 +1,12 @@
 //! The simulated network: connections to core machines with delay and order, cuts that hold bytes up, resets.
 
-use super::parties::{Cut, Party};
+use super::partitions::{Cut, Party};
 use super::{core_ip, Ev, World};
-use crate::core;
-use crate::edge;
-use crate::wire::Msg;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::IpAddr;
+use whinstall_gateway::control_plane;
+use whinstall_gateway::data_plane;
+use whinstall_gateway::protocol::Msg;
 
 /// A process of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -165,10 +165,17 @@
         let ip = core_ip(key.to);
         match key.from {
             Who::Core(n) => {
-                self.core_event(n, if up { core::Event::LinkUp(ip) } else { core::Event::LinkDown(ip) });
+                self.core_event(
+                    n,
+                    if up { control_plane::Event::LinkUp(ip) } else { control_plane::Event::LinkDown(ip) },
+                );
             }
             Who::Edge(n) => self.edge_call(n, |edge, now, out| {
-                edge.handle(now, if up { edge::Event::LinkUp(ip) } else { edge::Event::LinkDown(ip) }, out);
+                edge.handle(
+                    now,
+                    if up { data_plane::Event::LinkUp(ip) } else { data_plane::Event::LinkDown(ip) },
+                    out,
+                );
             }),
         }
     }
@@ -200,8 +207,8 @@
     fn push(&mut self, key: LinkKey, forth: bool, msg: Msg) {
         self.piece_sent(key, &msg);
         // Through the real encoding, so that what can't be read shows here.
-        let mut bytes = bytes::BytesMut::from(&crate::wire::encode(&msg)[..]);
-        let msg = crate::wire::decode(&mut bytes).expect("readable").expect("whole");
+        let mut bytes = bytes::BytesMut::from(&whinstall_gateway::protocol::encode(&msg)[..]);
+        let msg = whinstall_gateway::protocol::decode(&mut bytes).expect("readable").expect("whole");
         let at = self.now + self.delay();
         let Some(link) = self.links.up.get_mut(&key) else { return };
         let conn = link.conn;
@@ -239,7 +246,7 @@
     fn drop_link(&mut self, key: LinkKey) {
         let Some(link) = self.links.up.remove(&key) else { return };
         if !link.gone_there {
-            self.core_event(key.to, core::Event::Closed(link.conn));
+            self.core_event(key.to, control_plane::Event::Closed(link.conn));
         }
         if !link.gone_here {
             self.tell(key, false);
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -1,10 +1,10 @@
 //! Operators in number: orders under way at once, twins under one number, answers lost on their way, the same order
 //! sent again long after, invalid ones, reads all the while. They know what comes back on their sockets and no more.
 
-use super::parties::Party;
+use super::partitions::Party;
 use super::{Call, Caller, Ev, World};
-use crate::config::{read_call, Item};
-use crate::sim::history::{Held, Read};
+use crate::history::{Held, Read};
+use whinstall_gateway::configuration::{read_call, Item};
 
 /// How much operators do.
 #[derive(Clone, Debug)]
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -1,7 +1,7 @@
 //! What a simulated deployment is like. It must never change while a run is under way.
 
-use super::clerks::Crew;
-use super::stories_spoiled::Spoiled;
+use super::misbehaving_core::Spoiled;
+use super::operators::Crew;
 
 /// What a deployment is like.
 #[derive(Clone, Debug)]
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -2,11 +2,11 @@
 //! disks. Steps of time of day are not among them: no state machine is told the time of day.
 
 use super::faults::{Disk, Fault};
-use super::net::Who;
-use super::parties::{Cut, Party, Way};
+use super::network::Who;
+use super::partitions::{Cut, Party, Way};
 use super::{core_ip, CoreNode, Ev, World};
-use crate::core;
 use std::net::SocketAddr;
+use whinstall_gateway::control_plane;
 
 /// A trouble of such a day.
 #[derive(Clone, Debug, PartialEq)]
@@ -185,8 +185,9 @@
 
 impl World {
     /// Something of a snapshot goes to a disk.
-    pub fn snapshot_written(&mut self, n: usize, put: &crate::store::Put) {
-        let cut = put.writes.iter().any(|w| matches!(w, crate::raft::Write::Snapshot { .. }));
+    pub fn snapshot_written(&mut self, n: usize, put: &whinstall_gateway::storage::Put) {
+        let cut =
+            put.writes.iter().any(|w| matches!(w, whinstall_gateway::consensus::Write::Snapshot { .. }));
         let moment = match (&put.part, cut) {
             (Some(_), _) => Moment::Ahead,
             (None, true) => Moment::Cut,
@@ -196,8 +197,12 @@
     }
 
     /// Something is said on a connection: a piece of a snapshot?
-    pub fn piece_sent(&mut self, key: super::net::LinkKey, msg: &crate::wire::Msg) {
-        let crate::wire::Msg::Raft { message: crate::raft::Message::Piece { data, .. }, .. } = msg else {
+    pub fn piece_sent(&mut self, key: super::network::LinkKey, msg: &whinstall_gateway::protocol::Msg) {
+        let whinstall_gateway::protocol::Msg::Raft {
+            message: whinstall_gateway::consensus::Message::Piece { data, .. },
+            ..
+        } = msg
+        else {
             return;
         };
         if let (Who::Core(from), false) = (key.from, data.is_empty()) {
@@ -303,7 +308,7 @@
 
     /// SIGTERM now; the process is gone a little later, and nobody calls the machine any more.
     fn end_core(&mut self, n: usize) {
-        self.core_event(n, core::Event::Ending);
+        self.core_event(n, control_plane::Event::Ending);
         self.cores[n].listed = false;
         self.watch.left.insert(n, self.now);
         let (life, late) = (self.cores[n].life, 0.3 + 0.6 * self.rng.f64());
@@ -475,7 +480,7 @@
                 if !self.cores[core].listed || !self.there(Who::Core(core)) {
                     return;
                 }
-                self.core_event(core, core::Event::Ending);
+                self.core_event(core, control_plane::Event::Ending);
                 let (life, late) = (self.cores[core].life, 0.1 + 0.8 * self.rng.f64());
                 self.after(late, Ev::Gone(core, life));
                 self.lost_for(late + down, 4.0);
--- a/crates/simulation/src/trials.rs
+++ b/crates/simulation/src/trials.rs
@@ -1,9 +1,9 @@
 //! Runs of a story over many seeds; says of each seed what is broken.
 
-use super::clerks::Crew;
 use super::faults::Fault;
-use super::parties::{Cut, Way};
-use super::severe::Severe;
+use super::operators::Crew;
+use super::partitions::{Cut, Way};
+use super::severe_faults::Severe;
 use super::{Ev, Plan, World};
 
 /// Troubles and when they come.
--- a/crates/simulation/tests/scenarios/basic.rs
+++ b/crates/simulation/tests/scenarios/basic.rs
@@ -1,9 +1,9 @@
 //! What must hold in troubles, each told by seeds.
 
-use super::faults::Fault;
-use super::net::Who;
-use super::{Ev, Plan, World};
 use googletest::prelude::*;
+use whinstall_simulation::faults::Fault;
+use whinstall_simulation::network::Who;
+use whinstall_simulation::{Ev, Plan, World};
 
 pub(super) fn played(seed: u64, plan: Plan, faults: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
--- a/crates/simulation/tests/scenarios/bounds.rs
+++ b/crates/simulation/tests/scenarios/bounds.rs
@@ -1,10 +1,10 @@
 //! Point 3 of the operators, by the letter: the next loss comes exactly `resync_bound` after the last one is back, or
 //! after a successor's start, in every setting that a deployment may have.
 
-use super::severe::Severe;
-use super::trials::{control, severe, trial, wiped, Days};
-use super::Plan;
 use googletest::prelude::*;
+use whinstall_simulation::severe_faults::Severe;
+use whinstall_simulation::trials::{control, severe, trial, wiped, Days};
+use whinstall_simulation::Plan;
 
 const SIZES: [(usize, usize); 4] = [(3, 1), (4, 1), (5, 1), (5, 2)];
 
@@ -74,7 +74,7 @@
     (plan, days)
 }
 
-/// Of the settings a third each in CI; all by hand: `cargo test --release -p toolroom every_setting -- --ignored
+/// Of the settings a third each in CI; all by hand: `cargo test --release -p whinstall-simulation every_setting -- --ignored
 /// --nocapture`.
 #[gtest]
 fn five_disks_are_lost_in_a_row() {
--- a/crates/simulation/tests/scenarios/cut.rs
+++ b/crates/simulation/tests/scenarios/cut.rs
@@ -1,11 +1,11 @@
 //! Point 1 of the operators: a core machine cut off for some twenty seconds, with callers on its side.
 
-use super::faults::Fault;
-use super::parties::{Cut, Party, Way};
-use super::severe::Severe;
-use super::trials::{control, cut, severe, trial, Days};
-use super::Plan;
 use googletest::prelude::*;
+use whinstall_simulation::faults::Fault;
+use whinstall_simulation::partitions::{Cut, Party, Way};
+use whinstall_simulation::severe_faults::Severe;
+use whinstall_simulation::trials::{control, cut, severe, trial, Days};
+use whinstall_simulation::Plan;
 
 #[gtest]
 fn a_machine_cut_off_both_ways_answers_operators_503_only_and_the_others_go_on() {
@@ -135,7 +135,7 @@
 /// all the while. No stretch is ever settled, so the rules ask for nothing here; operators would.
 #[gtest]
 fn while_a_machine_or_a_link_comes_and_goes_orders_are_confirmed() {
-    let confirmed = |world: &super::World| {
+    let confirmed = |world: &whinstall_simulation::World| {
         let mut at: Vec<f64> = world.desk.orders.iter().filter_map(|o| o.confirmed).collect();
         at.extend([6.0, 46.0]);
         at.retain(|at| (6.0..=46.0).contains(at));
@@ -156,14 +156,14 @@
             (0..10).map(|n| severe(6.0 + 4.0 * f64::from(n), Severe::Cut { cut: cut.clone(), secs: 2.0 }));
         (Plan { length: 60.0, ..control(3, 1) }, days.collect())
     };
-    super::trials::trial_with(11_950..11_956, story, confirmed);
+    whinstall_simulation::trials::trial_with(11_950..11_956, story, confirmed);
 }
 
 /// Workers that leave on both sides of a cut: whoever is cut off acknowledges nothing to them, the others do, and once
 /// an acknowledgement is out nobody in touch sends there for longer than `drain_bound`.
 #[gtest]
 fn workers_that_leave_during_a_cut_are_acknowledged_by_those_in_touch_only() {
-    let acked = |world: &super::World| {
+    let acked = |world: &whinstall_simulation::World| {
         // Two leave beside those that are in touch; the others' calls reach the machine that is cut off only.
         let late = [1, 5].into_iter().find(|n| world.workers[*n].acked.is_none_or(|at| at > 17.0));
         late.map(|n| format!("LEAVING: worker {n} was acknowledged at {:?}", world.workers[n].acked))
@@ -176,7 +176,7 @@
         days.push(cut(6.0, &[seed as usize / 3 % 3], way, 20.0));
         (Plan { workers: 4, rate: 30.0, length: 44.0, ..control(3, 1) }, days)
     };
-    super::trials::trial_with(11_970..11_976, story, acked);
+    whinstall_simulation::trials::trial_with(11_970..11_976, story, acked);
 }
 
 /// Gatekeepers that start anew beside a machine that is cut off, again and again, with nothing but its address.
--- a/crates/simulation/tests/scenarios/history_tests.rs
+++ b/crates/simulation/tests/scenarios/history_tests.rs
@@ -1,7 +1,7 @@
 //! What the check of histories must take and must reject.
 
-use super::history::{check, Held, Read, Write};
 use googletest::prelude::*;
+use whinstall_simulation::history::{check, Held, Read, Write};
 
 fn wrote(from: f64, to: f64, labels: &[usize], number: u64, content: u64) -> Write {
     Write { from, to, labels: labels.to_vec(), number, content }
--- a/crates/simulation/tests/scenarios/long.rs
+++ b/crates/simulation/tests/scenarios/long.rs
@@ -1,13 +1,13 @@
 //! Point 4 of the operators: hundreds of changes, then restarts of those that were away, were wiped, or of all; and
 //! drawn days, each trouble at its own time.
 
-use super::clerks::Crew;
-use super::faults::Fault;
-use super::parties::{Cut, Party, Way};
-use super::severe::Severe;
-use super::trials::{control, severe, trial, wiped, Days};
-use super::Plan;
 use googletest::prelude::*;
+use whinstall_simulation::faults::Fault;
+use whinstall_simulation::operators::Crew;
+use whinstall_simulation::partitions::{Cut, Party, Way};
+use whinstall_simulation::severe_faults::Severe;
+use whinstall_simulation::trials::{control, severe, trial, wiped, Days};
+use whinstall_simulation::Plan;
 
 /// Eight at once, as fast as they are answered.
 pub fn many(orders: usize) -> Crew {
@@ -85,7 +85,7 @@
     expect_that!(trial(14_800..14_801, three_thousand), ge(2800));
 }
 
-/// `cargo test --release -p toolroom days_of_3000 -- --ignored --nocapture`
+/// `cargo test --release -p whinstall-simulation days_of_3000 -- --ignored --nocapture`
 #[gtest]
 #[ignore = "tens of thousands of changes: run by hand"]
 fn days_of_3000_changes() {
@@ -137,7 +137,7 @@
             7 => (Fault::Severe(Severe::SlowDisk { core, each: 0.1 + 0.3 * rng.f64(), secs }), secs),
             8 => (Fault::StallDisk { core, secs }, secs),
             9 => (Fault::KillAllCore { down: 0.3 + 0.6 * rng.f64() }, 1.0),
-            10 => (Fault::Freeze { who: super::net::Who::Core(core), secs }, secs),
+            10 => (Fault::Freeze { who: whinstall_simulation::network::Who::Core(core), secs }, secs),
             11 if plan.cores == 3 => {
                 let cut = Cut {
                     inside: vec![Party::Core(core)],
--- a/crates/simulation/tests/scenarios/quota_counter.rs
+++ b/crates/simulation/tests/scenarios/quota_counter.rs
@@ -1,10 +1,10 @@
 //! What the counter owes to tenants after troubles, by seeds: within two seconds of the gatekeepers' return they get what
 //! their quota leaves, and the bound of the quota holds all the while (the auditor's QUOTA).
 
-use super::faults::Fault;
-use super::stories::all;
-use super::{Plan, World};
+use super::basic::all;
 use googletest::prelude::*;
+use whinstall_simulation::faults::Fault;
+use whinstall_simulation::{Plan, World};
 
 /// The deployments' proportions: tenants ask for five eighths of their quota at all gatekeepers.
 fn plan() -> Plan {
--- a/crates/simulation/tests/scenarios/race.rs
+++ b/crates/simulation/tests/scenarios/race.rs
@@ -1,10 +1,10 @@
 //! Point 2 of the operators: two orders under one number, lost answers, orders sent again long after.
 
-use super::clerks::Crew;
-use super::faults::Fault;
-use super::trials::{control, trial, Days};
-use super::Plan;
 use googletest::prelude::*;
+use whinstall_simulation::faults::Fault;
+use whinstall_simulation::operators::Crew;
+use whinstall_simulation::trials::{control, trial, Days};
+use whinstall_simulation::Plan;
 
 fn plan(cores: usize, crew: Crew) -> Plan {
     Plan {
@@ -25,7 +25,7 @@
             match rng.usize(0..6) {
                 0 => Fault::StallDisk { core, secs },
                 1 => Fault::KillAllCore { down: 0.3 + 0.5 * rng.f64() },
-                2 => Fault::Freeze { who: super::net::Who::Core(core), secs },
+                2 => Fault::Freeze { who: whinstall_simulation::network::Who::Core(core), secs },
                 3 => Fault::CutCore { core, secs, one_way: rng.bool() },
                 n => Fault::KillCore { core, down: secs, power: n == 4, wipe: false },
             },
--- a/crates/simulation/tests/scenarios/repair.rs
+++ b/crates/simulation/tests/scenarios/repair.rs
@@ -1,10 +1,10 @@
 //! Point 3 of the operators: the second loss right after a repair or a replacement.
 
-use super::faults::Fault;
-use super::severe::Severe;
-use super::trials::{control, play, severe, trial, wiped, Days};
-use super::{Ev, Plan, World};
 use googletest::prelude::*;
+use whinstall_simulation::faults::Fault;
+use whinstall_simulation::severe_faults::Severe;
+use whinstall_simulation::trials::{control, play, severe, trial, wiped, Days};
+use whinstall_simulation::{Ev, Plan, World};
 
 /// As the settings have it: seconds.
 const RESYNC: f64 = 4.0;
--- a/crates/simulation/tests/scenarios/snapshot.rs
+++ b/crates/simulation/tests/scenarios/snapshot.rs
@@ -1,11 +1,11 @@
 //! Point 4 of the operators: power goes in the middle of a snapshot, of its sending, of the cut of the log, while changes
 //! come; then another disk is lost. The state takes several pieces.
 
-use super::clerks::Crew;
-use super::severe::{AtSnapshot, Moment, Severe, Struck};
-use super::trials::{control, severe, trial, wiped, Days};
-use super::Plan;
 use googletest::prelude::*;
+use whinstall_simulation::operators::Crew;
+use whinstall_simulation::severe_faults::{AtSnapshot, Moment, Severe, Struck};
+use whinstall_simulation::trials::{control, severe, trial, wiped, Days};
+use whinstall_simulation::Plan;
 
 /// A state of five pieces, and orders so large that the log is cut every few seconds.
 fn plan() -> Plan {
--- a/crates/simulation/tests/scenarios/spoiled.rs
+++ b/crates/simulation/tests/scenarios/spoiled.rs
@@ -1,52 +1,12 @@
 //! Faults that are put into the core machines of the cluster, to show that the auditor and the check of the history see
 //! them: a machine that answers by what it holds itself, without a word to the others.
 
-use super::clerks::Crew;
-use super::severe::Severe;
-use super::trials::{control, play, severe, Days};
-use super::{Call, Plan, World};
-use crate::config::state::Outcome;
-use crate::config::Order;
-use crate::core::Command;
 use googletest::prelude::*;
-
-/// What is wrong with the core machines.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Spoiled {
-    /// One that leads, or led last before it was cut off, answers reads by what it holds.
-    LeaderReads,
-    /// One that follows does.
-    FollowerReads,
-    /// One that leads, or led last before it was cut off, refuses orders by what it holds.
-    LeaderRefuses,
-}
-
-impl World {
-    /// Answers a call as the spoiled machine would; `false`: it goes on as usual.
-    pub fn spoils(&mut self, n: usize, call: &Call, command: &Command) -> bool {
-        let Some(spoiled) = self.plan.spoiled else { return false };
-        let Some(core) = self.cores[n].core.as_ref() else { return false };
-        let now = 1000.0 + (self.now - self.cores[n].boot) * self.cores[n].drift;
-        let hears = core.raft.leader(core.shared.ms(now)).is_some();
-        let led = core.raft.leads() || !hears && self.watch.held(n);
-        let state = &core.keeper.state;
-        let answer = match (spoiled, command) {
-            (Spoiled::LeaderReads, Command::Read) if led => Some((200, state.render())),
-            (Spoiled::FollowerReads, Command::Read) if !core.raft.leads() => Some((200, state.render())),
-            (Spoiled::LeaderRefuses, Command::Amend(items)) if led => {
-                match state.clone().apply(core.keeper.applied + 1, &Order::new(items.clone())) {
-                    Outcome::Conflict(_) => Some((409, serde_json::json!({}))),
-                    Outcome::Invalid(_) => Some((400, serde_json::json!({}))),
-                    _ => None,
-                }
-            }
-            _ => None,
-        };
-        let Some((status, body)) = answer else { return false };
-        self.replied(n, call.id, status, &body);
-        true
-    }
-}
+use whinstall_simulation::misbehaving_core::Spoiled;
+use whinstall_simulation::operators::Crew;
+use whinstall_simulation::severe_faults::Severe;
+use whinstall_simulation::trials::{control, play, severe, Days};
+use whinstall_simulation::Plan;
 
 /// What is found broken over some seeds, by kind.
 fn broken(spoiled: Option<Spoiled>, plan: &Plan, days: &Days) -> Vec<String> {
--- a/crates/simulation/tests/scenarios/start.rs
+++ b/crates/simulation/tests/scenarios/start.rs
@@ -1,10 +1,10 @@
 //! The first start: any number of core machines, in any order, some late, a seed that dies before the system began.
 
-use super::faults::Fault;
-use super::severe::Severe;
-use super::trials::{control, severe, trial, Days};
-use super::{Ev, Plan, World};
 use googletest::prelude::*;
+use whinstall_simulation::faults::Fault;
+use whinstall_simulation::severe_faults::Severe;
+use whinstall_simulation::trials::{control, severe, trial, Days};
+use whinstall_simulation::{Ev, Plan, World};
 
 fn plan(cores: usize) -> Plan {
     let losses = (cores - 1) / 2;
--- a/crates/simulation/tests/scenarios/status.rs
+++ b/crates/simulation/tests/scenarios/status.rs
@@ -1,10 +1,10 @@
 //! What operators are told of the core as it is damaged and mended.
 
-use super::faults::Fault;
-use super::trials::control;
-use super::{Ev, World};
 use googletest::prelude::*;
 use serde_json::Value;
+use whinstall_simulation::faults::Fault;
+use whinstall_simulation::trials::control;
+use whinstall_simulation::{Ev, World};
 
 /// What a core machine tells, if it runs.
 fn status(world: &World, n: usize) -> Option<Value> {
--- a/crates/simulation/tests/scenarios/worst.rs
+++ b/crates/simulation/tests/scenarios/worst.rs
@@ -2,15 +2,15 @@
 //! day, within what may be lost at once; what loses nothing comes at any moment beside it. And the long run over
 //! thousands of seeds.
 
-use super::clerks::Crew;
-use super::faults::Fault;
-use super::net::Who;
-use super::parties::{Cut, Party, Way};
-use super::severe::Severe;
-use super::stories_long::{any, many};
-use super::trials::{control, play, severe, told, trial, Days};
-use super::Plan;
+use super::long::{any, many};
 use googletest::prelude::*;
+use whinstall_simulation::faults::Fault;
+use whinstall_simulation::network::Who;
+use whinstall_simulation::operators::Crew;
+use whinstall_simulation::partitions::{Cut, Party, Way};
+use whinstall_simulation::severe_faults::Severe;
+use whinstall_simulation::trials::{control, play, severe, told, trial, Days};
+use whinstall_simulation::Plan;
 
 /// What comes back counts as lost for so long: seconds, as the settings have it.
 const RESYNC: f64 = 4.0;
@@ -286,7 +286,7 @@
     );
 }
 
-/// `SEEDS=2000 THREADS=4 cargo test --release -p toolroom long_run -- --ignored --nocapture`; `FIRST`: the first seed;
+/// `SEEDS=2000 THREADS=4 cargo test --release -p whinstall-simulation long_run -- --ignored --nocapture`; `FIRST`: the first seed;
 /// `CHANGES`: each day holds so many more changes, eight at once; `DAYS=spread`: those of `drawn_worst_days`. A single
 /// seed's day is printed.
 #[test]
