--- a/crates/capacity/src/files.rs
+++ b/crates/capacity/src/files.rs
@@ -4,7 +4,7 @@
 use rusqlite::Connection;
 use serde::Serialize;
 use std::path::Path;
-use whinstall_gateway::storage::NAME;
+use whinstall_gateway::storage::DATABASE_FILE;
 
 /// Entries and bytes of the files, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -20,7 +20,7 @@
 }
 
 fn parts(folder: &Path) -> rusqlite::Result<Parts> {
-    let db = Connection::open(folder.join(NAME))?;
+    let db = Connection::open(folder.join(DATABASE_FILE))?;
     db.pragma_update(None, "locking_mode", "EXCLUSIVE")?;
     let pair = |sql: &str| db.query_row(sql, [], |row| Ok((row.get::<_, i64>(0)?, row.get::<_, i64>(1)?)));
     let counted = |(entries, bytes): (i64, i64)| (entries.max(0) as u64, bytes.max(0) as u64);
--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -13,12 +13,12 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use whinstall::{Ending, HostId, RequestId};
-use whinstall_gateway::data_plane::requests::{Answer, Arrival};
-use whinstall_gateway::data_plane::{Edge, Effect, Event};
-use whinstall_gateway::protocol::{self, Load, Msg};
-use whinstall_gateway::runtime::edge_loop::EventLoop;
+use whinstall_gateway::data_plane::requests::{FinalResponse, IncomingRequest};
+use whinstall_gateway::data_plane::{EdgeNode, Effect, Event};
+use whinstall_gateway::protocol::{self, LoadReport, PeerMessage};
+use whinstall_gateway::runtime::edge_loop::EdgeLoop;
 use whinstall_gateway::settings::Settings;
-use whinstall_gateway::transport::peer_link::{Happens, Links};
+use whinstall_gateway::transport::peer_link::{LinkEvent, PeerLinks};
 
 /// The host and path of the route whose `target` tells which change is in force.
 pub const PROBE: (&str, &str) = ("probe.example", "/probe/");
@@ -83,8 +83,8 @@
 }
 
 struct Gate {
-    edge: EventLoop,
-    links: Links,
+    edge: EdgeLoop,
+    links: PeerLinks,
     hints: UdpSocket,
     port: u16,
     counts: bool,
@@ -104,11 +104,11 @@
 }
 
 impl Gate {
-    fn count(&self, way: &str, msg: &Msg, to: IpAddr) {
+    fn count(&self, way: &str, msg: &PeerMessage, to: IpAddr) {
         if !self.counts {
             return;
         }
-        if matches!(msg, Msg::Totals { held: true, .. }) {
+        if matches!(msg, PeerMessage::Totals { held: true, .. }) {
             let now = self.run.clock.now();
             let mut report = self.run.report.borrow_mut();
             report.uncounted_s = report.uncounted_s.max(now - self.counted_at.replace(now));
@@ -135,7 +135,7 @@
         self.with(|edge, now, out| edge.handle(now, event, out));
     }
 
-    fn with(self: &Rc<Self>, f: impl FnOnce(&mut Edge, f64, &mut Vec<Effect>)) {
+    fn with(self: &Rc<Self>, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>)) {
         for effect in self.edge.with(f) {
             self.carry_out(effect);
         }
@@ -158,8 +158,8 @@
             }
             Effect::Answer(_, answer) => {
                 let place = match answer {
-                    Answer::Worker(_) => 1,
-                    Answer::Limited(_) => 2,
+                    FinalResponse::Worker(_) => 1,
+                    FinalResponse::Limited(_) => 2,
                     _ => 3,
                 };
                 self.run.report.borrow_mut().requests[place] += 1;
@@ -178,12 +178,12 @@
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
         self.links.open(ip, move |happens| match happens {
-            Happens::Up => this.handle(Event::LinkUp(ip)),
-            Happens::Said(msg) => {
+            LinkEvent::Up => this.handle(Event::LinkUp(ip)),
+            LinkEvent::Said(msg) => {
                 this.count("heard", &msg, ip);
                 this.heard(Event::Core(ip, msg));
             }
-            Happens::Down => {
+            LinkEvent::Down => {
                 this.run.report.borrow_mut().downs += 1;
                 this.handle(Event::LinkDown(ip));
             }
@@ -198,7 +198,7 @@
         if Arc::ptr_eq(&before, &view) {
             return;
         }
-        let number = |view: &whinstall_gateway::configuration::View| {
+        let number = |view: &whinstall_gateway::configuration::ActiveConfig| {
             view.route(PROBE.0, PROBE.1).map_or(0, |route| route.target.as_millis() as u64)
         };
         let (was, is) = (number(&before), number(&view));
@@ -235,7 +235,7 @@
         let id = RequestId(self.next.get().to_string().into());
         self.next.set(self.next.get() + 1);
         self.run.report.borrow_mut().requests[0] += 1;
-        let arrival = Arrival { id, route, tenant, left: 2.0 };
+        let arrival = IncomingRequest { id, route, tenant, left: 2.0 };
         self.with(|edge, now, out| edge.arrived(now, arrival, out));
     }
 
@@ -245,7 +245,7 @@
             match self.hints.recv_from(&mut bytes).await {
                 Ok((length, from)) => {
                     self.count_datagram("heard", length);
-                    if let Ok(load) = rmp_serde::from_slice::<Load>(&bytes[..length]) {
+                    if let Ok(load) = rmp_serde::from_slice::<LoadReport>(&bytes[..length]) {
                         self.handle(Event::Told(from.ip(), load));
                     }
                 }
@@ -288,8 +288,8 @@
         let port = settings.inner_port;
         let hints = UdpSocket::bind((settings.ip, port)).await.map_err(CapacityError::Socket)?;
         let gate = Rc::new(Gate {
-            edge: EventLoop::new(Edge::new(settings, fastrand::u64(..)), run.clock),
-            links: Links::new(port),
+            edge: EdgeLoop::new(EdgeNode::new(settings, fastrand::u64(..)), run.clock),
+            links: PeerLinks::new(port),
             hints,
             port,
             counts: number < run.job.counted,
--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -2,10 +2,10 @@
 //! replicated log whose core is lost for good, or of the program before that log. It must never change that disk, nor
 //! leave an item out.
 
-use crate::configuration::{Item, Items, Kind, State};
-use crate::consensus::Body;
+use crate::configuration::{ConfigItem, ConfigState, ItemKind, ItemSet};
+use crate::consensus::EntryPayload;
 use crate::control_plane::{snapshot_state, LogCommand};
-use crate::storage::{Store, StoreError, EARLIER, NAME, WAL};
+use crate::storage::{ReplicaStore, StorageError, DATABASE_FILE, LEGACY_DATABASE_FILE, WAL_FILE};
 use rusqlite::Connection;
 use serde_json::{json, Map, Value};
 use std::path::{Path, PathBuf};
@@ -20,7 +20,7 @@
     /// what is there can't be read: {0}
     Row(String),
     /// the disk of a member: {0}
-    Replica(StoreError),
+    Replica(StorageError),
     /// {0} holds no disk of a core machine
     Nothing(String),
 }
@@ -80,10 +80,10 @@
 
 /// Reads a copy of a disk; the program must not be running on it.
 pub fn export(folder: &Path) -> Result<Export, ExportError> {
-    if folder.join(EARLIER).try_exists()? {
+    if folder.join(LEGACY_DATABASE_FILE).try_exists()? {
         return earlier(folder);
     }
-    if folder.join(NAME).try_exists()? {
+    if folder.join(DATABASE_FILE).try_exists()? {
         return member(folder);
     }
     Err(ExportError::Nothing(folder.display().to_string()))
@@ -92,30 +92,30 @@
 /// The disk of a member: its snapshot and all of its log. A disk alone can't tell what is committed behind the snapshot:
 /// whatever was acknowledged is in the log that is furthest of most of the members.
 fn member(folder: &Path) -> Result<Export, ExportError> {
-    let scratch = Scratch::of(folder, &[NAME, WAL])?;
-    let (store, held) = Store::open(&scratch.0, false).map_err(ExportError::Replica)?;
+    let scratch = Scratch::of(folder, &[DATABASE_FILE, WAL_FILE])?;
+    let (store, held) = ReplicaStore::open(&scratch.0, false).map_err(ExportError::Replica)?;
     drop(store);
-    sound(&Connection::open(scratch.0.join(NAME))?)?;
+    sound(&Connection::open(scratch.0.join(DATABASE_FILE))?)?;
     let snapshot = held.raft.snapshot.as_ref();
     let mut state = match snapshot {
         Some(snapshot) => snapshot_state(&snapshot.data).map_err(ExportError::Row)?,
-        None => State::default(),
+        None => ConfigState::default(),
     };
     let behind = snapshot.map_or((0, 0), |s| (s.index, s.term));
     let mut members = snapshot.map(|s| s.members.clone()).unwrap_or_default();
     let mut calls = 0;
     for entry in &held.raft.log {
         match &entry.body {
-            Body::Command(LogCommand::Configure(order)) => {
+            EntryPayload::Command(LogCommand::Configure(order)) => {
                 calls += 1;
                 state.apply(entry.index, order);
             }
-            Body::Members(changed) => members.clone_from(changed),
-            Body::Command(LogCommand::Shares(_)) | Body::TermStart => {}
+            EntryPayload::Members(changed) => members.clone_from(changed),
+            EntryPayload::Command(LogCommand::Shares(_)) | EntryPayload::TermStart => {}
         }
     }
     let last = held.raft.log.last().map_or(behind, |e| (e.index, e.term));
-    let mut items = Items::default();
+    let mut items = ItemSet::default();
     for item in state.items() {
         items.merge((**item).clone());
     }
@@ -143,16 +143,16 @@
 
 /// The disk of the program before the replicated log.
 fn earlier(folder: &Path) -> Result<Export, ExportError> {
-    let (wal, journal) = (format!("{EARLIER}-wal"), format!("{EARLIER}-journal"));
-    let scratch = Scratch::of(folder, &[EARLIER, &wal, &journal])?;
-    let db = Connection::open(scratch.0.join(EARLIER))?;
+    let (wal, journal) = (format!("{LEGACY_DATABASE_FILE}-wal"), format!("{LEGACY_DATABASE_FILE}-journal"));
+    let scratch = Scratch::of(folder, &[LEGACY_DATABASE_FILE, &wal, &journal])?;
+    let db = Connection::open(scratch.0.join(LEGACY_DATABASE_FILE))?;
     sound(&db)?;
-    let mut items = Items::default();
+    let mut items = ItemSet::default();
     let mut query = db.prepare("SELECT item FROM items")?;
     let mut rows = query.query([])?;
     while let Some(row) = rows.next()? {
         let blob = row.get_ref(0)?.as_blob().map_err(rusqlite::Error::from)?;
-        let item: Item = rmp_serde::from_slice(blob).map_err(|e| ExportError::Row(e.to_string()))?;
+        let item: ConfigItem = rmp_serde::from_slice(blob).map_err(|e| ExportError::Row(e.to_string()))?;
         items.merge(item);
     }
     let origin = json!({ "disk": "of the program before the replicated log", "items": items.all().count() });
@@ -160,12 +160,12 @@
 }
 
 /// The call that sets what stands and drops what was dropped, in the versions held.
-pub fn call(items: &Items) -> Value {
+pub fn call(items: &ItemSet) -> Value {
     let mut upsert = items.render();
     let mut remove: Map<String, Value> = Map::new();
-    for kind in [Kind::Route, Kind::Tenant, Kind::Service, Kind::Saturation] {
+    for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation] {
         // A field that was sent as null can't be told from none in columns.
-        if kind != Kind::Saturation
+        if kind != ItemKind::Saturation
             && items.standing(kind).any(|(_, body)| body.map().values().any(Value::is_null))
         {
             upsert[kind.list()] = items.standing(kind).map(|(_, body)| Value::Object(body.map())).collect();
--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -2,18 +2,18 @@
 
 use crate::cli::export::{export, ExportError};
 use crate::configuration::read_call;
-use crate::control_plane::{Command, Core, Effect, Event, TICK};
+use crate::control_plane::{ApiCommand, CoreNode, Effect, Event, TICK};
 use crate::settings::Settings;
 use crate::storage::tests::Folder;
-use crate::storage::{Put, Store, NAME, WAL};
+use crate::storage::{ReplicaStore, WriteBatch, DATABASE_FILE, WAL_FILE};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 use std::path::Path;
 
 /// A core of one machine, on a real disk, by a clock of its own.
 struct One {
-    core: Core,
-    store: Store,
+    core: CoreNode,
+    store: ReplicaStore,
     now: f64,
     replies: Vec<(u16, Value)>,
 }
@@ -25,8 +25,8 @@
         settings.ip = [10, 0, 1, 1].into();
         (settings.seeds, settings.cold_start) = (vec![(settings.ip, 80).into()], true);
         settings.tolerance.machines = 0;
-        let (store, held) = Store::open(data, settings.is_first_seed()).expect("a disk");
-        let core = Core::new(1000.0, settings, held).expect("a core");
+        let (store, held) = ReplicaStore::open(data, settings.is_first_seed()).expect("a disk");
+        let core = CoreNode::new(1000.0, settings, held).expect("a core");
         let mut one = One { core, store, now: 1000.0, replies: Vec::new() };
         let mut out = Vec::new();
         one.core.start(&mut out);
@@ -46,7 +46,7 @@
     }
 
     fn carry_out(&mut self, effects: Vec<Effect>) {
-        let puts: Vec<Put> = effects
+        let puts: Vec<WriteBatch> = effects
             .iter()
             .filter_map(|e| match e {
                 Effect::Persist(put) => Some(put.clone()),
@@ -65,7 +65,7 @@
     }
 
     /// The answer to a call; cuts of the log come with ticks.
-    fn call(&mut self, command: Command) -> (u16, Value) {
+    fn call(&mut self, command: ApiCommand) -> (u16, Value) {
         self.replies.clear();
         self.event(Event::Call(1, command));
         self.now += TICK;
@@ -74,7 +74,7 @@
     }
 
     fn amend(&mut self, body: &Value) -> u16 {
-        self.call(Command::Amend(read_call(body.to_string().as_bytes()).expect("a call"))).0
+        self.call(ApiCommand::Amend(read_call(body.to_string().as_bytes()).expect("a call"))).0
     }
 }
 
@@ -105,14 +105,14 @@
     expect_that!(one.amend(&drop), eq(200));
     let (entries, behind) = one.core.raft.held();
     expect_that!((entries, behind), (gt(10), gt(100)), "a snapshot, and a log behind it");
-    one.call(Command::Read).1
+    one.call(ApiCommand::Read).1
 }
 
 #[gtest]
 fn what_a_disk_holds_goes_on_in_a_new_core() {
     let (old, new) = (Folder::new("old"), Folder::new("new"));
     let stood = worn(&old.0);
-    let files = || [NAME, WAL].map(|n| std::fs::read(old.0.join(n)).expect("a file"));
+    let files = || [DATABASE_FILE, WAL_FILE].map(|n| std::fs::read(old.0.join(n)).expect("a file"));
     let was = files();
     let exported = export(&old.0).expect("exported");
     expect_that!(files() == was, eq(true), "the disk stays as it was");
@@ -125,18 +125,18 @@
 
     let mut one = One::start(&new.0);
     let call = read_call(exported.to_string().as_bytes()).expect("a call");
-    expect_that!(one.call(Command::Amend(call.clone())).0, eq(200));
-    let (status, stands) = one.call(Command::Read);
+    expect_that!(one.call(ApiCommand::Amend(call.clone())).0, eq(200));
+    let (status, stands) = one.call(ApiCommand::Read);
     expect_that!(status, eq(200));
     expect_that!(stands, eq(&stood));
     // Again, as after an answer that was lost.
-    expect_that!(one.call(Command::Amend(call)).0, eq(200));
+    expect_that!(one.call(ApiCommand::Amend(call)).0, eq(200));
     // What comes late changes nothing, and revives nothing.
     expect_that!(one.amend(&services(&[service(9, 410), service(3, 4)])), eq(200));
     let route = json!({ "label": "b", "hostname": "a", "path_prefix": "/b/", "route_class": "effectful",
         "service_ref": "s0", "cutoff": "900ms", "revision": "r7" });
     expect_that!(one.amend(&json!({ "upsert": { "route_set": [route] } })), eq(200));
-    expect_that!(one.call(Command::Read).1, eq(&stood));
+    expect_that!(one.call(ApiCommand::Read).1, eq(&stood));
     // A version that is held stays one content.
     let other = json!({ "label": "s3", "probe_path": "/other", "revision": "r564" });
     expect_that!(one.amend(&services(&[other])), eq(409));
@@ -148,7 +148,7 @@
 fn a_torn_or_foreign_disk_is_refused() {
     let old = Folder::new("torn");
     worn(&old.0);
-    let (database, log) = (old.0.join(NAME), old.0.join(WAL));
+    let (database, log) = (old.0.join(DATABASE_FILE), old.0.join(WAL_FILE));
     let whole = [std::fs::read(&database).expect("a file"), std::fs::read(&log).expect("a file")];
     let refused = |what: &str, why: &str| {
         let error = export(&old.0).err().map(|e| e.to_string()).unwrap_or_default();
--- a/crates/gateway/src/configuration/active_config.rs
+++ b/crates/gateway/src/configuration/active_config.rs
@@ -3,8 +3,8 @@
 
 use super::change::keys;
 #[cfg(test)]
-use super::item::Items;
-use super::item::{Item, Kind};
+use super::item::ItemSet;
+use super::item::{ConfigItem, ItemKind};
 use crate::json_path::time;
 use serde_json::{Map, Value};
 use std::cmp::Reverse;
@@ -65,7 +65,7 @@
 
 /// Bounds on clients.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Saturation {
+pub struct ClientLimits {
     /// The longest head.
     pub header_bytes: usize,
     /// The longest body.
@@ -78,14 +78,14 @@
 
 /// What a gatekeeper serves by.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct ActiveConfig {
     hosts: Arc<HashMap<Arc<str>, Vec<Arc<Route>>>>,
     keys: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
     tenants: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
     /// Does the configuration hold tenants, so that keys are asked for?
     pub keyed: bool,
     /// Bounds on clients.
-    pub saturation: Saturation,
+    pub saturation: ClientLimits,
 }
 
 fn text<'a>(body: &'a Map<String, Value>, name: &str) -> &'a str {
@@ -102,7 +102,7 @@
 
 /// What is served by of one item that stands: a tenth of the item's memory (a JSON object takes some 2 KB).
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum ActiveItem {
     /// A route, with its host in lower case.
     Route(Arc<str>, Arc<Route>),
     /// A tenant, with its keys.
@@ -110,18 +110,19 @@
     /// Nothing is served by a service's item.
     Service,
     /// Bounds on clients.
-    Saturation(Box<Saturation>),
+    Saturation(Box<ClientLimits>),
 }
 
-impl Part {
+impl ActiveItem {
     /// Of an item; `None`: it is dropped.
-    pub fn of(item: &Item) -> Option<Self> {
+    pub fn of(item: &ConfigItem) -> Option<Self> {
         let body = &item.body.as_ref()?.map();
         Some(match item.kind {
-            Kind::Route => {
-                Part::Route(text(body, "hostname").to_ascii_lowercase().into(), Arc::new(route(item, body)))
-            }
-            Kind::Tenant => {
+            ItemKind::Route => ActiveItem::Route(
+                text(body, "hostname").to_ascii_lowercase().into(),
+                Arc::new(route(item, body)),
+            ),
+            ItemKind::Tenant => {
                 let tenant = Tenant {
                     label: item.label.as_str().into(),
                     rank: number(body, "rank").map(|n| n as u32),
@@ -129,24 +130,24 @@
                     burst: number(body, "burst_size").unwrap_or(0.0),
                     version: item.version,
                 };
-                Part::Tenant(Arc::new(tenant), keys(body).map(Into::into).collect())
+                ActiveItem::Tenant(Arc::new(tenant), keys(body).map(Into::into).collect())
             }
-            Kind::Service => Part::Service,
-            Kind::Saturation => Part::Saturation(Box::new(saturation(Some(body)))),
+            ItemKind::Service => ActiveItem::Service,
+            ItemKind::Saturation => ActiveItem::Saturation(Box::new(saturation(Some(body)))),
         })
     }
 
-    fn kind(&self) -> Kind {
+    fn kind(&self) -> ItemKind {
         match self {
-            Part::Route(..) => Kind::Route,
-            Part::Tenant(..) => Kind::Tenant,
-            Part::Service => Kind::Service,
-            Part::Saturation(_) => Kind::Saturation,
+            ActiveItem::Route(..) => ItemKind::Route,
+            ActiveItem::Tenant(..) => ItemKind::Tenant,
+            ActiveItem::Service => ItemKind::Service,
+            ActiveItem::Saturation(_) => ItemKind::Saturation,
         }
     }
 }
 
-fn route(item: &Item, body: &Map<String, Value>) -> Route {
+fn route(item: &ConfigItem, body: &Map<String, Value>) -> Route {
     let part = |p: &Value| Some((p.get("service_ref")?.as_str()?.into(), p.get("gain")?.as_f64()?));
     let mixture = body.get("mixture").and_then(Value::as_array).into_iter().flatten();
     let mut mixture: Vec<(Arc<str>, f64)> = mixture.filter_map(part).collect();
@@ -197,10 +198,10 @@
     (by_key, by_label)
 }
 
-fn saturation(body: Option<&Map<String, Value>>) -> Saturation {
+fn saturation(body: Option<&Map<String, Value>>) -> ClientLimits {
     let amount = |name| body.and_then(|b| number(b, name)).map(|n| n as usize);
     let time = |name| body.and_then(|b| duration(b, name));
-    Saturation {
+    ClientLimits {
         header_bytes: amount("header_max_bytes").unwrap_or(16384),
         body_bytes: amount("body_max_bytes").unwrap_or(1048576),
         header_deadline: time("header_deadline").unwrap_or(Duration::from_secs(3)),
@@ -208,10 +209,10 @@
     }
 }
 
-impl Default for View {
+impl Default for ActiveConfig {
     /// Of nothing.
     fn default() -> Self {
-        View {
+        ActiveConfig {
             hosts: Arc::default(),
             keys: Arc::default(),
             tenants: Arc::default(),
@@ -221,49 +222,53 @@
     }
 }
 
-impl View {
+impl ActiveConfig {
     /// Folds the items that stand.
     #[cfg(test)]
-    pub fn fold(items: &Items) -> Self {
-        View::fold_items(items.all())
+    pub fn fold(items: &ItemSet) -> Self {
+        ActiveConfig::fold_items(items.all())
     }
 
     /// Folds the items that stand, given in any order, each name once; those dropped are passed over.
     #[cfg(test)]
-    pub fn fold_items<'a>(items: impl Iterator<Item = &'a Item>) -> Self {
-        let parts: Vec<Part> = items.filter_map(Part::of).collect();
-        View::fold_parts(parts.iter())
+    pub fn fold_items<'a>(items: impl Iterator<Item = &'a ConfigItem>) -> Self {
+        let parts: Vec<ActiveItem> = items.filter_map(ActiveItem::of).collect();
+        ActiveConfig::fold_parts(parts.iter())
     }
 
     /// Folds the parts of all items that stand, given in any order.
-    pub fn fold_parts<'a>(parts: impl Iterator<Item = &'a Part>) -> Self {
-        let all = [Kind::Route, Kind::Tenant, Kind::Service, Kind::Saturation];
-        View::default().refold(parts, &BTreeSet::from(all))
+    pub fn fold_parts<'a>(parts: impl Iterator<Item = &'a ActiveItem>) -> Self {
+        let all = [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation];
+        ActiveConfig::default().refold(parts, &BTreeSet::from(all))
     }
 
     /// The view after a change: `changed` kinds are folded from `parts` (of all items that stand, as for
     /// [`View::fold_parts`]), the others are shared with this view. Equal to a full fold if `changed` names the kind of
     /// every item that changed.
-    pub fn refold<'a>(&self, parts: impl Iterator<Item = &'a Part>, changed: &BTreeSet<Kind>) -> Self {
+    pub fn refold<'a>(
+        &self,
+        parts: impl Iterator<Item = &'a ActiveItem>,
+        changed: &BTreeSet<ItemKind>,
+    ) -> Self {
         let (mut routes, mut tenants, mut bounds) = (Vec::new(), Vec::new(), None);
         for part in parts.filter(|p| changed.contains(&p.kind())) {
             match part {
-                Part::Route(host, route) => routes.push((host, route)),
-                Part::Tenant(tenant, keys) => tenants.push((tenant, &**keys)),
-                Part::Service => {}
-                Part::Saturation(saturation) => bounds = bounds.or(Some(saturation)),
+                ActiveItem::Route(host, route) => routes.push((host, route)),
+                ActiveItem::Tenant(tenant, keys) => tenants.push((tenant, &**keys)),
+                ActiveItem::Service => {}
+                ActiveItem::Saturation(saturation) => bounds = bounds.or(Some(saturation)),
             }
         }
         let mut view = self.clone();
-        if changed.contains(&Kind::Route) {
+        if changed.contains(&ItemKind::Route) {
             view.hosts = Arc::new(fold_routes(routes));
         }
-        if changed.contains(&Kind::Tenant) {
+        if changed.contains(&ItemKind::Tenant) {
             let (by_key, by_label) = fold_tenants(tenants);
             view.keyed = !by_label.is_empty();
             (view.keys, view.tenants) = (Arc::new(by_key), Arc::new(by_label));
         }
-        if changed.contains(&Kind::Saturation) {
+        if changed.contains(&ItemKind::Saturation) {
             view.saturation = bounds.map_or_else(|| saturation(None), |s| (**s).clone());
         }
         view
--- a/crates/gateway/src/configuration/change.rs
+++ b/crates/gateway/src/configuration/change.rs
@@ -1,8 +1,8 @@
 //! Owns what an operator's call says and whether the configuration that would stand after it is valid. It must never
 //! put anything into force.
 
-use super::item::{Item, Items, Kind};
-use crate::json_path::{At, PathError};
+use super::item::{ConfigItem, ItemKind, ItemSet};
+use crate::json_path::{JsonNode, JsonPathError};
 use serde_json::{Map, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,9 +12,9 @@
 
 /// Why a call is refused.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
-pub enum CallError {
+pub enum ChangeError {
     /// unreadable: {0}
-    Unreadable(PathError),
+    Unreadable(JsonPathError),
     /// {0}: unknown list
     UnknownList(String),
     /// {0}: {1} values for {2} columns
@@ -39,31 +39,31 @@
     OtherContent(&'static str, String, u64),
 }
 
-impl std::error::Error for CallError {}
+impl std::error::Error for ChangeError {}
 
-impl From<PathError> for CallError {
-    fn from(e: PathError) -> Self {
-        CallError::Unreadable(e)
+impl From<JsonPathError> for ChangeError {
+    fn from(e: JsonPathError) -> Self {
+        ChangeError::Unreadable(e)
     }
 }
 
 /// The items of a call, each checked for itself.
-pub fn read_call(body: &[u8]) -> Result<Vec<Item>, CallError> {
+pub fn read_call(body: &[u8]) -> Result<Vec<ConfigItem>, ChangeError> {
     let value = crate::json_path::parse(body)?;
-    let root = At::root(&value);
+    let root = JsonNode::root(&value);
     root.object()?;
     let mut items = Vec::new();
     if let Some(set) = root.get("upsert") {
         for (name, value) in set.object()? {
-            let Some(kind) = kind(name) else { return Err(CallError::UnknownList(name.clone())) };
+            let Some(kind) = kind(name) else { return Err(ChangeError::UnknownList(name.clone())) };
             if value.is_null() {
                 continue;
             }
             let list = set.need(name)?;
             match kind {
-                Kind::Saturation => items.push(item(kind, &list, String::new())?),
+                ItemKind::Saturation => items.push(item(kind, &list, String::new())?),
                 _ => rows(&list, |row, path| {
-                    items.push(item(kind, &At::root(row), path)?);
+                    items.push(item(kind, &JsonNode::root(row), path)?);
                     Ok(())
                 })?,
             }
@@ -71,14 +71,14 @@
     }
     if let Some(drop) = root.get("remove") {
         for (name, value) in drop.object()? {
-            let Some(kind) = kind(name) else { return Err(CallError::UnknownList(name.clone())) };
+            let Some(kind) = kind(name) else { return Err(ChangeError::UnknownList(name.clone())) };
             if value.is_null() {
                 continue;
             }
             rows(&drop.need(name)?, |row, _| {
-                let at = At::root(row);
+                let at = JsonNode::root(row);
                 let (label, version) = (at.need("label")?.name()?, at.need("revision")?.version()?);
-                items.push(Item { kind, label: label.into(), version, body: None });
+                items.push(ConfigItem { kind, label: label.into(), version, body: None });
                 Ok(())
             })?;
         }
@@ -86,12 +86,17 @@
     Ok(items)
 }
 
-fn kind(name: &str) -> Option<Kind> {
-    [Kind::Route, Kind::Tenant, Kind::Service, Kind::Saturation].into_iter().find(|k| k.list() == name)
+fn kind(name: &str) -> Option<ItemKind> {
+    [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation]
+        .into_iter()
+        .find(|k| k.list() == name)
 }
 
 /// Hands over the rows of a list, one after the other, as objects: given so, or as columns and records.
-fn rows(list: &At, mut take: impl FnMut(&Value, String) -> Result<(), CallError>) -> Result<(), CallError> {
+fn rows(
+    list: &JsonNode,
+    mut take: impl FnMut(&Value, String) -> Result<(), ChangeError>,
+) -> Result<(), ChangeError> {
     if list.value().is_array() {
         for object in list.list()? {
             object.object()?;
@@ -100,15 +105,15 @@
         return Ok(());
     }
     let columns = list.need("columns")?.list()?;
-    let columns: Vec<&str> = columns.iter().map(At::name).collect::<Result<_, _>>()?;
+    let columns: Vec<&str> = columns.iter().map(JsonNode::name).collect::<Result<_, _>>()?;
     let mut met = BTreeSet::new();
     if let Some(twice) = columns.iter().find(|name| !met.insert(**name)) {
-        return Err(CallError::TwiceNamed(list.path(), (*twice).into()));
+        return Err(ChangeError::TwiceNamed(list.path(), (*twice).into()));
     }
     for record in list.need("records")?.list()? {
         let values = record.list()?;
         if values.len() != columns.len() {
-            return Err(CallError::Ragged(record.path(), values.len(), columns.len()));
+            return Err(ChangeError::Ragged(record.path(), values.len(), columns.len()));
         }
         let fields = columns.iter().zip(&values).filter(|(_, v)| !v.value().is_null());
         let object: Map<String, Value> = fields.map(|(c, v)| ((*c).into(), v.value().clone())).collect();
@@ -117,41 +122,45 @@
     Ok(())
 }
 
-fn item(kind: Kind, at: &At, path: String) -> Result<Item, CallError> {
-    let within = |e: PathError| match e {
-        PathError::Missing(at) if !path.is_empty() => PathError::Missing(format!("{path}{}", &at[1..])),
-        PathError::Not(at, what) if !path.is_empty() => PathError::Not(format!("{path}{}", &at[1..]), what),
+fn item(kind: ItemKind, at: &JsonNode, path: String) -> Result<ConfigItem, ChangeError> {
+    let within = |e: JsonPathError| match e {
+        JsonPathError::Missing(at) if !path.is_empty() => {
+            JsonPathError::Missing(format!("{path}{}", &at[1..]))
+        }
+        JsonPathError::Not(at, what) if !path.is_empty() => {
+            JsonPathError::Not(format!("{path}{}", &at[1..]), what)
+        }
         e => e,
     };
-    let check = || -> Result<Item, CallError> {
+    let check = || -> Result<ConfigItem, ChangeError> {
         let version = at.need("revision")?.version()?;
-        let label = if kind == Kind::Saturation { "" } else { at.need("label")?.name()? };
+        let label = if kind == ItemKind::Saturation { "" } else { at.need("label")?.name()? };
         match kind {
-            Kind::Route => route(at, &path)?,
-            Kind::Tenant => tenant(at)?,
-            Kind::Service => service(at)?,
-            Kind::Saturation => saturation(at)?,
+            ItemKind::Route => route(at, &path)?,
+            ItemKind::Tenant => tenant(at)?,
+            ItemKind::Service => service(at)?,
+            ItemKind::Saturation => saturation(at)?,
         }
-        Ok(Item { kind, label: label.into(), version, body: Some(at.object()?.into()) })
+        Ok(ConfigItem { kind, label: label.into(), version, body: Some(at.object()?.into()) })
     };
     check().map_err(|e| match e {
-        CallError::Unreadable(e) => CallError::Unreadable(within(e)),
+        ChangeError::Unreadable(e) => ChangeError::Unreadable(within(e)),
         e => e,
     })
 }
 
-fn route(at: &At, path: &str) -> Result<(), CallError> {
+fn route(at: &JsonNode, path: &str) -> Result<(), ChangeError> {
     at.need("hostname")?.name()?;
     let prefix = at.need("path_prefix")?.text()?;
     if !(prefix.starts_with('/') && prefix.ends_with('/')) {
-        return Err(CallError::OddPrefix(path.into()));
+        return Err(ChangeError::OddPrefix(path.into()));
     }
     if !matches!(at.need("route_class")?.text()?, "idempotent" | "effectful") {
-        return Err(CallError::OddClass(path.into()));
+        return Err(ChangeError::OddClass(path.into()));
     }
     for name in ["cutoff", "target"] {
         if at.get(name).map(|t| t.time()).transpose()?.is_some_and(|t| t > CUTOFF_MOST) {
-            return Err(CallError::TooLong(format!("{path}.{name}")));
+            return Err(ChangeError::TooLong(format!("{path}.{name}")));
         }
     }
     for name in ["rank", "max_attempts"] {
@@ -166,18 +175,18 @@
                 sum += part.need("gain")?.amount()?;
             }
             if sum <= 0.0 {
-                return Err(CallError::NoGain(path.into()));
+                return Err(ChangeError::NoGain(path.into()));
             }
         }
         (None, Some(service)) => {
             service.name()?;
         }
-        (None, None) => return Err(CallError::NoService(path.into())),
+        (None, None) => return Err(ChangeError::NoService(path.into())),
     }
     Ok(())
 }
 
-fn tenant(at: &At) -> Result<(), CallError> {
+fn tenant(at: &JsonNode) -> Result<(), ChangeError> {
     if let Some(keys) = at.get("credentials") {
         for key in keys.list()? {
             key.name()?;
@@ -189,13 +198,13 @@
     Ok(())
 }
 
-fn service(at: &At) -> Result<(), CallError> {
+fn service(at: &JsonNode) -> Result<(), ChangeError> {
     at.get("probe_path").map(|p| p.text()).transpose()?;
     at.get("conn_limit").map(|n| n.amount()).transpose()?;
     Ok(())
 }
 
-fn saturation(at: &At) -> Result<(), CallError> {
+fn saturation(at: &JsonNode) -> Result<(), ChangeError> {
     for name in ["header_max_bytes", "body_max_bytes"] {
         at.get(name).map(|n| n.amount()).transpose()?;
     }
@@ -207,9 +216,9 @@
 
 /// Judges the whole configuration that would stand: refused is what a call would newly put wrong, not what was so
 /// before it. The items that would change anything are returned.
-pub fn judge(held: &Items, call: &[Item]) -> Result<Vec<Item>, CallError> {
+pub fn judge(held: &ItemSet, call: &[ConfigItem]) -> Result<Vec<ConfigItem>, ChangeError> {
     let mut after = held.clone();
-    let news: Vec<Item> = call.iter().filter(|i| after.merge((*i).clone())).cloned().collect();
+    let news: Vec<ConfigItem> = call.iter().filter(|i| after.merge((*i).clone())).cloned().collect();
     if news.is_empty() {
         return Ok(news);
     }
@@ -221,21 +230,21 @@
 }
 
 /// What is wrong between the items of a configuration.
-pub fn faults(items: &Items) -> Vec<CallError> {
+pub fn faults(items: &ItemSet) -> Vec<ChangeError> {
     let mut found = Vec::new();
-    for (label, body) in items.standing(Kind::Route) {
+    for (label, body) in items.standing(ItemKind::Route) {
         for service in body.services() {
-            let stands = items.standing(Kind::Service).any(|(l, _)| l == service);
+            let stands = items.standing(ItemKind::Service).any(|(l, _)| l == service);
             if !stands {
-                found.push(CallError::UnknownService(label.into(), service));
+                found.push(ChangeError::UnknownService(label.into(), service));
             }
         }
     }
     let mut owners: BTreeMap<String, &str> = BTreeMap::new();
-    for (label, body) in items.standing(Kind::Tenant) {
+    for (label, body) in items.standing(ItemKind::Tenant) {
         for key in body.keys() {
             if let Some(other) = owners.insert(key, label).filter(|other| *other != label) {
-                found.push(CallError::SharedKey(other.into(), label.into()));
+                found.push(ChangeError::SharedKey(other.into(), label.into()));
             }
         }
     }
--- a/crates/gateway/src/configuration/content_hash_tests.rs
+++ b/crates/gateway/src/configuration/content_hash_tests.rs
@@ -1,17 +1,17 @@
 //! When two items say the same: whatever the spelling, on disks of earlier builds, too.
 
 use super::content_hash::{content_hash, meaning_hash};
-use super::state::Outcome;
-use super::{read_call, Item, Kind, State};
+use super::state::ChangeOutcome;
+use super::{read_call, ConfigItem, ConfigState, ItemKind};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 
 /// 200 with an effect, 200 without, 409.
-fn code(outcome: &Outcome) -> &'static str {
+fn code(outcome: &ChangeOutcome) -> &'static str {
     match outcome {
-        Outcome::Taken(_) => "taken",
-        Outcome::Known => "known",
-        Outcome::Conflict(_) => "conflict",
+        ChangeOutcome::Taken(_) => "taken",
+        ChangeOutcome::Known => "known",
+        ChangeOutcome::Conflict(_) => "conflict",
         _ => "other",
     }
 }
@@ -35,7 +35,7 @@
     };
     let tenant = json!({ "label": "t1", "credentials": ["k1", "k2"], "rate_per_s": 10, "revision": "r7" });
     let first = orders(vec![route(json!({}))], vec![tenant.clone()]);
-    let mut base = State::default();
+    let mut base = ConfigState::default();
     assert_that!(code(&base.apply(1, &first)), eq("taken"));
     let parts = |a: Value, b: Value| json!({ "mixture": [a, b] });
     let (s1, s2) = (json!({ "service_ref": "s1", "gain": 90 }), json!({ "gain": 10.0, "service_ref": "s2" }));
@@ -93,7 +93,7 @@
     }
     // An order under two spellings at once is one.
     let twice = orders(vec![route(same[0].clone()), route(same[2].clone())], vec![]);
-    expect_that!(code(&State::default().apply(1, &twice)), eq("taken"));
+    expect_that!(code(&ConfigState::default().apply(1, &twice)), eq("taken"));
 }
 
 /// Guards a disk of an earlier build, whose hashes are of the fields as they were spelled: what it confirmed is
@@ -101,9 +101,13 @@
 #[gtest]
 fn what_an_earlier_build_confirmed_is_known_by_its_spelling() {
     let body = json!({ "label": "t", "credentials": ["k2", "k1"], "revision": "r5" });
-    let order =
-        [Item { kind: Kind::Tenant, label: "t".into(), version: 5, body: body.as_object().map(Into::into) }];
-    let mut state = State::default();
+    let order = [ConfigItem {
+        kind: ItemKind::Tenant,
+        label: "t".into(),
+        version: 5,
+        body: body.as_object().map(Into::into),
+    }];
+    let mut state = ConfigState::default();
     assert_that!(code(&state.apply(1, &order)), eq("taken"));
     let body = body.as_object();
     let (now, before) = (meaning_hash(body), content_hash(body));
@@ -111,6 +115,6 @@
     let [now, before] = [now, before].map(|hash| rmp_serde::to_vec(&hash).expect("encoded"));
     let at = bytes.windows(now.len()).position(|w| w == now).expect("there");
     let old = [&bytes[..at], &before, &bytes[at + now.len()..]].concat();
-    let mut state = State::decode(&old).expect("decoded");
+    let mut state = ConfigState::decode(&old).expect("decoded");
     expect_that!(code(&state.apply(2, &order)), eq("known"));
 }
--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -9,20 +9,20 @@
 use std::sync::Arc;
 
 /// A tenant's requests a second, and those on top, as configured; 0 where nothing is said.
-pub type Quota = (f64, f64);
+pub type TenantRate = (f64, f64);
 
 /// Fields by name, as MessagePack, sorted by name. Equal fields are equal bytes.
 #[derive(Clone, PartialEq, Eq)]
-pub struct Fields(Arc<[u8]>);
+pub struct ItemFields(Arc<[u8]>);
 
-impl From<&Map<String, Value>> for Fields {
+impl From<&Map<String, Value>> for ItemFields {
     fn from(map: &Map<String, Value>) -> Self {
         // Writing to memory can't fail for these types.
-        Fields(rmp_serde::to_vec(map).unwrap_or_default().into())
+        ItemFields(rmp_serde::to_vec(map).unwrap_or_default().into())
     }
 }
 
-impl Fields {
+impl ItemFields {
     /// The fields, each by itself.
     pub fn map(&self) -> Map<String, Value> {
         // What can't be read is never taken in.
@@ -45,7 +45,7 @@
     }
 
     /// The keys that a tenant has, and its quota.
-    pub fn tenant(&self) -> (Vec<String>, Quota) {
+    pub fn tenant(&self) -> (Vec<String>, TenantRate) {
         #[derive(Deserialize)]
         struct Tenant<'a> {
             #[serde(borrow, default)]
@@ -67,19 +67,19 @@
     }
 }
 
-impl fmt::Debug for Fields {
+impl fmt::Debug for ItemFields {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         self.map().fmt(f)
     }
 }
 
-impl Serialize for Fields {
+impl Serialize for ItemFields {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_bytes(&self.0)
     }
 }
 
-impl<'de> Deserialize<'de> for Fields {
+impl<'de> Deserialize<'de> for ItemFields {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         from.deserialize_any(Reader)
     }
@@ -88,30 +88,30 @@
 struct Reader;
 
 impl<'de> Visitor<'de> for Reader {
-    type Value = Fields;
+    type Value = ItemFields;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("the fields of an item")
     }
 
-    fn visit_bytes<E: serde::de::Error>(self, bytes: &[u8]) -> Result<Fields, E> {
+    fn visit_bytes<E: serde::de::Error>(self, bytes: &[u8]) -> Result<ItemFields, E> {
         let mut reader = rmp_serde::Deserializer::new(std::io::Cursor::new(bytes));
         Plain::deserialize(&mut reader).map_err(E::custom)?;
         // A map, of any of the three lengths, and nothing behind it.
         let map = matches!(bytes.first(), Some(0x80..=0x8f | 0xde | 0xdf));
         match map && reader.position() == bytes.len() as u64 {
-            true => Ok(Fields(bytes.into())),
+            true => Ok(ItemFields(bytes.into())),
             false => Err(E::custom("not the fields of an item")),
         }
     }
 
     /// As disks before this form have them.
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Fields, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<ItemFields, A::Error> {
         let mut fields = Map::new();
         while let Some((name, value)) = map.next_entry::<String, Value>()? {
             fields.insert(name, value);
         }
-        Ok(Fields::from(&fields))
+        Ok(ItemFields::from(&fields))
     }
 }
 
--- a/crates/gateway/src/configuration/item.rs
+++ b/crates/gateway/src/configuration/item.rs
@@ -1,7 +1,7 @@
 //! Owns the items: a map from name to the highest version seen, set or dropped. Merging is commutative, associative
 //! and idempotent, so copies that saw the same items in any order are equal. It must never judge what an item says.
 
-use super::fields::Fields;
+use super::fields::ItemFields;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 /// What an item is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
+pub enum ItemKind {
     /// A route.
     Route,
     /// A tenant.
@@ -20,45 +20,45 @@
     Saturation,
 }
 
-impl Kind {
+impl ItemKind {
     /// The list that holds items of this kind.
     pub fn list(self) -> &'static str {
         match self {
-            Kind::Route => "route_set",
-            Kind::Tenant => "tenant_set",
-            Kind::Service => "service_set",
-            Kind::Saturation => "saturation",
+            ItemKind::Route => "route_set",
+            ItemKind::Tenant => "tenant_set",
+            ItemKind::Service => "service_set",
+            ItemKind::Saturation => "saturation",
         }
     }
 }
 
 /// One version of an item. `body`: its fields as they were sent; `None`: dropped.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Item {
+pub struct ConfigItem {
     /// What it is.
-    pub kind: Kind,
+    pub kind: ItemKind,
     /// Its name.
     pub label: String,
     /// Its version.
     pub version: u64,
     /// Its fields.
-    pub body: Option<Fields>,
+    pub body: Option<ItemFields>,
 }
 
 /// The items that hold.
 #[derive(Clone, Debug, Default)]
-pub struct Items {
-    map: BTreeMap<(Kind, String), Item>,
+pub struct ItemSet {
+    map: BTreeMap<(ItemKind, String), ConfigItem>,
     digest: u64,
 }
 
-fn hash(item: &Item) -> u64 {
+fn hash(item: &ConfigItem) -> u64 {
     let mut hasher = DefaultHasher::new();
     (item.kind, &item.label, item.version).hash(&mut hasher);
     hasher.finish()
 }
 
-impl Items {
+impl ItemSet {
     /// The same at every process that holds the same versions.
     #[cfg(test)]
     pub fn digest(&self) -> u64 {
@@ -66,23 +66,23 @@
     }
 
     /// The version that holds for a name.
-    pub fn version(&self, kind: Kind, label: &str) -> Option<u64> {
+    pub fn version(&self, kind: ItemKind, label: &str) -> Option<u64> {
         self.map.get(&(kind, label.to_owned())).map(|i| i.version)
     }
 
     /// The fields of one item, if it stands.
     #[cfg(test)]
-    pub fn body(&self, kind: Kind, label: &str) -> Option<Map<String, Value>> {
-        self.map.get(&(kind, label.to_owned()))?.body.as_ref().map(Fields::map)
+    pub fn body(&self, kind: ItemKind, label: &str) -> Option<Map<String, Value>> {
+        self.map.get(&(kind, label.to_owned()))?.body.as_ref().map(ItemFields::map)
     }
 
     /// Would this item change anything?
-    pub fn is_news(&self, item: &Item) -> bool {
+    pub fn is_news(&self, item: &ConfigItem) -> bool {
         self.version(item.kind, &item.label).is_none_or(|v| v < item.version)
     }
 
     /// Takes an item if its version is higher than the one held.
-    pub fn merge(&mut self, item: Item) -> bool {
+    pub fn merge(&mut self, item: ConfigItem) -> bool {
         if !self.is_news(&item) {
             return false;
         }
@@ -94,12 +94,12 @@
     }
 
     /// All items, the dropped ones too.
-    pub fn all(&self) -> impl Iterator<Item = &Item> {
+    pub fn all(&self) -> impl Iterator<Item = &ConfigItem> {
         self.map.values()
     }
 
     /// The items of a kind that stand.
-    pub fn standing(&self, kind: Kind) -> impl Iterator<Item = (&str, &Fields)> {
+    pub fn standing(&self, kind: ItemKind) -> impl Iterator<Item = (&str, &ItemFields)> {
         let of_kind = self.map.iter().filter(move |((k, _), _)| *k == kind);
         of_kind.filter_map(|((_, label), item)| Some((label.as_str(), item.body.as_ref()?)))
     }
@@ -111,13 +111,13 @@
 }
 
 /// Lays items out as in the first call's set; those dropped are left out.
-pub fn render<'a>(items: impl Iterator<Item = &'a Item>) -> Value {
-    let mut standing: [Vec<&Fields>; 4] = Default::default();
+pub fn render<'a>(items: impl Iterator<Item = &'a ConfigItem>) -> Value {
+    let mut standing: [Vec<&ItemFields>; 4] = Default::default();
     for item in items {
         standing[item.kind as usize].extend(&item.body);
     }
     let mut out = Map::new();
-    for kind in [Kind::Route, Kind::Tenant, Kind::Service] {
+    for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service] {
         let bodies = &standing[kind as usize];
         let mut columns: Vec<String> = Vec::new();
         let mut records: Vec<Value> = Vec::with_capacity(bodies.len());
@@ -136,8 +136,8 @@
         }
         out.insert(kind.list().into(), serde_json::json!({ "columns": columns, "records": records }));
     }
-    if let Some(body) = standing[Kind::Saturation as usize].first() {
-        out.insert(Kind::Saturation.list().into(), Value::Object(body.map()));
+    if let Some(body) = standing[ItemKind::Saturation as usize].first() {
+        out.insert(ItemKind::Saturation.list().into(), Value::Object(body.map()));
     }
     Value::Object(out)
 }
--- a/crates/gateway/src/configuration/mod.rs
+++ b/crates/gateway/src/configuration/mod.rs
@@ -9,14 +9,14 @@
 pub mod replica;
 pub mod state;
 
-pub use active_config::View;
+pub use active_config::ActiveConfig;
 pub use change::read_call;
-pub use fields::Fields;
-pub use item::{Item, Items, Kind};
-pub use state::State;
+pub use fields::ItemFields;
+pub use item::{ConfigItem, ItemKind, ItemSet};
+pub use state::ConfigState;
 
 /// An operator's call, as [`read_call`] gives it: one entry of the replicated log.
-pub type Order = std::sync::Arc<Vec<Item>>;
+pub type ConfigChange = std::sync::Arc<Vec<ConfigItem>>;
 
 #[cfg(test)]
 mod content_hash_tests;
--- a/crates/gateway/src/configuration/race_tests.rs
+++ b/crates/gateway/src/configuration/race_tests.rs
@@ -1,8 +1,8 @@
 //! Orders of several operators over the same names, with versions that cross, in every order in which the log may have
 //! them, and each sent again at every later place.
 
-use super::state::Outcome;
-use super::{Item, Kind, State};
+use super::state::ChangeOutcome;
+use super::{ConfigItem, ConfigState, ItemKind};
 use googletest::prelude::*;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -10,11 +10,11 @@
 /// An order: names with version and content; no content: dropped.
 type Told<'a> = &'a [(&'a str, u64, Option<u64>)];
 
-fn order(told: Told) -> Vec<Item> {
+fn order(told: Told) -> Vec<ConfigItem> {
     let item = |(label, version, content): &(&str, u64, Option<u64>)| {
         let body = content.map(|limit| json!({ "label": label, "conn_limit": limit }));
         let body = body.and_then(|b| b.as_object().map(Into::into));
-        Item { kind: Kind::Service, label: (*label).into(), version: *version, body }
+        ConfigItem { kind: ItemKind::Service, label: (*label).into(), version: *version, body }
     };
     told.iter().map(item).collect()
 }
@@ -41,11 +41,11 @@
 
 impl Heard {
     /// One more answer; an operator whose order was refused sends it no more.
-    fn answer(&mut self, state: &mut State, index: u64, n: usize, told: Told) {
+    fn answer(&mut self, state: &mut ConfigState, index: u64, n: usize, told: Told) {
         let before = state.clone();
         let outcome = state.apply(index, &order(told));
         match outcome {
-            Outcome::Taken(_) | Outcome::Known => {
+            ChangeOutcome::Taken(_) | ChangeOutcome::Known => {
                 assert_that!(self.refused, not(contains(eq(&n))), "{told:?} was refused");
                 self.confirmed.push(n);
                 for (label, version, content) in told {
@@ -57,7 +57,7 @@
                     );
                 }
             }
-            Outcome::Conflict(_) => {
+            ChangeOutcome::Conflict(_) => {
                 assert_that!(self.confirmed, not(contains(eq(&n))), "{told:?} was confirmed");
                 let other = |(l, v, c): &(&str, u64, Option<u64>)| {
                     self.contents.get(&((*l).into(), *v)).is_some_and(|held| held != c)
@@ -71,13 +71,13 @@
     }
 
     /// What stands is, of each name, the highest version that was confirmed.
-    fn stands(&self, state: &State) {
+    fn stands(&self, state: &ConfigState) {
         let mut newest: BTreeMap<&str, Option<u64>> = BTreeMap::new();
         for ((label, _), content) in &self.contents {
             newest.insert(label, *content);
         }
         for (label, content) in newest {
-            let held = state.body(Kind::Service, label).map(|b| b["conn_limit"].as_u64());
+            let held = state.body(ItemKind::Service, label).map(|b| b["conn_limit"].as_u64());
             assert_that!(held, eq(content.map(Some)), "{label}");
         }
     }
@@ -128,8 +128,8 @@
     let (mut courses, mut answers) = (0, [0, 0]);
     for told in days {
         for course in permutations(told.len()) {
-            let (mut state, mut heard, mut index) = (State::default(), Heard::default(), 0);
-            let mut apply = |state: &mut State, heard: &mut Heard, n: usize| {
+            let (mut state, mut heard, mut index) = (ConfigState::default(), Heard::default(), 0);
+            let mut apply = |state: &mut ConfigState, heard: &mut Heard, n: usize| {
                 index += 1;
                 heard.answer(state, index, n, told[n]);
                 heard.stands(state);
--- a/crates/gateway/src/configuration/replica.rs
+++ b/crates/gateway/src/configuration/replica.rs
@@ -1,13 +1,13 @@
 //! Owns a gatekeeper's copy of what stands: as of an entry of the core's log. It must never go back to an earlier entry, nor
 //! take changes that don't go on from where it is, nor keep more of an item than is served by.
 
-use super::active_config::Part;
-use super::item::{Item, Kind};
+use super::active_config::ActiveItem;
+use super::item::{ConfigItem, ItemKind};
 use std::collections::BTreeMap;
 
 /// What became of something told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ReplicaUpdate {
     /// It is in force.
     Taken,
     /// It was in force already, or something newer is.
@@ -18,12 +18,12 @@
 
 /// Of the items that stand, as of an entry, what is served by.
 #[derive(Clone, Debug, Default)]
-pub struct Replica {
+pub struct ConfigReplica {
     index: u64,
-    parts: BTreeMap<(Kind, Box<str>), Part>,
+    parts: BTreeMap<(ItemKind, Box<str>), ActiveItem>,
 }
 
-impl Replica {
+impl ConfigReplica {
     /// The entry that changed it last; 0: nothing is known.
     pub fn index(&self) -> u64 {
         self.index
@@ -35,30 +35,30 @@
     }
 
     /// The parts of all items that stand.
-    pub fn parts(&self) -> impl Iterator<Item = &Part> {
+    pub fn parts(&self) -> impl Iterator<Item = &ActiveItem> {
         self.parts.values()
     }
 
     /// Takes all that stands as of an entry (`from`: none), or what that entry changed behind another one.
-    pub fn take(&mut self, from: Option<u64>, index: u64, items: Vec<Item>) -> Told {
+    pub fn take(&mut self, from: Option<u64>, index: u64, items: Vec<ConfigItem>) -> ReplicaUpdate {
         if index <= self.index {
-            return Told::Old;
+            return ReplicaUpdate::Old;
         }
         match from {
             None => self.parts.clear(),
-            Some(from) if from != self.index => return Told::Gap,
+            Some(from) if from != self.index => return ReplicaUpdate::Gap,
             Some(_) => {}
         }
         self.index = index;
         // Each item goes as soon as its part is made: all of them as JSON take many times the parts' memory.
         for item in items {
-            let part = Part::of(&item);
+            let part = ActiveItem::of(&item);
             let name = (item.kind, item.label.into_boxed_str());
             match part {
                 Some(part) => self.parts.insert(name, part),
                 None => self.parts.remove(&name),
             };
         }
-        Told::Taken
+        ReplicaUpdate::Taken
     }
 }
--- a/crates/gateway/src/configuration/state.rs
+++ b/crates/gateway/src/configuration/state.rs
@@ -10,10 +10,10 @@
 
 mod encoding;
 
-use super::change::CallError;
+use super::change::ChangeError;
 use super::content_hash::{content_hash, meaning_hash};
-use super::fields::{Fields, Quota};
-use super::item::{render, Item, Kind};
+use super::fields::{ItemFields, TenantRate};
+use super::item::{render, ConfigItem, ItemKind};
 pub use encoding::{Decoder, Encoder};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -28,22 +28,22 @@
 
 /// What an order came to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum ChangeOutcome {
     /// Taken (200): the items that hold now and didn't before; dropped ones without body.
-    Taken(Vec<Arc<Item>>),
+    Taken(Vec<Arc<ConfigItem>>),
     /// Confirmed (200): all of it holds already or was overtaken.
     Known,
     /// Refused (409): a version has another content already.
-    Conflict(CallError),
+    Conflict(ChangeError),
     /// Refused (400): what would stand is invalid.
-    Invalid(CallError),
+    Invalid(ChangeError),
     /// Left without a clear answer (503): it may or may not have been confirmed long ago.
     Forgotten,
 }
 
 /// Why bytes aren't a state.
 #[derive(Debug, PartialEq, displaydoc::Display)]
-pub enum StateError {
+pub enum ConfigStateError {
     /// an encoded state is empty
     Empty,
     /// an encoded state of the unknown format {0}
@@ -56,7 +56,7 @@
     Inconsistent(&'static str, String),
 }
 
-impl std::error::Error for StateError {}
+impl std::error::Error for ConfigStateError {}
 
 /// A confirmed version that was overtaken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Record {
     /// What holds, and the hash of its content.
-    item: Arc<Item>,
+    item: Arc<ConfigItem>,
     hash: u64,
     /// Lower versions that were confirmed, rising.
     history: VecDeque<Past>,
@@ -96,48 +96,48 @@
 
 /// The configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct State {
+pub struct ConfigState {
     index: u64,
     /// By kind, by name; dropped ones too.
     records: [BTreeMap<String, Arc<Record>>; KINDS],
     /// By kind: of names without a record, versions up to here may have been confirmed.
     floors: [Option<u64>; KINDS],
     /// Overtaken versions that are remembered: whose, by place, first overtaken first; how many may be; the next place.
-    overtaken: BTreeMap<u64, (Kind, Arc<str>)>,
+    overtaken: BTreeMap<u64, (ItemKind, Arc<str>)>,
     history_max: usize,
     place: u64,
     /// The dropped ones, lowest versions first.
-    tombstones: BTreeSet<(u64, Kind, String)>,
+    tombstones: BTreeSet<(u64, ItemKind, String)>,
     /// Names of the standing routes that name a service.
     users: HashMap<String, BTreeSet<String>>,
     /// The standing tenant that has a key.
-    owners: HashMap<String, Arc<Item>>,
+    owners: HashMap<String, Arc<ConfigItem>>,
     /// Of the standing tenants, by name: asked for all the time.
-    quotas: HashMap<String, Quota>,
+    quotas: HashMap<String, TenantRate>,
 }
 
 /// An order's items by name, by version, with the hashes of their contents.
-type Sorted<'a> = BTreeMap<(Kind, &'a str), BTreeMap<u64, (u64, &'a Item)>>;
+type Sorted<'a> = BTreeMap<(ItemKind, &'a str), BTreeMap<u64, (u64, &'a ConfigItem)>>;
 
 /// The hash of an item's fields as they were spelled.
-fn spelled(item: &Item) -> u64 {
-    content_hash(item.body.as_ref().map(Fields::map).as_ref())
+fn spelled(item: &ConfigItem) -> u64 {
+    content_hash(item.body.as_ref().map(ItemFields::map).as_ref())
 }
 
-fn conflict(item: &Item) -> Outcome {
-    Outcome::Conflict(CallError::OtherContent(item.kind.list(), item.label.clone(), item.version))
+fn conflict(item: &ConfigItem) -> ChangeOutcome {
+    ChangeOutcome::Conflict(ChangeError::OtherContent(item.kind.list(), item.label.clone(), item.version))
 }
 
-impl Default for State {
+impl Default for ConfigState {
     fn default() -> Self {
-        State::bounded(HISTORY_MAX)
+        ConfigState::bounded(HISTORY_MAX)
     }
 }
 
-impl State {
+impl ConfigState {
     /// Nothing yet; remembers so many overtaken versions. The same at each member.
     pub fn bounded(history_max: usize) -> Self {
-        State {
+        ConfigState {
             index: 0,
             records: Default::default(),
             floors: Default::default(),
@@ -153,10 +153,10 @@
 
     /// Applies the entry at `index` of the log. Taken whole or not at all; costs by the size of the order alone. Of a
     /// name that comes twice the higher version holds, and the lower one is confirmed as one that was overtaken.
-    pub fn apply(&mut self, index: u64, order: &[Item]) -> Outcome {
+    pub fn apply(&mut self, index: u64, order: &[ConfigItem]) -> ChangeOutcome {
         let mut sorted = Sorted::new();
         for item in order {
-            let hash = meaning_hash(item.body.as_ref().map(Fields::map).as_ref());
+            let hash = meaning_hash(item.body.as_ref().map(ItemFields::map).as_ref());
             let versions = sorted.entry((item.kind, &item.label)).or_default();
             if versions.insert(item.version, (hash, item)).is_some_and(|(other, _)| other != hash) {
                 return conflict(item);
@@ -183,14 +183,15 @@
             }
         }
         if forgotten {
-            return Outcome::Forgotten;
+            return ChangeOutcome::Forgotten;
         }
-        let holds =
-            |i: &Item| higher.get(&(i.kind, i.label.as_str())).is_some_and(|h| h.1.version == i.version);
+        let holds = |i: &ConfigItem| {
+            higher.get(&(i.kind, i.label.as_str())).is_some_and(|h| h.1.version == i.version)
+        };
         let mut stale = unknown.iter().filter(|(i, _)| !holds(i));
         let fault = self.fault(&higher).or_else(|| stale.find_map(|(i, _)| self.never_valid(i, &sorted)));
         if let Some(fault) = fault {
-            return Outcome::Invalid(fault);
+            return ChangeOutcome::Invalid(fault);
         }
         let taken = self.take(higher.into_values());
         for (item, hash) in unknown {
@@ -199,10 +200,10 @@
         self.forget_history();
         self.forget_tombstones();
         if taken.is_empty() {
-            return Outcome::Known;
+            return ChangeOutcome::Known;
         }
         self.index = index;
-        Outcome::Taken(taken)
+        ChangeOutcome::Taken(taken)
     }
 
     /// Index of the last entry that was [`Outcome::Taken`]; 0: none.
@@ -211,27 +212,27 @@
     }
 
     /// The items that stand, by kind and name.
-    pub fn standing(&self) -> impl Iterator<Item = &Arc<Item>> {
+    pub fn standing(&self) -> impl Iterator<Item = &Arc<ConfigItem>> {
         self.records.iter().flat_map(BTreeMap::values).map(|r| &r.item).filter(|i| i.body.is_some())
     }
 
     /// All items of which something is known, the dropped ones too.
-    pub fn items(&self) -> impl Iterator<Item = &Arc<Item>> {
+    pub fn items(&self) -> impl Iterator<Item = &Arc<ConfigItem>> {
         self.records.iter().flat_map(BTreeMap::values).map(|r| &r.item)
     }
 
     /// The fields of one item, if it stands.
     #[cfg(test)]
-    pub fn body(&self, kind: Kind, label: &str) -> Option<serde_json::Map<String, Value>> {
-        self.record(kind, label)?.item.body.as_ref().map(Fields::map)
+    pub fn body(&self, kind: ItemKind, label: &str) -> Option<serde_json::Map<String, Value>> {
+        self.record(kind, label)?.item.body.as_ref().map(ItemFields::map)
     }
 
     /// What a standing tenant may have.
-    pub fn quota(&self, tenant: &str) -> Option<Quota> {
+    pub fn quota(&self, tenant: &str) -> Option<TenantRate> {
         self.quotas.get(tenant).copied()
     }
 
-    fn stands(&self, kind: Kind, label: &str) -> bool {
+    fn stands(&self, kind: ItemKind, label: &str) -> bool {
         self.record(kind, label).is_some_and(|r| r.item.body.is_some())
     }
 
@@ -245,16 +246,16 @@
         render(self.standing().map(|i| &**i))
     }
 
-    fn record(&self, kind: Kind, label: &str) -> Option<&Record> {
+    fn record(&self, kind: ItemKind, label: &str) -> Option<&Record> {
         self.records[kind as usize].get(label).map(|r| &**r)
     }
 
-    fn record_mut(&mut self, kind: Kind, label: &str) -> Option<&mut Record> {
+    fn record_mut(&mut self, kind: ItemKind, label: &str) -> Option<&mut Record> {
         // One that an encoder holds stays there as it is.
         self.records[kind as usize].get_mut(label).map(Arc::make_mut)
     }
 
-    fn recall(&self, kind: Kind, label: &str, version: u64) -> Memory {
+    fn recall(&self, kind: ItemKind, label: &str, version: u64) -> Memory {
         let record = self.record(kind, label);
         if let Some(record) = record {
             if record.item.version == version {
@@ -273,45 +274,45 @@
 
     /// An overtaken route that nobody confirmed has no effect; but it can't have been valid at any time if it names a
     /// service that never stood and isn't in its order.
-    fn never_valid(&self, item: &Item, order: &Sorted) -> Option<CallError> {
-        let body = item.body.as_ref().filter(|_| item.kind == Kind::Route)?;
-        let forgotten = self.floors[Kind::Service as usize].is_some();
-        let stood = |s: &str| forgotten || self.record(Kind::Service, s).is_some();
-        let never = |s: &String| !stood(s) && !order.contains_key(&(Kind::Service, s.as_str()));
+    fn never_valid(&self, item: &ConfigItem, order: &Sorted) -> Option<ChangeError> {
+        let body = item.body.as_ref().filter(|_| item.kind == ItemKind::Route)?;
+        let forgotten = self.floors[ItemKind::Service as usize].is_some();
+        let stood = |s: &str| forgotten || self.record(ItemKind::Service, s).is_some();
+        let never = |s: &String| !stood(s) && !order.contains_key(&(ItemKind::Service, s.as_str()));
         let service = body.services().into_iter().find(never)?;
-        Some(CallError::UnknownService(item.label.clone(), service))
+        Some(ChangeError::UnknownService(item.label.clone(), service))
     }
 
     /// What would be wrong with what stands, were these items taken. Nothing is wrong before them, so only what they
     /// touch is looked at.
-    fn fault(&self, higher: &BTreeMap<(Kind, &str), (u64, &Item)>) -> Option<CallError> {
-        let stands = |service: &str| match higher.get(&(Kind::Service, service)) {
+    fn fault(&self, higher: &BTreeMap<(ItemKind, &str), (u64, &ConfigItem)>) -> Option<ChangeError> {
+        let stands = |service: &str| match higher.get(&(ItemKind::Service, service)) {
             Some((_, item)) => item.body.is_some(),
-            None => self.stands(Kind::Service, service),
+            None => self.stands(ItemKind::Service, service),
         };
         let mut claims: HashMap<String, &str> = HashMap::new();
         for (&(kind, label), (_, item)) in higher {
             match (kind, &item.body) {
-                (Kind::Route, Some(body)) => {
+                (ItemKind::Route, Some(body)) => {
                     if let Some(service) = body.services().into_iter().find(|s| !stands(s)) {
-                        return Some(CallError::UnknownService(label.into(), service));
+                        return Some(ChangeError::UnknownService(label.into(), service));
                     }
                 }
-                (Kind::Service, None) => {
+                (ItemKind::Service, None) => {
                     // The routes of this order are looked at themselves: the search ends at the first other one.
                     let mut users = self.users.get(label).into_iter().flatten();
-                    if let Some(user) = users.find(|u| !higher.contains_key(&(Kind::Route, u.as_str()))) {
-                        return Some(CallError::UnknownService(user.clone(), label.into()));
+                    if let Some(user) = users.find(|u| !higher.contains_key(&(ItemKind::Route, u.as_str()))) {
+                        return Some(ChangeError::UnknownService(user.clone(), label.into()));
                     }
                 }
-                (Kind::Tenant, Some(body)) => {
+                (ItemKind::Tenant, Some(body)) => {
                     for key in body.keys() {
                         let owner = self.owners.get(&key).map(|o| o.label.as_str());
-                        let owner = owner.filter(|o| !higher.contains_key(&(Kind::Tenant, *o)));
+                        let owner = owner.filter(|o| !higher.contains_key(&(ItemKind::Tenant, *o)));
                         let other = claims.insert(key, label).or(owner).filter(|o| *o != label);
                         if let Some(other) = other {
                             let (one, two) = (other.min(label), other.max(label));
-                            return Some(CallError::SharedKey(one.into(), two.into()));
+                            return Some(ChangeError::SharedKey(one.into(), two.into()));
                         }
                     }
                 }
@@ -321,8 +322,9 @@
         None
     }
 
-    fn take<'a>(&mut self, items: impl Iterator<Item = (u64, &'a Item)>) -> Vec<Arc<Item>> {
-        let taken: Vec<(u64, Arc<Item>)> = items.map(|(hash, item)| (hash, Arc::new(item.clone()))).collect();
+    fn take<'a>(&mut self, items: impl Iterator<Item = (u64, &'a ConfigItem)>) -> Vec<Arc<ConfigItem>> {
+        let taken: Vec<(u64, Arc<ConfigItem>)> =
+            items.map(|(hash, item)| (hash, Arc::new(item.clone()))).collect();
         for (_, item) in &taken {
             if let Some(old) = self.record(item.kind, &item.label).map(|r| Arc::clone(&r.item)) {
                 self.leave(&old);
@@ -347,15 +349,15 @@
     }
 
     /// Into the indexes. Returns a tenant that has one of the keys already.
-    fn enter(&mut self, item: &Arc<Item>) -> Option<Arc<Item>> {
+    fn enter(&mut self, item: &Arc<ConfigItem>) -> Option<Arc<ConfigItem>> {
         let mut other = None;
         match (item.kind, &item.body) {
-            (Kind::Route, Some(body)) => {
+            (ItemKind::Route, Some(body)) => {
                 for service in body.services() {
                     self.users.entry(service).or_default().insert(item.label.clone());
                 }
             }
-            (Kind::Tenant, Some(body)) => {
+            (ItemKind::Tenant, Some(body)) => {
                 let (keys, quota) = body.tenant();
                 for key in keys {
                     let owner = self.owners.insert(key, Arc::clone(item));
@@ -372,9 +374,9 @@
     }
 
     /// Out of the indexes.
-    fn leave(&mut self, item: &Item) {
+    fn leave(&mut self, item: &ConfigItem) {
         match (item.kind, &item.body) {
-            (Kind::Route, Some(body)) => {
+            (ItemKind::Route, Some(body)) => {
                 for service in body.services() {
                     let Some(users) = self.users.get_mut(&service) else { continue };
                     users.remove(&item.label);
@@ -383,7 +385,7 @@
                     }
                 }
             }
-            (Kind::Tenant, Some(body)) => {
+            (ItemKind::Tenant, Some(body)) => {
                 for key in body.keys() {
                     self.owners.remove(&key);
                 }
@@ -397,7 +399,7 @@
     }
 
     /// This version is confirmed; if it doesn't hold, it was overtaken.
-    fn remember(&mut self, item: &Item, hash: u64) {
+    fn remember(&mut self, item: &ConfigItem, hash: u64) {
         let place = self.place;
         let Some(record) = self.record_mut(item.kind, &item.label) else { return };
         if item.version >= record.item.version {
--- a/crates/gateway/src/configuration/state/encoding.rs
+++ b/crates/gateway/src/configuration/state/encoding.rs
@@ -2,7 +2,7 @@
 //! encodes or decodes a large one goes on with what else is to be done. Equal states give equal bytes. It must never
 //! take a state that contradicts itself.
 
-use super::{Kind, Record, State, StateError, HISTORY_MAX, KINDS, TOMBSTONES_MAX};
+use super::{ConfigState, ConfigStateError, ItemKind, Record, HISTORY_MAX, KINDS, TOMBSTONES_MAX};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -74,10 +74,10 @@
 
 /// Takes an encoded state as it comes.
 pub struct Decoder {
-    state: State,
+    state: ConfigState,
     /// Records that are still to come; `None`: the head is.
     left: Option<u64>,
-    before: Option<(Kind, String)>,
+    before: Option<(ItemKind, String)>,
 }
 
 impl Default for Decoder {
@@ -89,13 +89,13 @@
 impl Decoder {
     /// For a state that remembers so many overtaken versions.
     pub fn bounded(history_max: usize) -> Self {
-        Decoder { state: State::bounded(history_max), left: None, before: None }
+        Decoder { state: ConfigState::bounded(history_max), left: None, before: None }
     }
 
     /// Takes the next frame off the front of these bytes; returned: how many it took, 0 if it has not come whole, or no
     /// more is wanted.
-    pub fn step(&mut self, bytes: &[u8]) -> Result<usize, StateError> {
-        let unreadable = |e: rmp_serde::decode::Error| StateError::Unreadable(e.to_string());
+    pub fn step(&mut self, bytes: &[u8]) -> Result<usize, ConfigStateError> {
+        let unreadable = |e: rmp_serde::decode::Error| ConfigStateError::Unreadable(e.to_string());
         let Some(left) = self.left else {
             return match bytes.first() {
                 Some(&FORMAT) => {
@@ -105,23 +105,23 @@
                     (self.state.floors, self.left) = (head.floors, Some(head.records));
                     Ok(1 + end)
                 }
-                Some(&format) => Err(StateError::Format(format)),
+                Some(&format) => Err(ConfigStateError::Format(format)),
                 None => Ok(0),
             };
         };
         let Some((content, end)) = first(bytes).filter(|_| left > 0) else { return Ok(0) };
         let records: Vec<Record> = rmp_serde::from_slice(content).map_err(unreadable)?;
         let more = left.checked_sub(records.len() as u64).filter(|_| !records.is_empty());
-        self.left = Some(more.ok_or_else(|| StateError::Unreadable("an odd frame".into()))?);
+        self.left = Some(more.ok_or_else(|| ConfigStateError::Unreadable("an odd frame".into()))?);
         self.restore(records)?;
         Ok(end)
     }
 
-    fn restore(&mut self, records: Vec<Record>) -> Result<(), StateError> {
+    fn restore(&mut self, records: Vec<Record>) -> Result<(), ConfigStateError> {
         for record in records {
             let name = (record.item.kind, record.item.label.clone());
             if self.before.as_ref() >= Some(&name) || !record.is_sound() || !self.state.restore(record) {
-                return Err(StateError::Inconsistent(name.0.list(), name.1));
+                return Err(ConfigStateError::Inconsistent(name.0.list(), name.1));
             }
             self.before = Some(name);
         }
@@ -129,22 +129,22 @@
     }
 
     /// The state, all of which was taken.
-    pub fn finish(self) -> Result<State, StateError> {
+    pub fn finish(self) -> Result<ConfigState, ConfigStateError> {
         match self.left {
-            None => return Err(StateError::Empty),
+            None => return Err(ConfigStateError::Empty),
             Some(0) => {}
-            Some(left) => return Err(StateError::Unreadable(format!("{left} records are missing"))),
+            Some(left) => return Err(ConfigStateError::Unreadable(format!("{left} records are missing"))),
         }
         let state = self.state;
-        let unknown = state.users.keys().find(|s| !state.stands(Kind::Service, s));
+        let unknown = state.users.keys().find(|s| !state.stands(ItemKind::Service, s));
         match unknown {
-            Some(service) => Err(StateError::Inconsistent(Kind::Service.list(), service.clone())),
+            Some(service) => Err(ConfigStateError::Inconsistent(ItemKind::Service.list(), service.clone())),
             None => Ok(state),
         }
     }
 }
 
-impl State {
+impl ConfigState {
     /// Takes a decoded record. False: another one has one of its keys or places, or there are too many tombstones or
     /// overtaken versions.
     fn restore(&mut self, record: Record) -> bool {
@@ -176,18 +176,18 @@
     }
 
     /// The state that gave these bytes; an error if they are cut, followed by others, or contradict themselves.
-    pub fn decode(bytes: &[u8]) -> Result<State, StateError> {
-        State::decode_bounded(bytes, HISTORY_MAX)
+    pub fn decode(bytes: &[u8]) -> Result<ConfigState, ConfigStateError> {
+        ConfigState::decode_bounded(bytes, HISTORY_MAX)
     }
 
     /// The same for one that remembers so many overtaken versions.
-    pub fn decode_bounded(bytes: &[u8], history_max: usize) -> Result<State, StateError> {
+    pub fn decode_bounded(bytes: &[u8], history_max: usize) -> Result<ConfigState, ConfigStateError> {
         let mut decoder = Decoder::bounded(history_max);
         let mut rest = bytes;
         if let Some((&FORMAT_WHOLE, mut whole)) = bytes.split_first() {
             let read = rmp_serde::decode::from_read(&mut whole);
             let Whole { index, place, floors, records } =
-                read.map_err(|e| StateError::Unreadable(e.to_string()))?;
+                read.map_err(|e| ConfigStateError::Unreadable(e.to_string()))?;
             (decoder.state.index, decoder.state.place, decoder.state.floors) = (index, place, floors);
             decoder.left = Some(0);
             decoder.restore(records)?;
@@ -202,7 +202,7 @@
         let state = decoder.finish()?;
         match rest {
             [] => Ok(state),
-            _ => Err(StateError::Surplus(rest.len())),
+            _ => Err(ConfigStateError::Surplus(rest.len())),
         }
     }
 }
--- a/crates/gateway/src/configuration/state_measure.rs
+++ b/crates/gateway/src/configuration/state_measure.rs
@@ -2,9 +2,9 @@
 //! measure_the_largest -- --nocapture`. Times are printed, never judged. Without `--release` at a
 //! tenth of that size.
 
-use super::active_config::Part;
-use super::state::{Outcome, HISTORY_MAX};
-use super::{Fields, Item, Kind, State, View};
+use super::active_config::ActiveItem;
+use super::state::{ChangeOutcome, HISTORY_MAX};
+use super::{ActiveConfig, ConfigItem, ConfigState, ItemFields, ItemKind};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -15,32 +15,32 @@
 const ROUTES: u64 = 4_600 / PART;
 const SERVICES: u64 = 310 / PART;
 
-fn item(kind: Kind, label: String, version: u64, mut body: Value) -> Item {
+fn item(kind: ItemKind, label: String, version: u64, mut body: Value) -> ConfigItem {
     body["label"] = json!(label);
     body["revision"] = json!(format!("r{version}"));
-    Item { kind, label, version, body: body.as_object().map(Fields::from) }
+    ConfigItem { kind, label, version, body: body.as_object().map(ItemFields::from) }
 }
 
-fn service(n: u64) -> Item {
+fn service(n: u64) -> ConfigItem {
     let body = json!({ "probe_path": "/health", "conn_limit": 130, "protocol": "h1", "tls_mode": false });
-    item(Kind::Service, format!("srv{n:04}a"), 7, body)
+    item(ItemKind::Service, format!("srv{n:04}a"), 7, body)
 }
 
-fn route(n: u64, version: u64) -> Item {
+fn route(n: u64, version: u64) -> ConfigItem {
     let service = |n: u64| format!("srv{:04}a", n % SERVICES);
     let parts =
         json!([{ "service_ref": service(n), "gain": 90 }, { "service_ref": service(n + 1), "gain": 10 }]);
     let body = json!({ "hostname": format!("h{}.example", n / 4), "path_prefix": format!("/lepu{n}/"),
         "route_class": "idempotent", "cutoff": "2500ms", "target": "400ms", "rank": 2, "mixture": parts,
         "max_attempts": 2, "unkeyed": false });
-    item(Kind::Route, format!("r-{n:07}"), version, body)
+    item(ItemKind::Route, format!("r-{n:07}"), version, body)
 }
 
-fn tenant(n: u64, version: u64) -> Item {
+fn tenant(n: u64, version: u64) -> ConfigItem {
     let key = |part: u64| format!("{:020x}", (n * 2 + part).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let body =
         json!({ "credentials": [key(0), key(1)], "rank": 0, "rate_per_s": 122, "burst_size": 122 + version });
-    item(Kind::Tenant, format!("tenant{n:06}"), version, body)
+    item(ItemKind::Tenant, format!("tenant{n:06}"), version, body)
 }
 
 fn timed<T>(what: &str, runs: u32, mut run: impl FnMut() -> T) -> T {
@@ -64,14 +64,14 @@
 
 #[gtest]
 fn measure_the_largest_configuration() {
-    let mut first: Vec<Item> = (0..SERVICES).map(service).collect();
+    let mut first: Vec<ConfigItem> = (0..SERVICES).map(service).collect();
     first.extend((0..ROUTES).map(|n| route(n, 7)));
     first.extend((0..TENANTS).map(|n| tenant(n, 7)));
     println!("{TENANTS} tenants, {ROUTES} routes, {SERVICES} services");
     let empty = resident();
-    let mut state = State::default();
+    let mut state = ConfigState::default();
     let outcome = timed("apply the first order", 1, || state.apply(1, &first));
-    expect_that!(outcome, matches_pattern!(Outcome::Taken(len(eq(first.len())))));
+    expect_that!(outcome, matches_pattern!(ChangeOutcome::Taken(len(eq(first.len())))));
     println!("resident: {empty:.0} MiB with the order alone, {:.0} MiB with the state", resident());
     let (mut index, mut n) = (1, 0);
     let mut next = || {
@@ -81,36 +81,39 @@
     };
     timed("apply one tenant's change", 201, || {
         let (index, n) = next();
-        expect_that!(state.apply(index, &[tenant(n, 7 + index)]), matches_pattern!(Outcome::Taken(_)));
+        expect_that!(state.apply(index, &[tenant(n, 7 + index)]), matches_pattern!(ChangeOutcome::Taken(_)));
     });
     timed("apply one route's change", 201, || {
         let (index, n) = next();
-        expect_that!(state.apply(index, &[route(n, 7 + index)]), matches_pattern!(Outcome::Taken(_)));
+        expect_that!(state.apply(index, &[route(n, 7 + index)]), matches_pattern!(ChangeOutcome::Taken(_)));
     });
-    let in_use = Item { version: 9, body: None, ..service(3) };
+    let in_use = ConfigItem { version: 9, body: None, ..service(3) };
     timed("refuse a service's drop", 201, || {
-        expect_that!(state.apply(9999, std::slice::from_ref(&in_use)), matches_pattern!(Outcome::Invalid(_)));
+        expect_that!(
+            state.apply(9999, std::slice::from_ref(&in_use)),
+            matches_pattern!(ChangeOutcome::Invalid(_))
+        );
     });
-    expect_that!(timed("the first order again", 5, || state.apply(9999, &first)), eq(&Outcome::Known));
+    expect_that!(timed("the first order again", 5, || state.apply(9999, &first)), eq(&ChangeOutcome::Known));
     println!("encoded before the history is full: {} bytes", state.encode().len());
     let mut overtaken = 0;
     while overtaken < HISTORY_MAX as u64 {
         for _ in 0..100 {
             let (index, n) = next();
-            let order: Vec<Item> = (n..n + 50).map(|n| tenant(n, 7 + index)).collect();
-            expect_that!(state.apply(index, &order), matches_pattern!(Outcome::Taken(_)));
+            let order: Vec<ConfigItem> = (n..n + 50).map(|n| tenant(n, 7 + index)).collect();
+            expect_that!(state.apply(index, &order), matches_pattern!(ChangeOutcome::Taken(_)));
             overtaken += 50;
         }
     }
     println!("history full: {HISTORY_MAX} overtaken versions; resident {:.0} MiB", resident());
     let bytes = timed("encode", 9, || state.encode());
     println!("encoded: {} bytes", bytes.len());
-    expect_that!(timed("decode", 9, || State::decode(&bytes)), ok(eq(&state)));
+    expect_that!(timed("decode", 9, || ConfigState::decode(&bytes)), ok(eq(&state)));
     timed("clone", 9, || state.clone());
     let standing = || state.standing().map(|i| &**i);
-    let view = timed("View::fold_items", 9, || View::fold_items(standing()));
-    let parts: Vec<Part> = standing().filter_map(Part::of).collect();
-    for kind in [Kind::Route, Kind::Tenant, Kind::Service] {
+    let view = timed("View::fold_items", 9, || ActiveConfig::fold_items(standing()));
+    let parts: Vec<ActiveItem> = standing().filter_map(ActiveItem::of).collect();
+    for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service] {
         let kinds = BTreeSet::from([kind]);
         let again = timed(&format!("View::refold of {kind:?}"), 9, || view.refold(parts.iter(), &kinds));
         expect_that!(again == view, eq(true));
--- a/crates/gateway/src/configuration/state_tests.rs
+++ b/crates/gateway/src/configuration/state_tests.rs
@@ -1,48 +1,48 @@
 //! What each order comes to, that a confirmed one is never refused, that what stands is valid, that members agree, and
 //! that nothing grows without bound.
 
-use super::active_config::Part;
-use super::change::{faults, judge, CallError};
+use super::active_config::ActiveItem;
+use super::change::{faults, judge, ChangeError};
 use super::content_hash::{content_hash, meaning_hash};
-use super::state::{Outcome, StateError, HISTORY_MAX, TOMBSTONES_MAX};
-use super::{Fields, Item, Items, Kind, State, View};
+use super::state::{ChangeOutcome, ConfigStateError, HISTORY_MAX, TOMBSTONES_MAX};
+use super::{ActiveConfig, ConfigItem, ConfigState, ItemFields, ItemKind, ItemSet};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-fn set(kind: Kind, label: &str, version: u64, body: Value) -> Item {
-    Item { kind, label: label.into(), version, body: body.as_object().map(Fields::from) }
+fn set(kind: ItemKind, label: &str, version: u64, body: Value) -> ConfigItem {
+    ConfigItem { kind, label: label.into(), version, body: body.as_object().map(ItemFields::from) }
 }
 
-fn dropped(kind: Kind, label: &str, version: u64) -> Item {
-    Item { kind, label: label.into(), version, body: None }
+fn dropped(kind: ItemKind, label: &str, version: u64) -> ConfigItem {
+    ConfigItem { kind, label: label.into(), version, body: None }
 }
 
-fn service(label: &str, version: u64, limit: u64) -> Item {
-    set(Kind::Service, label, version, json!({ "label": label, "conn_limit": limit }))
+fn service(label: &str, version: u64, limit: u64) -> ConfigItem {
+    set(ItemKind::Service, label, version, json!({ "label": label, "conn_limit": limit }))
 }
 
-fn route(label: &str, version: u64, service: &str) -> Item {
+fn route(label: &str, version: u64, service: &str) -> ConfigItem {
     let body = json!({ "label": label, "hostname": "a.example", "path_prefix": "/", "service_ref": service });
-    set(Kind::Route, label, version, body)
+    set(ItemKind::Route, label, version, body)
 }
 
-fn tenant(label: &str, version: u64, keys: &[&str]) -> Item {
-    set(Kind::Tenant, label, version, json!({ "label": label, "credentials": keys }))
+fn tenant(label: &str, version: u64, keys: &[&str]) -> ConfigItem {
+    set(ItemKind::Tenant, label, version, json!({ "label": label, "credentials": keys }))
 }
 
 /// 200 with an effect, 200 without, 409, 400, 503.
-fn code(outcome: &Outcome) -> &'static str {
+fn code(outcome: &ChangeOutcome) -> &'static str {
     match outcome {
-        Outcome::Taken(_) => "taken",
-        Outcome::Known => "known",
-        Outcome::Conflict(_) => "conflict",
-        Outcome::Invalid(_) => "invalid",
-        Outcome::Forgotten => "forgotten",
+        ChangeOutcome::Taken(_) => "taken",
+        ChangeOutcome::Known => "known",
+        ChangeOutcome::Conflict(_) => "conflict",
+        ChangeOutcome::Invalid(_) => "invalid",
+        ChangeOutcome::Forgotten => "forgotten",
     }
 }
 
-fn merge<'a>(items: &mut Items, news: impl IntoIterator<Item = &'a Item>) {
+fn merge<'a>(items: &mut ItemSet, news: impl IntoIterator<Item = &'a ConfigItem>) {
     for item in news {
         items.merge(item.clone());
     }
@@ -52,7 +52,7 @@
 const FEW: usize = 100;
 
 /// As it is read from a log on the disk.
-fn reread(order: &[Item]) -> Vec<Item> {
+fn reread(order: &[ConfigItem]) -> Vec<ConfigItem> {
     rmp_serde::from_slice(&rmp_serde::to_vec(order).expect("encoded")).expect("decoded")
 }
 
@@ -64,24 +64,24 @@
 }
 
 impl Draw {
-    fn item(&mut self) -> Item {
+    fn item(&mut self) -> ConfigItem {
         let version =
             (self.clock + self.rng.u64(0..6)).saturating_sub(self.rng.u64(0..3) * self.rng.u64(0..60));
         let n = self.rng.u32(0..5);
         let some_service = |rng: &mut fastrand::Rng| format!("s{}", rng.u32(0..4));
         match self.rng.u32(0..20) {
-            0..=2 => dropped(Kind::Route, &format!("r{n}"), version),
-            3..=4 => dropped(Kind::Tenant, &format!("t{n}"), version),
-            5..=6 => dropped(Kind::Service, &some_service(&mut self.rng), version),
+            0..=2 => dropped(ItemKind::Route, &format!("r{n}"), version),
+            3..=4 => dropped(ItemKind::Tenant, &format!("t{n}"), version),
+            5..=6 => dropped(ItemKind::Service, &some_service(&mut self.rng), version),
             7..=10 => service(&some_service(&mut self.rng), version, self.rng.u64(0..2)),
             11..=14 => {
                 let mut item = route(&format!("r{n}"), version, &some_service(&mut self.rng));
                 if self.rng.bool() {
                     let (one, two) = (some_service(&mut self.rng), some_service(&mut self.rng));
                     let parts = [one, two].map(|s| json!({ "service_ref": s, "gain": 1 }));
-                    let fields = item.body.iter().flat_map(Fields::map);
+                    let fields = item.body.iter().flat_map(ItemFields::map);
                     item.body =
-                        Some(Fields::from(&fields.chain([("mixture".into(), json!(parts))]).collect()));
+                        Some(ItemFields::from(&fields.chain([("mixture".into(), json!(parts))]).collect()));
                 }
                 item
             }
@@ -90,15 +90,15 @@
                     (0..self.rng.u32(0..3)).map(|_| format!("k{}", self.rng.u32(0..9))).collect();
                 tenant(&format!("t{n}"), version, &keys.iter().map(String::as_str).collect::<Vec<_>>())
             }
-            _ => set(Kind::Saturation, "", version, json!({ "body_max_bytes": self.rng.u32(0..2) })),
+            _ => set(ItemKind::Saturation, "", version, json!({ "body_max_bytes": self.rng.u32(0..2) })),
         }
     }
 
-    fn order(&mut self) -> Vec<Item> {
+    fn order(&mut self) -> Vec<ConfigItem> {
         self.clock += self.rng.u64(0..4);
         if self.bulk && self.rng.u32(0..12) == 0 {
             let version = self.clock;
-            let kind = self.rng.choice([Kind::Route, Kind::Tenant]).expect("one");
+            let kind = self.rng.choice([ItemKind::Route, ItemKind::Tenant]).expect("one");
             let any = |_| dropped(kind, &format!("b{}", self.rng.u32(0..30_000)), version);
             return (0..400).map(any).collect();
         }
@@ -109,14 +109,14 @@
 /// Guards the table of docs/control.md: each way a version can compare, in an order that is valid and one that isn't.
 #[gtest]
 fn what_each_pair_comes_to() {
-    let mut base = State::default();
+    let mut base = ConfigState::default();
     for (index, order) in [
         vec![service("s1", 5, 1), tenant("t1", 5, &["k1"]), tenant("t2", 5, &["k2"])],
         // Overtaken, and what it said would share a key with what stands by now.
         vec![tenant("t1", 9, &["k3"])],
         vec![tenant("t2", 9, &["k1"])],
         vec![service("s2", 5, 1), route("r1", 5, "s2")],
-        vec![route("r1", 9, "s1"), dropped(Kind::Service, "s2", 9)],
+        vec![route("r1", 9, "s1"), dropped(ItemKind::Service, "s2", 9)],
     ]
     .iter()
     .enumerate()
@@ -138,18 +138,18 @@
         ("equal and same", vec![tenant("t2", 9, &["k1"])], "known"),
         ("equal, other, valid", vec![tenant("t2", 9, &["k8"])], "conflict"),
         ("equal, other, invalid", vec![tenant("t2", 9, &["k3"])], "conflict"),
-        ("equal, set against drop", vec![dropped(Kind::Tenant, "t2", 9)], "conflict"),
+        ("equal, set against drop", vec![dropped(ItemKind::Tenant, "t2", 9)], "conflict"),
         ("equal, drop against set", vec![service("s2", 9, 1)], "conflict"),
-        ("equal, both dropped", vec![dropped(Kind::Service, "s2", 9)], "known"),
+        ("equal, both dropped", vec![dropped(ItemKind::Service, "s2", 9)], "known"),
         ("higher, valid", vec![tenant("t2", 10, &["k1", "k8"])], "taken"),
         ("higher, same content", vec![tenant("t2", 10, &["k1"])], "taken"),
         ("higher, shares a key", vec![tenant("t2", 10, &["k3"])], "invalid"),
         ("higher, unknown service", vec![route("r1", 10, "s2")], "invalid"),
-        ("higher, drops a service in use", vec![dropped(Kind::Service, "s1", 10)], "invalid"),
+        ("higher, drops a service in use", vec![dropped(ItemKind::Service, "s1", 10)], "invalid"),
         ("a key changes hands", vec![tenant("t1", 10, &["k1"]), tenant("t2", 10, &["k3"])], "taken"),
         (
             "a service goes with its route",
-            vec![dropped(Kind::Service, "s1", 10), dropped(Kind::Route, "r1", 10)],
+            vec![dropped(ItemKind::Service, "s1", 10), dropped(ItemKind::Route, "r1", 10)],
             "taken",
         ),
         ("one of two conflicts", vec![tenant("t1", 10, &["k9"]), tenant("t2", 9, &["k8"])], "conflict"),
@@ -173,15 +173,18 @@
         let outcome = state.apply(6, &order);
         expect_that!(code(&outcome), eq(told), "{what}: {outcome:?}");
         match outcome {
-            Outcome::Taken(_) => expect_that!(state.index(), eq(6), "{what}"),
-            Outcome::Known => expect_that!(state.render(), eq(&base.render()), "{what}"),
+            ChangeOutcome::Taken(_) => expect_that!(state.index(), eq(6), "{what}"),
+            ChangeOutcome::Known => expect_that!(state.render(), eq(&base.render()), "{what}"),
             _ => expect_that!(state, eq(&base), "{what}"),
         }
         if matches!(told, "taken" | "known") {
             expect_that!(code(&state.apply(7, &order)), eq("known"), "{what}: again");
         }
         if what.starts_with("a name twice: ") {
-            expect_that!(state.body(Kind::Tenant, "t1").expect("stands")["credentials"], eq(&json!(["k9"])));
+            expect_that!(
+                state.body(ItemKind::Tenant, "t1").expect("stands")["credentials"],
+                eq(&json!(["k9"]))
+            );
             expect_that!(code(&state.apply(8, &[tenant("t1", 10, &["k7"])])), eq("conflict"));
         }
     }
@@ -195,9 +198,9 @@
     let mut again: BTreeMap<&str, u32> = BTreeMap::new();
     for seed in 0..60 {
         let mut draw = Draw { rng: fastrand::Rng::with_seed(seed), clock: 0, bulk: seed % 3 == 0 };
-        let (mut state, mut sent) = (State::bounded(FEW), Vec::<(Vec<Item>, bool)>::new());
-        let mut contents: HashMap<(Kind, String, u64), u64> = HashMap::new();
-        let mut highest: HashMap<(Kind, String), Item> = HashMap::new();
+        let (mut state, mut sent) = (ConfigState::bounded(FEW), Vec::<(Vec<ConfigItem>, bool)>::new());
+        let mut contents: HashMap<(ItemKind, String, u64), u64> = HashMap::new();
+        let mut highest: HashMap<(ItemKind, String), ConfigItem> = HashMap::new();
         for index in 1..500 {
             if sent.is_empty() || draw.rng.bool() {
                 let order = draw.order();
@@ -210,19 +213,23 @@
             *met.entry(code(&outcome)).or_default() += 1;
             if *confirmed {
                 *again.entry(code(&outcome)).or_default() += 1;
-                assert_that!(matches!(outcome, Outcome::Known | Outcome::Forgotten), eq(true), "{outcome:?}");
+                assert_that!(
+                    matches!(outcome, ChangeOutcome::Known | ChangeOutcome::Forgotten),
+                    eq(true),
+                    "{outcome:?}"
+                );
             }
-            let name = |i: &Item| (i.kind, i.label.clone());
-            let number = |i: &Item| (i.kind, i.label.clone(), i.version);
-            let hash = |i: &Item| meaning_hash(i.body.as_ref().map(Fields::map).as_ref());
-            if let Outcome::Taken(items) = &outcome {
+            let name = |i: &ConfigItem| (i.kind, i.label.clone());
+            let number = |i: &ConfigItem| (i.kind, i.label.clone(), i.version);
+            let hash = |i: &ConfigItem| meaning_hash(i.body.as_ref().map(ItemFields::map).as_ref());
+            if let ChangeOutcome::Taken(items) = &outcome {
                 for item in items {
                     let before = highest.insert(name(item), (**item).clone());
                     assert_that!(before.is_none_or(|b| b.version < item.version), eq(true), "{item:?}");
                 }
             }
             match outcome {
-                Outcome::Taken(_) | Outcome::Known => {
+                ChangeOutcome::Taken(_) | ChangeOutcome::Known => {
                     *confirmed = true;
                     for item in order.iter() {
                         let held = contents.insert(number(item), hash(item));
@@ -230,7 +237,7 @@
                         assert_that!(highest[&name(item)].version, ge(item.version));
                     }
                 }
-                Outcome::Conflict(_) => {
+                ChangeOutcome::Conflict(_) => {
                     let mut own: HashMap<_, u64> = HashMap::new();
                     let ground = order.iter().any(|i| {
                         let held = contents.get(&number(i)).copied();
@@ -256,46 +263,46 @@
     let mut compared: BTreeMap<&str, u32> = BTreeMap::new();
     for seed in 0..150 {
         let mut draw = Draw { rng: fastrand::Rng::with_seed(1000 + seed), clock: 0, bulk: false };
-        let (mut state, mut items) = (State::bounded(FEW), Items::default());
+        let (mut state, mut items) = (ConfigState::bounded(FEW), ItemSet::default());
         let mut stood = BTreeSet::new();
         for index in 1..120 {
             let order = draw.order();
             // No state of the past can have had this service.
             let never = |s: String| {
-                !stood.contains(&s) && !order.iter().any(|i| i.kind == Kind::Service && i.label == s)
+                !stood.contains(&s) && !order.iter().any(|i| i.kind == ItemKind::Service && i.label == s)
             };
-            let routes = order.iter().filter(|i| i.kind == Kind::Route).filter_map(|i| i.body.as_ref());
-            let lost = routes.flat_map(Fields::services).any(never);
+            let routes = order.iter().filter(|i| i.kind == ItemKind::Route).filter_map(|i| i.body.as_ref());
+            let lost = routes.flat_map(ItemFields::services).any(never);
             let (before, naive) = (state.clone(), judge(&items, &order));
             let outcome = state.apply(index, &order);
             match (&outcome, naive) {
-                (Outcome::Taken(_), Ok(news)) => {
+                (ChangeOutcome::Taken(_), Ok(news)) => {
                     assert_that!(news, not(is_empty()));
                     merge(&mut items, &news);
                     assert_that!(state.render(), eq(&items.render()));
                 }
-                (Outcome::Known, Ok(news)) => assert_that!(news, is_empty()),
-                (Outcome::Invalid(fault), Err(_)) => {
+                (ChangeOutcome::Known, Ok(news)) => assert_that!(news, is_empty()),
+                (ChangeOutcome::Invalid(fault), Err(_)) => {
                     let mut after = items.clone();
                     merge(&mut after, &order);
                     let named = match fault {
-                        CallError::SharedKey(..) => {
-                            faults(&after).iter().any(|f| matches!(f, CallError::SharedKey(..)))
+                        ChangeError::SharedKey(..) => {
+                            faults(&after).iter().any(|f| matches!(f, ChangeError::SharedKey(..)))
                         }
                         fault => faults(&after).contains(fault),
                     };
                     assert_that!(named, eq(true), "{fault}");
                 }
-                (Outcome::Invalid(CallError::UnknownService(_, service)), Ok(_)) => {
+                (ChangeOutcome::Invalid(ChangeError::UnknownService(_, service)), Ok(_)) => {
                     assert_that!(never(service.clone()), eq(true), "{order:?}");
                 }
-                (Outcome::Conflict(_) | Outcome::Forgotten, _) => {}
+                (ChangeOutcome::Conflict(_) | ChangeOutcome::Forgotten, _) => {}
                 (outcome, naive) => panic!("{order:?}: {outcome:?}, on clones {naive:?}"),
             }
             match outcome {
-                Outcome::Taken(_) | Outcome::Known => {
+                ChangeOutcome::Taken(_) | ChangeOutcome::Known => {
                     assert_that!(lost, eq(false), "{order:?}");
-                    let services = order.iter().filter(|i| i.kind == Kind::Service);
+                    let services = order.iter().filter(|i| i.kind == ItemKind::Service);
                     stood.extend(services.map(|i| i.label.clone()));
                 }
                 _ => assert_that!(state, eq(&before)),
@@ -314,8 +321,8 @@
 fn members_hold_the_same_bytes() {
     for seed in 0..12 {
         let mut draw = Draw { rng: fastrand::Rng::with_seed(2000 + seed), clock: 0, bulk: seed % 4 == 0 };
-        let orders: Vec<Vec<Item>> = (0..400).map(|_| draw.order()).collect();
-        let (mut one, mut other) = (State::bounded(FEW), State::bounded(FEW));
+        let orders: Vec<Vec<ConfigItem>> = (0..400).map(|_| draw.order()).collect();
+        let (mut one, mut other) = (ConfigState::bounded(FEW), ConfigState::bounded(FEW));
         for (index, order) in (1..).zip(&orders) {
             let outcome = one.apply(index, order);
             assert_that!(other.apply(index, &reread(order)), eq(&outcome));
@@ -323,7 +330,7 @@
                 let bytes = one.encode();
                 assert_that!(other.encode(), eq(&bytes));
                 // Indexes, histories, floors and tombstones too.
-                other = State::decode_bounded(&bytes, FEW).expect("decoded");
+                other = ConfigState::decode_bounded(&bytes, FEW).expect("decoded");
                 assert_that!(other, eq(&one));
                 assert_that!(other.render(), eq(&one.render()));
             }
@@ -335,30 +342,30 @@
 #[gtest]
 fn what_is_cut_or_added_to_is_no_state() {
     let mut draw = Draw { rng: fastrand::Rng::with_seed(5), clock: 0, bulk: false };
-    let mut state = State::default();
+    let mut state = ConfigState::default();
     for index in 1..60 {
         let _ = state.apply(index, &draw.order());
     }
     let bytes = state.encode();
     for end in 0..bytes.len() {
-        expect_that!(State::decode(&bytes[..end]), err(anything()), "cut at {end}");
+        expect_that!(ConfigState::decode(&bytes[..end]), err(anything()), "cut at {end}");
     }
     for more in [1, 7, bytes.len()] {
         let longer = [&bytes[..], &bytes[..more]].concat();
-        expect_that!(State::decode(&longer), err(eq(&StateError::Surplus(more))));
+        expect_that!(ConfigState::decode(&longer), err(eq(&ConfigStateError::Surplus(more))));
     }
-    expect_that!(State::decode(&[&[9], &bytes[1..]].concat()), err(eq(&StateError::Format(9))));
+    expect_that!(ConfigState::decode(&[&[9], &bytes[1..]].concat()), err(eq(&ConfigStateError::Format(9))));
     // Two tenants with one key; a route without its service (a route's bytes come first).
     let shared = [tenant("t1", 1, &["k1"]), tenant("t2", 1, &["k2"])];
     let orphan = [route("r", 1, "k2"), service("k2", 1, 1)];
     for (order, last) in [(shared, true), (orphan, false)] {
-        let mut state = State::default();
+        let mut state = ConfigState::default();
         expect_that!(code(&state.apply(1, &order)), eq("taken"));
         let mut bytes = state.encode().to_vec();
         let mut found = bytes.windows(2).enumerate().filter(|(_, w)| w == b"k2").map(|(at, _)| at);
         let at = if last { found.next_back() } else { found.next() }.expect("there");
         bytes[at + 1] = b'1';
-        expect_that!(State::decode(&bytes), err(matches_pattern!(StateError::Inconsistent(..))));
+        expect_that!(ConfigState::decode(&bytes), err(matches_pattern!(ConfigStateError::Inconsistent(..))));
     }
 }
 
@@ -396,7 +403,7 @@
 /// forgotten doesn't come back under an old number.
 #[gtest]
 fn what_is_forgotten_is_left_open() {
-    let mut state = State::default();
+    let mut state = ConfigState::default();
     // One holds; three more than are remembered were overtaken.
     let newest = HISTORY_MAX as u64 + 1 + 3;
     for version in 1..=newest {
@@ -411,11 +418,17 @@
     let label = |n: u64| format!("t{n}");
     for n in 1..=many {
         expect_that!(code(&state.apply(100 + n, &[tenant(&label(n), n, &["k"])])), eq("taken"));
-        expect_that!(code(&state.apply(100 + n, &[dropped(Kind::Tenant, &label(n), n + 1)])), eq("taken"));
+        expect_that!(
+            code(&state.apply(100 + n, &[dropped(ItemKind::Tenant, &label(n), n + 1)])),
+            eq("taken")
+        );
     }
     for n in [1, 10] {
         expect_that!(code(&state.apply(9999, &[tenant(&label(n), n, &["k"])])), eq("forgotten"));
-        expect_that!(code(&state.apply(9999, &[dropped(Kind::Tenant, &label(n), n + 1)])), eq("forgotten"));
+        expect_that!(
+            code(&state.apply(9999, &[dropped(ItemKind::Tenant, &label(n), n + 1)])),
+            eq("forgotten")
+        );
         // Above the floor it is as new, and its old numbers stay forgotten.
         expect_that!(code(&state.apply(9999, &[tenant(&label(n), n + 20, &[])])), eq("taken"));
         expect_that!(code(&state.apply(9999, &[tenant(&label(n), n, &["x"])])), eq("forgotten"));
@@ -431,15 +444,15 @@
 /// Guards disk and memory: what is kept is bounded by the names, not by the changes ever made.
 #[gtest]
 fn size_does_not_grow_with_the_number_of_changes() {
-    let (mut state, mut rng) = (State::default(), fastrand::Rng::with_seed(11));
+    let (mut state, mut rng) = (ConfigState::default(), fastrand::Rng::with_seed(11));
     let mut sizes = Vec::new();
     for index in 1..=60_000_u64 {
         let n = rng.u32(0..300);
         let key = rng.u32(0..1000);
         let order = match rng.u32(0..6) {
-            0 => vec![dropped(Kind::Tenant, &format!("t{n}"), index)],
+            0 => vec![dropped(ItemKind::Tenant, &format!("t{n}"), index)],
             // Names that are met once.
-            1 => vec![dropped(Kind::Tenant, &format!("once{index}"), index)],
+            1 => vec![dropped(ItemKind::Tenant, &format!("once{index}"), index)],
             _ => (n..n + 5)
                 .map(|n| tenant(&format!("t{}", n % 300), index, &[&format!("key-{}-{key}", n % 300)]))
                 .collect(),
@@ -454,7 +467,7 @@
     }
     // Full at 30,000: from there only the numbers themselves get longer.
     expect_that!(sizes[2] * 20, le(sizes[1] * 21));
-    let back = State::decode(&state.encode()).expect("decoded");
+    let back = ConfigState::decode(&state.encode()).expect("decoded");
     expect_that!(back, eq(&state));
 }
 
@@ -463,17 +476,18 @@
 fn a_view_of_the_changed_kinds_is_the_whole_view() {
     for seed in 0..20 {
         let mut draw = Draw { rng: fastrand::Rng::with_seed(3000 + seed), clock: 0, bulk: false };
-        let (mut state, mut items, mut view) = (State::default(), Items::default(), View::default());
+        let (mut state, mut items, mut view) =
+            (ConfigState::default(), ItemSet::default(), ActiveConfig::default());
         for index in 1..150 {
-            let Outcome::Taken(changed) = state.apply(index, &draw.order()) else { continue };
+            let ChangeOutcome::Taken(changed) = state.apply(index, &draw.order()) else { continue };
             merge(&mut items, changed.iter().map(|i| &**i));
             let kinds = changed.iter().map(|i| i.kind).collect();
-            let parts: Vec<Part> = state.standing().filter_map(|i| Part::of(i)).collect();
+            let parts: Vec<ActiveItem> = state.standing().filter_map(|i| ActiveItem::of(i)).collect();
             view = view.refold(parts.iter(), &kinds);
-            assert_that!(view, eq(&View::fold(&items)));
-            let mut shuffled: Vec<&Item> = items.all().collect();
+            assert_that!(view, eq(&ActiveConfig::fold(&items)));
+            let mut shuffled: Vec<&ConfigItem> = items.all().collect();
             draw.rng.shuffle(&mut shuffled);
-            assert_that!(View::fold_items(shuffled.into_iter()), eq(&view));
+            assert_that!(ActiveConfig::fold_items(shuffled.into_iter()), eq(&view));
         }
     }
 }
@@ -482,7 +496,7 @@
 /// sent for the first time or again, it has its answer, and another one under its number hasn't that.
 #[gtest]
 fn an_order_that_hundreds_overtook_is_answered() {
-    let mut state = State::default();
+    let mut state = ConfigState::default();
     let early = |content| [service("s", 1, content)];
     expect_that!(code(&state.apply(1, &[service("s", 2, 0), service("t", 1, 0)])), eq("taken"));
     for index in 3..20_000 {
@@ -491,7 +505,7 @@
             eq("taken")
         );
     }
-    let mut other = State::decode(&state.encode()).expect("decoded");
+    let mut other = ConfigState::decode(&state.encode()).expect("decoded");
     for state in [&mut state, &mut other] {
         expect_that!(code(&state.apply(20_000, &early(7))), eq("known"), "for the first time");
         expect_that!(code(&state.apply(20_001, &early(7))), eq("known"), "again");
--- a/crates/gateway/src/configuration/tests.rs
+++ b/crates/gateway/src/configuration/tests.rs
@@ -1,13 +1,13 @@
 //! What operators may send, and what must be turned back.
 
-use super::active_config::Part;
+use super::active_config::ActiveItem;
 use super::change::{faults, judge};
-use super::replica::{Replica, Told};
-use super::{read_call, Item, Items, Kind, View};
+use super::replica::{ConfigReplica, ReplicaUpdate};
+use super::{read_call, ActiveConfig, ConfigItem, ItemKind, ItemSet};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 
-fn call(body: &Value) -> Vec<Item> {
+fn call(body: &Value) -> Vec<ConfigItem> {
     read_call(body.to_string().as_bytes()).expect("readable")
 }
 
@@ -33,8 +33,8 @@
     }, "remove": { "route_set": [] } })
 }
 
-fn held(calls: &[Value]) -> Items {
-    let mut items = Items::default();
+fn held(calls: &[Value]) -> ItemSet {
+    let mut items = ItemSet::default();
     for body in calls {
         for item in judge(&items, &call(body)).expect("valid") {
             items.merge(item);
@@ -149,7 +149,7 @@
     }
     expect_that!(faults(&items), len(eq(1)));
     // The newer version has the key, and other calls go on.
-    expect_that!(&*View::fold(&items).tenant("k9").expect("held").label, eq("t2"));
+    expect_that!(&*ActiveConfig::fold(&items).tenant("k9").expect("held").label, eq("t2"));
     let more =
         json!({ "upsert": { "route_set": routes(json!([route("r4", "c.example", "/", "s1", "r13")])) } });
     expect_that!(judge(&items, &call(&more)), ok(len(eq(1))));
@@ -157,14 +157,14 @@
 
 #[gtest]
 fn copies_that_saw_the_same_items_in_any_order_are_equal() {
-    let mut all: Vec<Item> = call(&first());
+    let mut all: Vec<ConfigItem> = call(&first());
     all.extend(call(
         &json!({ "upsert": { "route_set": routes(json!([route("r1", "a.example", "/x/", "s2", "r8")])) },
         "remove": { "route_set": [{ "label": "r2", "revision": "r9" }] } }),
     ));
     let mut rng = fastrand::Rng::with_seed(7);
-    let fold = |order: &[Item]| {
-        let mut items = Items::default();
+    let fold = |order: &[ConfigItem]| {
+        let mut items = ItemSet::default();
         for item in order.iter().chain(order) {
             items.merge(item.clone());
         }
@@ -182,18 +182,18 @@
     let items = held(&[first()]);
     let read = items.render();
     let again = call(&json!({ "upsert": read }));
-    let mut copy = Items::default();
+    let mut copy = ItemSet::default();
     for item in again {
         copy.merge(item);
     }
     expect_that!(copy.digest(), eq(items.digest()));
     expect_that!(copy.render(), eq(&read));
-    expect_that!(copy.body(Kind::Saturation, "").expect("held")["idle_cutoff"], eq(&json!("15000ms")));
+    expect_that!(copy.body(ItemKind::Saturation, "").expect("held")["idle_cutoff"], eq(&json!("15000ms")));
 }
 
 #[gtest]
 fn the_longest_prefix_of_a_host_has_a_request() {
-    let view = View::fold(&held(&[first()]));
+    let view = ActiveConfig::fold(&held(&[first()]));
     let label = |host, path| view.route(host, path).map(|r| r.label.to_string());
     expect_that!(label("a.example", "/x/y/z"), some(eq("r2")));
     expect_that!(label("A.example:8080", "/x/z"), some(eq("r1")));
@@ -205,33 +205,33 @@
 #[gtest]
 fn a_gatekeepers_copy_serves_by_what_stands() {
     let mut items = held(&[first()]);
-    let mut copy = Replica::default();
-    expect_that!(copy.take(None, 3, items.all().cloned().collect()), eq(Told::Taken));
-    expect_that!(View::fold_parts(copy.parts()), eq(&View::fold(&items)));
+    let mut copy = ConfigReplica::default();
+    expect_that!(copy.take(None, 3, items.all().cloned().collect()), eq(ReplicaUpdate::Taken));
+    expect_that!(ActiveConfig::fold_parts(copy.parts()), eq(&ActiveConfig::fold(&items)));
     let change = call(&json!({ "upsert": {
             "route_set": routes(json!([route("r1", "A.example", "/x/", "s2", "r8")])),
             "tenant_set": { "columns": ["label", "credentials", "rank", "revision"], "records": [["t1", ["k2", "k4"], 1, "r8"]] },
             "saturation": { "body_max_bytes": 9, "revision": "r8" } },
         "remove": { "route_set": [{ "label": "r2", "revision": "r9" }], "tenant_set": [{ "label": "t2", "revision": "r9" }] } }));
-    expect_that!(copy.take(Some(3), 5, change.clone()), eq(Told::Taken));
+    expect_that!(copy.take(Some(3), 5, change.clone()), eq(ReplicaUpdate::Taken));
     for item in change {
         items.merge(item);
     }
-    let view = View::fold_parts(copy.parts());
-    expect_that!(view, eq(&View::fold(&items)));
+    let view = ActiveConfig::fold_parts(copy.parts());
+    expect_that!(view, eq(&ActiveConfig::fold(&items)));
     expect_that!(view.tenant("k1"), none());
     expect_that!(view.tenant("k3"), none());
     expect_that!(&*view.tenant("k4").expect("held").label, eq("t1"));
     expect_that!(view.saturation.body_bytes, eq(9));
     expect_that!(view.route("a.example", "/x/y/").map(|r| &*r.label), some(eq("r1")));
     // What stands anew as a whole: nothing of before is left.
-    expect_that!(copy.take(None, 7, call(&first())), eq(Told::Taken));
-    expect_that!(View::fold_parts(copy.parts()), eq(&View::fold(&held(&[first()]))));
+    expect_that!(copy.take(None, 7, call(&first())), eq(ReplicaUpdate::Taken));
+    expect_that!(ActiveConfig::fold_parts(copy.parts()), eq(&ActiveConfig::fold(&held(&[first()]))));
 }
 
 /// Guards the memory of gatekeepers, which hold tens of thousands of these.
 #[gtest]
 fn a_part_is_small() {
-    expect_that!(size_of::<Part>(), le(40));
+    expect_that!(size_of::<ActiveItem>(), le(40));
     expect_that!(size_of::<super::active_config::Tenant>(), le(56));
 }
--- a/crates/gateway/src/consensus/injected_fault_tests.rs
+++ b/crates/gateway/src/consensus/injected_fault_tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 use std::net::{IpAddr, Ipv4Addr};
 
-const TUNING: Tuning = Tuning {
+const TUNING: RaftConfig = RaftConfig {
     heartbeat: 100,
     election: 700,
     lease: 600,
@@ -23,7 +23,7 @@
 
 /// Three machines whose words come at once, but for those that are cut off.
 struct Three {
-    now: Ms,
+    now: Millis,
     rafts: Vec<Raft<u64>>,
     cut: Vec<usize>,
     /// Who was told to stand.
@@ -32,12 +32,12 @@
 
 impl Three {
     /// With a leader.
-    fn new(mutant: Option<Mutant>) -> Self {
+    fn new(mutant: Option<InjectedFault>) -> Self {
         let members: Members = (0..3).map(id).collect();
         let raft = |n| {
-            let mut held = Held::default();
-            let first = Entry { term: 0, index: 1, body: Body::Members(members.clone()) };
-            land(&mut held, vec![Write::Append(vec![first])]);
+            let mut held = PersistedState::default();
+            let first = Entry { term: 0, index: 1, body: EntryPayload::Members(members.clone()) };
+            land(&mut held, vec![LogWrite::Append(vec![first])]);
             let mut raft = Raft::new(1_000, id(n), held, TUNING);
             raft.break_by(mutant);
             raft
@@ -48,7 +48,7 @@
         three
     }
 
-    fn run(&mut self, span: Ms) {
+    fn run(&mut self, span: Millis) {
         for _ in 0..span / 20 {
             self.now += 20;
             for n in 0..3 {
@@ -90,7 +90,7 @@
 }
 
 /// A machine that comes back after it stood in vain for long disturbs nobody.
-fn who_comes_back_disturbs_nobody(mutant: Option<Mutant>) -> bool {
+fn who_comes_back_disturbs_nobody(mutant: Option<InjectedFault>) -> bool {
     let mut three = Three::new(mutant);
     let (leader, term) = (three.leader(), three.rafts[three.leader()].term());
     three.cut = vec![(leader + 1) % 3];
@@ -103,11 +103,11 @@
 #[test]
 fn without_asking_around_first_who_comes_back_deposes_the_leader() {
     assert!(who_comes_back_disturbs_nobody(None));
-    assert!(!who_comes_back_disturbs_nobody(Some(Mutant::NoPreVote)));
+    assert!(!who_comes_back_disturbs_nobody(Some(InjectedFault::NoPreVote)));
 }
 
 /// A leader that hears nobody leads no more once others may.
-fn who_hears_nobody_leads_no_more(mutant: Option<Mutant>) -> bool {
+fn who_hears_nobody_leads_no_more(mutant: Option<InjectedFault>) -> bool {
     let mut three = Three::new(mutant);
     let leader = three.leader();
     three.cut = vec![leader];
@@ -118,11 +118,11 @@
 #[test]
 fn a_leader_that_hears_nobody_steps_down() {
     assert!(who_hears_nobody_leads_no_more(None));
-    assert!(!who_hears_nobody_leads_no_more(Some(Mutant::NeverStepsDown)));
+    assert!(!who_hears_nobody_leads_no_more(Some(InjectedFault::NeverStepsDown)));
 }
 
 /// Nobody is told to stand before it holds all; then the lead goes over, with all.
-fn hands_over_to_who_is_up_to_date(mutant: Option<Mutant>) -> bool {
+fn hands_over_to_who_is_up_to_date(mutant: Option<InjectedFault>) -> bool {
     let mut three = Three::new(mutant);
     let leader = three.leader();
     three.cut = vec![(leader + 1) % 3, (leader + 2) % 3];
@@ -143,5 +143,5 @@
 #[test]
 fn the_lead_is_handed_to_who_is_up_to_date_only() {
     assert!(hands_over_to_who_is_up_to_date(None));
-    assert!(!hands_over_to_who_is_up_to_date(Some(Mutant::EarlyHandOver)));
+    assert!(!hands_over_to_who_is_up_to_date(Some(InjectedFault::EarlyHandOver)));
 }
--- a/crates/gateway/src/consensus/log.rs
+++ b/crates/gateway/src/consensus/log.rs
@@ -64,7 +64,7 @@
         self.entries.truncate(keep);
         self.members.retain(|(at, _)| *at < first);
         for entry in entries {
-            if let Body::Members(members) = &entry.body {
+            if let EntryPayload::Members(members) = &entry.body {
                 self.members.push((entry.index, members.clone()));
             }
             self.entries.push(entry);
--- a/crates/gateway/src/consensus/membership.rs
+++ b/crates/gateway/src/consensus/membership.rs
@@ -5,7 +5,7 @@
 
 impl<C: Clone> Raft<C> {
     /// A core machine says that it is there, with this disk, and hears no leader.
-    pub fn join(&mut self, now: Ms, id: NodeId) {
+    pub fn join(&mut self, now: Millis, id: NodeId) {
         if id == self.me {
             return;
         }
@@ -29,7 +29,7 @@
     }
 
     /// A machine says that it ends: it may go at once, where silence would have to tell. Whoever leads, now or soon, knows.
-    pub fn leave(&mut self, now: Ms, id: NodeId) {
+    pub fn leave(&mut self, now: Millis, id: NodeId) {
         self.leaving.retain(|_, until| now < *until);
         if id != self.me {
             self.leaving.insert(id, now + self.tuning.out_after);
@@ -41,18 +41,18 @@
     }
 
     /// One change of members at a time: who has caught up votes, whose disk is lost or who is gone for long goes.
-    pub(super) fn mend_members(&mut self, now: Ms) {
+    pub(super) fn mend_members(&mut self, now: Millis) {
         let (at, members) = self.log.members();
         let Role::Leader(leader) = &mut self.role else { return };
-        let busy = at > self.commit && self.mutant != Some(Mutant::TwoChanges);
-        let early = self.commit < leader.first && self.mutant != Some(Mutant::EarlyChange);
+        let busy = at > self.commit && self.mutant != Some(InjectedFault::TwoChanges);
+        let early = self.commit < leader.first && self.mutant != Some(InjectedFault::EarlyChange);
         if early || busy || leader.transfer.is_some() {
             return;
         }
         let (out_after, election) = (self.tuning.out_after, self.tuning.election);
         // Machines that only wanted to join and are not heard any more.
         leader.peers.retain(|id, p| members.contains(id) || now < p.heard + 4 * out_after);
-        let silent = |id: &NodeId, span: Ms| {
+        let silent = |id: &NodeId, span: Millis| {
             *id != self.me && leader.peers.get(id).is_none_or(|p| now >= p.heard + span)
         };
         let superseded = |id: &NodeId| leader.present.get(&id.ip).is_some_and(|disk| *disk != id.disk);
@@ -80,12 +80,12 @@
             next.remove(id);
         }
         if next != members && able(&next) {
-            self.add(now, Body::Members(next));
+            self.add(now, EntryPayload::Members(next));
         }
     }
 
     /// A change of members is committed, or anything else: who does not vote any more is told no more, and does not lead.
-    pub(super) fn retire(&mut self, now: Ms) {
+    pub(super) fn retire(&mut self, now: Millis) {
         let (at, members) = self.log.members();
         if at > self.commit {
             return;
@@ -99,7 +99,7 @@
     }
 
     /// Hands the lead to whoever is up with it: this process ends, or its disk hangs.
-    pub fn transfer(&mut self, now: Ms) {
+    pub fn transfer(&mut self, now: Millis) {
         let members = self.members();
         let election = self.tuning.election;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -119,7 +119,7 @@
         let Role::Leader(leader) = &self.role else { return };
         let Some((to, _)) = leader.transfer else { return };
         let ready = leader.peers.get(&to).is_some_and(|p| p.matched >= last);
-        if ready || self.broken(Mutant::EarlyHandOver) {
+        if ready || self.broken(InjectedFault::EarlyHandOver) {
             self.send(to, Message::TimeoutNow { term });
         }
     }
--- a/crates/gateway/src/consensus/mod.rs
+++ b/crates/gateway/src/consensus/mod.rs
@@ -23,7 +23,7 @@
 /// A fault that tests put in, to show that they find it.
 #[cfg_attr(not(test), allow(dead_code))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Mutant {
+pub enum InjectedFault {
     /// Votes and terms are spoken before they are on the disk.
     VoteUnsynced,
     /// Entries of earlier terms are committed by counting copies.
@@ -99,11 +99,11 @@
     matched: Index,
     /// The newest round that it answered, and when that was sent.
     round: u64,
-    contact: Ms,
+    contact: Millis,
     /// When it last said anything.
-    heard: Ms,
+    heard: Millis,
     /// Its own time, as it told last.
-    stamp: Option<Ms>,
+    stamp: Option<Millis>,
     /// A snapshot on its way.
     pieces: Option<Sending>,
 }
@@ -117,7 +117,7 @@
     /// Bytes that came.
     came: u64,
     /// When there was progress last.
-    at: Ms,
+    at: Millis,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -125,17 +125,17 @@
     /// Voters and those that want to be, but for this machine.
     peers: BTreeMap<NodeId, Progress>,
     /// Rounds whose sending times matter still.
-    rounds: VecDeque<(u64, Ms)>,
+    rounds: VecDeque<(u64, Millis)>,
     round: u64,
     /// Its own first entry.
     first: Index,
     /// Reads that wait: number, and the round that must be answered by most.
     reads: Vec<(u64, u64)>,
     /// To whom it hands over, and since when.
-    transfer: Option<(NodeId, Ms)>,
+    transfer: Option<(NodeId, Millis)>,
     /// The last append went out then.
-    sent: Ms,
-    since: Ms,
+    sent: Millis,
+    since: Millis,
     /// Which disk a machine has now, as told by itself.
     present: BTreeMap<std::net::IpAddr, u64>,
 }
@@ -146,7 +146,7 @@
     number: u64,
     /// The first entry in it.
     first: Option<Index>,
-    since: Ms,
+    since: Millis,
 }
 
 /// A snapshot that is coming.
@@ -161,7 +161,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Raft<C> {
     me: NodeId,
-    tuning: Tuning,
+    tuning: RaftConfig,
     term: Term,
     vote: Option<NodeId>,
     log: Log<C>,
@@ -170,20 +170,20 @@
     role: Role,
     leader: Option<NodeId>,
     /// When the leader of this term was last heard, and the newest round heard of it.
-    heard: Option<Ms>,
+    heard: Option<Millis>,
     heard_round: u64,
     /// When a leader that was in touch with most was last heard.
-    sure: Option<Ms>,
+    sure: Option<Millis>,
     /// Committed up to here, as the leader said last.
     told_commit: Index,
     /// The log is this term's leader's up to here.
     verified: Index,
     incoming: Option<Incoming>,
     /// Those that said that they end: until when that is remembered.
-    leaving: BTreeMap<NodeId, Ms>,
-    started: Ms,
-    election_at: Ms,
-    writes: Vec<Write<C>>,
+    leaving: BTreeMap<NodeId, Millis>,
+    started: Millis,
+    election_at: Millis,
+    writes: Vec<LogWrite<C>>,
     number: u64,
     synced: u64,
     unsynced: VecDeque<Unsynced>,
@@ -192,12 +192,12 @@
     waiting: VecDeque<(u64, NodeId, Message<C>)>,
     reads: u64,
     out: Vec<Output<C>>,
-    mutant: Option<Mutant>,
+    mutant: Option<InjectedFault>,
 }
 
 impl<C: Clone> Raft<C> {
     /// As its disk held it.
-    pub fn new(now: Ms, me: NodeId, held: Held<C>, tuning: Tuning) -> Self {
+    pub fn new(now: Millis, me: NodeId, held: PersistedState<C>, tuning: RaftConfig) -> Self {
         let log = Log::new(held.snapshot, held.log);
         let base = log.base().0;
         let mut raft = Raft {
@@ -237,26 +237,26 @@
     }
 
     /// The whole system starts for the first time, with these members; all of them begin so.
-    pub fn bootstrap(&mut self, now: Ms, members: Members) {
+    pub fn bootstrap(&mut self, now: Millis, members: Members) {
         if self.log.last() > 0 || self.term > 0 {
             return;
         }
-        self.put(vec![Entry { term: 0, index: 1, body: Body::Members(members) }]);
+        self.put(vec![Entry { term: 0, index: 1, body: EntryPayload::Members(members) }]);
         self.flush(now);
     }
 
     /// Tests only: puts a fault in.
     #[cfg(test)]
-    pub fn break_by(&mut self, mutant: Option<Mutant>) {
+    pub fn break_by(&mut self, mutant: Option<InjectedFault>) {
         self.mutant = mutant;
     }
 
-    fn broken(&self, mutant: Mutant) -> bool {
+    fn broken(&self, mutant: InjectedFault) -> bool {
         self.mutant == Some(mutant)
     }
 
     /// Other spans and sizes from now on.
-    pub fn retune(&mut self, tuning: Tuning) {
+    pub fn retune(&mut self, tuning: RaftConfig) {
         self.tuning = tuning;
     }
 
@@ -283,7 +283,7 @@
     }
 
     /// Who leads, if it was heard lately.
-    pub fn leader(&self, now: Ms) -> Option<NodeId> {
+    pub fn leader(&self, now: Millis) -> Option<NodeId> {
         match &self.role {
             Role::Leader(_) => Some(self.me),
             _ => self.leader.filter(|_| self.hears_leader(now)),
@@ -296,15 +296,15 @@
     }
 
     /// Leads, has committed in its term and was heard by most so lately that nobody else can: it may hold the counter.
-    pub fn holds_lease(&self, now: Ms) -> bool {
+    pub fn holds_lease(&self, now: Millis) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
-        (leader.transfer.is_none() || self.broken(Mutant::LeaseKept))
+        (leader.transfer.is_none() || self.broken(InjectedFault::LeaseKept))
             && self.commit >= leader.first
             && now < self.contact(now).saturating_add(self.tuning.lease)
     }
 
     /// In touch with most of the core, and up with what most have committed: what is applied here may be handed out.
-    pub fn is_attached(&self, now: Ms) -> bool {
+    pub fn is_attached(&self, now: Millis) -> bool {
         match &self.role {
             Role::Leader(leader) => {
                 self.commit >= leader.first && now < self.contact(now).saturating_add(self.tuning.election)
@@ -316,7 +316,7 @@
         }
     }
 
-    fn hears_leader(&self, now: Ms) -> bool {
+    fn hears_leader(&self, now: Millis) -> bool {
         self.heard.is_some_and(|at| now < at + self.tuning.election)
     }
 
@@ -331,7 +331,7 @@
     }
 
     /// Of each other machine that this leader knows: is it a voter, how far is its disk, how long ago was it heard.
-    pub fn peers(&self, now: Ms) -> Vec<(NodeId, bool, Index, Ms)> {
+    pub fn peers(&self, now: Millis) -> Vec<(NodeId, bool, Index, Millis)> {
         let Role::Leader(leader) = &self.role else { return Vec::new() };
         let members = self.members();
         let tell = |(id, p): (&NodeId, &Progress)| {
@@ -352,7 +352,7 @@
     // What comes in.
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Ms) {
+    pub fn tick(&mut self, now: Millis) {
         match &self.role {
             Role::Leader(_) => self.lead(now),
             _ if now >= self.election_at => {
@@ -372,7 +372,7 @@
     }
 
     /// What a member says.
-    pub fn receive(&mut self, now: Ms, from: NodeId, message: Message<C>) {
+    pub fn receive(&mut self, now: Millis, from: NodeId, message: Message<C>) {
         match message {
             Message::Vote { term, last, pre, transfer } => {
                 self.asked(now, from, term, last, (pre, transfer));
@@ -409,7 +409,7 @@
     }
 
     /// All up to this number is synced.
-    pub fn persisted(&mut self, now: Ms, number: u64) {
+    pub fn persisted(&mut self, now: Millis, number: u64) {
         self.synced = self.synced.max(number);
         self.unsynced.retain(|u| u.number > number);
         while self.waiting.front().is_some_and(|w| w.0 <= number) {
@@ -430,18 +430,18 @@
     }
 
     /// A command for the log: where it would stand and in which term; `None`: this member does not lead.
-    pub fn propose(&mut self, now: Ms, command: C) -> Option<(Index, Term)> {
+    pub fn propose(&mut self, now: Millis, command: C) -> Option<(Index, Term)> {
         let Role::Leader(leader) = &self.role else { return None };
         if leader.transfer.is_some() {
             return None;
         }
-        let place = self.add(now, Body::Command(command));
+        let place = self.add(now, EntryPayload::Command(command));
         self.flush(now);
         Some(place)
     }
 
     /// A read: [`Output::ReadReady`] tells its number once most were in touch after this call, in this term.
-    pub fn read(&mut self, now: Ms) -> Option<u64> {
+    pub fn read(&mut self, now: Millis) -> Option<u64> {
         let Role::Leader(_) = &self.role else { return None };
         self.reads += 1;
         let number = self.reads;
@@ -472,20 +472,20 @@
 
     /// The state machine's state as of what is applied takes the place of the log up to there.
     #[cfg(test)]
-    pub fn compact(&mut self, now: Ms, data: bytes::Bytes) {
+    pub fn compact(&mut self, now: Millis, data: bytes::Bytes) {
         self.compact_to(now, self.applied, data);
     }
 
     /// The state machine's state as of this entry, which was applied, takes the place of the log up to there.
-    pub fn compact_to(&mut self, now: Ms, index: Index, data: bytes::Bytes) {
+    pub fn compact_to(&mut self, now: Millis, index: Index, data: bytes::Bytes) {
         let index = index.min(self.applied);
         let Some(term) = self.log.term(index).filter(|_| index > self.log.base().0) else { return };
         let mut members = self.log.members_at(index);
-        if self.broken(Mutant::SnapshotBare) {
+        if self.broken(InjectedFault::SnapshotBare) {
             members.clear();
         }
         let snapshot = Snapshot { index, term, members, data };
-        self.writes.push(Write::Snapshot { snapshot: snapshot.clone(), whole: false });
+        self.writes.push(LogWrite::Snapshot { snapshot: snapshot.clone(), whole: false });
         self.log.compact(snapshot, false);
         self.flush(now);
     }
@@ -499,32 +499,34 @@
 
     /// Puts entries into the log and on their way to the disk.
     fn put(&mut self, entries: Vec<Entry<C>>) {
-        self.writes.push(Write::Append(entries.clone()));
+        self.writes.push(LogWrite::Append(entries.clone()));
         self.log.append(entries);
     }
 
     fn set_term(&mut self, term: Term, vote: Option<NodeId>) {
         (self.term, self.vote) = (term, vote);
-        if !self.broken(Mutant::TermUnwritten) {
-            self.writes.push(Write::Hard(term, vote));
+        if !self.broken(InjectedFault::TermUnwritten) {
+            self.writes.push(LogWrite::Hard(term, vote));
         }
     }
 
     /// Hands out what is to be written, as one.
-    fn flush(&mut self, now: Ms) {
+    fn flush(&mut self, now: Millis) {
         if self.writes.is_empty() {
             return;
         }
         self.number += 1;
         let writes = std::mem::take(&mut self.writes);
-        let first = |w: &Write<C>| match w {
-            Write::Append(entries) => entries.first().map(|e| e.index),
+        let first = |w: &LogWrite<C>| match w {
+            LogWrite::Append(entries) => entries.first().map(|e| e.index),
             // Until it is there, nothing on the disk is the leader's.
-            Write::Snapshot { whole: true, .. } if !self.broken(Mutant::SnapshotUnsynced) => Some(1),
+            LogWrite::Snapshot { whole: true, .. } if !self.broken(InjectedFault::SnapshotUnsynced) => {
+                Some(1)
+            }
             _ => None,
         };
         let first = writes.iter().filter_map(first).min();
-        if writes.iter().any(|w| matches!(w, Write::Hard(..))) {
+        if writes.iter().any(|w| matches!(w, LogWrite::Hard(..))) {
             self.hard = self.number;
             // What was said since the term changed speaks of it.
             for waiting in self.waiting.iter_mut().filter(|w| w.0 == u64::MAX) {
@@ -534,7 +536,7 @@
         self.unsynced.push_back(Unsynced { number: self.number, first, since: now });
         // Ahead of the messages of this event: a driver may say these at once.
         self.out.push(Output::Persist(self.number, writes));
-        if self.broken(Mutant::VoteUnsynced) {
+        if self.broken(InjectedFault::VoteUnsynced) {
             while let Some((_, to, message)) = self.waiting.pop_front() {
                 self.out.push(Output::Send(to, message));
             }
@@ -543,10 +545,10 @@
 
     /// Says something, once the term that it speaks of is on the disk.
     fn send(&mut self, to: NodeId, message: Message<C>) {
-        let unwritten = self.writes.iter().any(|w| matches!(w, Write::Hard(..)));
+        let unwritten = self.writes.iter().any(|w| matches!(w, LogWrite::Hard(..)));
         if unwritten {
             self.waiting.push_back((u64::MAX, to, message));
-        } else if self.hard > self.synced && !self.broken(Mutant::VoteUnsynced) {
+        } else if self.hard > self.synced && !self.broken(InjectedFault::VoteUnsynced) {
             self.waiting.push_back((self.hard, to, message));
         } else {
             self.out.push(Output::Send(to, message));
@@ -555,12 +557,14 @@
 
     /// The last entry that is surely on the disk, and all before it.
     fn synced_index(&self) -> Index {
-        if self.broken(Mutant::AppendUnsynced) {
+        if self.broken(InjectedFault::AppendUnsynced) {
             return self.log.last();
         }
         let unwritten = self.writes.iter().filter_map(|w| match w {
-            Write::Append(entries) => entries.first().map(|e| e.index),
-            Write::Snapshot { whole: true, .. } if !self.broken(Mutant::SnapshotUnsynced) => Some(1),
+            LogWrite::Append(entries) => entries.first().map(|e| e.index),
+            LogWrite::Snapshot { whole: true, .. } if !self.broken(InjectedFault::SnapshotUnsynced) => {
+                Some(1)
+            }
             _ => None,
         });
         let unsynced = self.unsynced.iter().filter_map(|u| u.first).chain(unwritten).min();
@@ -568,7 +572,7 @@
     }
 
     /// Does the disk hang?
-    pub fn hangs(&self, now: Ms) -> bool {
+    pub fn hangs(&self, now: Millis) -> bool {
         self.unsynced.front().is_some_and(|u| now > u.since + self.tuning.hang)
     }
 
--- a/crates/gateway/src/consensus/model/checks.rs
+++ b/crates/gateway/src/consensus/model/checks.rs
@@ -86,7 +86,7 @@
     let seen = Seen {
         committed: entries.clone().count(),
         terms: entries.clone().map(|(_, e)| e.0).collect::<BTreeSet<_>>().len(),
-        members: entries.filter(|(_, e)| matches!(e.1, Body::Members(_))).count(),
+        members: entries.filter(|(_, e)| matches!(e.1, EntryPayload::Members(_))).count(),
         installed: world.machines.iter().filter(|m| m.installed).count(),
     };
     ((None, seen), world)
--- a/crates/gateway/src/consensus/model/injected_faults.rs
+++ b/crates/gateway/src/consensus/model/injected_faults.rs
@@ -32,7 +32,7 @@
     least.map(|l| l.0)
 }
 
-fn with(mutant: Mutant, core: Core) -> Core {
+fn with(mutant: InjectedFault, core: Core) -> Core {
     broken_by(Some(mutant), core)
 }
 
@@ -41,7 +41,7 @@
     broken_by(None, Core { spoken: true, budget, ..core })
 }
 
-fn broken_by(mutant: Option<Mutant>, core: Core) -> Core {
+fn broken_by(mutant: Option<InjectedFault>, core: Core) -> Core {
     let mut core = Core { mutant, ..core };
     for machine in core.begin.iter_mut().flat_map(|world| &mut world.machines) {
         std::sync::Arc::make_mut(machine).raft.break_by(core.mutant);
@@ -146,7 +146,7 @@
 /// The first machine leads again, two terms later; an answer of the second one to its first lead is on its way yet.
 fn late_answer() -> Core {
     let budget = Budget { reads: 1, ..NONE };
-    let mutant = Some(Mutant::OldAck);
+    let mutant = Some(InjectedFault::OldAck);
     let core = Core { terms: 4, eager: true, candidates: &[2], budget, mutant, ..Core::default() };
     let mut world = core.led(core.first(), 0, ALL);
     for _ in 0..8 {
@@ -185,7 +185,7 @@
     });
     let lacking = ahead(Core { candidates: &[], budget: proposals, ..eager(Core::default()) });
     use Fault::*;
-    use Mutant::*;
+    use InjectedFault::*;
     vec![
         ("a vote before the sync, spoken", SpokenUnsynced, with(VoteUnsynced, spoken(unsynced_vote()))),
         ("a vote before the sync, two leaders", TwoLeaders, with(VoteUnsynced, unsynced_vote())),
@@ -194,7 +194,7 @@
         ("a snapshot before the sync", SpokenUnsynced, with(SnapshotUnsynced, install)),
         ("commit of an old term", LeaderLacks, with(CommitOldTerm, old_term())),
         ("a read without contact", StaleRead, with(ReadWithoutContact, stale_read())),
-        ("two changes at once", Fault::TwoChanges, with(Mutant::TwoChanges, learners(changes))),
+        ("two changes at once", Fault::TwoChanges, with(InjectedFault::TwoChanges, learners(changes))),
         ("a change before the term's commit", LeaderLacks, with(EarlyChange, early_change())),
         ("a snapshot that goes back", SnapshotWrong, with(SnapshotBack, late)),
         ("a wiped machine votes", LeaderLacks, with(WipedVotes, lost())),
--- a/crates/gateway/src/consensus/model/invariants.rs
+++ b/crates/gateway/src/consensus/model/invariants.rs
@@ -26,13 +26,13 @@
         world.fault = Some(Fault::OutOfOrder);
     }
     own.applied = entry.index;
-    if let Body::Command(value) = entry.body {
+    if let EntryPayload::Command(value) = entry.body {
         own.state.push(value);
     }
     let agreed = Arc::make_mut(&mut world.agreed);
-    if let Body::Members(next) = &entry.body {
+    if let EntryPayload::Members(next) = &entry.body {
         let before = agreed.range(..entry.index).rev().find_map(|(_, e)| match &e.1 {
-            Body::Members(members) => Some(members),
+            EntryPayload::Members(members) => Some(members),
             _ => None,
         });
         if before.is_some_and(|b| b.symmetric_difference(next).count() > 1) {
@@ -61,9 +61,9 @@
         world.fault = Some(Fault::TwoLeaders);
     } else if world.agreed.iter().any(lacks) {
         world.fault = Some(Fault::LeaderLacks);
-    } else if open.iter().filter(|e| matches!(e.body, Body::Members(_))).count() > 1
+    } else if open.iter().filter(|e| matches!(e.body, EntryPayload::Members(_))).count() > 1
         && raft.commit >= base.max(1)
-        && open.iter().any(|e| e.term == raft.term && matches!(e.body, Body::Members(_)))
+        && open.iter().any(|e| e.term == raft.term && matches!(e.body, EntryPayload::Members(_)))
     {
         world.fault = Some(Fault::TwoChanges);
     }
--- a/crates/gateway/src/consensus/model/mod.rs
+++ b/crates/gateway/src/consensus/model/mod.rs
@@ -17,9 +17,9 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Arc;
 
-pub(super) const NOW: Ms = 1000;
+pub(super) const NOW: Millis = 1000;
 /// Spans in the model, in ticks; the lease is shorter by what a clock may be slower.
-pub(super) const ELECTION: Ms = 3;
+pub(super) const ELECTION: Millis = 3;
 pub(super) const FAULTLESS: &str = "nothing that must never be";
 pub(super) const UNBOUNDED: u8 = u8::MAX;
 
@@ -55,8 +55,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Machine {
     pub raft: Raft<u8>,
-    pub held: Held<u8>,
-    pub writing: VecDeque<(u64, Vec<Write<u8>>)>,
+    pub held: PersistedState<u8>,
+    pub writing: VecDeque<(u64, Vec<LogWrite<u8>>)>,
     pub applied: Index,
     pub state: Vec<u8>,
     reads: BTreeMap<u64, Index>,
@@ -71,7 +71,7 @@
 }
 
 /// What is committed: term, content, and the earliest term in which it is known to be.
-pub(super) type Agreed = (Term, Body<u8>, Term);
+pub(super) type Agreed = (Term, EntryPayload<u8>, Term);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct World {
@@ -118,8 +118,8 @@
     pub budget: Budget,
     /// With clocks: which machine's runs at two thirds of the others'.
     pub slow: Option<usize>,
-    pub lease: Ms,
-    pub mutant: Option<Mutant>,
+    pub lease: Millis,
+    pub mutant: Option<InjectedFault>,
     /// Is it looked at whether what is said is on the disk? Else only what comes of it is.
     pub spoken: bool,
     /// Who may stand.
@@ -168,8 +168,8 @@
 }
 
 impl Core {
-    fn tuning(&self) -> Tuning {
-        Tuning {
+    fn tuning(&self) -> RaftConfig {
+        RaftConfig {
             heartbeat: 1,
             election: ELECTION,
             lease: self.lease,
@@ -190,7 +190,7 @@
         let seeds: Members = (0..self.seeds).map(|m| NodeId { ip: ip(m), disk: 0 }).collect();
         let machine = |m: usize| {
             let me = NodeId { ip: ip(m), disk: u64::from(m >= self.seeds) };
-            let mut machine = self.boot(me, Held::default(), false);
+            let mut machine = self.boot(me, PersistedState::default(), false);
             machine.raft.started = 0;
             if m < self.seeds {
                 machine.raft.bootstrap(NOW, seeds.clone());
@@ -215,7 +215,7 @@
         world
     }
 
-    fn boot(&self, me: NodeId, held: Held<u8>, again: bool) -> Machine {
+    fn boot(&self, me: NodeId, held: PersistedState<u8>, again: bool) -> Machine {
         let mut raft = Raft::new(NOW, me, held.clone(), self.tuning());
         raft.break_by(self.mutant);
         let (applied, state) = held.snapshot.as_ref().map_or((0, Vec::new()), |s| (s.index, s.data.to_vec()));
@@ -304,8 +304,8 @@
             Action::Wipe(_) => {
                 spend(&mut left.wipes);
                 let mut me = machine.raft.me;
-                me.disk += u64::from(mutant != Some(Mutant::WipedVotes));
-                *machine = self.boot(me, Held::default(), true);
+                me.disk += u64::from(mutant != Some(InjectedFault::WipedVotes));
+                *machine = self.boot(me, PersistedState::default(), true);
                 let kept = |l: &Arc<Letter>| l.to.ip != me.ip || l.to == me;
                 world.wire.retain(kept);
             }
@@ -351,13 +351,13 @@
                 Output::Apply(entry) => applied(world, own, entry),
                 Output::Install(snapshot) => {
                     let commands = world.agreed.range(..=snapshot.index).filter_map(|(_, e)| match e.1 {
-                        Body::Command(value) => Some(value),
+                        EntryPayload::Command(value) => Some(value),
                         _ => None,
                     });
                     let known = world.agreed.len() as Index >= snapshot.index;
                     let mut before = world.agreed.range(..=snapshot.index).rev();
                     let members = before.find_map(|(_, e)| match &e.1 {
-                        Body::Members(members) => Some(members),
+                        EntryPayload::Members(members) => Some(members),
                         _ => None,
                     });
                     if members.is_some_and(|m| *m != snapshot.members) {
@@ -394,7 +394,7 @@
         renumber(own);
         let me = own.raft.me;
         world.machines[m] = machine;
-        let all = self.mutant == Some(Mutant::OldAck);
+        let all = self.mutant == Some(InjectedFault::OldAck);
         world.wire.retain(|l| l.to != me || all || !is_dead(&world.machines[m], &l.message));
         if self.slow.is_some() && world.machines.iter().filter(|m| m.raft.holds_lease(NOW)).count() > 1 {
             world.fault = Some(Fault::TwoLeases);
@@ -418,7 +418,7 @@
             world.fault = Some(Fault::SpokenUnsynced);
         }
         let there = world.machines.get(place(to)).filter(|machine| machine.raft.me == to);
-        let all = self.mutant == Some(Mutant::OldAck);
+        let all = self.mutant == Some(InjectedFault::OldAck);
         if there.is_none_or(|machine| !all && is_dead(machine, &message)) {
             return;
         }
@@ -581,10 +581,10 @@
                 w.agreed.values().any(|e| e.0 >= 2)
             }),
             Property::sometimes("a command is committed", |_, w: &World| {
-                w.agreed.values().any(|e| matches!(e.1, Body::Command(_)))
+                w.agreed.values().any(|e| matches!(e.1, EntryPayload::Command(_)))
             }),
             Property::sometimes("a member is another", |_, w: &World| {
-                w.agreed.iter().any(|(i, e)| *i > 1 && matches!(e.1, Body::Members(_)))
+                w.agreed.iter().any(|(i, e)| *i > 1 && matches!(e.1, EntryPayload::Members(_)))
             }),
             Property::sometimes("a snapshot is installed", |_, w: &World| {
                 w.machines.iter().any(|m| m.installed)
--- a/crates/gateway/src/consensus/model/time.rs
+++ b/crates/gateway/src/consensus/model/time.rs
@@ -44,7 +44,7 @@
 }
 
 /// Each time that is remembered.
-fn times(raft: &mut Raft<u8>, mut each: impl FnMut(&mut Ms)) {
+fn times(raft: &mut Raft<u8>, mut each: impl FnMut(&mut Millis)) {
     each(&mut raft.started);
     raft.heard.iter_mut().for_each(&mut each);
     raft.unsynced.iter_mut().for_each(|u| each(&mut u.since));
--- a/crates/gateway/src/consensus/replication.rs
+++ b/crates/gateway/src/consensus/replication.rs
@@ -10,23 +10,23 @@
     // The leader's part.
 
     /// Most have voted for it.
-    pub(super) fn begin_term(&mut self, now: Ms) {
+    pub(super) fn begin_term(&mut self, now: Millis) {
         let first = self.log.last() + 1;
         let peers = self.members().into_iter().filter(|id| *id != self.me);
         let peers = peers.map(|id| (id, self.unknown(now))).collect();
         self.role = Role::Leader(Leader { peers, first, since: now, ..Leader::default() });
         self.leader = Some(self.me);
-        self.add(now, Body::TermStart);
+        self.add(now, EntryPayload::TermStart);
     }
 
     /// A machine of which nothing is known yet in this term.
-    pub(super) fn unknown(&self, now: Ms) -> Progress {
+    pub(super) fn unknown(&self, now: Millis) -> Progress {
         let next = self.log.last() + 1;
         Progress { next, matched: 0, round: 0, contact: 0, heard: now, stamp: None, pieces: None }
     }
 
     /// Appends to the log, and tells all.
-    pub(super) fn add(&mut self, now: Ms, body: Body<C>) -> (Index, Term) {
+    pub(super) fn add(&mut self, now: Millis, body: EntryPayload<C>) -> (Index, Term) {
         let place = (self.log.last() + 1, self.term);
         self.put(vec![Entry { term: place.1, index: place.0, body }]);
         self.broadcast(now);
@@ -35,7 +35,7 @@
     }
 
     /// Says to each what it lacks, or that the leader is there.
-    pub(super) fn broadcast(&mut self, now: Ms) {
+    pub(super) fn broadcast(&mut self, now: Millis) {
         let Role::Leader(leader) = &mut self.role else { return };
         leader.round += 1;
         leader.sent = now;
@@ -49,7 +49,7 @@
     }
 
     /// Sends a machine what it lacks; `always`: a word even if that is nothing.
-    pub(super) fn feed(&mut self, now: Ms, to: NodeId, always: bool) {
+    pub(super) fn feed(&mut self, now: Millis, to: NodeId, always: bool) {
         let (base, last, term, commit) = (self.log.base().0, self.log.last(), self.term, self.commit);
         let attached = self.is_attached(now);
         let Role::Leader(leader) = &mut self.role else { return };
@@ -70,7 +70,7 @@
         self.send(to, Message::Append { term, prev, entries, commit, sure, round });
     }
 
-    fn feed_pieces(&mut self, now: Ms, to: NodeId, always: bool) {
+    fn feed_pieces(&mut self, now: Millis, to: NodeId, always: bool) {
         let Some(newest) = self.log.snapshot.clone() else { return };
         let (term, size, room) = (self.term, self.tuning.piece as u64, self.tuning.window as u64);
         let patience = 4 * self.tuning.heartbeat;
@@ -107,15 +107,15 @@
     }
 
     /// Is this answer one to this leader, in this term?
-    pub(super) fn answered(&mut self, now: Ms, from: NodeId, term: Term, round: u64) -> bool {
+    pub(super) fn answered(&mut self, now: Millis, from: NodeId, term: Term, round: u64) -> bool {
         if term > self.term {
             self.step_down(now, term);
             return false;
         }
-        if term < self.term && !self.broken(Mutant::OldAck) {
+        if term < self.term && !self.broken(InjectedFault::OldAck) {
             return false;
         }
-        let late = self.broken(Mutant::LeaseByArrival);
+        let late = self.broken(InjectedFault::LeaseByArrival);
         let Role::Leader(leader) = &mut self.role else { return false };
         let Some(p) = leader.peers.get_mut(&from) else { return false };
         p.heard = now;
@@ -130,7 +130,7 @@
     }
 
     /// A machine's own time goes back to it, with the next word that is sure.
-    pub(super) fn stamped(&mut self, from: NodeId, stamp: Ms) {
+    pub(super) fn stamped(&mut self, from: NodeId, stamp: Millis) {
         if let Role::Leader(leader) = &mut self.role {
             if let Some(p) = leader.peers.get_mut(&from) {
                 p.stamp = Some(stamp);
@@ -139,7 +139,7 @@
     }
 
     /// A machine told how far its log is this leader's.
-    pub(super) fn replied(&mut self, now: Ms, from: NodeId, index: Index, matches: bool) {
+    pub(super) fn replied(&mut self, now: Millis, from: NodeId, index: Index, matches: bool) {
         let last = self.log.last();
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(p) = leader.peers.get_mut(&from) else { return };
@@ -160,7 +160,7 @@
     }
 
     /// A piece came.
-    pub(super) fn piece_came(&mut self, now: Ms, from: NodeId, index: Index, offset: u64) {
+    pub(super) fn piece_came(&mut self, now: Millis, from: NodeId, index: Index, offset: u64) {
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(p) = leader.peers.get_mut(&from) else { return };
         if let Some(s) = p.pieces.as_mut().filter(|s| s.snapshot.index == index) {
@@ -176,7 +176,7 @@
     }
 
     /// When most were last surely in touch: sending time of what they have answered since.
-    pub(super) fn contact(&self, now: Ms) -> Ms {
+    pub(super) fn contact(&self, now: Millis) -> Millis {
         let Role::Leader(leader) = &self.role else { return 0 };
         self.most(now, |p| p.contact.max(leader.since))
     }
@@ -190,10 +190,10 @@
             id => leader.peers.get(id).map(&of).unwrap_or_default(),
         };
         let mut values: Vec<T> = members.iter().map(value).collect();
-        if self.broken(Mutant::LearnerCounts) || self.broken(Mutant::RemovedCounts) {
+        if self.broken(InjectedFault::LearnerCounts) || self.broken(InjectedFault::RemovedCounts) {
             let before = self.log.members_at(self.log.members().0.saturating_sub(1));
             let wrong = |id: &&NodeId| {
-                !members.contains(id) && before.contains(id) == self.broken(Mutant::RemovedCounts)
+                !members.contains(id) && before.contains(id) == self.broken(InjectedFault::RemovedCounts)
             };
             values.extend(leader.peers.keys().filter(wrong).map(value));
         }
@@ -207,12 +207,12 @@
     }
 
     /// Commits what most hold, and answers reads that most were in touch for.
-    pub(super) fn advance(&mut self, now: Ms) {
+    pub(super) fn advance(&mut self, now: Millis) {
         if !self.leads() {
             return;
         }
         let held = self.most(self.synced_index(), |p| p.matched);
-        let own = self.log.term(held) == Some(self.term) || self.broken(Mutant::CommitOldTerm);
+        let own = self.log.term(held) == Some(self.term) || self.broken(InjectedFault::CommitOldTerm);
         if held > self.commit && own {
             self.commit = held;
             self.apply();
@@ -221,7 +221,7 @@
             self.broadcast(now);
         }
         let (commit, own_round) = (self.commit, u64::MAX);
-        let round = match self.broken(Mutant::ReadWithoutContact) {
+        let round = match self.broken(InjectedFault::ReadWithoutContact) {
             true => u64::MAX,
             false => self.most(own_round, |p| p.round),
         };
@@ -236,9 +236,9 @@
     }
 
     /// A leader's upkeep.
-    pub(super) fn lead(&mut self, now: Ms) {
+    pub(super) fn lead(&mut self, now: Millis) {
         let silent = now >= self.contact(now).saturating_add(self.tuning.election);
-        if silent && !self.broken(Mutant::NeverStepsDown) {
+        if silent && !self.broken(InjectedFault::NeverStepsDown) {
             // Most did not answer for an election's time: somebody else may lead by now.
             return self.step_down(now, self.term);
         }
@@ -260,7 +260,7 @@
     // The follower's part.
 
     /// Is this message one of a leader that is to be followed?
-    pub(super) fn follow(&mut self, now: Ms, from: NodeId, term: Term, round: u64) -> bool {
+    pub(super) fn follow(&mut self, now: Millis, from: NodeId, term: Term, round: u64) -> bool {
         if term < self.term {
             // It hears of the newer term, unless this one must be silent until that is on its disk.
             self.send(
@@ -272,7 +272,7 @@
         if term > self.term || self.role != Role::Follower {
             self.step_down(now, term);
         }
-        if self.vote != Some(from) && !self.broken(Mutant::VoteUnnamed) {
+        if self.vote != Some(from) && !self.broken(InjectedFault::VoteUnnamed) {
             // Whom it may be bound to, for its next life. Nobody else can win this term: most have voted for this one, and
             // whoever has not may name it as well.
             self.set_term(term, Some(from));
@@ -289,15 +289,15 @@
         from: NodeId,
         prev: (Index, Term),
         mut entries: Vec<Entry<C>>,
-        (commit, sure): (Index, Option<Ms>),
-        now: Ms,
+        (commit, sure): (Index, Option<Millis>),
+        now: Millis,
     ) {
         let base = self.log.base().0;
         let end = prev.0 + entries.len() as Index;
         if prev.0 < base {
             // What lies before the snapshot is committed, and the same.
             entries.retain(|e| e.index > base);
-        } else if self.log.term(prev.0) != Some(prev.1) && !self.broken(Mutant::PrevUnchecked) {
+        } else if self.log.term(prev.0) != Some(prev.1) && !self.broken(InjectedFault::PrevUnchecked) {
             // From where to go on: behind what is surely the same, or the end of a shorter log.
             let index = (prev.0.saturating_sub(1)).min(self.log.last());
             let index = if index == prev.0.saturating_sub(1) { self.commit.min(index) } else { index };
@@ -312,7 +312,7 @@
         self.told_commit = self.told_commit.max(commit);
         // Not a stamp of a life before this one.
         self.sure = self.sure.max(sure.filter(|at| (self.started..=now).contains(at)));
-        let sure = if self.broken(Mutant::UnverifiedCommit) { self.log.last() } else { self.verified };
+        let sure = if self.broken(InjectedFault::UnverifiedCommit) { self.log.last() } else { self.verified };
         let commit = commit.min(sure);
         if commit > self.commit {
             self.commit = commit;
@@ -322,7 +322,7 @@
     }
 
     /// Tells the leader how much of its log is on this disk.
-    pub(super) fn tell_matched(&mut self, now: Ms, to: NodeId) {
+    pub(super) fn tell_matched(&mut self, now: Millis, to: NodeId) {
         let index = self.verified.min(self.synced_index());
         let (term, round) = (self.term, self.heard_round);
         self.send(to, Message::AppendReply { term, round, index, matches: true, stamp: now });
@@ -330,14 +330,14 @@
 
     pub(super) fn piece(
         &mut self,
-        now: Ms,
+        now: Millis,
         from: NodeId,
         (index, last, members): (Index, Term, Members),
         (offset, total): (u64, u64),
         data: &[u8],
     ) {
         let (term, round) = (self.term, self.heard_round);
-        if index <= self.commit && !self.broken(Mutant::SnapshotBack) {
+        if index <= self.commit && !self.broken(InjectedFault::SnapshotBack) {
             // Held already: all up to what is committed here is the leader's.
             self.verified = self.verified.max(self.commit);
             return self.tell_matched(now, from);
@@ -360,7 +360,7 @@
         self.incoming = None;
         let snapshot = Snapshot { index, term: last, members, data };
         let whole = self.log.term(index) != Some(last);
-        self.writes.push(Write::Snapshot { snapshot: snapshot.clone(), whole });
+        self.writes.push(LogWrite::Snapshot { snapshot: snapshot.clone(), whole });
         self.log.compact(snapshot.clone(), whole);
         (self.commit, self.applied) = (index, index);
         self.verified = self.verified.max(index);
--- a/crates/gateway/src/consensus/tests.rs
+++ b/crates/gateway/src/consensus/tests.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr};
 
-const TUNING: Tuning = Tuning {
+const TUNING: RaftConfig = RaftConfig {
     heartbeat: 100,
     election: 600,
     lease: 500,
@@ -24,25 +24,25 @@
 struct Machine {
     raft: Option<Raft<u64>>,
     disk: u64,
-    held: Held<u64>,
-    writing: Vec<(u64, Ms, Vec<Write<u64>>)>,
+    held: PersistedState<u64>,
+    writing: Vec<(u64, Millis, Vec<LogWrite<u64>>)>,
     life: u64,
     applied: Vec<(Index, u64)>,
     seen: HashSet<u64>,
     checked: usize,
-    hung: Ms,
-    cut: Ms,
+    hung: Millis,
+    cut: Millis,
 }
 
-pub(super) fn land<C: Clone>(held: &mut Held<C>, writes: Vec<Write<C>>) {
+pub(super) fn land<C: Clone>(held: &mut PersistedState<C>, writes: Vec<LogWrite<C>>) {
     for write in writes {
         match write {
-            Write::Hard(term, vote) => (held.term, held.vote) = (term, vote),
-            Write::Append(entries) => {
+            LogWrite::Hard(term, vote) => (held.term, held.vote) = (term, vote),
+            LogWrite::Append(entries) => {
                 held.log.retain(|e| e.index < entries[0].index);
                 held.log.extend(entries);
             }
-            Write::Snapshot { snapshot, whole } => {
+            LogWrite::Snapshot { snapshot, whole } => {
                 held.log.retain(|e| !whole && e.index > snapshot.index);
                 held.snapshot = Some(snapshot);
             }
@@ -51,10 +51,10 @@
 }
 
 struct World {
-    now: Ms,
+    now: Millis,
     rng: fastrand::Rng,
     machines: Vec<Machine>,
-    wire: Vec<(Ms, NodeId, NodeId, Message<u64>)>,
+    wire: Vec<(Millis, NodeId, NodeId, Message<u64>)>,
     agreed: HashMap<Index, (Term, Option<u64>)>,
     proposed: u64,
     confirmed: Vec<u64>,
@@ -73,7 +73,7 @@
         let machine = || Machine {
             raft: None,
             disk: 0,
-            held: Held::default(),
+            held: PersistedState::default(),
             writing: vec![],
             life: 0,
             applied: vec![],
@@ -105,7 +105,7 @@
         let n = self.machines.len();
         let machine = &mut self.machines[m];
         machine.life += 1;
-        if machine.held == Held::default() && !first {
+        if machine.held == PersistedState::default() && !first {
             machine.disk = self.rng.u64(1..);
         }
         let me = NodeId { ip: ip(m), disk: machine.disk };
@@ -134,7 +134,7 @@
         }
         machine.hung = 0;
         if wipe {
-            machine.held = Held::default();
+            machine.held = PersistedState::default();
         }
     }
 
@@ -187,7 +187,7 @@
 
     fn applied(&mut self, m: usize, entry: Entry<u64>) {
         let value = match entry.body {
-            Body::Command(value) => Some(value),
+            EntryPayload::Command(value) => Some(value),
             _ => None,
         };
         let told = (entry.term, value);
@@ -276,7 +276,7 @@
         assert!(leases.count() <= 1, "two leases at {now}");
     }
 
-    fn run(&mut self, until: Ms) {
+    fn run(&mut self, until: Millis) {
         while self.now < until {
             self.step();
             if self.now.is_multiple_of(20) {
@@ -409,9 +409,9 @@
 fn a_restart_is_bound_to_the_leader_that_was_followed_and_to_nobody_else() {
     let id = |n| NodeId { ip: ip(n), disk: 0 };
     let members: Members = (0..3).map(id).collect();
-    let first = Entry { term: 0, index: 1, body: Body::Members(members) };
+    let first = Entry { term: 0, index: 1, body: EntryPayload::Members(members) };
     // It stood in term 5 itself, and lost to the first one.
-    let mut held = Held { term: 5, vote: Some(id(1)), snapshot: None, log: vec![first] };
+    let mut held = PersistedState { term: 5, vote: Some(id(1)), snapshot: None, log: vec![first] };
     let mut raft = Raft::<u64>::new(10_000, id(1), held.clone(), TUNING);
     let word = Message::Append { term: 5, prev: (1, 0), entries: vec![], commit: 1, sure: None, round: 1 };
     raft.receive(10_100, id(0), word);
@@ -423,7 +423,7 @@
         }
     }
     assert_eq!(held.vote, Some(id(0)));
-    let granted = |now: Ms, from: NodeId| {
+    let granted = |now: Millis, from: NodeId| {
         let mut raft = Raft::<u64>::new(20_000, id(1), held.clone(), TUNING);
         raft.receive(now, from, Message::Vote { term: 6, last: (5, 9), pre: false, transfer: false });
         raft.term() == 6
--- a/crates/gateway/src/consensus/types.rs
+++ b/crates/gateway/src/consensus/types.rs
@@ -11,7 +11,7 @@
 /// Place in the log; the first entry has 1.
 pub type Index = u64;
 /// Milliseconds of a steady clock.
-pub type Ms = u64;
+pub type Millis = u64;
 
 /// A member: one life of a core machine's disk. A machine that lost its disk is another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 
 /// What an entry says.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Body<C> {
+pub enum EntryPayload<C> {
     /// A leader's first: its term has begun, and with it its hold of the counter.
     TermStart,
     /// From here on these are the voters; differs from the set before by one.
@@ -44,7 +44,7 @@
     /// Its place.
     pub index: Index,
     /// What it says.
-    pub body: Body<C>,
+    pub body: EntryPayload<C>,
 }
 
 /// The state after all entries up to `index`, instead of these.
@@ -62,7 +62,7 @@
 
 /// What is to be written, in this order; all of one [`Write`] list goes to the disk at once or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Write<C> {
+pub enum LogWrite<C> {
     /// The term, and who has the vote in it.
     Hard(Term, Option<NodeId>),
     /// Entries; what the log holds from the first one's index on goes.
@@ -79,7 +79,7 @@
 
 /// What the disk held at the start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Held<C> {
+pub struct PersistedState<C> {
     /// The term that was last written.
     pub term: Term,
     /// Who had the vote in it.
@@ -90,9 +90,9 @@
     pub log: Vec<Entry<C>>,
 }
 
-impl<C> Default for Held<C> {
+impl<C> Default for PersistedState<C> {
     fn default() -> Self {
-        Held { term: 0, vote: None, snapshot: None, log: Vec::new() }
+        PersistedState { term: 0, vote: None, snapshot: None, log: Vec::new() }
     }
 }
 
@@ -131,7 +131,7 @@
         commit: Index,
         /// If the leader has committed in its term and was in touch with most lately: the newest stamp that it had of the
         /// one that hears this, so that a word which comes late is known.
-        sure: Option<Ms>,
+        sure: Option<Millis>,
         /// Comes back.
         round: u64,
     },
@@ -146,7 +146,7 @@
         /// Was the entry before those that were sent the same?
         matches: bool,
         /// The time of who answers.
-        stamp: Ms,
+        stamp: Millis,
     },
     /// A piece of a snapshot.
     Piece {
@@ -205,7 +205,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output<C> {
     /// Write and sync; [`super::Raft::persisted`] is told the number.
-    Persist(u64, Vec<Write<C>>),
+    Persist(u64, Vec<LogWrite<C>>),
     /// Say this to a member.
     Send(NodeId, Message<C>),
     /// This entry is committed: apply it. Comes in order, each once in a life.
@@ -218,16 +218,16 @@
 
 /// Spans and sizes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Tuning {
+pub struct RaftConfig {
     /// A leader says that it is there this often.
-    pub heartbeat: Ms,
+    pub heartbeat: Millis,
     /// A follower that hears nothing for so long, and up to twice that, begins an election; nobody votes for another
     /// within this of hearing from a leader, or of its own start. A leader that has not heard most for so long steps down.
-    pub election: Ms,
+    pub election: Millis,
     /// A leader relies on having been heard for so long: shorter, for clocks that differ in speed.
-    pub lease: Ms,
+    pub lease: Millis,
     /// A voter that was not heard for so long goes, if enough others are left.
-    pub out_after: Ms,
+    pub out_after: Millis,
     /// Voters that must be left: more than twice the losses that are to be borne.
     pub least: usize,
     /// Entries in a message at the most.
@@ -237,5 +237,5 @@
     /// Pieces on their way at the most.
     pub window: usize,
     /// A disk that takes longer hangs.
-    pub hang: Ms,
+    pub hang: Millis,
 }
--- a/crates/gateway/src/control_plane/calls_tests.rs
+++ b/crates/gateway/src/control_plane/calls_tests.rs
@@ -1,8 +1,8 @@
 //! What callers hear of a machine that is out of touch, or has just started.
 
-use super::{Command, Core, Effect, Event};
+use super::{ApiCommand, CoreNode, Effect, Event};
 use crate::settings::Settings;
-use crate::storage::Held;
+use crate::storage::LoadedState;
 use googletest::prelude::*;
 use std::net::IpAddr;
 
@@ -11,11 +11,11 @@
 }
 
 /// The first of these seeds, five seconds after the first start of all; its disk is quick, the others are not there.
-fn started(seeds: &[u8]) -> Core {
+fn started(seeds: &[u8]) -> CoreNode {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.cold_start) = (ip(1), true);
     settings.seeds = seeds.iter().map(|n| (ip(*n), 80).into()).collect();
-    let mut core = Core::new(1000.0, settings, Held::default()).expect("a core");
+    let mut core = CoreNode::new(1000.0, settings, LoadedState::default()).expect("a core");
     let mut out = Vec::new();
     core.start(&mut out);
     pass(&mut core, 1000.0, 1005.0, out);
@@ -23,7 +23,7 @@
 }
 
 /// Lets time pass; what is to be persisted is at once.
-fn pass(core: &mut Core, from: f64, to: f64, mut out: Vec<Effect>) {
+fn pass(core: &mut CoreNode, from: f64, to: f64, mut out: Vec<Effect>) {
     let mut now = from;
     while now < to {
         for effect in std::mem::take(&mut out) {
@@ -37,7 +37,7 @@
 }
 
 /// The answers to a call.
-fn replies(core: &mut Core, now: f64, command: Command) -> Vec<u16> {
+fn replies(core: &mut CoreNode, now: f64, command: ApiCommand) -> Vec<u16> {
     let mut out = Vec::new();
     core.handle(now, Event::Call(7, command), &mut out);
     out.iter()
@@ -50,7 +50,7 @@
 fn a_machine_out_of_touch_leaves_also_malformed_calls_open() {
     for (seeds, status) in [(&[1][..], 400), (&[1, 2, 3][..], 503)] {
         let mut core = started(seeds);
-        let replies = replies(&mut core, 1006.0, Command::Malformed("no address".into()));
+        let replies = replies(&mut core, 1006.0, ApiCommand::Malformed("no address".into()));
         expect_that!(replies, elements_are![eq(&status)]);
     }
 }
@@ -59,15 +59,15 @@
 /// others know.
 #[gtest]
 fn a_departure_is_acknowledged_only_by_who_knows_every_worker() {
-    let departure = || Command::Departure("i-unknown".into());
+    let departure = || ApiCommand::Departure("i-unknown".into());
     let mut alone = started(&[1]);
     expect_that!(replies(&mut alone, 1006.0, departure()), elements_are![eq(&200)]);
     // Two of three are in touch from now on.
     let mut core = started(&[1, 2, 3]);
-    let touch = |core: &mut Core, from: f64, to: f64| {
+    let touch = |core: &mut CoreNode, from: f64, to: f64| {
         let mut now = from;
         while now < to {
-            let ping = crate::protocol::Msg::Ping { config: 0, workers: 0, heard: 0 };
+            let ping = crate::protocol::PeerMessage::Ping { config: 0, workers: 0, heard: 0 };
             let mut out = Vec::new();
             core.handle(now, Event::Peer(ip(2), ping), &mut out);
             pass(core, now, now + 0.3, out);
--- a/crates/gateway/src/control_plane/change_tracker.rs
+++ b/crates/gateway/src/control_plane/change_tracker.rs
@@ -6,7 +6,7 @@
 
 /// The changes of a list, numbered.
 #[derive(Clone, Debug)]
-pub struct Changes<K> {
+pub struct ChangeTracker<K> {
     last: u64,
     keys: BTreeMap<u64, K>,
     numbers: BTreeMap<K, u64>,
@@ -14,13 +14,13 @@
     forgotten: u64,
 }
 
-impl<K> Default for Changes<K> {
+impl<K> Default for ChangeTracker<K> {
     fn default() -> Self {
-        Changes { last: 0, keys: BTreeMap::new(), numbers: BTreeMap::new(), forgotten: 0 }
+        ChangeTracker { last: 0, keys: BTreeMap::new(), numbers: BTreeMap::new(), forgotten: 0 }
     }
 }
 
-impl<K: Clone + Ord> Changes<K> {
+impl<K: Clone + Ord> ChangeTracker<K> {
     /// The number of the last change.
     pub fn last(&self) -> u64 {
         self.last
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -2,12 +2,12 @@
 //! judged once, at its place in the log, the same at each member. It must never answer what is not committed, nor
 //! refuse or read before most of the core was in touch in the present term.
 
-use super::{fault, CallId, Conn, Effect, LogCommand, Shared};
-use crate::configuration::state::Outcome;
-use crate::configuration::{Item, Order, State};
+use super::{error_body, CallId, ConnectionId, CoreContext, Effect, LogCommand};
+use crate::configuration::state::ChangeOutcome;
+use crate::configuration::{ConfigChange, ConfigItem, ConfigState};
 use crate::consensus::{Index, NodeId, Raft, Term};
-use crate::control_plane::event_journal::Fact;
-use crate::protocol::{Answer, Msg, Wish};
+use crate::control_plane::event_journal::JournalEvent;
+use crate::protocol::{OperatorRequest, OperatorResponse, PeerMessage};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -22,7 +22,7 @@
     /// A call here.
     Own(CallId),
     /// Another core machine, for a call there.
-    Remote(Conn, u64),
+    Remote(ConnectionId, u64),
 }
 
 /// A call whose place in the log is known.
@@ -41,9 +41,9 @@
 
 /// The configuration on this machine.
 #[derive(Default)]
-pub struct Keeper {
+pub struct ConfigurationService {
     /// All that is applied here.
-    pub state: State,
+    pub state: ConfigState,
     placed: BTreeMap<Index, Placed>,
     copying: Vec<Copying>,
     /// Reads and refusals that wait for most to be in touch, by the log's number of the read.
@@ -56,10 +56,10 @@
     pub applied: Index,
 }
 
-impl Keeper {
+impl ConfigurationService {
     /// With the state as of an entry.
-    pub fn new(state: State, applied: Index) -> Self {
-        Keeper { state, applied, ..Keeper::default() }
+    pub fn new(state: ConfigState, applied: Index) -> Self {
+        ConfigurationService { state, applied, ..ConfigurationService::default() }
     }
 
     /// A call of an operator.
@@ -67,8 +67,8 @@
         &mut self,
         now: f64,
         call: CallId,
-        wish: Wish,
-        (raft, shared): (&mut Raft<LogCommand>, &mut Shared),
+        wish: OperatorRequest,
+        (raft, shared): (&mut Raft<LogCommand>, &mut CoreContext),
         out: &mut Vec<Effect>,
     ) {
         if raft.leads() {
@@ -77,20 +77,20 @@
         let leader = raft.leader(shared.ms(now)).map(|id| id.ip).filter(|ip| shared.touches(now, ip));
         let Some(ip) = leader else {
             // Cut off, or between two leaders: the caller goes on to another machine.
-            return out.push(Effect::Reply(call, 503, fault("no leader is in touch")));
+            return out.push(Effect::Reply(call, 503, error_body("no leader is in touch")));
         };
         let ask = shared.number();
         self.passed.insert(ask, (call, now + CALL_WITHIN));
-        out.push(Effect::Send(ip, Msg::Forward { ask, wish }));
+        out.push(Effect::Send(ip, PeerMessage::Forward { ask, wish }));
     }
 
     /// Another core machine passes a call on.
     pub fn forwarded(
         &mut self,
         now: f64,
-        (conn, ask): (Conn, u64),
-        wish: Wish,
-        parts: (&mut Raft<LogCommand>, &mut Shared),
+        (conn, ask): (ConnectionId, u64),
+        wish: OperatorRequest,
+        parts: (&mut Raft<LogCommand>, &mut CoreContext),
         out: &mut Vec<Effect>,
     ) {
         self.lead(now, Waiter::Remote(conn, ask), wish, parts, out);
@@ -100,47 +100,61 @@
         &mut self,
         now: f64,
         waiter: Waiter,
-        wish: Wish,
-        (raft, shared): (&mut Raft<LogCommand>, &mut Shared),
+        wish: OperatorRequest,
+        (raft, shared): (&mut Raft<LogCommand>, &mut CoreContext),
         out: &mut Vec<Effect>,
     ) {
         let (ms, until) = (shared.ms(now), now + CALL_WITHIN);
         let place = match wish {
-            Wish::Amend(order) => raft.propose(ms, LogCommand::Configure(order)).map(|(index, term)| {
-                self.placed.insert(index, Placed { term, waiter, until });
-            }),
-            Wish::Read => raft.read(ms).map(|read| {
+            OperatorRequest::Amend(order) => {
+                raft.propose(ms, LogCommand::Configure(order)).map(|(index, term)| {
+                    self.placed.insert(index, Placed { term, waiter, until });
+                })
+            }
+            OperatorRequest::Read => raft.read(ms).map(|read| {
                 self.reads.insert(read, (waiter, None, until));
             }),
-            Wish::Refuse(why) => raft.read(ms).map(|read| {
+            OperatorRequest::Refuse(why) => raft.read(ms).map(|read| {
                 self.reads.insert(read, (waiter, Some(why), until));
             }),
         };
         if place.is_none() {
-            self.answer(waiter, Answer::Unclear("no leader here".into()), shared, out);
+            self.answer(waiter, OperatorResponse::Unclear("no leader here".into()), shared, out);
         }
     }
 
     /// The leader's answer to a call that was passed on.
-    pub fn told(&mut self, ask: u64, answer: Answer, shared: &mut Shared, out: &mut Vec<Effect>) {
+    pub fn told(
+        &mut self,
+        ask: u64,
+        answer: OperatorResponse,
+        shared: &mut CoreContext,
+        out: &mut Vec<Effect>,
+    ) {
         if let Some((call, _)) = self.passed.remove(&ask) {
             self.answer(Waiter::Own(call), answer, shared, out);
         }
     }
 
-    fn answer(&mut self, waiter: Waiter, answer: Answer, shared: &mut Shared, out: &mut Vec<Effect>) {
+    fn answer(
+        &mut self,
+        waiter: Waiter,
+        answer: OperatorResponse,
+        shared: &mut CoreContext,
+        out: &mut Vec<Effect>,
+    ) {
         let call = match waiter {
             Waiter::Remote(conn, ask) => {
-                return out.push(Effect::Return(conn, Msg::Forwarded { ask, answer }))
+                return out.push(Effect::Return(conn, PeerMessage::Forwarded { ask, answer }))
             }
             Waiter::Own(call) => call,
         };
         let (status, body) = match answer {
-            Answer::Taken => (200, json!({})),
-            Answer::Refused(status, why) => (status, fault(why)),
-            Answer::Unclear(why) => (503, fault(why)),
-            Answer::Read(index) if self.applied >= index => (200, self.state.render()),
-            Answer::Read(index) => {
+            OperatorResponse::Taken => (200, json!({})),
+            OperatorResponse::Refused(status, why) => (status, error_body(why)),
+            OperatorResponse::Unclear(why) => (503, error_body(why)),
+            OperatorResponse::Read(index) if self.applied >= index => (200, self.state.render()),
+            OperatorResponse::Read(index) => {
                 // The leader was ahead of this machine: once this has caught up.
                 return self.behind.push((index, call, shared.now + CALL_WITHIN));
             }
@@ -152,31 +166,33 @@
     pub fn apply(
         &mut self,
         (index, term): (Index, Term),
-        order: &Order,
-        (raft, shared): (&Raft<LogCommand>, &mut Shared),
+        order: &ConfigChange,
+        (raft, shared): (&Raft<LogCommand>, &mut CoreContext),
         out: &mut Vec<Effect>,
-    ) -> Option<(Index, Vec<Arc<Item>>)> {
+    ) -> Option<(Index, Vec<Arc<ConfigItem>>)> {
         let before = self.state.index();
         let outcome = self.state.apply(index, order);
         self.applied = index;
         let (answer, changed) = match outcome {
-            Outcome::Taken(items) => (Answer::Taken, items),
-            Outcome::Known => (Answer::Taken, Vec::new()),
-            Outcome::Conflict(error) => (Answer::Refused(409, error.to_string()), Vec::new()),
-            Outcome::Invalid(error) => (Answer::Refused(400, error.to_string()), Vec::new()),
-            Outcome::Forgotten => (Answer::Unclear("too old to tell what was taken".into()), Vec::new()),
+            ChangeOutcome::Taken(items) => (OperatorResponse::Taken, items),
+            ChangeOutcome::Known => (OperatorResponse::Taken, Vec::new()),
+            ChangeOutcome::Conflict(error) => (OperatorResponse::Refused(409, error.to_string()), Vec::new()),
+            ChangeOutcome::Invalid(error) => (OperatorResponse::Refused(400, error.to_string()), Vec::new()),
+            ChangeOutcome::Forgotten => {
+                (OperatorResponse::Unclear("too old to tell what was taken".into()), Vec::new())
+            }
         };
         match &answer {
-            Answer::Refused(status, error) => {
+            OperatorResponse::Refused(status, error) => {
                 tracing::warn!(index, status, error, "refused a configuration");
-                shared.journal.append(shared.now, Fact::Refused(error.clone()));
+                shared.journal.append(shared.now, JournalEvent::Refused(error.clone()));
             }
-            Answer::Taken => {
+            OperatorResponse::Taken => {
                 let versions = changed.iter().map(|i| format!("{}=r{}", i.label, i.version));
                 let items = versions.collect::<Vec<_>>().join(" ");
                 tracing::info!(index, items, "takes a configuration");
                 for item in &changed {
-                    shared.journal.append(shared.now, Fact::Item((**item).clone()));
+                    shared.journal.append(shared.now, JournalEvent::Item((**item).clone()));
                 }
             }
             _ => {}
@@ -185,10 +201,10 @@
             match answer {
                 // Another leader's entry stands where this call was to be: what became of it is not known here.
                 _ if placed.term != term => {
-                    let unclear = Answer::Unclear("the lead changed".into());
+                    let unclear = OperatorResponse::Unclear("the lead changed".into());
                     self.answer(placed.waiter, unclear, shared, out);
                 }
-                Answer::Taken => {
+                OperatorResponse::Taken => {
                     self.copying.push(Copying { index, waiter: placed.waiter, until: placed.until });
                     self.copied(raft, shared, out);
                 }
@@ -199,15 +215,15 @@
     }
 
     /// Something may have been copied, or applied: whoever waits for it hears.
-    pub fn copied(&mut self, raft: &Raft<LogCommand>, shared: &mut Shared, out: &mut Vec<Effect>) {
+    pub fn copied(&mut self, raft: &Raft<LogCommand>, shared: &mut CoreContext, out: &mut Vec<Effect>) {
         if !self.copying.is_empty() && raft.leads() {
             for waiting in std::mem::take(&mut self.copying) {
                 let holders = raft.holders(waiting.index);
                 let ips: Vec<IpAddr> = holders.iter().map(|id: &NodeId| id.ip).collect();
                 if shared.may_hold_all(ips.iter()) {
                     tracing::info!(index = waiting.index, copies = ips.len(), "acknowledges a configuration");
-                    shared.journal.append(shared.now, Fact::Acknowledged(ips.len()));
-                    self.answer(waiting.waiter, Answer::Taken, shared, out);
+                    shared.journal.append(shared.now, JournalEvent::Acknowledged(ips.len()));
+                    self.answer(waiting.waiter, OperatorResponse::Taken, shared, out);
                 } else {
                     self.copying.push(waiting);
                 }
@@ -223,21 +239,21 @@
     }
 
     /// Most of the core was in touch since a read was asked for.
-    pub fn ready(&mut self, read: u64, shared: &mut Shared, out: &mut Vec<Effect>) {
+    pub fn ready(&mut self, read: u64, shared: &mut CoreContext, out: &mut Vec<Effect>) {
         let Some((waiter, refusal, _)) = self.reads.remove(&read) else { return };
         let answer = match refusal {
             Some(why) => {
                 tracing::warn!(why, "refused a call that can't be read");
-                shared.journal.append(shared.now, Fact::Refused(why.clone()));
-                Answer::Refused(400, why)
+                shared.journal.append(shared.now, JournalEvent::Refused(why.clone()));
+                OperatorResponse::Refused(400, why)
             }
-            None => Answer::Read(self.applied),
+            None => OperatorResponse::Read(self.applied),
         };
         self.answer(waiter, answer, shared, out);
     }
 
     /// Calls that were not decided in time are left without a clear answer.
-    pub fn tick(&mut self, now: f64, shared: &mut Shared, out: &mut Vec<Effect>) {
+    pub fn tick(&mut self, now: f64, shared: &mut CoreContext, out: &mut Vec<Effect>) {
         let mut late: Vec<(Waiter, &'static str)> = Vec::new();
         self.placed.retain(|_, p| keep(p.until > now, p.waiter, "commit", &mut late));
         self.copying.retain(|c| keep(c.until > now, c.waiter, "synced copies", &mut late));
@@ -246,8 +262,13 @@
         self.behind.retain(|b| keep(b.2 > now, Waiter::Own(b.1), "catching up", &mut late));
         for (waiter, step) in late {
             tracing::warn!(step, "a call waited too long");
-            shared.journal.append(now, Fact::Unanswered(step));
-            self.answer(waiter, Answer::Unclear(format!("waited too long for {step}")), shared, out);
+            shared.journal.append(now, JournalEvent::Unanswered(step));
+            self.answer(
+                waiter,
+                OperatorResponse::Unclear(format!("waited too long for {step}")),
+                shared,
+                out,
+            );
         }
     }
 
--- a/crates/gateway/src/control_plane/context.rs
+++ b/crates/gateway/src/control_plane/context.rs
@@ -1,9 +1,9 @@
 //! Owns what the parts of the core share: who this machine is, which core machines it knows, who of them is in touch. It
 //! must never count a machine that is not a member of the log towards most of the core.
 
-use crate::consensus::Ms;
-use crate::control_plane::event_journal::Journal;
-use crate::protocol::Member;
+use crate::consensus::Millis;
+use crate::control_plane::event_journal::EventJournal;
+use crate::protocol::NodeLocation;
 use crate::settings::Settings;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
@@ -16,13 +16,13 @@
 const FORGET: f64 = 60.0;
 
 /// What the parts of the core share.
-pub struct Shared {
+pub struct CoreContext {
     /// Settings in force.
     pub settings: Settings,
     /// This machine.
-    pub me: Member,
+    pub me: NodeLocation,
     /// Core machines that are known, this one included, by address: those that vote, seeds, those that were met lately.
-    pub known: BTreeMap<IpAddr, Member>,
+    pub known: BTreeMap<IpAddr, NodeLocation>,
     /// Machines that vote in the log.
     pub voters: BTreeSet<IpAddr>,
     /// When each was last heard of.
@@ -34,20 +34,21 @@
     /// The time of the event at hand.
     pub now: f64,
     /// What happened here.
-    pub journal: Journal,
+    pub journal: EventJournal,
     next: u64,
-    epoch: Ms,
+    epoch: Millis,
 }
 
-impl Shared {
+impl CoreContext {
     /// Knows itself and the seeds.
     pub fn new(now: f64, settings: Settings) -> Self {
-        let me = Member { ip: settings.ip, zone: settings.zone.clone(), region: settings.region.clone() };
-        let blank = |ip| Member { ip, zone: String::new(), region: String::new() };
-        let mut known: BTreeMap<IpAddr, Member> =
+        let me =
+            NodeLocation { ip: settings.ip, zone: settings.zone.clone(), region: settings.region.clone() };
+        let blank = |ip| NodeLocation { ip, zone: String::new(), region: String::new() };
+        let mut known: BTreeMap<IpAddr, NodeLocation> =
             settings.seeds.iter().map(|s| (s.ip(), blank(s.ip()))).collect();
         known.insert(me.ip, me.clone());
-        Shared {
+        CoreContext {
             settings,
             me,
             known,
@@ -56,7 +57,7 @@
             met: HashMap::new(),
             started: now,
             now,
-            journal: Journal::default(),
+            journal: EventJournal::default(),
             next: 0,
             epoch: fastrand::u64(..1 << 40) & !0xff_ffff,
         }
@@ -69,8 +70,8 @@
     }
 
     /// The log's time: of its own for every life, so that a stamp of an earlier one is known.
-    pub fn ms(&self, now: f64) -> Ms {
-        self.epoch + (now * 1e3) as Ms
+    pub fn ms(&self, now: f64) -> Millis {
+        self.epoch + (now * 1e3) as Millis
     }
 
     /// What tells this life of the process from others.
@@ -108,7 +109,7 @@
     }
 
     /// A machine is known, or more of it than before. `Some(true)`: it is new.
-    pub fn meet(&mut self, m: Member) -> Option<bool> {
+    pub fn meet(&mut self, m: NodeLocation) -> Option<bool> {
         let held = self.known.get(&m.ip);
         if m.ip == self.me.ip || held.is_some_and(|h| !h.zone.is_empty() || m.zone.is_empty()) {
             return None;
@@ -120,9 +121,9 @@
     }
 
     /// Machines that others may hear of from this one.
-    pub fn told(&self) -> Vec<Member> {
+    pub fn told(&self) -> Vec<NodeLocation> {
         let lately = |ip: &IpAddr| self.heard.get(ip).is_some_and(|at| self.now - at < LATELY);
-        let tell = |m: &&Member| m.ip == self.me.ip || self.voters.contains(&m.ip) || lately(&m.ip);
+        let tell = |m: &&NodeLocation| m.ip == self.me.ip || self.voters.contains(&m.ip) || lately(&m.ip);
         self.known.values().filter(tell).cloned().collect()
     }
 
--- a/crates/gateway/src/control_plane/edge_directory.rs
+++ b/crates/gateway/src/control_plane/edge_directory.rs
@@ -1,8 +1,8 @@
 //! Owns which gatekeepers there are, and which of them are news to whom. One that is back, where it was, is none. It must
 //! never hold one that was not heard for long.
 
-use super::change_tracker::Changes;
-use crate::protocol::{Member, Msg};
+use super::change_tracker::ChangeTracker;
+use crate::protocol::{NodeLocation, PeerMessage};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
 
@@ -11,14 +11,14 @@
 
 /// The gatekeepers that were heard of lately.
 #[derive(Default)]
-pub struct Directory {
+pub struct EdgeDirectory {
     /// By name: when last heard of, where.
-    gates: BTreeMap<String, (f64, Member)>,
-    changes: Changes<IpAddr>,
+    gates: BTreeMap<String, (f64, NodeLocation)>,
+    changes: ChangeTracker<IpAddr>,
     gone: VecDeque<(f64, IpAddr)>,
 }
 
-impl Directory {
+impl EdgeDirectory {
     /// How many there are.
     pub fn count(&self) -> usize {
         self.gates.len()
@@ -30,7 +30,7 @@
     }
 
     /// One says where it is.
-    pub fn meet(&mut self, now: f64, node: &str, me: Member) {
+    pub fn meet(&mut self, now: f64, node: &str, me: NodeLocation) {
         let ip = me.ip;
         match self.gates.insert(node.to_owned(), (now, me.clone())) {
             Some((_, old)) if old == me => return,
@@ -72,12 +72,12 @@
     }
 
     /// What somebody lacks who knows them up to this change (`None`: nothing).
-    pub fn lacked(&self, known: Option<u64>) -> Msg {
+    pub fn lacked(&self, known: Option<u64>) -> PeerMessage {
         let Some(changed) = known.and_then(|number| self.changes.since(number)) else {
             let all = self.gates.values().map(|(_, m)| m);
-            return Msg::Gates { whole: true, here: by_zone(all), gone: Vec::new() };
+            return PeerMessage::Gates { whole: true, here: by_zone(all), gone: Vec::new() };
         };
-        let places: BTreeMap<IpAddr, &Member> = self.gates.values().map(|(_, m)| (m.ip, m)).collect();
+        let places: BTreeMap<IpAddr, &NodeLocation> = self.gates.values().map(|(_, m)| (m.ip, m)).collect();
         let (mut here, mut gone) = (Vec::new(), Vec::new());
         for ip in changed {
             match places.get(ip) {
@@ -85,11 +85,11 @@
                 None => gone.push(*ip),
             }
         }
-        Msg::Gates { whole: false, here: by_zone(here.into_iter()), gone }
+        PeerMessage::Gates { whole: false, here: by_zone(here.into_iter()), gone }
     }
 }
 
-fn by_zone<'a>(members: impl Iterator<Item = &'a Member>) -> Vec<(String, Vec<IpAddr>)> {
+fn by_zone<'a>(members: impl Iterator<Item = &'a NodeLocation>) -> Vec<(String, Vec<IpAddr>)> {
     let mut zones: BTreeMap<&str, Vec<IpAddr>> = BTreeMap::new();
     for member in members {
         zones.entry(&member.zone).or_default().push(member.ip);
