--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -3,12 +3,12 @@
 //! came between. It must never give a whole configuration, or the list of workers, while out of touch with most of the
 //! core: whoever has just started would take it for the newest.
 
-use super::in_flight_window::{weight, Window};
-use super::{Conn, Core, Effect, TICK};
-use crate::configuration::Item;
+use super::in_flight_window::{weight, InFlightWindow};
+use super::{ConnectionId, CoreNode, Effect, TICK};
+use crate::configuration::ConfigItem;
 use crate::consensus::Index;
 use crate::discovery::registry::Worker;
-use crate::protocol::{Member, Msg};
+use crate::protocol::{NodeLocation, PeerMessage};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
@@ -31,11 +31,11 @@
 
 /// Who is at the other end of a connection.
 #[derive(Clone, Debug)]
-pub(super) struct Caller {
+pub(super) struct PeerSession {
     pub(super) node: String,
     pub(super) life: u64,
     pub(super) member: Option<IpAddr>,
-    link: Window,
+    link: InFlightWindow,
     /// The configuration and the digest of workers that it holds, as it said last.
     holds: Option<(u64, u64)>,
     /// Does its configuration go on from what is applied here?
@@ -54,19 +54,19 @@
 
 /// How fast gatekeepers are told what is large.
 #[derive(Default)]
-pub(super) struct Pace {
+pub(super) struct TransferPacing {
     /// Bytes of whole states that may yet be begun in this tick.
     wholes: f64,
     /// Bytes under way.
     under_way: usize,
     /// The connection that the list of gatekeepers was told on last.
-    listed: Conn,
+    listed: ConnectionId,
     /// Bytes of it that may yet be said in this tick.
     lists: f64,
 }
 
 /// What this machine may tell at a moment.
-struct Leave {
+struct SendPermissions {
     /// Whole states?
     whole: bool,
     /// What is news?
@@ -75,30 +75,30 @@
     most: usize,
 }
 
-impl Core {
+impl CoreNode {
     /// Somebody says who it is.
     pub(super) fn hello(
         &mut self,
         now: f64,
-        conn: Conn,
+        conn: ConnectionId,
         (node, life, core): (String, u64, bool),
-        me: Member,
+        me: NodeLocation,
         out: &mut Vec<Effect>,
     ) {
         let member = core.then_some(me.ip);
         self.tell_members(out);
-        out.push(Effect::Return(conn, Msg::Members(self.shared.told())));
+        out.push(Effect::Return(conn, PeerMessage::Members(self.shared.told())));
         if core {
             self.meet(vec![me], out);
         } else {
             self.gates.meet(now, &node, me);
         }
         // What a gatekeeper holds comes with its first ping.
-        let caller = Caller {
+        let caller = PeerSession {
             node,
             life,
             member,
-            link: Window::default(),
+            link: InFlightWindow::default(),
             holds: None,
             told: false,
             behind: 0,
@@ -120,18 +120,18 @@
         }
     }
 
-    fn leave(&self, now: f64) -> Leave {
+    fn leave(&self, now: f64) -> SendPermissions {
         let news = self.shared.majority(now);
         let whole = news && self.raft.is_attached(self.shared.ms(now));
         let most = self.shared.settings.memory as usize / MEMORY_PART / self.callers.len().max(1);
-        Leave { whole, news, most: most.max(LEAST) }
+        SendPermissions { whole, news, most: most.max(LEAST) }
     }
 
     /// A ping: its sender hears what it lacks, who holds the counter, and whether it knows all workers.
     pub(super) fn pinged(
         &mut self,
         now: f64,
-        conn: Conn,
+        conn: ConnectionId,
         (config, workers, heard): (u64, u64, u64),
         out: &mut Vec<Effect>,
     ) {
@@ -140,7 +140,7 @@
         let settled = leave.whole && self.roster.settled(now);
         let Some(caller) = self.callers.get_mut(&conn) else { return };
         if caller.member.is_some() {
-            out.push(Effect::Return(conn, Msg::Ping { config: mine.0, workers: mine.1, heard: 0 }));
+            out.push(Effect::Return(conn, PeerMessage::Ping { config: mine.0, workers: mine.1, heard: 0 }));
             return;
         }
         caller.link.hears(heard);
@@ -163,7 +163,7 @@
             tracing::info!(gate = caller.node, "tells all workers to a gatekeeper that differs");
             caller.whole = (now, (2.0 * every).min(WHOLE_LAST));
             let workers = self.roster.registry.all().cloned().collect();
-            out.push(Effect::Return(conn, Msg::AllWorkers { workers, settled }));
+            out.push(Effect::Return(conn, PeerMessage::AllWorkers { workers, settled }));
         }
         self.serve(conn, &leave, out);
         let young = now - self.shared.started < COUNT_AFTER;
@@ -175,11 +175,11 @@
         };
         let core = self.shared.voters.len() as u32;
         let settled = settled && self.callers.get(&conn).is_some_and(|c| c.workers == Some(last));
-        out.push(Effect::Return(conn, Msg::Pong { holder, gates, core, settled }));
+        out.push(Effect::Return(conn, PeerMessage::Pong { holder, gates, core, settled }));
     }
 
     /// What a gatekeeper lacks, as far as its connection takes it.
-    fn serve(&mut self, conn: Conn, leave: &Leave, out: &mut Vec<Effect>) {
+    fn serve(&mut self, conn: ConnectionId, leave: &SendPermissions, out: &mut Vec<Effect>) {
         let mine = (self.keeper.state.index(), self.roster.registry.digest(), self.roster.last());
         let (Some(caller), last) = (self.callers.get_mut(&conn), mine.2) else { return };
         let Some((config, workers)) = caller.holds else { return };
@@ -194,7 +194,7 @@
             // Those that can't be told any more are told by the whole list.
             let news = self.roster.since(known);
             caller.workers = news.is_some().then_some(last);
-            out.extend(news.map(|workers| Effect::Return(conn, Msg::Workers(workers))));
+            out.extend(news.map(|workers| Effect::Return(conn, PeerMessage::Workers(workers))));
         }
         let lacks = !caller.told || caller.workers.is_none();
         let most = self.shared.settings.memory as usize / MEMORY_PART;
@@ -205,14 +205,14 @@
         let mut whole = Vec::new();
         let state = &self.keeper.state;
         if !std::mem::replace(&mut caller.told, true) && !state.is_empty() {
-            let items: Vec<Item> = state.standing().map(|i| (**i).clone()).collect();
-            whole.push(Msg::Config { from: None, index: state.index(), items });
+            let items: Vec<ConfigItem> = state.standing().map(|i| (**i).clone()).collect();
+            whole.push(PeerMessage::Config { from: None, index: state.index(), items });
         }
         if caller.workers.is_none() {
             caller.workers = Some(last);
             // Who lives and is not among them may be known elsewhere: none is taken away by this.
             let workers = self.roster.registry.all().cloned().collect();
-            whole.push(Msg::AllWorkers { workers, settled: false });
+            whole.push(PeerMessage::AllWorkers { workers, settled: false });
         }
         let bytes: usize = whole.iter().map(weight).sum();
         self.pace.wholes -= bytes as f64;
@@ -233,7 +233,9 @@
             };
             let news = lacked.entry(known).or_insert_with(|| self.roster.since(known));
             caller.workers = news.is_some().then_some(last);
-            out.extend(news.iter().map(|workers| Effect::Return(*conn, Msg::Workers(workers.clone()))));
+            out.extend(
+                news.iter().map(|workers| Effect::Return(*conn, PeerMessage::Workers(workers.clone()))),
+            );
         }
     }
 
@@ -242,11 +244,11 @@
         &mut self,
         before: Index,
         index: Index,
-        items: Vec<Item>,
+        items: Vec<ConfigItem>,
         out: &mut Vec<Effect>,
     ) {
         let most = self.leave(self.shared.now).most;
-        let msg = Msg::Config { from: Some(before), index, items };
+        let msg = PeerMessage::Config { from: Some(before), index, items };
         for (conn, caller) in self.callers.iter_mut().filter(|(_, c)| c.member.is_none() && c.told) {
             caller.told = caller.link.has_room(most);
             if caller.told {
@@ -263,7 +265,7 @@
 
     fn serve_all(&mut self, now: f64, out: &mut Vec<Effect>) {
         let (leave, last) = (self.leave(now), self.roster.last());
-        let lacks = |c: &Caller| c.member.is_none() && (!c.told || c.workers.is_none_or(|n| n < last));
+        let lacks = |c: &PeerSession| c.member.is_none() && (!c.told || c.workers.is_none_or(|n| n < last));
         let lacking = self.callers.iter().filter(|(_, c)| lacks(c)).map(|(conn, _)| *conn);
         for conn in lacking.collect::<Vec<_>>() {
             self.serve(conn, &leave, out);
@@ -284,9 +286,9 @@
     fn tell_list(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.pace.lists = (self.pace.lists + LISTS * TICK).min(LISTS * TICK);
         let (most, last, from) = (self.leave(now).most, self.gates.last(), self.pace.listed);
-        let behind = |c: &Caller| c.member.is_none() && c.gates != Some(last) && c.link.has_room(most);
+        let behind = |c: &PeerSession| c.member.is_none() && c.gates != Some(last) && c.link.has_room(most);
         let turn = self.callers.range(from + 1..).chain(self.callers.range(..=from));
-        let turn: Vec<Conn> = turn.filter(|(_, c)| behind(c)).map(|(conn, _)| *conn).collect();
+        let turn: Vec<ConnectionId> = turn.filter(|(_, c)| behind(c)).map(|(conn, _)| *conn).collect();
         for conn in turn {
             if self.pace.lists <= 0.0 {
                 return;
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -1,11 +1,11 @@
 //! What gatekeepers are told of core machines.
 
-use super::super::{Command, Conn, Core, Effect, Event, TICK};
-use crate::data_plane::{self, Edge};
-use crate::discovery::registry::{Phase, Worker};
-use crate::protocol::{encode, Member, Msg};
+use super::super::{ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
+use crate::data_plane::{self, EdgeNode};
+use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::protocol::{encode, NodeLocation, PeerMessage};
 use crate::settings::Settings;
-use crate::storage::Held;
+use crate::storage::LoadedState;
 use googletest::prelude::*;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -15,15 +15,15 @@
     [10, 0, 1, n].into()
 }
 
-fn hello(node: &str, at: IpAddr, core: bool) -> Msg {
-    let me = Member { ip: at, zone: "a".into(), region: "r".into() };
-    Msg::Hello { node: node.into(), life: 1, me, core }
+fn hello(node: &str, at: IpAddr, core: bool) -> PeerMessage {
+    let me = NodeLocation { ip: at, zone: "a".into(), region: "r".into() };
+    PeerMessage::Hello { node: node.into(), life: 1, me, core }
 }
 
 /// Core machines that the gatekeeper on connection 1 is told of by these.
 fn told(out: &[Effect]) -> Vec<IpAddr> {
     let of = |effect: &Effect| match effect {
-        Effect::Return(1, Msg::Members(members)) => members.iter().map(|m| m.ip).collect(),
+        Effect::Return(1, PeerMessage::Members(members)) => members.iter().map(|m| m.ip).collect(),
         _ => Vec::new(),
     };
     out.iter().flat_map(of).collect()
@@ -35,8 +35,8 @@
 fn a_gatekeeper_hears_of_machines_that_are_heard_after_it_came() {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.seeds, settings.cold_start) = (ip(3), vec![(ip(3), 80).into()], false);
-    let held = Held { disk: 7, fresh: true, ..Held::default() };
-    let mut core = Core::new(1000.0, settings, held).expect("a core");
+    let held = LoadedState { disk: 7, fresh: true, ..LoadedState::default() };
+    let mut core = CoreNode::new(1000.0, settings, held).expect("a core");
     let mut out = Vec::new();
     core.start(&mut out);
     core.handle(1000.0, Event::Inbound(1, hello("edge-0", [10, 0, 2, 1].into(), false)), &mut out);
@@ -47,7 +47,7 @@
     }
     out.clear();
     for n in [1, 2] {
-        core.handle(1000.2, Event::Peer(ip(n), Msg::Held { ask: 0 }), &mut out);
+        core.handle(1000.2, Event::Peer(ip(n), PeerMessage::Held { ask: 0 }), &mut out);
     }
     let ticks = |from: f64| (1..=10).map(move |n| from + f64::from(n) * TICK);
     for now in ticks(1000.2) {
@@ -65,19 +65,19 @@
 /// A core machine and gatekeepers beside it, with what is said between them counted in bytes.
 struct Cell {
     now: f64,
-    core: Core,
+    core: CoreNode,
     edges: Vec<Gate>,
-    next: Conn,
+    next: ConnectionId,
     /// Bytes that the core said to gatekeepers, by the message's kind.
     said: BTreeMap<&'static str, usize>,
 }
 
 struct Gate {
-    edge: Edge,
-    conn: Conn,
+    edge: EdgeNode,
+    conn: ConnectionId,
     /// What was said to it waits: it does not read.
     lags: bool,
-    waits: Vec<Msg>,
+    waits: Vec<PeerMessage>,
 }
 
 fn settings() -> Settings {
@@ -86,13 +86,13 @@
     settings
 }
 
-fn kind(msg: &Msg) -> &'static str {
+fn kind(msg: &PeerMessage) -> &'static str {
     match msg {
-        Msg::Config { from: None, .. } => "configuration",
-        Msg::Config { .. } => "change",
-        Msg::Workers(_) => "news",
-        Msg::AllWorkers { .. } => "workers",
-        Msg::Gates { .. } => "gatekeepers",
+        PeerMessage::Config { from: None, .. } => "configuration",
+        PeerMessage::Config { .. } => "change",
+        PeerMessage::Workers(_) => "news",
+        PeerMessage::AllWorkers { .. } => "workers",
+        PeerMessage::Gates { .. } => "gatekeepers",
         _ => "other",
     }
 }
@@ -104,7 +104,7 @@
         address: ([10, 9, (n >> 8) as u8, n as u8], 80).into(),
         zone: "a".into(),
         capacity: 1,
-        phase: Phase::Settled,
+        phase: WorkerPhase::Settled,
         warmup_ms: 0,
         calls,
     }
@@ -112,7 +112,7 @@
 
 impl Cell {
     fn new() -> Self {
-        let core = Core::new(1000.0, settings(), Held::default()).expect("a core");
+        let core = CoreNode::new(1000.0, settings(), LoadedState::default()).expect("a core");
         let mut cell = Cell { now: 1000.0, core, edges: Vec::new(), next: 1, said: BTreeMap::new() };
         let mut out = Vec::new();
         cell.core.start(&mut out);
@@ -165,7 +165,7 @@
             settings.node = format!("edge-{n}");
             settings.ip = [10, 1, (n >> 8) as u8, n as u8].into();
             settings.seeds.push((ip(2), 80).into());
-            let mut edge = Edge::new(settings, n as u64 + 1);
+            let mut edge = EdgeNode::new(settings, n as u64 + 1);
             edge.start(&mut Vec::new());
             self.edges.push(Gate { edge, conn, lags: false, waits: Vec::new() });
             n
@@ -203,7 +203,7 @@
             "route_set": { "columns": of, "records": routes },
         }});
         let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
-        self.event(Event::Call(1, Command::Amend(items)));
+        self.event(Event::Call(1, ApiCommand::Amend(items)));
     }
 
     fn change(&mut self, version: u64) {
@@ -211,11 +211,11 @@
             "columns": ["label", "probe_path", "revision"], "records": [["s0", "/health", format!("r{version}")]],
         }}});
         let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
-        self.event(Event::Call(version, Command::Amend(items)));
+        self.event(Event::Call(version, ApiCommand::Amend(items)));
     }
 
     fn beats(&mut self, n: usize, calls: u64) {
-        self.event(Event::Call(1 << 20, Command::Beat(worker(n, calls))));
+        self.event(Event::Call(1 << 20, ApiCommand::Beat(worker(n, calls))));
     }
 
     fn said(&self, kind: &str) -> usize {
@@ -223,8 +223,8 @@
     }
 
     fn agree(&self) -> bool {
-        let of = |e: &Edge| match e.ping(ip(1)) {
-            Msg::Ping { config, workers, .. } => (config, workers),
+        let of = |e: &EdgeNode| match e.ping(ip(1)) {
+            PeerMessage::Ping { config, workers, .. } => (config, workers),
             _ => (0, 0),
         };
         let mine = (self.core.keeper.state.index(), self.core.roster.registry.digest());
@@ -331,19 +331,19 @@
     cell.said.clear();
     // Another core machine's news reaches the gatekeepers ahead of this one each time.
     for round in 0..200 {
-        let news = Msg::Workers(vec![worker(300 + round, 1)]);
+        let news = PeerMessage::Workers(vec![worker(300 + round, 1)]);
         for n in 0..5 {
             cell.tell(n, data_plane::Event::Core(ip(2), news.clone()));
         }
         cell.play(TICK);
-        cell.event(Event::Call(1 << 20, Command::Beat(worker(300 + round, 1))));
+        cell.event(Event::Call(1 << 20, ApiCommand::Beat(worker(300 + round, 1))));
         (0..300).for_each(|n| cell.beats(n, 2 + round as u64));
     }
     cell.play(2.0);
     expect_that!(cell.agree(), eq(true));
     expect_that!(cell.said("workers"), eq(0));
     // One that holds a worker which nobody knows is told all, once.
-    cell.tell(0, data_plane::Event::Core(ip(2), Msg::Workers(vec![worker(9999, 1)])));
+    cell.tell(0, data_plane::Event::Core(ip(2), PeerMessage::Workers(vec![worker(9999, 1)])));
     cell.play(5.0);
     expect_that!(cell.agree(), eq(true));
     expect_that!(cell.said("workers"), all![gt(0), lt(100 * 600)]);
--- a/crates/gateway/src/control_plane/event_journal.rs
+++ b/crates/gateway/src/control_plane/event_journal.rs
@@ -2,19 +2,19 @@
 //! it happened. The lists of items and workers are views folded from it; of what was folded the newest part is kept,
 //! for whoever asks what this process did. It must never decide anything, nor grow without bound.
 
-use crate::configuration::Item;
-use crate::discovery::registry::{Merge, Phase, Registry, Worker};
+use crate::configuration::ConfigItem;
+use crate::discovery::registry::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
 /// Entries that are kept.
-pub(crate) const KEPT: usize = 2000;
+pub(crate) const MAX_EVENTS: usize = 2000;
 
 /// Something that happened.
 #[derive(Clone, Debug)]
-pub enum Fact {
+pub enum JournalEvent {
     /// An item was heard of, by a call or from another core machine.
-    Item(Item),
+    Item(ConfigItem),
     /// A worker was heard of.
     Worker(Worker),
     /// A call was judged invalid.
@@ -35,65 +35,65 @@
     Away(f64),
 }
 
-impl Fact {
+impl JournalEvent {
     fn tell(&self) -> Value {
         match self {
-            Fact::Item(i) => {
+            JournalEvent::Item(i) => {
                 json!({ "item": i.label, "list": i.kind.list(), "revision": format!("r{}", i.version), "dropped": i.body.is_none() })
             }
-            Fact::Worker(w) => {
+            JournalEvent::Worker(w) => {
                 json!({ "worker": &*w.id, "service_ref": &*w.service, "phase": phase(w.phase), "call_count": w.calls })
             }
-            Fact::Refused(why) => json!({ "refused": why }),
-            Fact::Acknowledged(copies) => json!({ "acknowledged": true, "copies": copies }),
-            Fact::Unanswered(what) => json!({ "too_few_in_time": what }),
-            Fact::Holds(holds) => json!({ "holds_counter": holds }),
-            Fact::CaughtUp => json!({ "caught_up": true }),
-            Fact::Leads(leads, term) => json!({ "leads": leads, "term": term }),
-            Fact::Voters(who) => json!({ "voters": who }),
-            Fact::Away(seconds) => json!({ "was_away_s": seconds }),
+            JournalEvent::Refused(why) => json!({ "refused": why }),
+            JournalEvent::Acknowledged(copies) => json!({ "acknowledged": true, "copies": copies }),
+            JournalEvent::Unanswered(what) => json!({ "too_few_in_time": what }),
+            JournalEvent::Holds(holds) => json!({ "holds_counter": holds }),
+            JournalEvent::CaughtUp => json!({ "caught_up": true }),
+            JournalEvent::Leads(leads, term) => json!({ "leads": leads, "term": term }),
+            JournalEvent::Voters(who) => json!({ "voters": who }),
+            JournalEvent::Away(seconds) => json!({ "was_away_s": seconds }),
         }
     }
 }
 
-fn phase(phase: Phase) -> &'static str {
+fn phase(phase: WorkerPhase) -> &'static str {
     match phase {
-        Phase::Settled => "settled",
-        Phase::Decaying => "decaying",
-        Phase::Silent => "silent",
-        Phase::Gone => "gone",
+        WorkerPhase::Settled => "settled",
+        WorkerPhase::Decaying => "decaying",
+        WorkerPhase::Silent => "silent",
+        WorkerPhase::Gone => "gone",
     }
 }
 
 /// What happened, the newest last.
 #[derive(Default)]
-pub struct Journal {
-    facts: VecDeque<(u64, f64, Fact)>,
+pub struct EventJournal {
+    facts: VecDeque<(u64, f64, JournalEvent)>,
     appended: u64,
 }
 
-impl Journal {
+impl EventJournal {
     /// Something happened at `now`.
-    pub fn append(&mut self, now: f64, fact: Fact) {
+    pub fn append(&mut self, now: f64, fact: JournalEvent) {
         self.appended += 1;
         self.facts.push_back((self.appended, now, fact));
-        while self.facts.len() > KEPT {
+        while self.facts.len() > MAX_EVENTS {
             self.facts.pop_front();
         }
     }
 
     /// Appends a worker and folds it. What only says that it lives is not kept.
-    pub fn worker(&mut self, now: f64, worker: Worker, view: &mut Registry, keep: f64) -> Merge {
+    pub fn worker(&mut self, now: f64, worker: Worker, view: &mut WorkerRegistry, keep: f64) -> MergeOutcome {
         let merged = view.merge(now, worker.clone(), keep);
-        if merged == Merge::Changed {
-            self.append(now, Fact::Worker(worker));
+        if merged == MergeOutcome::Changed {
+            self.append(now, JournalEvent::Worker(worker));
         }
         merged
     }
 
     /// What is kept, with ages in seconds.
     pub fn tell(&self, now: f64) -> Value {
-        let entry = |(number, at, fact): &(u64, f64, Fact)| {
+        let entry = |(number, at, fact): &(u64, f64, JournalEvent)| {
             let mut told = fact.tell();
             (told["number"], told["age_s"]) = (json!(number), json!(((now - at) * 1e3).round() / 1e3));
             told
--- a/crates/gateway/src/control_plane/in_flight_window.rs
+++ b/crates/gateway/src/control_plane/in_flight_window.rs
@@ -1,12 +1,12 @@
 //! Owns how much was said on a connection that is not known to be heard. The other side tells how many messages it has
 //! heard; each counts them from the connection's start. It must never let one that lags be filled further.
 
-use crate::protocol::Msg;
+use crate::protocol::PeerMessage;
 use std::collections::VecDeque;
 
 /// What is on its way on one connection.
 #[derive(Clone, Debug, Default)]
-pub struct Window {
+pub struct InFlightWindow {
     said: u64,
     heard: u64,
     /// The last message that told of workers.
@@ -16,29 +16,31 @@
 }
 
 /// About how many bytes a message takes, where it can be large.
-pub fn weight(msg: &Msg) -> usize {
+pub fn weight(msg: &PeerMessage) -> usize {
     match msg {
-        Msg::Config { items, .. } => 200 * items.len(),
-        Msg::Workers(workers) | Msg::AllWorkers { workers, .. } => 100 * workers.len(),
-        Msg::Gates { here, gone, .. } => 12 * (here.iter().map(|z| z.1.len()).sum::<usize>() + gone.len()),
+        PeerMessage::Config { items, .. } => 200 * items.len(),
+        PeerMessage::Workers(workers) | PeerMessage::AllWorkers { workers, .. } => 100 * workers.len(),
+        PeerMessage::Gates { here, gone, .. } => {
+            12 * (here.iter().map(|z| z.1.len()).sum::<usize>() + gone.len())
+        }
         _ => 0,
     }
 }
 
 /// Is this a whole state?
-fn is_whole(msg: &Msg) -> bool {
-    matches!(msg, Msg::Config { from: None, .. } | Msg::AllWorkers { .. })
+fn is_whole(msg: &PeerMessage) -> bool {
+    matches!(msg, PeerMessage::Config { from: None, .. } | PeerMessage::AllWorkers { .. })
 }
 
-impl Window {
+impl InFlightWindow {
     /// This is said.
-    pub fn says(&mut self, msg: &Msg) {
+    pub fn says(&mut self, msg: &PeerMessage) {
         self.said += 1;
         let (bytes, whole) = (weight(msg), is_whole(msg));
         if bytes > 0 || whole {
             self.under_way.push_back((self.said, bytes, whole));
         }
-        if matches!(msg, Msg::Workers(_) | Msg::AllWorkers { .. }) {
+        if matches!(msg, PeerMessage::Workers(_) | PeerMessage::AllWorkers { .. }) {
             self.workers = self.said;
         }
     }
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -19,43 +19,43 @@
 mod status;
 pub mod worker_membership;
 
-use crate::configuration::{Order, State};
+use crate::configuration::{ConfigChange, ConfigState};
 use crate::consensus::{NodeId, Raft};
-use crate::control_plane::event_journal::Fact;
-use crate::control_plane::quota_counter::Limit;
-use crate::discovery::registry::{Phase, Worker};
-use crate::protocol::share_ceilings::Shares;
-use crate::protocol::{Member, Msg, Wish};
+use crate::control_plane::event_journal::JournalEvent;
+use crate::control_plane::quota_counter::TenantLimit;
+use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::{NodeLocation, OperatorRequest, PeerMessage};
 use crate::settings::Settings;
-use crate::storage::{Held, Put};
-use configuration_service::Keeper;
-pub use context::Shared;
-use edge_directory::Directory;
-use edge_sessions::{Caller, Pace};
-use quota_lease::Seat;
+use crate::storage::{LoadedState, WriteBatch};
+use configuration_service::ConfigurationService;
+pub use context::CoreContext;
+use edge_directory::EdgeDirectory;
+use edge_sessions::{PeerSession, TransferPacing};
+use quota_lease::QuotaLease;
 pub use replicated_log::LogCommand;
-use replicated_log::LogSide;
+use replicated_log::LogDriver;
 use serde_json::{json, Value};
-use status::Standings;
+use status::MemberStates;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::sync::Arc;
-use worker_membership::Roster;
+use worker_membership::WorkerMembership;
 
 /// A connection that somebody opened to this process.
-pub type Conn = u64;
+pub type ConnectionId = u64;
 /// A call of a worker or an operator that waits for its answer.
 pub type CallId = u64;
 
 /// What a worker or an operator wants, decoded.
 #[derive(Clone, Debug)]
-pub enum Command {
+pub enum ApiCommand {
     /// A worker lives.
     Beat(Worker),
     /// A worker has left.
     Departure(String),
     /// Items change.
-    Amend(Vec<crate::configuration::Item>),
+    Amend(Vec<crate::configuration::ConfigItem>),
     /// A call that changes items can't be read: why. Refused like any other, only in touch with most of the core.
     Unreadable(String),
     /// Any other call that can't be read: why. Refused in the same way.
@@ -78,13 +78,13 @@
     /// It went down.
     LinkDown(IpAddr),
     /// A core machine said this on the connection that this process opened to it.
-    Peer(IpAddr, Msg),
+    Peer(IpAddr, PeerMessage),
     /// Somebody said this on a connection that it opened.
-    Inbound(Conn, Msg),
+    Inbound(ConnectionId, PeerMessage),
     /// It closed that connection.
-    Closed(Conn),
+    Closed(ConnectionId),
     /// A worker or an operator calls.
-    Call(CallId, Command),
+    Call(CallId, ApiCommand),
     /// What was to be persisted under this number is synced, and all before it.
     Disk(u64),
     /// This process is asked to end.
@@ -99,13 +99,13 @@
     /// It is gone for good: no more.
     Disconnect(IpAddr),
     /// Say this on it.
-    Send(IpAddr, Msg),
+    Send(IpAddr, PeerMessage),
     /// Say this on a connection that somebody opened.
-    Return(Conn, Msg),
+    Return(ConnectionId, PeerMessage),
     /// Answer a call.
     Reply(CallId, u16, Value),
     /// Write and sync, in this order.
-    Persist(Put),
+    Persist(WriteBatch),
 }
 
 /// Seconds between two ticks.
@@ -118,39 +118,39 @@
 const FORGET_EVERY: f64 = 5.0;
 
 /// Answer of a call that was not taken.
-pub fn fault(text: impl ToString) -> Value {
+pub fn error_body(text: impl ToString) -> Value {
     json!({ "fault": text.to_string() })
 }
 
 /// The configuration in a snapshot of the log.
-pub fn snapshot_state(data: &[u8]) -> Result<State, String> {
+pub fn snapshot_state(data: &[u8]) -> Result<ConfigState, String> {
     Ok(snapshot::decode(data)?.0)
 }
 
 /// The core role.
-pub struct Core {
+pub struct CoreNode {
     /// What its parts share.
-    pub shared: Shared,
+    pub shared: CoreContext,
     /// The replicated log.
     pub raft: Raft<LogCommand>,
     /// Configuration.
-    pub keeper: Keeper,
+    pub keeper: ConfigurationService,
     /// Workers.
-    pub roster: Roster,
+    pub roster: WorkerMembership,
     /// The counter.
-    pub seat: Seat,
+    pub seat: QuotaLease,
     /// The last record of shares that is applied.
-    record: Option<Arc<Shares>>,
-    log_side: LogSide,
-    callers: BTreeMap<Conn, Caller>,
+    record: Option<Arc<ShareCeilings>>,
+    log_side: LogDriver,
+    callers: BTreeMap<ConnectionId, PeerSession>,
     /// Core machines that callers were told of last.
-    told: Vec<Member>,
+    told: Vec<NodeLocation>,
     /// Gatekeepers.
-    gates: Directory,
-    pace: Pace,
+    gates: EdgeDirectory,
+    pace: TransferPacing,
     /// Core machines to which a connection stands.
     connected: BTreeSet<IpAddr>,
-    standings: Standings,
+    standings: MemberStates,
     ticked: f64,
     pinged: f64,
     forgot: f64,
@@ -158,32 +158,32 @@
     pub broken: Option<String>,
 }
 
-impl Core {
+impl CoreNode {
     /// Starts with what its disk holds.
-    pub fn new(now: f64, settings: Settings, held: Held) -> Result<Self, String> {
-        let shared = Shared::new(now, settings);
+    pub fn new(now: f64, settings: Settings, held: LoadedState) -> Result<Self, String> {
+        let shared = CoreContext::new(now, settings);
         let (state, record) = match &held.raft.snapshot {
             Some(held) if !held.data.is_empty() => snapshot::decode(&held.data)?,
-            _ => (State::default(), None),
+            _ => (ConfigState::default(), None),
         };
         let applied = held.raft.snapshot.as_ref().map_or(0, |s| s.index);
         let snapshot = held.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
         let me = NodeId { ip: shared.me.ip, disk: held.disk };
         let blank = held.raft.log.is_empty() && held.raft.snapshot.is_none();
         let raft = Raft::new(shared.ms(now), me, held.raft, replicated_log::tuning(&shared.settings));
-        let mut core = Core {
-            keeper: Keeper::new(state, applied),
-            roster: Roster::new(&shared.settings, now, held.workers),
-            seat: Seat::new(&shared.settings),
+        let mut core = CoreNode {
+            keeper: ConfigurationService::new(state, applied),
+            roster: WorkerMembership::new(&shared.settings, now, held.workers),
+            seat: QuotaLease::new(&shared.settings),
             raft,
             record,
-            log_side: LogSide::default(),
+            log_side: LogDriver::default(),
             callers: BTreeMap::new(),
             told: Vec::new(),
-            gates: Directory::default(),
-            pace: Pace::default(),
+            gates: EdgeDirectory::default(),
+            pace: TransferPacing::default(),
             connected: BTreeSet::new(),
-            standings: Standings::default(),
+            standings: MemberStates::default(),
             ticked: now,
             pinged: f64::NEG_INFINITY,
             forgot: now,
@@ -247,22 +247,22 @@
 
     fn link_up(&mut self, ip: IpAddr, out: &mut Vec<Effect>) {
         self.connected.insert(ip);
-        let hello = Msg::Hello {
+        let hello = PeerMessage::Hello {
             node: self.shared.settings.node.clone(),
             life: self.shared.life(),
             me: self.shared.me.clone(),
             core: true,
         };
         out.push(Effect::Send(ip, hello));
-        out.push(Effect::Send(ip, Msg::Members(self.shared.told())));
+        out.push(Effect::Send(ip, PeerMessage::Members(self.shared.told())));
         let workers: Vec<Worker> = self.roster.registry.all().cloned().collect();
         if !workers.is_empty() {
-            out.push(Effect::Send(ip, Msg::AllWorkers { workers, settled: false }));
+            out.push(Effect::Send(ip, PeerMessage::AllWorkers { workers, settled: false }));
         }
     }
 
     /// Core machines are known, or more of them than before.
-    fn meet(&mut self, members: Vec<Member>, out: &mut Vec<Effect>) {
+    fn meet(&mut self, members: Vec<NodeLocation>, out: &mut Vec<Effect>) {
         let mut news = false;
         for m in members {
             let (ip, zone) = (m.ip, m.zone.clone());
@@ -283,20 +283,20 @@
         let all = self.shared.told();
         if all != self.told {
             for conn in self.callers.keys() {
-                out.push(Effect::Return(*conn, Msg::Members(all.clone())));
+                out.push(Effect::Return(*conn, PeerMessage::Members(all.clone())));
             }
             self.told = all;
         }
     }
 
     /// What a core machine says on the connection that this process opened.
-    fn peer(&mut self, now: f64, ip: IpAddr, msg: Msg, out: &mut Vec<Effect>) {
+    fn peer(&mut self, now: f64, ip: IpAddr, msg: PeerMessage, out: &mut Vec<Effect>) {
         self.shared.heard.insert(ip, now);
         match msg {
-            Msg::Members(members) => self.meet(members, out),
-            Msg::Held { ask } => self.roster.held(ip, ask, &self.shared, out),
-            Msg::Ping { workers, .. } => self.digest(now, ip, workers, out),
-            Msg::Forwarded { ask, answer } => self.keeper.told(ask, answer, &mut self.shared, out),
+            PeerMessage::Members(members) => self.meet(members, out),
+            PeerMessage::Held { ask } => self.roster.held(ip, ask, &self.shared, out),
+            PeerMessage::Ping { workers, .. } => self.digest(now, ip, workers, out),
+            PeerMessage::Forwarded { ask, answer } => self.keeper.told(ask, answer, &mut self.shared, out),
             _ => {}
         }
     }
@@ -305,12 +305,12 @@
     fn digest(&mut self, now: f64, ip: IpAddr, workers: u64, out: &mut Vec<Effect>) {
         if self.roster.differs(now, ip, workers) {
             let workers = self.roster.registry.all().cloned().collect();
-            out.push(Effect::Send(ip, Msg::AllWorkers { workers, settled: false }));
+            out.push(Effect::Send(ip, PeerMessage::AllWorkers { workers, settled: false }));
         }
     }
 
-    fn inbound(&mut self, now: f64, conn: Conn, msg: Msg, out: &mut Vec<Effect>) {
-        if let Msg::Hello { node, life, me, core } = msg {
+    fn inbound(&mut self, now: f64, conn: ConnectionId, msg: PeerMessage, out: &mut Vec<Effect>) {
+        if let PeerMessage::Hello { node, life, me, core } = msg {
             return self.hello(now, conn, (node, life, core), me, out);
         }
         let Some(caller) = self.callers.get(&conn).cloned() else { return };
@@ -318,36 +318,40 @@
             self.gates.heard(now, &caller.node);
         }
         match msg {
-            Msg::Members(members) => self.meet(members, out),
-            Msg::Raft { from, to, message } => self.log_says(now, (from, to), message, out),
-            Msg::Join { id, passed } => self.wants_to_join(now, id, passed, out),
-            Msg::Leave { id } => {
+            PeerMessage::Members(members) => self.meet(members, out),
+            PeerMessage::Raft { from, to, message } => self.log_says(now, (from, to), message, out),
+            PeerMessage::Join { id, passed } => self.wants_to_join(now, id, passed, out),
+            PeerMessage::Leave { id } => {
                 let ms = self.shared.ms(now);
                 self.raft.leave(ms, id);
                 self.log_out(now, out);
             }
-            Msg::Forward { ask, wish } => {
+            PeerMessage::Forward { ask, wish } => {
                 let parts = (&mut self.raft, &mut self.shared);
                 self.keeper.forwarded(now, (conn, ask), wish, parts, out);
                 self.log_out(now, out);
             }
-            Msg::Workers(workers) | Msg::AllWorkers { workers, .. } => self.news(now, workers, false, out),
-            Msg::Hold { ask, workers } => {
+            PeerMessage::Workers(workers) | PeerMessage::AllWorkers { workers, .. } => {
+                self.news(now, workers, false, out)
+            }
+            PeerMessage::Hold { ask, workers } => {
                 self.news(now, workers, false, out);
-                out.push(Effect::Return(conn, Msg::Held { ask }));
+                out.push(Effect::Return(conn, PeerMessage::Held { ask }));
             }
-            Msg::Alive(heard) => {
+            PeerMessage::Alive(heard) => {
                 // Some may be unknown here: the digests will differ, and the whole list comes.
                 self.roster.alive(now, &heard);
             }
-            Msg::Ping { config, workers, heard } => self.pinged(now, conn, (config, workers, heard), out),
-            Msg::Sync { ask, term, charges } => {
+            PeerMessage::Ping { config, workers, heard } => {
+                self.pinged(now, conn, (config, workers, heard), out)
+            }
+            PeerMessage::Sync { ask, term, charges } => {
                 let limits = |name: &str| limit(&self.keeper.state, name);
                 let lease = self.raft.holds_lease(self.shared.ms(now)).then(|| self.raft.term());
                 let gate = (caller.node.as_str(), caller.life);
                 let totals = self.seat.sync(now, lease, gate, term, &charges, &limits);
                 let (held, totals, term) = (totals.is_some(), totals.unwrap_or_default(), self.raft.term());
-                out.push(Effect::Return(conn, Msg::Totals { ask, term, held, totals }));
+                out.push(Effect::Return(conn, PeerMessage::Totals { ask, term, held, totals }));
             }
             _ => {}
         }
@@ -364,7 +368,7 @@
         let tell = if first { changed } else { contested };
         if !tell.is_empty() {
             let peers = self.shared.peers();
-            out.extend(peers.into_iter().map(|ip| Effect::Send(ip, Msg::Workers(tell.clone()))));
+            out.extend(peers.into_iter().map(|ip| Effect::Send(ip, PeerMessage::Workers(tell.clone()))));
         }
     }
 
@@ -372,25 +376,29 @@
     fn persist_workers(&mut self, workers: &[Worker], out: &mut Vec<Effect>) {
         if !workers.is_empty() {
             let number = self.shared.number();
-            out.push(Effect::Persist(Put { number, workers: workers.to_vec(), ..Put::default() }));
+            out.push(Effect::Persist(WriteBatch {
+                number,
+                workers: workers.to_vec(),
+                ..WriteBatch::default()
+            }));
         }
     }
 
-    fn call(&mut self, now: f64, call: CallId, command: Command, out: &mut Vec<Effect>) {
+    fn call(&mut self, now: f64, call: CallId, command: ApiCommand, out: &mut Vec<Effect>) {
         let wish = match command {
-            Command::Amend(items) => Wish::Amend(Order::new(items)),
-            Command::Unreadable(why) => Wish::Refuse(why),
-            Command::Read => Wish::Read,
-            Command::Journal => return out.push(Effect::Reply(call, 200, self.shared.journal.tell(now))),
-            Command::Status => return out.push(Effect::Reply(call, 200, self.status(now))),
-            Command::Beat(_) | Command::Departure(_) | Command::Malformed(_)
+            ApiCommand::Amend(items) => OperatorRequest::Amend(ConfigChange::new(items)),
+            ApiCommand::Unreadable(why) => OperatorRequest::Refuse(why),
+            ApiCommand::Read => OperatorRequest::Read,
+            ApiCommand::Journal => return out.push(Effect::Reply(call, 200, self.shared.journal.tell(now))),
+            ApiCommand::Status => return out.push(Effect::Reply(call, 200, self.status(now))),
+            ApiCommand::Beat(_) | ApiCommand::Departure(_) | ApiCommand::Malformed(_)
                 if !self.shared.majority(now) =>
             {
-                return out.push(Effect::Reply(call, 503, fault("out of touch with most of the core")));
+                return out.push(Effect::Reply(call, 503, error_body("out of touch with most of the core")));
             }
-            Command::Malformed(why) => return out.push(Effect::Reply(call, 400, fault(why))),
-            Command::Beat(worker) => {
-                let leaving = worker.phase != Phase::Settled;
+            ApiCommand::Malformed(why) => return out.push(Effect::Reply(call, 400, error_body(why))),
+            ApiCommand::Beat(worker) => {
+                let leaving = worker.phase != WorkerPhase::Settled;
                 self.news(now, vec![worker.clone()], true, out);
                 self.roster.refreshed(&worker);
                 return match leaving {
@@ -398,7 +406,7 @@
                     false => out.push(Effect::Reply(call, 200, json!({}))),
                 };
             }
-            Command::Departure(id) => {
+            ApiCommand::Departure(id) => {
                 let Some(worker) = self.roster.departed(&id) else {
                     return out.push(self.departure_of_unknown(now, call));
                 };
@@ -413,7 +421,7 @@
     /// The answer to the departure of a worker that is not on the list here.
     fn departure_of_unknown(&self, now: f64, call: CallId) -> Effect {
         if self.shared.voters.len() > 1 && !self.roster.settled(now) {
-            return Effect::Reply(call, 503, fault("not every worker is known here yet"));
+            return Effect::Reply(call, 503, error_body("not every worker is known here yet"));
         }
         // Nobody knows it: nothing is to be taken away.
         Effect::Reply(call, 200, json!({}))
@@ -423,14 +431,14 @@
         if now - self.ticked > AWAY {
             // This process was away: others' silence tells nothing.
             tracing::warn!(seconds = now - self.ticked, "was not running");
-            self.shared.journal.append(now, Fact::Away(now - self.ticked));
+            self.shared.journal.append(now, JournalEvent::Away(now - self.ticked));
             self.roster.excuse(now);
         }
         self.ticked = now;
         if now - self.pinged >= PING {
             self.pinged = now;
             let (config, workers) = (self.keeper.state.index(), self.roster.registry.digest());
-            let ping = |ip| Effect::Send(ip, Msg::Ping { config, workers, heard: 0 });
+            let ping = |ip| Effect::Send(ip, PeerMessage::Ping { config, workers, heard: 0 });
             out.extend(self.shared.peers().into_iter().map(ping));
             self.tell_members(out);
             self.note_standings(now);
@@ -458,7 +466,7 @@
 
     /// Other settings from now on.
     pub fn retune(&mut self, settings: Settings, out: &mut Vec<Effect>) {
-        let blank = |ip| Member { ip, zone: String::new(), region: String::new() };
+        let blank = |ip| NodeLocation { ip, zone: String::new(), region: String::new() };
         let seeds = settings.seeds.iter().map(|s| blank(s.ip())).collect();
         self.raft.retune(replicated_log::tuning(&settings));
         self.shared.settings = settings;
@@ -469,8 +477,8 @@
 }
 
 /// The limits of a tenant, as configured.
-fn limit(state: &State, name: &str) -> Option<Limit> {
-    state.quota(name).map(|(rate, burst)| Limit { rate, burst })
+fn limit(state: &ConfigState, name: &str) -> Option<TenantLimit> {
+    state.quota(name).map(|(rate, burst)| TenantLimit { rate, burst })
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/control_plane/quota_counter/allocation.rs
+++ b/crates/gateway/src/control_plane/quota_counter/allocation.rs
@@ -15,7 +15,7 @@
 
 /// What one gatekeeper holds of one tenant.
 #[derive(Clone, Debug, Default)]
-pub struct Part {
+pub struct Allocation {
     /// Was it told by this life to this holder? Else it comes from the record.
     pub met: bool,
     /// Units charged, as last told.
@@ -38,7 +38,7 @@
 
 /// Sums over the parts of a tenant, kept so that no sync walks all gatekeepers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sums {
+pub struct AllocationTotals {
     /// Units granted and not charged yet.
     pub granted: i64,
     /// Standing shares of lives that this holder has met.
@@ -49,8 +49,8 @@
     pub asks: i64,
 }
 
-impl Sums {
-    pub fn count(&mut self, part: &Part, in_touch: bool, sign: i64) {
+impl AllocationTotals {
+    pub fn count(&mut self, part: &Allocation, in_touch: bool, sign: i64) {
         self.granted += sign * part.granted;
         if !part.met {
             self.strange += sign * fine(part.ceiling);
--- a/crates/gateway/src/control_plane/quota_counter/mod.rs
+++ b/crates/gateway/src/control_plane/quota_counter/mod.rs
@@ -17,15 +17,15 @@
 #[cfg(test)]
 mod totals_tests;
 
-use crate::protocol::share_ceilings::{GateShares, Shares};
-use crate::protocol::{Charge, Total};
-use allocation::{coarse, Part, Sums};
+use crate::protocol::share_ceilings::{EdgeCeilings, ShareCeilings};
+use crate::protocol::{TenantGrant, TenantUsage};
+use allocation::{coarse, Allocation, AllocationTotals};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// What the counter goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct QuotaCounterConfig {
     /// A gatekeeper that has not synced for so long spends its standing share, and no grants: seconds.
     pub overdue: f64,
     /// Standing shares lapse so long after the last sync: seconds.
@@ -34,24 +34,24 @@
     pub every: f64,
 }
 
-impl Terms {
+impl QuotaCounterConfig {
     /// From when on a gatekeeper may spend its standing share, if it stays silent. It counts from when it sent the last
     /// sync that it got an answer to, which may be the one before.
-    fn spends_from(&self, gate: &Gate) -> f64 {
+    fn spends_from(&self, gate: &EdgeAccount) -> f64 {
         gate.heard + (self.overdue - self.every - UNDER_WAY_S).max(0.0)
     }
 }
 
 /// A tenant's limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limit {
+pub struct TenantLimit {
     /// Units a second.
     pub rate: f64,
     /// Units on top.
     pub burst: f64,
 }
 
-impl Limit {
+impl TenantLimit {
     /// Length of a window: about burst over rate.
     pub fn window(&self) -> f64 {
         (self.burst / self.rate.max(1e-9)).clamp(0.5, 20.0)
@@ -59,7 +59,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Gate {
+struct EdgeAccount {
     life: u64,
     heard: f64,
     /// Up to when its standing shares are set aside.
@@ -68,7 +68,7 @@
     in_touch: bool,
     /// Parts that come from the record.
     unmet: usize,
-    parts: BTreeMap<TenantId, Part>,
+    parts: BTreeMap<TenantId, Allocation>,
 }
 
 /// A tenant's place in the counter's list.
@@ -99,7 +99,7 @@
 struct Tenant {
     name: Arc<str>,
     window: Option<Window>,
-    sums: Sums,
+    sums: AllocationTotals,
     brought: Brought,
     /// A gatekeeper brought a share that the record does not allow: it does not tell all.
     doubted: bool,
@@ -110,19 +110,19 @@
 
 /// Who held the counter before. What they granted is bounded by their own stores and may still be spent.
 #[derive(Clone, Copy, Debug)]
-pub enum Predecessors<'a> {
+pub enum PreviousLeaders<'a> {
     /// Nobody: all stores are full.
     None,
     /// Somebody, whose newest record among most of the core this is, of whatever age. Stores begin with one unit.
-    Recorded(&'a Shares),
+    Recorded(&'a ShareCeilings),
     /// Somebody whose record may be lost: until all other shares lapse, only what gatekeepers bring is granted.
     Unrecorded,
 }
 
 /// The counter, while this machine holds it.
 #[derive(Clone, Debug)]
-pub struct Counter {
-    terms: Terms,
+pub struct QuotaCounter {
+    terms: QuotaCounterConfig,
     term: u64,
     since: f64,
     ticked: f64,
@@ -132,7 +132,7 @@
     complete: bool,
     names: HashMap<Arc<str>, TenantId>,
     tenants: Vec<Tenant>,
-    gates: BTreeMap<Arc<str>, Gate>,
+    gates: BTreeMap<Arc<str>, EdgeAccount>,
     /// How many of them are in touch.
     in_touch: usize,
     /// Number of the last record; is there one; parts in it that most of the core may not keep yet.
@@ -144,20 +144,20 @@
     ended: BTreeSet<Arc<str>>,
 }
 
-impl Counter {
+impl QuotaCounter {
     /// Starts at `now`, in this term.
-    pub fn new(terms: Terms, term: u64, now: f64, predecessors: Predecessors) -> Self {
+    pub fn new(terms: QuotaCounterConfig, term: u64, now: f64, predecessors: PreviousLeaders) -> Self {
         let known = match predecessors {
-            Predecessors::Recorded(shares) => Some(shares),
-            Predecessors::None | Predecessors::Unrecorded => None,
+            PreviousLeaders::Recorded(shares) => Some(shares),
+            PreviousLeaders::None | PreviousLeaders::Unrecorded => None,
         };
-        let mut counter = Counter {
+        let mut counter = QuotaCounter {
             terms,
             term,
             since: now,
             ticked: now,
-            first: matches!(predecessors, Predecessors::None),
-            complete: !matches!(predecessors, Predecessors::Unrecorded),
+            first: matches!(predecessors, PreviousLeaders::None),
+            complete: !matches!(predecessors, PreviousLeaders::Unrecorded),
             names: HashMap::new(),
             tenants: Vec::new(),
             gates: BTreeMap::new(),
@@ -172,13 +172,13 @@
             let mut parts = BTreeMap::new();
             for (name, share) in listed {
                 let ceiling = f64::from(*share);
-                let part = Part { held: ceiling, ceiling, kept: ceiling, ..Part::default() };
+                let part = Allocation { held: ceiling, ceiling, kept: ceiling, ..Allocation::default() };
                 let tenant = counter.tenant(name);
                 counter.tenants[tenant].sums.count(&part, true, 1);
                 parts.insert(tenant, part);
             }
             let unmet = parts.len();
-            let gate = Gate { life: *life, heard: now, reserved: now, in_touch: true, unmet, parts };
+            let gate = EdgeAccount { life: *life, heard: now, reserved: now, in_touch: true, unmet, parts };
             counter.in_touch += 1;
             counter.gates.insert(node.as_str().into(), gate);
         }
@@ -192,7 +192,7 @@
         }
         let (name, id) = (Arc::<str>::from(name), self.tenants.len());
         self.names.insert(Arc::clone(&name), id);
-        let (sums, brought) = (Sums::default(), Brought::default());
+        let (sums, brought) = (AllocationTotals::default(), Brought::default());
         self.tenants.push(Tenant { name, window: None, sums, brought, doubted: false });
         id
     }
@@ -209,19 +209,19 @@
 
     /// A record of the ceilings as they are now, to be kept by most of the core; then [`Counter::recorded`]. The first
     /// tells all, others what changed.
-    pub fn shares(&mut self) -> Shares {
+    pub fn shares(&mut self) -> ShareCeilings {
         let whole = !std::mem::replace(&mut self.told, true);
         self.number += 1;
         let mut news = std::mem::take(&mut self.news);
         // One before this that most may not keep is told again.
         news.append(&mut self.writing);
         if whole {
-            let all = |(node, gate): (&Arc<str>, &Gate)| {
+            let all = |(node, gate): (&Arc<str>, &EdgeAccount)| {
                 gate.parts.keys().map(|t| (Arc::clone(node), *t)).collect::<Vec<_>>()
             };
             news = self.gates.iter().flat_map(all).collect();
         }
-        let mut gates: Vec<GateShares> = Vec::new();
+        let mut gates: Vec<EdgeCeilings> = Vec::new();
         for (node, tenant) in &news {
             let Some(gate) = self.gates.get_mut(node) else { continue };
             let part = gate.parts.get_mut(tenant);
@@ -239,7 +239,7 @@
         gates.iter_mut().for_each(|g| g.2.sort_by(|a, b| a.0.cmp(&b.0)));
         self.writing = news;
         let ended = std::mem::take(&mut self.ended).iter().map(|node| node.to_string()).collect();
-        Shares { term: self.term, number: self.number, gates, whole, ended }
+        ShareCeilings { term: self.term, number: self.number, gates, whole, ended }
     }
 
     /// Most of the core keeps this record on their disks: shares may rise to what it says, if it is the last.
@@ -270,7 +270,7 @@
     }
 
     /// Adds what the rate brings, less what strangers may spend.
-    fn turn(&mut self, now: f64, tenant: TenantId, limit: &Limit) {
+    fn turn(&mut self, now: f64, tenant: TenantId, limit: &TenantLimit) {
         let strangers = self.strangers(now, tenant, limit.rate);
         let number = (now / limit.window()).floor() as i64;
         let mut burst = limit.burst.max(1.0);
@@ -296,7 +296,7 @@
     }
 
     /// Parts of this gatekeeper that come from the record go: it holds none of them any more.
-    fn drop_unmet(&mut self, now: f64, node: &Arc<str>, limits: &dyn Fn(&str) -> Option<Limit>) {
+    fn drop_unmet(&mut self, now: f64, node: &Arc<str>, limits: &dyn Fn(&str) -> Option<TenantLimit>) {
         let Some(gate) = self.gates.get(node).filter(|g| g.unmet > 0) else { return };
         let unmet: Vec<TenantId> = gate.parts.iter().filter(|(_, p)| !p.met).map(|(t, _)| *t).collect();
         for tenant in unmet {
@@ -313,7 +313,7 @@
     }
 
     /// A life has ended, or its shares have lapsed. Its shares are free; what it was granted counts as spent.
-    fn end(&mut self, now: f64, node: &Arc<str>, limits: &dyn Fn(&str) -> Option<Limit>) {
+    fn end(&mut self, now: f64, node: &Arc<str>, limits: &dyn Fn(&str) -> Option<TenantLimit>) {
         self.drop_unmet(now, node, limits);
         let Some(gate) = self.gates.remove(node) else { return };
         for (tenant, part) in &gate.parts {
@@ -336,12 +336,12 @@
     }
 
     /// Upkeep, some times a second: what gatekeepers out of touch may have spent since the last time is set aside.
-    pub fn tick(&mut self, now: f64, limits: &dyn Fn(&str) -> Option<Limit>) {
+    pub fn tick(&mut self, now: f64, limits: &dyn Fn(&str) -> Option<TenantLimit>) {
         self.ticked = now;
-        let silent = |(_, gate): &(&Arc<str>, &Gate)| now > self.terms.spends_from(gate);
+        let silent = |(_, gate): &(&Arc<str>, &EdgeAccount)| now > self.terms.spends_from(gate);
         let nodes: Vec<Arc<str>> = self.gates.iter().filter(silent).map(|(n, _)| Arc::clone(n)).collect();
         self.set_aside(now, &nodes, limits);
-        let Terms { overdue, lapse, every } = self.terms;
+        let QuotaCounterConfig { overdue, lapse, every } = self.terms;
         for node in nodes {
             let Some(gate) = self.gates.get(&node) else { continue };
             let silence = now - gate.heard;
@@ -355,8 +355,8 @@
     }
 
     /// Sets aside what gatekeepers may have spent by their shares that were silent for so long that they may do so.
-    fn set_aside(&mut self, now: f64, nodes: &[Arc<str>], limits: &dyn Fn(&str) -> Option<Limit>) {
-        let Terms { lapse, every, .. } = self.terms;
+    fn set_aside(&mut self, now: f64, nodes: &[Arc<str>], limits: &dyn Fn(&str) -> Option<TenantLimit>) {
+        let QuotaCounterConfig { lapse, every, .. } = self.terms;
         let mut taken: BTreeMap<TenantId, f64> = BTreeMap::new();
         for node in nodes {
             let Some(gate) = self.gates.get_mut(node) else { continue };
@@ -391,9 +391,9 @@
         now: f64,
         (node, life): (&str, u64),
         term: u64,
-        charges: &[Charge],
-        limits: &dyn Fn(&str) -> Option<Limit>,
-    ) -> Option<Vec<Total>> {
+        charges: &[TenantUsage],
+        limits: &dyn Fn(&str) -> Option<TenantLimit>,
+    ) -> Option<Vec<TenantGrant>> {
         if term > self.term {
             return None;
         }
@@ -412,7 +412,7 @@
         }
         if !self.gates.contains_key(&node) {
             let parts = BTreeMap::new();
-            let fresh = Gate { life, heard: now, reserved: now, in_touch: true, unmet: 0, parts };
+            let fresh = EdgeAccount { life, heard: now, reserved: now, in_touch: true, unmet: 0, parts };
             self.gates.insert(Arc::clone(&node), fresh);
             self.in_touch += 1;
         }
@@ -436,9 +436,9 @@
         now: f64,
         node: &Arc<str>,
         tenant: TenantId,
-        charge: &Charge,
-        limit: &Limit,
-    ) -> Option<Total> {
+        charge: &TenantUsage,
+        limit: &TenantLimit,
+    ) -> Option<TenantGrant> {
         let gate = self.gates.get_mut(node)?;
         let mut part = match gate.parts.remove(&tenant) {
             Some(part) => {
@@ -446,7 +446,7 @@
                 self.tenants[tenant].sums.count(&part, gate.in_touch, -1);
                 part
             }
-            None => Part::default(),
+            None => Allocation::default(),
         };
         // From here on the sums are those of all others.
         let before = part.ceiling;
@@ -462,7 +462,7 @@
     }
 
     /// Takes in what a gatekeeper says that it charged and holds.
-    fn take_in(&mut self, tenant: TenantId, part: &mut Part, charge: &Charge) {
+    fn take_in(&mut self, tenant: TenantId, part: &mut Allocation, charge: &TenantUsage) {
         let t = &mut self.tenants[tenant];
         let Some(window) = &mut t.window else { return };
         let (share, left) = (f64::from(charge.share.max(0.0)), i64::from(charge.left));
@@ -494,10 +494,10 @@
         &mut self,
         now: f64,
         tenant: TenantId,
-        part: &mut Part,
-        charge: &Charge,
-        limit: &Limit,
-    ) -> Option<Total> {
+        part: &mut Allocation,
+        charge: &TenantUsage,
+        limit: &TenantLimit,
+    ) -> Option<TenantGrant> {
         let strangers = self.strangers(now, tenant, limit.rate);
         let t = &mut self.tenants[tenant];
         let window = t.window.as_mut()?;
@@ -530,7 +530,7 @@
         let share = wanted.min(free).min(part.kept.max(part.held)) as f32;
         part.held = part.held.max(f64::from(share));
         let room = if window.store >= 1.0 || more > 0.0 { 0.0 } else { (1.0 - window.store) / limit.rate };
-        Some(Total {
+        Some(TenantGrant {
             tenant: charge.tenant.clone(),
             total: window.total as f32,
             until: charge.charged + may as i64,
@@ -541,21 +541,21 @@
 
     /// All ceilings, as a record would tell them that is not of changes.
     #[cfg(test)]
-    pub fn whole(&self) -> Shares {
-        Counter { told: false, ..self.clone() }.shares()
+    pub fn whole(&self) -> ShareCeilings {
+        QuotaCounter { told: false, ..self.clone() }.shares()
     }
 
     /// The sums that are kept.
     #[cfg(test)]
-    pub fn sums(&self) -> Vec<Sums> {
+    pub fn sums(&self) -> Vec<AllocationTotals> {
         self.tenants.iter().map(|t| t.sums).collect()
     }
 
     /// The same, walked anew.
     #[cfg(test)]
-    pub fn walked(&self) -> Vec<Sums> {
+    pub fn walked(&self) -> Vec<AllocationTotals> {
         let walk = |id: TenantId| {
-            let mut sums = Sums::default();
+            let mut sums = AllocationTotals::default();
             for gate in self.gates.values() {
                 gate.parts.get(&id).into_iter().for_each(|p| sums.count(p, gate.in_touch, 1));
             }
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -1,15 +1,15 @@
 //! The counter and the gatekeepers' side of it against each other: lives that end, holders that are lost, cuts, late
 //! words; by seeds, with the bound of the quota counted exactly.
 
-use crate::control_plane::quota_counter::{Counter, Limit, Predecessors, Terms};
-use crate::data_plane::quota_admission::{self, Asked, Quota, Verdict};
-use crate::protocol::share_ceilings::Shares;
-use crate::protocol::{Charge, Total};
+use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig, TenantLimit};
+use crate::data_plane::quota_admission::{self, AdmissionDecision, GrantState, QuotaAdmission};
+use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::{TenantGrant, TenantUsage};
 use googletest::prelude::*;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-const TERMS: Terms = Terms { overdue: 0.7, lapse: 15.0, every: 0.25 };
+const TERMS: QuotaCounterConfig = QuotaCounterConfig { overdue: 0.7, lapse: 15.0, every: 0.25 };
 const HORIZON: f64 = 5.0;
 const STEP: f64 = 0.005;
 const TROUBLE: f64 = 24.0;
@@ -19,24 +19,25 @@
 const SLACK: (f64, f64) = (0.1, 20.0);
 
 /// The gatekeeper of this number, which goes by this slack.
-fn quota_with((overshoot, margin): (f64, f64), gate: usize) -> Quota {
-    let Terms { every, overdue, lapse } = TERMS;
-    let terms = quota_admission::Terms { every, overdue, lapse, overshoot, margin, horizon: HORIZON };
-    let mut quota = Quota::new(terms, &format!("edge-{gate}"));
+fn quota_with((overshoot, margin): (f64, f64), gate: usize) -> QuotaAdmission {
+    let QuotaCounterConfig { every, overdue, lapse } = TERMS;
+    let terms =
+        quota_admission::QuotaAdmissionConfig { every, overdue, lapse, overshoot, margin, horizon: HORIZON };
+    let mut quota = QuotaAdmission::new(terms, &format!("edge-{gate}"));
     quota.gates(8);
     quota
 }
 
-fn quota() -> Quota {
+fn quota() -> QuotaAdmission {
     quota_with(SLACK, 0)
 }
 
-fn charge(tenant: &str, charged: i64, asks: f32, share: f32, left: u32, waits: u32) -> Charge {
-    Charge { tenant: tenant.into(), charged, asks, share, left, waits }
+fn charge(tenant: &str, charged: i64, asks: f32, share: f32, left: u32, waits: u32) -> TenantUsage {
+    TenantUsage { tenant: tenant.into(), charged, asks, share, left, waits }
 }
 
 struct Gate {
-    quota: Quota,
+    quota: QuotaAdmission,
     life: u64,
     down_until: f64,
     cut_until: f64,
@@ -44,7 +45,7 @@
     deaf_until: f64,
     waiting: Vec<(f64, u64)>,
     /// Answers under way.
-    answers: VecDeque<(f64, u64, u64, Vec<Total>)>,
+    answers: VecDeque<(f64, u64, u64, Vec<TenantGrant>)>,
     asks: f64,
 }
 
@@ -52,19 +53,19 @@
 struct World {
     now: f64,
     rng: fastrand::Rng,
-    limit: Limit,
+    limit: TenantLimit,
     /// As the gatekeepers know it.
     slack: (f64, f64),
     tenant: Arc<str>,
     gates: Vec<Gate>,
     /// Syncs under way: when they arrive, of whom.
-    syncs: Vec<(f64, usize, u64, u64, u64, Vec<Charge>)>,
-    holder: Option<Counter>,
+    syncs: Vec<(f64, usize, u64, u64, u64, Vec<TenantUsage>)>,
+    holder: Option<QuotaCounter>,
     term: u64,
     next_holder: f64,
     /// What most of the core keeps; what is being written; when the last was told.
-    kept: Shares,
-    writing: Option<(f64, Shares)>,
+    kept: ShareCeilings,
+    writing: Option<(f64, ShareCeilings)>,
     told_at: f64,
     passed: Vec<f64>,
     asked: Vec<f64>,
@@ -87,7 +88,7 @@
         };
         World {
             now: 0.0,
-            limit: Limit { rate, burst: (rate * [0.5, 1.0, 2.0][rng.usize(0..3)]).max(1.0) },
+            limit: TenantLimit { rate, burst: (rate * [0.5, 1.0, 2.0][rng.usize(0..3)]).max(1.0) },
             slack,
             tenant: "t".into(),
             gates: (0..gates).map(gate).collect(),
@@ -95,7 +96,7 @@
             holder: None,
             term: 0,
             next_holder: 0.0,
-            kept: Shares::default(),
+            kept: ShareCeilings::default(),
             writing: None,
             told_at: 0.0,
             passed: Vec::new(),
@@ -167,7 +168,8 @@
         let (now, limit) = (self.now, self.limit);
         if self.holder.is_none() && now >= self.next_holder {
             self.term += 1;
-            self.holder = Some(Counter::new(TERMS, self.term, now, Predecessors::Recorded(&self.kept)));
+            self.holder =
+                Some(QuotaCounter::new(TERMS, self.term, now, PreviousLeaders::Recorded(&self.kept)));
             self.told_at = -1.0;
         }
         let limits = |_: &str| Some(limit);
@@ -188,7 +190,7 @@
         let limits = |_: &str| Some(limit);
         let (due, rest) = std::mem::take(&mut self.syncs).into_iter().partition(|s| s.0 <= now);
         self.syncs = rest;
-        let due: Vec<(f64, usize, u64, u64, u64, Vec<Charge>)> = due;
+        let due: Vec<(f64, usize, u64, u64, u64, Vec<TenantUsage>)> = due;
         for (_, n, life, number, term, charges) in due {
             if self.gates[n].cut_until > now || self.gates[n].life != life {
                 continue;
@@ -217,10 +219,14 @@
                 answered = number;
             }
         }
-        let mut decide: Vec<Asked> = Vec::new();
+        let mut decide: Vec<GrantState> = Vec::new();
         gate.waiting.retain(|(until, number)| {
             let over = *number <= answered || *until <= now;
-            decide.extend(over.then_some(if *number <= answered { Asked::Answered } else { Asked::InVain }));
+            decide.extend(over.then_some(if *number <= answered {
+                GrantState::Answered
+            } else {
+                GrantState::InVain
+            }));
             !over
         });
         for _ in &decide {
@@ -229,16 +235,16 @@
         let mut arrivals = gate.asks * STEP;
         while arrivals > 0.0 {
             if self.rng.f64() < arrivals.min(1.0) {
-                decide.push(Asked::Not);
+                decide.push(GrantState::Not);
                 self.asked.push(now);
             }
             arrivals -= 1.0;
         }
         for asked in decide {
             match gate.quota.admit(now, &tenant, &limit, asked) {
-                Verdict::Pass => self.passed.push(now),
-                Verdict::Ask => gate.waiting.push((now + 0.06, gate.quota.next_number())),
-                Verdict::Refuse(_) => {}
+                AdmissionDecision::Pass => self.passed.push(now),
+                AdmissionDecision::Ask => gate.waiting.push((now + 0.06, gate.quota.next_number())),
+                AdmissionDecision::Refuse(_) => {}
             }
         }
         if let Some((number, charges)) = gate.quota.sync(now) {
@@ -279,7 +285,7 @@
 }
 
 /// Draws troubles; at the end all are back. What was used at the most, and the part that is served once it is calm.
-fn played(seed: u64) -> (f64, f64, Limit, usize) {
+fn played(seed: u64) -> (f64, f64, TenantLimit, usize) {
     let mut world = World::new(seed, SLACK);
     world.play_troubles();
     let (now, all) = (world.now, world.gates.len() as f64);
@@ -337,18 +343,18 @@
     println!("most used {most}");
 }
 
-fn limits(_: &str) -> Option<Limit> {
-    Some(Limit { rate: 100.0, burst: 100.0 })
+fn limits(_: &str) -> Option<TenantLimit> {
+    Some(TenantLimit { rate: 100.0, burst: 100.0 })
 }
 
 /// Syncs some gatekeepers, which ask for 25 a second each, until shares are on record.
-fn settled(counter: &mut Counter, from: f64) -> (Vec<Total>, Shares) {
-    let (mut last, mut record) = (Vec::new(), Shares::default());
+fn settled(counter: &mut QuotaCounter, from: f64) -> (Vec<TenantGrant>, ShareCeilings) {
+    let (mut last, mut record) = (Vec::new(), ShareCeilings::default());
     for round in 0..8 {
         let now = from + 0.25 * f64::from(round);
         let before = std::mem::take(&mut last);
         for n in 0..4 {
-            let share = before.get(n).map_or(0.0, |t: &Total| t.share);
+            let share = before.get(n).map_or(0.0, |t: &TenantGrant| t.share);
             let charges = [charge("t", 0, 25.0, share, 0, 0)];
             let term = if round == 0 { 0 } else { counter.term() };
             let told = counter.sync(now, (&format!("g{n}"), 7), term, &charges, &limits);
@@ -362,7 +368,7 @@
 }
 
 /// Units that a gatekeeper with a request that waits for all can get at `now`.
-fn there_is(counter: &Counter, now: f64) -> f64 {
+fn there_is(counter: &QuotaCounter, now: f64) -> f64 {
     let asked = counter.clone().sync(now, ("probe", 1), 0, &[charge("t", 0, 1000.0, 0.0, 0, 1000)], &limits);
     asked.expect("held")[0].until as f64
 }
@@ -371,17 +377,21 @@
 fn a_late_word_of_an_older_holder_changes_nothing() {
     let (mut quota, tenant) = (quota(), Arc::<str>::from("t"));
     let limit = limits("t").expect("limits");
-    let total = |until, share| vec![Total { tenant: "t".into(), total: 0.0, until, share, empty_ms: 0 }];
+    let total =
+        |until, share| vec![TenantGrant { tenant: "t".into(), total: 0.0, until, share, empty_ms: 0 }];
     // It has met no holder yet.
-    expect_that!(quota.admit(1.0, &tenant, &limit, Asked::Not), eq(Verdict::Refuse(0.25)));
+    expect_that!(quota.admit(1.0, &tenant, &limit, GrantState::Not), eq(AdmissionDecision::Refuse(0.25)));
     let (first, _) = quota.sync(1.0).expect("a sync");
     expect_that!(quota.told(1.01, first, 5, &total(1, 2.0)), eq(true));
-    expect_that!(quota.admit(1.02, &tenant, &limit, Asked::Answered), eq(Verdict::Pass));
+    expect_that!(quota.admit(1.02, &tenant, &limit, GrantState::Answered), eq(AdmissionDecision::Pass));
     let (second, _) = quota.sync(1.3).expect("a sync");
     // The same number, but from a holder whose time is over: not its grant, not its share, and it is no contact.
     expect_that!(quota.told(1.31, second, 4, &total(500, 90.0)), eq(false));
     expect_that!(quota.term(), eq(5));
-    expect_that!(quota.admit(1.32, &tenant, &limit, Asked::Answered), eq(Verdict::Refuse(0.25)));
+    expect_that!(
+        quota.admit(1.32, &tenant, &limit, GrantState::Answered),
+        eq(AdmissionDecision::Refuse(0.25))
+    );
     expect_that!(quota.is_apart(1.75), eq(true));
     let (_, charges) = quota.sync(2.1).expect("a sync");
     expect_that!((charges[0].charged, charges[0].share, charges[0].left), eq((1, 2.0, 0)));
@@ -394,15 +404,15 @@
 
 #[gtest]
 fn a_holder_that_hears_of_a_later_one_answers_nothing() {
-    let mut counter = Counter::new(TERMS, 3, 0.0, Predecessors::Recorded(&Shares::default()));
+    let mut counter = QuotaCounter::new(TERMS, 3, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
     expect_that!(counter.sync(1.0, ("g", 1), 4, &[], &limits), none());
     expect_that!(counter.sync(1.0, ("g", 1), 3, &[], &limits), some(eq(&Vec::new())));
 }
 
 #[gtest]
 fn a_share_rises_only_as_far_as_most_of_the_core_has_on_record() {
-    let mut counter = Counter::new(TERMS, 1, 0.0, Predecessors::Recorded(&Shares::default()));
-    let share = |counter: &mut Counter, now, life| {
+    let mut counter = QuotaCounter::new(TERMS, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
+    let share = |counter: &mut QuotaCounter, now, life| {
         let charges = [charge("t", 0, 20.0, 0.0, 0, 0)];
         counter.sync(now, ("g", life), 0, &charges, &limits).expect("held")[0].share
     };
@@ -419,12 +429,12 @@
 
 #[gtest]
 fn shares_of_lives_that_ended_are_free_at_once() {
-    let mut first = Counter::new(TERMS, 1, 0.0, Predecessors::Recorded(&Shares::default()));
+    let mut first = QuotaCounter::new(TERMS, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
     let (totals, record) = settled(&mut first, 0.0);
     let shares: f32 = totals.iter().map(|t| t.share).sum();
     expect_that!(shares, all!(gt(90.0), le(100.0)));
     // All others may be spending out of sight of the next holder: nothing is there for anybody else.
-    let mut next = Counter::new(TERMS, 2, 10.0, Predecessors::Recorded(&record));
+    let mut next = QuotaCounter::new(TERMS, 2, 10.0, PreviousLeaders::Recorded(&record));
     expect_that!(there_is(&next, 12.0), le(5.0));
     // Their machines are back with another life, one after the other.
     for n in 0..4 {
@@ -432,7 +442,7 @@
     }
     expect_that!(there_is(&next, 13.0), ge(99.0));
     // One that is not back lapses.
-    let mut other = Counter::new(TERMS, 2, 10.0, Predecessors::Recorded(&record));
+    let mut other = QuotaCounter::new(TERMS, 2, 10.0, PreviousLeaders::Recorded(&record));
     for n in 0..3 {
         other.sync(12.0, (&format!("g{n}"), 8), 0, &[], &limits);
     }
@@ -442,9 +452,9 @@
 
 #[gtest]
 fn a_holder_whose_record_was_lost_grants_what_gatekeepers_bring_until_the_rest_has_lapsed() {
-    let mut first = Counter::new(TERMS, 1, 0.0, Predecessors::Recorded(&Shares::default()));
+    let mut first = QuotaCounter::new(TERMS, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
     let (totals, _) = settled(&mut first, 0.0);
-    let mut next = Counter::new(TERMS, 2, 10.0, Predecessors::Unrecorded);
+    let mut next = QuotaCounter::new(TERMS, 2, 10.0, PreviousLeaders::Unrecorded);
     expect_that!(there_is(&next, 14.0), eq(0.0));
     // Three of four that share the rate bring theirs, and two of them end: what they had is still nobody else's.
     for (n, total) in totals.iter().enumerate().take(3) {
@@ -463,7 +473,7 @@
 
 #[gtest]
 fn what_a_dead_life_may_have_spent_is_charged_once() {
-    let mut counter = Counter::new(TERMS, 1, 0.0, Predecessors::Recorded(&Shares::default()));
+    let mut counter = QuotaCounter::new(TERMS, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
     settled(&mut counter, 0.0);
     let before = there_is(&counter, 1.76);
     // Silent for two seconds; what its share allows is taken for these, and not for the time after its return.
@@ -476,7 +486,7 @@
 }
 
 /// Units that a counter grants to one who waits, asked again and again in the same moment.
-fn granted_at_once(counter: &mut Counter, now: f64) -> i64 {
+fn granted_at_once(counter: &mut QuotaCounter, now: f64) -> i64 {
     let mut charged = 0;
     loop {
         let charges = [charge("t", charged, 0.0, 0.0, 0, 1)];
@@ -491,14 +501,14 @@
 #[gtest]
 fn a_request_that_waits_as_a_holder_begins_is_within_the_quota() {
     // Nobody was there before: all of the burst is. Never more than that and what the rate brings.
-    let mut first = Counter::new(TERMS, 1, 10.0, Predecessors::None);
+    let mut first = QuotaCounter::new(TERMS, 1, 10.0, PreviousLeaders::None);
     let burst = limits("t").expect("limited").burst as i64;
     expect_that!(granted_at_once(&mut first, 10.0), eq(burst));
     // A later one can't know what is left, but for a unit: who asks seldom is served.
-    let record = Shares::default();
-    let mut later = Counter::new(TERMS, 2, 10.0, Predecessors::Recorded(&record));
+    let record = ShareCeilings::default();
+    let mut later = QuotaCounter::new(TERMS, 2, 10.0, PreviousLeaders::Recorded(&record));
     expect_that!(granted_at_once(&mut later, 10.0), eq(1));
     // Where there may be shares that nobody knows of, nothing is.
-    let mut unrecorded = Counter::new(TERMS, 2, 10.0, Predecessors::Unrecorded);
+    let mut unrecorded = QuotaCounter::new(TERMS, 2, 10.0, PreviousLeaders::Unrecorded);
     expect_that!(granted_at_once(&mut unrecorded, 10.0), eq(0));
 }
--- a/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
@@ -1,18 +1,18 @@
 //! What the counter keeps by change against the same made anew: sums over gatekeepers, and the record of ceilings that
 //! the core folds from changes; by seeds, over lives that end, silences, changes of holder and lost answers.
 
-use crate::control_plane::quota_counter::{Counter, Limit, Predecessors, Terms};
-use crate::protocol::share_ceilings::Shares;
-use crate::protocol::Charge;
+use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig, TenantLimit};
+use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::TenantUsage;
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 
-const TERMS: Terms = Terms { overdue: 0.7, lapse: 15.0, every: 0.25 };
+const TERMS: QuotaCounterConfig = QuotaCounterConfig { overdue: 0.7, lapse: 15.0, every: 0.25 };
 const TENANTS: [&str; 4] = ["ann", "bob", "cem", "dan"];
 
-fn limits(name: &str) -> Option<Limit> {
+fn limits(name: &str) -> Option<TenantLimit> {
     let rate = 5.0 * (1 + TENANTS.iter().position(|t| *t == name)?) as f64;
-    Some(Limit { rate, burst: 2.0 * rate })
+    Some(TenantLimit { rate, burst: 2.0 * rate })
 }
 
 /// A gatekeeper's tenant, as it was told.
@@ -33,16 +33,16 @@
 struct Course {
     rng: fastrand::Rng,
     now: f64,
-    counter: Counter,
+    counter: QuotaCounter,
     gates: Vec<Gate>,
-    kept: Shares,
-    writing: Option<Shares>,
+    kept: ShareCeilings,
+    writing: Option<ShareCeilings>,
 }
 
 impl Course {
     fn new(seed: u64) -> Self {
-        let kept = Shares::default();
-        let counter = Counter::new(TERMS, 1, 0.0, Predecessors::Recorded(&kept));
+        let kept = ShareCeilings::default();
+        let counter = QuotaCounter::new(TERMS, 1, 0.0, PreviousLeaders::Recorded(&kept));
         let gates = (0..6).map(|_| Gate::default()).collect();
         Course { rng: fastrand::Rng::with_seed(seed), now: 0.0, counter, gates, kept, writing: None }
     }
@@ -56,7 +56,7 @@
                 let held = gate.held.entry(tenant).or_default();
                 let most = (held.until - held.charged).max(0) + i64::from(rng.u8(..) < 9);
                 held.charged += rng.i64(0..=most);
-                charges.push(Charge {
+                charges.push(TenantUsage {
                     tenant: tenant.into(),
                     charged: held.charged,
                     asks: if rng.u8(..) < 40 { 0.0 } else { 9.0 * rng.f32() * rng.f32() },
@@ -92,10 +92,10 @@
                 let last = self.writing.take().filter(|_| self.rng.bool());
                 last.iter().for_each(|record| self.kept.amend(record));
                 let known = match self.rng.u8(..) < 200 {
-                    true => Predecessors::Recorded(&self.kept),
-                    false => Predecessors::Unrecorded,
+                    true => PreviousLeaders::Recorded(&self.kept),
+                    false => PreviousLeaders::Unrecorded,
                 };
-                self.counter = Counter::new(TERMS, self.counter.term() + 1, self.now, known);
+                self.counter = QuotaCounter::new(TERMS, self.counter.term() + 1, self.now, known);
             }
             1..=6 => self.gates[n] = Gate { life: self.gates[n].life + 1, ..Gate::default() },
             7 => self.now += 18.0 * self.rng.f64(),
@@ -139,8 +139,9 @@
                 let mut changed = course.counter.clone();
                 folded.amend(&changed.shares());
                 let whole = course.counter.whole();
-                let filled =
-                    |s: &Shares| s.gates.iter().filter(|g| !g.2.is_empty()).cloned().collect::<Vec<_>>();
+                let filled = |s: &ShareCeilings| {
+                    s.gates.iter().filter(|g| !g.2.is_empty()).cloned().collect::<Vec<_>>()
+                };
                 assert_eq!(filled(&folded), filled(&whole), "seed {seed}, step {step}");
                 told += usize::from(!filled(&whole).is_empty());
             }
--- a/crates/gateway/src/control_plane/quota_lease.rs
+++ b/crates/gateway/src/control_plane/quota_lease.rs
@@ -2,12 +2,12 @@
 //! told with each answer, so that a late word of an earlier holder is known. It must never answer a gatekeeper as
 //! holder without the lease.
 
-use super::Shared;
+use super::CoreContext;
 use crate::consensus::Term;
-use crate::control_plane::event_journal::Fact;
-use crate::control_plane::quota_counter::{Counter, Limit, Predecessors, Terms};
-use crate::protocol::share_ceilings::Shares;
-use crate::protocol::{Charge, Total};
+use crate::control_plane::event_journal::JournalEvent;
+use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig, TenantLimit};
+use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::{TenantGrant, TenantUsage};
 use crate::settings::Settings;
 
 /// Shares that changed are recorded this often at the most: seconds.
@@ -29,19 +29,19 @@
 }
 
 /// The counter's post on this machine.
-pub struct Seat {
-    terms: Terms,
+pub struct QuotaLease {
+    terms: QuotaCounterConfig,
     /// The counter, while it is held.
-    counter: Option<Counter>,
+    counter: Option<QuotaCounter>,
     recorded_at: f64,
     ended: bool,
 }
 
-impl Seat {
+impl QuotaLease {
     /// Nobody's.
     pub fn new(settings: &Settings) -> Self {
-        let terms = Terms { overdue: OVERDUE, lapse: lapse(settings), every: SYNC_EVERY };
-        Seat { terms, counter: None, recorded_at: f64::NEG_INFINITY, ended: false }
+        let terms = QuotaCounterConfig { overdue: OVERDUE, lapse: lapse(settings), every: SYNC_EVERY };
+        QuotaLease { terms, counter: None, recorded_at: f64::NEG_INFINITY, ended: false }
     }
 
     /// A gatekeeper's charges, and the highest term that it knows. `None`: the counter is not held here, by `lease` (the
@@ -52,15 +52,15 @@
         lease: Option<Term>,
         gate: (&str, u64),
         seen: Term,
-        charges: &[Charge],
-        limits: &dyn Fn(&str) -> Option<Limit>,
-    ) -> Option<Vec<Total>> {
+        charges: &[TenantUsage],
+        limits: &dyn Fn(&str) -> Option<TenantLimit>,
+    ) -> Option<Vec<TenantGrant>> {
         let counter = self.counter.as_mut().filter(|c| lease == Some(c.term()))?;
         counter.sync(now, gate, seen, charges, limits)
     }
 
     /// Most of the core keeps this record.
-    pub fn recorded(&mut self, shares: &Shares) {
+    pub fn recorded(&mut self, shares: &ShareCeilings) {
         if let Some(counter) = self.counter.as_mut().filter(|c| c.term() == shares.term) {
             counter.recorded(shares.number);
         }
@@ -77,27 +77,27 @@
         &mut self,
         now: f64,
         lease: Option<Term>,
-        (record, free): (Option<&Shares>, bool),
-        shared: &mut Shared,
-        limits: &dyn Fn(&str) -> Option<Limit>,
-    ) -> Option<Shares> {
+        (record, free): (Option<&ShareCeilings>, bool),
+        shared: &mut CoreContext,
+        limits: &dyn Fn(&str) -> Option<TenantLimit>,
+    ) -> Option<ShareCeilings> {
         let lease = lease.filter(|_| !self.ended);
         if self.counter.as_ref().is_some_and(|c| lease != Some(c.term())) {
             tracing::warn!("no longer holds the counter");
-            shared.journal.append(now, Fact::Holds(false));
+            shared.journal.append(now, JournalEvent::Holds(false));
             self.counter = None;
         }
         let term = lease?;
         if self.counter.is_none() {
             tracing::info!(term, record = record.is_some(), "holds the counter");
-            shared.journal.append(now, Fact::Holds(true));
+            shared.journal.append(now, JournalEvent::Holds(true));
             // Shares rise only by records that are committed, so where the log has none there are no shares.
-            let none = Shares::default();
+            let none = ShareCeilings::default();
             let predecessors = match (term, record) {
-                (FIRST_TERM, None) => Predecessors::None,
-                (_, record) => Predecessors::Recorded(record.unwrap_or(&none)),
+                (FIRST_TERM, None) => PreviousLeaders::None,
+                (_, record) => PreviousLeaders::Recorded(record.unwrap_or(&none)),
             };
-            self.counter = Some(Counter::new(self.terms, term, now, predecessors));
+            self.counter = Some(QuotaCounter::new(self.terms, term, now, predecessors));
         }
         let counter = self.counter.as_mut()?;
         counter.tick(now, limits);
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -1,15 +1,15 @@
 //! Owns the core's side of the replicated log: what it puts out is written, said and applied; machines that want to join
 //! are named to the leader; the log is cut behind a snapshot; who votes is told. It must never decide what the log says.
 
-use super::snapshot::{self, Making, Taking};
-use super::{Core, Effect};
-use crate::configuration::{Fields, Item, Order};
-use crate::consensus::{Body, Entry, Index, Message, NodeId, Output, Snapshot, Term, Tuning};
-use crate::control_plane::event_journal::Fact;
-use crate::protocol::share_ceilings::Shares;
-use crate::protocol::{Member, Msg};
+use super::snapshot::{self, SnapshotReceiver, SnapshotWriter};
+use super::{CoreNode, Effect};
+use crate::configuration::{ConfigChange, ConfigItem, ItemFields};
+use crate::consensus::{Entry, EntryPayload, Index, Message, NodeId, Output, RaftConfig, Snapshot, Term};
+use crate::control_plane::event_journal::JournalEvent;
+use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::{NodeLocation, PeerMessage};
 use crate::settings::Settings;
-use crate::storage::Put;
+use crate::storage::WriteBatch;
 use serde::{Deserialize, Serialize};
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LogCommand {
     /// An operator's call.
-    Configure(Order),
+    Configure(ConfigChange),
     /// Ceilings of standing shares, as the counter's holder has them, or how they changed.
-    Shares(Arc<Shares>),
+    Shares(Arc<ShareCeilings>),
 }
 
 /// A leader says that it is there this often: milliseconds.
@@ -41,11 +41,11 @@
 const CUT_PATIENCE: usize = 8;
 
 /// Spans for the log, by the deployment's bounds.
-pub fn tuning(settings: &Settings) -> Tuning {
+pub fn tuning(settings: &Settings) -> RaftConfig {
     let t = settings.tolerance;
     // A lost zone or region may hold several: at least one more than twice the losses must be left in any case.
     let losses = t.machines.max(t.zones).max(t.regions);
-    Tuning {
+    RaftConfig {
         heartbeat: HEARTBEAT,
         election: ELECTION,
         lease: LEASE,
@@ -60,7 +60,7 @@
 
 /// What of the log and its machinery this core goes by.
 #[derive(Default)]
-pub(super) struct LogSide {
+pub(super) struct LogDriver {
     /// Puts that carry writes of the log: the put's number, the log's.
     puts: Vec<(u64, u64)>,
     joined: f64,
@@ -68,8 +68,8 @@
     bytes: usize,
     snapshot: usize,
     /// The next snapshot, while it is made; one of a leader, while it comes.
-    making: Option<Making>,
-    taking: Option<Taking>,
+    making: Option<SnapshotWriter>,
+    taking: Option<SnapshotReceiver>,
     /// Number of the record of shares that is on its way.
     pub(super) recording: Option<(Index, Term)>,
     leading: bool,
@@ -80,21 +80,21 @@
 fn weight(command: &LogCommand) -> usize {
     match command {
         LogCommand::Configure(order) => {
-            let item = |i: &Item| 60 + i.label.len() + i.body.as_ref().map_or(0, Fields::size);
+            let item = |i: &ConfigItem| 60 + i.label.len() + i.body.as_ref().map_or(0, ItemFields::size);
             order.iter().map(item).sum::<usize>() + 50
         }
         LogCommand::Shares(shares) => shares.gates.iter().map(|g| 40 + 20 * g.2.len()).sum::<usize>() + 50,
     }
 }
 
-impl LogSide {
+impl LogDriver {
     /// The size of the snapshot that the disk held.
     pub(super) fn started(&mut self, snapshot: usize) {
         self.snapshot = snapshot;
     }
 }
 
-impl Core {
+impl CoreNode {
     /// A message of the log, for this member or one that had this address before.
     pub(super) fn log_says(
         &mut self,
@@ -107,7 +107,7 @@
             return;
         }
         // Its answers go by a connection of this process.
-        self.meet(vec![Member { ip: from.ip, zone: String::new(), region: String::new() }], out);
+        self.meet(vec![NodeLocation { ip: from.ip, zone: String::new(), region: String::new() }], out);
         let ms = self.shared.ms(now);
         self.raft.receive(ms, from, message);
         self.log_out(now, out);
@@ -117,20 +117,20 @@
     pub(super) fn wants_to_join(&mut self, now: f64, id: NodeId, passed: bool, out: &mut Vec<Effect>) {
         let ms = self.shared.ms(now);
         if self.raft.leads() {
-            self.meet(vec![Member { ip: id.ip, zone: String::new(), region: String::new() }], out);
+            self.meet(vec![NodeLocation { ip: id.ip, zone: String::new(), region: String::new() }], out);
             self.raft.join(ms, id);
             return self.log_out(now, out);
         }
         let leader = self.raft.leader(ms).filter(|leader| !passed && leader.ip != id.ip);
         if let Some(leader) = leader {
-            out.push(Effect::Send(leader.ip, Msg::Join { id, passed: true }));
+            out.push(Effect::Send(leader.ip, PeerMessage::Join { id, passed: true }));
         }
     }
 
     /// This process ends: the others may do without its vote.
     pub(super) fn tell_end(&mut self, out: &mut Vec<Effect>) {
         let id = self.raft.me();
-        out.extend(self.shared.peers().into_iter().map(|ip| Effect::Send(ip, Msg::Leave { id })));
+        out.extend(self.shared.peers().into_iter().map(|ip| Effect::Send(ip, PeerMessage::Leave { id })));
     }
 
     /// Something is on the disk.
@@ -155,7 +155,7 @@
         if self.raft.leader(ms).is_none() && now - self.log_side.joined >= JOIN {
             self.log_side.joined = now;
             let id = self.raft.me();
-            let join = |ip| Effect::Send(ip, Msg::Join { id, passed: false });
+            let join = |ip| Effect::Send(ip, PeerMessage::Join { id, passed: false });
             out.extend(self.shared.peers().into_iter().map(join));
         }
         self.log_out(now, out);
@@ -172,7 +172,8 @@
             let index = self.keeper.applied;
             let Some(term) = self.raft.term_at(index).filter(|_| long) else { return };
             let about = side.snapshot + side.snapshot / 8;
-            side.making = Some(Making::new((index, term), &self.keeper.state, self.record.as_ref(), about));
+            side.making =
+                Some(SnapshotWriter::new((index, term), &self.keeper.state, self.record.as_ref(), about));
             side.bytes = 0;
         }
         // One step of it at a time is on its way to the disk.
@@ -180,7 +181,11 @@
         if let Some(part) = making.step() {
             let number = self.shared.number();
             making.put = Some(number);
-            return out.push(Effect::Persist(Put { number, part: Some(part), ..Put::default() }));
+            return out.push(Effect::Persist(WriteBatch {
+                number,
+                part: Some(part),
+                ..WriteBatch::default()
+            }));
         }
         let Some(making) = side.making.take() else { return };
         let ((index, _), data) = (making.of, making.finish());
@@ -204,12 +209,12 @@
         };
         let of = (index, term);
         let taking = self.log_side.taking.take().filter(|t| t.goes_on(of, bytes));
-        let mut taking = taking.unwrap_or_else(|| Taking::new(of));
+        let mut taking = taking.unwrap_or_else(|| SnapshotReceiver::new(of));
         let part = taking.come(bytes);
         self.log_side.taking = Some(taking);
         if part.is_some() {
             let number = self.shared.number();
-            out.push(Effect::Persist(Put { number, part, ..Put::default() }));
+            out.push(Effect::Persist(WriteBatch { number, part, ..WriteBatch::default() }));
         }
     }
 
@@ -220,10 +225,10 @@
                 Output::Persist(number, writes) => {
                     let put = self.shared.number();
                     self.log_side.puts.push((put, number));
-                    out.push(Effect::Persist(Put { number: put, writes, ..Put::default() }));
+                    out.push(Effect::Persist(WriteBatch { number: put, writes, ..WriteBatch::default() }));
                 }
                 Output::Send(to, message) => {
-                    let message = Msg::Raft { from: self.raft.me(), to, message };
+                    let message = PeerMessage::Raft { from: self.raft.me(), to, message };
                     out.push(Effect::Send(to.ip, message));
                 }
                 Output::Apply(entry) => self.apply(entry, out),
@@ -244,18 +249,18 @@
                 true => tracing::info!(term, "leads"),
                 false => tracing::info!(term, "leads no more"),
             }
-            self.shared.journal.append(now, Fact::Leads(leads, term));
+            self.shared.journal.append(now, JournalEvent::Leads(leads, term));
             self.log_side.recording = None;
         }
         let voters: Vec<NodeId> = self.raft.members().into_iter().collect();
         if voters != self.log_side.voters {
             let told: Vec<String> = voters.iter().map(|v| format!("{}/{:x}", v.ip, v.disk)).collect();
             tracing::info!(voters = told.join(" "), "votes in the log");
-            self.shared.journal.append(now, Fact::Voters(told));
+            self.shared.journal.append(now, JournalEvent::Voters(told));
             self.shared.voters = voters.iter().map(|v| v.ip).collect();
             self.log_side.voters = voters;
-            let blank = |ip: &IpAddr| Member { ip: *ip, zone: String::new(), region: String::new() };
-            let unknown: Vec<Member> = self.shared.voters.iter().map(blank).collect();
+            let blank = |ip: &IpAddr| NodeLocation { ip: *ip, zone: String::new(), region: String::new() };
+            let unknown: Vec<NodeLocation> = self.shared.voters.iter().map(blank).collect();
             self.meet(unknown, out);
         }
     }
@@ -263,14 +268,14 @@
     fn apply(&mut self, entry: Entry<LogCommand>, out: &mut Vec<Effect>) {
         let place = (entry.index, entry.term);
         self.keeper.applied = entry.index;
-        let Body::Command(command) = entry.body else { return };
+        let EntryPayload::Command(command) = entry.body else { return };
         self.log_side.bytes += weight(&command);
         match command {
             LogCommand::Configure(order) => {
                 let parts = (&self.raft, &mut self.shared);
                 let changed = self.keeper.apply(place, &order, parts, out);
                 if let Some((before, items)) = changed {
-                    let items: Vec<Item> = items.iter().map(|i| (**i).clone()).collect();
+                    let items: Vec<ConfigItem> = items.iter().map(|i| (**i).clone()).collect();
                     self.push_items(before, entry.index, items, out);
                 }
             }
@@ -298,7 +303,7 @@
         match read {
             Ok((state, shares)) => {
                 tracing::info!(index = snapshot.index, bytes = snapshot.data.len(), "takes a snapshot");
-                self.shared.journal.append(now, Fact::CaughtUp);
+                self.shared.journal.append(now, JournalEvent::CaughtUp);
                 (self.keeper.state, self.keeper.applied, self.record) = (state, snapshot.index, shares);
                 (self.log_side.bytes, self.log_side.snapshot) = (0, snapshot.data.len());
                 self.tell_anew(now, out);
@@ -312,7 +317,7 @@
     }
 
     /// Proposes to record the shares, if they changed: they rise once most keep them.
-    pub(super) fn record_shares(&mut self, now: f64, shares: Shares) {
+    pub(super) fn record_shares(&mut self, now: f64, shares: ShareCeilings) {
         let ms = self.shared.ms(now);
         self.log_side.recording = self.raft.propose(ms, LogCommand::Shares(Arc::new(shares)));
     }
--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -3,10 +3,10 @@
 //! must never decide when the log is cut.
 
 use crate::configuration::state::{Decoder, Encoder};
-use crate::configuration::State;
+use crate::configuration::ConfigState;
 use crate::consensus::{Index, Term};
-use crate::protocol::share_ceilings::Shares;
-use crate::storage::{Part, PART};
+use crate::protocol::share_ceilings::ShareCeilings;
+use crate::storage::{SnapshotChunk, SNAPSHOT_CHUNK_BYTES};
 use bytes::Bytes;
 use std::sync::Arc;
 
@@ -15,15 +15,15 @@
 /// First byte of one that is told at once: how snapshots were told before.
 const FORMAT_WHOLE: u8 = 0x92;
 /// Bytes that are encoded at a time.
-const STEP: usize = 4 * PART;
+const STEP: usize = 4 * SNAPSHOT_CHUNK_BYTES;
 /// Bytes that tell the length of the shares.
 const LENGTH: usize = 4;
 
 /// What a snapshot holds.
-pub type Held = (State, Option<Arc<Shares>>);
+pub type DecodedSnapshot = (ConfigState, Option<Arc<ShareCeilings>>);
 
 /// This machine's own, as of an entry.
-pub(super) struct Making {
+pub(super) struct SnapshotWriter {
     pub(super) of: (Index, Term),
     encoder: Encoder,
     bytes: Vec<u8>,
@@ -33,20 +33,25 @@
     pub(super) put: Option<u64>,
 }
 
-impl Making {
+impl SnapshotWriter {
     /// Begins one of this state; about so long.
-    pub(super) fn new(of: (Index, Term), state: &State, shares: Option<&Arc<Shares>>, about: usize) -> Self {
+    pub(super) fn new(
+        of: (Index, Term),
+        state: &ConfigState,
+        shares: Option<&Arc<ShareCeilings>>,
+        about: usize,
+    ) -> Self {
         let mut bytes = Vec::with_capacity(about);
         bytes.push(FORMAT);
         // Writing to memory can't fail for these types.
         let shares = rmp_serde::to_vec(&shares).unwrap_or_default();
         bytes.extend((shares.len() as u32).to_be_bytes());
         bytes.extend(shares);
-        Making { of, encoder: state.encoder(), bytes, ahead: 0, put: None }
+        SnapshotWriter { of, encoder: state.encoder(), bytes, ahead: 0, put: None }
     }
 
     /// Encodes a step more; what is to be put on the disk, or nothing: it is whole.
-    pub(super) fn step(&mut self) -> Option<Part> {
+    pub(super) fn step(&mut self) -> Option<SnapshotChunk> {
         while self.bytes.len() < self.ahead + STEP {
             if !self.encoder.step(&mut self.bytes) {
                 return None;
@@ -62,26 +67,26 @@
 }
 
 /// What may be put on the disk of these bytes, more of which may come.
-fn part(of: (Index, Term), ahead: &mut usize, bytes: &[u8]) -> Part {
-    let (offset, end) = (*ahead, bytes.len() / PART * PART);
+fn part(of: (Index, Term), ahead: &mut usize, bytes: &[u8]) -> SnapshotChunk {
+    let (offset, end) = (*ahead, bytes.len() / SNAPSHOT_CHUNK_BYTES * SNAPSHOT_CHUNK_BYTES);
     *ahead = end;
-    Part { of, offset: offset as u64, data: Bytes::copy_from_slice(&bytes[offset..end]) }
+    SnapshotChunk { of, offset: offset as u64, data: Bytes::copy_from_slice(&bytes[offset..end]) }
 }
 
 /// A leader's.
-pub(super) struct Taking {
+pub(super) struct SnapshotReceiver {
     of: (Index, Term),
     decoder: Decoder,
-    shares: Option<Option<Arc<Shares>>>,
+    shares: Option<Option<Arc<ShareCeilings>>>,
     /// So much of it is decoded.
     at: usize,
     ahead: usize,
     wrong: Option<String>,
 }
 
-impl Taking {
+impl SnapshotReceiver {
     pub(super) fn new(of: (Index, Term)) -> Self {
-        Taking { of, decoder: Decoder::default(), shares: None, at: 0, ahead: 0, wrong: None }
+        SnapshotReceiver { of, decoder: Decoder::default(), shares: None, at: 0, ahead: 0, wrong: None }
     }
 
     /// Does it go on from what came before?
@@ -90,9 +95,9 @@
     }
 
     /// So much has come; what may be put on the disk.
-    pub(super) fn come(&mut self, bytes: &[u8]) -> Option<Part> {
+    pub(super) fn come(&mut self, bytes: &[u8]) -> Option<SnapshotChunk> {
         self.take(bytes);
-        (bytes.len() >= self.ahead + PART).then(|| part(self.of, &mut self.ahead, bytes))
+        (bytes.len() >= self.ahead + SNAPSHOT_CHUNK_BYTES).then(|| part(self.of, &mut self.ahead, bytes))
     }
 
     fn take(&mut self, bytes: &[u8]) {
@@ -122,7 +127,7 @@
     }
 
     /// All of it has come.
-    pub(super) fn finish(mut self, bytes: &[u8]) -> Result<Held, String> {
+    pub(super) fn finish(mut self, bytes: &[u8]) -> Result<DecodedSnapshot, String> {
         self.take(bytes);
         if let Some(wrong) = self.wrong {
             return Err(wrong);
@@ -136,13 +141,13 @@
 }
 
 /// Reads a whole snapshot.
-pub fn decode(bytes: &[u8]) -> Result<Held, String> {
+pub fn decode(bytes: &[u8]) -> Result<DecodedSnapshot, String> {
     if bytes.first() == Some(&FORMAT_WHOLE) {
-        let (state, shares): (Bytes, Option<Arc<Shares>>) =
+        let (state, shares): (Bytes, Option<Arc<ShareCeilings>>) =
             rmp_serde::from_slice(bytes).map_err(|e| e.to_string())?;
-        return Ok((State::decode(&state).map_err(|e| e.to_string())?, shares));
+        return Ok((ConfigState::decode(&state).map_err(|e| e.to_string())?, shares));
     }
-    Taking::new((0, 0)).finish(bytes)
+    SnapshotReceiver::new((0, 0)).finish(bytes)
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -1,13 +1,13 @@
 //! Snapshots of megabytes: made, sent, taken and written in small steps while the log goes on. And what each step costs
 //! at the largest size: `cargo test --release -p whinstall-gateway measure_a_repair -- --ignored --nocapture`.
 
-use super::super::{Core, Effect, Event, TICK};
-use super::{decode, Making, Taking, STEP};
-use crate::configuration::{Fields, Item, Kind, State};
-use crate::consensus::Write;
-use crate::protocol::Msg;
+use super::super::{CoreNode, Effect, Event, TICK};
+use super::{decode, SnapshotReceiver, SnapshotWriter, STEP};
+use crate::configuration::{ConfigItem, ConfigState, ItemFields, ItemKind};
+use crate::consensus::LogWrite;
+use crate::protocol::PeerMessage;
 use crate::settings::Settings;
-use crate::storage::{Put, Store, PART};
+use crate::storage::{ReplicaStore, WriteBatch, SNAPSHOT_CHUNK_BYTES};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, VecDeque};
@@ -15,20 +15,20 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-fn item(kind: Kind, label: String, version: u64, mut body: Value) -> Item {
+fn item(kind: ItemKind, label: String, version: u64, mut body: Value) -> ConfigItem {
     (body["label"], body["revision"]) = (json!(label), json!(format!("r{version}")));
-    Item { kind, label, version, body: body.as_object().map(Fields::from) }
+    ConfigItem { kind, label, version, body: body.as_object().map(ItemFields::from) }
 }
 
-fn tenant(n: usize, version: u64) -> Item {
+fn tenant(n: usize, version: u64) -> ConfigItem {
     let key = |part: usize| format!("{:020x}", (n * 2 + part).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let body =
         json!({ "credentials": [key(0), key(1)], "rank": 0, "rate_per_s": 122, "burst_size": version });
-    item(Kind::Tenant, format!("tenant{n:06}"), version, body)
+    item(ItemKind::Tenant, format!("tenant{n:06}"), version, body)
 }
 
 /// A configuration of so many tenants, with an eighth as many routes.
-fn configuration(tenants: usize) -> Vec<Item> {
+fn configuration(tenants: usize) -> Vec<ConfigItem> {
     let services = tenants / 120 + 1;
     let service = |n: usize| format!("srv{:04}a", n % services);
     let route = |n: usize| {
@@ -37,9 +37,10 @@
         let body = json!({ "hostname": format!("h{}.example", n / 4), "path_prefix": format!("/lepu{n}/"),
             "route_class": "idempotent", "cutoff": "2500ms", "target": "400ms", "rank": 2, "mixture": parts,
             "max_attempts": 2, "unkeyed": false });
-        item(Kind::Route, format!("r-{n:07}"), 7, body)
+        item(ItemKind::Route, format!("r-{n:07}"), 7, body)
     };
-    let whole = |n| item(Kind::Service, service(n), 7, json!({ "probe_path": "/health", "conn_limit": 130 }));
+    let whole =
+        |n| item(ItemKind::Service, service(n), 7, json!({ "probe_path": "/health", "conn_limit": 130 }));
     let services = (0..services).map(whole);
     services.chain((0..tenants / 8).map(route)).chain((0..tenants).map(|n| tenant(n, 7))).collect()
 }
@@ -48,15 +49,15 @@
 /// give it again, and each part that goes to the disk ahead goes on from the last.
 #[gtest]
 fn a_snapshot_is_what_was_when_it_began_however_it_is_cut() {
-    let mut state = State::default();
+    let mut state = ConfigState::default();
     let _ = state.apply(1, &configuration(3000));
     let was = state.clone();
-    let mut making = Making::new((1, 1), &state, None, 0);
+    let mut making = SnapshotWriter::new((1, 1), &state, None, 0);
     let (mut ahead, mut index) = (Vec::new(), 1);
     while let Some(part) = making.step() {
         expect_that!(part.offset, eq(ahead.len() as u64));
-        expect_that!(part.data.len() % PART, eq(0));
-        expect_that!(part.data.len(), le(STEP + PART));
+        expect_that!(part.data.len() % SNAPSHOT_CHUNK_BYTES, eq(0));
+        expect_that!(part.data.len(), le(STEP + SNAPSHOT_CHUNK_BYTES));
         ahead.extend_from_slice(&part.data);
         index += 1;
         let _ = state.apply(index, &[tenant(index as usize * 97 % 3000, 7 + index)]);
@@ -67,7 +68,7 @@
     assert_that!(decode(&bytes).expect("decoded").0 == was, eq(true));
     for seed in 0..20 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut taking, mut come, mut ahead) = (Taking::new((1, 1)), 0, Vec::new());
+        let (mut taking, mut come, mut ahead) = (SnapshotReceiver::new((1, 1)), 0, Vec::new());
         while come < bytes.len() {
             come = (come + rng.usize(1..200_000)).min(bytes.len());
             if let Some(part) = taking.come(&bytes[..come]) {
@@ -78,7 +79,7 @@
         expect_that!(bytes.starts_with(&ahead), eq(true));
         assert_that!(taking.finish(&bytes).expect("decoded").0 == was, eq(true));
     }
-    let mut taking = Taking::new((1, 1));
+    let mut taking = SnapshotReceiver::new((1, 1));
     let _ = taking.come(&bytes[..bytes.len() - 1]);
     expect_that!(taking.finish(&bytes[..bytes.len() - 1]).is_err(), eq(true));
     expect_that!(decode(&[&bytes[..], &[0]].concat()).is_err(), eq(true));
@@ -89,8 +90,8 @@
 }
 
 struct Node {
-    core: Option<Core>,
-    store: Option<Store>,
+    core: Option<CoreNode>,
+    store: Option<ReplicaStore>,
     folder: PathBuf,
 }
 
@@ -138,10 +139,11 @@
             std::fs::create_dir_all(&self.nodes[n].folder).expect("a folder");
         }
         let since = Instant::now();
-        let (store, held) = Store::open(&self.nodes[n].folder, settings.is_first_seed()).expect("opens");
+        let (store, held) =
+            ReplicaStore::open(&self.nodes[n].folder, settings.is_first_seed()).expect("opens");
         self.cost("open a disk", since);
         let since = Instant::now();
-        let mut core = Core::new(self.now, settings, held).expect("a core");
+        let mut core = CoreNode::new(self.now, settings, held).expect("a core");
         self.cost("start", since);
         let mut out = Vec::new();
         core.start(&mut out);
@@ -170,8 +172,8 @@
         }
     }
 
-    fn persist(&mut self, n: usize, put: Put) {
-        let cut = put.writes.iter().any(|w| matches!(w, Write::Snapshot { .. }));
+    fn persist(&mut self, n: usize, put: WriteBatch) {
+        let cut = put.writes.iter().any(|w| matches!(w, LogWrite::Snapshot { .. }));
         let what = match (&put.part, cut) {
             (Some(_), _) => "write a part of a snapshot",
             (None, true) => "write a snapshot's end and cut the log",
@@ -192,12 +194,13 @@
             let what = match &event {
                 Event::Tick => "tick (with a step of a snapshot's making)",
                 Event::Disk(_) => "a sync is done",
-                Event::Inbound(_, Msg::Raft { message: crate::consensus::Message::Piece { .. }, .. }) => {
-                    "take a piece"
-                }
                 Event::Inbound(
                     _,
-                    Msg::Raft { message: crate::consensus::Message::PieceReply { .. }, .. },
+                    PeerMessage::Raft { message: crate::consensus::Message::Piece { .. }, .. },
+                ) => "take a piece",
+                Event::Inbound(
+                    _,
+                    PeerMessage::Raft { message: crate::consensus::Message::PieceReply { .. }, .. },
                 ) => "send pieces",
                 Event::Call(..) => "a call",
                 _ => "anything else",
@@ -234,7 +237,7 @@
         self.now - since
     }
 
-    fn core(&self, n: usize) -> &Core {
+    fn core(&self, n: usize) -> &CoreNode {
         self.nodes[n].core.as_ref().expect("it runs")
     }
 
@@ -242,10 +245,10 @@
         (0..3).find(|n| self.nodes[*n].core.as_ref().is_some_and(|c| c.raft.leads()))
     }
 
-    fn amend(&mut self, items: Vec<Item>) {
+    fn amend(&mut self, items: Vec<ConfigItem>) {
         let said = self.replies.len();
         let leader = self.leader().expect("a leader");
-        self.queue.push_back((leader, Event::Call(1, super::super::Command::Amend(items))));
+        self.queue.push_back((leader, Event::Call(1, super::super::ApiCommand::Amend(items))));
         self.work();
         self.until(|t| t.replies.len() > said);
     }
@@ -335,7 +338,7 @@
             for n in 0..8 {
                 made += 1;
                 let order = vec![tenant((made * 7 + n) % 300, 10 + made as u64)];
-                three.queue.push_back((leader, Event::Call(1, super::super::Command::Amend(order))));
+                three.queue.push_back((leader, Event::Call(1, super::super::ApiCommand::Amend(order))));
             }
             three.work();
             // A tick at the least: the log is cut by and by.
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -2,15 +2,15 @@
 //! repaired and since when. It must never decide anything.
 
 use super::replicated_log::{tuning, ELECTION};
-use super::Core;
-use crate::consensus::{Index, Ms, NodeId};
+use super::CoreNode;
+use crate::consensus::{Index, Millis, NodeId};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
 /// How the leader sees another machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum MemberState {
     /// Takes part.
     Votes,
     /// Votes, but was not heard.
@@ -21,56 +21,56 @@
     Gone,
 }
 
-impl Standing {
-    fn of(votes: bool, silent: Ms) -> Self {
+impl MemberState {
+    fn of(votes: bool, silent: Millis) -> Self {
         match (votes, silent > ELECTION) {
-            (true, false) => Standing::Votes,
-            (true, true) => Standing::Out,
-            (false, false) => Standing::CatchingUp,
-            (false, true) => Standing::Gone,
+            (true, false) => MemberState::Votes,
+            (true, true) => MemberState::Out,
+            (false, false) => MemberState::CatchingUp,
+            (false, true) => MemberState::Gone,
         }
     }
 
     fn word(self) -> &'static str {
         match self {
-            Standing::Votes => "votes",
-            Standing::Out => "out",
-            Standing::CatchingUp => "catching up",
-            Standing::Gone => "gone",
+            MemberState::Votes => "votes",
+            MemberState::Out => "out",
+            MemberState::CatchingUp => "catching up",
+            MemberState::Gone => "gone",
         }
     }
 }
 
 /// Since when each other machine stands as it does, as this leader saw it.
 #[derive(Default)]
-pub(super) struct Standings(BTreeMap<NodeId, (Standing, f64)>);
+pub(super) struct MemberStates(BTreeMap<NodeId, (MemberState, f64)>);
 
-type Peer = (NodeId, bool, Index, Ms);
+type Peer = (NodeId, bool, Index, Millis);
 
-impl Core {
+impl CoreNode {
     /// Notices how the others stand; the log is told what has changed.
     pub(super) fn note_standings(&mut self, now: f64) {
         let peers = self.raft.peers(self.shared.ms(now));
         self.standings.0.retain(|id, _| peers.iter().any(|p| p.0 == *id));
         for peer in &peers {
             let (id, votes, _, silent) = *peer;
-            let standing = Standing::of(votes, silent);
+            let standing = MemberState::of(votes, silent);
             let was = self.standings.0.get(&id).map(|s| s.0);
             if was == Some(standing) {
                 continue;
             }
-            let since = if standing == Standing::Out { now - silent as f64 / 1e3 } else { now };
+            let since = if standing == MemberState::Out { now - silent as f64 / 1e3 } else { now };
             self.standings.0.insert(id, (standing, since));
             let member = format!("{}/{:x}", id.ip, id.disk);
             match (was, standing) {
-                (_, Standing::Out) => {
+                (_, MemberState::Out) => {
                     tracing::warn!(member, why = self.why_out(&id, &peers), "a member is out");
                 }
-                (Some(Standing::Out), Standing::Votes) => tracing::info!(member, "a member is back"),
-                (Some(Standing::CatchingUp), Standing::Votes) => {
+                (Some(MemberState::Out), MemberState::Votes) => tracing::info!(member, "a member is back"),
+                (Some(MemberState::CatchingUp), MemberState::Votes) => {
                     tracing::info!(member, "a machine has caught up and votes");
                 }
-                (_, Standing::CatchingUp) => tracing::info!(member, "a machine catches up"),
+                (_, MemberState::CatchingUp) => tracing::info!(member, "a machine catches up"),
                 _ => {}
             }
         }
@@ -90,18 +90,18 @@
     }
 
     /// What goes on for a machine that does not take part.
-    fn repair(&self, standing: Standing) -> Option<String> {
+    fn repair(&self, standing: MemberState) -> Option<String> {
         let tuning = tuning(&self.shared.settings);
         match standing {
-            Standing::Out if self.raft.members().len() > tuning.least => {
+            MemberState::Out if self.raft.members().len() > tuning.least => {
                 Some(format!("is taken out of the members once it is silent for {} ms", tuning.out_after))
             }
-            Standing::Out => Some(
+            MemberState::Out => Some(
                 "stays a member until it is back, or its machine with an empty disk or a successor has caught up"
                     .into(),
             ),
-            Standing::CatchingUp => Some("copies the log, then votes".into()),
-            Standing::Votes | Standing::Gone => None,
+            MemberState::CatchingUp => Some("copies the log, then votes".into()),
+            MemberState::Votes | MemberState::Gone => None,
         }
     }
 
@@ -141,14 +141,14 @@
         };
         let other = |peer: &Peer| {
             let (id, votes, matched, silent) = *peer;
-            let (standing, mut told) = (Standing::of(votes, silent), self.name(&id));
+            let (standing, mut told) = (MemberState::of(votes, silent), self.name(&id));
             let seen = self.standings.0.get(&id).filter(|s| s.0 == standing);
             told["votes"] = json!(votes);
             told["lag_entries"] = json!(self.raft.last().saturating_sub(matched));
             told["silent_ms"] = json!(silent);
             told["state"] = json!(standing.word());
             told["since_s"] = json!(seen.map(|s| ((now - s.1) * 10.0).round() / 10.0));
-            if standing == Standing::Out {
+            if standing == MemberState::Out {
                 told["why"] = json!(self.why_out(&id, &peers));
             }
             if let Some(repair) = self.repair(standing) {
@@ -156,8 +156,8 @@
             }
             told
         };
-        let whole = peers.iter().all(|p| Standing::of(p.1, p.3) != Standing::Out)
-            && !peers.iter().any(|p| Standing::of(p.1, p.3) == Standing::CatchingUp);
+        let whole = peers.iter().all(|p| MemberState::of(p.1, p.3) != MemberState::Out)
+            && !peers.iter().any(|p| MemberState::of(p.1, p.3) == MemberState::CatchingUp);
         let role = match (self.raft.leads(), members.contains(&me)) {
             (true, _) => "leader",
             (false, true) => "follower",
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -1,11 +1,11 @@
 //! Owns the core's part in the list of workers: what they call, who else must know before a leaving worker hears so,
 //! who has fallen silent. It must never acknowledge a worker's leaving before enough of the core knows of it.
 
-use super::change_tracker::Changes;
-use super::{fault, CallId, Effect, Shared};
-use crate::control_plane::event_journal::{Fact, Journal};
-use crate::discovery::registry::{Merge, Phase, Registry, Worker};
-use crate::protocol::Msg;
+use super::change_tracker::ChangeTracker;
+use super::{error_body, CallId, CoreContext, Effect};
+use crate::control_plane::event_journal::{EventJournal, JournalEvent};
+use crate::discovery::registry::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
+use crate::protocol::PeerMessage;
 use crate::settings::Settings;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,18 +26,18 @@
     held: BTreeSet<IpAddr>,
     until: f64,
     id: String,
-    phase: Phase,
+    phase: WorkerPhase,
 }
 
 /// The core's list of workers.
-pub struct Roster {
+pub struct WorkerMembership {
     /// The list.
-    pub registry: Registry,
-    changes: Changes<Arc<str>>,
+    pub registry: WorkerRegistry,
+    changes: ChangeTracker<Arc<str>>,
     beat: f64,
     holdings: BTreeMap<u64, Holding>,
     /// Workers whose leaving enough others know of.
-    known: BTreeMap<String, Phase>,
+    known: BTreeMap<String, WorkerPhase>,
     alive: BTreeMap<String, u64>,
     told_at: f64,
     /// Since when most of the core has been in touch.
@@ -46,16 +46,16 @@
     differing: BTreeMap<IpAddr, (u64, u32, f64)>,
 }
 
-impl Roster {
+impl WorkerMembership {
     /// With the workers that were known before: all as if they had just been heard of.
     pub fn new(settings: &Settings, now: f64, workers: Vec<Worker>) -> Self {
-        let mut registry = Registry::default();
+        let mut registry = WorkerRegistry::default();
         for worker in workers {
             registry.merge(now, Worker { warmup_ms: 0, ..worker }, KEEP);
         }
-        Roster {
+        WorkerMembership {
             registry,
-            changes: Changes::default(),
+            changes: ChangeTracker::default(),
             beat: settings.heartbeat.as_secs_f64(),
             holdings: BTreeMap::new(),
             known: BTreeMap::new(),
@@ -71,22 +71,23 @@
         &mut self,
         now: f64,
         workers: Vec<Worker>,
-        journal: &mut Journal,
+        journal: &mut EventJournal,
     ) -> (Vec<Worker>, Vec<Worker>) {
         let (mut changed, mut contested) = (Vec::new(), Vec::new());
         for worker in workers {
             let (id, phase) = (worker.id.clone(), worker.phase);
             match journal.worker(now, worker, &mut self.registry, KEEP) {
-                Merge::Changed => {
+                MergeOutcome::Changed => {
                     let Some(held) = self.registry.get(&id) else { continue };
                     tracing::info!(worker = %held.id, service = %held.service, phase = ?held.phase, "worker");
                     self.changes.touch(&held.id);
                     changed.push(held.clone());
                 }
-                Merge::Old if phase == Phase::Silent => {
-                    contested.extend(self.registry.get(&id).filter(|w| w.phase <= Phase::Decaying).cloned());
+                MergeOutcome::Old if phase == WorkerPhase::Silent => {
+                    contested
+                        .extend(self.registry.get(&id).filter(|w| w.phase <= WorkerPhase::Decaying).cloned());
                 }
-                Merge::Old | Merge::Refreshed => {}
+                MergeOutcome::Old | MergeOutcome::Refreshed => {}
             }
         }
         (changed, contested)
@@ -107,7 +108,7 @@
     /// The same worker as gone.
     pub fn departed(&self, id: &str) -> Option<Worker> {
         let held = self.registry.get(id)?;
-        Some(Worker { phase: Phase::Gone, calls: held.calls + 1, ..held.clone() })
+        Some(Worker { phase: WorkerPhase::Gone, calls: held.calls + 1, ..held.clone() })
     }
 
     /// A leaving worker is answered once enough of the core knows.
@@ -116,7 +117,7 @@
         now: f64,
         call: CallId,
         worker: Worker,
-        shared: &mut Shared,
+        shared: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
         if self.known.get(&*worker.id).is_some_and(|phase| *phase >= worker.phase) {
@@ -127,13 +128,13 @@
         let (id, phase) = (worker.id.to_string(), worker.phase);
         self.holdings.insert(ask, Holding { call, held, until: now + HOLD_WITHIN, id, phase });
         for ip in shared.peers() {
-            out.push(Effect::Send(ip, Msg::Hold { ask, workers: vec![worker.clone()] }));
+            out.push(Effect::Send(ip, PeerMessage::Hold { ask, workers: vec![worker.clone()] }));
         }
         self.held(shared.me.ip, ask, shared, out);
     }
 
     /// One more machine knows.
-    pub fn held(&mut self, ip: IpAddr, ask: u64, shared: &Shared, out: &mut Vec<Effect>) {
+    pub fn held(&mut self, ip: IpAddr, ask: u64, shared: &CoreContext, out: &mut Vec<Effect>) {
         let Some(holding) = self.holdings.get_mut(&ask) else { return };
         holding.held.insert(ip);
         if shared.may_hold_all(holding.held.iter()) {
@@ -186,18 +187,18 @@
     }
 
     /// Upkeep; returned: workers that are silent from now on.
-    pub fn tick(&mut self, now: f64, shared: &mut Shared, out: &mut Vec<Effect>) -> Vec<Worker> {
+    pub fn tick(&mut self, now: f64, shared: &mut CoreContext, out: &mut Vec<Effect>) -> Vec<Worker> {
         let late: Vec<u64> = self.holdings.iter().filter(|(_, h)| h.until <= now).map(|(a, _)| *a).collect();
         for ask in late {
             let Some(holding) = self.holdings.remove(&ask) else { continue };
             tracing::warn!(worker = holding.id, "too few core machines know of a leaving worker in time");
-            out.push(Effect::Reply(holding.call, 503, fault("too few core machines in time")));
+            out.push(Effect::Reply(holding.call, 503, error_body("too few core machines in time")));
         }
         if now - self.told_at >= ALIVE_EVERY && !self.alive.is_empty() {
             self.told_at = now;
             let alive: Vec<(String, u64)> = std::mem::take(&mut self.alive).into_iter().collect();
             for ip in shared.peers() {
-                out.push(Effect::Send(ip, Msg::Alive(alive.clone())));
+                out.push(Effect::Send(ip, PeerMessage::Alive(alive.clone())));
             }
         }
         self.touch_since = match shared.majority(now) {
@@ -218,10 +219,10 @@
             for worker in &silent {
                 tracing::warn!(worker = %worker.id, service = %worker.service, "worker fell silent");
                 self.changes.touch(&worker.id);
-                shared.journal.append(now, Fact::Worker(worker.clone()));
+                shared.journal.append(now, JournalEvent::Worker(worker.clone()));
             }
             for ip in shared.peers() {
-                out.push(Effect::Send(ip, Msg::Workers(silent.clone())));
+                out.push(Effect::Send(ip, PeerMessage::Workers(silent.clone())));
             }
         }
         silent
--- a/crates/gateway/src/data_plane/drain.rs
+++ b/crates/gateway/src/data_plane/drain.rs
@@ -2,7 +2,7 @@
 //! those that have no answer by the end. It must never take a request that it could not end, nor leave one without an
 //! answer.
 
-use super::{Edge, Effect};
+use super::{EdgeNode, Effect};
 use crate::settings::Settings;
 use whinstall::RequestId;
 
@@ -54,7 +54,7 @@
     pub newest: Option<f64>,
 }
 
-impl Edge {
+impl EdgeNode {
     /// The process is asked to end: it is not ready any more, and serves on as the drain says.
     pub fn end(&mut self, now: f64) -> Drain {
         *self.drain.get_or_insert(Drain::new(now, &self.settings))
--- a/crates/gateway/src/data_plane/links_tests.rs
+++ b/crates/gateway/src/data_plane/links_tests.rs
@@ -1,7 +1,7 @@
 //! Which core machines a gatekeeper reaches for.
 
-use super::{Edge, Effect, Event, TICK};
-use crate::protocol::{Member, Msg};
+use super::{EdgeNode, Effect, Event, TICK};
+use crate::protocol::{NodeLocation, PeerMessage};
 use crate::settings::Settings;
 use googletest::prelude::*;
 use std::net::IpAddr;
@@ -10,8 +10,10 @@
     [10, 0, 1, n].into()
 }
 
-fn members(of: &[u8]) -> Msg {
-    Msg::Members(of.iter().map(|n| Member { ip: ip(*n), zone: "a".into(), region: "r".into() }).collect())
+fn members(of: &[u8]) -> PeerMessage {
+    PeerMessage::Members(
+        of.iter().map(|n| NodeLocation { ip: ip(*n), zone: "a".into(), region: "r".into() }).collect(),
+    )
 }
 
 /// Guards a gatekeeper whose core machine was replaced, and its address given to something that takes connections and
@@ -20,7 +22,7 @@
 fn an_address_that_belongs_to_somebody_else_is_forgotten() {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     settings.seeds = vec![(ip(1), 80).into(), (ip(4), 80).into()];
-    let mut edge = Edge::new(settings, 1);
+    let mut edge = EdgeNode::new(settings, 1);
     let (mut now, mut out) = (1000.0, Vec::new());
     edge.start(&mut out);
     edge.handle(now, Event::LinkUp(ip(1)), &mut out);
@@ -42,7 +44,7 @@
             }
         }
         if tick % 10 == 0 {
-            let pong = Msg::Pong { holder: None, gates: 1, core: 1, settled: true };
+            let pong = PeerMessage::Pong { holder: None, gates: 1, core: 1, settled: true };
             edge.handle(now, Event::Core(ip(1), pong), &mut out);
         }
     }
--- a/crates/gateway/src/data_plane/load_table.rs
+++ b/crates/gateway/src/data_plane/load_table.rs
@@ -2,7 +2,7 @@
 //! once, as bytes within a zone cost nothing; those of other zones a few times a second. Pure; time is passed in. It
 //! must never be relied on for more than a choice: datagrams get lost.
 
-use crate::protocol::{Load, Member};
+use crate::protocol::{LoadReport, NodeLocation};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use whinstall::ground;
@@ -24,8 +24,8 @@
 }
 
 /// Attempts that are out, here and elsewhere.
-pub struct Loads {
-    me: Member,
+pub struct LoadTable {
+    me: NodeLocation,
     life: u64,
     number: u64,
     mine: BTreeMap<u32, u16>,
@@ -44,10 +44,10 @@
     ground::hash(worker) as u32
 }
 
-impl Loads {
+impl LoadTable {
     /// Nothing is out.
-    pub fn new(me: Member, life: u64) -> Self {
-        Loads {
+    pub fn new(me: NodeLocation, life: u64) -> Self {
+        LoadTable {
             me,
             life,
             number: 0,
@@ -106,7 +106,7 @@
     }
 
     /// What is to be told now, and to whom.
-    pub fn tell(&mut self, now: f64) -> Option<(Vec<IpAddr>, Load)> {
+    pub fn tell(&mut self, now: f64) -> Option<(Vec<IpAddr>, LoadReport)> {
         let mut to = Vec::new();
         if now >= self.near_at {
             (self.told_at.0, self.near_at) =
@@ -123,16 +123,16 @@
         }
         self.number += 1;
         let out = self.mine.iter().map(|(key, out)| (*key, *out)).collect();
-        Some((to, Load { life: self.life, number: self.number, out }))
+        Some((to, LoadReport { life: self.life, number: self.number, out }))
     }
 
     /// What another one has out. Returned: workers of which the sum is another now, with it.
-    pub fn told(&mut self, now: f64, from: IpAddr, load: Load) -> Vec<(u32, u32)> {
+    pub fn told(&mut self, now: f64, from: IpAddr, load: LoadReport) -> Vec<(u32, u32)> {
         let held = self.others.get(&from);
         if held.is_some_and(|h| h.life == load.life && h.number >= load.number) {
             return Vec::new();
         }
-        let Load { life, number, out } = load;
+        let LoadReport { life, number, out } = load;
         let old = self.others.insert(from, Other { life, number, heard: now, out });
         let new = self.others[&from].out.clone();
         self.shift(old.map(|o| o.out).unwrap_or_default(), new)
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -12,20 +12,20 @@
 pub mod retry_budget;
 pub mod upstream_service;
 
-use crate::configuration::replica::{Replica, Told};
-use crate::configuration::{Kind, View};
+use crate::configuration::replica::{ConfigReplica, ReplicaUpdate};
+use crate::configuration::{ActiveConfig, ItemKind};
 use crate::control_plane::quota_lease;
-use crate::discovery::registry::{Merge, Phase, Registry, Worker};
-use crate::protocol::{Load, Member, Msg};
+use crate::discovery::registry::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
+use crate::protocol::{LoadReport, NodeLocation, PeerMessage};
 use crate::settings::Settings;
 use drain::Drain;
-use load_table::Loads;
-use quota_admission::Quota;
-use requests::{Answer, Request};
+use load_table::LoadTable;
+use quota_admission::QuotaAdmission;
+use requests::{FinalResponse, PendingRequest};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
-use upstream_service::Service;
+use upstream_service::UpstreamService;
 use whinstall::{ground, HostId, RequestId};
 
 /// What happens to this process.
@@ -38,9 +38,9 @@
     /// It went down.
     LinkDown(IpAddr),
     /// A core machine said this.
-    Core(IpAddr, Msg),
+    Core(IpAddr, PeerMessage),
     /// Another gatekeeper has this out.
-    Told(IpAddr, Load),
+    Told(IpAddr, LoadReport),
 }
 
 /// What is to be done.
@@ -51,7 +51,7 @@
     /// It is gone for good: no more.
     Disconnect(IpAddr),
     /// Say this on it.
-    Send(IpAddr, Msg),
+    Send(IpAddr, PeerMessage),
     /// Send an attempt of a request to a worker.
     Dispatch {
         /// Which request.
@@ -68,11 +68,11 @@
     /// Give up an attempt.
     CallOff(RequestId, u32),
     /// The final answer to a request.
-    Answer(RequestId, Answer),
+    Answer(RequestId, FinalResponse),
     /// Close idle connections to a worker.
     CloseIdle(HostId),
     /// Tell these gatekeepers, in a datagram each.
-    Tell(Vec<IpAddr>, Load),
+    Tell(Vec<IpAddr>, LoadReport),
 }
 
 /// Seconds between two ticks.
@@ -103,20 +103,20 @@
 }
 
 /// The edge role.
-pub struct Edge {
+pub struct EdgeNode {
     settings: Settings,
     /// What tells this life from others.
     pub life: u64,
-    items: Replica,
+    items: ConfigReplica,
     /// What is served by.
-    pub view: Arc<View>,
-    registry: Registry,
-    quota: Quota,
-    budget: retry_budget::Terms,
-    services: BTreeMap<Arc<str>, Service>,
-    requests: HashMap<RequestId, Request>,
+    pub view: Arc<ActiveConfig>,
+    registry: WorkerRegistry,
+    quota: QuotaAdmission,
+    budget: retry_budget::RetryBudgetConfig,
+    services: BTreeMap<Arc<str>, UpstreamService>,
+    requests: HashMap<RequestId, PendingRequest>,
     links: BTreeMap<IpAddr, CoreLink>,
-    loads: Loads,
+    loads: LoadTable,
     /// Workers by their short names.
     names: HashMap<u32, Arc<str>>,
     /// Requests that wait for the counter.
@@ -132,9 +132,9 @@
     drain: Option<Drain>,
 }
 
-fn quota_terms(settings: &Settings) -> quota_admission::Terms {
+fn quota_terms(settings: &Settings) -> quota_admission::QuotaAdmissionConfig {
     let e = &settings.envelope;
-    quota_admission::Terms {
+    quota_admission::QuotaAdmissionConfig {
         every: quota_lease::SYNC_EVERY,
         overdue: quota_lease::OVERDUE,
         lapse: quota_lease::lapse(settings),
@@ -144,29 +144,33 @@
     }
 }
 
-fn budget_terms(settings: &Settings) -> retry_budget::Terms {
+fn budget_terms(settings: &Settings) -> retry_budget::RetryBudgetConfig {
     let e = &settings.envelope;
     let (ratio, window, slack) = (e.retry_ratio, e.retry_window.as_secs_f64(), e.retry_slack);
     // As long as it is not known when this life began.
-    retry_budget::Terms { ratio, window, slack, slack_from: f64::INFINITY }
+    retry_budget::RetryBudgetConfig { ratio, window, slack, slack_from: f64::INFINITY }
 }
 
-impl Edge {
+impl EdgeNode {
     /// One that knows nothing yet; `life` differs for each start.
     pub fn new(settings: Settings, life: u64) -> Self {
         let (terms, budget) = (quota_terms(&settings), budget_terms(&settings));
-        let items = Replica::default();
-        Edge {
-            view: Arc::new(View::fold_parts(items.parts())),
+        let items = ConfigReplica::default();
+        EdgeNode {
+            view: Arc::new(ActiveConfig::fold_parts(items.parts())),
             items,
-            registry: Registry::default(),
-            quota: Quota::new(terms, &settings.node),
+            registry: WorkerRegistry::default(),
+            quota: QuotaAdmission::new(terms, &settings.node),
             budget,
             services: BTreeMap::new(),
             requests: HashMap::new(),
             links: BTreeMap::new(),
-            loads: Loads::new(
-                Member { ip: settings.ip, zone: settings.zone.clone(), region: settings.region.clone() },
+            loads: LoadTable::new(
+                NodeLocation {
+                    ip: settings.ip,
+                    zone: settings.zone.clone(),
+                    region: settings.region.clone(),
+                },
                 life,
             ),
             names: HashMap::new(),
@@ -209,7 +213,7 @@
             self.view.routes().flat_map(|r| r.mixture.iter().filter(|m| m.1 > 0.0).map(|m| &m.0));
         let limited = self.view.tenants().values().any(|t| t.rate > 0.0);
         let has = |service: &Arc<str>| {
-            self.registry.all().any(|w| w.service == *service && w.phase == Phase::Settled)
+            self.registry.all().any(|w| w.service == *service && w.phase == WorkerPhase::Settled)
         };
         !self.items.is_empty() && (self.workers_known || routed.all(has)) && (self.synced || !limited)
     }
@@ -259,8 +263,8 @@
             }
             Event::LinkUp(ip) => {
                 let s = &self.settings;
-                let me = Member { ip: s.ip, zone: s.zone.clone(), region: s.region.clone() };
-                let hello = Msg::Hello { node: s.node.clone(), life: self.life, me, core: false };
+                let me = NodeLocation { ip: s.ip, zone: s.zone.clone(), region: s.region.clone() };
+                let hello = PeerMessage::Hello { node: s.node.clone(), life: self.life, me, core: false };
                 let link = self.links.entry(ip).or_default();
                 (link.up, link.messages) = (true, 0);
                 out.push(Effect::Send(ip, hello));
@@ -300,9 +304,9 @@
     }
 
     /// What it holds, and how much of what this core machine said it has heard.
-    pub fn ping(&self, ip: IpAddr) -> Msg {
+    pub fn ping(&self, ip: IpAddr) -> PeerMessage {
         let heard = self.links.get(&ip).map_or(0, |l| l.messages);
-        Msg::Ping { config: self.items.index(), workers: self.registry.digest(), heard }
+        PeerMessage::Ping { config: self.items.index(), workers: self.registry.digest(), heard }
     }
 
     /// What a core machine says of gatekeepers; the others are those that any says are there.
@@ -323,18 +327,18 @@
         self.loads.gates(all);
     }
 
-    fn core(&mut self, now: f64, ip: IpAddr, msg: Msg, out: &mut Vec<Effect>) {
+    fn core(&mut self, now: f64, ip: IpAddr, msg: PeerMessage, out: &mut Vec<Effect>) {
         let link = self.links.entry(ip).or_default();
         (link.heard, link.since) = (now, now);
         link.messages += 1;
         match msg {
-            Msg::Members(members) => {
+            PeerMessage::Members(members) => {
                 link.others = members.iter().map(|m| m.ip).collect();
-                for Member { ip, .. } in members {
+                for NodeLocation { ip, .. } in members {
                     self.reach(ip, out);
                 }
             }
-            Msg::Pong { holder, gates, settled, .. } => {
+            PeerMessage::Pong { holder, gates, settled, .. } => {
                 (link.holder, link.gates) = (holder, gates);
                 self.workers_known |= settled;
                 let most = self.links.values().map(|l| l.gates).max().unwrap_or(0);
@@ -346,45 +350,45 @@
                 }
                 self.sync(now, out);
             }
-            Msg::Gates { whole, here, gone } => self.gatekeepers(ip, whole, here, &gone),
-            Msg::Config { from, index, items } => {
+            PeerMessage::Gates { whole, here, gone } => self.gatekeepers(ip, whole, here, &gone),
+            PeerMessage::Config { from, index, items } => {
                 let count = items.len();
                 let whole = from.is_none();
-                let kinds: BTreeSet<Kind> = items.iter().map(|i| i.kind).collect();
+                let kinds: BTreeSet<ItemKind> = items.iter().map(|i| i.kind).collect();
                 match self.items.take(from, index, items) {
-                    Told::Taken => {
+                    ReplicaUpdate::Taken => {
                         let view = match whole {
-                            true => View::fold_parts(self.items.parts()),
+                            true => ActiveConfig::fold_parts(self.items.parts()),
                             false => self.view.refold(self.items.parts(), &kinds),
                         };
                         self.view = Arc::new(view);
                         tracing::info!(index, items = count, "configuration in force");
                     }
                     // Told again, by whoever speaks for all.
-                    Told::Gap => {}
-                    Told::Old => return,
+                    ReplicaUpdate::Gap => {}
+                    ReplicaUpdate::Old => return,
                 }
                 if whole || self.items.index() < index {
                     // What is large is not to wait for the next ping: the core goes on once it was heard.
                     out.push(Effect::Send(ip, self.ping(ip)));
                 }
             }
-            Msg::Workers(workers) => self.workers(now, workers, out),
-            Msg::AllWorkers { workers, settled } => {
+            PeerMessage::Workers(workers) => self.workers(now, workers, out),
+            PeerMessage::AllWorkers { workers, settled } => {
                 if settled {
                     self.workers_known = true;
                     self.missing(now, &workers, out);
                 }
                 self.workers(now, workers, out);
             }
-            Msg::Totals { ask, term, held: true, totals } => {
+            PeerMessage::Totals { ask, term, held: true, totals } => {
                 if self.quota.told(now, ask, term, &totals) {
                     self.synced = true;
                     self.decide_waiting(now, ask, out);
                 }
                 self.sync(now, out);
             }
-            Msg::Totals { held: false, .. } => {
+            PeerMessage::Totals { held: false, .. } => {
                 self.links.entry(ip).or_default().holder = None;
                 self.quota.unheld(now);
             }
@@ -395,8 +399,9 @@
     /// Workers that a settled core machine does not know: they are silent.
     fn missing(&mut self, now: f64, told: &[Worker], out: &mut Vec<Effect>) {
         let known: std::collections::HashSet<&str> = told.iter().map(|w| &*w.id).collect();
-        let gone = self.registry.all().filter(|w| w.phase <= Phase::Decaying && !known.contains(&*w.id));
-        let gone: Vec<Worker> = gone.map(|w| Worker { phase: Phase::Silent, ..w.clone() }).collect();
+        let gone =
+            self.registry.all().filter(|w| w.phase <= WorkerPhase::Decaying && !known.contains(&*w.id));
+        let gone: Vec<Worker> = gone.map(|w| Worker { phase: WorkerPhase::Silent, ..w.clone() }).collect();
         if !gone.is_empty() {
             tracing::info!(workers = gone.len(), "workers that the core does not know any more");
             self.workers(now, gone, out);
@@ -408,10 +413,10 @@
         for worker in workers {
             let (id, service) = (worker.id.clone(), worker.service.clone());
             self.names.insert(load_table::key(&id), id.clone());
-            if self.registry.merge(now, worker, KEEP) != Merge::Changed {
+            if self.registry.merge(now, worker, KEEP) != MergeOutcome::Changed {
                 continue;
             }
-            if self.registry.get(&id).is_some_and(|w| w.phase != Phase::Settled) {
+            if self.registry.get(&id).is_some_and(|w| w.phase != WorkerPhase::Settled) {
                 out.push(Effect::CloseIdle(HostId(id)));
             }
             if !touched.contains(&service) {
@@ -441,14 +446,14 @@
         if !self.services.contains_key(name) {
             let ordinal = (ground::hash(&self.settings.node) >> 40) as u32;
             let seed = self.rng.u64(..);
-            let made = Service::new(Arc::clone(name), &self.settings.zone, ordinal, self.gates, seed);
+            let made = UpstreamService::new(Arc::clone(name), &self.settings.zone, ordinal, self.gates, seed);
             self.services.insert(Arc::clone(name), made);
         }
     }
 
     /// May this worker be sent to right now?
     pub fn takes_work(&self, worker: &HostId) -> bool {
-        self.registry.get(&worker.0).is_some_and(|w| w.phase == Phase::Settled)
+        self.registry.get(&worker.0).is_some_and(|w| w.phase == WorkerPhase::Settled)
     }
 
     /// Who holds the counter, by the freshest word of the core.
@@ -468,7 +473,7 @@
             self.quota.afresh();
         }
         if let Some((ask, charges)) = self.quota.sync(now) {
-            out.push(Effect::Send(holder, Msg::Sync { ask, term: self.quota.term(), charges }));
+            out.push(Effect::Send(holder, PeerMessage::Sync { ask, term: self.quota.term(), charges }));
         }
     }
 
--- a/crates/gateway/src/data_plane/quota_admission.rs
+++ b/crates/gateway/src/data_plane/quota_admission.rs
@@ -2,15 +2,15 @@
 //! standing shares for when the counter can't be reached. Pure; time is passed in. It must never admit beyond what
 //! it was granted or, out of touch, beyond its standing share, nor take a word of an older holder after a newer one's.
 
-use crate::control_plane::quota_counter::Limit;
-use crate::protocol::{Charge, Total};
+use crate::control_plane::quota_counter::TenantLimit;
+use crate::protocol::{TenantGrant, TenantUsage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
 
 /// What it goes by.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct QuotaAdmissionConfig {
     /// Charges are told this often: seconds.
     pub every: f64,
     /// Without an answer for so long, standing shares count, and grants no more: seconds.
@@ -46,7 +46,7 @@
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It passes and is charged.
     Pass,
     /// The counter is to be asked first.
@@ -57,7 +57,7 @@
 
 /// Was the counter asked for a request?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum GrantState {
     /// Not yet.
     Not,
     /// It has answered.
@@ -147,8 +147,8 @@
 
 /// The quotas of all tenants at one gatekeeper.
 #[derive(Clone, Debug)]
-pub struct Quota {
-    terms: Terms,
+pub struct QuotaAdmission {
+    terms: QuotaAdmissionConfig,
     node: Box<str>,
     tenants: BTreeMap<Arc<str>, Tenant>,
     /// When the last answered sync was sent.
@@ -174,11 +174,11 @@
     gates: u32,
 }
 
-impl Quota {
+impl QuotaAdmission {
     /// The one of the gatekeeper of this name, which knows nothing: it admits nothing that is limited before its first
     /// sync.
-    pub fn new(terms: Terms, node: &str) -> Self {
-        Quota {
+    pub fn new(terms: QuotaAdmissionConfig, node: &str) -> Self {
+        QuotaAdmission {
             terms,
             node: node.into(),
             tenants: BTreeMap::new(),
@@ -203,7 +203,7 @@
     }
 
     /// Other terms from now on.
-    pub fn retune(&mut self, terms: Terms) {
+    pub fn retune(&mut self, terms: QuotaAdmissionConfig) {
         self.terms = terms;
     }
 
@@ -223,9 +223,15 @@
     }
 
     /// May a request of this tenant pass?
-    pub fn admit(&mut self, now: f64, name: &Arc<str>, limit: &Limit, asked: Asked) -> Verdict {
+    pub fn admit(
+        &mut self,
+        now: f64,
+        name: &Arc<str>,
+        limit: &TenantLimit,
+        asked: GrantState,
+    ) -> AdmissionDecision {
         if limit.rate <= 0.0 {
-            return Verdict::Pass;
+            return AdmissionDecision::Pass;
         }
         let (apart, terms, saved_at) = (self.is_apart(now), self.terms, self.met_at.unwrap_or(now));
         let fresh = || Tenant { saved_at, turns: phase(&self.node, name), ..Tenant::default() };
@@ -234,40 +240,40 @@
             // Told when it is in touch again. The next holder must not wait for long until nobody can spend what the last one granted.
             t.until = t.until.min(t.charged);
         }
-        if asked == Asked::Not {
+        if asked == GrantState::Not {
             t.asks = t.rate(now) + 1.0 / ASKS_S;
             t.asks_at = now;
         }
         t.enlist(name, &mut self.live);
         if t.charged < t.until {
             t.charged += 1;
-            return Verdict::Pass;
+            return AdmissionDecision::Pass;
         }
-        if apart || asked == Asked::InVain {
+        if apart || asked == GrantState::InVain {
             return Self::by_share(now, t, limit, terms, (self.synced_at, self.gates));
         }
         if now < t.empty_until {
-            return Verdict::Refuse(t.empty_until - now);
+            return AdmissionDecision::Refuse(t.empty_until - now);
         }
-        if asked == Asked::Answered {
-            return Verdict::Refuse(terms.every);
+        if asked == GrantState::Answered {
+            return AdmissionDecision::Refuse(terms.every);
         }
         self.wanted = true;
         t.waits += 1;
         self.waiting.insert(Arc::clone(name));
-        Verdict::Ask
+        AdmissionDecision::Ask
     }
 
     /// Out of touch: by the standing share, which the counter sets aside.
     fn by_share(
         now: f64,
         t: &mut Tenant,
-        limit: &Limit,
-        terms: Terms,
+        limit: &TenantLimit,
+        terms: QuotaAdmissionConfig,
         (synced_at, gates): (f64, u32),
-    ) -> Verdict {
+    ) -> AdmissionDecision {
         if now - synced_at > terms.lapse {
-            return Verdict::Refuse(terms.every);
+            return AdmissionDecision::Refuse(terms.every);
         }
         let part = t.share / limit.rate;
         let slack = terms.overshoot * (limit.rate * terms.horizon + limit.burst) + terms.margin;
@@ -284,7 +290,7 @@
         if depth < 1.0 {
             if !Self::by_turns(t, again * touched, rate * cut_off, depth) {
                 let missing = if depth < ROUNDED { t.turns.floor() + 1.0 - t.turns } else { 1.0 - t.saved };
-                return Verdict::Refuse((missing / rate.max(0.1)).min(2.0));
+                return AdmissionDecision::Refuse((missing / rate.max(0.1)).min(2.0));
             }
         } else {
             if touched > 0.0 {
@@ -293,11 +299,11 @@
             t.saved = (t.saved + rate * cut_off).min(depth);
         }
         if t.saved < 1.0 {
-            return Verdict::Refuse(((1.0 - t.saved) / rate.max(0.1)).min(2.0));
+            return AdmissionDecision::Refuse(((1.0 - t.saved) / rate.max(0.1)).min(2.0));
         }
         t.saved -= 1.0;
         t.charged += 1;
-        Verdict::Pass
+        AdmissionDecision::Pass
     }
 
     /// Less than a unit may be saved up: a whole one at each of many gatekeepers would be more than all may spend. So each
@@ -347,7 +353,7 @@
     }
 
     /// What to tell the counter now, if anything, with the number that the answer must carry.
-    pub fn sync(&mut self, now: f64) -> Option<(u64, Vec<Charge>)> {
+    pub fn sync(&mut self, now: f64) -> Option<(u64, Vec<TenantUsage>)> {
         let waiting = self.asked.is_some_and(|(_, at)| now - at < self.terms.overdue);
         // One on demand shortly before the regular one is due is that, too.
         let due = if self.wanted { self.due - self.terms.every / 2.0 } else { self.due };
@@ -384,7 +390,7 @@
             }
             t.dirty = false;
             t.saying = Some(Said { at: now, charged: t.charged, waits: t.waits, asks });
-            charges.push(Charge {
+            charges.push(TenantUsage {
                 tenant: name.to_string(),
                 charged: t.charged,
                 asks: asks as f32,
@@ -427,7 +433,7 @@
 
     /// The answer of the counter's holder in this term. `false`: not to anything asked last, or of an older holder than
     /// one that has answered; then nothing of it is taken.
-    pub fn told(&mut self, now: f64, number: u64, term: u64, totals: &[Total]) -> bool {
+    pub fn told(&mut self, now: f64, number: u64, term: u64, totals: &[TenantGrant]) -> bool {
         if term < self.term {
             return false;
         }
--- a/crates/gateway/src/data_plane/quota_slack_tests.rs
+++ b/crates/gateway/src/data_plane/quota_slack_tests.rs
@@ -1,33 +1,41 @@
 //! What a quota may be passed by, each part by itself, at gatekeepers that no counter hears: what standing shares saved up,
 //! and what tenants without a share may spend. What is on its way is in `counter_tests.rs`.
 
-use crate::control_plane::quota_counter::Limit;
-use crate::data_plane::quota_admission::{Asked, Quota, Terms, Verdict};
-use crate::protocol::Total;
+use crate::control_plane::quota_counter::TenantLimit;
+use crate::data_plane::quota_admission::{
+    AdmissionDecision, GrantState, QuotaAdmission, QuotaAdmissionConfig,
+};
+use crate::protocol::TenantGrant;
 use googletest::prelude::*;
 use std::sync::Arc;
 
-const TERMS: Terms =
-    Terms { every: 0.25, overdue: 0.7, lapse: 15.0, overshoot: 0.1, margin: 20.0, horizon: 5.0 };
-const LIMIT: Limit = Limit { rate: 100.0, burst: 100.0 };
+const TERMS: QuotaAdmissionConfig = QuotaAdmissionConfig {
+    every: 0.25,
+    overdue: 0.7,
+    lapse: 15.0,
+    overshoot: 0.1,
+    margin: 20.0,
+    horizon: 5.0,
+};
+const LIMIT: TenantLimit = TenantLimit { rate: 100.0, burst: 100.0 };
 const STEP: f64 = 0.02;
 
 /// What the rule allows beyond rate x horizon + burst.
-fn slack(limit: &Limit) -> f64 {
+fn slack(limit: &TenantLimit) -> f64 {
     TERMS.overshoot * (limit.rate * TERMS.horizon + limit.burst) + TERMS.margin
 }
 
 /// Gatekeepers that know of each other.
-fn gatekeepers(n: usize) -> Vec<Quota> {
-    let gatekeeper = |n| Quota::new(TERMS, &format!("edge-{n}"));
-    let mut all: Vec<Quota> = (0..n).map(gatekeeper).collect();
+fn gatekeepers(n: usize) -> Vec<QuotaAdmission> {
+    let gatekeeper = |n| QuotaAdmission::new(TERMS, &format!("edge-{n}"));
+    let mut all: Vec<QuotaAdmission> = (0..n).map(gatekeeper).collect();
     all.iter_mut().for_each(|g| g.gates(n as u32));
     all
 }
 
 /// Gatekeepers that are cut off and in touch again at the same moments, again and again, by a seed; clients ask for far
 /// more than there is, at times. Returned: the most that passed in any horizon beyond the shares' rate.
-fn most_beyond(seed: u64, limit: &Limit, shares: &[f64]) -> f64 {
+fn most_beyond(seed: u64, limit: &TenantLimit, shares: &[f64]) -> f64 {
     let mut rng = fastrand::Rng::with_seed(seed);
     let tenant: Arc<str> = "t".into();
     let mut gates = gatekeepers(shares.len());
@@ -45,16 +53,17 @@
         let mut passed = 0.0;
         for (gate, share) in gates.iter_mut().zip(shares) {
             if hot && gate.is_apart(now) {
-                while gate.admit(now, &tenant, limit, Asked::Not) == Verdict::Pass {
+                while gate.admit(now, &tenant, limit, GrantState::Not) == AdmissionDecision::Pass {
                     passed += 1.0;
                 }
             } else if rng.f64() < 0.05 {
                 // Known to the gatekeeper, and nothing granted.
-                passed +=
-                    f64::from(u8::from(gate.admit(now, &tenant, limit, Asked::InVain) == Verdict::Pass));
+                passed += f64::from(u8::from(
+                    gate.admit(now, &tenant, limit, GrantState::InVain) == AdmissionDecision::Pass,
+                ));
             }
             if let Some((number, charges)) = gate.sync(now).filter(|_| touch) {
-                let total = |c: &crate::protocol::Charge| Total {
+                let total = |c: &crate::protocol::TenantUsage| TenantGrant {
                     tenant: c.tenant.clone(),
                     total: 0.0,
                     until: c.charged,
@@ -103,7 +112,7 @@
 /// beyond is 26. What turns bring is spread over time; how evenly is chance, a few units.
 #[gtest]
 fn shares_below_a_unit_save_up_no_more_in_all() {
-    let limit = Limit { rate: 10.0, burst: 10.0 };
+    let limit = TenantLimit { rate: 10.0, burst: 10.0 };
     for seed in 40..44 {
         for share in [9.5 / 87.0, 0.0] {
             let beyond = most_beyond(seed, &limit, &[share; 87]);
@@ -117,7 +126,7 @@
 /// gatekeeper has saved up a whole unit.
 #[gtest]
 fn shares_below_a_unit_serve_at_once() {
-    let limit = Limit { rate: 2.5, burst: 2.5 };
+    let limit = TenantLimit { rate: 2.5, burst: 2.5 };
     let mut served = 0;
     for n in 0..100 {
         let tenant: Arc<str> = format!("t{n}").into();
@@ -126,9 +135,9 @@
         while now < 60.0 {
             now += 0.25;
             for gate in &mut gates {
-                gate.admit(now, &tenant, &limit, Asked::Not);
+                gate.admit(now, &tenant, &limit, GrantState::Not);
                 if let Some((number, charges)) = gate.sync(now) {
-                    let total = |c: &crate::protocol::Charge| Total {
+                    let total = |c: &crate::protocol::TenantUsage| TenantGrant {
                         tenant: c.tenant.clone(),
                         total: 0.0,
                         until: c.charged,
@@ -141,7 +150,8 @@
         }
         // One request at one gatekeeper, just after the counter is gone.
         let gate = &mut gates[n % 11];
-        served += usize::from(gate.admit(now + 1.0, &tenant, &limit, Asked::Not) == Verdict::Pass);
+        served +=
+            usize::from(gate.admit(now + 1.0, &tenant, &limit, GrantState::Not) == AdmissionDecision::Pass);
     }
     expect_that!(served, ge(40));
 }
--- a/crates/gateway/src/data_plane/request_state.rs
+++ b/crates/gateway/src/data_plane/request_state.rs
@@ -6,7 +6,7 @@
 
 /// The final answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
+pub enum FinalResponse {
     /// What the worker said in this attempt, as it is.
     Worker(u32),
     /// Beyond the tenant's quota; come back after so many seconds.
@@ -21,7 +21,7 @@
 
 /// What becomes of an attempt that is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sending {
+pub enum DispatchDecision {
     /// It goes out.
     Go(u32),
     /// It must not: it is to end as one that was never sent.
@@ -30,16 +30,16 @@
 
 /// An attempt that has ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// When it went out.
     pub sent: f64,
     /// The final answer, where this has decided it.
-    pub answer: Option<Answer>,
+    pub answer: Option<FinalResponse>,
 }
 
 /// What is due to a request as it stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct Settlement {
     /// Its unit goes back, now and never again.
     pub take_back: bool,
     /// Nothing is owed and nothing is out: it can be forgotten.
@@ -48,7 +48,7 @@
 
 /// How far a request has come.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Progress {
+pub struct RequestState {
     repeatable: bool,
     /// The most workers that it may be sent to.
     most: u32,
@@ -71,10 +71,10 @@
     given_up: Option<f64>,
 }
 
-impl Progress {
+impl RequestState {
     /// One that was just read.
     pub fn new(repeatable: bool, most: u32) -> Self {
-        Progress {
+        RequestState {
             repeatable,
             most,
             held: true,
@@ -121,27 +121,27 @@
     }
 
     /// It is beyond its quota.
-    pub fn limited(&mut self, after: f64) -> Option<Answer> {
+    pub fn limited(&mut self, after: f64) -> Option<FinalResponse> {
         let promise = !self.may_have_run && self.out.is_empty();
-        let answer = if promise { Answer::Limited(after) } else { Answer::Failed };
+        let answer = if promise { FinalResponse::Limited(after) } else { FinalResponse::Failed };
         self.answer(answer)
     }
 
     /// An attempt is asked for.
-    pub fn dispatch(&mut self, now: f64) -> Sending {
+    pub fn dispatch(&mut self, now: f64) -> DispatchDecision {
         let (attempt, goes) = (self.attempts, self.may_go_again());
         self.attempts += 1;
         self.out.push((attempt, now));
         if !goes {
-            return Sending::Withheld(attempt);
+            return DispatchDecision::Withheld(attempt);
         }
         self.sent += 1;
-        Sending::Go(attempt)
+        DispatchDecision::Go(attempt)
     }
 
     /// An attempt has ended. `whole`: there is a whole answer of the worker to pass on, good (true) or a failure.
     /// `None`: it is not out.
-    pub fn ended(&mut self, attempt: u32, ending: Ending, whole: Option<bool>) -> Option<Ended> {
+    pub fn ended(&mut self, attempt: u32, ending: Ending, whole: Option<bool>) -> Option<AttemptEnd> {
         let at = self.out.iter().position(|(a, _)| *a == attempt)?;
         let (_, sent) = self.out.remove(at);
         self.may_have_run |= !ending.never_ran();
@@ -150,38 +150,38 @@
             self.failure = Some(attempt);
         }
         let answer = match self.given_up.filter(|_| self.out.is_empty()) {
-            _ if ending == Ending::Ok && whole == Some(true) => self.answer(Answer::Worker(attempt)),
+            _ if ending == Ending::Ok && whole == Some(true) => self.answer(FinalResponse::Worker(attempt)),
             Some(after) => self.give_up(after),
             None => None,
         };
-        Some(Ended { sent, answer })
+        Some(AttemptEnd { sent, answer })
     }
 
     /// Nothing more is to be tried. What is out still ends by itself first, and may answer it.
-    pub fn give_up(&mut self, after: f64) -> Option<Answer> {
+    pub fn give_up(&mut self, after: f64) -> Option<FinalResponse> {
         if !self.out.is_empty() {
             self.given_up = self.given_up.or(Some(after));
             return None;
         }
         let answer = match (self.may_have_run, self.failure, self.late) {
-            (false, ..) => Answer::Refused(after),
-            (true, Some(attempt), _) => Answer::Worker(attempt),
-            (true, None, true) => Answer::TimedOut,
-            (true, None, false) => Answer::Failed,
+            (false, ..) => FinalResponse::Refused(after),
+            (true, Some(attempt), _) => FinalResponse::Worker(attempt),
+            (true, None, true) => FinalResponse::TimedOut,
+            (true, None, false) => FinalResponse::Failed,
         };
         self.answer(answer)
     }
 
     /// The process ends: the final answer now, whatever is out.
-    pub fn abandon(&mut self, after: f64) -> Option<Answer> {
+    pub fn abandon(&mut self, after: f64) -> Option<FinalResponse> {
         if self.out.is_empty() {
             return self.give_up(after);
         }
-        self.answer(Answer::TimedOut)
+        self.answer(FinalResponse::TimedOut)
     }
 
     /// All that was decided is carried out: what is neither out nor held, and owed an answer, is given up.
-    pub fn turn_over(&mut self, after: f64) -> Option<Answer> {
+    pub fn turn_over(&mut self, after: f64) -> Option<FinalResponse> {
         let stuck = !self.held && !self.answered && self.out.is_empty();
         stuck.then(|| self.give_up(after)).flatten()
     }
@@ -192,16 +192,16 @@
         self.repeatable || self.out.is_empty()
     }
 
-    fn answer(&mut self, answer: Answer) -> Option<Answer> {
+    fn answer(&mut self, answer: FinalResponse) -> Option<FinalResponse> {
         self.held = false;
         (!std::mem::replace(&mut self.answered, true)).then_some(answer)
     }
 
     /// What is due now.
-    pub fn settle(&mut self) -> Settled {
+    pub fn settle(&mut self) -> Settlement {
         let over = self.answered && self.out.is_empty();
         let take_back = over && !self.may_have_run && std::mem::take(&mut self.charged);
-        Settled { take_back, over }
+        Settlement { take_back, over }
     }
 }
 
--- a/crates/gateway/src/data_plane/request_state_tests.rs
+++ b/crates/gateway/src/data_plane/request_state_tests.rs
@@ -3,8 +3,8 @@
 //! beside the machine, and what workers say is judged by the program's own code.
 
 use super::*;
-use crate::transport::upstream_pool::exchange::{is_sound, judge, whose, Whose};
-use crate::transport::upstream_pool::Reply;
+use crate::transport::upstream_pool::exchange::{is_sound, judge, whose, ResponseOwner};
+use crate::transport::upstream_pool::UpstreamResponse;
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{ResponseHead, StatusCode};
 use googletest::prelude::*;
@@ -78,14 +78,14 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    machine: Progress,
+    machine: RequestState,
     wires: Vec<Wire>,
     runs: u32,
     asked: u32,
     turn: bool,
     charged: bool,
     unit: i8,
-    answer: Option<Answer>,
+    answer: Option<FinalResponse>,
     gone: bool,
 }
 
@@ -135,7 +135,7 @@
 impl World {
     fn new(repeatable: bool, most: u32) -> Self {
         World {
-            machine: Progress::new(repeatable, most),
+            machine: RequestState::new(repeatable, most),
             wires: Vec::new(),
             runs: 0,
             asked: 0,
@@ -217,15 +217,17 @@
         self.told(ended.and_then(|e| e.answer), fault)
     }
 
-    fn told(&mut self, answer: Option<Answer>, fault: Option<Fault>) -> Result<()> {
+    fn told(&mut self, answer: Option<FinalResponse>, fault: Option<Fault>) -> Result<()> {
         let Some(mut answer) = answer else { return Ok(()) };
-        if fault == Some(Fault::PromisedThoughSent) && matches!(answer, Answer::Failed | Answer::TimedOut) {
-            answer = Answer::Refused(0.1);
+        if fault == Some(Fault::PromisedThoughSent)
+            && matches!(answer, FinalResponse::Failed | FinalResponse::TimedOut)
+        {
+            answer = FinalResponse::Refused(0.1);
         }
         if self.gone || self.answer.is_some() {
             return fail!("{answer:?} after {:?}, client gone: {}", self.answer, self.gone);
         }
-        if let Answer::Worker(attempt) = answer {
+        if let FinalResponse::Worker(attempt) = answer {
             let ran = self.wires.iter().any(|w| w.attempt == attempt && w.fate == Fate::Ran && !w.out);
             verify_that!(ran, eq(true))?;
         }
@@ -240,7 +242,7 @@
         }
         verify_that!(self.wires.len(), le(self.machine.most as usize))?;
         let may_run = |w: &Wire| w.fate == Fate::Ran || w.fate == Fate::Open && w.written != Written::Nothing;
-        if matches!(self.answer, Some(Answer::Limited(_) | Answer::Refused(_))) {
+        if matches!(self.answer, Some(FinalResponse::Limited(_) | FinalResponse::Refused(_))) {
             verify_that!(self.wires.iter().any(|w| may_run(w) || w.out), eq(false))?;
         }
         if self.over() {
@@ -284,15 +286,17 @@
                 (w.machine.repeatable, w.machine.most) = (m.repeatable, m.most);
                 w.machine.answered = m.answered;
                 match sending {
-                    Sending::Go(attempt) if m.answered => fail!("{attempt} goes out after the answer")?,
-                    Sending::Go(attempt) => w.wires.push(Wire {
+                    DispatchDecision::Go(attempt) if m.answered => {
+                        fail!("{attempt} goes out after the answer")?
+                    }
+                    DispatchDecision::Go(attempt) => w.wires.push(Wire {
                         attempt,
                         out: true,
                         written: Written::Nothing,
                         fate: Fate::Open,
                         unrun: false,
                     }),
-                    Sending::Withheld(attempt) => {
+                    DispatchDecision::Withheld(attempt) => {
                         let answer = w.machine.ended(attempt, Ending::Moot, None).and_then(|e| e.answer);
                         w.turn = true;
                         w.told(answer, fault)?;
@@ -369,12 +373,13 @@
         }
         match whose(&head, &id) {
             // Passed over; the answer is still waited for.
-            Whose::Others => return Ok(()),
-            Whose::Nobodys => return self.ends(n, Ending::Error, None, fault),
-            Whose::Ours if !is_sound(&head) => return self.ends(n, Ending::Error, None, fault),
-            Whose::Ours => {}
+            ResponseOwner::Others => return Ok(()),
+            ResponseOwner::Nobodys => return self.ends(n, Ending::Error, None, fault),
+            ResponseOwner::Ours if !is_sound(&head) => return self.ends(n, Ending::Error, None, fault),
+            ResponseOwner::Ours => {}
         }
-        let reply = Reply { status: head.status, headers: head.headers.clone(), body: Default::default() };
+        let reply =
+            UpstreamResponse { status: head.status, headers: head.headers.clone(), body: Default::default() };
         let ended = judge(reply);
         let whole = ended.reply.is_some().then_some(ended.ending == Ending::Ok);
         if whole == Some(true) {
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -2,13 +2,13 @@
 //! carried out, and what a client hears. It must never answer 429 or 503 to what may have run and must not run twice,
 //! nor hold an answer back.
 
-pub use super::request_state::Answer;
-use super::request_state::{Progress, Sending};
-use super::upstream_service::Sort;
-use super::{drain, Edge, Effect};
+pub use super::request_state::FinalResponse;
+use super::request_state::{DispatchDecision, RequestState};
+use super::upstream_service::RequestClass;
+use super::{drain, EdgeNode, Effect};
 use crate::configuration::active_config::Route;
-use crate::control_plane::quota_counter::Limit;
-use crate::data_plane::quota_admission::{Asked, Verdict};
+use crate::control_plane::quota_counter::TenantLimit;
+use crate::data_plane::quota_admission::{AdmissionDecision, GrantState};
 use std::sync::Arc;
 use whinstall::{Action, Ending, HostId, RequestId};
 
@@ -19,21 +19,21 @@
 const MARGIN: f64 = 0.008;
 
 /// A request, as far as it has come.
-pub struct Request {
+pub struct PendingRequest {
     pub(super) service: Arc<str>,
-    sort: Sort,
+    sort: RequestClass,
     tenant: Option<Arc<str>>,
     /// When it was read.
     pub(super) arrived: f64,
     /// Shortly before its client leaves or its route's time is up.
     deadline: f64,
-    pub(super) progress: Progress,
+    pub(super) progress: RequestState,
     /// Waits for the counter until then, or until the sync of this number is answered.
     waits: Option<(f64, u64)>,
 }
 
 /// What is known of a request as it is read.
-pub struct Arrival {
+pub struct IncomingRequest {
     /// What it goes by here.
     pub id: RequestId,
     /// Its route.
@@ -44,58 +44,58 @@
     pub left: f64,
 }
 
-impl Edge {
+impl EdgeNode {
     /// A request whose route and tenant are known.
-    pub fn arrived(&mut self, now: f64, arrival: Arrival, out: &mut Vec<Effect>) {
-        let Arrival { id, route, tenant, left } = arrival;
+    pub fn arrived(&mut self, now: f64, arrival: IncomingRequest, out: &mut Vec<Effect>) {
+        let IncomingRequest { id, route, tenant, left } = arrival;
         let Some(service) = route.service(self.rng.f64()).cloned() else {
-            return out.push(Effect::Answer(id, Answer::Refused(0.1)));
+            return out.push(Effect::Answer(id, FinalResponse::Refused(0.1)));
         };
         let left = route.cutoff.map_or(left, |c| left.min(c.as_secs_f64())) - MARGIN;
         let target = route.target.as_secs_f64();
         if self.drain.is_some_and(|drain| !drain.takes(now, target, left)) {
-            return out.push(Effect::Answer(id, Answer::Refused(drain::RETRY_AFTER)));
+            return out.push(Effect::Answer(id, FinalResponse::Refused(drain::RETRY_AFTER)));
         }
         let left = self.time_for(now, left);
         let rank = tenant.as_ref().and_then(|t| t.rank).unwrap_or(route.rank);
         self.service(&service);
-        let request = Request {
+        let request = PendingRequest {
             service,
-            sort: Sort { repeatable: route.repeatable, target: route.target, rank },
+            sort: RequestClass { repeatable: route.repeatable, target: route.target, rank },
             tenant: tenant.as_ref().map(|t| Arc::clone(&t.label)),
             arrived: now,
             deadline: now + left,
-            progress: Progress::new(route.repeatable, route.max_attempts),
+            progress: RequestState::new(route.repeatable, route.max_attempts),
             waits: None,
         };
         if left <= 0.0 || self.requests.contains_key(&id) {
-            return out.push(Effect::Answer(id, Answer::Refused(0.05)));
+            return out.push(Effect::Answer(id, FinalResponse::Refused(0.05)));
         }
         self.requests.insert(id.clone(), request);
-        self.admit(now, &id, Asked::Not, out);
+        self.admit(now, &id, GrantState::Not, out);
     }
 
     /// The ordinary path: charged against the window's total, refused at once beyond it, else to the module.
-    fn admit(&mut self, now: f64, id: &RequestId, asked: Asked, out: &mut Vec<Effect>) {
+    fn admit(&mut self, now: f64, id: &RequestId, asked: GrantState, out: &mut Vec<Effect>) {
         let Some(r) = self.requests.get_mut(id) else { return };
         let limits = r.tenant.as_ref().and_then(|t| self.view.tenants().get(t).cloned());
         let (verdict, limited) = match (&r.tenant, limits) {
             (Some(name), Some(t)) => {
-                let limit = Limit { rate: t.rate, burst: t.burst };
+                let limit = TenantLimit { rate: t.rate, burst: t.burst };
                 (self.quota.admit(now, name, &limit, asked), limit.rate > 0.0)
             }
-            _ => (Verdict::Pass, false),
+            _ => (AdmissionDecision::Pass, false),
         };
         match verdict {
-            Verdict::Pass => {
+            AdmissionDecision::Pass => {
                 r.progress.admitted(limited);
                 self.begin(now, id, out);
             }
-            Verdict::Refuse(after) => {
+            AdmissionDecision::Refuse(after) => {
                 let answer = r.progress.limited(after);
                 self.settle(id, answer, out);
             }
-            Verdict::Ask => {
+            AdmissionDecision::Ask => {
                 r.waits = Some((now + ASK_WITHIN, self.quota.next_number()));
                 self.waiting.push(id.clone());
                 self.sync(now, out);
@@ -119,7 +119,7 @@
             if let Some(tenant) = &r.tenant {
                 self.quota.waited(tenant);
             }
-            let asked = if number <= answered { Asked::Answered } else { Asked::InVain };
+            let asked = if number <= answered { GrantState::Answered } else { GrantState::InVain };
             self.admit(now, &id, asked, out);
         }
     }
@@ -150,8 +150,8 @@
                     let sending = r.progress.dispatch(now);
                     self.loads.begins(now, &host.0);
                     let attempt = match sending {
-                        Sending::Go(attempt) => attempt,
-                        Sending::Withheld(attempt) => {
+                        DispatchDecision::Go(attempt) => attempt,
+                        DispatchDecision::Withheld(attempt) => {
                             self.ended(now, &id, attempt, &host, Ending::Moot, None, out);
                             continue;
                         }
@@ -199,7 +199,7 @@
         self.settle(id, answer, out);
     }
 
-    pub(super) fn settle(&mut self, id: &RequestId, answer: Option<Answer>, out: &mut Vec<Effect>) {
+    pub(super) fn settle(&mut self, id: &RequestId, answer: Option<FinalResponse>, out: &mut Vec<Effect>) {
         let Some(r) = self.requests.get_mut(id) else { return };
         out.extend(answer.map(|answer| Effect::Answer(id.clone(), answer)));
         let due = r.progress.settle();
@@ -263,7 +263,7 @@
     pub fn misdirected(&mut self, now: f64, worker: &HostId, out: &mut Vec<Effect>) {
         let Some(held) = self.registry.get(&worker.0) else { return };
         let gone = crate::discovery::registry::Worker {
-            phase: crate::discovery::registry::Phase::Silent,
+            phase: crate::discovery::registry::WorkerPhase::Silent,
             ..held.clone()
         };
         tracing::warn!(worker = %worker.0, "another worker has its address");
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -5,8 +5,8 @@
 use crate::configuration::read_call;
 use crate::data_plane::drain::Unanswered;
 use crate::data_plane::Event;
-use crate::discovery::registry::{Phase, Worker};
-use crate::protocol::Msg;
+use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::protocol::PeerMessage;
 use crate::settings::Settings;
 use googletest::prelude::*;
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 "tenant_set":{"columns":["label","credentials","rate_per_s","burst_size","revision"],"records":[["free",["key-free"],0,0,"r1"],["held",["key-held"],5,5,"r1"]]},
 "service_set":{"columns":["label","probe_path","revision"],"records":[["s1","/health","r1"]]}}}"#;
 
-fn worker(n: usize, phase: Phase, calls: u64) -> Worker {
+fn worker(n: usize, phase: WorkerPhase, calls: u64) -> Worker {
     Worker {
         id: format!("i-{n}").into(),
         service: "s1".into(),
@@ -39,11 +39,11 @@
     may_have_run: bool,
     whole: Vec<u32>,
     left: bool,
-    answer: Option<Answer>,
+    answer: Option<FinalResponse>,
 }
 
 struct Day {
-    edge: Edge,
+    edge: EdgeNode,
     now: f64,
     seen: BTreeMap<String, Seen>,
     rng: fastrand::Rng,
@@ -57,7 +57,7 @@
         let settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
         let rng = fastrand::Rng::with_seed(seed);
         let mut day = Day {
-            edge: Edge::new(settings, seed),
+            edge: EdgeNode::new(settings, seed),
             now: 1000.0,
             seen: BTreeMap::new(),
             rng,
@@ -68,14 +68,14 @@
         let core = "10.0.1.1".parse().expect("an address");
         day.with(|edge, _, out| edge.start(out));
         let items = read_call(CONFIG.as_bytes()).expect("valid");
-        let workers = (0..workers).map(|n| worker(n, Phase::Settled, 1)).collect();
-        for msg in [Msg::Config { from: None, index: 1, items }, Msg::Workers(workers)] {
+        let workers = (0..workers).map(|n| worker(n, WorkerPhase::Settled, 1)).collect();
+        for msg in [PeerMessage::Config { from: None, index: 1, items }, PeerMessage::Workers(workers)] {
             day.with(|edge, now, out| edge.handle(now, Event::Core(core, msg), out));
         }
         day
     }
 
-    fn with(&mut self, f: impl FnOnce(&mut Edge, f64, &mut Vec<Effect>)) -> Vec<(RequestId, u32, f64)> {
+    fn with(&mut self, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>)) -> Vec<(RequestId, u32, f64)> {
         let mut out = Vec::new();
         f(&mut self.edge, self.now, &mut out);
         let mut dispatched = Vec::new();
@@ -110,19 +110,19 @@
         dispatched
     }
 
-    fn answered(&mut self, id: &RequestId, answer: Answer) {
+    fn answered(&mut self, id: &RequestId, answer: FinalResponse) {
         let seen = self.seen.get_mut(&*id.0).expect("known");
         assert_that!((&seen.answer, seen.left), eq((&None, false)), "{id:?}: {answer:?}");
         match &answer {
-            Answer::Limited(_) | Answer::Refused(_) => {
+            FinalResponse::Limited(_) | FinalResponse::Refused(_) => {
                 assert_that!(seen.may_have_run || !seen.out.is_empty(), eq(false), "{id:?}: {answer:?}");
             }
-            Answer::Worker(attempt) => assert_that!(seen.whole, contains(eq(attempt))),
+            FinalResponse::Worker(attempt) => assert_that!(seen.whole, contains(eq(attempt))),
             // With an attempt out only where the process ends.
-            Answer::TimedOut if self.abandoned => {
+            FinalResponse::TimedOut if self.abandoned => {
                 assert_that!(seen.may_have_run || !seen.out.is_empty(), eq(true));
             }
-            Answer::Failed | Answer::TimedOut => assert_that!(seen.may_have_run, eq(true)),
+            FinalResponse::Failed | FinalResponse::TimedOut => assert_that!(seen.may_have_run, eq(true)),
         }
         seen.answer = Some(answer);
     }
@@ -134,7 +134,7 @@
         let id = RequestId(format!("{n}").into());
         let seen = Seen { once: !route.repeatable, arrived: self.now, ..Default::default() };
         self.seen.insert(n.to_string(), seen);
-        let arrival = Arrival { id, route, tenant, left: 1.0 };
+        let arrival = IncomingRequest { id, route, tenant, left: 1.0 };
         self.with(|edge, now, out| edge.arrived(now, arrival, out));
     }
 
@@ -208,15 +208,17 @@
             16 => {
                 self.calls += 1;
                 let phase = match self.rng.u32(0..12) {
-                    0 => Phase::Decaying,
-                    1..=3 => Phase::Silent,
-                    _ => Phase::Settled,
+                    0 => WorkerPhase::Decaying,
+                    1..=3 => WorkerPhase::Silent,
+                    _ => WorkerPhase::Settled,
                 };
                 // One in four is a new life.
                 let n = self.rng.usize(0..workers) + 16 * self.rng.usize(0..4) * (self.calls as usize / 8);
                 let news = vec![worker(n % 250, phase, self.calls)];
                 let core = "10.0.1.1".parse().expect("an address");
-                self.with(|edge, now, out| edge.handle(now, Event::Core(core, Msg::Workers(news)), out));
+                self.with(|edge, now, out| {
+                    edge.handle(now, Event::Core(core, PeerMessage::Workers(news)), out)
+                });
             }
             17 => {
                 let host = HostId(format!("i-{}", self.rng.usize(0..workers)).into());
@@ -254,11 +256,11 @@
             assert_that!(seen.left || seen.answer.is_some(), eq(true), "seed {seed}: {id}");
             let kind = match &seen.answer {
                 None => "left",
-                Some(Answer::Worker(_)) => "worker",
-                Some(Answer::Limited(_)) => "limited",
-                Some(Answer::Refused(_)) => "refused",
-                Some(Answer::Failed) => "failed",
-                Some(Answer::TimedOut) => "timed out",
+                Some(FinalResponse::Worker(_)) => "worker",
+                Some(FinalResponse::Limited(_)) => "limited",
+                Some(FinalResponse::Refused(_)) => "refused",
+                Some(FinalResponse::Failed) => "failed",
+                Some(FinalResponse::TimedOut) => "timed out",
             };
             (requests, *answers.entry(kind).or_default()) =
                 (requests + 1, answers.get(kind).unwrap_or(&0) + 1);
@@ -299,7 +301,7 @@
         day.arrives(n, "/once/x", "key-free");
         let seen = &day.seen[&n.to_string()];
         expect_that!(seen.out.len(), eq(usize::from(taken)), "{n}");
-        expect_that!(matches!(seen.answer, Some(Answer::Refused(_))), eq(!taken), "{n}");
+        expect_that!(matches!(seen.answer, Some(FinalResponse::Refused(_))), eq(!taken), "{n}");
         // Its worker is to be done before the drain is.
         let left = day.edge.work_time_for(day.now, 1.0);
         expect_that!(at + left, le(drain.ends_at - 0.1));
--- a/crates/gateway/src/data_plane/retry_budget.rs
+++ b/crates/gateway/src/data_plane/retry_budget.rs
@@ -7,7 +7,7 @@
 
 /// What it goes by, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct RetryBudgetConfig {
     /// Further tries per request.
     pub ratio: f64,
     /// Over so many seconds.
@@ -27,14 +27,14 @@
 
 /// Further tries for one service at this gatekeeper.
 #[derive(Clone, Debug, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     firsts: VecDeque<f64>,
     further: VecDeque<f64>,
     /// The most gatekeepers that there were lately, and when that was said last.
     gates: (u32, f64),
 }
 
-impl Budget {
+impl RetryBudget {
     fn turn(queue: &mut VecDeque<f64>, now: f64, window: f64) {
         while queue.front().is_some_and(|at| now - at > window) {
             queue.pop_front();
@@ -42,13 +42,13 @@
     }
 
     /// A first try went out.
-    pub fn first(&mut self, now: f64, terms: &Terms) {
+    pub fn first(&mut self, now: f64, terms: &RetryBudgetConfig) {
         Self::turn(&mut self.firsts, now, terms.window);
         self.firsts.push_back(now);
     }
 
     /// Further ones that may go out now, with so many gatekeepers at the most (0: not known).
-    pub fn room(&mut self, now: f64, terms: &Terms, gates: u32) -> f64 {
+    pub fn room(&mut self, now: f64, terms: &RetryBudgetConfig, gates: u32) -> f64 {
         Self::turn(&mut self.firsts, now, terms.window);
         Self::turn(&mut self.further, now, terms.window);
         if gates >= self.gates.0 || now - self.gates.1 > GATES_KEPT {
--- a/crates/gateway/src/data_plane/retry_budget_tests.rs
+++ b/crates/gateway/src/data_plane/retry_budget_tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 use googletest::prelude::*;
 
-const TERMS: Terms = Terms { ratio: 0.2, window: 10.0, slack: 60.0, slack_from: 0.0 };
+const TERMS: RetryBudgetConfig = RetryBudgetConfig { ratio: 0.2, window: 10.0, slack: 60.0, slack_from: 0.0 };
 
 /// A gatekeeper that spends all that it may.
 #[derive(Default)]
 struct Gate {
-    budget: Budget,
+    budget: RetryBudget,
     slack_from: f64,
 }
 
@@ -45,7 +45,7 @@
             all[*gate] = Gate { slack_from: now + TERMS.window, ..Gate::default() };
         }
         for (n, gate) in all.iter_mut().enumerate() {
-            let terms = Terms { slack_from: gate.slack_from, ..TERMS };
+            let terms = RetryBudgetConfig { slack_from: gate.slack_from, ..TERMS };
             let due = (now * rate) as usize > ((now - 0.01) * rate) as usize;
             if due && (now * rate) as usize % gates == n {
                 gate.budget.first(now, &terms);
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -2,8 +2,8 @@
 //! and with what becomes of requests, and its budget of further tries. It must never know a socket, and never let the
 //! module send a further try that the budget over all gatekeepers does not allow.
 
-use crate::data_plane::retry_budget::{Budget, Terms};
-use crate::discovery::registry::{Phase, Registry};
+use crate::data_plane::retry_budget::{RetryBudget, RetryBudgetConfig};
+use crate::discovery::registry::{WorkerPhase, WorkerRegistry};
 use std::sync::Arc;
 use std::time::Duration;
 use whinstall::{
@@ -24,7 +24,7 @@
 
 /// A class of requests: what the module tells apart.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sort {
+pub struct RequestClass {
     /// May they run more than once?
     pub repeatable: bool,
     /// Full worth within this.
@@ -33,19 +33,19 @@
     pub rank: u32,
 }
 
-impl Sort {
+impl RequestClass {
     fn name(&self) -> String {
         format!("{}-{}-{}", if self.repeatable { 'r' } else { 'o' }, self.target.as_millis(), self.rank)
     }
 }
 
 /// A service.
-pub struct Service {
+pub struct UpstreamService {
     name: Arc<str>,
     module: Gateway,
     settings: Settings,
-    sorts: Vec<Sort>,
-    budget: Budget,
+    sorts: Vec<RequestClass>,
+    budget: RetryBudget,
     /// When the module's timer is due.
     pub due: f64,
 }
@@ -96,13 +96,20 @@
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
 
-impl Service {
+impl UpstreamService {
     /// One of which no worker is known.
     pub fn new(name: Arc<str>, zone: &str, ordinal: u32, gates: u32, seed: u64) -> Self {
         let settings = settings(zone, ordinal, gates);
         let mut module = Gateway::new(settings.clone(), seed);
         module.compare(COMPARED);
-        Service { name, module, settings, sorts: Vec::new(), budget: Budget::default(), due: f64::INFINITY }
+        UpstreamService {
+            name,
+            module,
+            settings,
+            sorts: Vec::new(),
+            budget: RetryBudget::default(),
+            due: f64::INFINITY,
+        }
     }
 
     /// How many gatekeepers there are.
@@ -114,8 +121,8 @@
     }
 
     /// The workers that may be sent to.
-    pub fn workers(&mut self, now: f64, registry: &Registry, out: &mut Vec<Action>) {
-        let mine = registry.all().filter(|w| w.service == self.name && w.phase == Phase::Settled);
+    pub fn workers(&mut self, now: f64, registry: &WorkerRegistry, out: &mut Vec<Action>) {
+        let mine = registry.all().filter(|w| w.service == self.name && w.phase == WorkerPhase::Settled);
         let entry = |w: &crate::discovery::registry::Worker| HostEntry {
             host: HostId(Arc::clone(&w.id)),
             zone: w.zone.to_string(),
@@ -131,7 +138,14 @@
     }
 
     /// A request that passed its quota.
-    pub fn request(&mut self, now: f64, id: &RequestId, sort: &Sort, left: f64, out: &mut Vec<Action>) {
+    pub fn request(
+        &mut self,
+        now: f64,
+        id: &RequestId,
+        sort: &RequestClass,
+        left: f64,
+        out: &mut Vec<Action>,
+    ) {
         if !self.sorts.contains(sort) {
             self.sorts.push(sort.clone());
             self.settings.classes.push(Class {
@@ -206,12 +220,12 @@
     }
 
     /// Further tries that the budget has left.
-    pub fn further(&mut self, now: f64, terms: &Terms, gates: u32) -> f64 {
+    pub fn further(&mut self, now: f64, terms: &RetryBudgetConfig, gates: u32) -> f64 {
         self.budget.room(now, terms, gates)
     }
 
     /// An attempt goes out: the first of its request or a further one.
-    pub fn sent(&mut self, now: f64, first: bool, terms: &Terms) {
+    pub fn sent(&mut self, now: f64, first: bool, terms: &RetryBudgetConfig) {
         match first {
             true => self.budget.first(now, terms),
             false => self.budget.spent(now),
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -2,4 +2,4 @@
 
 pub mod registry;
 
-pub use registry::{Merge, Phase, Registry, Worker};
+pub use registry::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
--- a/crates/gateway/src/discovery/registry.rs
+++ b/crates/gateway/src/discovery/registry.rs
@@ -10,7 +10,7 @@
 
 /// How a worker stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Phase {
+pub enum WorkerPhase {
     /// Takes work.
     Settled,
     /// About to leave: nothing new.
@@ -35,7 +35,7 @@
     /// Requests that it works on at a time.
     pub capacity: u32,
     /// How it stands.
-    pub phase: Phase,
+    pub phase: WorkerPhase,
     /// Milliseconds for which it stays slow, from when this was told.
     pub warmup_ms: u32,
     /// Number of the call that told it; higher is later.
@@ -46,11 +46,11 @@
     /// Is this later than that? Of the same call, the further phase counts.
     fn is_after(&self, other: &Worker) -> bool {
         match (other.phase, self.phase) {
-            (Phase::Gone, _) => false,
-            (_, Phase::Gone) => true,
+            (WorkerPhase::Gone, _) => false,
+            (_, WorkerPhase::Gone) => true,
             // Leaving is never taken back within a life, whatever comes late.
-            (Phase::Decaying, Phase::Settled) => false,
-            (Phase::Settled | Phase::Silent, Phase::Decaying) => true,
+            (WorkerPhase::Decaying, WorkerPhase::Settled) => false,
+            (WorkerPhase::Settled | WorkerPhase::Silent, WorkerPhase::Decaying) => true,
             _ => (self.calls, self.phase) > (other.calls, other.phase),
         }
     }
@@ -73,7 +73,7 @@
 
 /// What a merge did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merge {
+pub enum MergeOutcome {
     /// Nothing new.
     Old,
     /// Only heard of again.
@@ -84,14 +84,14 @@
 
 /// The workers that are known.
 #[derive(Clone, Debug, Default)]
-pub struct Registry {
+pub struct WorkerRegistry {
     map: BTreeMap<Arc<str>, Entry>,
     /// Those that fell silent or left, kept so that late calls don't revive them: ids by when to forget.
     ended: BTreeMap<u64, Vec<Arc<str>>>,
     digest: u64,
 }
 
-impl Registry {
+impl WorkerRegistry {
     /// The same where the same workers stand alike; those that ended don't count.
     pub fn digest(&self) -> u64 {
         self.digest
@@ -113,7 +113,7 @@
     }
 
     fn counts(worker: &Worker) -> u64 {
-        if worker.phase <= Phase::Decaying {
+        if worker.phase <= WorkerPhase::Decaying {
             worker.hash()
         } else {
             0
@@ -121,36 +121,36 @@
     }
 
     /// Takes what was heard of a worker at `now` (seconds); entries of ended ones are kept for `keep`.
-    pub fn merge(&mut self, now: f64, worker: Worker, keep: f64) -> Merge {
+    pub fn merge(&mut self, now: f64, worker: Worker, keep: f64) -> MergeOutcome {
         let warm_at = now + f64::from(worker.warmup_ms) / 1e3;
         let id = Arc::clone(&worker.id);
         let Some(entry) = self.map.get_mut(&id) else {
             self.digest ^= Self::counts(&worker);
-            let ended = worker.phase > Phase::Decaying;
+            let ended = worker.phase > WorkerPhase::Decaying;
             self.map.insert(Arc::clone(&id), Entry { worker, heard: now, warm_at });
             if ended {
                 self.forget_later(now + keep, id);
             }
-            return Merge::Changed;
+            return MergeOutcome::Changed;
         };
         if !worker.is_after(&entry.worker) {
-            return Merge::Old;
+            return MergeOutcome::Old;
         }
         entry.heard = now;
         let same = (worker.phase, worker.address, worker.capacity)
             == (entry.worker.phase, entry.worker.address, entry.worker.capacity);
         if same {
             entry.worker.calls = worker.calls;
-            return Merge::Refreshed;
+            return MergeOutcome::Refreshed;
         }
         self.digest ^= Self::counts(&entry.worker) ^ Self::counts(&worker);
-        let ended = worker.phase > Phase::Decaying;
+        let ended = worker.phase > WorkerPhase::Decaying;
         entry.worker = worker;
         entry.warm_at = entry.warm_at.max(warm_at);
         if ended {
             self.forget_later(now + keep, id);
         }
-        Merge::Changed
+        MergeOutcome::Changed
     }
 
     fn forget_later(&mut self, at: f64, id: Arc<str>) {
@@ -161,7 +161,7 @@
     /// told whole by whoever knows it.
     pub fn alive(&mut self, now: f64, id: &str, calls: u64) {
         let Some(entry) = self.map.get_mut(id) else { return };
-        if entry.worker.phase <= Phase::Decaying && calls > entry.worker.calls {
+        if entry.worker.phase <= WorkerPhase::Decaying && calls > entry.worker.calls {
             (entry.worker.calls, entry.heard) = (calls, now);
         }
     }
@@ -173,12 +173,14 @@
 
     /// Workers that were silent for longer than `most`: they are held as silent from now on, and returned.
     pub fn expire(&mut self, now: f64, most: f64, keep: f64) -> Vec<Worker> {
-        let late = self.map.values().filter(|e| e.worker.phase <= Phase::Decaying && now - e.heard > most);
-        let late: Vec<Worker> = late.map(|e| Worker { phase: Phase::Silent, ..e.worker.clone() }).collect();
+        let late =
+            self.map.values().filter(|e| e.worker.phase <= WorkerPhase::Decaying && now - e.heard > most);
+        let late: Vec<Worker> =
+            late.map(|e| Worker { phase: WorkerPhase::Silent, ..e.worker.clone() }).collect();
         for worker in &late {
             if let Some(entry) = self.map.get_mut(&worker.id) {
                 self.digest ^= Self::counts(&entry.worker);
-                entry.worker.phase = Phase::Silent;
+                entry.worker.phase = WorkerPhase::Silent;
             }
             self.forget_later(now + keep, Arc::clone(&worker.id));
         }
@@ -190,7 +192,7 @@
         let mut forgotten = Vec::new();
         while let Some(first) = self.ended.first_entry().filter(|e| (*e.key() as f64) < now * 1e3) {
             for id in first.remove() {
-                let ended = self.map.get(&id).is_some_and(|e| e.worker.phase > Phase::Decaying);
+                let ended = self.map.get(&id).is_some_and(|e| e.worker.phase > WorkerPhase::Decaying);
                 if ended {
                     self.map.remove(&id);
                     forgotten.push(id);
--- a/crates/gateway/src/json_path.rs
+++ b/crates/gateway/src/json_path.rs
@@ -9,7 +9,7 @@
 
 /// What is wrong at a place of a body.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
-pub enum PathError {
+pub enum JsonPathError {
     /// not JSON: {0}
     NotJson(String),
     /// {0}: missing
@@ -20,7 +20,7 @@
 
 /// A value and the path that leads to it.
 #[derive(Clone)]
-pub struct At<'a> {
+pub struct JsonNode<'a> {
     value: &'a Value,
     path: Path<'a>,
 }
@@ -42,10 +42,10 @@
     }
 }
 
-impl<'a> At<'a> {
+impl<'a> JsonNode<'a> {
     /// The root of a body.
     pub fn root(value: &'a Value) -> Self {
-        At { value, path: Path::Root }
+        JsonNode { value, path: Path::Root }
     }
 
     /// The value itself.
@@ -58,40 +58,40 @@
         self.path.to_string()
     }
 
-    fn not<T>(&self, what: &'static str) -> Result<T, PathError> {
-        Err(PathError::Not(self.path(), what))
+    fn not<T>(&self, what: &'static str) -> Result<T, JsonPathError> {
+        Err(JsonPathError::Not(self.path(), what))
     }
 
     /// A field that may be missing or null.
-    pub fn get(&self, name: &'a str) -> Option<At<'a>> {
+    pub fn get(&self, name: &'a str) -> Option<JsonNode<'a>> {
         let value = self.value.get(name).filter(|v| !v.is_null())?;
-        Some(At { value, path: Path::Field(Box::new(self.path.clone()), name) })
+        Some(JsonNode { value, path: Path::Field(Box::new(self.path.clone()), name) })
     }
 
     /// A field that must be there.
-    pub fn need(&self, name: &'a str) -> Result<At<'a>, PathError> {
-        self.get(name).ok_or_else(|| PathError::Missing(format!("{}.{name}", self.path)))
+    pub fn need(&self, name: &'a str) -> Result<JsonNode<'a>, JsonPathError> {
+        self.get(name).ok_or_else(|| JsonPathError::Missing(format!("{}.{name}", self.path)))
     }
 
     /// The elements of a list.
-    pub fn list(&self) -> Result<Vec<At<'a>>, PathError> {
+    pub fn list(&self) -> Result<Vec<JsonNode<'a>>, JsonPathError> {
         let Some(list) = self.value.as_array() else { return self.not("a list") };
-        let at = |(n, value)| At { value, path: Path::Index(Box::new(self.path.clone()), n) };
+        let at = |(n, value)| JsonNode { value, path: Path::Index(Box::new(self.path.clone()), n) };
         Ok(list.iter().enumerate().map(at).collect())
     }
 
     /// The fields of an object.
-    pub fn object(&self) -> Result<&'a Map<String, Value>, PathError> {
+    pub fn object(&self) -> Result<&'a Map<String, Value>, JsonPathError> {
         self.value.as_object().map_or_else(|| self.not("an object"), Ok)
     }
 
     /// A text.
-    pub fn text(&self) -> Result<&'a str, PathError> {
+    pub fn text(&self) -> Result<&'a str, JsonPathError> {
         self.value.as_str().map_or_else(|| self.not("a text"), Ok)
     }
 
     /// A text that says something.
-    pub fn name(&self) -> Result<&'a str, PathError> {
+    pub fn name(&self) -> Result<&'a str, JsonPathError> {
         let text = self.text()?;
         if text.trim().is_empty() {
             return self.not("a name");
@@ -100,32 +100,32 @@
     }
 
     /// A number that is finite and not below nought.
-    pub fn amount(&self) -> Result<f64, PathError> {
+    pub fn amount(&self) -> Result<f64, JsonPathError> {
         let amount = self.value.as_f64().filter(|x| x.is_finite() && *x >= 0.0);
         amount.map_or_else(|| self.not("a number of at least 0"), Ok)
     }
 
     /// True or false.
-    pub fn truth(&self) -> Result<bool, PathError> {
+    pub fn truth(&self) -> Result<bool, JsonPathError> {
         self.value.as_bool().map_or_else(|| self.not("true or false"), Ok)
     }
 
     /// A time, as `2500ms` or `2.5s`.
-    pub fn time(&self) -> Result<Duration, PathError> {
+    pub fn time(&self) -> Result<Duration, JsonPathError> {
         let told = self.value.as_str().and_then(time);
         told.map_or_else(|| self.not("a time such as 2500ms or 2.5s"), Ok)
     }
 
     /// A version, as `r12`.
-    pub fn version(&self) -> Result<u64, PathError> {
+    pub fn version(&self) -> Result<u64, JsonPathError> {
         let told = self.value.as_str().and_then(version);
         told.map_or_else(|| self.not("a version such as r12"), Ok)
     }
 }
 
 /// A body as JSON. A field given twice is an error: one of the two would be dropped unseen.
-pub fn parse(body: &[u8]) -> Result<Value, PathError> {
-    let once: Once = serde_json::from_slice(body).map_err(|e| PathError::NotJson(e.to_string()))?;
+pub fn parse(body: &[u8]) -> Result<Value, JsonPathError> {
+    let once: Once = serde_json::from_slice(body).map_err(|e| JsonPathError::NotJson(e.to_string()))?;
     Ok(once.0)
 }
 
