--- a/crates/gateway/src/protocol/mod.rs
+++ b/crates/gateway/src/protocol/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod share_ceilings;
 
-use crate::configuration::{Item, Order};
+use crate::configuration::{ConfigChange, ConfigItem};
 use crate::consensus::{Index, Message, NodeId};
 use crate::control_plane::LogCommand;
 use crate::discovery::registry::Worker;
@@ -12,11 +12,11 @@
 use std::net::IpAddr;
 
 /// No message is longer.
-pub const MESSAGE_MOST: usize = 64 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
 /// A core machine, as the others know it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Member {
+pub struct NodeLocation {
     /// Its address, which is its name among the core.
     pub ip: IpAddr,
     /// Its zone; empty where only its address is known.
@@ -27,7 +27,7 @@
 
 /// What a gatekeeper tells the counter of one tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Charge {
+pub struct TenantUsage {
     /// Whose.
     pub tenant: String,
     /// Units charged in this life of the gatekeeper, less those taken back.
@@ -44,7 +44,7 @@
 
 /// What the counter says of one tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Total {
+pub struct TenantGrant {
     /// Whose.
     pub tenant: String,
     /// Units in the window over all gatekeepers, as last added.
@@ -59,9 +59,9 @@
 
 /// What an operator wants of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Wish {
+pub enum OperatorRequest {
     /// Items change.
-    Amend(Order),
+    Amend(ConfigChange),
     /// What stands?
     Read,
     /// A call that can't be read is to be refused, with this reason.
@@ -70,7 +70,7 @@
 
 /// What became of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum OperatorResponse {
     /// It is taken.
     Taken,
     /// It is refused, with this status and reason.
@@ -83,7 +83,7 @@
 
 /// A message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Msg {
+pub enum PeerMessage {
     /// The first on a connection: who calls. `life` differs for every start of a process.
     Hello {
         /// The machine's name.
@@ -91,7 +91,7 @@
         /// The start.
         life: u64,
         /// Where it is.
-        me: Member,
+        me: NodeLocation,
         /// Is it of the core?
         core: bool,
     },
@@ -105,7 +105,7 @@
         gone: Vec<IpAddr>,
     },
     /// Core machines that are known.
-    Members(Vec<Member>),
+    Members(Vec<NodeLocation>),
     /// Sent in each direction while nothing else is: what is held of configuration and workers.
     Ping {
         /// The entry that changed the configuration last, as held.
@@ -133,7 +133,7 @@
         /// The entry.
         index: Index,
         /// Items; without body: dropped.
-        items: Vec<Item>,
+        items: Vec<ConfigItem>,
     },
     /// Workers whose state is news.
     Workers(Vec<Worker>),
@@ -184,14 +184,14 @@
         /// Comes back.
         ask: u64,
         /// The call.
-        wish: Wish,
+        wish: OperatorRequest,
     },
     /// The leader's answer to it.
     Forwarded {
         /// As asked.
         ask: u64,
         /// The answer.
-        answer: Answer,
+        answer: OperatorResponse,
     },
     /// Charges of a gatekeeper.
     Sync {
@@ -200,7 +200,7 @@
         /// The highest term of a holder that has answered the gatekeeper.
         term: u64,
         /// By tenant.
-        charges: Vec<Charge>,
+        charges: Vec<TenantUsage>,
     },
     /// What holds now; `held`: false where the asked one does not hold the counter.
     Totals {
@@ -211,13 +211,13 @@
         /// Does it hold the counter?
         held: bool,
         /// By tenant.
-        totals: Vec<Total>,
+        totals: Vec<TenantGrant>,
     },
 }
 
 /// What a gatekeeper has out, told to the others in a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadReport {
     /// The start of the gatekeeper.
     pub life: u64,
     /// Rises with each.
@@ -228,7 +228,7 @@
 
 /// Why bytes are no message.
 #[derive(Debug, displaydoc::Display)]
-pub enum WireError {
+pub enum CodecError {
     /// a message of {0} bytes
     TooLong(usize),
     /// not a message: {0}
@@ -236,7 +236,7 @@
 }
 
 /// A message as it goes on the wire.
-pub fn encode(msg: &Msg) -> Vec<u8> {
+pub fn encode(msg: &PeerMessage) -> Vec<u8> {
     let mut out = vec![0; 4];
     // Writing to memory can't fail for these types.
     if rmp_serde::encode::write(&mut out, msg).is_err() {
@@ -248,24 +248,24 @@
 }
 
 /// The next whole message, if there is one.
-pub fn decode(read: &mut BytesMut) -> Result<Option<Msg>, WireError> {
+pub fn decode(read: &mut BytesMut) -> Result<Option<PeerMessage>, CodecError> {
     let Some(head) = read.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*head) as usize;
-    if length > MESSAGE_MOST {
-        return Err(WireError::TooLong(length));
+    if length > MAX_MESSAGE_BYTES {
+        return Err(CodecError::TooLong(length));
     }
     if read.len() < 4 + length {
         return Ok(None);
     }
     read.advance(4);
     let body = read.split_to(length);
-    rmp_serde::from_slice(&body).map(Some).map_err(WireError::Unreadable)
+    rmp_serde::from_slice(&body).map(Some).map_err(CodecError::Unreadable)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::discovery::registry::Phase;
+    use crate::discovery::registry::WorkerPhase;
     use googletest::prelude::*;
 
     /// Guards the bytes between zones, which are dear: what a change, a heartbeat and the regular calls cost
@@ -278,31 +278,47 @@
             address: ([10, 128, 0, 9], 8080).into(),
             zone: "cluj-sala-a".into(),
             capacity: 2,
-            phase: Phase::Settled,
+            phase: WorkerPhase::Settled,
             warmup_ms: 0,
             calls: 40,
         };
-        let charge =
-            Charge { tenant: "yefi830".into(), charged: 4000, asks: 3.5, share: 9.5, left: 12, waits: 0 };
-        let total = Total { tenant: "yefi830".into(), total: 60.0, until: 4010, share: 9.5, empty_ms: 0 };
+        let charge = TenantUsage {
+            tenant: "yefi830".into(),
+            charged: 4000,
+            asks: 3.5,
+            share: 9.5,
+            left: 12,
+            waits: 0,
+        };
+        let total =
+            TenantGrant { tenant: "yefi830".into(), total: 60.0, until: 4010, share: 9.5, empty_ms: 0 };
         let out = vec![(0xdead_beef, 2); 4];
         let sizes = [
-            ("a worker's news", encode(&Msg::Workers(vec![worker])).len(), 90),
-            ("a heartbeat passed on", encode(&Msg::Alive(vec![("i-7f3a91c2aa".into(), 40)])).len(), 30),
-            ("a ping", encode(&Msg::Ping { config: u64::MAX, workers: u64::MAX, heard: 90_000 }).len(), 35),
+            ("a worker's news", encode(&PeerMessage::Workers(vec![worker])).len(), 90),
+            (
+                "a heartbeat passed on",
+                encode(&PeerMessage::Alive(vec![("i-7f3a91c2aa".into(), 40)])).len(),
+                30,
+            ),
+            (
+                "a ping",
+                encode(&PeerMessage::Ping { config: u64::MAX, workers: u64::MAX, heard: 90_000 }).len(),
+                35,
+            ),
             (
                 "eight tenants' charges",
-                encode(&Msg::Sync { ask: 9000, term: 70, charges: vec![charge; 8] }).len(),
+                encode(&PeerMessage::Sync { ask: 9000, term: 70, charges: vec![charge; 8] }).len(),
                 220,
             ),
             (
                 "eight tenants' totals",
-                encode(&Msg::Totals { ask: 9000, term: 70, held: true, totals: vec![total; 8] }).len(),
+                encode(&PeerMessage::Totals { ask: 9000, term: 70, held: true, totals: vec![total; 8] })
+                    .len(),
                 240,
             ),
             (
                 "what is out",
-                rmp_serde::to_vec(&Load { life: u64::MAX, number: 9000, out }).expect("written").len(),
+                rmp_serde::to_vec(&LoadReport { life: u64::MAX, number: 9000, out }).expect("written").len(),
                 45,
             ),
         ];
@@ -314,7 +330,7 @@
     /// Guards processes against bytes that are no message, wherever they are cut or changed.
     #[gtest]
     fn bytes_that_are_no_message_are_turned_back_whole() {
-        let whole = encode(&Msg::Alive(vec![("i-1".into(), 7)]));
+        let whole = encode(&PeerMessage::Alive(vec![("i-1".into(), 7)]));
         for end in 0..whole.len() {
             expect_that!(matches!(decode(&mut BytesMut::from(&whole[..end])), Ok(None)), eq(true));
         }
--- a/crates/gateway/src/protocol/share_ceilings.rs
+++ b/crates/gateway/src/protocol/share_ceilings.rs
@@ -4,18 +4,18 @@
 use serde::{Deserialize, Serialize};
 
 /// A gatekeeper's name, its life, and by tenant the ceiling of its share: units a second.
-pub type GateShares = (String, u64, Vec<(String, f32)>);
+pub type EdgeCeilings = (String, u64, Vec<(String, f32)>);
 
 /// Ceilings of standing shares as a holder tells them to the other core machines, which keep the newest on their disks:
 /// the next holder knows by them who may spend a share out of its sight.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shares {
+pub struct ShareCeilings {
     /// The holder's term.
     pub term: u64,
     /// Rises with each that this holder tells.
     pub number: u64,
     /// Of gatekeepers that may hold any: of all, or of those of whom something changed. Nought: no share any more.
-    pub gates: Vec<GateShares>,
+    pub gates: Vec<EdgeCeilings>,
     /// Is that all, or what changed since the record before?
     #[serde(default = "yes")]
     pub whole: bool,
@@ -28,15 +28,15 @@
     true
 }
 
-impl Default for Shares {
+impl Default for ShareCeilings {
     fn default() -> Self {
-        Shares { term: 0, number: 0, gates: Vec::new(), whole: true, ended: Vec::new() }
+        ShareCeilings { term: 0, number: 0, gates: Vec::new(), whole: true, ended: Vec::new() }
     }
 }
 
-impl Shares {
+impl ShareCeilings {
     /// What holds after `next`, the record that follows this one.
-    pub fn amend(&mut self, next: &Shares) {
+    pub fn amend(&mut self, next: &ShareCeilings) {
         if next.whole {
             return self.clone_from(next);
         }
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -2,14 +2,14 @@
 //! anything.
 
 use crate::configuration::read_call;
-use crate::control_plane::{fault, Command, Conn, Core, Effect, Event, TICK};
-use crate::discovery::registry::{Phase, Worker};
-use crate::json_path::{At, PathError};
-use crate::protocol::Msg;
+use crate::control_plane::{error_body, ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
+use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::json_path::{JsonNode, JsonPathError};
+use crate::protocol::PeerMessage;
 use crate::settings::Settings;
-use crate::storage::{Held, Put, Store, StoreError};
-use crate::transport::http_server::{self, Bounds, Connection, HttpError, Room};
-use crate::transport::peer_link::{self, Events, Happens, Links};
+use crate::storage::{LoadedState, ReplicaStore, StorageError, WriteBatch};
+use crate::transport::http_server::{self, BodyBudget, Connection, HttpError, RequestLimits};
+use crate::transport::peer_link::{self, LinkEvent, LinkEventMapper, PeerLinks};
 use actix_http::{Method, Request, StatusCode};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
@@ -24,7 +24,7 @@
 use tokio::sync::oneshot;
 
 /// Bounds on calls of workers and operators.
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: RequestLimits = RequestLimits {
     head_bytes: 16 * 1024,
     body_bytes: 16 * 1024 * 1024,
     head_within: Duration::from_secs(3),
@@ -39,17 +39,17 @@
 /// After SIGTERM calls under way are answered, for so long at the most.
 const END_WITHIN: Duration = Duration::from_millis(900);
 
-type Queue = UnboundedSender<Msg>;
+type Queue = UnboundedSender<PeerMessage>;
 
 struct CoreServer {
-    core: RefCell<Core>,
+    core: RefCell<CoreNode>,
     clock: crate::runtime::Clock,
-    links: Links,
-    conns: RefCell<HashMap<Conn, Queue>>,
+    links: PeerLinks,
+    conns: RefCell<HashMap<ConnectionId, Queue>>,
     calls: RefCell<HashMap<u64, oneshot::Sender<(u16, Value)>>>,
-    disk: RefCell<Option<blocking::Sender<Put>>>,
+    disk: RefCell<Option<blocking::Sender<WriteBatch>>>,
     next: Cell<u64>,
-    room: Rc<Room>,
+    room: Rc<BodyBudget>,
     /// Was this process asked to end?
     ending: Cell<bool>,
 }
@@ -88,7 +88,7 @@
 
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = Events { up: Event::LinkUp, said: Event::Peer, down: Event::LinkDown };
+        let events = LinkEventMapper { up: Event::LinkUp, said: Event::Peer, down: Event::LinkDown };
         self.links.open(ip, events.of(ip, move |event| this.handle(event)));
     }
 
@@ -126,14 +126,14 @@
     ) -> (actix_http::ResponseBuilder, bytes::Bytes) {
         if self.ending.get() {
             // It may take longer than this process lives: its caller goes on to another machine.
-            return http_server::json(503, &fault("ending"));
+            return http_server::json(503, &error_body("ending"));
         }
         let command = match command(head, &body) {
             Ok(Some(command)) => command,
             Ok(None) => return http_server::plain(StatusCode::NOT_FOUND, "no such call"),
             Err(error) => {
                 tracing::warn!(error, path = head.path(), "refused a call");
-                Command::Malformed(error)
+                ApiCommand::Malformed(error)
             }
         };
         let call = self.next.get();
@@ -143,53 +143,55 @@
         self.handle(Event::Call(call, command));
         match answer.await {
             Ok((status, body)) => http_server::json(status, &body),
-            Err(_) => http_server::json(503, &fault("ending")),
+            Err(_) => http_server::json(503, &error_body("ending")),
         }
     }
 }
 
 /// The command that a call stands for; `None`: there is no such call.
-fn command(head: &Request, body: &[u8]) -> Result<Option<Command>, String> {
+fn command(head: &Request, body: &[u8]) -> Result<Option<ApiCommand>, String> {
     if http_server::is(head, Method::POST, "/whinstall/configuration/amend") {
         // Also a refusal wants most of the core in touch: the log's side decides when it is said.
-        let read = read_call(body).map_or_else(|e| Command::Unreadable(e.to_string()), Command::Amend);
+        let read = read_call(body).map_or_else(|e| ApiCommand::Unreadable(e.to_string()), ApiCommand::Amend);
         return Ok(Some(read));
     }
     if http_server::is(head, Method::GET, "/whinstall/configuration/read") {
-        return Ok(Some(Command::Read));
+        return Ok(Some(ApiCommand::Read));
     }
     if http_server::is(head, Method::GET, "/whinstall/core") {
-        return Ok(Some(Command::Status));
+        return Ok(Some(ApiCommand::Status));
     }
     if http_server::is(head, Method::GET, "/whinstall/journal") {
-        return Ok(Some(Command::Journal));
+        return Ok(Some(ApiCommand::Journal));
     }
     let Some(rest) = head.path().strip_prefix("/whinstall/instances/") else { return Ok(None) };
     match rest.split_once('/') {
         Some(("", _)) => Err("an instance without an id".into()),
         Some((id, "heartbeat")) if head.method() == Method::POST => {
             let value = crate::json_path::parse(body).map_err(|e| e.to_string())?;
-            beat(id, &At::root(&value)).map(|w| Some(Command::Beat(w))).map_err(|e| e.to_string())
+            beat(id, &JsonNode::root(&value)).map(|w| Some(ApiCommand::Beat(w))).map_err(|e| e.to_string())
+        }
+        Some((id, "departure")) if head.method() == Method::POST => {
+            Ok(Some(ApiCommand::Departure(id.into())))
         }
-        Some((id, "departure")) if head.method() == Method::POST => Ok(Some(Command::Departure(id.into()))),
         _ => Ok(None),
     }
 }
 
-fn beat(id: &str, at: &At) -> Result<Worker, PathError> {
+fn beat(id: &str, at: &JsonNode) -> Result<Worker, JsonPathError> {
     let address = at.need("address")?;
     let socket = address.text()?.parse();
     let phase = at.need("phase")?;
     Ok(Worker {
         id: id.into(),
         service: at.need("service_ref")?.name()?.into(),
-        address: socket.map_err(|_| PathError::Not(address.path(), "an address such as 10.0.0.1:80"))?,
+        address: socket.map_err(|_| JsonPathError::Not(address.path(), "an address such as 10.0.0.1:80"))?,
         zone: at.need("zone_name")?.text()?.into(),
         capacity: at.get("capacity").map(|c| c.amount()).transpose()?.map_or(1, |c| c as u32),
         phase: match phase.text()? {
-            "settled" => Phase::Settled,
-            "decaying" => Phase::Decaying,
-            _ => return Err(PathError::Not(phase.path(), "settled or decaying")),
+            "settled" => WorkerPhase::Settled,
+            "decaying" => WorkerPhase::Decaying,
+            _ => return Err(JsonPathError::Not(phase.path(), "settled or decaying")),
         },
         warmup_ms: at.get("warmup_left").map(|t| t.time()).transpose()?.map_or(0, |t| t.as_millis() as u32),
         calls: at.need("call_count")?.amount()? as u64,
@@ -197,10 +199,10 @@
 }
 
 /// Opens the disk; one that is in trouble is tried again, one that holds what can't be used is not.
-async fn open(data: &Path, first: bool) -> Result<(Store, Held), StoreError> {
+async fn open(data: &Path, first: bool) -> Result<(ReplicaStore, LoadedState), StorageError> {
     loop {
-        match Store::open(data, first) {
-            Err(error @ (StoreError::Database(_) | StoreError::Folder(_))) => {
+        match ReplicaStore::open(data, first) {
+            Err(error @ (StorageError::Database(_) | StorageError::Folder(_))) => {
                 tracing::warn!(%error, "the disk can't be opened; trying again");
                 tokio::time::sleep(OPEN_AGAIN).await;
             }
@@ -212,7 +214,7 @@
 /// Runs the core role until it is asked to end.
 pub async fn run(mut settings: Settings) -> Result<(), crate::runtime::RunError> {
     // Before anything else: an unhandled signal would end the process with all that it has begun.
-    let mut signals = crate::runtime::Signals::new().map_err(crate::runtime::RunError::Signals)?;
+    let mut signals = crate::runtime::SignalListener::new().map_err(crate::runtime::RunError::Signals)?;
     let clock = crate::runtime::Clock::start();
     let control =
         settings.control.ok_or(crate::runtime::RunError::NotTold("network.endpoints.control_port"))?;
@@ -222,8 +224,8 @@
         tokio::select! {
             opened = &mut opening => break opened.map_err(crate::runtime::RunError::Store)?,
             signal = signals.next() => match signal {
-                crate::runtime::Signal::Reread(reread) => settings = *reread,
-                crate::runtime::Signal::End => return Ok(()),
+                crate::runtime::ProcessSignal::Reread(reread) => settings = *reread,
+                crate::runtime::ProcessSignal::End => return Ok(()),
             },
         }
     };
@@ -239,12 +241,12 @@
         "core role starts"
     );
     let (port, ip) = (settings.inner_port, settings.ip);
-    let room = Room::new(settings.memory as usize / BODIES_PART);
-    let core = Core::new(clock.now(), settings, held).map_err(crate::runtime::RunError::State)?;
+    let room = BodyBudget::new(settings.memory as usize / BODIES_PART);
+    let core = CoreNode::new(clock.now(), settings, held).map_err(crate::runtime::RunError::State)?;
     let server = Rc::new(CoreServer {
         core: RefCell::new(core),
         clock,
-        links: Links::new(port),
+        links: PeerLinks::new(port),
         conns: RefCell::default(),
         calls: RefCell::default(),
         disk: RefCell::default(),
@@ -270,12 +272,12 @@
             outgoing
         },
         move |conn, happens| match happens {
-            Happens::Said(msg) => closing.handle(Event::Inbound(conn, msg)),
-            Happens::Down => {
+            LinkEvent::Said(msg) => closing.handle(Event::Inbound(conn, msg)),
+            LinkEvent::Down => {
                 closing.conns.borrow_mut().remove(&conn);
                 closing.handle(Event::Closed(conn));
             }
-            Happens::Up => {}
+            LinkEvent::Up => {}
         },
     ));
     let serving = Rc::clone(&server);
@@ -293,12 +295,12 @@
             _ = ticks.tick() => server.handle(Event::Tick),
             Some(number) = syncs.recv() => server.handle(Event::Disk(number)),
             signal = signals.next() => match signal {
-                crate::runtime::Signal::Reread(settings) => {
+                crate::runtime::ProcessSignal::Reread(settings) => {
                     let mut out = Vec::new();
                     server.core.borrow_mut().retune(*settings, &mut out);
                     server.carry_out(out);
                 }
-                crate::runtime::Signal::End => break,
+                crate::runtime::ProcessSignal::End => break,
             },
         }
         if let Some(error) = server.core.borrow().broken.clone() {
--- a/crates/gateway/src/runtime/edge_loop.rs
+++ b/crates/gateway/src/runtime/edge_loop.rs
@@ -1,15 +1,15 @@
 //! Owns an edge while it runs: hands it what happens, with the time, and says when its next tick is due. It must never carry
 //! anything out.
 
-use crate::data_plane::{Edge, Effect};
+use crate::data_plane::{EdgeNode, Effect};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tokio::sync::Notify;
 
 /// An edge and its clock.
-pub struct EventLoop {
+pub struct EdgeLoop {
     /// The state machine.
-    pub state: RefCell<Edge>,
+    pub state: RefCell<EdgeNode>,
     /// Its clock.
     pub clock: crate::runtime::Clock,
     /// Until when [`EventLoop::due`] waits; woken where something is due earlier.
@@ -17,14 +17,14 @@
     wake: Notify,
 }
 
-impl EventLoop {
+impl EdgeLoop {
     /// With nothing due.
-    pub fn new(edge: Edge, clock: crate::runtime::Clock) -> Self {
-        EventLoop { state: RefCell::new(edge), clock, due: Cell::new(0.0), wake: Notify::new() }
+    pub fn new(edge: EdgeNode, clock: crate::runtime::Clock) -> Self {
+        EdgeLoop { state: RefCell::new(edge), clock, due: Cell::new(0.0), wake: Notify::new() }
     }
 
     /// Something happens; returned: what is to be done.
-    pub fn with(&self, f: impl FnOnce(&mut Edge, f64, &mut Vec<Effect>)) -> Vec<Effect> {
+    pub fn with(&self, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>)) -> Vec<Effect> {
         let mut out = Vec::new();
         let now = self.clock.now();
         let mut edge = self.state.borrow_mut();
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -3,13 +3,15 @@
 
 mod drain;
 
-use crate::data_plane::requests::{Answer, Arrival};
-use crate::data_plane::{Edge, Effect, Event};
-use crate::runtime::edge_loop::EventLoop;
+use crate::data_plane::requests::{FinalResponse, IncomingRequest};
+use crate::data_plane::{EdgeNode, Effect, Event};
+use crate::runtime::edge_loop::EdgeLoop;
 use crate::settings::Settings;
-use crate::transport::http_server::{self, Bounds, Connection, HttpError, Rested, Room, Whole};
-use crate::transport::peer_link::{self, Events, Links};
-use crate::transport::upstream_pool::{Courier, Forward, Reply, LOOK};
+use crate::transport::http_server::{
+    self, BodyBudget, Connection, HttpError, IdleOutcome, ReceivedRequest, RequestLimits,
+};
+use crate::transport::peer_link::{self, LinkEventMapper, PeerLinks};
+use crate::transport::upstream_pool::{ForwardedRequest, UpstreamPool, UpstreamResponse, LOOK};
 use actix_http::header::HeaderMap;
 use actix_http::{HttpMessage, Response, ResponseBuilder, StatusCode};
 use bytes::Bytes;
@@ -51,30 +53,30 @@
 ];
 
 enum Final {
-    Reply(Reply),
-    Plain(Answer),
+    Reply(UpstreamResponse),
+    Plain(FinalResponse),
 }
 
 struct Pending {
-    forward: Rc<Forward>,
+    forward: Rc<ForwardedRequest>,
     tenant: Option<Arc<str>>,
     reply: Option<oneshot::Sender<Final>>,
-    replies: HashMap<u32, Reply>,
+    replies: HashMap<u32, UpstreamResponse>,
     called_off: HashMap<u32, oneshot::Sender<()>>,
 }
 
 struct EdgeServer {
-    edge: EventLoop,
-    links: Links,
+    edge: EdgeLoop,
+    links: PeerLinks,
     pending: RefCell<HashMap<RequestId, Pending>>,
-    courier: Courier,
+    courier: UpstreamPool,
     port: u16,
     hints: UdpSocket,
     next: Cell<u64>,
     ending: watch::Sender<Option<Instant>>,
     open: Cell<usize>,
     descriptors: usize,
-    room: Rc<Room>,
+    room: Rc<BodyBudget>,
 }
 
 impl EdgeServer {
@@ -82,7 +84,7 @@
         self.with(|edge, now, out| edge.handle(now, event, out));
     }
 
-    fn with(self: &Rc<Self>, f: impl FnOnce(&mut Edge, f64, &mut Vec<Effect>)) {
+    fn with(self: &Rc<Self>, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>)) {
         for effect in self.edge.with(f) {
             self.carry_out(effect);
         }
@@ -105,11 +107,11 @@
                 let mut pending = self.pending.borrow_mut();
                 let Some(p) = pending.get_mut(&id) else { return };
                 let told = match answer {
-                    Answer::Worker(attempt) => p.replies.remove(&attempt).map(Final::Reply),
+                    FinalResponse::Worker(attempt) => p.replies.remove(&attempt).map(Final::Reply),
                     other => Some(Final::Plain(other)),
                 };
                 if let Some(reply) = p.reply.take() {
-                    let _ = reply.send(told.unwrap_or(Final::Plain(Answer::Failed)));
+                    let _ = reply.send(told.unwrap_or(Final::Plain(FinalResponse::Failed)));
                 }
             }
             Effect::CloseIdle(worker) => self.courier.close(&worker.0),
@@ -125,7 +127,7 @@
 
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = Events { up: Event::LinkUp, said: Event::Core, down: Event::LinkDown };
+        let events = LinkEventMapper { up: Event::LinkUp, said: Event::Core, down: Event::LinkDown };
         self.links.open(ip, events.of(ip, move |event| this.handle(event)));
     }
 
@@ -182,10 +184,10 @@
         }
     }
 
-    fn bounds(&self) -> Bounds {
+    fn bounds(&self) -> RequestLimits {
         let edge = self.edge.state.borrow();
         let s = &edge.view.saturation;
-        Bounds {
+        RequestLimits {
             head_bytes: s.header_bytes,
             body_bytes: s.body_bytes,
             head_within: s.header_deadline,
@@ -198,7 +200,7 @@
         let mut ending = self.ending.subscribe();
         loop {
             let idle = || self.edge.state.borrow().view.saturation.idle_cutoff;
-            if connection.rested(idle, &mut ending).await == Rested::Over {
+            if connection.rested(idle, &mut ending).await == IdleOutcome::Over {
                 // Dropped, not drained: a request that comes now must not be read, or its client can't repeat it.
                 return;
             }
@@ -230,14 +232,14 @@
     /// The answer to a request; `None`: its client has left.
     async fn answer(
         self: &Rc<Self>,
-        whole: Whole,
+        whole: ReceivedRequest,
         connection: &mut Connection,
     ) -> Option<(ResponseBuilder, Bytes)> {
-        let Whole { head, body, held: _held } = whole;
+        let ReceivedRequest { head, body, held: _held } = whole;
         let view = Arc::clone(&self.edge.state.borrow().view);
         let host = head.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or_default();
         if !self.edge.state.borrow().is_configured() {
-            return Some(plain(Answer::Refused(NOT_YET)));
+            return Some(plain(FinalResponse::Refused(NOT_YET)));
         }
         let Some(route) = view.route(host, head.path()).cloned() else {
             return Some(http_server::plain(StatusCode::NOT_FOUND, "no route"));
@@ -277,7 +279,7 @@
         }
         let time = route.cutoff.map_or(left, |c| left.min(c)).as_secs_f64();
         let time = self.edge.state.borrow().work_time_for(self.edge.clock.now(), time).max(0.0);
-        let forward = Rc::new(Forward {
+        let forward = Rc::new(ForwardedRequest {
             method: head.method().clone(),
             uri: head.uri().clone(),
             headers,
@@ -297,11 +299,11 @@
             called_off: HashMap::new(),
         };
         self.pending.borrow_mut().insert(id.clone(), pending);
-        let arrival = Arrival { id: id.clone(), route, tenant, left: left.as_secs_f64() };
+        let arrival = IncomingRequest { id: id.clone(), route, tenant, left: left.as_secs_f64() };
         self.with(|edge, now, out| edge.arrived(now, arrival, out));
         let told = tokio::select! {
             biased;
-            told = &mut told => told.unwrap_or(Final::Plain(Answer::Failed)),
+            told = &mut told => told.unwrap_or(Final::Plain(FinalResponse::Failed)),
             () = connection.left() => {
                 if let Some(p) = self.pending.borrow_mut().get_mut(&id) {
                     p.reply = None;
@@ -326,12 +328,12 @@
 }
 
 /// An answer that is not a worker's.
-fn plain(answer: Answer) -> (ResponseBuilder, Bytes) {
+fn plain(answer: FinalResponse) -> (ResponseBuilder, Bytes) {
     let (status, after, text) = match answer {
-        Answer::Limited(after) => (StatusCode::TOO_MANY_REQUESTS, Some(after), "beyond the quota"),
-        Answer::Refused(after) => (StatusCode::SERVICE_UNAVAILABLE, Some(after), "not run: come back"),
-        Answer::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None, "no answer in time"),
-        Answer::Failed | Answer::Worker(_) => (StatusCode::BAD_GATEWAY, None, "failed"),
+        FinalResponse::Limited(after) => (StatusCode::TOO_MANY_REQUESTS, Some(after), "beyond the quota"),
+        FinalResponse::Refused(after) => (StatusCode::SERVICE_UNAVAILABLE, Some(after), "not run: come back"),
+        FinalResponse::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None, "no answer in time"),
+        FinalResponse::Failed | FinalResponse::Worker(_) => (StatusCode::BAD_GATEWAY, None, "failed"),
     };
     let (mut response, body) = http_server::plain(status, text);
     if let Some(after) = after {
@@ -343,7 +345,7 @@
 /// Answers the platform's question whether this gatekeeper is ready.
 async fn readiness(server: Rc<EdgeServer>, listener: TcpListener) {
     let config = http_server::config();
-    let bounds = Bounds {
+    let bounds = RequestLimits {
         head_bytes: 8192,
         body_bytes: 1024,
         head_within: Duration::from_secs(2),
@@ -396,7 +398,7 @@
 /// Runs the edge role until it is asked to end.
 pub async fn run(settings: Settings) -> Result<(), crate::runtime::RunError> {
     // Before anybody can connect: an unhandled signal would end the process with all of its connections.
-    let mut signals = crate::runtime::Signals::new().map_err(crate::runtime::RunError::Signals)?;
+    let mut signals = crate::runtime::SignalListener::new().map_err(crate::runtime::RunError::Signals)?;
     let front_at = settings.front.ok_or(crate::runtime::RunError::NotTold("network.endpoints.front_http"))?;
     let ready_at = settings.ready.ok_or(crate::runtime::RunError::NotTold("network.endpoints.ready_port"))?;
     let since = std::time::SystemTime::UNIX_EPOCH;
@@ -404,13 +406,13 @@
     tracing::info!(node = settings.node, life, "edge role starts");
     let port = settings.inner_port;
     let descriptors = settings.descriptors.saturating_sub(300).max(64);
-    let room = Room::new(settings.memory as usize / BODIES_PART);
+    let room = BodyBudget::new(settings.memory as usize / BODIES_PART);
     let hints = UdpSocket::bind((settings.ip, port)).await.map_err(crate::runtime::RunError::Listen)?;
     let server = Rc::new(EdgeServer {
-        edge: EventLoop::new(Edge::new(settings, life), crate::runtime::Clock::start()),
-        links: Links::new(port),
+        edge: EdgeLoop::new(EdgeNode::new(settings, life), crate::runtime::Clock::start()),
+        links: PeerLinks::new(port),
         pending: RefCell::default(),
-        courier: Courier::new(descriptors / 2),
+        courier: UpstreamPool::new(descriptors / 2),
         port,
         hints,
         next: Cell::new(1),
@@ -450,7 +452,7 @@
             ticking.edge.due().await;
         }
     });
-    while let crate::runtime::Signal::Reread(settings) = signals.next().await {
+    while let crate::runtime::ProcessSignal::Reread(settings) = signals.next().await {
         server.with(|edge, _, out| edge.retune(*settings, out));
     }
     drain::drain(&server).await;
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::settings::{Settings, SettingsError};
 use crate::storage;
-pub use signals::{Signal, Signals};
+pub use signals::{ProcessSignal, SignalListener};
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -26,7 +26,7 @@
     /// no signals: {0}
     Signals(std::io::Error),
     /// the disk: {0}
-    Store(storage::StoreError),
+    Store(storage::StorageError),
     /// the state in a snapshot can't be read: {0}
     State(String),
 }
--- a/crates/gateway/src/runtime/signals.rs
+++ b/crates/gateway/src/runtime/signals.rs
@@ -9,7 +9,7 @@
 const LOOK: Duration = Duration::from_millis(500);
 
 /// What a process is asked to do.
-pub enum Signal {
+pub enum ProcessSignal {
     /// Its settings have changed.
     Reread(Box<Settings>),
     /// It is to end.
@@ -17,23 +17,23 @@
 }
 
 /// When a file was changed, and its length; none: it is not there.
-pub type Stamp = Option<(SystemTime, u64)>;
+pub type FileStamp = Option<(SystemTime, u64)>;
 
 /// A file that is looked at now and then. It counts as changed once it looks alike twice: it may be written in steps, and
 /// half of a settings file can be read as one that lacks the rest.
-pub struct Watch {
-    read: Stamp,
-    last: Stamp,
+pub struct FileWatch {
+    read: FileStamp,
+    last: FileStamp,
 }
 
-impl Watch {
+impl FileWatch {
     /// Of a file that was just read.
-    pub fn new(stamp: Stamp) -> Self {
-        Watch { read: stamp, last: stamp }
+    pub fn new(stamp: FileStamp) -> Self {
+        FileWatch { read: stamp, last: stamp }
     }
 
     /// A look; returned: is it to be read?
-    pub fn look(&mut self, stamp: Stamp) -> bool {
+    pub fn look(&mut self, stamp: FileStamp) -> bool {
         let steady = std::mem::replace(&mut self.last, stamp) == stamp;
         let changed = steady && stamp != self.read;
         if changed {
@@ -43,42 +43,48 @@
     }
 
     /// It is read now in any case.
-    pub fn reads(&mut self, stamp: Stamp) {
-        *self = Watch::new(stamp);
+    pub fn reads(&mut self, stamp: FileStamp) {
+        *self = FileWatch::new(stamp);
     }
 }
 
 /// SIGTERM, SIGHUP, and a settings file that changes without any signal.
-pub struct Signals {
+pub struct SignalListener {
     term: Stream,
     int: Stream,
     hup: Stream,
     look: tokio::time::Interval,
-    watch: Watch,
+    watch: FileWatch,
 }
 
-impl Signals {
+impl SignalListener {
     /// From now on.
     pub fn new() -> std::io::Result<Self> {
         let mut look = tokio::time::interval(LOOK);
         look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let (term, int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
-        Ok(Signals { term, int, hup: signal(SignalKind::hangup())?, look, watch: Watch::new(stamp()) })
+        Ok(SignalListener {
+            term,
+            int,
+            hup: signal(SignalKind::hangup())?,
+            look,
+            watch: FileWatch::new(stamp()),
+        })
     }
 
     /// The next one. Settings that can't be used change nothing.
-    pub async fn next(&mut self) -> Signal {
+    pub async fn next(&mut self) -> ProcessSignal {
         loop {
             tokio::select! {
-                _ = self.term.recv() => return Signal::End,
-                _ = self.int.recv() => return Signal::End,
+                _ = self.term.recv() => return ProcessSignal::End,
+                _ = self.int.recv() => return ProcessSignal::End,
                 _ = self.hup.recv() => self.watch.reads(stamp()),
                 _ = self.look.tick() => if !self.watch.look(stamp()) { continue },
             }
             match Settings::load() {
                 Ok(settings) => {
                     tracing::info!("settings read again");
-                    return Signal::Reread(Box::new(settings));
+                    return ProcessSignal::Reread(Box::new(settings));
                 }
                 Err(error) => tracing::error!(%error, "settings can't be used; the old ones stay"),
             }
@@ -86,7 +92,7 @@
     }
 }
 
-fn stamp() -> Stamp {
+fn stamp() -> FileStamp {
     let file = std::fs::metadata(Settings::place().ok()?).ok()?;
     Some((file.modified().ok()?, file.len()))
 }
--- a/crates/gateway/src/runtime/signals_tests.rs
+++ b/crates/gateway/src/runtime/signals_tests.rs
@@ -1,16 +1,16 @@
 //! When a settings file that changes without a signal is read.
 
-use crate::runtime::signals::{Stamp, Watch};
+use crate::runtime::signals::{FileStamp, FileWatch};
 use googletest::prelude::*;
 use std::time::{Duration, SystemTime};
 
-fn at(ms: u64, length: u64) -> Stamp {
+fn at(ms: u64, length: u64) -> FileStamp {
     Some((SystemTime::UNIX_EPOCH + Duration::from_millis(ms), length))
 }
 
 #[gtest]
 fn a_file_is_read_once_it_stands_still() {
-    let mut watch = Watch::new(at(0, 100));
+    let mut watch = FileWatch::new(at(0, 100));
     expect_that!(watch.look(at(0, 100)), eq(false), "it did not change");
     // Written in steps: also two within the same moment of the disk's clock.
     for stamp in [at(10, 0), at(10, 40), at(11, 80), at(12, 120)] {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -24,7 +24,7 @@
 
 /// The bounds of the deployment (`constraints.envelope`), all in force at once.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Envelope {
+pub struct DeploymentBounds {
     /// How long a machine is calm before it counts as in touch.
     pub contact: Duration,
     /// A call of the operator, or of a leaving worker, is acknowledged within this.
@@ -53,7 +53,7 @@
 
 /// What may be lost at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Tolerance {
+pub struct LossTolerance {
     /// Machines with a disk.
     pub machines: usize,
     /// Zones.
@@ -96,9 +96,9 @@
     /// Time between two heartbeats of a worker.
     pub heartbeat: Duration,
     /// What may be lost.
-    pub tolerance: Tolerance,
+    pub tolerance: LossTolerance,
     /// The bounds.
-    pub envelope: Envelope,
+    pub envelope: DeploymentBounds,
 }
 
 struct Reader<'a>(&'a toml::Table);
@@ -205,12 +205,12 @@
             ready: r.address("network.endpoints.ready_port")?,
             control: r.address("network.endpoints.control_port")?,
             heartbeat: r.time("substrate.heartbeat", 1500)?,
-            tolerance: Tolerance {
+            tolerance: LossTolerance {
                 machines: lost("machine_losses")?,
                 zones: lost("zones")?,
                 regions: lost("region_losses")?,
             },
-            envelope: Envelope {
+            envelope: DeploymentBounds {
                 contact: time("contact", 3000)?,
                 ack: time("ack_bound", 5000)?,
                 resync: time("resync_bound", 4000)?,
--- a/crates/gateway/src/storage/bootstrap_marker_tests.rs
+++ b/crates/gateway/src/storage/bootstrap_marker_tests.rs
@@ -3,11 +3,11 @@
 
 use crate::storage::bootstrap_marker::NAME as MARK;
 use crate::storage::tests::Folder;
-use crate::storage::{Held, Store, EARLIER, NAME, WAL};
+use crate::storage::{LoadedState, ReplicaStore, DATABASE_FILE, LEGACY_DATABASE_FILE, WAL_FILE};
 use googletest::prelude::*;
 
-fn open(folder: &Folder, first: bool) -> Held {
-    Store::open(&folder.0, first).expect("opens").1
+fn open(folder: &Folder, first: bool) -> LoadedState {
+    ReplicaStore::open(&folder.0, first).expect("opens").1
 }
 
 fn put(folder: &Folder, name: &str, bytes: &[u8]) {
@@ -32,7 +32,7 @@
 fn a_seed_stopped_after_its_mark_begins_as_at_the_first_start() {
     let whole = Folder::new("marked-whole");
     open(&whole, false);
-    let base = std::fs::read(whole.0.join(NAME)).expect("a file");
+    let base = std::fs::read(whole.0.join(DATABASE_FILE)).expect("a file");
     for mark in [&b""[..], b"\0\0\0\0", b"\xff\x07"] {
         for (step, wal) in [(None, false), (Some(0), false), (Some(4096), false), (Some(base.len()), true)] {
             let folder = Folder::new("marked");
@@ -42,11 +42,11 @@
                 put(&folder, "replica.making-journal", &base[..step.min(512)]);
             }
             if wal {
-                put(&folder, WAL, b"");
+                put(&folder, WAL_FILE, b"");
             }
             let held = open(&folder, false);
             expect_that!((held.disk, held.fresh), eq((0, true)), "{mark:?} {step:?}");
-            expect_that!(names(&folder), elements_are![eq(NAME), eq(WAL)]);
+            expect_that!(names(&folder), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
             let held = open(&folder, false);
             expect_that!((held.disk, held.fresh), eq((0, false)), "{mark:?} {step:?}");
         }
@@ -60,11 +60,11 @@
     // Nothing can be made in this place.
     let obstacle = folder.0.join("replica.making");
     std::fs::create_dir(&obstacle).expect("a folder");
-    expect_that!(Store::open(&folder.0, false).is_err(), eq(true));
+    expect_that!(ReplicaStore::open(&folder.0, false).is_err(), eq(true));
     expect_that!(names(&folder), elements_are![eq("replica.making")]);
-    expect_that!(Store::open(&folder.0, true).is_err(), eq(true));
+    expect_that!(ReplicaStore::open(&folder.0, true).is_err(), eq(true));
     expect_that!(names(&folder), elements_are![eq(MARK), eq("replica.making")]);
-    expect_that!(Store::open(&folder.0, false).is_err(), eq(true));
+    expect_that!(ReplicaStore::open(&folder.0, false).is_err(), eq(true));
     expect_that!(names(&folder), elements_are![eq(MARK), eq("replica.making")]);
     std::fs::remove_dir(&obstacle).expect("removed");
     expect_that!(open(&folder, false).disk, eq(0));
@@ -85,10 +85,10 @@
     put(&folder, MARK, b"");
     let held = open(&folder, false);
     expect_that!((held.disk, held.fresh), eq((drawn, false)));
-    expect_that!(names(&folder), elements_are![eq(NAME), eq(WAL)]);
+    expect_that!(names(&folder), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
     let held = open(&folder, true);
     expect_that!((held.disk, held.fresh), eq((drawn, false)));
-    expect_that!(names(&folder), elements_are![eq(NAME), eq(WAL)]);
+    expect_that!(names(&folder), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
 }
 
 /// Guards a disk that holds something which can't be used against the mark: none is made, and none goes.
@@ -97,7 +97,7 @@
     let whole = Folder::new("refused-whole");
     open(&whole, true);
     for marked in [false, true] {
-        for broken in [EARLIER, NAME, WAL] {
+        for broken in [LEGACY_DATABASE_FILE, DATABASE_FILE, WAL_FILE] {
             let folder = Folder::new("refused-marked");
             match broken {
                 NAME => copy(&whole, &folder, NAME),
@@ -108,7 +108,7 @@
             }
             let was = names(&folder);
             for first in [false, true] {
-                expect_that!(Store::open(&folder.0, first).is_err(), eq(true), "{broken} {marked}");
+                expect_that!(ReplicaStore::open(&folder.0, first).is_err(), eq(true), "{broken} {marked}");
                 expect_that!(names(&folder), eq(&was), "{broken} {marked}");
             }
         }
--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -22,9 +22,9 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-use crate::consensus::{Entry, Index, Members, NodeId, Snapshot, Term, Write};
+use crate::consensus::{Entry, Index, LogWrite, Members, NodeId, Snapshot, Term};
 use crate::control_plane::LogCommand;
-use crate::discovery::registry::{Phase, Worker};
+use crate::discovery::registry::{Worker, WorkerPhase};
 use bytes::{Bytes, BytesMut};
 use rusqlite::config::DbConfig;
 use rusqlite::{params, Connection, OptionalExtension};
@@ -36,14 +36,14 @@
 use std::time::{Duration, SystemTime};
 
 /// The database.
-pub const NAME: &str = "replica.sqlite";
+pub const DATABASE_FILE: &str = "replica.sqlite";
 /// Its write-ahead log, as SQLite names it.
-pub const WAL: &str = "replica.sqlite-wal";
+pub const WAL_FILE: &str = "replica.sqlite-wal";
 /// The database while it is made, and the journals that SQLite may put beside it.
 const MAKING: [&str; 4] =
     ["replica.making", "replica.making-wal", "replica.making-journal", "replica.making-shm"];
 /// The database of the program before the replicated log.
-pub const EARLIER: &str = "toolroom.sqlite";
+pub const LEGACY_DATABASE_FILE: &str = "toolroom.sqlite";
 
 /// How the tables are laid out.
 const FORMAT: i64 = 1;
@@ -52,7 +52,7 @@
 /// The write-ahead log is cut to so many bytes after it had to grow further.
 const WAL_MOST: i64 = 2 * 1024 * 1024;
 /// Bytes of a snapshot in one row: rows are put together in memory.
-pub const PART: usize = 64 * 1024;
+pub const SNAPSHOT_CHUNK_BYTES: usize = 64 * 1024;
 /// Rows of a snapshot are numbered from its index times this, so that those of the next one can be written beside them.
 const PARTS: u64 = 1 << 20;
 /// Rows of snapshots that are no more that go with one write.
@@ -64,7 +64,7 @@
 
 /// Why the disk can't be used.
 #[derive(Debug, displaydoc::Display)]
-pub enum StoreError {
+pub enum StorageError {
     /// the database: {0}
     Database(rusqlite::Error),
     /// the data folder: {0}
@@ -77,29 +77,29 @@
     Earlier(String),
 }
 
-impl std::error::Error for StoreError {}
+impl std::error::Error for StorageError {}
 
-impl From<rusqlite::Error> for StoreError {
+impl From<rusqlite::Error> for StorageError {
     fn from(e: rusqlite::Error) -> Self {
-        StoreError::Database(e)
+        StorageError::Database(e)
     }
 }
 
-impl From<std::io::Error> for StoreError {
+impl From<std::io::Error> for StorageError {
     fn from(e: std::io::Error) -> Self {
-        StoreError::Folder(e)
+        StorageError::Folder(e)
     }
 }
 
 /// What the disk held at the start.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Held {
+pub struct LoadedState {
     /// The disk's identity, for [`NodeId::disk`]; synced.
     pub disk: u64,
     /// Was it made just now?
     pub fresh: bool,
     /// The replicated log.
-    pub raft: crate::consensus::Held<LogCommand>,
+    pub raft: crate::consensus::PersistedState<LogCommand>,
     /// Workers as they were last known.
     pub workers: Vec<Worker>,
 }
@@ -107,7 +107,7 @@
 /// Bytes of a snapshot that is still being made, or is still coming: written ahead, so that the snapshot itself is a
 /// short write. They count for nothing until that is written, and are worth nothing if it never is.
 #[derive(Clone, Debug)]
-pub struct Part {
+pub struct SnapshotChunk {
     /// The last entry that the snapshot covers, and its term.
     pub of: (Index, Term),
     /// Where these bytes begin; those before them were put ahead.
@@ -118,32 +118,32 @@
 
 /// Something to write.
 #[derive(Clone, Debug, Default)]
-pub struct Put {
+pub struct WriteBatch {
     /// Its number; numbers rise.
     pub number: u64,
     /// Of the replicated log, in this order.
-    pub writes: Vec<Write<LogCommand>>,
+    pub writes: Vec<LogWrite<LogCommand>>,
     /// Workers; those that ended go.
     pub workers: Vec<Worker>,
     /// Ahead of a snapshot.
-    pub part: Option<Part>,
+    pub part: Option<SnapshotChunk>,
 }
 
 /// As SQLite counts.
-fn signed(number: u64) -> Result<i64, StoreError> {
-    i64::try_from(number).map_err(|_| StoreError::Row(format!("{number} is too high")))
+fn signed(number: u64) -> Result<i64, StorageError> {
+    i64::try_from(number).map_err(|_| StorageError::Row(format!("{number} is too high")))
 }
 
-fn unsigned(number: i64, what: &str) -> Result<u64, StoreError> {
-    u64::try_from(number).map_err(|_| StoreError::Row(format!("{what} {number}")))
+fn unsigned(number: i64, what: &str) -> Result<u64, StorageError> {
+    u64::try_from(number).map_err(|_| StorageError::Row(format!("{what} {number}")))
 }
 
-fn blob(record: &impl Serialize) -> Result<Vec<u8>, StoreError> {
-    rmp_serde::to_vec(record).map_err(|e| StoreError::Row(e.to_string()))
+fn blob(record: &impl Serialize) -> Result<Vec<u8>, StorageError> {
+    rmp_serde::to_vec(record).map_err(|e| StorageError::Row(e.to_string()))
 }
 
-fn read<T: DeserializeOwned>(blob: &[u8], what: &str) -> Result<T, StoreError> {
-    rmp_serde::from_slice(blob).map_err(|e| StoreError::Row(format!("{what}: {e}")))
+fn read<T: DeserializeOwned>(blob: &[u8], what: &str) -> Result<T, StorageError> {
+    rmp_serde::from_slice(blob).map_err(|e| StorageError::Row(format!("{what}: {e}")))
 }
 
 /// Makes what was done to names in the folder last.
@@ -158,7 +158,7 @@
 }
 
 /// Makes the database with its identity. Whatever stops it midway, a database that is there is whole.
-fn make(folder: &Path, disk: u64) -> Result<(), StoreError> {
+fn make(folder: &Path, disk: u64) -> Result<(), StorageError> {
     for name in MAKING {
         match std::fs::remove_file(folder.join(name)) {
             Err(e) if e.kind() != std::io::ErrorKind::NotFound => return Err(e.into()),
@@ -185,9 +185,9 @@
     db.pragma_update(None, "journal_mode", "WAL")?;
     db.close().map_err(|(_, e)| e)?;
     File::open(&making)?.sync_all()?;
-    File::create(folder.join(WAL))?.sync_all()?;
+    File::create(folder.join(WAL_FILE))?.sync_all()?;
     sync(folder)?;
-    std::fs::rename(making, folder.join(NAME))?;
+    std::fs::rename(making, folder.join(DATABASE_FILE))?;
     Ok(())
 }
 
@@ -208,7 +208,7 @@
 }
 
 /// The database in a folder.
-pub struct Store {
+pub struct ReplicaStore {
     db: Connection,
     span: Span,
     ahead: Option<Ahead>,
@@ -219,31 +219,31 @@
 }
 
 /// Numbers of the rows of a snapshot.
-fn rows(index: Index) -> Result<std::ops::Range<i64>, StoreError> {
-    let first = |index: Index| index.checked_mul(PARTS).ok_or(StoreError::Row(format!("index {index}")));
+fn rows(index: Index) -> Result<std::ops::Range<i64>, StorageError> {
+    let first = |index: Index| index.checked_mul(PARTS).ok_or(StorageError::Row(format!("index {index}")));
     Ok(signed(first(index)?)?..signed(first(index + 1)?)?)
 }
 
-impl Store {
+impl ReplicaStore {
     /// Opens it and reads what it holds; makes it where there is none, with the identity 0 if `first` (a seed at the
     /// first start of the whole system; or one that was killed within that, see `bootstrap_mark`), else with one
     /// that was never there. All that is returned is synced. After an error nothing is changed on a disk that holds
     /// something.
-    pub fn open(folder: &Path, first: bool) -> Result<(Self, Held), StoreError> {
-        let earlier = folder.join(EARLIER);
+    pub fn open(folder: &Path, first: bool) -> Result<(Self, LoadedState), StorageError> {
+        let earlier = folder.join(LEGACY_DATABASE_FILE);
         if earlier.try_exists()? {
-            return Err(StoreError::Earlier(earlier.display().to_string()));
+            return Err(StorageError::Earlier(earlier.display().to_string()));
         }
         let bytes = |name: &str| match std::fs::metadata(folder.join(name)) {
             Ok(file) => Ok(Some(file.len())),
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(None),
             Err(e) => Err(e),
         };
-        let fresh = match (bytes(NAME)?, bytes(WAL)?) {
+        let fresh = match (bytes(DATABASE_FILE)?, bytes(WAL_FILE)?) {
             (None, None | Some(0)) => true,
-            (None, Some(_)) => return Err(StoreError::Row(format!("{WAL} without {NAME}"))),
-            (Some(_), None) => return Err(StoreError::Row(format!("{NAME} without {WAL}"))),
-            (Some(0), _) => return Err(StoreError::Row(format!("{NAME} is cut to nothing"))),
+            (None, Some(_)) => return Err(StorageError::Row(format!("{WAL_FILE} without {DATABASE_FILE}"))),
+            (Some(_), None) => return Err(StorageError::Row(format!("{DATABASE_FILE} without {WAL_FILE}"))),
+            (Some(0), _) => return Err(StorageError::Row(format!("{DATABASE_FILE} is cut to nothing"))),
             (Some(_), Some(_)) => false,
         };
         if fresh {
@@ -252,7 +252,7 @@
         }
         // Also for a process that was killed between the new name and this.
         sync(folder)?;
-        let db = Connection::open(folder.join(NAME))?;
+        let db = Connection::open(folder.join(DATABASE_FILE))?;
         db.set_db_config(DbConfig::SQLITE_DBCONFIG_NO_CKPT_ON_CLOSE, true)?;
         // One process at a time, so the write-ahead log needs no shared memory; each commit is synced.
         db.pragma_update(None, "locking_mode", "EXCLUSIVE")?;
@@ -263,20 +263,20 @@
         db.pragma_update(None, "cache_size", -512)?;
         let mode: String = db.pragma_query_value(None, "journal_mode", |row| row.get(0))?;
         if mode != "wal" {
-            return Err(StoreError::Row(format!("{NAME} is in journal mode {mode}")));
+            return Err(StorageError::Row(format!("{DATABASE_FILE} is in journal mode {mode}")));
         }
-        let held = Held { fresh, ..held(&db)? };
+        let held = LoadedState { fresh, ..held(&db)? };
         // What a process that was killed had written, and not synced, must last before it is spoken of.
-        File::open(folder.join(WAL))?.sync_all()?;
+        File::open(folder.join(WAL_FILE))?.sync_all()?;
         bootstrap_marker::done(folder)?;
         let behind = held.raft.snapshot.as_ref().map_or(0, |s| s.index);
         let span = Span { behind, last: held.raft.log.last().map_or(behind, |e| e.index) };
-        Ok((Store { db, span, ahead: None, tight: false, swept: false }, held))
+        Ok((ReplicaStore { db, span, ahead: None, tight: false, swept: false }, held))
     }
 
     /// Writes several puts in one transaction, synced when this returns. After an error all of it can be tried again.
     /// What would leave a log with a gap is refused: it could not be opened again.
-    pub fn write(&mut self, puts: &[Put]) -> Result<(), StoreError> {
+    pub fn write(&mut self, puts: &[WriteBatch]) -> Result<(), StorageError> {
         if !self.db.is_autocommit() {
             // A roll-back that the disk refused.
             self.db.execute_batch("ROLLBACK")?;
@@ -297,7 +297,7 @@
     }
 
     /// So many rows of snapshots that are no more go, or were never written whole.
-    fn sweep(&mut self, most: i64) -> Result<(), StoreError> {
+    fn sweep(&mut self, most: i64) -> Result<(), StorageError> {
         if self.swept {
             return Ok(());
         }
@@ -311,7 +311,7 @@
     }
 
     /// The rows of the snapshot that stands.
-    fn kept(&self) -> Result<std::ops::Range<i64>, StoreError> {
+    fn kept(&self) -> Result<std::ops::Range<i64>, StorageError> {
         // One that was written before rows had numbers by snapshot.
         let first =
             self.db.query_row("SELECT 1 FROM snapshot_part WHERE part = 0", [], |_| Ok(())).optional()?;
@@ -324,20 +324,20 @@
         let _ = self.db.pragma_update(None, "max_page_count", pages);
     }
 
-    fn execute(&self, sql: &str, params: impl rusqlite::Params) -> Result<(), StoreError> {
+    fn execute(&self, sql: &str, params: impl rusqlite::Params) -> Result<(), StorageError> {
         self.db.prepare_cached(sql)?.execute(params)?;
         Ok(())
     }
 
-    fn put(&mut self, put: &Put) -> Result<(), StoreError> {
+    fn put(&mut self, put: &WriteBatch) -> Result<(), StorageError> {
         for write in &put.writes {
             match write {
-                Write::Hard(term, vote) => {
+                LogWrite::Hard(term, vote) => {
                     let vote = vote.as_ref().map(blob).transpose()?;
                     self.execute("UPDATE meta SET term = ?1, vote = ?2", params![signed(*term)?, vote])?;
                 }
-                Write::Append(entries) => self.append(entries)?,
-                Write::Snapshot { snapshot, whole } => self.snapshot(snapshot, *whole)?,
+                LogWrite::Append(entries) => self.append(entries)?,
+                LogWrite::Snapshot { snapshot, whole } => self.snapshot(snapshot, *whole)?,
             }
         }
         if let Some(part) = put.part.as_ref().filter(|_| !self.tight) {
@@ -345,11 +345,11 @@
         }
         for worker in &put.workers {
             match worker.phase {
-                Phase::Settled | Phase::Decaying => self.execute(
+                WorkerPhase::Settled | WorkerPhase::Decaying => self.execute(
                     "INSERT OR REPLACE INTO workers VALUES (?1, ?2)",
                     params![&*worker.id, blob(worker)?],
                 )?,
-                Phase::Silent | Phase::Gone => {
+                WorkerPhase::Silent | WorkerPhase::Gone => {
                     self.execute("DELETE FROM workers WHERE id = ?1", params![&*worker.id])?
                 }
             }
@@ -357,16 +357,16 @@
         Ok(())
     }
 
-    fn append(&mut self, entries: &[Entry<LogCommand>]) -> Result<(), StoreError> {
+    fn append(&mut self, entries: &[Entry<LogCommand>]) -> Result<(), StorageError> {
         let Some(first) = entries.first() else { return Ok(()) };
         let Span { behind, last } = self.span;
         if first.index <= behind || first.index > last + 1 {
-            return Err(StoreError::Row(format!("entry {} for a log of {behind} to {last}", first.index)));
+            return Err(StorageError::Row(format!("entry {} for a log of {behind} to {last}", first.index)));
         }
         self.execute("DELETE FROM log WHERE idx >= ?1", params![signed(first.index)?])?;
         for (entry, at) in entries.iter().zip(first.index..) {
             if entry.index != at {
-                return Err(StoreError::Row(format!("entry {} in the place of {at}", entry.index)));
+                return Err(StorageError::Row(format!("entry {} in the place of {at}", entry.index)));
             }
             self.span.last = at;
             let (index, term) = (signed(entry.index)?, signed(entry.term)?);
@@ -375,12 +375,15 @@
         Ok(())
     }
 
-    fn part(&mut self, part: &Part) -> Result<(), StoreError> {
+    fn part(&mut self, part: &SnapshotChunk) -> Result<(), StorageError> {
         // The first part begins anew, whatever is there.
         let goes_on = self.ahead.filter(|a| part.offset > 0 && a.of == part.of);
         let there = goes_on.map_or(0, |a| a.bytes);
         // The rows of the snapshot that stands are left alone.
-        if part.offset != there || part.of.0 <= self.span.behind || !part.data.len().is_multiple_of(PART) {
+        if part.offset != there
+            || part.of.0 <= self.span.behind
+            || !part.data.len().is_multiple_of(SNAPSHOT_CHUNK_BYTES)
+        {
             return Ok(());
         }
         (self.swept, self.ahead) = (self.swept && goes_on.is_some(), None);
@@ -389,18 +392,18 @@
         Ok(())
     }
 
-    fn parts(&self, index: Index, from: u64, data: &[u8]) -> Result<(), StoreError> {
-        let first = rows(index)?.start + (from / PART as u64) as i64;
-        for (part, data) in (first..).zip(data.chunks(PART)) {
+    fn parts(&self, index: Index, from: u64, data: &[u8]) -> Result<(), StorageError> {
+        let first = rows(index)?.start + (from / SNAPSHOT_CHUNK_BYTES as u64) as i64;
+        for (part, data) in (first..).zip(data.chunks(SNAPSHOT_CHUNK_BYTES)) {
             self.execute("INSERT OR REPLACE INTO snapshot_part VALUES (?1, ?2)", params![part, data])?;
         }
         Ok(())
     }
 
-    fn snapshot(&mut self, snapshot: &Snapshot, whole: bool) -> Result<(), StoreError> {
+    fn snapshot(&mut self, snapshot: &Snapshot, whole: bool) -> Result<(), StorageError> {
         let Snapshot { index, term, members, data } = snapshot;
         if *index < self.span.behind && !whole {
-            return Err(StoreError::Row(format!("a snapshot of {index} after {}", self.span.behind)));
+            return Err(StorageError::Row(format!("a snapshot of {index} after {}", self.span.behind)));
         }
         let last = if whole { 0 } else { self.span.last };
         self.span = Span { behind: *index, last: last.max(*index) };
@@ -418,7 +421,7 @@
         )?;
         self.parts(*index, there, &data[there as usize..])?;
         // Of others that had this place.
-        let (rows, parts) = (rows(*index)?, data.len().div_ceil(PART) as i64);
+        let (rows, parts) = (rows(*index)?, data.len().div_ceil(SNAPSHOT_CHUNK_BYTES) as i64);
         let more = params![rows.start + parts, rows.end];
         self.execute("DELETE FROM snapshot_part WHERE part >= ?1 AND part < ?2", more)?;
         // The others go bit by bit, one of before the numbering at once: it could be taken for this one.
@@ -428,11 +431,11 @@
     }
 
     /// Writes what comes, as much at a time as has come, on a thread of its own; `synced` hears of the last number.
-    pub fn serve(mut self, synced: impl Fn(u64) + Send + 'static) -> mpsc::Sender<Put> {
-        let (sender, puts) = mpsc::channel::<Put>();
+    pub fn serve(mut self, synced: impl Fn(u64) + Send + 'static) -> mpsc::Sender<WriteBatch> {
+        let (sender, puts) = mpsc::channel::<WriteBatch>();
         std::thread::spawn(move || {
             while let Ok(first) = puts.recv() {
-                let batch: Vec<Put> = std::iter::once(first).chain(puts.try_iter()).collect();
+                let batch: Vec<WriteBatch> = std::iter::once(first).chain(puts.try_iter()).collect();
                 let last = batch.last().map_or(0, |p| p.number);
                 let mut refused = 0;
                 while let Err(error) = self.write(&batch) {
@@ -450,8 +453,8 @@
 }
 
 /// Reads all that a database holds, and whether it can be so.
-fn held(db: &Connection) -> Result<Held, StoreError> {
-    let mut found = Held::default();
+fn held(db: &Connection) -> Result<LoadedState, StorageError> {
+    let mut found = LoadedState::default();
     type Meta = (i64, i64, i64, Option<Vec<u8>>);
     let meta: Option<Meta> = db
         .query_row("SELECT format, disk, term, vote FROM meta", [], |r| {
@@ -459,10 +462,10 @@
         })
         .optional()?;
     let Some((format, disk, term, vote)) = meta else {
-        return Err(StoreError::Row("no identity".into()));
+        return Err(StorageError::Row("no identity".into()));
     };
     if format != FORMAT {
-        return Err(StoreError::Format(format));
+        return Err(StorageError::Format(format));
     }
     found.disk = disk as u64;
     found.raft.term = unsigned(term, "term")?;
@@ -478,7 +481,7 @@
     Ok(found)
 }
 
-fn snapshot(db: &Connection) -> Result<Option<Snapshot>, StoreError> {
+fn snapshot(db: &Connection) -> Result<Option<Snapshot>, StorageError> {
     type Head = (i64, i64, Vec<u8>, i64);
     let head: Option<Head> = db
         .query_row("SELECT idx, term, members, size FROM snapshot", [], |r| {
@@ -486,7 +489,7 @@
         })
         .optional()?;
     let Some((index, term, members, size)) = head else { return Ok(None) };
-    let size = usize::try_from(size).map_err(|_| StoreError::Row(format!("a snapshot of {size} bytes")))?;
+    let size = usize::try_from(size).map_err(|_| StorageError::Row(format!("a snapshot of {size} bytes")))?;
     let members: Members = read(&members, "the snapshot's members")?;
     let mut data = BytesMut::with_capacity(size);
     let mut parts =
@@ -497,20 +500,20 @@
     let mut next = 0;
     while let Some(row) = rows.next()? {
         if row.get::<_, i64>(0)? != own.start + next {
-            return Err(StoreError::Row(format!("part {next} of the snapshot is missing")));
+            return Err(StorageError::Row(format!("part {next} of the snapshot is missing")));
         }
         data.extend_from_slice(row.get_ref(1)?.as_blob().map_err(rusqlite::Error::from)?);
         next += 1;
     }
     if data.len() != size {
-        return Err(StoreError::Row(format!("{} bytes of a snapshot of {size}", data.len())));
+        return Err(StorageError::Row(format!("{} bytes of a snapshot of {size}", data.len())));
     }
     let (index, term) = (unsigned(index, "snapshot index")?, unsigned(term, "snapshot term")?);
     Ok(Some(Snapshot { index, term, members, data: data.freeze() }))
 }
 
 /// The entries behind the index and term of the snapshot.
-fn log(db: &Connection, (index, term): (Index, Term)) -> Result<Vec<Entry<LogCommand>>, StoreError> {
+fn log(db: &Connection, (index, term): (Index, Term)) -> Result<Vec<Entry<LogCommand>>, StorageError> {
     let mut log: Vec<Entry<LogCommand>> = Vec::new();
     let mut entries = db.prepare("SELECT idx, term, entry FROM log ORDER BY idx")?;
     let mut rows = entries.query([])?;
@@ -518,10 +521,10 @@
     while let Some(row) = rows.next()? {
         let (index, term) = (unsigned(row.get(0)?, "index")?, unsigned(row.get(1)?, "term")?);
         if index != before.0 + 1 {
-            return Err(StoreError::Row(format!("entry {index} of the log comes after {}", before.0)));
+            return Err(StorageError::Row(format!("entry {index} of the log comes after {}", before.0)));
         }
         if term < before.1 {
-            return Err(StoreError::Row(format!("term {term} of entry {index} comes after {}", before.1)));
+            return Err(StorageError::Row(format!("term {term} of entry {index} comes after {}", before.1)));
         }
         let body = row.get_ref(2)?.as_blob().map_err(rusqlite::Error::from)?;
         log.push(Entry { term, index, body: read(body, &format!("entry {index}"))? });
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -2,11 +2,14 @@
 //! may leave its files; and the way of items from an earlier disk.
 
 use crate::cli::export::{call, export, ExportError};
-use crate::configuration::{read_call, Fields, Item, Items, Kind};
-use crate::consensus::{Body, Entry, NodeId, Snapshot, Write};
+use crate::configuration::{read_call, ConfigItem, ItemFields, ItemKind, ItemSet};
+use crate::consensus::{Entry, EntryPayload, LogWrite, NodeId, Snapshot};
 use crate::control_plane::LogCommand;
-use crate::discovery::registry::{Phase, Worker};
-use crate::storage::{Held, Part, Put, Store, StoreError, EARLIER, NAME, PART, WAL};
+use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::storage::{
+    LoadedState, ReplicaStore, SnapshotChunk, StorageError, WriteBatch, DATABASE_FILE, LEGACY_DATABASE_FILE,
+    SNAPSHOT_CHUNK_BYTES, WAL_FILE,
+};
 use googletest::prelude::*;
 use rusqlite::Connection;
 use serde_json::json;
@@ -52,47 +55,49 @@
 
 fn order(label: &str, version: u64, size: usize) -> LogCommand {
     let body = json!({ "label": label, "revision": format!("r{version}"), "note": "x".repeat(size) });
-    let body = body.as_object().map(Fields::from);
-    LogCommand::Configure(vec![Item { kind: Kind::Service, label: label.into(), version, body }].into())
+    let body = body.as_object().map(ItemFields::from);
+    LogCommand::Configure(
+        vec![ConfigItem { kind: ItemKind::Service, label: label.into(), version, body }].into(),
+    )
 }
 
 fn entry(index: u64, term: u64, size: usize) -> Entry<LogCommand> {
     let body = match index % 7 {
-        0 => Body::TermStart,
-        1 => Body::Members([node(0), node(index)].into()),
-        _ => Body::Command(order("s", index, size)),
+        0 => EntryPayload::TermStart,
+        1 => EntryPayload::Members([node(0), node(index)].into()),
+        _ => EntryPayload::Command(order("s", index, size)),
     };
     Entry { term, index, body }
 }
 
-fn worker(id: u64, phase: Phase, calls: u64) -> Worker {
+fn worker(id: u64, phase: WorkerPhase, calls: u64) -> Worker {
     let address = std::net::SocketAddr::from(([10, 2, 0, 1], 80));
     let (id, service, zone) = (format!("w{id}").into(), "s".into(), "z".into());
     Worker { id, service, address, zone, capacity: 4, phase, warmup_ms: 0, calls }
 }
 
-fn put(writes: Vec<Write<LogCommand>>) -> Put {
-    Put { writes, ..Put::default() }
+fn put(writes: Vec<LogWrite<LogCommand>>) -> WriteBatch {
+    WriteBatch { writes, ..WriteBatch::default() }
 }
 
-fn open(folder: &Path) -> (Store, Held) {
-    Store::open(folder, true).expect("opens")
+fn open(folder: &Path) -> (ReplicaStore, LoadedState) {
+    ReplicaStore::open(folder, true).expect("opens")
 }
 
-fn content(folder: &Path) -> Held {
-    Held { fresh: true, ..open(folder).1 }
+fn content(folder: &Path) -> LoadedState {
+    LoadedState { fresh: true, ..open(folder).1 }
 }
 
 /// What a put means, as simply as can be.
-fn apply(held: &mut Held, put: &Put) {
+fn apply(held: &mut LoadedState, put: &WriteBatch) {
     for write in &put.writes {
         match write.clone() {
-            Write::Hard(term, vote) => (held.raft.term, held.raft.vote) = (term, vote),
-            Write::Append(entries) => {
+            LogWrite::Hard(term, vote) => (held.raft.term, held.raft.vote) = (term, vote),
+            LogWrite::Append(entries) => {
                 held.raft.log.retain(|e| e.index < entries[0].index);
                 held.raft.log.extend(entries);
             }
-            Write::Snapshot { snapshot, whole } => {
+            LogWrite::Snapshot { snapshot, whole } => {
                 held.raft.log.retain(|e| !whole && e.index > snapshot.index);
                 held.raft.snapshot = Some(snapshot);
             }
@@ -100,7 +105,7 @@
     }
     for worker in &put.workers {
         held.workers.retain(|w| w.id != worker.id);
-        if worker.phase <= Phase::Decaying {
+        if worker.phase <= WorkerPhase::Decaying {
             held.workers.push(worker.clone());
         }
     }
@@ -108,10 +113,10 @@
 }
 
 /// A put that a member may write next.
-fn next(rng: &mut fastrand::Rng, held: &Held, most: usize) -> Put {
+fn next(rng: &mut fastrand::Rng, held: &LoadedState, most: usize) -> WriteBatch {
     let behind = held.raft.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
     let last = held.raft.log.last().map_or(behind, |e| (e.index, e.term));
-    let mut put = Put::default();
+    let mut put = WriteBatch::default();
     let term = held.raft.term.max(last.1).max(1);
     // The bytes by the place: what was written ahead is the same.
     let snapshot = |rng: &mut fastrand::Rng, index, term| Snapshot {
@@ -124,42 +129,43 @@
         // A new leader's entries in the place of those that did not last.
         0 if !held.raft.log.is_empty() => {
             let from = held.raft.log[rng.usize(..held.raft.log.len())].index;
-            put.writes.push(Write::Hard(term + 1, None));
-            put.writes.push(Write::Append(
+            put.writes.push(LogWrite::Hard(term + 1, None));
+            put.writes.push(LogWrite::Append(
                 (from..from + 2).map(|i| entry(i, term + 1, rng.usize(..most))).collect(),
             ));
         }
-        1 => put.writes.push(Write::Hard(term + 1, Some(node(rng.u64(..4))))),
+        1 => put.writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4))))),
         // A snapshot, and the log behind it cut.
         2 | 3 if !held.raft.log.is_empty() => {
             let many = held.raft.log.len();
             let at = &held.raft.log[if rng.bool() { many - 1 } else { rng.usize(..many) }];
             let snapshot = snapshot(rng, at.index, at.term);
-            put.writes.push(Write::Snapshot { snapshot, whole: false });
+            put.writes.push(LogWrite::Snapshot { snapshot, whole: false });
         }
         // A leader's snapshot.
         4 => {
             let index = rng.u64(behind.0 + 1..last.0 + 9);
             let snapshot = snapshot(rng, index, term);
-            put.writes.push(Write::Snapshot { snapshot, whole: true });
+            put.writes.push(LogWrite::Snapshot { snapshot, whole: true });
         }
         5 => {
-            let phase = [Phase::Settled, Phase::Decaying, Phase::Gone][rng.usize(..3)];
+            let phase = [WorkerPhase::Settled, WorkerPhase::Decaying, WorkerPhase::Gone][rng.usize(..3)];
             put.workers.push(worker(rng.u64(..5), phase, rng.u64(..)));
         }
         // Ahead of a snapshot that may come, or not.
         6 | 7 => {
             let (of, parts) = (last, rng.usize(1..3));
-            let data = vec![of.0 as u8; parts * PART].into();
-            put.part = Some(Part { of, offset: (rng.usize(..3) / 2 * PART) as u64, data });
+            let data = vec![of.0 as u8; parts * SNAPSHOT_CHUNK_BYTES].into();
+            put.part =
+                Some(SnapshotChunk { of, offset: (rng.usize(..3) / 2 * SNAPSHOT_CHUNK_BYTES) as u64, data });
         }
         _ => {
             let entries = (1..2 + rng.u64(..3)).map(|i| entry(last.0 + i, term, rng.usize(..most))).collect();
-            put.writes.push(Write::Append(entries));
+            put.writes.push(LogWrite::Append(entries));
         }
     }
     if rng.bool() {
-        put.writes.push(Write::Hard(term + 1, Some(node(rng.u64(..4)))));
+        put.writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4)))));
     }
     put
 }
@@ -181,7 +187,7 @@
             if rng.u8(..10) == 0 {
                 drop(store);
                 let (again, held) = open(&folder.0);
-                let held = Held { fresh: !held.fresh, ..held };
+                let held = LoadedState { fresh: !held.fresh, ..held };
                 assert_that!(held == model, eq(true), "seed {seed} step {step}");
                 store = again;
             }
@@ -221,17 +227,17 @@
         let (mut store, mut model) = open(&folder.0);
         let copy = Folder::new(&format!("torn{seed}"));
         let look = |db: &[u8], wal: &[u8]| {
-            std::fs::write(copy.0.join(NAME), db).expect("a copy");
-            std::fs::write(copy.0.join(WAL), wal).expect("a copy");
+            std::fs::write(copy.0.join(DATABASE_FILE), db).expect("a copy");
+            std::fs::write(copy.0.join(WAL_FILE), wal).expect("a copy");
             content(&copy.0)
         };
         for step in 0..60 {
-            let old = (folder.file(NAME), folder.file(WAL));
+            let old = (folder.file(DATABASE_FILE), folder.file(WAL_FILE));
             let was = model.clone();
             let put = next(&mut rng, &model, 200_000);
             apply(&mut model, &put);
             store.write(&[put]).expect("writes");
-            let (is, new) = (&model, (folder.file(NAME), folder.file(WAL)));
+            let (is, new) = (&model, (folder.file(DATABASE_FILE), folder.file(WAL_FILE)));
             let at = format!("seed {seed} step {step}");
             let head = new.1.len().min(WAL_HEAD);
             if old.1.get(..head) != new.1.get(..head) {
@@ -263,11 +269,11 @@
 #[gtest]
 fn a_loss_of_power_at_the_making_leaves_a_whole_disk_or_an_empty_one() {
     let whole = Folder::new("made");
-    let (_, made) = Store::open(&whole.0, false).expect("opens");
+    let (_, made) = ReplicaStore::open(&whole.0, false).expect("opens");
     expect_that!(made.fresh, eq(true));
     expect_that!(made.disk, not(eq(0)));
-    let base = whole.file(NAME);
-    expect_that!(whole.names(), elements_are![eq(NAME), eq(WAL)]);
+    let base = whole.file(DATABASE_FILE);
+    expect_that!(whole.names(), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
     // Stopped anywhere before the name: rests of any kind, with and without the empty log.
     for (step, wal) in [0, 18, 512, 4096, base.len()].into_iter().zip([false, true].into_iter().cycle()) {
         let folder = Folder::new("midway");
@@ -275,21 +281,21 @@
             std::fs::write(folder.0.join(name), &base[..step]).expect("a file");
         }
         if wal {
-            std::fs::write(folder.0.join(WAL), []).expect("a file");
+            std::fs::write(folder.0.join(WAL_FILE), []).expect("a file");
         }
-        let (_, held) = Store::open(&folder.0, false).expect("opens");
+        let (_, held) = ReplicaStore::open(&folder.0, false).expect("opens");
         expect_that!(held.fresh, eq(true));
         expect_that!([0, made.disk].contains(&held.disk), eq(false));
-        expect_that!(folder.names(), elements_are![eq(NAME), eq(WAL)]);
-        expect_that!(Store::open(&folder.0, true).expect("opens").1.disk, eq(held.disk));
+        expect_that!(folder.names(), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
+        expect_that!(ReplicaStore::open(&folder.0, true).expect("opens").1.disk, eq(held.disk));
     }
     // Killed just after the name.
     let folder = Folder::new("named");
-    std::fs::write(folder.0.join(NAME), &base).expect("a file");
-    std::fs::write(folder.0.join(WAL), []).expect("a file");
-    let (_, held) = Store::open(&folder.0, true).expect("opens");
+    std::fs::write(folder.0.join(DATABASE_FILE), &base).expect("a file");
+    std::fs::write(folder.0.join(WAL_FILE), []).expect("a file");
+    let (_, held) = ReplicaStore::open(&folder.0, true).expect("opens");
     expect_that!((held.disk, held.fresh), eq((made.disk, false)));
-    expect_that!(Store::open(&Folder::new("seed").0, true).expect("opens").1.disk, eq(0));
+    expect_that!(ReplicaStore::open(&Folder::new("seed").0, true).expect("opens").1.disk, eq(0));
 }
 
 /// Guards against taking a disk that can't be read for an empty one, and against changing it.
@@ -300,7 +306,7 @@
     let members = [node(1)].into();
     let snapshot = Snapshot { index: 3, term: 2, members, data: vec![7; 200_000].into() };
     let entries = (1..10).map(|i| entry(i, 2 + i / 5, 40)).collect();
-    let writes = vec![Write::Append(entries), Write::Snapshot { snapshot, whole: false }];
+    let writes = vec![LogWrite::Append(entries), LogWrite::Snapshot { snapshot, whole: false }];
     store.write(&[put(writes)]).expect("writes");
     drop(store);
     let breaks = [
@@ -321,20 +327,20 @@
     let refused = |folder: &Folder, why: &str| {
         let files = || folder.names().into_iter().map(|n| (folder.file(&n), n)).collect::<Vec<_>>();
         let was = files();
-        let found = Store::open(&folder.0, true).err().map(|e| e.to_string());
+        let found = ReplicaStore::open(&folder.0, true).err().map(|e| e.to_string());
         expect_that!(found, some(contains_substring(why)));
         expect_that!(files() == was, eq(true), "{why}");
     };
     for (sql, why) in breaks {
         let folder = Folder::new("broken");
-        for name in [NAME, WAL] {
+        for name in [DATABASE_FILE, WAL_FILE] {
             std::fs::write(folder.0.join(name), whole.file(name)).expect("a copy");
         }
-        let db = Connection::open(folder.0.join(NAME)).expect("opens");
+        let db = Connection::open(folder.0.join(DATABASE_FILE)).expect("opens");
         db.pragma_update(None, "locking_mode", "EXCLUSIVE").expect("set");
         db.execute_batch(sql).expect(sql);
         drop(db);
-        std::fs::write(folder.0.join(WAL), []).expect("a file");
+        std::fs::write(folder.0.join(WAL_FILE), []).expect("a file");
         refused(&folder, why);
     }
     let alone = |name: &str, bytes: &[u8]| {
@@ -342,13 +348,13 @@
         std::fs::write(folder.0.join(name), bytes).expect("a file");
         folder
     };
-    refused(&alone(NAME, &whole.file(NAME)), "replica.sqlite without");
-    refused(&alone(WAL, &whole.file(WAL)), "replica.sqlite-wal without");
-    let empty = alone(NAME, &[]);
-    std::fs::write(empty.0.join(WAL), whole.file(WAL)).expect("a copy");
+    refused(&alone(DATABASE_FILE, &whole.file(DATABASE_FILE)), "replica.sqlite without");
+    refused(&alone(WAL_FILE, &whole.file(WAL_FILE)), "replica.sqlite-wal without");
+    let empty = alone(DATABASE_FILE, &[]);
+    std::fs::write(empty.0.join(WAL_FILE), whole.file(WAL_FILE)).expect("a copy");
     refused(&empty, "cut to nothing");
-    let rubbish = alone(NAME, &[9; 8192]);
-    std::fs::write(rubbish.0.join(WAL), []).expect("a file");
+    let rubbish = alone(DATABASE_FILE, &[9; 8192]);
+    std::fs::write(rubbish.0.join(WAL_FILE), []).expect("a file");
     refused(&rubbish, "not a database");
 }
 
@@ -357,12 +363,12 @@
 fn a_refused_write_leaves_nothing_and_is_tried_again() {
     let folder = Folder::new("refused");
     let (mut store, mut model) = open(&folder.0);
-    let small = |index| put(vec![Write::Append(vec![entry(index, 1, 50)])]);
+    let small = |index| put(vec![LogWrite::Append(vec![entry(index, 1, 50)])]);
     apply(&mut model, &small(1));
     store.write(&[small(1)]).expect("writes");
     // Full: within the transaction, behind writes that fitted.
     store.limit(12);
-    let large = put(vec![Write::Append(vec![entry(3, 1, 500_000)])]);
+    let large = put(vec![LogWrite::Append(vec![entry(3, 1, 500_000)])]);
     for _ in 0..3 {
         expect_that!(store.write(&[small(2), large.clone()]), err(anything()));
     }
@@ -371,13 +377,19 @@
     // Too high a number is refused by itself, and so is what could not be read again.
     let snapshot = |index| Snapshot { index, term: 1, members: [node(1)].into(), data: vec![1].into() };
     for wrong in [
-        vec![Write::Hard(u64::MAX, None)],
-        vec![Write::Append(vec![entry(4, 1, 50)])],
-        vec![Write::Append(vec![entry(3, 1, 50), entry(5, 1, 50)])],
-        vec![Write::Append(vec![entry(3, 1, 50)]), Write::Append(vec![entry(5, 1, 50)])],
-        vec![Write::Snapshot { snapshot: snapshot(2), whole: false }, Write::Append(vec![entry(2, 1, 50)])],
-        [2, 1].map(|i| Write::Snapshot { snapshot: snapshot(i), whole: false }).into(),
-        vec![Write::Snapshot { snapshot: snapshot(9), whole: true }, Write::Append(vec![entry(3, 1, 50)])],
+        vec![LogWrite::Hard(u64::MAX, None)],
+        vec![LogWrite::Append(vec![entry(4, 1, 50)])],
+        vec![LogWrite::Append(vec![entry(3, 1, 50), entry(5, 1, 50)])],
+        vec![LogWrite::Append(vec![entry(3, 1, 50)]), LogWrite::Append(vec![entry(5, 1, 50)])],
+        vec![
+            LogWrite::Snapshot { snapshot: snapshot(2), whole: false },
+            LogWrite::Append(vec![entry(2, 1, 50)]),
+        ],
+        [2, 1].map(|i| LogWrite::Snapshot { snapshot: snapshot(i), whole: false }).into(),
+        vec![
+            LogWrite::Snapshot { snapshot: snapshot(9), whole: true },
+            LogWrite::Append(vec![entry(3, 1, 50)]),
+        ],
     ] {
         expect_that!(store.write(&[put(wrong.clone())]), err(anything()), "{wrong:?}");
     }
@@ -397,7 +409,7 @@
         let _ = done.send(number);
     });
     for number in 1..=40 {
-        let put = Put { number, ..put(vec![Write::Append(vec![entry(number, 1, 100)])]) };
+        let put = WriteBatch { number, ..put(vec![LogWrite::Append(vec![entry(number, 1, 100)])]) };
         apply(&mut model, &put);
         puts.send(put).expect("taken");
     }
@@ -415,11 +427,11 @@
     let (mut store, _) = open(&folder.0);
     let mut sizes = Vec::new();
     for index in 1..=6000 {
-        let mut writes = vec![Write::Append(vec![entry(index, 1, 150)])];
+        let mut writes = vec![LogWrite::Append(vec![entry(index, 1, 150)])];
         if index % 200 == 0 {
             let data = vec![index as u8; 100_000 + (index as usize * 37) % 50_000].into();
             let snapshot = Snapshot { index: index - 20, term: 1, members: [node(1)].into(), data };
-            writes.push(Write::Snapshot { snapshot, whole: false });
+            writes.push(LogWrite::Snapshot { snapshot, whole: false });
         }
         store.write(&[put(writes)]).expect("writes");
         if index % 600 == 0 {
@@ -431,8 +443,8 @@
 }
 
 /// A disk as the program before the replicated log left it: its process killed, so part is in the write-ahead log.
-fn earlier(folder: &Path, items: &Items) -> Connection {
-    let db = Connection::open(folder.join(EARLIER)).expect("opens");
+fn earlier(folder: &Path, items: &ItemSet) -> Connection {
+    let db = Connection::open(folder.join(LEGACY_DATABASE_FILE)).expect("opens");
     db.pragma_update(None, "locking_mode", "EXCLUSIVE").expect("set");
     db.pragma_update(None, "journal_mode", "WAL").expect("set");
     db.execute_batch(
@@ -470,7 +482,7 @@
         "remove": { "route_set": [{ "label": "r0", "revision": "r4" }],
             "service_set": [{ "label": "s0", "revision": "r5" }] },
     });
-    let mut items = Items::default();
+    let mut items = ItemSet::default();
     for item in read_call(sent.to_string().as_bytes()).expect("readable") {
         items.merge(item);
     }
@@ -480,15 +492,18 @@
     let was = files();
     expect_that!(was, len(eq(2)));
     let printed = export(&folder.0).expect("exported").to_string();
-    let refused = Store::open(&folder.0, true).err();
-    expect_that!(refused, some(matches_pattern!(StoreError::Earlier(contains_substring(EARLIER)))));
+    let refused = ReplicaStore::open(&folder.0, true).err();
+    expect_that!(
+        refused,
+        some(matches_pattern!(StorageError::Earlier(contains_substring(LEGACY_DATABASE_FILE))))
+    );
     expect_that!(files() == was, eq(true), "the disk stays as it was");
     drop(db);
-    let mut again = Items::default();
+    let mut again = ItemSet::default();
     for item in read_call(printed.as_bytes()).expect("readable") {
         again.merge(item);
     }
-    let all = |items: &Items| items.all().cloned().collect::<Vec<_>>();
+    let all = |items: &ItemSet| items.all().cloned().collect::<Vec<_>>();
     assert_that!(all(&again), eq(&all(&items)));
     expect_that!(all(&again), len(eq(8)));
     expect_that!(call(&again).to_string(), eq(&printed));
--- a/crates/gateway/src/transport/http_server.rs
+++ b/crates/gateway/src/transport/http_server.rs
@@ -32,7 +32,7 @@
 
 /// Bounds on a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct RequestLimits {
     /// The longest head.
     pub head_bytes: usize,
     /// The longest body.
@@ -44,28 +44,28 @@
 }
 
 /// A whole request.
-pub struct Whole {
+pub struct ReceivedRequest {
     /// Its head.
     pub head: Request,
     /// Its body; `None`: it has none, which is not the same as an empty one.
     pub body: Option<Bytes>,
     /// Its part of what bodies may take.
-    pub held: Held,
+    pub held: BodyReservation,
 }
 
 /// What bodies may take together.
-pub struct Room {
+pub struct BodyBudget {
     most: usize,
     used: Cell<usize>,
 }
 
-impl Room {
+impl BodyBudget {
     /// So many bytes.
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Room { most, used: Cell::new(0) })
+        Rc::new(BodyBudget { most, used: Cell::new(0) })
     }
 
-    fn hold(self: &Rc<Self>, bytes: usize) -> Result<Held, HttpError> {
+    fn hold(self: &Rc<Self>, bytes: usize) -> Result<BodyReservation, HttpError> {
         let used = self.used.get().saturating_add(bytes);
         if used > self.most {
             return Err(HttpError::Rejected(
@@ -74,17 +74,17 @@
             ));
         }
         self.used.set(used);
-        Ok(Held { room: Rc::clone(self), bytes })
+        Ok(BodyReservation { room: Rc::clone(self), bytes })
     }
 }
 
 /// A part of it, free again when this is dropped.
-pub struct Held {
-    room: Rc<Room>,
+pub struct BodyReservation {
+    room: Rc<BodyBudget>,
     bytes: usize,
 }
 
-impl Drop for Held {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
         self.room.used.set(self.room.used.get() - self.bytes);
     }
@@ -125,7 +125,7 @@
 
 /// How a connection's rest ended.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Rested {
+pub enum IdleOutcome {
     /// A request begins.
     Request,
     /// The connection has ended, or is to be closed now, with nothing of it unanswered.
@@ -159,7 +159,7 @@
         &mut self,
         idle: impl Fn() -> Duration,
         ending: &mut watch::Receiver<Option<std::time::Instant>>,
-    ) -> Rested {
+    ) -> IdleOutcome {
         let since = Instant::now();
         let mut most = idle();
         loop {
@@ -170,14 +170,14 @@
             let until = last.map_or(until, |last| until.min(last));
             tokio::select! {
                 biased;
-                first = self.first() => return if first.is_ok() { Rested::Request } else { Rested::Over },
+                first = self.first() => return if first.is_ok() { IdleOutcome::Request } else { IdleOutcome::Over },
                 Ok(()) = ending.changed() => {}
                 () = tokio::time::sleep_until(until) => {
                     if most < idle() {
                         continue;
                     }
                     if self.is_quiet() {
-                        return Rested::Over;
+                        return IdleOutcome::Over;
                     }
                     tokio::task::yield_now().await;
                 }
@@ -215,7 +215,11 @@
     }
 
     /// The next request, whole.
-    pub async fn request(&mut self, bounds: &Bounds, room: &Rc<Room>) -> Result<Whole, HttpError> {
+    pub async fn request(
+        &mut self,
+        bounds: &RequestLimits,
+        room: &Rc<BodyBudget>,
+    ) -> Result<ReceivedRequest, HttpError> {
         (self.used, self.head_only) = (true, false);
         let late = HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, "not whole in time");
         let head = timeout(bounds.head_within, self.head(bounds)).await.map_err(|_| late)??;
@@ -230,7 +234,7 @@
             return Err(too_long());
         }
         if self.codec.message_type() == MessageType::None {
-            return Ok(Whole { body: claimed.map(|_| Bytes::new()), head, held: room.hold(0)? });
+            return Ok(ReceivedRequest { body: claimed.map(|_| Bytes::new()), head, held: room.hold(0)? });
         }
         let mut held = vec![room.hold(claimed.unwrap_or(0) as usize)?];
         if head.head().expect() {
@@ -244,10 +248,10 @@
         });
         let body = timeout(bounds.body_within, reading).await.map_err(|_| late)??;
         drop(held);
-        Ok(Whole { held: room.hold(body.len())?, head, body: Some(body) })
+        Ok(ReceivedRequest { held: room.hold(body.len())?, head, body: Some(body) })
     }
 
-    async fn head(&mut self, bounds: &Bounds) -> Result<Request, HttpError> {
+    async fn head(&mut self, bounds: &RequestLimits) -> Result<Request, HttpError> {
         let too_long = HttpError::Rejected(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head too long");
         let odd = || HttpError::Rejected(StatusCode::BAD_REQUEST, "no such target");
         loop {
@@ -268,7 +272,7 @@
 
     async fn body(
         &mut self,
-        bounds: &Bounds,
+        bounds: &RequestLimits,
         mut hold: impl FnMut(usize) -> Result<(), HttpError>,
     ) -> Result<Bytes, HttpError> {
         let mut body = BytesMut::new();
--- a/crates/gateway/src/transport/http_server/tests.rs
+++ b/crates/gateway/src/transport/http_server/tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: RequestLimits = RequestLimits {
     head_bytes: 2048,
     body_bytes: 64,
     head_within: Duration::from_secs(3),
@@ -33,7 +33,7 @@
 type Read = (String, String, Option<Bytes>);
 
 async fn next(connection: &mut Connection<DuplexStream>) -> Result<Read, HttpError> {
-    let whole = connection.request(&BOUNDS, &Room::new(1 << 20)).await?;
+    let whole = connection.request(&BOUNDS, &BodyBudget::new(1 << 20)).await?;
     Ok((whole.head.method().to_string(), whole.head.uri().to_string(), whole.body))
 }
 
@@ -303,7 +303,7 @@
 }
 
 /// Rests on a connection, used before or not, and sends something after a while: how it ended, and when.
-fn rest(used: bool, idle: &[(u64, u64)], ends_at: Option<u64>, sends_at: Option<u64>) -> (Rested, u128) {
+fn rest(used: bool, idle: &[(u64, u64)], ends_at: Option<u64>, sends_at: Option<u64>) -> (IdleOutcome, u128) {
     run(async {
         let (mut client, mut connection) = pair();
         if used {
@@ -345,21 +345,24 @@
     let slack = REST_SLACK.as_millis();
     // Taken up at four fifths, and up to the whole.
     for at in [0, 1, 12_000, 14_999, 15_000] {
-        expect_that!(rest(true, &[(0, 15_000)], None, Some(at)), eq(&(Rested::Request, u128::from(at))));
+        expect_that!(rest(true, &[(0, 15_000)], None, Some(at)), eq(&(IdleOutcome::Request, u128::from(at))));
     }
-    expect_that!(rest(true, &[(0, 15_000)], None, None), eq(&(Rested::Over, 15_000 + slack)));
+    expect_that!(rest(true, &[(0, 15_000)], None, None), eq(&(IdleOutcome::Over, 15_000 + slack)));
     // The bound is raised while it rests: the new one counts. It is lowered: its client may not know yet.
     let raised = [(0, 15_000), (9_000, 30_000)];
-    expect_that!(rest(true, &raised, None, Some(24_000)), eq(&(Rested::Request, 24_000)));
+    expect_that!(rest(true, &raised, None, Some(24_000)), eq(&(IdleOutcome::Request, 24_000)));
     let (over, at) = rest(true, &raised, None, None);
-    expect_that!((over, at), eq(&(Rested::Over, 30_000 + slack)));
-    expect_that!(rest(true, &[(0, 15_000), (2_000, 5_000)], None, Some(12_000)).0, eq(&Rested::Request));
+    expect_that!((over, at), eq(&(IdleOutcome::Over, 30_000 + slack)));
+    expect_that!(rest(true, &[(0, 15_000), (2_000, 5_000)], None, Some(12_000)).0, eq(&IdleOutcome::Request));
     // This process ends: what rests is closed when it is time, and not before.
-    expect_that!(rest(true, &[(0, 15_000)], Some(2_600), Some(2_599)), eq(&(Rested::Request, 2_599)));
-    expect_that!(rest(true, &[(0, 15_000)], Some(2_600), None), eq(&(Rested::Over, 2_600)));
+    expect_that!(rest(true, &[(0, 15_000)], Some(2_600), Some(2_599)), eq(&(IdleOutcome::Request, 2_599)));
+    expect_that!(rest(true, &[(0, 15_000)], Some(2_600), None), eq(&(IdleOutcome::Over, 2_600)));
     // One that was just opened is heard first.
-    expect_that!(rest(false, &[(0, 15_000)], Some(0), Some(900)), eq(&(Rested::Request, 900)));
-    expect_that!(rest(false, &[(0, 15_000)], Some(0), None), eq(&(Rested::Over, FIRST_WITHIN.as_millis())));
+    expect_that!(rest(false, &[(0, 15_000)], Some(0), Some(900)), eq(&(IdleOutcome::Request, 900)));
+    expect_that!(
+        rest(false, &[(0, 15_000)], Some(0), None),
+        eq(&(IdleOutcome::Over, FIRST_WITHIN.as_millis()))
+    );
 }
 
 /// Guards the request behind one that ends in trailers: they are dropped, and the next one is read whole.
--- a/crates/gateway/src/transport/peer_link.rs
+++ b/crates/gateway/src/transport/peer_link.rs
@@ -1,7 +1,7 @@
 //! Owns connections between the system's own processes: opens them, opens them again, cuts messages out of bytes. It
 //! must never know what a message means.
 
-use crate::protocol::{self, Msg};
+use crate::protocol::{self, PeerMessage};
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,33 +27,33 @@
 const BUFFER_KEPT: usize = 64 * 1024;
 
 /// What happens on a connection.
-pub enum Happens {
+pub enum LinkEvent {
     /// It is up.
     Up,
     /// A message came.
-    Said(Msg),
+    Said(PeerMessage),
     /// It is down.
     Down,
 }
 
 /// What happens on the connection to a machine, as events of whoever keeps it.
-pub struct Events<E> {
+pub struct LinkEventMapper<E> {
     /// It is up.
     pub up: fn(IpAddr) -> E,
     /// A message came.
-    pub said: fn(IpAddr, Msg) -> E,
+    pub said: fn(IpAddr, PeerMessage) -> E,
     /// It is down.
     pub down: fn(IpAddr) -> E,
 }
 
-impl<E> Events<E> {
+impl<E> LinkEventMapper<E> {
     /// Hands them on.
-    pub fn of(self, ip: IpAddr, mut handle: impl FnMut(E)) -> impl FnMut(Happens) {
+    pub fn of(self, ip: IpAddr, mut handle: impl FnMut(E)) -> impl FnMut(LinkEvent) {
         move |happens| {
             handle(match happens {
-                Happens::Up => (self.up)(ip),
-                Happens::Said(msg) => (self.said)(ip, msg),
-                Happens::Down => (self.down)(ip),
+                LinkEvent::Up => (self.up)(ip),
+                LinkEvent::Said(msg) => (self.said)(ip, msg),
+                LinkEvent::Down => (self.down)(ip),
             });
         }
     }
@@ -69,9 +69,9 @@
 /// Reads messages and writes what is to be said until the connection ends or nothing is heard for too long.
 async fn converse(
     stream: TcpStream,
-    outgoing: &mut UnboundedReceiver<Msg>,
+    outgoing: &mut UnboundedReceiver<PeerMessage>,
     silence: Duration,
-    mut heard: impl FnMut(Msg),
+    mut heard: impl FnMut(PeerMessage),
 ) -> io::Result<()> {
     tune(&stream);
     let (mut reader, mut writer) = stream.into_split();
@@ -115,7 +115,11 @@
 }
 
 /// Keeps a connection open for ever.
-async fn keep(address: SocketAddr, mut outgoing: UnboundedReceiver<Msg>, mut happens: impl FnMut(Happens)) {
+async fn keep(
+    address: SocketAddr,
+    mut outgoing: UnboundedReceiver<PeerMessage>,
+    mut happens: impl FnMut(LinkEvent),
+) {
     let mut dial = DIAL_FIRST;
     loop {
         let dialled = timeout(dial, TcpStream::connect(address)).await;
@@ -126,10 +130,10 @@
             if outgoing.is_closed() {
                 return;
             }
-            happens(Happens::Up);
-            let ended = converse(stream, &mut outgoing, SILENCE, |msg| happens(Happens::Said(msg))).await;
+            happens(LinkEvent::Up);
+            let ended = converse(stream, &mut outgoing, SILENCE, |msg| happens(LinkEvent::Said(msg))).await;
             tracing::debug!(%address, error = ended.err().map(|e| e.to_string()), "link down");
-            happens(Happens::Down);
+            happens(LinkEvent::Down);
         }
         if outgoing.is_closed() {
             return;
@@ -153,35 +157,35 @@
 
 /// What is to be said to a machine, and whether its connection is up: what is said while it is not is nobody's.
 struct Queue {
-    sender: UnboundedSender<Msg>,
+    sender: UnboundedSender<PeerMessage>,
     up: Rc<Cell<bool>>,
 }
 
 /// The connections that this process keeps open to core machines.
-pub struct Links {
+pub struct PeerLinks {
     queues: RefCell<HashMap<IpAddr, Queue>>,
     port: u16,
 }
 
-impl Links {
+impl PeerLinks {
     /// None yet; core machines hear on this port.
     pub fn new(port: u16) -> Self {
-        Links { queues: RefCell::default(), port }
+        PeerLinks { queues: RefCell::default(), port }
     }
 
     /// Keeps a connection to this machine open from now on.
-    pub fn open(&self, ip: IpAddr, mut happens: impl FnMut(Happens) + 'static) {
+    pub fn open(&self, ip: IpAddr, mut happens: impl FnMut(LinkEvent) + 'static) {
         if self.queues.borrow().contains_key(&ip) {
             return;
         }
         let (sender, outgoing) = unbounded_channel();
         let up = Rc::new(Cell::new(false));
         let noted = Rc::clone(&up);
-        let happens = move |what: Happens| {
+        let happens = move |what: LinkEvent| {
             match what {
-                Happens::Up => noted.set(true),
-                Happens::Down => noted.set(false),
-                Happens::Said(_) => {}
+                LinkEvent::Up => noted.set(true),
+                LinkEvent::Down => noted.set(false),
+                LinkEvent::Said(_) => {}
             }
             happens(what);
         };
@@ -196,7 +200,7 @@
     }
 
     /// Says something to it.
-    pub fn say(&self, ip: IpAddr, msg: Msg) {
+    pub fn say(&self, ip: IpAddr, msg: PeerMessage) {
         if let Some(queue) = self.queues.borrow().get(&ip).filter(|q| q.up.get()) {
             let _ = queue.sender.send(msg);
         }
@@ -206,8 +210,8 @@
 /// Takes connections for ever. `opened` makes the queue of what is to be said on one.
 pub async fn listen(
     listener: TcpListener,
-    mut opened: impl FnMut(u64) -> UnboundedReceiver<Msg>,
-    happens: impl Fn(u64, Happens) + Clone + 'static,
+    mut opened: impl FnMut(u64) -> UnboundedReceiver<PeerMessage>,
+    happens: impl Fn(u64, LinkEvent) + Clone + 'static,
 ) {
     let mut number = 0;
     loop {
@@ -215,9 +219,9 @@
         number += 1;
         let (mut outgoing, happens) = (opened(number), happens.clone());
         tokio::task::spawn_local(async move {
-            let heard = |msg| happens(number, Happens::Said(msg));
+            let heard = |msg| happens(number, LinkEvent::Said(msg));
             let _ = converse(stream, &mut outgoing, SILENCE, heard).await;
-            happens(number, Happens::Down);
+            happens(number, LinkEvent::Down);
         });
     }
 }
--- a/crates/gateway/src/transport/upstream_pool.rs
+++ b/crates/gateway/src/transport/upstream_pool.rs
@@ -14,7 +14,7 @@
 use actix_http::uri::Uri;
 use actix_http::{Method, ServiceConfig, StatusCode};
 use bytes::Bytes;
-use exchange::{encode, exchange, judge, Broken};
+use exchange::{encode, exchange, judge, ExchangeError};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -39,7 +39,7 @@
 const IDLE_ANY: f64 = 0.9;
 
 /// A request as it came, to be sent on in any number of attempts.
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -58,7 +58,7 @@
 
 /// A worker's whole answer.
 #[derive(Debug)]
-pub struct Reply {
+pub struct UpstreamResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers, without those of the connection.
@@ -69,18 +69,18 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptOutcome {
     /// For the module.
     pub ending: Ending,
     /// The worker's answer, where there is one to pass on.
-    pub reply: Option<Reply>,
+    pub reply: Option<UpstreamResponse>,
     /// Another worker answered at this address.
     pub misdirected: bool,
 }
 
-impl Ended {
+impl AttemptOutcome {
     fn with(ending: Ending) -> Self {
-        Ended { ending, reply: None, misdirected: false }
+        AttemptOutcome { ending, reply: None, misdirected: false }
     }
 }
 
@@ -102,7 +102,7 @@
 }
 
 /// Connections to workers.
-pub struct Courier {
+pub struct UpstreamPool {
     idle: RefCell<HashMap<Arc<str>, Vec<Idle>>>,
     open: Rc<Cell<usize>>,
     most: usize,
@@ -121,10 +121,10 @@
     }
 }
 
-impl Courier {
+impl UpstreamPool {
     /// Holds so many connections at the most.
     pub fn new(most: usize) -> Self {
-        Courier {
+        UpstreamPool {
             idle: RefCell::default(),
             open: Rc::default(),
             most,
@@ -144,7 +144,7 @@
     }
 
     /// The connection that was used last, of those on which this request may go out.
-    fn take(&self, worker: &Arc<str>, forward: &Forward) -> Option<Idle> {
+    fn take(&self, worker: &Arc<str>, forward: &ForwardedRequest) -> Option<Idle> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(worker)?;
         let id = hash(&forward.id);
@@ -185,17 +185,17 @@
         &self,
         worker: &Arc<str>,
         address: SocketAddr,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         tenant: Option<&str>,
         within: Duration,
         may_begin: impl Fn() -> bool,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let written = Cell::new(false);
         let sent = self.converse(worker, address, forward, tenant, &written, may_begin);
         match tokio::time::timeout(within, sent).await {
             Ok(ended) => ended,
-            Err(_) if written.get() => Ended::with(Ending::Timeout),
-            Err(_) => Ended::with(Ending::ConnectFailed),
+            Err(_) if written.get() => AttemptOutcome::with(Ending::Timeout),
+            Err(_) => AttemptOutcome::with(Ending::ConnectFailed),
         }
     }
 
@@ -203,11 +203,11 @@
         &self,
         worker: &Arc<str>,
         address: SocketAddr,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         tenant: Option<&str>,
         written: &Cell<bool>,
         may_begin: impl Fn() -> bool,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let (mut stream, open, mut ids) = match self.take(worker, forward) {
             Some(idle) => (idle.stream, idle.open, idle.ids),
             None => {
@@ -222,17 +222,17 @@
                         let _ = stream.set_nodelay(true);
                         (stream, open, VecDeque::new())
                     }
-                    _ => return Ended::with(Ending::ConnectFailed),
+                    _ => return AttemptOutcome::with(Ending::ConnectFailed),
                 }
             }
         };
         // The last moment at which a worker that is about to leave can be spared.
         if !may_begin() {
-            return Ended::with(Ending::Moot);
+            return AttemptOutcome::with(Ending::Moot);
         }
         let mut codec = ClientCodec::new(self.config.clone());
         let Some(out) = encode(&mut codec, forward, tenant, worker) else {
-            return Ended::with(Ending::Moot);
+            return AttemptOutcome::with(Ending::Moot);
         };
         match exchange(&mut stream, codec, out, &forward.id, written).await {
             Ok(answer) => {
@@ -244,9 +244,9 @@
                 }
                 judge(answer.reply)
             }
-            Err(Broken::Unsent) => Ended::with(Ending::ConnectFailed),
-            Err(Broken::Garbled) => Ended::with(Ending::Error),
-            Err(Broken::Ended) => Ended::with(Ending::Reset),
+            Err(ExchangeError::Unsent) => AttemptOutcome::with(Ending::ConnectFailed),
+            Err(ExchangeError::Garbled) => AttemptOutcome::with(Ending::Error),
+            Err(ExchangeError::Ended) => AttemptOutcome::with(Ending::Reset),
         }
     }
 
--- a/crates/gateway/src/transport/upstream_pool/exchange.rs
+++ b/crates/gateway/src/transport/upstream_pool/exchange.rs
@@ -1,7 +1,7 @@
 //! Owns one exchange on a connection to a worker: the request out, the one answer that belongs to it in, and what it
 //! means. It must never take for the answer what does not name the request, is not whole, or is no answer at all.
 
-use super::{Ended, Forward, Reply};
+use super::{AttemptOutcome, ForwardedRequest, UpstreamResponse};
 use actix_codec::{Decoder, Encoder};
 use actix_http::body::BodySize;
 use actix_http::h1::{ClientCodec, Message, MessageType};
@@ -34,7 +34,7 @@
 
 /// Why there is no answer.
 #[derive(Debug, PartialEq)]
-pub enum Broken {
+pub enum ExchangeError {
     /// Not a byte of the request went out.
     Unsent,
     /// The connection ended, or broke.
@@ -43,17 +43,17 @@
     Garbled,
 }
 
-impl From<std::io::Error> for Broken {
+impl From<std::io::Error> for ExchangeError {
     fn from(_: std::io::Error) -> Self {
-        Broken::Ended
+        ExchangeError::Ended
     }
 }
 
 /// The answer to a request.
 #[derive(Debug)]
-pub struct Answered {
+pub struct ExchangeResult {
     /// The answer.
-    pub reply: Reply,
+    pub reply: UpstreamResponse,
     /// What the worker said of how long it keeps the connection.
     pub keeps: Option<Duration>,
     /// May another request be sent on the connection? Nothing is unread as far as was heard.
@@ -62,7 +62,7 @@
 
 /// Whose an answer is, by the id that it names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whose {
+pub enum ResponseOwner {
     /// This request's.
     Ours,
     /// Another's: it came late, or too often.
@@ -72,13 +72,13 @@
 }
 
 /// Whose is the answer with this head, on a connection where the request of this id waits?
-pub fn whose(head: &ResponseHead, id: &HeaderValue) -> Whose {
+pub fn whose(head: &ResponseHead, id: &HeaderValue) -> ResponseOwner {
     let mut told = head.headers.get_all("x-attempt-id");
     match (told.next(), told.next()) {
-        (Some(told), None) if told.is_empty() => Whose::Nobodys,
-        (Some(told), None) if told == id => Whose::Ours,
-        (Some(_), None) => Whose::Others,
-        _ => Whose::Nobodys,
+        (Some(told), None) if told.is_empty() => ResponseOwner::Nobodys,
+        (Some(told), None) if told == id => ResponseOwner::Ours,
+        (Some(_), None) => ResponseOwner::Others,
+        _ => ResponseOwner::Nobodys,
     }
 }
 
@@ -93,7 +93,7 @@
 /// A request as it goes to a worker. `None`: it can't be written.
 pub fn encode(
     codec: &mut ClientCodec,
-    forward: &Forward,
+    forward: &ForwardedRequest,
     tenant: Option<&str>,
     worker: &str,
 ) -> Option<BytesMut> {
@@ -124,7 +124,7 @@
     mut out: BytesMut,
     id: &HeaderValue,
     written: &Cell<bool>,
-) -> Result<Answered, Broken> {
+) -> Result<ExchangeResult, ExchangeError> {
     let (mut reader, mut writer) = tokio::io::split(stream);
     let mut write = pin!(async {
         while !out.is_empty() {
@@ -141,22 +141,22 @@
         whole = &mut write => whole,
         // A worker may turn a request away before it has read all of it.
         early = &mut answer => {
-            let early = early.map(|answered| Answered { reusable: false, ..answered });
-            return if written.get() { early } else { Err(Broken::Unsent) };
+            let early = early.map(|answered| ExchangeResult { reusable: false, ..answered });
+            return if written.get() { early } else { Err(ExchangeError::Unsent) };
         }
     };
     if !written.get() {
-        return Err(Broken::Unsent);
+        return Err(ExchangeError::Unsent);
     }
     // Of a request that is cut off somewhere the worker may make what it likes; it may have said so.
     let answered = answer.await?;
-    Ok(Answered { reusable: answered.reusable && whole, ..answered })
+    Ok(ExchangeResult { reusable: answered.reusable && whole, ..answered })
 }
 
-async fn more<R: AsyncRead + Unpin>(stream: &mut R, read: &mut BytesMut) -> Result<(), Broken> {
+async fn more<R: AsyncRead + Unpin>(stream: &mut R, read: &mut BytesMut) -> Result<(), ExchangeError> {
     read.reserve(4096);
     match stream.read_buf(read).await? {
-        0 => Err(Broken::Ended),
+        0 => Err(ExchangeError::Ended),
         _ => Ok(()),
     }
 }
@@ -166,27 +166,27 @@
     mut codec: ClientCodec,
     stream: &mut R,
     id: &HeaderValue,
-) -> Result<Answered, Broken> {
+) -> Result<ExchangeResult, ExchangeError> {
     let mut read = BytesMut::with_capacity(2048);
     let mut reusable = true;
     loop {
         let Whole { head, body, clean, codec: back } = one(codec, stream, &mut read).await?;
         codec = back;
         match whose(&head, id) {
-            Whose::Ours => {}
-            Whose::Others if clean => {
+            ResponseOwner::Ours => {}
+            ResponseOwner::Others if clean => {
                 tracing::warn!("a surplus answer of a worker came first");
                 reusable = false;
                 continue;
             }
-            Whose::Others => return Err(Broken::Garbled),
-            Whose::Nobodys => {
+            ResponseOwner::Others => return Err(ExchangeError::Garbled),
+            ResponseOwner::Nobodys => {
                 tracing::warn!(status = head.status.as_u16(), "an answer of a worker names no request");
-                return Err(Broken::Garbled);
+                return Err(ExchangeError::Garbled);
             }
         }
         if !is_sound(&head) {
-            return Err(Broken::Garbled);
+            return Err(ExchangeError::Garbled);
         }
         reusable &= codec.keep_alive() && head.version == Version::HTTP_11 && clean && read.is_empty();
         let keeps = head.headers.get("keep-alive").and_then(|v| keep_alive(v.to_str().ok()?));
@@ -202,7 +202,7 @@
                 headers.remove(name);
             }
         }
-        return Ok(Answered { reply: Reply { status, headers, body }, keeps, reusable });
+        return Ok(ExchangeResult { reply: UpstreamResponse { status, headers, body }, keeps, reusable });
     }
 }
 
@@ -220,18 +220,20 @@
     mut codec: ClientCodec,
     stream: &mut R,
     read: &mut BytesMut,
-) -> Result<Whole, Broken> {
+) -> Result<Whole, ExchangeError> {
     let mut clean = true;
     let head = loop {
         // Empty lines ahead of a head are passed over; they may be the end of something else.
         clean &= !matches!(read.first(), Some(b'\r' | b'\n'));
-        match codec.decode(read).map_err(|_| Broken::Garbled)? {
+        match codec.decode(read).map_err(|_| ExchangeError::Garbled)? {
             None => more(stream, read).await?,
-            Some(head) if head.status == StatusCode::SWITCHING_PROTOCOLS => return Err(Broken::Garbled),
+            Some(head) if head.status == StatusCode::SWITCHING_PROTOCOLS => {
+                return Err(ExchangeError::Garbled)
+            }
             // One that is not final has no body, whatever it says.
             Some(head) if head.status.is_informational() => {
                 if codec.message_type() != MessageType::None {
-                    return Err(Broken::Garbled);
+                    return Err(ExchangeError::Garbled);
                 }
             }
             Some(head) => break head,
@@ -242,7 +244,7 @@
     let chunked = encodings.next().map(|v| v.as_bytes().eq_ignore_ascii_case(b"chunked"));
     if lengths > 1 || chunked == Some(false) || chunked.is_some() && lengths > 0 || encodings.next().is_some()
     {
-        return Err(Broken::Garbled);
+        return Err(ExchangeError::Garbled);
     }
     let none = codec.message_type() == MessageType::None;
     if matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) {
@@ -251,7 +253,7 @@
     }
     if chunked.is_none() && lengths == 0 {
         // The end of the connection would be its end: whether it is whole can't be told.
-        return Err(Broken::Garbled);
+        return Err(ExchangeError::Garbled);
     }
     if none {
         return Ok(Whole { head, body: Bytes::new(), clean, codec });
@@ -259,10 +261,10 @@
     let mut payload = codec.into_payload_codec();
     let mut body = BytesMut::new();
     loop {
-        match payload.decode(read).map_err(|_| Broken::Garbled)? {
+        match payload.decode(read).map_err(|_| ExchangeError::Garbled)? {
             Some(Some(chunk)) => {
                 if body.len() + chunk.len() > BODY_MOST {
-                    return Err(Broken::Garbled);
+                    return Err(ExchangeError::Garbled);
                 }
                 body.extend_from_slice(&chunk);
             }
@@ -281,10 +283,10 @@
 }
 
 /// What a whole answer means.
-pub fn judge(reply: Reply) -> Ended {
+pub fn judge(reply: UpstreamResponse) -> AttemptOutcome {
     let misdirected = reply.status == StatusCode::MISDIRECTED_REQUEST;
     if misdirected || reply.headers.contains_key("x-not-executed") {
-        return Ended { ending: Ending::Full, reply: None, misdirected };
+        return AttemptOutcome { ending: Ending::Full, reply: None, misdirected };
     }
     let promise = matches!(reply.status.as_u16(), 408 | 429 | 503);
     let ending = match reply.status.as_u16() {
@@ -292,5 +294,5 @@
         _ => Ending::Error,
     };
     // Without the worker's word for it such a status would promise what nobody knows.
-    Ended { ending, reply: Some(reply).filter(|_| !promise), misdirected }
+    AttemptOutcome { ending, reply: Some(reply).filter(|_| !promise), misdirected }
 }
--- a/crates/gateway/src/transport/upstream_pool/pool_tests.rs
+++ b/crates/gateway/src/transport/upstream_pool/pool_tests.rs
@@ -12,7 +12,7 @@
 /// A worker on loopback: what it does with each connection, in turn.
 struct Worker {
     listener: TcpListener,
-    courier: Courier,
+    courier: UpstreamPool,
     /// The number of the next request, which is its id.
     asked: Cell<u32>,
 }
@@ -20,23 +20,23 @@
 impl Worker {
     async fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        Worker { listener, courier: Courier::new(8), asked: Cell::new(1) }
+        Worker { listener, courier: UpstreamPool::new(8), asked: Cell::new(1) }
     }
 
     async fn accept(&self) -> TcpStream {
         self.listener.accept().await.expect("a connection").0
     }
 
-    async fn ask(&self, name: &str, body: usize) -> Ended {
+    async fn ask(&self, name: &str, body: usize) -> AttemptOutcome {
         let number = self.asked.replace(self.asked.get() + 1);
         self.ask_as(&format!("id-{number}"), name, body).await
     }
 
     /// The same under this id.
-    async fn ask_as(&self, id: &str, name: &str, body: usize) -> Ended {
+    async fn ask_as(&self, id: &str, name: &str, body: usize) -> AttemptOutcome {
         let body = (body > 0).then(|| Bytes::from(vec![b'x'; body]));
         let id = HeaderValue::from_str(id).expect("an id");
-        let mut forward = Forward { id: id.clone(), ..forward(Method::POST, body, false) };
+        let mut forward = ForwardedRequest { id: id.clone(), ..forward(Method::POST, body, false) };
         forward.headers.insert("x-attempt-id".parse().expect("a name"), id);
         let name = Arc::from(name);
         let address = self.listener.local_addr().expect("an address");
@@ -60,7 +60,7 @@
     good().replace("id-1", id)
 }
 
-fn body(ended: &Ended) -> String {
+fn body(ended: &AttemptOutcome) -> String {
     let reply = ended.reply.as_ref().map(|r| String::from_utf8_lossy(&r.body).into_owned());
     reply.unwrap_or_else(|| format!("{:?}", ended.ending))
 }
--- a/crates/gateway/src/transport/upstream_pool/tests.rs
+++ b/crates/gateway/src/transport/upstream_pool/tests.rs
@@ -75,8 +75,8 @@
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-pub fn forward(method: Method, body: Option<Bytes>, repeatable: bool) -> Forward {
-    Forward {
+pub fn forward(method: Method, body: Option<Bytes>, repeatable: bool) -> ForwardedRequest {
+    ForwardedRequest {
         method,
         uri: Uri::from_static("/a?b=c"),
         headers: HeaderMap::new(),
@@ -96,7 +96,12 @@
 
 impl Player {
     /// The outcome of one exchange; `Ok(None)`: it still waits.
-    fn play(&self, method: Method, says: &[&[u8]], end: End) -> std::result::Result<Option<Seen>, Broken> {
+    fn play(
+        &self,
+        method: Method,
+        says: &[&[u8]],
+        end: End,
+    ) -> std::result::Result<Option<Seen>, ExchangeError> {
         let mut worker = Scripted {
             says: says.iter().filter(|p| !p.is_empty()).map(|p| Bytes::copy_from_slice(p)).collect(),
             end,
@@ -109,9 +114,9 @@
 
     fn send(
         &self,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         worker: &mut Scripted,
-    ) -> (std::result::Result<Option<Seen>, Broken>, bool) {
+    ) -> (std::result::Result<Option<Seen>, ExchangeError>, bool) {
         let mut codec = ClientCodec::new(self.config.clone());
         let out = encode(&mut codec, forward, Some("t1"), "i-1").expect("it can be written");
         let written = Cell::new(false);
@@ -123,7 +128,7 @@
         let told = match told {
             Poll::Pending => Ok(None),
             Poll::Ready(Err(broken)) => Err(broken),
-            Poll::Ready(Ok(Answered { reply, reusable, .. })) => {
+            Poll::Ready(Ok(ExchangeResult { reply, reusable, .. })) => {
                 let body = String::from_utf8_lossy(&reply.body).into_owned();
                 Ok(Some((reply.status.as_u16(), body, reusable)))
             }
@@ -254,7 +259,7 @@
                     match end {
                         _ if cut == bytes.len() => assert_that!(told, ok(some(eq(&seen)))),
                         End::Silence => assert_that!(told, ok(none()), "{what}, silent at {cut}"),
-                        _ => assert_that!(told, err(eq(&Broken::Ended)), "{what}, {end:?} at {cut}"),
+                        _ => assert_that!(told, err(eq(&ExchangeError::Ended)), "{what}, {end:?} at {cut}"),
                     }
                 }
                 // In three pieces.
@@ -388,14 +393,14 @@
         for takes in 0..whole.took.len() {
             let mut cut = worker(takes, String::new());
             let (told, written) = player.send(&forward, &mut cut);
-            let expected = if takes == 0 { Broken::Unsent } else { Broken::Ended };
+            let expected = if takes == 0 { ExchangeError::Unsent } else { ExchangeError::Ended };
             expect_that!(told, err(eq(&expected)), "{takes}");
             expect_that!((written, cut.took.len()), eq((takes > 0, takes)));
             // A worker that turns it away before it has read all of it is heard.
             let mut cut = worker(takes, turned.into());
             let (told, _) = player.send(&forward, &mut cut);
             match takes {
-                0 => expect_that!(told, err(eq(&Broken::Unsent))),
+                0 => expect_that!(told, err(eq(&ExchangeError::Unsent))),
                 _ => expect_that!(told, ok(some(eq(&(503, String::new(), false))))),
             }
         }
@@ -409,7 +414,7 @@
         let line = "X-Long: 0123456789abcdef\r\n".repeat(40);
         let mut says = vec![b"HTTP/1.1 200 OK\r\n".as_slice()];
         says.extend(std::iter::repeat_n(line.as_bytes(), 1000));
-        expect_that!(player.play(Method::GET, &says, End::Silence), err(eq(&Broken::Garbled)));
+        expect_that!(player.play(Method::GET, &says, End::Silence), err(eq(&ExchangeError::Garbled)));
     });
 }
 
@@ -453,16 +458,16 @@
                 let mut connection = http_server::Connection::over(server, &http_server::config());
                 tokio::io::AsyncWriteExt::write_all(&mut client, text.as_bytes()).await.expect("taken");
                 let second = Duration::from_secs(1);
-                let bounds = http_server::Bounds {
+                let bounds = http_server::RequestLimits {
                     head_bytes: 4096,
                     body_bytes: 64,
                     head_within: second,
                     body_within: second,
                 };
-                let whole = connection.request(&bounds, &http_server::Room::new(4096)).await.ok()?;
+                let whole = connection.request(&bounds, &http_server::BodyBudget::new(4096)).await.ok()?;
                 let (method, uri) = (whole.head.method().clone(), whole.head.uri().clone());
                 let headers = whole.head.headers().clone();
-                let forward = Forward { uri, headers, ..forward(method, None, false) };
+                let forward = ForwardedRequest { uri, headers, ..forward(method, None, false) };
                 encode(&mut ClientCodec::new(http_server::config()), &forward, None, "i-1")
             });
             let Some(told) = told else {
--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -1,9 +1,9 @@
 //! The auditor: what RULES forbids, by what workers, clients and the operator saw.
 
-use super::{Hit, Plan};
+use super::{Plan, WorkerAttempt};
 use std::collections::{BTreeMap, HashMap};
-use whinstall_gateway::configuration::{Item, Kind};
-use whinstall_gateway::data_plane::requests::Answer;
+use whinstall_gateway::configuration::{ConfigItem, ItemKind};
+use whinstall_gateway::data_plane::requests::FinalResponse;
 
 const DRAIN: f64 = 2.5;
 const SETTLE: f64 = 2.5;
@@ -29,9 +29,9 @@
     leaving: HashMap<String, f64>,
     /// Services of the route that flips, by version.
     flips: BTreeMap<u64, String>,
-    acked: Vec<(f64, Item)>,
+    acked: Vec<(f64, ConfigItem)>,
     /// Newest version at which an item was told to be dropped, acknowledged or not.
-    drops: HashMap<(Kind, String), u64>,
+    drops: HashMap<(ItemKind, String), u64>,
     /// Newest flip version that an edge's life was seen to serve by.
     seen: HashMap<(usize, u64), u64>,
     pub broken: Vec<String>,
@@ -74,14 +74,14 @@
         self.flips.insert(version, service.into());
     }
 
-    pub fn told(&mut self, items: &[Item]) {
+    pub fn told(&mut self, items: &[ConfigItem]) {
         for item in items.iter().filter(|i| i.body.is_none()) {
             let held = self.drops.entry((item.kind, item.label.clone())).or_default();
             *held = item.version.max(*held);
         }
     }
 
-    pub fn acknowledged(&mut self, at: f64, items: &[Item]) {
+    pub fn acknowledged(&mut self, at: f64, items: &[ConfigItem]) {
         self.acked.extend(items.iter().map(|i| (at, i.clone())));
     }
 
@@ -94,7 +94,7 @@
         self.leaving.insert(worker.into(), at);
     }
 
-    pub fn arrives(&mut self, now: f64, hit: &Hit, worker: &str, in_touch: bool) {
+    pub fn arrives(&mut self, now: f64, hit: &WorkerAttempt, worker: &str, in_touch: bool) {
         let asked = &mut self.asked[hit.request as usize];
         asked.arrivals += 1;
         if asked.arrivals > 1 {
@@ -106,7 +106,7 @@
         }
     }
 
-    pub fn runs(&mut self, now: f64, hit: &Hit, service: &str, calm: bool) {
+    pub fn runs(&mut self, now: f64, hit: &WorkerAttempt, service: &str, calm: bool) {
         let asked = &mut self.asked[hit.request as usize];
         asked.runs += 1;
         let effectful = asked.path != "/read/x";
@@ -125,7 +125,7 @@
         let settled = self
             .acked
             .iter()
-            .filter(|(at, i)| sent > at + SETTLE && i.kind == Kind::Route && i.label == "r-flip");
+            .filter(|(at, i)| sent > at + SETTLE && i.kind == ItemKind::Route && i.label == "r-flip");
         let settled = settled.map(|(_, i)| i.version).max().filter(|_| calm).unwrap_or(0);
         let floor = settled.max(self.seen.get(&edge).copied().unwrap_or(0));
         let allowed: Vec<u64> =
@@ -141,14 +141,14 @@
         }
     }
 
-    pub fn answered(&mut self, now: f64, request: u64, answer: &Answer, ran_all_the_while: bool) {
+    pub fn answered(&mut self, now: f64, request: u64, answer: &FinalResponse, ran_all_the_while: bool) {
         let asked = &mut self.asked[request as usize];
         let status = match answer {
-            Answer::Worker(_) => 200,
-            Answer::Limited(_) => 429,
-            Answer::Refused(_) => 503,
-            Answer::Failed => 502,
-            Answer::TimedOut => 504,
+            FinalResponse::Worker(_) => 200,
+            FinalResponse::Limited(_) => 429,
+            FinalResponse::Refused(_) => 503,
+            FinalResponse::Failed => 502,
+            FinalResponse::TimedOut => 504,
         };
         if asked.answer.replace(status).is_some() {
             self.broken.push(format!("{now:.3}: request {request} is answered twice"));
@@ -234,7 +234,7 @@
             self.broken.push("nothing was read back".into());
             return;
         };
-        let mut newest: BTreeMap<(Kind, String), Item> = BTreeMap::new();
+        let mut newest: BTreeMap<(ItemKind, String), ConfigItem> = BTreeMap::new();
         for (_, item) in self.acked.iter().filter(|(at, _)| *at < self.read_at) {
             let held = newest.entry((item.kind, item.label.clone())).or_insert_with(|| item.clone());
             if held.version < item.version {
--- a/crates/simulation/src/external_actors.rs
+++ b/crates/simulation/src/external_actors.rs
@@ -1,15 +1,15 @@
 //! Workers, clients and the operator, as PROTOCOL has them.
 
 use super::partitions::Party;
-use super::{Call, Caller, Ev, Hit, World};
+use super::{Call, Caller, SimulationEvent, WorkerAttempt, World};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use whinstall::{Ending, HostId, RequestId};
-use whinstall_gateway::configuration::{read_call, Kind};
-use whinstall_gateway::control_plane::{self, Command};
-use whinstall_gateway::data_plane::requests::{Answer, Arrival};
-use whinstall_gateway::discovery::registry::{Phase, Worker};
+use whinstall_gateway::configuration::{read_call, ItemKind};
+use whinstall_gateway::control_plane::{self, ApiCommand};
+use whinstall_gateway::data_plane::requests::{FinalResponse, IncomingRequest};
+use whinstall_gateway::discovery::registry::{Worker, WorkerPhase};
 
 /// A worker.
 pub struct Wk {
@@ -19,11 +19,11 @@
     pub address: SocketAddr,
     pub alive: bool,
     pub dark: bool,
-    pub phase: Phase,
+    pub phase: WorkerPhase,
     pub calls: u64,
     pub core: usize,
     pub busy: usize,
-    pub queue: VecDeque<Hit>,
+    pub queue: VecDeque<WorkerAttempt>,
     pub acked: Option<f64>,
     departing: bool,
 }
@@ -41,7 +41,7 @@
             address: ([10, 9, 0, n as u8 + 1], 80).into(),
             alive: true,
             dark: false,
-            phase: Phase::Settled,
+            phase: WorkerPhase::Settled,
             calls: 0,
             core: n,
             busy: 0,
@@ -52,7 +52,7 @@
     }
 
     pub fn leaves(&mut self) {
-        self.phase = Phase::Decaying;
+        self.phase = WorkerPhase::Decaying;
     }
 }
 
@@ -77,8 +77,8 @@
         let call = Call { id, core, by };
         self.calls.insert(id, call.clone());
         let delay = self.delay();
-        self.after(delay, Ev::CallArrives(core, call));
-        self.after(1.0, Ev::CallLate(id));
+        self.after(delay, SimulationEvent::CallArrives(core, call));
+        self.after(1.0, SimulationEvent::CallLate(id));
     }
 
     pub fn call_arrives(&mut self, core: usize, call: Call) {
@@ -89,14 +89,14 @@
             return;
         }
         let command = match &call.by {
-            Caller::Beat(n) => Command::Beat(self.say_of(*n)),
-            Caller::Depart(n) => Command::Departure(self.workers[*n].id.to_string()),
-            Caller::Amend(items) => Command::Amend(items.clone()),
-            Caller::Order { order, .. } => Command::Amend(self.desk.orders[*order].items.clone()),
-            Caller::Look { .. } => Command::Read,
+            Caller::Beat(n) => ApiCommand::Beat(self.say_of(*n)),
+            Caller::Depart(n) => ApiCommand::Departure(self.workers[*n].id.to_string()),
+            Caller::Amend(items) => ApiCommand::Amend(items.clone()),
+            Caller::Order { order, .. } => ApiCommand::Amend(self.desk.orders[*order].items.clone()),
+            Caller::Look { .. } => ApiCommand::Read,
             Caller::Read => {
                 self.audit.reads(self.now);
-                Command::Read
+                ApiCommand::Read
             }
         };
         self.pending.insert((core, call.id), call.id);
@@ -150,7 +150,7 @@
             self.audit.read_back(body);
         }
         if let (Caller::Beat(n), 200) = (&call.by, status) {
-            if self.workers[*n].phase == Phase::Decaying && self.workers[*n].acked.is_none() {
+            if self.workers[*n].phase == WorkerPhase::Decaying && self.workers[*n].acked.is_none() {
                 self.workers[*n].acked = Some(self.now);
                 self.audit.leaving(&self.workers[*n].id, self.now);
             }
@@ -159,7 +159,7 @@
             self.audit.acknowledged(self.now, items);
         }
         let delay = self.delay();
-        self.after(delay, Ev::CallBack(call, status));
+        self.after(delay, SimulationEvent::CallBack(call, status));
     }
 
     pub fn call_back(&mut self, call: Call, status: u16) {
@@ -174,13 +174,14 @@
         }
         match call.by {
             Caller::Beat(n) => {
-                let leaving = self.workers[n].phase == Phase::Decaying && self.workers[n].acked.is_some();
+                let leaving =
+                    self.workers[n].phase == WorkerPhase::Decaying && self.workers[n].acked.is_some();
                 if leaving && !self.workers[n].departing {
                     self.workers[n].departing = true;
-                    self.after(2.8, Ev::Depart(n));
+                    self.after(2.8, SimulationEvent::Depart(n));
                 }
                 let wait = 1.4 + 0.2 * self.rng.f64();
-                self.after(wait, Ev::Beat(n));
+                self.after(wait, SimulationEvent::Beat(n));
             }
             Caller::Depart(_) => {}
             Caller::Amend(_) if status != 200 => {
@@ -192,7 +193,7 @@
             Caller::Amend(_) => {
                 self.operator.waits = None;
                 let wait = 0.3 + 0.8 * self.rng.f64();
-                self.after(wait, Ev::Operate);
+                self.after(wait, SimulationEvent::Operate);
             }
             Caller::Read => self.operator.read = Some(status),
         }
@@ -208,7 +209,7 @@
             }
             Caller::Beat(n) => {
                 self.workers[n].core = call.core + 1;
-                self.after(0.01, Ev::Beat(n));
+                self.after(0.01, SimulationEvent::Beat(n));
             }
             Caller::Depart(_) => {}
             // Unchanged, to another one.
@@ -224,8 +225,8 @@
         let core = self.pick(call.core + 1);
         let call = Call { id, core, by: call.by };
         self.calls.insert(id, call.clone());
-        self.at(at, Ev::CallArrives(core, call));
-        self.at(at + 1.0, Ev::CallLate(id));
+        self.at(at, SimulationEvent::CallArrives(core, call));
+        self.at(at + 1.0, SimulationEvent::CallLate(id));
     }
 
     pub fn read_back(&mut self) {
@@ -255,7 +256,7 @@
         let mut worker = Wk::new(fresh, service, zone);
         worker.address = address;
         self.workers.push(worker);
-        self.after(2.0, Ev::Beat(fresh));
+        self.after(2.0, SimulationEvent::Beat(fresh));
     }
 
     // The operator.
@@ -316,7 +317,7 @@
             ]}}, "remove": {"route_set": [{"label": format!("r-{}", step / 2), "revision": rev}]}})
         };
         let items = read_call(body.to_string().as_bytes()).expect("a valid call");
-        for item in items.iter().filter(|i| i.kind == Kind::Route && i.label == "r-flip") {
+        for item in items.iter().filter(|i| i.kind == ItemKind::Route && i.label == "r-flip") {
             let service = item.body.as_ref().map(|b| b.services().concat());
             self.audit.sent(item.version, &service.unwrap_or_default());
         }
@@ -333,7 +334,7 @@
         let big = 0.4 * hot;
         let all = big + 0.6;
         let wait = -(1.0 - self.rng.f64()).ln() / (self.plan.rate * all);
-        self.after(wait, Ev::Ask);
+        self.after(wait, SimulationEvent::Ask);
         let draw = self.rng.f64() * all;
         let key = if draw < big {
             "key-big"
@@ -366,7 +367,11 @@
                 turned = true;
                 return;
             };
-            edge.arrived(now, Arrival { id: id.clone(), route, tenant: Some(tenant), left: 1.0 }, out);
+            edge.arrived(
+                now,
+                IncomingRequest { id: id.clone(), route, tenant: Some(tenant), left: 1.0 },
+                out,
+            );
         });
         if turned {
             self.audit.turned_back(request);
@@ -384,21 +389,22 @@
     ) {
         let Some(request) = self.asked.get(&(n, life, id.clone())).copied() else { return };
         let Some(index) = self.workers.iter().position(|w| w.id == worker.0) else { return };
-        let hit = Hit { edge: n, life, id: id.clone(), attempt, worker: index, host: worker, request };
+        let hit =
+            WorkerAttempt { edge: n, life, id: id.clone(), attempt, worker: index, host: worker, request };
         self.open.insert((n, life, id, attempt));
         let delay = self.delay();
-        self.after(delay, Ev::Arrive(hit.clone()));
-        self.after(within, Ev::Ended(hit, Ending::Timeout, false));
+        self.after(delay, SimulationEvent::Arrive(hit.clone()));
+        self.after(within, SimulationEvent::Ended(hit, Ending::Timeout, false));
     }
 
     pub fn called_off(&mut self, n: usize, life: u64, id: RequestId, attempt: u32) {
         let Some(request) = self.asked.get(&(n, life, id.clone())).copied() else { return };
-        let hit = Hit { edge: n, life, id, attempt, worker: 0, host: HostId("".into()), request };
-        self.after(0.0, Ev::Ended(hit, Ending::Cancelled, false));
+        let hit = WorkerAttempt { edge: n, life, id, attempt, worker: 0, host: HostId("".into()), request };
+        self.after(0.0, SimulationEvent::Ended(hit, Ending::Cancelled, false));
     }
 
     /// A request reaches the address where its worker was.
-    pub fn arrive(&mut self, hit: Hit) {
+    pub fn arrive(&mut self, hit: WorkerAttempt) {
         if !self.links.reaches(Party::Edge(hit.edge), Party::Worker(hit.worker)) {
             return;
         }
@@ -406,13 +412,13 @@
         let address = self.workers[hit.worker].address;
         let Some(there) = self.workers.iter().rposition(|w| w.address == address && (w.alive || w.dark))
         else {
-            return self.after(back, Ev::Ended(hit, Ending::ConnectFailed, false));
+            return self.after(back, SimulationEvent::Ended(hit, Ending::ConnectFailed, false));
         };
         if self.workers[there].dark {
-            return self.after(0.2, Ev::Ended(hit, Ending::ConnectFailed, false));
+            return self.after(0.2, SimulationEvent::Ended(hit, Ending::ConnectFailed, false));
         }
         if there != hit.worker {
-            return self.after(back, Ev::Ended(hit, Ending::Full, true));
+            return self.after(back, SimulationEvent::Ended(hit, Ending::Full, true));
         }
         let edge = &self.edges[hit.edge];
         let in_touch = self.now > edge.trouble && self.now > self.unsettled;
@@ -423,20 +429,20 @@
         } else if w.queue.len() < QUEUE {
             w.queue.push_back(hit);
         } else {
-            self.after(back, Ev::Ended(hit, Ending::Full, false));
+            self.after(back, SimulationEvent::Ended(hit, Ending::Full, false));
         }
     }
 
-    fn run(&mut self, n: usize, hit: Hit) {
+    fn run(&mut self, n: usize, hit: WorkerAttempt) {
         self.workers[n].busy += 1;
         let edge = &self.edges[hit.edge];
         let calm = self.now > edge.trouble && self.now > self.unsettled;
         self.audit.runs(self.now, &hit, SERVICES[self.workers[n].service], calm);
         let work = 0.03 + 0.06 * self.rng.f64();
-        self.after(work, Ev::Finish(n, hit));
+        self.after(work, SimulationEvent::Finish(n, hit));
     }
 
-    pub fn finish(&mut self, n: usize, hit: Hit) {
+    pub fn finish(&mut self, n: usize, hit: WorkerAttempt) {
         let lost = self.rng.f64() < self.plan.lost_answers;
         let w = &mut self.workers[n];
         w.busy -= 1;
@@ -449,10 +455,10 @@
         }
         let back = self.delay();
         let ending = if lost || !alive { Ending::Reset } else { Ending::Ok };
-        self.after(back, Ev::Ended(hit, ending, false));
+        self.after(back, SimulationEvent::Ended(hit, ending, false));
     }
 
-    pub fn ended(&mut self, hit: Hit, ending: Ending, misdirected: bool) {
+    pub fn ended(&mut self, hit: WorkerAttempt, ending: Ending, misdirected: bool) {
         if !self.open.remove(&(hit.edge, hit.life, hit.id.clone(), hit.attempt)) {
             return;
         }
@@ -461,7 +467,7 @@
         }
         if self.edges[hit.edge].frozen {
             self.open.insert((hit.edge, hit.life, hit.id.clone(), hit.attempt));
-            return self.after(0.05, Ev::Ended(hit, ending, misdirected));
+            return self.after(0.05, SimulationEvent::Ended(hit, ending, misdirected));
         }
         let whole = (ending == Ending::Ok).then_some(true);
         self.edge_call(hit.edge, |edge, now, out| {
@@ -472,7 +478,7 @@
         });
     }
 
-    pub fn answered(&mut self, n: usize, life: u64, id: RequestId, answer: Answer) {
+    pub fn answered(&mut self, n: usize, life: u64, id: RequestId, answer: FinalResponse) {
         if let Some(request) = self.asked.get(&(n, life, id)) {
             let calm = self.now > self.edges[n].trouble;
             self.audit.answered(self.now, *request, &answer, calm);
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -3,12 +3,12 @@
 
 use super::network::Who;
 use super::severe_faults::Severe;
-use super::{Ev, World};
-use whinstall_gateway::consensus::{Index, Snapshot, Term, Write};
-use whinstall_gateway::control_plane::{self, Core};
-use whinstall_gateway::discovery::registry::Phase;
+use super::{SimulationEvent, World};
+use whinstall_gateway::consensus::{Index, LogWrite, Snapshot, Term};
+use whinstall_gateway::control_plane::{self, CoreNode};
+use whinstall_gateway::discovery::registry::WorkerPhase;
 use whinstall_gateway::settings::Settings;
-use whinstall_gateway::storage::{Held, Put};
+use whinstall_gateway::storage::{LoadedState, WriteBatch};
 
 /// A trouble.
 #[derive(Clone, Debug, PartialEq)]
@@ -79,8 +79,8 @@
 /// A core machine's disk.
 #[derive(Default)]
 pub struct Disk {
-    pub held: Held,
-    pub writing: Vec<Put>,
+    pub held: LoadedState,
+    pub writing: Vec<WriteBatch>,
     /// What is there of a snapshot that is not written yet.
     ahead: Option<((Index, Term), Vec<u8>)>,
     /// Does the database stand?
@@ -96,10 +96,10 @@
 }
 
 /// Bytes of snapshots in a put: what takes longer than a sync.
-pub fn size(put: &Put) -> usize {
+pub fn size(put: &WriteBatch) -> usize {
     let part = put.part.as_ref().map(|p| (p.offset as usize, p.data.len()));
     let whole = put.writes.iter().map(|w| match w {
-        Write::Snapshot { snapshot, .. } => snapshot.data.len(),
+        LogWrite::Snapshot { snapshot, .. } => snapshot.data.len(),
         _ => 0,
     });
     part.map_or(0, |p| p.1) + whole.sum::<usize>()
@@ -107,7 +107,7 @@
 
 impl Disk {
     /// What a process that starts finds; a new disk gets its identity first.
-    pub fn open(&mut self, first: bool, rng: &mut fastrand::Rng) -> Held {
+    pub fn open(&mut self, first: bool, rng: &mut fastrand::Rng) -> LoadedState {
         self.held.fresh = !std::mem::replace(&mut self.made, true);
         if self.held.fresh {
             self.held.disk = if first || self.mark.is_some() { 0 } else { rng.u64(1..) };
@@ -137,21 +137,21 @@
         }
     }
 
-    fn take(&mut self, put: Put) {
+    fn take(&mut self, put: WriteBatch) {
         for worker in put.workers {
             self.held.workers.retain(|w| w.id != worker.id);
-            self.held.workers.extend(Some(worker).filter(|w| w.phase <= Phase::Decaying));
+            self.held.workers.extend(Some(worker).filter(|w| w.phase <= WorkerPhase::Decaying));
         }
         let raft = &mut self.held.raft;
         for write in put.writes {
             match write {
-                Write::Hard(term, vote) => (raft.term, raft.vote) = (term, vote),
-                Write::Append(entries) => {
+                LogWrite::Hard(term, vote) => (raft.term, raft.vote) = (term, vote),
+                LogWrite::Append(entries) => {
                     let Some(first) = entries.first().map(|e| e.index) else { continue };
                     raft.log.retain(|e| e.index < first);
                     raft.log.extend(entries);
                 }
-                Write::Snapshot { snapshot, whole } => {
+                LogWrite::Snapshot { snapshot, whole } => {
                     raft.log.retain(|e| !whole && e.index > snapshot.index);
                     // What was put ahead is not written again: it counts as it is.
                     let of = (snapshot.index, snapshot.term);
@@ -195,14 +195,14 @@
     pub(super) fn start_core(&mut self, n: usize, settings: Settings) {
         let node = &mut self.cores[n];
         let held = node.disk.open(settings.is_first_seed(), &mut self.rng);
-        let mut core = Core::new(1000.0, settings, held).expect("a state that can be read");
+        let mut core = CoreNode::new(1000.0, settings, held).expect("a state that can be read");
         let mut out = Vec::new();
         core.start(&mut out);
         let life = node.life;
         node.core = Some(core);
         self.repair_begins(n);
         self.core_effects(n, out);
-        self.after(control_plane::TICK, Ev::CoreTick(n, life));
+        self.after(control_plane::TICK, SimulationEvent::CoreTick(n, life));
     }
 
     /// A step in the making of a new disk is done: the mark is there, is synced, the database stands.
@@ -219,7 +219,7 @@
                 return self.start_core(n, settings);
             }
         }
-        self.after(self.plan.making, Ev::Making(n, life, told));
+        self.after(self.plan.making, SimulationEvent::Making(n, life, told));
     }
 
     /// The rules that a gatekeeper keeps while it is in touch wait for so long.
@@ -235,30 +235,30 @@
                 self.kill(Who::Core(*core), *power);
                 self.cores[*core].disk.crash(*power, *wipe, &mut self.rng);
                 self.unsettled = self.unsettled.max(self.now + down + contact);
-                self.after(*down, Ev::Boot(Who::Core(*core)));
+                self.after(*down, SimulationEvent::Boot(Who::Core(*core)));
             }
             Fault::KillEdge { edge, down } => {
                 self.kill(Who::Edge(*edge), false);
                 self.trouble(*edge, down + contact);
-                self.after(*down, Ev::Boot(Who::Edge(*edge)));
+                self.after(*down, SimulationEvent::Boot(Who::Edge(*edge)));
             }
             Fault::KillManyEdges { edges, down, dark } => {
                 for n in 0..*edges {
                     self.kill(Who::Edge(n), *dark);
                     self.trouble(n, down + contact);
-                    self.after(*down, Ev::Boot(Who::Edge(n)));
+                    self.after(*down, SimulationEvent::Boot(Who::Edge(n)));
                 }
             }
             Fault::CutCore { core, secs, one_way } => {
                 self.links.cut_core(*core, *one_way, true);
                 self.touch();
                 self.unsettled = self.unsettled.max(self.now + secs + contact);
-                self.after(*secs, Ev::Mend(fault.clone()));
+                self.after(*secs, SimulationEvent::Mend(fault.clone()));
             }
             Fault::CutEdge { edge, secs } => {
                 self.links.cut_edge(*edge, true);
                 self.trouble(*edge, secs + contact);
-                self.after(*secs, Ev::Mend(fault.clone()));
+                self.after(*secs, SimulationEvent::Mend(fault.clone()));
             }
             Fault::StallDisk { core, secs } => {
                 self.cores[*core].disk.stalled_until = self.now + secs;
@@ -271,14 +271,14 @@
                     Who::Core(_) => self.unsettled = self.unsettled.max(self.now + secs + contact),
                     Who::Edge(n) => self.trouble(*n, secs + contact),
                 }
-                self.after(*secs, Ev::Mend(fault.clone()));
+                self.after(*secs, SimulationEvent::Mend(fault.clone()));
             }
             Fault::KillAllCore { down } => {
                 // One that was removed, or was lost for good, has no process that could come back.
                 for n in self.listed() {
                     self.kill(Who::Core(n), false);
                     self.cores[n].disk.crash(false, false, &mut self.rng);
-                    self.after(*down, Ev::Boot(Who::Core(n)));
+                    self.after(*down, SimulationEvent::Boot(Who::Core(n)));
                 }
                 self.unsettled = self.unsettled.max(self.now + down + contact);
             }
@@ -287,12 +287,12 @@
                     self.kill(Who::Core(n), true);
                     self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
                     let late = self.rng.f64() * 0.2;
-                    self.after(*down + late, Ev::Boot(Who::Core(n)));
+                    self.after(*down + late, SimulationEvent::Boot(Who::Core(n)));
                 }
                 for n in 0..self.edges.len() {
                     self.kill(Who::Edge(n), true);
                     self.trouble(n, down + contact);
-                    self.after(*down, Ev::Boot(Who::Edge(n)));
+                    self.after(*down, SimulationEvent::Boot(Who::Edge(n)));
                 }
                 self.unsettled = self.unsettled.max(self.now + down + contact);
             }
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -6,7 +6,7 @@
 use super::operators::{content, Sort};
 use super::partitions::Party;
 use super::severe_faults::Trap;
-use super::{Ev, World};
+use super::{SimulationEvent, World};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 const EVERY: f64 = 0.1;
@@ -236,7 +236,7 @@
     }
 
     pub fn look_round(&mut self) {
-        self.after(EVERY, Ev::Watch);
+        self.after(EVERY, SimulationEvent::Watch);
         let (now, most) = (self.now, self.most());
         self.watch_joins(most.as_ref());
         let settled = most.is_some() && now > self.watch.touched + CONTACT;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -27,15 +27,15 @@
 use repair_times::Repairs;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr};
-use whinstall_gateway::configuration::Item;
-use whinstall_gateway::control_plane::{self, Core};
-use whinstall_gateway::data_plane::{self, Edge};
-use whinstall_gateway::protocol::{Load, Msg};
-use whinstall_gateway::settings::{Settings, Tolerance};
+use whinstall_gateway::configuration::ConfigItem;
+use whinstall_gateway::control_plane::{self, CoreNode};
+use whinstall_gateway::data_plane::{self, EdgeNode};
+use whinstall_gateway::protocol::{LoadReport, PeerMessage};
+use whinstall_gateway::settings::{LossTolerance, Settings};
 
 /// What is to happen.
 #[derive(Debug)]
-pub enum Ev {
+pub enum SimulationEvent {
     CoreTick(usize, u64),
     EdgeTick(usize, u64),
     Dial(LinkKey, u64),
@@ -49,10 +49,10 @@
     CallLate(u64),
     Depart(usize),
     Ask,
-    Arrive(Hit),
-    Finish(usize, Hit),
-    Told(usize, usize, Load),
-    Ended(Hit, whinstall::Ending, bool),
+    Arrive(WorkerAttempt),
+    Finish(usize, WorkerAttempt),
+    Told(usize, usize, LoadReport),
+    Ended(WorkerAttempt, whinstall::Ending, bool),
     Operate,
     Fault(Fault),
     Mend(Fault),
@@ -80,7 +80,7 @@
 pub enum Caller {
     Beat(usize),
     Depart(usize),
-    Amend(Vec<Item>),
+    Amend(Vec<ConfigItem>),
     Read,
     /// One of the clerks' orders; `again`: beside the clerk's own run of orders.
     Order {
@@ -97,7 +97,7 @@
 
 /// One attempt of a request at a worker.
 #[derive(Clone, Debug)]
-pub struct Hit {
+pub struct WorkerAttempt {
     pub edge: usize,
     pub life: u64,
     pub id: whinstall::RequestId,
@@ -107,8 +107,8 @@
     pub request: u64,
 }
 
-pub struct CoreNode {
-    pub core: Option<Core>,
+pub struct SimulatedCore {
+    pub core: Option<CoreNode>,
     pub life: u64,
     pub disk: Disk,
     pub boot: f64,
@@ -123,8 +123,8 @@
     pub seeds: Vec<usize>,
 }
 
-pub struct EdgeNode {
-    pub edge: Option<Edge>,
+pub struct SimulatedEdge {
+    pub edge: Option<EdgeNode>,
     pub life: u64,
     pub boot: f64,
     pub drift: f64,
@@ -138,10 +138,10 @@
     pub plan: Plan,
     pub now: f64,
     pub rng: fastrand::Rng,
-    queue: BTreeMap<(u64, u64), Ev>,
+    queue: BTreeMap<(u64, u64), SimulationEvent>,
     next: u64,
-    pub cores: Vec<CoreNode>,
-    pub edges: Vec<EdgeNode>,
+    pub cores: Vec<SimulatedCore>,
+    pub edges: Vec<SimulatedEdge>,
     pub workers: Vec<Wk>,
     pub links: Links,
     pub calls: HashMap<u64, Call>,
@@ -174,7 +174,7 @@
         fastrand::seed(seed);
         let seeds: Vec<usize> = (0..plan.cores.min(3)).collect();
         let mut drift = || 1.0 + 2e-4 * (rng.f64() - 0.5);
-        let cores = (0..plan.cores).map(|_| CoreNode {
+        let cores = (0..plan.cores).map(|_| SimulatedCore {
             core: None,
             life: 0,
             disk: Disk::default(),
@@ -187,7 +187,7 @@
             seeds: seeds.clone(),
         });
         let cores = cores.collect();
-        let edges = (0..plan.edges).map(|_| EdgeNode {
+        let edges = (0..plan.edges).map(|_| SimulatedEdge {
             edge: None,
             life: 0,
             boot: 0.0,
@@ -225,32 +225,32 @@
         for n in 0..world.cores.len() {
             let late: f64 = world.plan.late.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
             let spread = if world.plan.spread > 0.0 { world.plan.spread * world.rng.f64() } else { 0.0 };
-            world.at(0.01 + spread + late, Ev::Boot(Who::Core(n)));
+            world.at(0.01 + spread + late, SimulationEvent::Boot(Who::Core(n)));
         }
         for n in 0..world.edges.len() {
-            world.at(0.02, Ev::Boot(Who::Edge(n)));
+            world.at(0.02, SimulationEvent::Boot(Who::Edge(n)));
         }
         for n in 0..world.workers.len() {
             let after = 0.3 + world.rng.f64();
-            world.at(after, Ev::Beat(n));
+            world.at(after, SimulationEvent::Beat(n));
         }
-        world.at(0.2, Ev::LinkCheck);
-        world.at(1.0, Ev::Operate);
-        world.at(4.0, Ev::Ask);
+        world.at(0.2, SimulationEvent::LinkCheck);
+        world.at(1.0, SimulationEvent::Operate);
+        world.at(4.0, SimulationEvent::Ask);
         if world.plan.crew.clerks > 0 {
-            world.at(0.1, Ev::Watch);
+            world.at(0.1, SimulationEvent::Watch);
             world.start_clerks();
         }
         world
     }
 
-    pub fn at(&mut self, at: f64, ev: Ev) {
+    pub fn at(&mut self, at: f64, ev: SimulationEvent) {
         self.next += 1;
         let at = at.max(self.now);
         self.queue.insert(((at * 1e6) as u64, self.next), ev);
     }
 
-    pub fn after(&mut self, secs: f64, ev: Ev) {
+    pub fn after(&mut self, secs: f64, ev: SimulationEvent) {
         self.at(self.now + secs, ev);
     }
 
@@ -272,7 +272,7 @@
         settings.cold_start = if core { self.cores[n].cold } else { self.edges[n].life == 0 };
         settings.seeds = self.seeds(who);
         settings.envelope.resync = std::time::Duration::from_secs_f64(self.plan.resync);
-        settings.tolerance = Tolerance { machines: self.plan.losses, zones: 0, regions: 0 };
+        settings.tolerance = LossTolerance { machines: self.plan.losses, zones: 0, regions: 0 };
         settings
     }
 
@@ -293,7 +293,7 @@
                 node.backlog.clear();
                 node.cold = false;
                 if self.plan.making > 0.0 && node.disk.makes() {
-                    let making = Ev::Making(n, node.life, settings.cold_start);
+                    let making = SimulationEvent::Making(n, node.life, settings.cold_start);
                     return self.after(self.plan.making, making);
                 }
                 self.start_core(n, settings);
@@ -304,12 +304,12 @@
                 node.boot = self.now;
                 node.frozen = false;
                 let life = node.life;
-                let mut edge = Edge::new(settings, life);
+                let mut edge = EdgeNode::new(settings, life);
                 let mut out = Vec::new();
                 edge.start(&mut out);
                 node.edge = Some(edge);
                 self.edge_effects(n, out);
-                self.after(data_plane::TICK, Ev::EdgeTick(n, life));
+                self.after(data_plane::TICK, SimulationEvent::EdgeTick(n, life));
             }
         }
     }
@@ -365,7 +365,7 @@
                     disk.writing.push(put);
                     disk.free_at = disk.free_at.max(self.now).max(disk.stalled_until) + takes;
                     let at = disk.free_at;
-                    self.at(at, Ev::DiskDone(n, life, number));
+                    self.at(at, SimulationEvent::DiskDone(n, life, number));
                 }
             }
         }
@@ -378,13 +378,13 @@
         }
         if let Some(until) = node.disk.hangs(now) {
             let at = until + self.plan.sync;
-            return self.at(at, Ev::DiskDone(n, life, put));
+            return self.at(at, SimulationEvent::DiskDone(n, life, put));
         }
         node.disk.land(put);
         self.core_event(n, control_plane::Event::Disk(put));
     }
 
-    pub fn edge_call(&mut self, n: usize, f: impl FnOnce(&mut Edge, f64, &mut Vec<data_plane::Effect>)) {
+    pub fn edge_call(&mut self, n: usize, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<data_plane::Effect>)) {
         let node = &mut self.edges[n];
         let now = 1000.0 + (self.now - node.boot) * node.drift;
         let Some(edge) = node.edge.as_mut().filter(|_| !node.frozen) else { return };
@@ -415,7 +415,7 @@
                             if !self.links.reaches(Party::Edge(n), Party::Edge(to)) {
                                 continue;
                             }
-                            self.after(delay, Ev::Told(n, to, load.clone()));
+                            self.after(delay, SimulationEvent::Told(n, to, load.clone()));
                         }
                     }
                 }
@@ -434,7 +434,7 @@
             .edge
             .as_ref()
             .map_or(data_plane::TICK, |e| (e.next(now) - now).clamp(0.002, data_plane::TICK));
-        self.after(next, Ev::EdgeTick(n, life));
+        self.after(next, SimulationEvent::EdgeTick(n, life));
     }
 
     /// Plays until then.
@@ -445,58 +445,58 @@
             }
             self.now = self.now.max(first.key().0 as f64 / 1e6);
             match first.remove() {
-                Ev::CoreTick(n, life) => {
+                SimulationEvent::CoreTick(n, life) => {
                     if self.cores[n].life == life && self.cores[n].core.is_some() {
                         self.core_event(n, control_plane::Event::Tick);
                         self.watch_repair(n);
-                        self.after(control_plane::TICK, Ev::CoreTick(n, life));
+                        self.after(control_plane::TICK, SimulationEvent::CoreTick(n, life));
                     }
                 }
-                Ev::EdgeTick(n, life) => self.tick_edge(n, life),
-                Ev::Dial(key, life) => self.dial(key, life),
-                Ev::DialUp(key, life) => self.dial_up(key, life),
-                Ev::Pump(key, conn, forth) => self.pump(key, conn, forth),
-                Ev::LinkCheck => {
+                SimulationEvent::EdgeTick(n, life) => self.tick_edge(n, life),
+                SimulationEvent::Dial(key, life) => self.dial(key, life),
+                SimulationEvent::DialUp(key, life) => self.dial_up(key, life),
+                SimulationEvent::Pump(key, conn, forth) => self.pump(key, conn, forth),
+                SimulationEvent::LinkCheck => {
                     self.check_links();
-                    self.after(0.2, Ev::LinkCheck);
+                    self.after(0.2, SimulationEvent::LinkCheck);
                 }
-                Ev::DiskDone(n, life, put) => self.disk_done(n, life, put),
-                Ev::Beat(n) => self.beat(n),
-                Ev::CallArrives(core, call) => self.call_arrives(core, call),
-                Ev::CallBack(call, status) => self.call_back(call, status),
-                Ev::CallLate(id) => {
+                SimulationEvent::DiskDone(n, life, put) => self.disk_done(n, life, put),
+                SimulationEvent::Beat(n) => self.beat(n),
+                SimulationEvent::CallArrives(core, call) => self.call_arrives(core, call),
+                SimulationEvent::CallBack(call, status) => self.call_back(call, status),
+                SimulationEvent::CallLate(id) => {
                     if let Some(call) = self.calls.remove(&id) {
                         self.call_failed(call);
                     }
                 }
-                Ev::Depart(n) => self.depart(n),
-                Ev::Ask => self.ask(),
-                Ev::Arrive(hit) => self.arrive(hit),
-                Ev::Finish(worker, hit) => self.finish(worker, hit),
-                Ev::Ended(hit, ending, misdirected) => self.ended(hit, ending, misdirected),
-                Ev::Told(from, to, load) => {
+                SimulationEvent::Depart(n) => self.depart(n),
+                SimulationEvent::Ask => self.ask(),
+                SimulationEvent::Arrive(hit) => self.arrive(hit),
+                SimulationEvent::Finish(worker, hit) => self.finish(worker, hit),
+                SimulationEvent::Ended(hit, ending, misdirected) => self.ended(hit, ending, misdirected),
+                SimulationEvent::Told(from, to, load) => {
                     let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 2, from as u8 + 1));
                     self.edge_call(to, |edge, now, out| {
                         edge.handle(now, data_plane::Event::Told(ip, load), out)
                     });
                 }
-                Ev::Operate => self.operate(),
-                Ev::Fault(fault) => self.fault(fault),
-                Ev::Mend(fault) => self.mend(fault),
-                Ev::Boot(who) => self.boot(who),
-                Ev::Making(n, life, told) => self.making(n, life, told),
-                Ev::Watch => self.look_round(),
-                Ev::Clerk(turn) => self.turn(turn),
-                Ev::Gone(n, life) => self.gone(n, life),
-                Ev::Rejoin(cut) => self.rejoin(&cut),
-                Ev::Lists => self.lists(),
+                SimulationEvent::Operate => self.operate(),
+                SimulationEvent::Fault(fault) => self.fault(fault),
+                SimulationEvent::Mend(fault) => self.mend(fault),
+                SimulationEvent::Boot(who) => self.boot(who),
+                SimulationEvent::Making(n, life, told) => self.making(n, life, told),
+                SimulationEvent::Watch => self.look_round(),
+                SimulationEvent::Clerk(turn) => self.turn(turn),
+                SimulationEvent::Gone(n, life) => self.gone(n, life),
+                SimulationEvent::Rejoin(cut) => self.rejoin(&cut),
+                SimulationEvent::Lists => self.lists(),
             }
         }
         self.now = until;
     }
 
     /// A message counts as said to a core machine.
-    pub fn deliver(&mut self, key: LinkKey, conn: u64, forth: bool, msg: Msg) {
+    pub fn deliver(&mut self, key: LinkKey, conn: u64, forth: bool, msg: PeerMessage) {
         match (key.from, forth) {
             (_, true) => self.core_event(key.to, control_plane::Event::Inbound(conn, msg)),
             (Who::Core(n), false) => self.core_event(n, control_plane::Event::Peer(core_ip(key.to), msg)),
--- a/crates/simulation/src/misbehaving_core.rs
+++ b/crates/simulation/src/misbehaving_core.rs
@@ -2,9 +2,9 @@
 //! them: a machine that answers by what it holds itself, without a word to the others.
 
 use crate::{Call, World};
-use whinstall_gateway::configuration::state::Outcome;
-use whinstall_gateway::configuration::Order;
-use whinstall_gateway::control_plane::Command;
+use whinstall_gateway::configuration::state::ChangeOutcome;
+use whinstall_gateway::configuration::ConfigChange;
+use whinstall_gateway::control_plane::ApiCommand;
 
 /// What is wrong with the core machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,7 +19,7 @@
 
 impl World {
     /// Answers a call as the spoiled machine would; `false`: it goes on as usual.
-    pub fn spoils(&mut self, n: usize, call: &Call, command: &Command) -> bool {
+    pub fn spoils(&mut self, n: usize, call: &Call, command: &ApiCommand) -> bool {
         let Some(spoiled) = self.plan.spoiled else { return false };
         let Some(core) = self.cores[n].core.as_ref() else { return false };
         let now = 1000.0 + (self.now - self.cores[n].boot) * self.cores[n].drift;
@@ -27,12 +27,12 @@
         let led = core.raft.leads() || !hears && self.watch.held(n);
         let state = &core.keeper.state;
         let answer = match (spoiled, command) {
-            (Spoiled::LeaderReads, Command::Read) if led => Some((200, state.render())),
-            (Spoiled::FollowerReads, Command::Read) if !core.raft.leads() => Some((200, state.render())),
-            (Spoiled::LeaderRefuses, Command::Amend(items)) if led => {
-                match state.clone().apply(core.keeper.applied + 1, &Order::new(items.clone())) {
-                    Outcome::Conflict(_) => Some((409, serde_json::json!({}))),
-                    Outcome::Invalid(_) => Some((400, serde_json::json!({}))),
+            (Spoiled::LeaderReads, ApiCommand::Read) if led => Some((200, state.render())),
+            (Spoiled::FollowerReads, ApiCommand::Read) if !core.raft.leads() => Some((200, state.render())),
+            (Spoiled::LeaderRefuses, ApiCommand::Amend(items)) if led => {
+                match state.clone().apply(core.keeper.applied + 1, &ConfigChange::new(items.clone())) {
+                    ChangeOutcome::Conflict(_) => Some((409, serde_json::json!({}))),
+                    ChangeOutcome::Invalid(_) => Some((400, serde_json::json!({}))),
                     _ => None,
                 }
             }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,12 +1,12 @@
 //! The simulated network: connections to core machines with delay and order, cuts that hold bytes up, resets.
 
 use super::partitions::{Cut, Party};
-use super::{core_ip, Ev, World};
+use super::{core_ip, SimulationEvent, World};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::IpAddr;
 use whinstall_gateway::control_plane;
 use whinstall_gateway::data_plane;
-use whinstall_gateway::protocol::Msg;
+use whinstall_gateway::protocol::PeerMessage;
 
 /// A process of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -36,8 +36,8 @@
     /// Not there any more at this side (`from`), though the other may not have noticed.
     gone_here: bool,
     gone_there: bool,
-    forth: VecDeque<(f64, Msg)>,
-    back: VecDeque<(f64, Msg)>,
+    forth: VecDeque<(f64, PeerMessage)>,
+    back: VecDeque<(f64, PeerMessage)>,
     heard: (f64, f64),
 }
 
@@ -123,7 +123,7 @@
         let key = LinkKey { from, to };
         self.links.wanted.insert(key);
         let life = self.life(from);
-        self.after(0.001, Ev::Dial(key, life));
+        self.after(0.001, SimulationEvent::Dial(key, life));
     }
 
     pub fn disconnect(&mut self, from: Who, ip: IpAddr) {
@@ -141,15 +141,15 @@
         let passes = self.links.passes(key, true) && self.links.passes(key, false);
         if there && passes && !self.links.up.contains_key(&key) {
             let rtt = self.delay() + self.delay();
-            self.after(rtt, Ev::DialUp(key, life));
+            self.after(rtt, SimulationEvent::DialUp(key, life));
         } else {
-            self.after(if passes { 0.25 } else { 0.95 }, Ev::Dial(key, life));
+            self.after(if passes { 0.25 } else { 0.95 }, SimulationEvent::Dial(key, life));
         }
     }
 
     pub fn dial_up(&mut self, key: LinkKey, life: u64) {
         if self.alive(key.from) != Some(life) || self.alive(Who::Core(key.to)).is_none() {
-            return self.after(0.25, Ev::Dial(key, life));
+            return self.after(0.25, SimulationEvent::Dial(key, life));
         }
         self.links.next += 1;
         let conn = self.links.next;
@@ -180,22 +180,22 @@
         }
     }
 
-    pub fn say(&mut self, from: Who, ip: IpAddr, msg: Msg) {
+    pub fn say(&mut self, from: Who, ip: IpAddr, msg: PeerMessage) {
         let Some(to) = (0..self.cores.len()).find(|n| core_ip(*n) == ip) else { return };
         self.push(LinkKey { from, to }, true, msg);
     }
 
-    pub fn say_back(&mut self, conn: u64, msg: Msg) {
+    pub fn say_back(&mut self, conn: u64, msg: PeerMessage) {
         let key = self.links.up.iter().find(|(_, l)| l.conn == conn).map(|(k, _)| *k);
         if let Some(key) = key {
-            if let (Who::Edge(_), Msg::Totals { held: true, term, .. }) = (key.from, &msg) {
+            if let (Who::Edge(_), PeerMessage::Totals { held: true, term, .. }) = (key.from, &msg) {
                 self.counted(key.to, *term);
             }
             if let Who::Edge(_) = key.from {
                 let what = match &msg {
-                    Msg::Totals { held: true, .. } => Some("totals"),
-                    Msg::AllWorkers { .. } => Some("all workers"),
-                    Msg::Config { from: None, .. } => Some("a whole configuration"),
+                    PeerMessage::Totals { held: true, .. } => Some("totals"),
+                    PeerMessage::AllWorkers { .. } => Some("all workers"),
+                    PeerMessage::Config { from: None, .. } => Some("a whole configuration"),
                     _ => None,
                 };
                 self.handed_out(key.to, what);
@@ -204,7 +204,7 @@
         }
     }
 
-    fn push(&mut self, key: LinkKey, forth: bool, msg: Msg) {
+    fn push(&mut self, key: LinkKey, forth: bool, msg: PeerMessage) {
         self.piece_sent(key, &msg);
         // Through the real encoding, so that what can't be read shows here.
         let mut bytes = bytes::BytesMut::from(&whinstall_gateway::protocol::encode(&msg)[..]);
@@ -215,7 +215,7 @@
         let queue = if forth { &mut link.forth } else { &mut link.back };
         let at = queue.back().map_or(at, |(last, _)| at.max(*last));
         queue.push_back((at, msg));
-        self.at(at, Ev::Pump(key, conn, forth));
+        self.at(at, SimulationEvent::Pump(key, conn, forth));
     }
 
     pub fn pump(&mut self, key: LinkKey, conn: u64, forth: bool) {
@@ -231,7 +231,7 @@
         }
         if !passes || frozen {
             // Held up, in order.
-            return self.after(0.05, Ev::Pump(key, conn, forth));
+            return self.after(0.05, SimulationEvent::Pump(key, conn, forth));
         }
         let queue = if forth { &mut link.forth } else { &mut link.back };
         let Some((_, msg)) = queue.pop_front() else { return };
@@ -251,7 +251,7 @@
         if !link.gone_here {
             self.tell(key, false);
             let life = self.life(key.from);
-            self.after(0.25, Ev::Dial(key, life));
+            self.after(0.25, SimulationEvent::Dial(key, life));
         }
     }
 
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -2,9 +2,9 @@
 //! sent again long after, invalid ones, reads all the while. They know what comes back on their sockets and no more.
 
 use super::partitions::Party;
-use super::{Call, Caller, Ev, World};
+use super::{Call, Caller, SimulationEvent, World};
 use crate::history::{Held, Read};
-use whinstall_gateway::configuration::{read_call, Item};
+use whinstall_gateway::configuration::{read_call, ConfigItem};
 
 /// How much operators do.
 #[derive(Clone, Debug)]
@@ -77,7 +77,7 @@
     pub version: u64,
     /// Differs from that of all other orders.
     pub content: u64,
-    pub items: Vec<Item>,
+    pub items: Vec<ConfigItem>,
     pub began: f64,
     /// When a 200 first left a core machine.
     pub taken: Option<f64>,
@@ -133,7 +133,7 @@
         "revision": format!("r{version}")})
 }
 
-fn items(sort: Sort, labels: &[usize], version: u64, content: u64, key: u64, note: usize) -> Vec<Item> {
+fn items(sort: Sort, labels: &[usize], version: u64, content: u64, key: u64, note: usize) -> Vec<ConfigItem> {
     let body = match sort {
         Sort::Proper => {
             let prefix = |l: &usize| format!("/{l}/{content}/");
@@ -182,10 +182,10 @@
         for clerk in 0..crew.clerks {
             for _ in 0..crew.at_once {
                 let late = 0.2 * self.rng.f64();
-                self.at(crew.from + late, Ev::Clerk(Turn::Next(clerk)));
+                self.at(crew.from + late, SimulationEvent::Clerk(Turn::Next(clerk)));
             }
             if crew.reads > 0.0 {
-                self.at(crew.from, Ev::Clerk(Turn::Read(clerk)));
+                self.at(crew.from, SimulationEvent::Clerk(Turn::Read(clerk)));
             }
         }
     }
@@ -193,7 +193,7 @@
     pub fn turn(&mut self, turn: Turn) {
         match turn {
             // Services that orders name must stand.
-            Turn::Next(_) if !self.audit.begun() => self.after(0.2, Ev::Clerk(turn)),
+            Turn::Next(_) if !self.audit.begun() => self.after(0.2, SimulationEvent::Clerk(turn)),
             Turn::Next(clerk) => self.issue(clerk),
             Turn::Again(order) => {
                 let (clerk, core) = (self.desk.orders[order].clerk, self.rng.usize(0..64));
@@ -346,7 +346,7 @@
             o.confirmed.get_or_insert(self.now);
             if first && self.rng.f64() < self.plan.crew.again {
                 let late = 8.0 * self.rng.f64() * self.rng.f64();
-                self.after(late, Ev::Clerk(Turn::Again(order)));
+                self.after(late, SimulationEvent::Clerk(Turn::Again(order)));
             }
         }
         self.freed(again, order);
@@ -356,7 +356,7 @@
         if !again {
             let wait = self.plan.crew.pause * self.rng.f64();
             let clerk = self.desk.orders[order].clerk;
-            self.after(wait, Ev::Clerk(Turn::Next(clerk)));
+            self.after(wait, SimulationEvent::Clerk(Turn::Next(clerk)));
         }
     }
 
@@ -410,7 +410,7 @@
             true => self.desk.read_at_end = true,
             false if self.plan.crew.reads > 0.0 => {
                 let wait = self.plan.crew.reads * (0.5 + self.rng.f64());
-                self.after(wait, Ev::Clerk(Turn::Read(clerk)));
+                self.after(wait, SimulationEvent::Clerk(Turn::Read(clerk)));
             }
             false => {}
         }
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -4,7 +4,7 @@
 use super::faults::{Disk, Fault};
 use super::network::Who;
 use super::partitions::{Cut, Party, Way};
-use super::{core_ip, CoreNode, Ev, World};
+use super::{core_ip, SimulatedCore, SimulationEvent, World};
 use std::net::SocketAddr;
 use whinstall_gateway::control_plane;
 
@@ -185,9 +185,9 @@
 
 impl World {
     /// Something of a snapshot goes to a disk.
-    pub fn snapshot_written(&mut self, n: usize, put: &whinstall_gateway::storage::Put) {
+    pub fn snapshot_written(&mut self, n: usize, put: &whinstall_gateway::storage::WriteBatch) {
         let cut =
-            put.writes.iter().any(|w| matches!(w, whinstall_gateway::consensus::Write::Snapshot { .. }));
+            put.writes.iter().any(|w| matches!(w, whinstall_gateway::consensus::LogWrite::Snapshot { .. }));
         let moment = match (&put.part, cut) {
             (Some(_), _) => Moment::Ahead,
             (None, true) => Moment::Cut,
@@ -197,8 +197,12 @@
     }
 
     /// Something is said on a connection: a piece of a snapshot?
-    pub fn piece_sent(&mut self, key: super::network::LinkKey, msg: &whinstall_gateway::protocol::Msg) {
-        let whinstall_gateway::protocol::Msg::Raft {
+    pub fn piece_sent(
+        &mut self,
+        key: super::network::LinkKey,
+        msg: &whinstall_gateway::protocol::PeerMessage,
+    ) {
+        let whinstall_gateway::protocol::PeerMessage::Raft {
             message: whinstall_gateway::consensus::Message::Piece { data, .. },
             ..
         } = msg
@@ -230,11 +234,11 @@
             }
             _ => super::faults::Fault::KillCore { core, down, power: true, wipe: false },
         };
-        self.after(late, Ev::Fault(lost));
+        self.after(late, SimulationEvent::Fault(lost));
         if then {
             let next = self.pick(core + 1);
             let wiped = super::faults::Fault::KillCore { core: next, down: 0.5, power: true, wipe: true };
-            self.after(late + down + 0.2 + self.plan.resync, Ev::Fault(wiped));
+            self.after(late + down + 0.2 + self.plan.resync, SimulationEvent::Fault(wiped));
         }
     }
 
@@ -271,7 +275,7 @@
     fn list_changed(&mut self) {
         let (now, listed) = (self.now, self.listed());
         self.watch.lists.push((now, listed));
-        self.after(self.plan.seed_delay, Ev::Lists);
+        self.after(self.plan.seed_delay, SimulationEvent::Lists);
     }
 
     /// The files of all machines are written anew, by the operator's list as it is; read at their next start.
@@ -286,7 +290,7 @@
         let seeds = self.three(n);
         let drift = 1.0 + 2e-4 * (self.rng.f64() - 0.5);
         let (core, life, disk, boot, backlog) = (None, 0, Disk::default(), self.now, Vec::new());
-        let node = CoreNode {
+        let node = SimulatedCore {
             core,
             life,
             disk,
@@ -300,9 +304,9 @@
         };
         self.cores.push(node);
         self.watch.joining.insert(n, self.now);
-        self.after(0.0, Ev::Boot(Who::Core(n)));
+        self.after(0.0, SimulationEvent::Boot(Who::Core(n)));
         self.lost_for(0.0, self.plan.resync);
-        self.after(0.3, Ev::Lists);
+        self.after(0.3, SimulationEvent::Lists);
         self.list_changed();
     }
 
@@ -312,7 +316,7 @@
         self.cores[n].listed = false;
         self.watch.left.insert(n, self.now);
         let (life, late) = (self.cores[n].life, 0.3 + 0.6 * self.rng.f64());
-        self.after(late, Ev::Gone(n, life));
+        self.after(late, SimulationEvent::Gone(n, life));
         self.lost_for(late, self.plan.resync);
         self.list_changed();
     }
@@ -347,7 +351,7 @@
         }
         self.links.cuts.push(cut.clone());
         self.lost_for(secs, 3.0);
-        self.after(secs, Ev::Rejoin(cut));
+        self.after(secs, SimulationEvent::Rejoin(cut));
     }
 
     pub fn rejoin(&mut self, cut: &Cut) {
@@ -403,7 +407,10 @@
                 let others = listed.into_iter().filter(|n| *n != core).take(more);
                 for core in std::iter::once(core).chain(others) {
                     let late = 0.004 * self.rng.f64();
-                    self.after(late, Ev::Fault(Fault::KillCore { core, down, power: true, wipe }));
+                    self.after(
+                        late,
+                        SimulationEvent::Fault(Fault::KillCore { core, down, power: true, wipe }),
+                    );
                 }
                 return;
             }
@@ -412,7 +419,7 @@
         let wipe = vec![if self.rng.bool() { core } else { other }];
         let late = 0.003 * self.rng.f64();
         let dark = Severe::Blackout { down, wipe, edges };
-        self.after(late, Ev::Fault(Fault::Severe(dark)));
+        self.after(late, SimulationEvent::Fault(Fault::Severe(dark)));
     }
 
     pub fn severe(&mut self, severe: Severe) {
@@ -437,22 +444,22 @@
                 self.cores[core].disk.crash(power, wipe, &mut self.rng);
                 self.cores[core].seeds = seeds;
                 self.lost_for(down, self.plan.resync);
-                self.after(down, Ev::Boot(Who::Core(core)));
+                self.after(down, SimulationEvent::Boot(Who::Core(core)));
             }
             Severe::RestartEdge { edge, down, seeds } => {
                 self.kill(Who::Edge(edge), false);
                 self.edges[edge].seeds = seeds;
                 self.trouble(edge, down + 3.0);
-                self.after(down, Ev::Boot(Who::Edge(edge)));
+                self.after(down, SimulationEvent::Boot(Who::Edge(edge)));
             }
             Severe::Replace { core, later } => {
                 self.end_core(core);
-                self.after(later, Ev::Fault(Fault::Severe(Severe::Add)));
+                self.after(later, SimulationEvent::Fault(Fault::Severe(Severe::Add)));
             }
             Severe::ReplaceHolder { later } => {
                 let holder = self.watch.holder().filter(|n| self.cores[*n].listed).unwrap_or(self.pick(0));
                 self.end_core(holder);
-                self.after(later, Ev::Fault(Fault::Severe(Severe::Add)));
+                self.after(later, SimulationEvent::Fault(Fault::Severe(Severe::Add)));
             }
             Severe::Add => self.add_core(),
             Severe::Remove { core } => self.end_core(core),
@@ -470,7 +477,7 @@
                 self.lost_for(each, 3.0);
                 if secs > each {
                     let later = Severe::SlowDisk { core, each, secs: secs - 1.5 * each };
-                    self.after(1.5 * each, Ev::Fault(Fault::Severe(later)));
+                    self.after(1.5 * each, SimulationEvent::Fault(Fault::Severe(later)));
                 }
             }
             Severe::AtSnapshot(at) => self.watch.at_snapshot.push(at),
@@ -482,9 +489,9 @@
                 }
                 self.core_event(core, control_plane::Event::Ending);
                 let (life, late) = (self.cores[core].life, 0.1 + 0.8 * self.rng.f64());
-                self.after(late, Ev::Gone(core, life));
+                self.after(late, SimulationEvent::Gone(core, life));
                 self.lost_for(late + down, 4.0);
-                self.after(late + down, Ev::Boot(Who::Core(core)));
+                self.after(late + down, SimulationEvent::Boot(Who::Core(core)));
             }
             Severe::Succeed { core, later } => {
                 self.kill(Who::Core(core), true);
@@ -493,7 +500,7 @@
                 self.watch.left.insert(core, self.now);
                 self.lost_for(later, 4.0);
                 self.rewrite_lists();
-                self.after(later, Ev::Fault(Fault::Severe(Severe::Add)));
+                self.after(later, SimulationEvent::Fault(Fault::Severe(Severe::Add)));
             }
             Severe::Reread { who, seeds } => who.into_iter().for_each(|who| self.reread(who, &seeds)),
             Severe::AcksLost { part, secs } => self.deaf = (self.now + secs, part),
@@ -507,7 +514,10 @@
             Severe::Drag { core, secs } => {
                 self.fault(Fault::Freeze { who: Who::Core(core), secs: 0.16 });
                 if secs > 0.2 {
-                    self.after(0.2, Ev::Fault(Fault::Severe(Severe::Drag { core, secs: secs - 0.2 })));
+                    self.after(
+                        0.2,
+                        SimulationEvent::Fault(Fault::Severe(Severe::Drag { core, secs: secs - 0.2 })),
+                    );
                 }
             }
             Severe::DiskFull { core, secs } => {
@@ -523,12 +533,12 @@
                     self.kill(Who::Core(n), true);
                     self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
                     let late = 0.2 * self.rng.f64();
-                    self.after(down + late, Ev::Boot(Who::Core(n)));
+                    self.after(down + late, SimulationEvent::Boot(Who::Core(n)));
                 }
                 for n in (0..self.edges.len()).filter(|_| edges) {
                     self.kill(Who::Edge(n), true);
                     self.trouble(n, down + 4.0);
-                    self.after(down, Ev::Boot(Who::Edge(n)));
+                    self.after(down, SimulationEvent::Boot(Who::Edge(n)));
                 }
                 self.lost_for(down + 0.2, self.plan.resync);
             }
--- a/crates/simulation/src/trials.rs
+++ b/crates/simulation/src/trials.rs
@@ -4,7 +4,7 @@
 use super::operators::Crew;
 use super::partitions::{Cut, Way};
 use super::severe_faults::Severe;
-use super::{Ev, Plan, World};
+use super::{Plan, SimulationEvent, World};
 
 /// Troubles and when they come.
 pub type Days = Vec<(f64, Fault)>;
@@ -42,7 +42,7 @@
 pub fn play(seed: u64, plan: Plan, days: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
     for (at, fault) in days {
-        world.at(*at, Ev::Fault(fault.clone()));
+        world.at(*at, SimulationEvent::Fault(fault.clone()));
     }
     let length = world.plan.length;
     world.play(length - 4.0);
--- a/crates/simulation/tests/scenarios/basic.rs
+++ b/crates/simulation/tests/scenarios/basic.rs
@@ -3,12 +3,12 @@
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
 use whinstall_simulation::network::Who;
-use whinstall_simulation::{Ev, Plan, World};
+use whinstall_simulation::{Plan, SimulationEvent, World};
 
 pub(super) fn played(seed: u64, plan: Plan, faults: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
     for (at, fault) in faults {
-        world.at(*at, Ev::Fault(fault.clone()));
+        world.at(*at, SimulationEvent::Fault(fault.clone()));
     }
     let length = world.plan.length;
     world.play(length - 3.0);
--- a/crates/simulation/tests/scenarios/repair.rs
+++ b/crates/simulation/tests/scenarios/repair.rs
@@ -4,7 +4,7 @@
 use whinstall_simulation::faults::Fault;
 use whinstall_simulation::severe_faults::Severe;
 use whinstall_simulation::trials::{control, play, severe, trial, wiped, Days};
-use whinstall_simulation::{Ev, Plan, World};
+use whinstall_simulation::{Plan, SimulationEvent, World};
 
 /// As the settings have it: seconds.
 const RESYNC: f64 = 4.0;
@@ -157,7 +157,7 @@
         // A sync takes longer than the check's ticks are apart.
         let mut world = World::new(seed, Plan { sync: 0.12, ..plan(3, 1) });
         for (at, fault) in started_on_a_full_disk(core) {
-            world.at(at, Ev::Fault(fault));
+            world.at(at, SimulationEvent::Fault(fault));
         }
         world.play(6.0 + FULL);
         expect_that!(world.audit.broken, is_empty(), "seed {seed}: time runs while the disk is full");
--- a/crates/simulation/tests/scenarios/start.rs
+++ b/crates/simulation/tests/scenarios/start.rs
@@ -4,7 +4,7 @@
 use whinstall_simulation::faults::Fault;
 use whinstall_simulation::severe_faults::Severe;
 use whinstall_simulation::trials::{control, severe, trial, Days};
-use whinstall_simulation::{Ev, Plan, World};
+use whinstall_simulation::{Plan, SimulationEvent, World};
 
 fn plan(cores: usize) -> Plan {
     let losses = (cores - 1) / 2;
@@ -89,7 +89,7 @@
         let workers = if seed % 2 == 0 { 0 } else { 4 };
         let mut world = World::new(seed, Plan { workers, ..plan(1 + seed as usize % 5) });
         for worker in (0..3 * workers).step_by(3) {
-            world.at(0.05, Ev::Fault(Fault::CrashWorker { worker, dark: false }));
+            world.at(0.05, SimulationEvent::Fault(Fault::CrashWorker { worker, dark: false }));
         }
         world.play(20.0);
         for (n, node) in world.edges.iter().enumerate() {
--- a/crates/simulation/tests/scenarios/status.rs
+++ b/crates/simulation/tests/scenarios/status.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use whinstall_simulation::faults::Fault;
 use whinstall_simulation::trials::control;
-use whinstall_simulation::{Ev, World};
+use whinstall_simulation::{SimulationEvent, World};
 
 /// What a core machine tells, if it runs.
 fn status(world: &World, n: usize) -> Option<Value> {
@@ -61,7 +61,7 @@
     let leader = leading(&world).expect("a leader");
     let lost = (0..3).find(|n| format!("core-{n}") != leader["me"]["node_name"]).expect("a follower");
     let fault = Fault::KillCore { core: lost, down: 100.0, power: false, wipe: false };
-    world.at(8.0, Ev::Fault(fault));
+    world.at(8.0, SimulationEvent::Fault(fault));
     world.play(13.0);
     let told = leading(&world).expect("a leader");
     let address = format!("10.0.1.{}", lost + 1);
@@ -83,7 +83,7 @@
     world.play(8.0);
     let leader = leading(&world).expect("a leader");
     let lost = (0..3).find(|n| format!("core-{n}") != leader["me"]["node_name"]).expect("a follower");
-    world.at(8.0, Ev::Fault(Fault::KillCore { core: lost, down: 2.0, power: true, wipe: true }));
+    world.at(8.0, SimulationEvent::Fault(Fault::KillCore { core: lost, down: 2.0, power: true, wipe: true }));
     let address = format!("10.0.1.{}", lost + 1);
     let mut states: Vec<(String, String)> = Vec::new();
     while world.now < 16.0 {
