--- a/toolroom/src/export_tests.rs
+++ b/toolroom/src/export_tests.rs
@@ -11,15 +11,15 @@
 use std::path::Path;
 
 /// A core of one machine, on a real disk, by a clock of its own.
-struct One {
-    core: Core,
+pub(crate) struct One {
+    pub(crate) core: Core,
     store: Store,
     now: f64,
     replies: Vec<(u16, Value)>,
 }
 
 impl One {
-    fn start(data: &Path) -> Self {
+    pub(crate) fn start(data: &Path) -> Self {
         let mut settings = Settings::read(include_str!("sim/settings.toml")).expect("settings");
         settings.ip = [10, 0, 1, 1].into();
         (settings.seeds, settings.cold_start) = (vec![(settings.ip, 80).into()], true);
@@ -64,7 +64,7 @@
     }
 
     /// The answer to a call; cuts of the log come with ticks.
-    fn call(&mut self, command: Command) -> (u16, Value) {
+    pub(crate) fn call(&mut self, command: Command) -> (u16, Value) {
         self.replies.clear();
         self.event(Event::Call(1, command));
         self.now += TICK;
@@ -72,7 +72,7 @@
         self.replies.pop().unwrap_or((0, Value::Null))
     }
 
-    fn amend(&mut self, body: &Value) -> u16 {
+    pub(crate) fn amend(&mut self, body: &Value) -> u16 {
         self.call(Command::Amend(read_call(body.to_string().as_bytes()).expect("a call"))).0
     }
 }
--- a/toolroom/src/main.rs
+++ b/toolroom/src/main.rs
@@ -43,7 +43,11 @@
 mod store;
 #[cfg(test)]
 mod store_tests;
+#[cfg(test)]
+mod stored_data_tests;
 mod wire;
+#[cfg(test)]
+mod wire_fixture_tests;
 
 use settings::{Settings, SettingsError};
 use signals::{Signal, Signals};
--- a/toolroom/src/sim/actors.rs
+++ b/toolroom/src/sim/actors.rs
@@ -126,6 +126,7 @@
 
     pub fn replied(&mut self, core: usize, call: u64, status: u16, body: &serde_json::Value) {
         let Some(id) = self.pending.remove(&(core, call)) else { return };
+        self.digest.reply(self.now, core, status);
         let Some(call) = self.calls.get(&id).cloned() else { return };
         if self.by_operator(&call) {
             self.operator_answered(core, status);
--- a/toolroom/src/sim/audit.rs
+++ b/toolroom/src/sim/audit.rs
@@ -141,6 +141,20 @@
         }
     }
 
+    /// Requests by the status of their answer; 0: none.
+    pub fn statuses(&self) -> BTreeMap<u16, u64> {
+        let mut all = BTreeMap::new();
+        for asked in &self.asked {
+            *all.entry(asked.answer.unwrap_or(0)).or_default() += 1;
+        }
+        all
+    }
+
+    /// Orders that were acknowledged to the first operator, as items; runs of requests at workers.
+    pub fn counts(&self) -> (usize, u64) {
+        (self.acked.len(), self.asked.iter().map(|a| u64::from(a.runs)).sum())
+    }
+
     pub fn answered(&mut self, now: f64, request: u64, answer: &Answer, ran_all_the_while: bool) {
         let asked = &mut self.asked[request as usize];
         let status = match answer {
--- /dev/null
+++ b/toolroom/src/sim/digest_tests.rs
@@ -0,0 +1,70 @@
+//! Known digests of a few simulated days, for changes that must not change behaviour: renames, moves of code. A change
+//! of behaviour that is meant changes them; its commit then says why, and has the new ones.
+
+use super::faults::Fault;
+use super::stories::{drawn, played};
+use super::trials::{self, control, cut, wiped};
+use super::{stories_snapshot, Plan, World};
+use crate::sim::parties::Way;
+use googletest::prelude::*;
+
+/// One line of numbers, without names of the program.
+fn told(world: &World) -> String {
+    let d = &world.digest;
+    let (acknowledged, runs) = world.audit.counts();
+    let orders = world.desk.orders.iter().filter(|o| o.confirmed.is_some()).count();
+    // By core machine that runs: the term, the entry that is committed, the entry that changed the configuration last.
+    let cores = world.cores.iter().filter_map(|c| c.core.as_ref());
+    let logs: Vec<_> = cores.map(|c| (c.raft.term(), c.raft.commit(), c.keeper.state.index())).collect();
+    format!(
+        "events {} messages {} bytes {} replies {:?} requests {:?} runs {runs} acknowledged {acknowledged} \
+         orders {orders} reads {} logs {logs:?} time {} hash {:016x}",
+        d.events,
+        d.messages,
+        d.bytes,
+        d.replies,
+        world.audit.statuses(),
+        world.desk.reads.len(),
+        world.now,
+        d.hash,
+    )
+}
+
+#[gtest]
+fn simulated_days_have_known_digests() {
+    let cut_off = [
+        (6.0, Fault::CutCore { core: 0, secs: 5.0, one_way: false }),
+        (12.0, Fault::StallDisk { core: 1, secs: 3.0 }),
+        (15.5, Fault::KillCore { core: 2, down: 1.5, power: true, wipe: true }),
+    ];
+    let two_lost = [
+        (7.0, Fault::KillCore { core: 4, down: 2.0, power: true, wipe: true }),
+        (14.0, Fault::PowerOffAll { down: 1.0, wipe: vec![1, 3] }),
+    ];
+    let far = Plan { cores: 4, delay: 0.008, jitter: 0.004, length: 30.0, ..Plan::default() };
+    let faults = drawn(&mut fastrand::Rng::with_seed(2000), &far);
+    let (bulky, days) = stories_snapshot::sent(14_700, &mut fastrand::Rng::with_seed(14_700));
+    let side = [cut(8.0, &[0], Way::Both, 6.0), wiped(20.0, 1, 0.5)];
+    let worlds = [
+        ("calm", played(0, Plan { lost_answers: 0.0, quota: 40.0, ..Plan::default() }, &[])),
+        ("tenfold", played(10, Plan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })])),
+        ("cut off, hung, wiped", played(120, Plan::default(), &cut_off)),
+        ("two of five disks", played(110, Plan { cores: 5, losses: 2, ..Plan::default() }, &two_lost)),
+        ("drawn, far apart", played(2000, far, &faults)),
+        ("operators", trials::play(7, control(3, 1), &side)),
+        ("snapshot sent", trials::play(14_700, bulky, &days)),
+    ];
+    let found: String = worlds.iter().map(|(name, world)| format!("{name}: {}\n", told(world))).collect();
+    let known = include_str!("digests.txt");
+    for (found, known) in found.lines().zip(known.lines().chain(std::iter::repeat(""))) {
+        expect_that!(
+            found,
+            eq(known),
+            "the simulated day differs from the one that is known (sim/digests.txt)"
+        );
+    }
+    expect_that!(found.lines().count(), eq(known.lines().count()));
+    for (name, world) in &worlds {
+        expect_that!(world.audit.broken, is_empty(), "{name}");
+    }
+}
--- a/toolroom/src/sim/mod.rs
+++ b/toolroom/src/sim/mod.rs
@@ -6,6 +6,8 @@
 mod audit;
 mod clerks;
 mod counter_stories;
+mod digest;
+mod digest_tests;
 mod faults;
 mod history;
 mod history_tests;
@@ -36,6 +38,7 @@
 use actors::{Operator, Wk};
 use audit::Audit;
 use clerks::{Desk, Turn};
+use digest::Digest;
 use faults::{Disk, Fault};
 use net::{LinkKey, Links, Who};
 use parties::{Cut, Party};
@@ -169,6 +172,7 @@
     pub desk: Desk,
     pub watch: Watch,
     pub repairs: Repairs,
+    pub digest: Digest,
 }
 
 pub fn core_ip(n: usize) -> IpAddr {
@@ -231,6 +235,7 @@
             desk: Desk::default(),
             watch: Watch::default(),
             repairs: Repairs::default(),
+            digest: Digest::default(),
             plan,
             rng,
         };
@@ -453,6 +458,7 @@
                 break;
             }
             self.now = self.now.max(first.key().0 as f64 / 1e6);
+            self.digest.event(first.key().0);
             match first.remove() {
                 Ev::CoreTick(n, life) => {
                     if self.cores[n].life == life && self.cores[n].core.is_some() {
--- a/toolroom/src/sim/net.rs
+++ b/toolroom/src/sim/net.rs
@@ -201,6 +201,7 @@
         self.piece_sent(key, &msg);
         // Through the real encoding, so that what can't be read shows here.
         let mut bytes = bytes::BytesMut::from(&crate::wire::encode(&msg)[..]);
+        self.digest.message(self.now, bytes.len());
         let msg = crate::wire::decode(&mut bytes).expect("readable").expect("whole");
         let at = self.now + self.delay();
         let Some(link) = self.links.up.get_mut(&key) else { return };
--- a/toolroom/src/sim/stories.rs
+++ b/toolroom/src/sim/stories.rs
@@ -139,7 +139,7 @@
 }
 
 /// Draws troubles within what may be lost at once.
-fn drawn(rng: &mut fastrand::Rng, plan: &Plan) -> Vec<(f64, Fault)> {
+pub(super) fn drawn(rng: &mut fastrand::Rng, plan: &Plan) -> Vec<(f64, Fault)> {
     let mut faults = Vec::new();
     let mut at = 5.0 + rng.f64();
     while at < plan.length - 9.0 {
--- a/toolroom/src/sim/stories_snapshot.rs
+++ b/toolroom/src/sim/stories_snapshot.rs
@@ -42,7 +42,7 @@
 }
 
 /// A machine lost its disk; while its snapshot is on the way the sender, the receiver or all lose power, then again.
-fn sent(seed: u64, rng: &mut fastrand::Rng) -> (Plan, Days) {
+pub(super) fn sent(seed: u64, rng: &mut fastrand::Rng) -> (Plan, Days) {
     let struck = [Struck::Owner, Struck::Receiver, Struck::All][seed as usize % 3];
     let core = rng.usize(0..3);
     let lost = |rng: &mut fastrand::Rng, then| at(Moment::Sent, 1 + rng.usize(0..5), struck, 0.8, then);
