--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -3,6 +3,8 @@
 pub mod export;
 #[cfg(test)]
 mod export_tests;
+#[cfg(test)]
+mod stored_data_tests;
 
 use crate::configuration;
 use crate::runtime::{self, Role};
--- a/crates/gateway/src/protocol/mod.rs
+++ b/crates/gateway/src/protocol/mod.rs
@@ -2,6 +2,8 @@
 //! ahead. It must never decide anything.
 
 pub mod share_ceilings;
+#[cfg(test)]
+mod wire_fixture_tests;
 
 use crate::configuration::{ConfigChange, ConfigItem};
 use crate::consensus::{Index, Message, NodeId};
--- /dev/null
+++ b/crates/gateway/src/protocol/wire_fixture_tests.rs
@@ -0,0 +1,290 @@
+//! Guards what processes say to each other: every message in the bytes of the build before the renames
+//! (tests/fixtures/messages.txt, one a line: what it is, its bytes in hexadecimal digits). Processes of two builds work
+//! together while a core is replaced machine by machine, so names and the order of fields on the wire must stay.
+
+use crate::configuration::{ConfigItem, ItemFields, ItemKind};
+use crate::consensus::{Entry, EntryPayload, Message, NodeId};
+use crate::control_plane::LogCommand;
+use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::{
+    decode, encode, LoadReport, NodeLocation, OperatorRequest, OperatorResponse, PeerMessage, TenantGrant,
+    TenantUsage,
+};
+use bytes::BytesMut;
+use googletest::prelude::*;
+use serde_json::json;
+use std::collections::BTreeSet;
+use std::net::IpAddr;
+use std::sync::Arc;
+
+const KNOWN: &str = include_str!("../../tests/fixtures/messages.txt");
+
+fn v4() -> IpAddr {
+    [10, 0, 1, 1].into()
+}
+
+fn v6() -> IpAddr {
+    [0xfd00, 0, 0, 0, 0, 0, 1, 2].into()
+}
+
+fn id(ip: IpAddr, disk: u64) -> NodeId {
+    NodeId { ip, disk }
+}
+
+fn member(ip: IpAddr) -> NodeLocation {
+    NodeLocation { ip, zone: "zone-a".into(), region: "region-r".into() }
+}
+
+fn worker(name: &str, phase: WorkerPhase) -> Worker {
+    let (id, service, zone) = (name.into(), "s1".into(), "zone-a".into());
+    let address = (if phase == WorkerPhase::Gone { v6() } else { v4() }, 8080).into();
+    Worker { id, service, address, zone, capacity: 300, phase, warmup_ms: 70_000, calls: u64::MAX }
+}
+
+fn workers() -> Vec<Worker> {
+    vec![
+        worker("w-settled", WorkerPhase::Settled),
+        worker("w-decaying", WorkerPhase::Decaying),
+        worker("w-silent", WorkerPhase::Silent),
+        worker("w-gone", WorkerPhase::Gone),
+    ]
+}
+
+fn items() -> Vec<ConfigItem> {
+    let item = |kind, label: &str, version, body: serde_json::Value| ConfigItem {
+        kind,
+        label: label.into(),
+        version,
+        body: body.as_object().map(ItemFields::from),
+    };
+    vec![
+        item(ItemKind::Route, "r1", 1, json!({ "label": "r1", "service_ref": "s1", "revision": "r1" })),
+        item(
+            ItemKind::Tenant,
+            "t1",
+            200,
+            json!({ "label": "t1", "credentials": ["k1"], "rate_per_s": 10.5, "revision": "r200" }),
+        ),
+        item(ItemKind::Service, "s1", u64::MAX, json!(null)),
+        item(ItemKind::Saturation, "", 70_000, json!({ "body_max_bytes": 1000, "idle_cutoff": null })),
+    ]
+}
+
+fn entries() -> Vec<Entry<LogCommand>> {
+    let gates = vec![("edge-1".into(), u64::MAX, vec![("t1".into(), 2.5), ("t2".into(), 0.0)])];
+    let whole = ShareCeilings { term: 3, number: 9, gates: gates.clone(), whole: true, ended: vec![] };
+    let part = ShareCeilings { term: 3, number: 10, gates, whole: false, ended: vec!["edge-2".into()] };
+    let bodies = [
+        EntryPayload::TermStart,
+        EntryPayload::Members([id(v4(), 0), id(v6(), u64::MAX)].into()),
+        EntryPayload::Command(LogCommand::Configure(Arc::new(items()))),
+        EntryPayload::Command(LogCommand::Shares(Arc::new(whole))),
+        EntryPayload::Command(LogCommand::Shares(Arc::new(part))),
+    ];
+    bodies.into_iter().zip(300..).map(|(body, index)| Entry { term: 3, index, body }).collect()
+}
+
+fn raft(message: Message<LogCommand>) -> PeerMessage {
+    PeerMessage::Raft { from: id(v4(), 0), to: id(v6(), 0x1122_3344_5566_7788), message }
+}
+
+/// At least one of each variant, with each optional part both there and not.
+fn messages() -> Vec<PeerMessage> {
+    let term = 70_000;
+    let append =
+        |entries, sure| Message::Append { term, prev: (299, 2), entries, commit: 298, sure, round: 17 };
+    let forward = |wish| PeerMessage::Forward { ask: 5, wish };
+    let forwarded = |answer| PeerMessage::Forwarded { ask: 5, answer };
+    let charge = TenantUsage { tenant: "t1".into(), charged: -5, asks: 3.5, share: 9.25, left: 12, waits: 2 };
+    let total = TenantGrant { tenant: "t1".into(), total: 60.5, until: 4010, share: 9.25, empty_ms: 1500 };
+    let gates = |whole| PeerMessage::Gates {
+        whole,
+        here: vec![("zone-a".into(), vec![v4(), v6()]), ("zone-b".into(), vec![])],
+        gone: vec![v4()],
+    };
+    let pong = |holder, settled| PeerMessage::Pong { holder, gates: 6, core: 3, settled };
+    vec![
+        PeerMessage::Hello { node: "core-1".into(), life: u64::MAX, me: member(v4()), core: true },
+        PeerMessage::Hello { node: "edge-1".into(), life: 1, me: member(v6()), core: false },
+        gates(true),
+        gates(false),
+        PeerMessage::Members(vec![member(v4()), member(v6())]),
+        PeerMessage::Ping { config: 300, workers: u64::MAX, heard: 90_000 },
+        pong(Some(v4()), true),
+        pong(None, false),
+        PeerMessage::Config { from: None, index: 302, items: items() },
+        PeerMessage::Config { from: Some(300), index: 302, items: vec![] },
+        PeerMessage::Workers(workers()),
+        PeerMessage::AllWorkers { workers: workers(), settled: true },
+        PeerMessage::AllWorkers { workers: vec![], settled: false },
+        PeerMessage::Alive(vec![("w-settled".into(), 40), ("w-decaying".into(), u64::MAX)]),
+        PeerMessage::Hold { ask: 4, workers: workers() },
+        PeerMessage::Held { ask: 4 },
+        raft(Message::Vote { term, last: (3, 304), pre: true, transfer: false }),
+        raft(Message::Vote { term, last: (3, 304), pre: false, transfer: true }),
+        raft(Message::VoteReply { term, pre: true, granted: false }),
+        raft(append(entries(), Some(123_456))),
+        raft(append(vec![], None)),
+        raft(Message::AppendReply { term, round: 17, index: 304, matches: true, stamp: 123_456 }),
+        raft(Message::Piece {
+            term,
+            round: 18,
+            index: 299,
+            last: 2,
+            members: [id(v4(), 0), id(v6(), u64::MAX)].into(),
+            offset: 131_072,
+            total: 131_077,
+            data: vec![1, 2, 3, 254, 255].into(),
+        }),
+        raft(Message::PieceReply { term, round: 18, index: 299, offset: 131_077 }),
+        raft(Message::TimeoutNow { term }),
+        PeerMessage::Leave { id: id(v4(), 0) },
+        PeerMessage::Join { id: id(v6(), u64::MAX), passed: true },
+        forward(OperatorRequest::Amend(Arc::new(items()))),
+        forward(OperatorRequest::Read),
+        forward(OperatorRequest::Refuse("why".into())),
+        forwarded(OperatorResponse::Taken),
+        forwarded(OperatorResponse::Refused(409, "why".into())),
+        forwarded(OperatorResponse::Unclear("why".into())),
+        forwarded(OperatorResponse::Read(304)),
+        PeerMessage::Sync { ask: 9000, term, charges: vec![charge] },
+        PeerMessage::Totals { ask: 9000, term, held: true, totals: vec![total] },
+        PeerMessage::Totals { ask: 9001, term, held: false, totals: vec![] },
+    ]
+}
+
+/// The variants by their names on the wire. No arm for the rest: a new variant must get its line in the file, too.
+fn variants(msg: &PeerMessage) -> Vec<&'static str> {
+    vec![match msg {
+        PeerMessage::Hello { .. } => "Hello",
+        PeerMessage::Gates { .. } => "Gates",
+        PeerMessage::Members(_) => "Members",
+        PeerMessage::Ping { .. } => "Ping",
+        PeerMessage::Pong { .. } => "Pong",
+        PeerMessage::Config { .. } => "Config",
+        PeerMessage::Workers(_) => "Workers",
+        PeerMessage::AllWorkers { .. } => "AllWorkers",
+        PeerMessage::Alive(_) => "Alive",
+        PeerMessage::Hold { .. } => "Hold",
+        PeerMessage::Held { .. } => "Held",
+        PeerMessage::Raft { message, .. } => return vec!["Raft", raft_variant(message)],
+        PeerMessage::Leave { .. } => "Leave",
+        PeerMessage::Join { .. } => "Join",
+        PeerMessage::Forward { wish, .. } => {
+            let wish = match wish {
+                OperatorRequest::Amend(_) => "Amend",
+                OperatorRequest::Read => "Read",
+                OperatorRequest::Refuse(_) => "Refuse",
+            };
+            return vec!["Forward", wish];
+        }
+        PeerMessage::Forwarded { answer, .. } => {
+            let answer = match answer {
+                OperatorResponse::Taken => "Taken",
+                OperatorResponse::Refused(..) => "Refused",
+                OperatorResponse::Unclear(_) => "Unclear",
+                OperatorResponse::Read(_) => "Read",
+            };
+            return vec!["Forwarded", answer];
+        }
+        PeerMessage::Sync { .. } => "Sync",
+        PeerMessage::Totals { .. } => "Totals",
+    }]
+}
+
+fn raft_variant(message: &Message<LogCommand>) -> &'static str {
+    match message {
+        Message::Vote { .. } => "Vote",
+        Message::VoteReply { .. } => "VoteReply",
+        Message::Append { entries, .. } => {
+            // As above, for what entries say.
+            for entry in entries {
+                match &entry.body {
+                    EntryPayload::TermStart | EntryPayload::Members(_) => {}
+                    EntryPayload::Command(LogCommand::Configure(_) | LogCommand::Shares(_)) => {}
+                }
+            }
+            "Append"
+        }
+        Message::AppendReply { .. } => "AppendReply",
+        Message::Piece { .. } => "Piece",
+        Message::PieceReply { .. } => "PieceReply",
+        Message::TimeoutNow { .. } => "TimeoutNow",
+    }
+}
+
+fn load() -> LoadReport {
+    LoadReport { life: u64::MAX, number: 9000, out: vec![(0xdead_beef, 2), (7, 65_535)] }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digit = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    (0..text.len()).step_by(2).map(digit).collect()
+}
+
+/// What the file holds: name and bytes of each line.
+fn known() -> Vec<(&'static str, &'static str)> {
+    KNOWN.lines().map(|line| line.split_once(' ').expect("a name and bytes")).collect()
+}
+
+/// Not a check, and not one that is left out: this made tests/fixtures/messages.txt, by the program of commit 884c06e,
+/// before its types were renamed. It writes nothing unless MESSAGES_TO names a file. A line for a new variant is added;
+/// lines that are there stay.
+#[test]
+#[ignore = "makes the fixture, checks nothing: run by hand with MESSAGES_TO"]
+fn write_the_messages() {
+    let Some(to) = std::env::var_os("MESSAGES_TO") else { return };
+    let line = |name: String, bytes: Vec<u8>| format!("{name} {}\n", hex(&bytes));
+    let mut text: String = messages().iter().map(|m| line(variants(m).join("."), encode(m))).collect();
+    text += &line("Load".into(), rmp_serde::to_vec(&load()).expect("encoded"));
+    std::fs::write(to, text).expect("written");
+}
+
+#[gtest]
+fn messages_have_the_bytes_of_earlier_builds() {
+    let (messages, known) = (messages(), known());
+    assert_that!(known.len(), eq(messages.len() + 1), "lines of tests/fixtures/messages.txt");
+    for (msg, (name, bytes)) in messages.iter().zip(&known) {
+        expect_that!(variants(msg).join("."), eq(*name), "another message than the file has here: {msg:?}");
+        expect_that!(
+            hex(&encode(msg)),
+            eq(*bytes),
+            "{name} is encoded to other bytes than earlier builds read: names of variants and the order of fields must \
+             stay on the wire (#[serde(rename = ...)]): {msg:?}"
+        );
+        let mut read = BytesMut::from(&unhex(bytes)[..]);
+        match decode(&mut read) {
+            Ok(Some(told)) => {
+                expect_that!(told, eq(msg), "the bytes of earlier builds say something else now: {name}")
+            }
+            other => {
+                expect_that!(matches!(other, Ok(Some(_))), eq(true), "{name} of earlier builds: {other:?}")
+            }
+        }
+        expect_that!(read.is_empty(), eq(true), "{name}: bytes are left over");
+    }
+}
+
+/// The datagram between gatekeepers.
+#[gtest]
+fn what_is_out_has_the_bytes_of_earlier_builds() {
+    let (name, bytes) = known().pop().expect("lines");
+    expect_that!(name, eq("Load"));
+    expect_that!(hex(&rmp_serde::to_vec(&load()).expect("encoded")), eq(bytes), "the datagram's bytes");
+    let told = rmp_serde::from_slice::<LoadReport>(&unhex(bytes));
+    expect_that!(told.ok(), some(eq(&load())), "the datagram of earlier builds");
+}
+
+#[gtest]
+fn every_variant_has_its_line() {
+    let names: BTreeSet<&str> = known().iter().map(|l| l.0).collect();
+    let all = "Hello Gates Members Ping Pong Config Workers AllWorkers Alive Hold Held Raft.Vote Raft.VoteReply \
+        Raft.Append Raft.AppendReply Raft.Piece Raft.PieceReply Raft.TimeoutNow Leave Join Forward.Amend Forward.Read \
+        Forward.Refuse Forwarded.Taken Forwarded.Refused Forwarded.Unclear Forwarded.Read Sync Totals Load";
+    expect_that!(names, eq(&all.split_whitespace().collect()));
+}
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -3,6 +3,7 @@
 //! told by its seed.
 
 pub mod auditor;
+pub mod digest;
 pub mod external_actors;
 pub mod faults;
 pub mod history;
@@ -17,6 +18,7 @@
 pub mod trials;
 
 use auditor::Audit;
+use digest::Digest;
 use external_actors::{Operator, Wk};
 use faults::{Disk, Fault};
 use invariants::Watch;
@@ -157,6 +159,7 @@
     pub desk: Desk,
     pub watch: Watch,
     pub repairs: Repairs,
+    pub digest: Digest,
 }
 
 pub fn core_ip(n: usize) -> IpAddr {
@@ -219,6 +222,7 @@
             desk: Desk::default(),
             watch: Watch::default(),
             repairs: Repairs::default(),
+            digest: Digest::default(),
             plan,
             rng,
         };
@@ -444,6 +448,7 @@
                 break;
             }
             self.now = self.now.max(first.key().0 as f64 / 1e6);
+            self.digest.event(first.key().0);
             match first.remove() {
                 SimulationEvent::CoreTick(n, life) => {
                     if self.cores[n].life == life && self.cores[n].core.is_some() {
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -208,6 +208,7 @@
         self.piece_sent(key, &msg);
         // Through the real encoding, so that what can't be read shows here.
         let mut bytes = bytes::BytesMut::from(&whinstall_gateway::protocol::encode(&msg)[..]);
+        self.digest.message(self.now, bytes.len());
         let msg = whinstall_gateway::protocol::decode(&mut bytes).expect("readable").expect("whole");
         let at = self.now + self.delay();
         let Some(link) = self.links.up.get_mut(&key) else { return };
--- a/crates/simulation/tests/scenarios/main.rs
+++ b/crates/simulation/tests/scenarios/main.rs
@@ -3,6 +3,7 @@
 mod basic;
 mod bounds;
 mod cut;
+mod digest_tests;
 mod history_tests;
 mod long;
 mod quota_counter;
