--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -108,7 +108,7 @@
         if !self.counts {
             return;
         }
-        if matches!(msg, PeerMessage::Totals { held: true, .. }) {
+        if matches!(msg, PeerMessage::QuotaGrants { is_leader: true, .. }) {
             let now = self.run.clock.now();
             let mut report = self.run.report.borrow_mut();
             report.uncounted_s = report.uncounted_s.max(now - self.counted_at.replace(now));
--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -4,7 +4,8 @@
 
 use crate::configuration::{ConfigItem, ConfigState, ItemKind, ItemSet};
 use crate::consensus::EntryPayload;
-use crate::control_plane::{snapshot_state, LogCommand};
+use crate::control_plane::snapshot_state;
+use crate::protocol::LogCommand;
 use crate::storage::{ReplicaStore, StorageError, DATABASE_FILE, LEGACY_DATABASE_FILE, WAL_FILE};
 use rusqlite::Connection;
 use serde_json::{json, Map, Value};
--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -6,9 +6,10 @@
 use crate::cli::export::export;
 use crate::configuration::{ConfigItem, ItemFields, ItemKind};
 use crate::consensus::{Entry, EntryPayload, LogWrite, NodeId};
-use crate::control_plane::{snapshot_state, ApiCommand, LogCommand};
-use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::control_plane::{snapshot_state, ApiCommand};
+use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::LogCommand;
 use crate::storage::bootstrap_marker;
 use crate::storage::tests::Folder;
 use crate::storage::{LoadedState, ReplicaStore, WriteBatch, DATABASE_FILE, LEGACY_DATABASE_FILE, WAL_FILE};
@@ -58,7 +59,7 @@
         capacity: 4,
         phase,
         warmup_ms: 250,
-        calls,
+        call_count: calls,
     }
 }
 
@@ -68,19 +69,19 @@
         ("edge-1".into(), 11, vec![("t1".into(), 2.5), ("t2".into(), 0.75)]),
         ("edge-2".into(), 22, vec![("t1".into(), 5.0)]),
     ];
-    ShareCeilings { term: 1, number: 3, gates, whole: true, ended: vec![] }
+    ShareCeilings { term: 1, number: 3, edges: gates, whole: true, ended: vec![] }
 }
 
 /// What changed since.
 fn changed_shares() -> ShareCeilings {
     let gates = vec![("edge-1".into(), 11, vec![("t1".into(), 3.5), ("t2".into(), 0.0)])];
-    ShareCeilings { term: 1, number: 4, gates, whole: false, ended: vec!["edge-2".into()] }
+    ShareCeilings { term: 1, number: 4, edges: gates, whole: false, ended: vec!["edge-2".into()] }
 }
 
 /// Both together, as the next holder of the counter took them over.
 fn kept_shares() -> ShareCeilings {
     let gates = vec![("edge-1".into(), 11, vec![("t1".into(), 3.5)])];
-    ShareCeilings { term: 2, number: 1, gates, whole: true, ended: vec![] }
+    ShareCeilings { term: 2, number: 1, edges: gates, whole: true, ended: vec![] }
 }
 
 fn shares(shares: ShareCeilings) -> EntryPayload<LogCommand> {
@@ -149,9 +150,9 @@
 
 fn worked(one: &mut One) {
     for worker in [
-        worker("w-settled", "s1", 1, WorkerPhase::Settled, 7),
-        worker("w-decaying", "s2", 2, WorkerPhase::Decaying, 9),
-        worker("w-left", "s2", 3, WorkerPhase::Settled, 1),
+        worker("w-settled", "s1", 1, WorkerPhase::Serving, 7),
+        worker("w-decaying", "s2", 2, WorkerPhase::Draining, 9),
+        worker("w-left", "s2", 3, WorkerPhase::Serving, 1),
     ] {
         assert_eq!(one.call(ApiCommand::Beat(worker)).0, 200);
     }
@@ -235,8 +236,8 @@
 
 fn workers_held() -> Vec<Worker> {
     vec![
-        worker("w-decaying", "s2", 2, WorkerPhase::Decaying, 9),
-        worker("w-settled", "s1", 1, WorkerPhase::Settled, 7),
+        worker("w-decaying", "s2", 2, WorkerPhase::Draining, 9),
+        worker("w-settled", "s1", 1, WorkerPhase::Serving, 7),
     ]
 }
 
@@ -271,7 +272,7 @@
     expect_that!(bodies[0], eq(&EntryPayload::Members([me()].into())));
     expect_that!(bodies[1], eq(&EntryPayload::TermStart));
     // The first of a holder of the counter: nobody has a share.
-    let none = ShareCeilings { term: 1, number: 1, gates: vec![], whole: true, ended: vec![] };
+    let none = ShareCeilings { term: 1, number: 1, edges: vec![], whole: true, ended: vec![] };
     expect_that!(bodies[2], eq(&shares(none)));
     let named = |item: &ConfigItem| (item.kind, item.label.clone(), item.version);
     match &bodies[3] {
--- a/crates/gateway/src/control_plane/calls_tests.rs
+++ b/crates/gateway/src/control_plane/calls_tests.rs
@@ -67,7 +67,7 @@
     let touch = |core: &mut CoreNode, from: f64, to: f64| {
         let mut now = from;
         while now < to {
-            let ping = crate::protocol::PeerMessage::Ping { config: 0, workers: 0, heard: 0 };
+            let ping = crate::protocol::PeerMessage::Ping { config_index: 0, workers_digest: 0, received: 0 };
             let mut out = Vec::new();
             core.handle(now, Event::Peer(ip(2), ping), &mut out);
             pass(core, now, now + 0.3, out);
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -2,12 +2,12 @@
 //! judged once, at its place in the log, the same at each member. It must never answer what is not committed, nor
 //! refuse or read before most of the core was in touch in the present term.
 
-use super::{error_body, CallId, ConnectionId, CoreContext, Effect, LogCommand};
+use super::{error_body, CallId, ConnectionId, CoreContext, Effect};
 use crate::configuration::state::ChangeOutcome;
 use crate::configuration::{ConfigChange, ConfigItem, ConfigState};
 use crate::consensus::{Index, NodeId, Raft, Term};
 use crate::control_plane::event_journal::JournalEvent;
-use crate::protocol::{OperatorRequest, OperatorResponse, PeerMessage};
+use crate::protocol::{LogCommand, OperatorRequest, OperatorResponse, PeerMessage};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -81,7 +81,7 @@
         };
         let ask = shared.number();
         self.passed.insert(ask, (call, now + CALL_WITHIN));
-        out.push(Effect::Send(ip, PeerMessage::Forward { ask, wish }));
+        out.push(Effect::Send(ip, PeerMessage::ForwardRequest { request_id: ask, request: wish }));
     }
 
     /// Another core machine passes a call on.
@@ -114,12 +114,12 @@
             OperatorRequest::Read => raft.read(ms).map(|read| {
                 self.reads.insert(read, (waiter, None, until));
             }),
-            OperatorRequest::Refuse(why) => raft.read(ms).map(|read| {
+            OperatorRequest::Reject(why) => raft.read(ms).map(|read| {
                 self.reads.insert(read, (waiter, Some(why), until));
             }),
         };
         if place.is_none() {
-            self.answer(waiter, OperatorResponse::Unclear("no leader here".into()), shared, out);
+            self.answer(waiter, OperatorResponse::Undetermined("no leader here".into()), shared, out);
         }
     }
 
@@ -145,14 +145,17 @@
     ) {
         let call = match waiter {
             Waiter::Remote(conn, ask) => {
-                return out.push(Effect::Return(conn, PeerMessage::Forwarded { ask, answer }))
+                return out.push(Effect::Return(
+                    conn,
+                    PeerMessage::ForwardResponse { request_id: ask, response: answer },
+                ))
             }
             Waiter::Own(call) => call,
         };
         let (status, body) = match answer {
-            OperatorResponse::Taken => (200, json!({})),
-            OperatorResponse::Refused(status, why) => (status, error_body(why)),
-            OperatorResponse::Unclear(why) => (503, error_body(why)),
+            OperatorResponse::Accepted => (200, json!({})),
+            OperatorResponse::Rejected(status, why) => (status, error_body(why)),
+            OperatorResponse::Undetermined(why) => (503, error_body(why)),
             OperatorResponse::Read(index) if self.applied >= index => (200, self.state.render()),
             OperatorResponse::Read(index) => {
                 // The leader was ahead of this machine: once this has caught up.
@@ -174,20 +177,22 @@
         let outcome = self.state.apply(index, order);
         self.applied = index;
         let (answer, changed) = match outcome {
-            ChangeOutcome::Taken(items) => (OperatorResponse::Taken, items),
-            ChangeOutcome::Known => (OperatorResponse::Taken, Vec::new()),
-            ChangeOutcome::Conflict(error) => (OperatorResponse::Refused(409, error.to_string()), Vec::new()),
-            ChangeOutcome::Invalid(error) => (OperatorResponse::Refused(400, error.to_string()), Vec::new()),
+            ChangeOutcome::Taken(items) => (OperatorResponse::Accepted, items),
+            ChangeOutcome::Known => (OperatorResponse::Accepted, Vec::new()),
+            ChangeOutcome::Conflict(error) => {
+                (OperatorResponse::Rejected(409, error.to_string()), Vec::new())
+            }
+            ChangeOutcome::Invalid(error) => (OperatorResponse::Rejected(400, error.to_string()), Vec::new()),
             ChangeOutcome::Forgotten => {
-                (OperatorResponse::Unclear("too old to tell what was taken".into()), Vec::new())
+                (OperatorResponse::Undetermined("too old to tell what was taken".into()), Vec::new())
             }
         };
         match &answer {
-            OperatorResponse::Refused(status, error) => {
+            OperatorResponse::Rejected(status, error) => {
                 tracing::warn!(index, status, error, "refused a configuration");
                 shared.journal.append(shared.now, JournalEvent::Refused(error.clone()));
             }
-            OperatorResponse::Taken => {
+            OperatorResponse::Accepted => {
                 let versions = changed.iter().map(|i| format!("{}=r{}", i.label, i.version));
                 let items = versions.collect::<Vec<_>>().join(" ");
                 tracing::info!(index, items, "takes a configuration");
@@ -201,10 +206,10 @@
             match answer {
                 // Another leader's entry stands where this call was to be: what became of it is not known here.
                 _ if placed.term != term => {
-                    let unclear = OperatorResponse::Unclear("the lead changed".into());
+                    let unclear = OperatorResponse::Undetermined("the lead changed".into());
                     self.answer(placed.waiter, unclear, shared, out);
                 }
-                OperatorResponse::Taken => {
+                OperatorResponse::Accepted => {
                     self.copying.push(Copying { index, waiter: placed.waiter, until: placed.until });
                     self.copied(raft, shared, out);
                 }
@@ -223,7 +228,7 @@
                 if shared.may_hold_all(ips.iter()) {
                     tracing::info!(index = waiting.index, copies = ips.len(), "acknowledges a configuration");
                     shared.journal.append(shared.now, JournalEvent::Acknowledged(ips.len()));
-                    self.answer(waiting.waiter, OperatorResponse::Taken, shared, out);
+                    self.answer(waiting.waiter, OperatorResponse::Accepted, shared, out);
                 } else {
                     self.copying.push(waiting);
                 }
@@ -245,7 +250,7 @@
             Some(why) => {
                 tracing::warn!(why, "refused a call that can't be read");
                 shared.journal.append(shared.now, JournalEvent::Refused(why.clone()));
-                OperatorResponse::Refused(400, why)
+                OperatorResponse::Rejected(400, why)
             }
             None => OperatorResponse::Read(self.applied),
         };
@@ -265,7 +270,7 @@
             shared.journal.append(now, JournalEvent::Unanswered(step));
             self.answer(
                 waiter,
-                OperatorResponse::Unclear(format!("waited too long for {step}")),
+                OperatorResponse::Undetermined(format!("waited too long for {step}")),
                 shared,
                 out,
             );
--- a/crates/gateway/src/control_plane/edge_directory.rs
+++ b/crates/gateway/src/control_plane/edge_directory.rs
@@ -75,7 +75,7 @@
     pub fn lacked(&self, known: Option<u64>) -> PeerMessage {
         let Some(changed) = known.and_then(|number| self.changes.since(number)) else {
             let all = self.gates.values().map(|(_, m)| m);
-            return PeerMessage::Gates { whole: true, here: by_zone(all), gone: Vec::new() };
+            return PeerMessage::EdgeNodes { is_full: true, present: by_zone(all), removed: Vec::new() };
         };
         let places: BTreeMap<IpAddr, &NodeLocation> = self.gates.values().map(|(_, m)| (m.ip, m)).collect();
         let (mut here, mut gone) = (Vec::new(), Vec::new());
@@ -85,7 +85,7 @@
                 None => gone.push(*ip),
             }
         }
-        PeerMessage::Gates { whole: false, here: by_zone(here.into_iter()), gone }
+        PeerMessage::EdgeNodes { is_full: false, present: by_zone(here.into_iter()), removed: gone }
     }
 }
 
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -7,7 +7,7 @@
 use super::{ConnectionId, CoreNode, Effect, TICK};
 use crate::configuration::ConfigItem;
 use crate::consensus::Index;
-use crate::discovery::registry::Worker;
+use crate::discovery::Worker;
 use crate::protocol::{NodeLocation, PeerMessage};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -87,7 +87,7 @@
     ) {
         let member = core.then_some(me.ip);
         self.tell_members(out);
-        out.push(Effect::Return(conn, PeerMessage::Members(self.shared.told())));
+        out.push(Effect::Return(conn, PeerMessage::CoreNodes(self.shared.told())));
         if core {
             self.meet(vec![me], out);
         } else {
@@ -140,7 +140,10 @@
         let settled = leave.whole && self.roster.settled(now);
         let Some(caller) = self.callers.get_mut(&conn) else { return };
         if caller.member.is_some() {
-            out.push(Effect::Return(conn, PeerMessage::Ping { config: mine.0, workers: mine.1, heard: 0 }));
+            out.push(Effect::Return(
+                conn,
+                PeerMessage::Ping { config_index: mine.0, workers_digest: mine.1, received: 0 },
+            ));
             return;
         }
         caller.link.hears(heard);
@@ -163,7 +166,7 @@
             tracing::info!(gate = caller.node, "tells all workers to a gatekeeper that differs");
             caller.whole = (now, (2.0 * every).min(WHOLE_LAST));
             let workers = self.roster.registry.all().cloned().collect();
-            out.push(Effect::Return(conn, PeerMessage::AllWorkers { workers, settled }));
+            out.push(Effect::Return(conn, PeerMessage::WorkerSnapshot { workers, complete: settled }));
         }
         self.serve(conn, &leave, out);
         let young = now - self.shared.started < COUNT_AFTER;
@@ -175,7 +178,15 @@
         };
         let core = self.shared.voters.len() as u32;
         let settled = settled && self.callers.get(&conn).is_some_and(|c| c.workers == Some(last));
-        out.push(Effect::Return(conn, PeerMessage::Pong { holder, gates, core, settled }));
+        out.push(Effect::Return(
+            conn,
+            PeerMessage::Pong {
+                quota_leader: holder,
+                edge_count: gates,
+                core_count: core,
+                workers_complete: settled,
+            },
+        ));
     }
 
     /// What a gatekeeper lacks, as far as its connection takes it.
@@ -194,7 +205,7 @@
             // Those that can't be told any more are told by the whole list.
             let news = self.roster.since(known);
             caller.workers = news.is_some().then_some(last);
-            out.extend(news.map(|workers| Effect::Return(conn, PeerMessage::Workers(workers))));
+            out.extend(news.map(|workers| Effect::Return(conn, PeerMessage::WorkerUpdates(workers))));
         }
         let lacks = !caller.told || caller.workers.is_none();
         let most = self.shared.settings.memory as usize / MEMORY_PART;
@@ -206,13 +217,13 @@
         let state = &self.keeper.state;
         if !std::mem::replace(&mut caller.told, true) && !state.is_empty() {
             let items: Vec<ConfigItem> = state.standing().map(|i| (**i).clone()).collect();
-            whole.push(PeerMessage::Config { from: None, index: state.index(), items });
+            whole.push(PeerMessage::ConfigUpdate { previous: None, index: state.index(), items });
         }
         if caller.workers.is_none() {
             caller.workers = Some(last);
             // Who lives and is not among them may be known elsewhere: none is taken away by this.
             let workers = self.roster.registry.all().cloned().collect();
-            whole.push(PeerMessage::AllWorkers { workers, settled: false });
+            whole.push(PeerMessage::WorkerSnapshot { workers, complete: false });
         }
         let bytes: usize = whole.iter().map(weight).sum();
         self.pace.wholes -= bytes as f64;
@@ -234,7 +245,7 @@
             let news = lacked.entry(known).or_insert_with(|| self.roster.since(known));
             caller.workers = news.is_some().then_some(last);
             out.extend(
-                news.iter().map(|workers| Effect::Return(*conn, PeerMessage::Workers(workers.clone()))),
+                news.iter().map(|workers| Effect::Return(*conn, PeerMessage::WorkerUpdates(workers.clone()))),
             );
         }
     }
@@ -248,7 +259,7 @@
         out: &mut Vec<Effect>,
     ) {
         let most = self.leave(self.shared.now).most;
-        let msg = PeerMessage::Config { from: Some(before), index, items };
+        let msg = PeerMessage::ConfigUpdate { previous: Some(before), index, items };
         for (conn, caller) in self.callers.iter_mut().filter(|(_, c)| c.member.is_none() && c.told) {
             caller.told = caller.link.has_room(most);
             if caller.told {
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -2,7 +2,7 @@
 
 use super::super::{ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
 use crate::data_plane::{self, EdgeNode};
-use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::{encode, NodeLocation, PeerMessage};
 use crate::settings::Settings;
 use crate::storage::LoadedState;
@@ -17,13 +17,13 @@
 
 fn hello(node: &str, at: IpAddr, core: bool) -> PeerMessage {
     let me = NodeLocation { ip: at, zone: "a".into(), region: "r".into() };
-    PeerMessage::Hello { node: node.into(), life: 1, me, core }
+    PeerMessage::Hello { node: node.into(), incarnation: 1, location: me, is_core: core }
 }
 
 /// Core machines that the gatekeeper on connection 1 is told of by these.
 fn told(out: &[Effect]) -> Vec<IpAddr> {
     let of = |effect: &Effect| match effect {
-        Effect::Return(1, PeerMessage::Members(members)) => members.iter().map(|m| m.ip).collect(),
+        Effect::Return(1, PeerMessage::CoreNodes(members)) => members.iter().map(|m| m.ip).collect(),
         _ => Vec::new(),
     };
     out.iter().flat_map(of).collect()
@@ -47,7 +47,7 @@
     }
     out.clear();
     for n in [1, 2] {
-        core.handle(1000.2, Event::Peer(ip(n), PeerMessage::Held { ask: 0 }), &mut out);
+        core.handle(1000.2, Event::Peer(ip(n), PeerMessage::WorkersReplicated { request_id: 0 }), &mut out);
     }
     let ticks = |from: f64| (1..=10).map(move |n| from + f64::from(n) * TICK);
     for now in ticks(1000.2) {
@@ -88,11 +88,11 @@
 
 fn kind(msg: &PeerMessage) -> &'static str {
     match msg {
-        PeerMessage::Config { from: None, .. } => "configuration",
-        PeerMessage::Config { .. } => "change",
-        PeerMessage::Workers(_) => "news",
-        PeerMessage::AllWorkers { .. } => "workers",
-        PeerMessage::Gates { .. } => "gatekeepers",
+        PeerMessage::ConfigUpdate { previous: None, .. } => "configuration",
+        PeerMessage::ConfigUpdate { .. } => "change",
+        PeerMessage::WorkerUpdates(_) => "news",
+        PeerMessage::WorkerSnapshot { .. } => "workers",
+        PeerMessage::EdgeNodes { .. } => "gatekeepers",
         _ => "other",
     }
 }
@@ -104,9 +104,9 @@
         address: ([10, 9, (n >> 8) as u8, n as u8], 80).into(),
         zone: "a".into(),
         capacity: 1,
-        phase: WorkerPhase::Settled,
+        phase: WorkerPhase::Serving,
         warmup_ms: 0,
-        calls,
+        call_count: calls,
     }
 }
 
@@ -224,7 +224,7 @@
 
     fn agree(&self) -> bool {
         let of = |e: &EdgeNode| match e.ping(ip(1)) {
-            PeerMessage::Ping { config, workers, .. } => (config, workers),
+            PeerMessage::Ping { config_index: config, workers_digest: workers, .. } => (config, workers),
             _ => (0, 0),
         };
         let mine = (self.core.keeper.state.index(), self.core.roster.registry.digest());
@@ -331,7 +331,7 @@
     cell.said.clear();
     // Another core machine's news reaches the gatekeepers ahead of this one each time.
     for round in 0..200 {
-        let news = PeerMessage::Workers(vec![worker(300 + round, 1)]);
+        let news = PeerMessage::WorkerUpdates(vec![worker(300 + round, 1)]);
         for n in 0..5 {
             cell.tell(n, data_plane::Event::Core(ip(2), news.clone()));
         }
@@ -343,7 +343,7 @@
     expect_that!(cell.agree(), eq(true));
     expect_that!(cell.said("workers"), eq(0));
     // One that holds a worker which nobody knows is told all, once.
-    cell.tell(0, data_plane::Event::Core(ip(2), PeerMessage::Workers(vec![worker(9999, 1)])));
+    cell.tell(0, data_plane::Event::Core(ip(2), PeerMessage::WorkerUpdates(vec![worker(9999, 1)])));
     cell.play(5.0);
     expect_that!(cell.agree(), eq(true));
     expect_that!(cell.said("workers"), all![gt(0), lt(100 * 600)]);
--- a/crates/gateway/src/control_plane/event_journal.rs
+++ b/crates/gateway/src/control_plane/event_journal.rs
@@ -3,7 +3,7 @@
 //! for whoever asks what this process did. It must never decide anything, nor grow without bound.
 
 use crate::configuration::ConfigItem;
-use crate::discovery::registry::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
+use crate::discovery::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
@@ -42,7 +42,7 @@
                 json!({ "item": i.label, "list": i.kind.list(), "revision": format!("r{}", i.version), "dropped": i.body.is_none() })
             }
             JournalEvent::Worker(w) => {
-                json!({ "worker": &*w.id, "service_ref": &*w.service, "phase": phase(w.phase), "call_count": w.calls })
+                json!({ "worker": &*w.id, "service_ref": &*w.service, "phase": phase(w.phase), "call_count": w.call_count })
             }
             JournalEvent::Refused(why) => json!({ "refused": why }),
             JournalEvent::Acknowledged(copies) => json!({ "acknowledged": true, "copies": copies }),
@@ -58,10 +58,10 @@
 
 fn phase(phase: WorkerPhase) -> &'static str {
     match phase {
-        WorkerPhase::Settled => "settled",
-        WorkerPhase::Decaying => "decaying",
-        WorkerPhase::Silent => "silent",
-        WorkerPhase::Gone => "gone",
+        WorkerPhase::Serving => "settled",
+        WorkerPhase::Draining => "decaying",
+        WorkerPhase::Unresponsive => "silent",
+        WorkerPhase::Departed => "gone",
     }
 }
 
--- a/crates/gateway/src/control_plane/event_journal_tests.rs
+++ b/crates/gateway/src/control_plane/event_journal_tests.rs
@@ -1,7 +1,7 @@
 //! What the journal keeps, and what it leaves out.
 
 use crate::control_plane::event_journal::{EventJournal, JournalEvent, MAX_EVENTS};
-use crate::discovery::registry::{Worker, WorkerPhase, WorkerRegistry};
+use crate::discovery::{Worker, WorkerPhase, WorkerRegistry};
 use googletest::prelude::*;
 use serde_json::json;
 
@@ -12,9 +12,9 @@
         address: ([10, 0, 0, 1], port).into(),
         zone: "a".into(),
         capacity: 1,
-        phase: WorkerPhase::Settled,
+        phase: WorkerPhase::Serving,
         warmup_ms: 0,
-        calls,
+        call_count: calls,
     }
 }
 
--- a/crates/gateway/src/control_plane/in_flight_window.rs
+++ b/crates/gateway/src/control_plane/in_flight_window.rs
@@ -18,9 +18,11 @@
 /// About how many bytes a message takes, where it can be large.
 pub fn weight(msg: &PeerMessage) -> usize {
     match msg {
-        PeerMessage::Config { items, .. } => 200 * items.len(),
-        PeerMessage::Workers(workers) | PeerMessage::AllWorkers { workers, .. } => 100 * workers.len(),
-        PeerMessage::Gates { here, gone, .. } => {
+        PeerMessage::ConfigUpdate { items, .. } => 200 * items.len(),
+        PeerMessage::WorkerUpdates(workers) | PeerMessage::WorkerSnapshot { workers, .. } => {
+            100 * workers.len()
+        }
+        PeerMessage::EdgeNodes { present: here, removed: gone, .. } => {
             12 * (here.iter().map(|z| z.1.len()).sum::<usize>() + gone.len())
         }
         _ => 0,
@@ -29,7 +31,7 @@
 
 /// Is this a whole state?
 fn is_whole(msg: &PeerMessage) -> bool {
-    matches!(msg, PeerMessage::Config { from: None, .. } | PeerMessage::AllWorkers { .. })
+    matches!(msg, PeerMessage::ConfigUpdate { previous: None, .. } | PeerMessage::WorkerSnapshot { .. })
 }
 
 impl InFlightWindow {
@@ -40,7 +42,7 @@
         if bytes > 0 || whole {
             self.under_way.push_back((self.said, bytes, whole));
         }
-        if matches!(msg, PeerMessage::Workers(_) | PeerMessage::AllWorkers { .. }) {
+        if matches!(msg, PeerMessage::WorkerUpdates(_) | PeerMessage::WorkerSnapshot { .. }) {
             self.workers = self.said;
         }
     }
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -23,9 +23,9 @@
 use crate::consensus::{NodeId, Raft};
 use crate::control_plane::event_journal::JournalEvent;
 use crate::control_plane::quota_counter::TenantLimit;
-use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::share_ceilings::ShareCeilings;
-use crate::protocol::{NodeLocation, OperatorRequest, PeerMessage};
+use crate::protocol::{LogCommand, NodeLocation, OperatorRequest, PeerMessage};
 use crate::settings::Settings;
 use crate::storage::{LoadedState, WriteBatch};
 use configuration_service::ConfigurationService;
@@ -33,7 +33,6 @@
 use edge_directory::EdgeDirectory;
 use edge_sessions::{PeerSession, TransferPacing};
 use quota_lease::QuotaLease;
-pub use replicated_log::LogCommand;
 use replicated_log::LogDriver;
 use serde_json::{json, Value};
 use status::MemberStates;
@@ -249,15 +248,15 @@
         self.connected.insert(ip);
         let hello = PeerMessage::Hello {
             node: self.shared.settings.node.clone(),
-            life: self.shared.life(),
-            me: self.shared.me.clone(),
-            core: true,
+            incarnation: self.shared.life(),
+            location: self.shared.me.clone(),
+            is_core: true,
         };
         out.push(Effect::Send(ip, hello));
-        out.push(Effect::Send(ip, PeerMessage::Members(self.shared.told())));
+        out.push(Effect::Send(ip, PeerMessage::CoreNodes(self.shared.told())));
         let workers: Vec<Worker> = self.roster.registry.all().cloned().collect();
         if !workers.is_empty() {
-            out.push(Effect::Send(ip, PeerMessage::AllWorkers { workers, settled: false }));
+            out.push(Effect::Send(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
     }
 
@@ -283,7 +282,7 @@
         let all = self.shared.told();
         if all != self.told {
             for conn in self.callers.keys() {
-                out.push(Effect::Return(*conn, PeerMessage::Members(all.clone())));
+                out.push(Effect::Return(*conn, PeerMessage::CoreNodes(all.clone())));
             }
             self.told = all;
         }
@@ -293,10 +292,14 @@
     fn peer(&mut self, now: f64, ip: IpAddr, msg: PeerMessage, out: &mut Vec<Effect>) {
         self.shared.heard.insert(ip, now);
         match msg {
-            PeerMessage::Members(members) => self.meet(members, out),
-            PeerMessage::Held { ask } => self.roster.held(ip, ask, &self.shared, out),
-            PeerMessage::Ping { workers, .. } => self.digest(now, ip, workers, out),
-            PeerMessage::Forwarded { ask, answer } => self.keeper.told(ask, answer, &mut self.shared, out),
+            PeerMessage::CoreNodes(members) => self.meet(members, out),
+            PeerMessage::WorkersReplicated { request_id: ask } => {
+                self.roster.held(ip, ask, &self.shared, out)
+            }
+            PeerMessage::Ping { workers_digest: workers, .. } => self.digest(now, ip, workers, out),
+            PeerMessage::ForwardResponse { request_id: ask, response: answer } => {
+                self.keeper.told(ask, answer, &mut self.shared, out)
+            }
             _ => {}
         }
     }
@@ -305,12 +308,12 @@
     fn digest(&mut self, now: f64, ip: IpAddr, workers: u64, out: &mut Vec<Effect>) {
         if self.roster.differs(now, ip, workers) {
             let workers = self.roster.registry.all().cloned().collect();
-            out.push(Effect::Send(ip, PeerMessage::AllWorkers { workers, settled: false }));
+            out.push(Effect::Send(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
     }
 
     fn inbound(&mut self, now: f64, conn: ConnectionId, msg: PeerMessage, out: &mut Vec<Effect>) {
-        if let PeerMessage::Hello { node, life, me, core } = msg {
+        if let PeerMessage::Hello { node, incarnation: life, location: me, is_core: core } = msg {
             return self.hello(now, conn, (node, life, core), me, out);
         }
         let Some(caller) = self.callers.get(&conn).cloned() else { return };
@@ -318,40 +321,43 @@
             self.gates.heard(now, &caller.node);
         }
         match msg {
-            PeerMessage::Members(members) => self.meet(members, out),
-            PeerMessage::Raft { from, to, message } => self.log_says(now, (from, to), message, out),
-            PeerMessage::Join { id, passed } => self.wants_to_join(now, id, passed, out),
+            PeerMessage::CoreNodes(members) => self.meet(members, out),
+            PeerMessage::Consensus { from, to, message } => self.log_says(now, (from, to), message, out),
+            PeerMessage::Join { id, forwarded: passed } => self.wants_to_join(now, id, passed, out),
             PeerMessage::Leave { id } => {
                 let ms = self.shared.ms(now);
                 self.raft.leave(ms, id);
                 self.log_out(now, out);
             }
-            PeerMessage::Forward { ask, wish } => {
+            PeerMessage::ForwardRequest { request_id: ask, request: wish } => {
                 let parts = (&mut self.raft, &mut self.shared);
                 self.keeper.forwarded(now, (conn, ask), wish, parts, out);
                 self.log_out(now, out);
             }
-            PeerMessage::Workers(workers) | PeerMessage::AllWorkers { workers, .. } => {
+            PeerMessage::WorkerUpdates(workers) | PeerMessage::WorkerSnapshot { workers, .. } => {
                 self.news(now, workers, false, out)
             }
-            PeerMessage::Hold { ask, workers } => {
+            PeerMessage::ReplicateWorkers { request_id: ask, workers } => {
                 self.news(now, workers, false, out);
-                out.push(Effect::Return(conn, PeerMessage::Held { ask }));
+                out.push(Effect::Return(conn, PeerMessage::WorkersReplicated { request_id: ask }));
             }
-            PeerMessage::Alive(heard) => {
+            PeerMessage::Heartbeats(heard) => {
                 // Some may be unknown here: the digests will differ, and the whole list comes.
                 self.roster.alive(now, &heard);
             }
-            PeerMessage::Ping { config, workers, heard } => {
+            PeerMessage::Ping { config_index: config, workers_digest: workers, received: heard } => {
                 self.pinged(now, conn, (config, workers, heard), out)
             }
-            PeerMessage::Sync { ask, term, charges } => {
+            PeerMessage::QuotaSync { request_id: ask, term, usage: charges } => {
                 let limits = |name: &str| limit(&self.keeper.state, name);
                 let lease = self.raft.holds_lease(self.shared.ms(now)).then(|| self.raft.term());
                 let gate = (caller.node.as_str(), caller.life);
                 let totals = self.seat.sync(now, lease, gate, term, &charges, &limits);
                 let (held, totals, term) = (totals.is_some(), totals.unwrap_or_default(), self.raft.term());
-                out.push(Effect::Return(conn, PeerMessage::Totals { ask, term, held, totals }));
+                out.push(Effect::Return(
+                    conn,
+                    PeerMessage::QuotaGrants { request_id: ask, term, is_leader: held, grants: totals },
+                ));
             }
             _ => {}
         }
@@ -368,7 +374,9 @@
         let tell = if first { changed } else { contested };
         if !tell.is_empty() {
             let peers = self.shared.peers();
-            out.extend(peers.into_iter().map(|ip| Effect::Send(ip, PeerMessage::Workers(tell.clone()))));
+            out.extend(
+                peers.into_iter().map(|ip| Effect::Send(ip, PeerMessage::WorkerUpdates(tell.clone()))),
+            );
         }
     }
 
@@ -387,7 +395,7 @@
     fn call(&mut self, now: f64, call: CallId, command: ApiCommand, out: &mut Vec<Effect>) {
         let wish = match command {
             ApiCommand::Amend(items) => OperatorRequest::Amend(ConfigChange::new(items)),
-            ApiCommand::Unreadable(why) => OperatorRequest::Refuse(why),
+            ApiCommand::Unreadable(why) => OperatorRequest::Reject(why),
             ApiCommand::Read => OperatorRequest::Read,
             ApiCommand::Journal => return out.push(Effect::Reply(call, 200, self.shared.journal.tell(now))),
             ApiCommand::Status => return out.push(Effect::Reply(call, 200, self.status(now))),
@@ -398,7 +406,7 @@
             }
             ApiCommand::Malformed(why) => return out.push(Effect::Reply(call, 400, error_body(why))),
             ApiCommand::Beat(worker) => {
-                let leaving = worker.phase != WorkerPhase::Settled;
+                let leaving = worker.phase != WorkerPhase::Serving;
                 self.news(now, vec![worker.clone()], true, out);
                 self.roster.refreshed(&worker);
                 return match leaving {
@@ -438,7 +446,12 @@
         if now - self.pinged >= PING {
             self.pinged = now;
             let (config, workers) = (self.keeper.state.index(), self.roster.registry.digest());
-            let ping = |ip| Effect::Send(ip, PeerMessage::Ping { config, workers, heard: 0 });
+            let ping = |ip| {
+                Effect::Send(
+                    ip,
+                    PeerMessage::Ping { config_index: config, workers_digest: workers, received: 0 },
+                )
+            };
             out.extend(self.shared.peers().into_iter().map(ping));
             self.tell_members(out);
             self.note_standings(now);
--- a/crates/gateway/src/control_plane/quota_counter/mod.rs
+++ b/crates/gateway/src/control_plane/quota_counter/mod.rs
@@ -168,7 +168,7 @@
             news: Places::new(),
             ended: BTreeSet::new(),
         };
-        for (node, life, listed) in known.into_iter().flat_map(|k| &k.gates) {
+        for (node, life, listed) in known.into_iter().flat_map(|k| &k.edges) {
             let mut parts = BTreeMap::new();
             for (name, share) in listed {
                 let ceiling = f64::from(*share);
@@ -239,7 +239,7 @@
         gates.iter_mut().for_each(|g| g.2.sort_by(|a, b| a.0.cmp(&b.0)));
         self.writing = news;
         let ended = std::mem::take(&mut self.ended).iter().map(|node| node.to_string()).collect();
-        ShareCeilings { term: self.term, number: self.number, gates, whole, ended }
+        ShareCeilings { term: self.term, number: self.number, edges: gates, whole, ended }
     }
 
     /// Most of the core keeps this record on their disks: shares may rise to what it says, if it is the last.
@@ -465,7 +465,7 @@
     fn take_in(&mut self, tenant: TenantId, part: &mut Allocation, charge: &TenantUsage) {
         let t = &mut self.tenants[tenant];
         let Some(window) = &mut t.window else { return };
-        let (share, left) = (f64::from(charge.share.max(0.0)), i64::from(charge.left));
+        let (share, left) = (f64::from(charge.standing_share.max(0.0)), i64::from(charge.unused_grant));
         if part.met {
             let charged = charge.charged - part.charged;
             window.total += charged.max(0) as f64;
@@ -485,7 +485,7 @@
         }
         (part.met, part.charged, part.aside) = (true, charge.charged, 0.0);
         (part.granted, part.going, part.held) = (left, 0, share);
-        part.asks = f64::from(charge.asks.max(0.0));
+        part.asks = f64::from(charge.demand.max(0.0));
         part.ceiling = part.ceiling.max(share);
     }
 
@@ -506,7 +506,7 @@
         let weight = part.asks + ASKS_FLOOR;
         let asks = coarse(t.sums.asks);
         let fair = weight / (weight + asks + others);
-        let (left, waits) = (part.granted as f64, f64::from(charge.waits));
+        let (left, waits) = (part.granted as f64, f64::from(charge.waiting));
         let need = (part.asks * self.terms.every * AHEAD).floor().max(waits);
         // Whoever waits goes first: what is there is not kept for those who may ask.
         let more = (window.store * fair).min(need - left).max((waits - left).min(window.store));
@@ -532,10 +532,10 @@
         let room = if window.store >= 1.0 || more > 0.0 { 0.0 } else { (1.0 - window.store) / limit.rate };
         Some(TenantGrant {
             tenant: charge.tenant.clone(),
-            total: window.total as f32,
-            until: charge.charged + may as i64,
-            share,
-            empty_ms: (room * 1e3).ceil() as u32,
+            window_total: window.total as f32,
+            charge_limit: charge.charged + may as i64,
+            standing_share: share,
+            retry_after_ms: (room * 1e3).ceil() as u32,
         })
     }
 
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -33,7 +33,14 @@
 }
 
 fn charge(tenant: &str, charged: i64, asks: f32, share: f32, left: u32, waits: u32) -> TenantUsage {
-    TenantUsage { tenant: tenant.into(), charged, asks, share, left, waits }
+    TenantUsage {
+        tenant: tenant.into(),
+        charged,
+        demand: asks,
+        standing_share: share,
+        unused_grant: left,
+        waiting: waits,
+    }
 }
 
 struct Gate {
@@ -354,7 +361,7 @@
         let now = from + 0.25 * f64::from(round);
         let before = std::mem::take(&mut last);
         for n in 0..4 {
-            let share = before.get(n).map_or(0.0, |t: &TenantGrant| t.share);
+            let share = before.get(n).map_or(0.0, |t: &TenantGrant| t.standing_share);
             let charges = [charge("t", 0, 25.0, share, 0, 0)];
             let term = if round == 0 { 0 } else { counter.term() };
             let told = counter.sync(now, (&format!("g{n}"), 7), term, &charges, &limits);
@@ -370,15 +377,22 @@
 /// Units that a gatekeeper with a request that waits for all can get at `now`.
 fn there_is(counter: &QuotaCounter, now: f64) -> f64 {
     let asked = counter.clone().sync(now, ("probe", 1), 0, &[charge("t", 0, 1000.0, 0.0, 0, 1000)], &limits);
-    asked.expect("held")[0].until as f64
+    asked.expect("held")[0].charge_limit as f64
 }
 
 #[gtest]
 fn a_late_word_of_an_older_holder_changes_nothing() {
     let (mut quota, tenant) = (quota(), Arc::<str>::from("t"));
     let limit = limits("t").expect("limits");
-    let total =
-        |until, share| vec![TenantGrant { tenant: "t".into(), total: 0.0, until, share, empty_ms: 0 }];
+    let total = |until, share| {
+        vec![TenantGrant {
+            tenant: "t".into(),
+            window_total: 0.0,
+            charge_limit: until,
+            standing_share: share,
+            retry_after_ms: 0,
+        }]
+    };
     // It has met no holder yet.
     expect_that!(quota.admit(1.0, &tenant, &limit, GrantState::Not), eq(AdmissionDecision::Refuse(0.25)));
     let (first, _) = quota.sync(1.0).expect("a sync");
@@ -394,12 +408,12 @@
     );
     expect_that!(quota.is_apart(1.75), eq(true));
     let (_, charges) = quota.sync(2.1).expect("a sync");
-    expect_that!((charges[0].charged, charges[0].share, charges[0].left), eq((1, 2.0, 0)));
+    expect_that!((charges[0].charged, charges[0].standing_share, charges[0].unused_grant), eq((1, 2.0, 0)));
     // What a newer one does not confirm is void.
     let (third, _) = quota.sync(3.0).expect("a sync");
     expect_that!(quota.told(3.01, third, 6, &[]), eq(true));
     let (_, charges) = quota.sync(3.3).expect("a sync");
-    expect_that!((charges[0].share, charges[0].left), eq((0.0, 0)));
+    expect_that!((charges[0].standing_share, charges[0].unused_grant), eq((0.0, 0)));
 }
 
 #[gtest]
@@ -414,7 +428,7 @@
     let mut counter = QuotaCounter::new(TERMS, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
     let share = |counter: &mut QuotaCounter, now, life| {
         let charges = [charge("t", 0, 20.0, 0.0, 0, 0)];
-        counter.sync(now, ("g", life), 0, &charges, &limits).expect("held")[0].share
+        counter.sync(now, ("g", life), 0, &charges, &limits).expect("held")[0].standing_share
     };
     expect_that!(share(&mut counter, 1.0, 1), eq(0.0));
     let record = counter.shares();
@@ -422,7 +436,7 @@
     counter.recorded(record.number);
     let told = share(&mut counter, 1.4, 1);
     expect_that!(told, gt(50.0));
-    expect_that!(record.gates[0].2[0].1, ge(told));
+    expect_that!(record.edges[0].2[0].1, ge(told));
     // Another life starts without.
     expect_that!(share(&mut counter, 1.6, 2), eq(0.0));
 }
@@ -431,7 +445,7 @@
 fn shares_of_lives_that_ended_are_free_at_once() {
     let mut first = QuotaCounter::new(TERMS, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
     let (totals, record) = settled(&mut first, 0.0);
-    let shares: f32 = totals.iter().map(|t| t.share).sum();
+    let shares: f32 = totals.iter().map(|t| t.standing_share).sum();
     expect_that!(shares, all!(gt(90.0), le(100.0)));
     // All others may be spending out of sight of the next holder: nothing is there for anybody else.
     let mut next = QuotaCounter::new(TERMS, 2, 10.0, PreviousLeaders::Recorded(&record));
@@ -458,7 +472,7 @@
     expect_that!(there_is(&next, 14.0), eq(0.0));
     // Three of four that share the rate bring theirs, and two of them end: what they had is still nobody else's.
     for (n, total) in totals.iter().enumerate().take(3) {
-        let charges = [charge("t", 0, 0.0, total.share, 0, 0)];
+        let charges = [charge("t", 0, 0.0, total.standing_share, 0, 0)];
         next.sync(14.0, (&format!("g{n}"), 7), 1, &charges, &limits);
     }
     for n in 0..2 {
@@ -491,7 +505,7 @@
     loop {
         let charges = [charge("t", charged, 0.0, 0.0, 0, 1)];
         let totals = counter.sync(now, ("g", 1), 0, &charges, &limits).expect("held");
-        if totals[0].until == charged {
+        if totals[0].charge_limit == charged {
             return charged;
         }
         charged += 1;
--- a/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
@@ -59,10 +59,10 @@
                 charges.push(TenantUsage {
                     tenant: tenant.into(),
                     charged: held.charged,
-                    asks: if rng.u8(..) < 40 { 0.0 } else { 9.0 * rng.f32() * rng.f32() },
-                    share: held.share,
-                    left: (held.until - held.charged).max(0) as u32,
-                    waits: u32::from(rng.u8(..) < 80),
+                    demand: if rng.u8(..) < 40 { 0.0 } else { 9.0 * rng.f32() * rng.f32() },
+                    standing_share: held.share,
+                    unused_grant: (held.until - held.charged).max(0) as u32,
+                    waiting: u32::from(rng.u8(..) < 80),
                 });
             }
         }
@@ -78,7 +78,7 @@
                 totals.iter().filter_map(|t| Some((t, TENANTS.iter().find(|n| **n == t.tenant)?)))
             {
                 let held = gate.held.entry(tenant).or_default();
-                (held.until, held.share) = (told.until, told.share);
+                (held.until, held.share) = (told.charge_limit, told.standing_share);
             }
         }
     }
@@ -140,7 +140,7 @@
                 folded.amend(&changed.shares());
                 let whole = course.counter.whole();
                 let filled = |s: &ShareCeilings| {
-                    s.gates.iter().filter(|g| !g.2.is_empty()).cloned().collect::<Vec<_>>()
+                    s.edges.iter().filter(|g| !g.2.is_empty()).cloned().collect::<Vec<_>>()
                 };
                 assert_eq!(filled(&folded), filled(&whole), "seed {seed}, step {step}");
                 told += usize::from(!filled(&whole).is_empty());
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -3,26 +3,16 @@
 
 use super::snapshot::{self, SnapshotReceiver, SnapshotWriter};
 use super::{CoreNode, Effect};
-use crate::configuration::{ConfigChange, ConfigItem, ItemFields};
+use crate::configuration::{ConfigItem, ItemFields};
 use crate::consensus::{Entry, EntryPayload, Index, Message, NodeId, Output, RaftConfig, Snapshot, Term};
 use crate::control_plane::event_journal::JournalEvent;
 use crate::protocol::share_ceilings::ShareCeilings;
-use crate::protocol::{NodeLocation, PeerMessage};
+use crate::protocol::{LogCommand, NodeLocation, PeerMessage};
 use crate::settings::Settings;
 use crate::storage::WriteBatch;
-use serde::{Deserialize, Serialize};
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// What an entry of the log has for the state machines.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum LogCommand {
-    /// An operator's call.
-    Configure(ConfigChange),
-    /// Ceilings of standing shares, as the counter's holder has them, or how they changed.
-    Shares(Arc<ShareCeilings>),
-}
-
 /// A leader says that it is there this often: milliseconds.
 const HEARTBEAT: u64 = 100;
 /// An election begins after so long without a leader, and up to twice that: milliseconds. Above what a small machine
@@ -83,7 +73,7 @@
             let item = |i: &ConfigItem| 60 + i.label.len() + i.body.as_ref().map_or(0, ItemFields::size);
             order.iter().map(item).sum::<usize>() + 50
         }
-        LogCommand::Shares(shares) => shares.gates.iter().map(|g| 40 + 20 * g.2.len()).sum::<usize>() + 50,
+        LogCommand::Shares(shares) => shares.edges.iter().map(|g| 40 + 20 * g.2.len()).sum::<usize>() + 50,
     }
 }
 
@@ -123,7 +113,7 @@
         }
         let leader = self.raft.leader(ms).filter(|leader| !passed && leader.ip != id.ip);
         if let Some(leader) = leader {
-            out.push(Effect::Send(leader.ip, PeerMessage::Join { id, passed: true }));
+            out.push(Effect::Send(leader.ip, PeerMessage::Join { id, forwarded: true }));
         }
     }
 
@@ -155,7 +145,7 @@
         if self.raft.leader(ms).is_none() && now - self.log_side.joined >= JOIN {
             self.log_side.joined = now;
             let id = self.raft.me();
-            let join = |ip| Effect::Send(ip, PeerMessage::Join { id, passed: false });
+            let join = |ip| Effect::Send(ip, PeerMessage::Join { id, forwarded: false });
             out.extend(self.shared.peers().into_iter().map(join));
         }
         self.log_out(now, out);
@@ -228,7 +218,7 @@
                     out.push(Effect::Persist(WriteBatch { number: put, writes, ..WriteBatch::default() }));
                 }
                 Output::Send(to, message) => {
-                    let message = PeerMessage::Raft { from: self.raft.me(), to, message };
+                    let message = PeerMessage::Consensus { from: self.raft.me(), to, message };
                     out.push(Effect::Send(to.ip, message));
                 }
                 Output::Apply(entry) => self.apply(entry, out),
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -196,11 +196,11 @@
                 Event::Disk(_) => "a sync is done",
                 Event::Inbound(
                     _,
-                    PeerMessage::Raft { message: crate::consensus::Message::Piece { .. }, .. },
+                    PeerMessage::Consensus { message: crate::consensus::Message::Piece { .. }, .. },
                 ) => "take a piece",
                 Event::Inbound(
                     _,
-                    PeerMessage::Raft { message: crate::consensus::Message::PieceReply { .. }, .. },
+                    PeerMessage::Consensus { message: crate::consensus::Message::PieceReply { .. }, .. },
                 ) => "send pieces",
                 Event::Call(..) => "a call",
                 _ => "anything else",
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -4,7 +4,7 @@
 use super::change_tracker::ChangeTracker;
 use super::{error_body, CallId, CoreContext, Effect};
 use crate::control_plane::event_journal::{EventJournal, JournalEvent};
-use crate::discovery::registry::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
+use crate::discovery::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
 use crate::protocol::PeerMessage;
 use crate::settings::Settings;
 use serde_json::json;
@@ -83,9 +83,9 @@
                     self.changes.touch(&held.id);
                     changed.push(held.clone());
                 }
-                MergeOutcome::Old if phase == WorkerPhase::Silent => {
+                MergeOutcome::Old if phase == WorkerPhase::Unresponsive => {
                     contested
-                        .extend(self.registry.get(&id).filter(|w| w.phase <= WorkerPhase::Decaying).cloned());
+                        .extend(self.registry.get(&id).filter(|w| w.phase <= WorkerPhase::Draining).cloned());
                 }
                 MergeOutcome::Old | MergeOutcome::Refreshed => {}
             }
@@ -95,7 +95,7 @@
 
     /// A worker called here: the others are to hear that it lives.
     pub fn refreshed(&mut self, worker: &Worker) {
-        self.alive.insert(worker.id.to_string(), worker.calls);
+        self.alive.insert(worker.id.to_string(), worker.call_count);
     }
 
     /// Others heard of these.
@@ -108,7 +108,7 @@
     /// The same worker as gone.
     pub fn departed(&self, id: &str) -> Option<Worker> {
         let held = self.registry.get(id)?;
-        Some(Worker { phase: WorkerPhase::Gone, calls: held.calls + 1, ..held.clone() })
+        Some(Worker { phase: WorkerPhase::Departed, call_count: held.call_count + 1, ..held.clone() })
     }
 
     /// A leaving worker is answered once enough of the core knows.
@@ -128,7 +128,10 @@
         let (id, phase) = (worker.id.to_string(), worker.phase);
         self.holdings.insert(ask, Holding { call, held, until: now + HOLD_WITHIN, id, phase });
         for ip in shared.peers() {
-            out.push(Effect::Send(ip, PeerMessage::Hold { ask, workers: vec![worker.clone()] }));
+            out.push(Effect::Send(
+                ip,
+                PeerMessage::ReplicateWorkers { request_id: ask, workers: vec![worker.clone()] },
+            ));
         }
         self.held(shared.me.ip, ask, shared, out);
     }
@@ -198,7 +201,7 @@
             self.told_at = now;
             let alive: Vec<(String, u64)> = std::mem::take(&mut self.alive).into_iter().collect();
             for ip in shared.peers() {
-                out.push(Effect::Send(ip, PeerMessage::Alive(alive.clone())));
+                out.push(Effect::Send(ip, PeerMessage::Heartbeats(alive.clone())));
             }
         }
         self.touch_since = match shared.majority(now) {
@@ -222,7 +225,7 @@
                 shared.journal.append(now, JournalEvent::Worker(worker.clone()));
             }
             for ip in shared.peers() {
-                out.push(Effect::Send(ip, PeerMessage::Workers(silent.clone())));
+                out.push(Effect::Send(ip, PeerMessage::WorkerUpdates(silent.clone())));
             }
         }
         silent
--- a/crates/gateway/src/data_plane/links_tests.rs
+++ b/crates/gateway/src/data_plane/links_tests.rs
@@ -11,7 +11,7 @@
 }
 
 fn members(of: &[u8]) -> PeerMessage {
-    PeerMessage::Members(
+    PeerMessage::CoreNodes(
         of.iter().map(|n| NodeLocation { ip: ip(*n), zone: "a".into(), region: "r".into() }).collect(),
     )
 }
@@ -44,7 +44,12 @@
             }
         }
         if tick % 10 == 0 {
-            let pong = PeerMessage::Pong { holder: None, gates: 1, core: 1, settled: true };
+            let pong = PeerMessage::Pong {
+                quota_leader: None,
+                edge_count: 1,
+                core_count: 1,
+                workers_complete: true,
+            };
             edge.handle(now, Event::Core(ip(1), pong), &mut out);
         }
     }
--- a/crates/gateway/src/data_plane/load_table.rs
+++ b/crates/gateway/src/data_plane/load_table.rs
@@ -123,16 +123,16 @@
         }
         self.number += 1;
         let out = self.mine.iter().map(|(key, out)| (*key, *out)).collect();
-        Some((to, LoadReport { life: self.life, number: self.number, out }))
+        Some((to, LoadReport { incarnation: self.life, sequence: self.number, in_flight: out }))
     }
 
     /// What another one has out. Returned: workers of which the sum is another now, with it.
     pub fn told(&mut self, now: f64, from: IpAddr, load: LoadReport) -> Vec<(u32, u32)> {
         let held = self.others.get(&from);
-        if held.is_some_and(|h| h.life == load.life && h.number >= load.number) {
+        if held.is_some_and(|h| h.life == load.incarnation && h.number >= load.sequence) {
             return Vec::new();
         }
-        let LoadReport { life, number, out } = load;
+        let LoadReport { incarnation: life, sequence: number, in_flight: out } = load;
         let old = self.others.insert(from, Other { life, number, heard: now, out });
         let new = self.others[&from].out.clone();
         self.shift(old.map(|o| o.out).unwrap_or_default(), new)
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -15,7 +15,7 @@
 use crate::configuration::replica::{ConfigReplica, ReplicaUpdate};
 use crate::configuration::{ActiveConfig, ItemKind};
 use crate::control_plane::quota_lease;
-use crate::discovery::registry::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
+use crate::discovery::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
 use crate::protocol::{LoadReport, NodeLocation, PeerMessage};
 use crate::settings::Settings;
 use drain::Drain;
@@ -213,7 +213,7 @@
             self.view.routes().flat_map(|r| r.mixture.iter().filter(|m| m.1 > 0.0).map(|m| &m.0));
         let limited = self.view.tenants().values().any(|t| t.rate > 0.0);
         let has = |service: &Arc<str>| {
-            self.registry.all().any(|w| w.service == *service && w.phase == WorkerPhase::Settled)
+            self.registry.all().any(|w| w.service == *service && w.phase == WorkerPhase::Serving)
         };
         !self.items.is_empty() && (self.workers_known || routed.all(has)) && (self.synced || !limited)
     }
@@ -264,7 +264,12 @@
             Event::LinkUp(ip) => {
                 let s = &self.settings;
                 let me = NodeLocation { ip: s.ip, zone: s.zone.clone(), region: s.region.clone() };
-                let hello = PeerMessage::Hello { node: s.node.clone(), life: self.life, me, core: false };
+                let hello = PeerMessage::Hello {
+                    node: s.node.clone(),
+                    incarnation: self.life,
+                    location: me,
+                    is_core: false,
+                };
                 let link = self.links.entry(ip).or_default();
                 (link.up, link.messages) = (true, 0);
                 out.push(Effect::Send(ip, hello));
@@ -306,7 +311,11 @@
     /// What it holds, and how much of what this core machine said it has heard.
     pub fn ping(&self, ip: IpAddr) -> PeerMessage {
         let heard = self.links.get(&ip).map_or(0, |l| l.messages);
-        PeerMessage::Ping { config: self.items.index(), workers: self.registry.digest(), heard }
+        PeerMessage::Ping {
+            config_index: self.items.index(),
+            workers_digest: self.registry.digest(),
+            received: heard,
+        }
     }
 
     /// What a core machine says of gatekeepers; the others are those that any says are there.
@@ -332,13 +341,15 @@
         (link.heard, link.since) = (now, now);
         link.messages += 1;
         match msg {
-            PeerMessage::Members(members) => {
+            PeerMessage::CoreNodes(members) => {
                 link.others = members.iter().map(|m| m.ip).collect();
                 for NodeLocation { ip, .. } in members {
                     self.reach(ip, out);
                 }
             }
-            PeerMessage::Pong { holder, gates, settled, .. } => {
+            PeerMessage::Pong {
+                quota_leader: holder, edge_count: gates, workers_complete: settled, ..
+            } => {
                 (link.holder, link.gates) = (holder, gates);
                 self.workers_known |= settled;
                 let most = self.links.values().map(|l| l.gates).max().unwrap_or(0);
@@ -350,8 +361,10 @@
                 }
                 self.sync(now, out);
             }
-            PeerMessage::Gates { whole, here, gone } => self.gatekeepers(ip, whole, here, &gone),
-            PeerMessage::Config { from, index, items } => {
+            PeerMessage::EdgeNodes { is_full: whole, present: here, removed: gone } => {
+                self.gatekeepers(ip, whole, here, &gone)
+            }
+            PeerMessage::ConfigUpdate { previous: from, index, items } => {
                 let count = items.len();
                 let whole = from.is_none();
                 let kinds: BTreeSet<ItemKind> = items.iter().map(|i| i.kind).collect();
@@ -373,22 +386,22 @@
                     out.push(Effect::Send(ip, self.ping(ip)));
                 }
             }
-            PeerMessage::Workers(workers) => self.workers(now, workers, out),
-            PeerMessage::AllWorkers { workers, settled } => {
+            PeerMessage::WorkerUpdates(workers) => self.workers(now, workers, out),
+            PeerMessage::WorkerSnapshot { workers, complete: settled } => {
                 if settled {
                     self.workers_known = true;
                     self.missing(now, &workers, out);
                 }
                 self.workers(now, workers, out);
             }
-            PeerMessage::Totals { ask, term, held: true, totals } => {
+            PeerMessage::QuotaGrants { request_id: ask, term, is_leader: true, grants: totals } => {
                 if self.quota.told(now, ask, term, &totals) {
                     self.synced = true;
                     self.decide_waiting(now, ask, out);
                 }
                 self.sync(now, out);
             }
-            PeerMessage::Totals { held: false, .. } => {
+            PeerMessage::QuotaGrants { is_leader: false, .. } => {
                 self.links.entry(ip).or_default().holder = None;
                 self.quota.unheld(now);
             }
@@ -400,8 +413,9 @@
     fn missing(&mut self, now: f64, told: &[Worker], out: &mut Vec<Effect>) {
         let known: std::collections::HashSet<&str> = told.iter().map(|w| &*w.id).collect();
         let gone =
-            self.registry.all().filter(|w| w.phase <= WorkerPhase::Decaying && !known.contains(&*w.id));
-        let gone: Vec<Worker> = gone.map(|w| Worker { phase: WorkerPhase::Silent, ..w.clone() }).collect();
+            self.registry.all().filter(|w| w.phase <= WorkerPhase::Draining && !known.contains(&*w.id));
+        let gone: Vec<Worker> =
+            gone.map(|w| Worker { phase: WorkerPhase::Unresponsive, ..w.clone() }).collect();
         if !gone.is_empty() {
             tracing::info!(workers = gone.len(), "workers that the core does not know any more");
             self.workers(now, gone, out);
@@ -416,7 +430,7 @@
             if self.registry.merge(now, worker, KEEP) != MergeOutcome::Changed {
                 continue;
             }
-            if self.registry.get(&id).is_some_and(|w| w.phase != WorkerPhase::Settled) {
+            if self.registry.get(&id).is_some_and(|w| w.phase != WorkerPhase::Serving) {
                 out.push(Effect::CloseIdle(HostId(id)));
             }
             if !touched.contains(&service) {
@@ -453,7 +467,7 @@
 
     /// May this worker be sent to right now?
     pub fn takes_work(&self, worker: &HostId) -> bool {
-        self.registry.get(&worker.0).is_some_and(|w| w.phase == WorkerPhase::Settled)
+        self.registry.get(&worker.0).is_some_and(|w| w.phase == WorkerPhase::Serving)
     }
 
     /// Who holds the counter, by the freshest word of the core.
@@ -473,7 +487,10 @@
             self.quota.afresh();
         }
         if let Some((ask, charges)) = self.quota.sync(now) {
-            out.push(Effect::Send(holder, PeerMessage::Sync { ask, term: self.quota.term(), charges }));
+            out.push(Effect::Send(
+                holder,
+                PeerMessage::QuotaSync { request_id: ask, term: self.quota.term(), usage: charges },
+            ));
         }
     }
 
--- a/crates/gateway/src/data_plane/quota_admission.rs
+++ b/crates/gateway/src/data_plane/quota_admission.rs
@@ -393,10 +393,10 @@
             charges.push(TenantUsage {
                 tenant: name.to_string(),
                 charged: t.charged,
-                asks: asks as f32,
-                share: t.share as f32,
-                left,
-                waits: t.waits,
+                demand: asks as f32,
+                standing_share: t.share as f32,
+                unused_grant: left,
+                waiting: t.waits,
             });
             true
         });
@@ -451,14 +451,15 @@
             let Some(t) = self.tenants.get_mut(total.tenant.as_str()) else { continue };
             t.said = t.saying.take();
             // The counter has what it takes back only once it hears that this is so.
-            let returned = total.until < t.until;
+            let returned = total.charge_limit < t.until;
             if returned {
                 t.enlist(&total.tenant, &mut self.live);
             }
             (t.until, t.share, t.total) =
-                (total.until, f64::from(total.share.max(0.0)), f64::from(total.total));
+                (total.charge_limit, f64::from(total.standing_share.max(0.0)), f64::from(total.window_total));
             t.dirty |= returned;
-            t.empty_until = if total.empty_ms > 0 { now + f64::from(total.empty_ms) / 1e3 } else { 0.0 };
+            t.empty_until =
+                if total.retry_after_ms > 0 { now + f64::from(total.retry_after_ms) / 1e3 } else { 0.0 };
         }
         // Tenants that the counter knows no limit of.
         for name in &self.named {
--- a/crates/gateway/src/data_plane/quota_slack_tests.rs
+++ b/crates/gateway/src/data_plane/quota_slack_tests.rs
@@ -65,10 +65,10 @@
             if let Some((number, charges)) = gate.sync(now).filter(|_| touch) {
                 let total = |c: &crate::protocol::TenantUsage| TenantGrant {
                     tenant: c.tenant.clone(),
-                    total: 0.0,
-                    until: c.charged,
-                    share: *share as f32,
-                    empty_ms: 0,
+                    window_total: 0.0,
+                    charge_limit: c.charged,
+                    standing_share: *share as f32,
+                    retry_after_ms: 0,
                 };
                 gate.told(now, number, 1, &charges.iter().map(total).collect::<Vec<_>>());
                 touched = now;
@@ -139,10 +139,10 @@
                 if let Some((number, charges)) = gate.sync(now) {
                     let total = |c: &crate::protocol::TenantUsage| TenantGrant {
                         tenant: c.tenant.clone(),
-                        total: 0.0,
-                        until: c.charged,
-                        share: 2.3 / 11.0,
-                        empty_ms: 0,
+                        window_total: 0.0,
+                        charge_limit: c.charged,
+                        standing_share: 2.3 / 11.0,
+                        retry_after_ms: 0,
                     };
                     gate.told(now, number, 1, &charges.iter().map(total).collect::<Vec<_>>());
                 }
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -262,10 +262,8 @@
     /// A worker that is not there any more: another one answered in its place.
     pub fn misdirected(&mut self, now: f64, worker: &HostId, out: &mut Vec<Effect>) {
         let Some(held) = self.registry.get(&worker.0) else { return };
-        let gone = crate::discovery::registry::Worker {
-            phase: crate::discovery::registry::WorkerPhase::Silent,
-            ..held.clone()
-        };
+        let gone =
+            crate::discovery::Worker { phase: crate::discovery::WorkerPhase::Unresponsive, ..held.clone() };
         tracing::warn!(worker = %worker.0, "another worker has its address");
         self.workers(now, vec![gone], out);
     }
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -5,7 +5,7 @@
 use crate::configuration::read_call;
 use crate::data_plane::drain::Unanswered;
 use crate::data_plane::Event;
-use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::PeerMessage;
 use crate::settings::Settings;
 use googletest::prelude::*;
@@ -25,7 +25,7 @@
         capacity: 2,
         phase,
         warmup_ms: 0,
-        calls,
+        call_count: calls,
     }
 }
 
@@ -68,8 +68,11 @@
         let core = "10.0.1.1".parse().expect("an address");
         day.with(|edge, _, out| edge.start(out));
         let items = read_call(CONFIG.as_bytes()).expect("valid");
-        let workers = (0..workers).map(|n| worker(n, WorkerPhase::Settled, 1)).collect();
-        for msg in [PeerMessage::Config { from: None, index: 1, items }, PeerMessage::Workers(workers)] {
+        let workers = (0..workers).map(|n| worker(n, WorkerPhase::Serving, 1)).collect();
+        for msg in [
+            PeerMessage::ConfigUpdate { previous: None, index: 1, items },
+            PeerMessage::WorkerUpdates(workers),
+        ] {
             day.with(|edge, now, out| edge.handle(now, Event::Core(core, msg), out));
         }
         day
@@ -208,16 +211,16 @@
             16 => {
                 self.calls += 1;
                 let phase = match self.rng.u32(0..12) {
-                    0 => WorkerPhase::Decaying,
-                    1..=3 => WorkerPhase::Silent,
-                    _ => WorkerPhase::Settled,
+                    0 => WorkerPhase::Draining,
+                    1..=3 => WorkerPhase::Unresponsive,
+                    _ => WorkerPhase::Serving,
                 };
                 // One in four is a new life.
                 let n = self.rng.usize(0..workers) + 16 * self.rng.usize(0..4) * (self.calls as usize / 8);
                 let news = vec![worker(n % 250, phase, self.calls)];
                 let core = "10.0.1.1".parse().expect("an address");
                 self.with(|edge, now, out| {
-                    edge.handle(now, Event::Core(core, PeerMessage::Workers(news)), out)
+                    edge.handle(now, Event::Core(core, PeerMessage::WorkerUpdates(news)), out)
                 });
             }
             17 => {
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -3,7 +3,7 @@
 //! module send a further try that the budget over all gatekeepers does not allow.
 
 use crate::data_plane::retry_budget::{RetryBudget, RetryBudgetConfig};
-use crate::discovery::registry::{WorkerPhase, WorkerRegistry};
+use crate::discovery::{WorkerPhase, WorkerRegistry};
 use std::sync::Arc;
 use std::time::Duration;
 use whinstall::{
@@ -122,8 +122,8 @@
 
     /// The workers that may be sent to.
     pub fn workers(&mut self, now: f64, registry: &WorkerRegistry, out: &mut Vec<Action>) {
-        let mine = registry.all().filter(|w| w.service == self.name && w.phase == WorkerPhase::Settled);
-        let entry = |w: &crate::discovery::registry::Worker| HostEntry {
+        let mine = registry.all().filter(|w| w.service == self.name && w.phase == WorkerPhase::Serving);
+        let entry = |w: &crate::discovery::Worker| HostEntry {
             host: HostId(Arc::clone(&w.id)),
             zone: w.zone.to_string(),
             group: 0,
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,5 +1,7 @@
 //! The workers behind the gateway: what each reports of itself, and the registry that merges these reports.
 
 pub mod registry;
+mod worker;
 
-pub use registry::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
+pub use registry::{MergeOutcome, WorkerRegistry};
+pub use worker::{Worker, WorkerPhase};
--- a/crates/gateway/src/discovery/registry.rs
+++ b/crates/gateway/src/discovery/registry.rs
@@ -2,66 +2,10 @@
 //! copies that heard the same calls in any order agree. Pure; time is passed in. It must never call a worker dead on
 //! the word of a machine that was itself out of touch.
 
-use serde::{Deserialize, Serialize};
+use super::worker::{Worker, WorkerPhase};
 use std::collections::BTreeMap;
-use std::hash::{DefaultHasher, Hash, Hasher};
-use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How a worker stands.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum WorkerPhase {
-    /// Takes work.
-    Settled,
-    /// About to leave: nothing new.
-    Decaying,
-    /// Not heard of for too long; a later call of the same life revives it.
-    Silent,
-    /// Left. Final for a life.
-    Gone,
-}
-
-/// One life of a worker.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Worker {
-    /// Its id, which no other life has.
-    pub id: Arc<str>,
-    /// Its service.
-    pub service: Arc<str>,
-    /// Where it listens.
-    pub address: SocketAddr,
-    /// Its zone.
-    pub zone: Arc<str>,
-    /// Requests that it works on at a time.
-    pub capacity: u32,
-    /// How it stands.
-    pub phase: WorkerPhase,
-    /// Milliseconds for which it stays slow, from when this was told.
-    pub warmup_ms: u32,
-    /// Number of the call that told it; higher is later.
-    pub calls: u64,
-}
-
-impl Worker {
-    /// Is this later than that? Of the same call, the further phase counts.
-    fn is_after(&self, other: &Worker) -> bool {
-        match (other.phase, self.phase) {
-            (WorkerPhase::Gone, _) => false,
-            (_, WorkerPhase::Gone) => true,
-            // Leaving is never taken back within a life, whatever comes late.
-            (WorkerPhase::Decaying, WorkerPhase::Settled) => false,
-            (WorkerPhase::Settled | WorkerPhase::Silent, WorkerPhase::Decaying) => true,
-            _ => (self.calls, self.phase) > (other.calls, other.phase),
-        }
-    }
-
-    fn hash(&self) -> u64 {
-        let mut hasher = DefaultHasher::new();
-        (&self.id, self.phase).hash(&mut hasher);
-        hasher.finish()
-    }
-}
-
 /// A worker and when it was last heard of.
 #[derive(Clone, Debug)]
 struct Entry {
@@ -113,7 +57,7 @@
     }
 
     fn counts(worker: &Worker) -> u64 {
-        if worker.phase <= WorkerPhase::Decaying {
+        if worker.phase <= WorkerPhase::Draining {
             worker.hash()
         } else {
             0
@@ -126,7 +70,7 @@
         let id = Arc::clone(&worker.id);
         let Some(entry) = self.map.get_mut(&id) else {
             self.digest ^= Self::counts(&worker);
-            let ended = worker.phase > WorkerPhase::Decaying;
+            let ended = worker.phase > WorkerPhase::Draining;
             self.map.insert(Arc::clone(&id), Entry { worker, heard: now, warm_at });
             if ended {
                 self.forget_later(now + keep, id);
@@ -140,11 +84,11 @@
         let same = (worker.phase, worker.address, worker.capacity)
             == (entry.worker.phase, entry.worker.address, entry.worker.capacity);
         if same {
-            entry.worker.calls = worker.calls;
+            entry.worker.call_count = worker.call_count;
             return MergeOutcome::Refreshed;
         }
         self.digest ^= Self::counts(&entry.worker) ^ Self::counts(&worker);
-        let ended = worker.phase > WorkerPhase::Decaying;
+        let ended = worker.phase > WorkerPhase::Draining;
         entry.worker = worker;
         entry.warm_at = entry.warm_at.max(warm_at);
         if ended {
@@ -161,8 +105,8 @@
     /// told whole by whoever knows it.
     pub fn alive(&mut self, now: f64, id: &str, calls: u64) {
         let Some(entry) = self.map.get_mut(id) else { return };
-        if entry.worker.phase <= WorkerPhase::Decaying && calls > entry.worker.calls {
-            (entry.worker.calls, entry.heard) = (calls, now);
+        if entry.worker.phase <= WorkerPhase::Draining && calls > entry.worker.call_count {
+            (entry.worker.call_count, entry.heard) = (calls, now);
         }
     }
 
@@ -174,13 +118,13 @@
     /// Workers that were silent for longer than `most`: they are held as silent from now on, and returned.
     pub fn expire(&mut self, now: f64, most: f64, keep: f64) -> Vec<Worker> {
         let late =
-            self.map.values().filter(|e| e.worker.phase <= WorkerPhase::Decaying && now - e.heard > most);
+            self.map.values().filter(|e| e.worker.phase <= WorkerPhase::Draining && now - e.heard > most);
         let late: Vec<Worker> =
-            late.map(|e| Worker { phase: WorkerPhase::Silent, ..e.worker.clone() }).collect();
+            late.map(|e| Worker { phase: WorkerPhase::Unresponsive, ..e.worker.clone() }).collect();
         for worker in &late {
             if let Some(entry) = self.map.get_mut(&worker.id) {
                 self.digest ^= Self::counts(&entry.worker);
-                entry.worker.phase = WorkerPhase::Silent;
+                entry.worker.phase = WorkerPhase::Unresponsive;
             }
             self.forget_later(now + keep, Arc::clone(&worker.id));
         }
@@ -192,7 +136,7 @@
         let mut forgotten = Vec::new();
         while let Some(first) = self.ended.first_entry().filter(|e| (*e.key() as f64) < now * 1e3) {
             for id in first.remove() {
-                let ended = self.map.get(&id).is_some_and(|e| e.worker.phase > WorkerPhase::Decaying);
+                let ended = self.map.get(&id).is_some_and(|e| e.worker.phase > WorkerPhase::Draining);
                 if ended {
                     self.map.remove(&id);
                     forgotten.push(id);
--- /dev/null
+++ b/crates/gateway/src/discovery/worker.rs
@@ -0,0 +1,65 @@
+//! A worker as its heartbeats describe it.
+
+use serde::{Deserialize, Serialize};
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// The state of one incarnation of a worker. Later states order after earlier ones. The variants are stored on disk and
+/// sent between processes under the names of their first release.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum WorkerPhase {
+    /// Takes requests.
+    #[serde(rename = "Settled")]
+    Serving,
+    /// Announced its shutdown: gets no new requests.
+    #[serde(rename = "Decaying")]
+    Draining,
+    /// Its heartbeats timed out; a later heartbeat of the same incarnation revives it.
+    #[serde(rename = "Silent")]
+    Unresponsive,
+    /// Departed; final for an incarnation.
+    #[serde(rename = "Gone")]
+    Departed,
+}
+
+/// One incarnation of a worker.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Worker {
+    /// Its id, unique to this incarnation.
+    pub id: Arc<str>,
+    /// The service that it belongs to.
+    pub service: Arc<str>,
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Its zone.
+    pub zone: Arc<str>,
+    /// Requests that it serves concurrently.
+    pub capacity: u32,
+    /// Its state.
+    pub phase: WorkerPhase,
+    /// Milliseconds of slow start that remained when the heartbeat was sent.
+    pub warmup_ms: u32,
+    /// Number of the heartbeat that reported this; a higher one is later.
+    pub call_count: u64,
+}
+
+impl Worker {
+    /// Is this later than that? Of the same call, the further phase counts.
+    pub(super) fn is_after(&self, other: &Worker) -> bool {
+        match (other.phase, self.phase) {
+            (WorkerPhase::Departed, _) => false,
+            (_, WorkerPhase::Departed) => true,
+            // Leaving is never taken back within a life, whatever comes late.
+            (WorkerPhase::Draining, WorkerPhase::Serving) => false,
+            (WorkerPhase::Serving | WorkerPhase::Unresponsive, WorkerPhase::Draining) => true,
+            _ => (self.call_count, self.phase) > (other.call_count, other.phase),
+        }
+    }
+
+    pub(super) fn hash(&self) -> u64 {
+        let mut hasher = DefaultHasher::new();
+        (&self.id, self.phase).hash(&mut hasher);
+        hasher.finish()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/protocol/log_command.rs
@@ -0,0 +1,15 @@
+//! The commands of the replicated log.
+
+use super::share_ceilings::ShareCeilings;
+use crate::configuration::ConfigChange;
+use serde::{Deserialize, Serialize};
+use std::sync::Arc;
+
+/// The payload of a log entry for the state machines. It is stored on disk, so its variants keep their names.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum LogCommand {
+    /// A change of the configuration that an operator sent.
+    Configure(ConfigChange),
+    /// Ceilings of standing quota shares as the quota leader has them, in full or as a difference.
+    Shares(Arc<ShareCeilings>),
+}
--- /dev/null
+++ b/crates/gateway/src/protocol/operator.rs
@@ -0,0 +1,34 @@
+//! Operators' calls on their way between a core node and the leader.
+
+use crate::configuration::ConfigChange;
+use crate::consensus::Index;
+use serde::{Deserialize, Serialize};
+
+/// A call of an operator that the leader decides.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum OperatorRequest {
+    /// Change the configuration.
+    Amend(ConfigChange),
+    /// Read the newest configuration.
+    Read,
+    /// Reject a call that could not be parsed, with this reason. A rejection, too, needs a leader in touch with a
+    /// quorum.
+    #[serde(rename = "Refuse")]
+    Reject(String),
+}
+
+/// The outcome of an [`OperatorRequest`].
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum OperatorResponse {
+    /// The change is committed, and enough synced disks hold it (HTTP 200).
+    #[serde(rename = "Taken")]
+    Accepted,
+    /// The change is rejected for good, with this HTTP status and reason.
+    #[serde(rename = "Refused")]
+    Rejected(u16, String),
+    /// It is not known whether the change will be committed: the caller retries (HTTP 503).
+    #[serde(rename = "Unclear")]
+    Undetermined(String),
+    /// A read is answered by the state as of this log index, or a later one.
+    Read(Index),
+}
--- a/crates/gateway/src/protocol/share_ceilings.rs
+++ b/crates/gateway/src/protocol/share_ceilings.rs
@@ -15,7 +15,7 @@
     /// Rises with each that this holder tells.
     pub number: u64,
     /// Of gatekeepers that may hold any: of all, or of those of whom something changed. Nought: no share any more.
-    pub gates: Vec<EdgeCeilings>,
+    pub edges: Vec<EdgeCeilings>,
     /// Is that all, or what changed since the record before?
     #[serde(default = "yes")]
     pub whole: bool,
@@ -30,7 +30,7 @@
 
 impl Default for ShareCeilings {
     fn default() -> Self {
-        ShareCeilings { term: 0, number: 0, gates: Vec::new(), whole: true, ended: Vec::new() }
+        ShareCeilings { term: 0, number: 0, edges: Vec::new(), whole: true, ended: Vec::new() }
     }
 }
 
@@ -41,13 +41,13 @@
             return self.clone_from(next);
         }
         (self.term, self.number) = (next.term, next.number);
-        self.gates.retain(|(node, _, _)| !next.ended.contains(node));
-        for (node, life, parts) in &next.gates {
-            let at = self.gates.partition_point(|g| g.0 < *node);
-            if self.gates.get(at).is_none_or(|g| g.0 != *node) {
-                self.gates.insert(at, (node.clone(), *life, Vec::new()));
+        self.edges.retain(|(node, _, _)| !next.ended.contains(node));
+        for (node, life, parts) in &next.edges {
+            let at = self.edges.partition_point(|g| g.0 < *node);
+            if self.edges.get(at).is_none_or(|g| g.0 != *node) {
+                self.edges.insert(at, (node.clone(), *life, Vec::new()));
             }
-            let gate = &mut self.gates[at];
+            let gate = &mut self.edges[at];
             if gate.1 != *life {
                 (gate.1, gate.2) = (*life, Vec::new());
             }
--- a/crates/gateway/src/protocol/wire_fixture_tests.rs
+++ b/crates/gateway/src/protocol/wire_fixture_tests.rs
@@ -4,9 +4,9 @@
 
 use crate::configuration::{ConfigItem, ItemFields, ItemKind};
 use crate::consensus::{Entry, EntryPayload, Message, NodeId};
-use crate::control_plane::LogCommand;
-use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::LogCommand;
 use crate::protocol::{
     decode, encode, LoadReport, NodeLocation, OperatorRequest, OperatorResponse, PeerMessage, TenantGrant,
     TenantUsage,
@@ -38,16 +38,16 @@
 
 fn worker(name: &str, phase: WorkerPhase) -> Worker {
     let (id, service, zone) = (name.into(), "s1".into(), "zone-a".into());
-    let address = (if phase == WorkerPhase::Gone { v6() } else { v4() }, 8080).into();
-    Worker { id, service, address, zone, capacity: 300, phase, warmup_ms: 70_000, calls: u64::MAX }
+    let address = (if phase == WorkerPhase::Departed { v6() } else { v4() }, 8080).into();
+    Worker { id, service, address, zone, capacity: 300, phase, warmup_ms: 70_000, call_count: u64::MAX }
 }
 
 fn workers() -> Vec<Worker> {
     vec![
-        worker("w-settled", WorkerPhase::Settled),
-        worker("w-decaying", WorkerPhase::Decaying),
-        worker("w-silent", WorkerPhase::Silent),
-        worker("w-gone", WorkerPhase::Gone),
+        worker("w-settled", WorkerPhase::Serving),
+        worker("w-decaying", WorkerPhase::Draining),
+        worker("w-silent", WorkerPhase::Unresponsive),
+        worker("w-gone", WorkerPhase::Departed),
     ]
 }
 
@@ -73,8 +73,9 @@
 
 fn entries() -> Vec<Entry<LogCommand>> {
     let gates = vec![("edge-1".into(), u64::MAX, vec![("t1".into(), 2.5), ("t2".into(), 0.0)])];
-    let whole = ShareCeilings { term: 3, number: 9, gates: gates.clone(), whole: true, ended: vec![] };
-    let part = ShareCeilings { term: 3, number: 10, gates, whole: false, ended: vec!["edge-2".into()] };
+    let whole = ShareCeilings { term: 3, number: 9, edges: gates.clone(), whole: true, ended: vec![] };
+    let part =
+        ShareCeilings { term: 3, number: 10, edges: gates, whole: false, ended: vec!["edge-2".into()] };
     let bodies = [
         EntryPayload::TermStart,
         EntryPayload::Members([id(v4(), 0), id(v6(), u64::MAX)].into()),
@@ -86,7 +87,7 @@
 }
 
 fn raft(message: Message<LogCommand>) -> PeerMessage {
-    PeerMessage::Raft { from: id(v4(), 0), to: id(v6(), 0x1122_3344_5566_7788), message }
+    PeerMessage::Consensus { from: id(v4(), 0), to: id(v6(), 0x1122_3344_5566_7788), message }
 }
 
 /// At least one of each variant, with each optional part both there and not.
@@ -94,33 +95,56 @@
     let term = 70_000;
     let append =
         |entries, sure| Message::Append { term, prev: (299, 2), entries, commit: 298, sure, round: 17 };
-    let forward = |wish| PeerMessage::Forward { ask: 5, wish };
-    let forwarded = |answer| PeerMessage::Forwarded { ask: 5, answer };
-    let charge = TenantUsage { tenant: "t1".into(), charged: -5, asks: 3.5, share: 9.25, left: 12, waits: 2 };
-    let total = TenantGrant { tenant: "t1".into(), total: 60.5, until: 4010, share: 9.25, empty_ms: 1500 };
-    let gates = |whole| PeerMessage::Gates {
-        whole,
-        here: vec![("zone-a".into(), vec![v4(), v6()]), ("zone-b".into(), vec![])],
-        gone: vec![v4()],
+    let forward = |wish| PeerMessage::ForwardRequest { request_id: 5, request: wish };
+    let forwarded = |answer| PeerMessage::ForwardResponse { request_id: 5, response: answer };
+    let charge = TenantUsage {
+        tenant: "t1".into(),
+        charged: -5,
+        demand: 3.5,
+        standing_share: 9.25,
+        unused_grant: 12,
+        waiting: 2,
+    };
+    let total = TenantGrant {
+        tenant: "t1".into(),
+        window_total: 60.5,
+        charge_limit: 4010,
+        standing_share: 9.25,
+        retry_after_ms: 1500,
+    };
+    let gates = |whole| PeerMessage::EdgeNodes {
+        is_full: whole,
+        present: vec![("zone-a".into(), vec![v4(), v6()]), ("zone-b".into(), vec![])],
+        removed: vec![v4()],
+    };
+    let pong = |holder, settled| PeerMessage::Pong {
+        quota_leader: holder,
+        edge_count: 6,
+        core_count: 3,
+        workers_complete: settled,
     };
-    let pong = |holder, settled| PeerMessage::Pong { holder, gates: 6, core: 3, settled };
     vec![
-        PeerMessage::Hello { node: "core-1".into(), life: u64::MAX, me: member(v4()), core: true },
-        PeerMessage::Hello { node: "edge-1".into(), life: 1, me: member(v6()), core: false },
+        PeerMessage::Hello {
+            node: "core-1".into(),
+            incarnation: u64::MAX,
+            location: member(v4()),
+            is_core: true,
+        },
+        PeerMessage::Hello { node: "edge-1".into(), incarnation: 1, location: member(v6()), is_core: false },
         gates(true),
         gates(false),
-        PeerMessage::Members(vec![member(v4()), member(v6())]),
-        PeerMessage::Ping { config: 300, workers: u64::MAX, heard: 90_000 },
+        PeerMessage::CoreNodes(vec![member(v4()), member(v6())]),
+        PeerMessage::Ping { config_index: 300, workers_digest: u64::MAX, received: 90_000 },
         pong(Some(v4()), true),
         pong(None, false),
-        PeerMessage::Config { from: None, index: 302, items: items() },
-        PeerMessage::Config { from: Some(300), index: 302, items: vec![] },
-        PeerMessage::Workers(workers()),
-        PeerMessage::AllWorkers { workers: workers(), settled: true },
-        PeerMessage::AllWorkers { workers: vec![], settled: false },
-        PeerMessage::Alive(vec![("w-settled".into(), 40), ("w-decaying".into(), u64::MAX)]),
-        PeerMessage::Hold { ask: 4, workers: workers() },
-        PeerMessage::Held { ask: 4 },
+        PeerMessage::ConfigUpdate { previous: None, index: 302, items: items() },
+        PeerMessage::ConfigUpdate { previous: Some(300), index: 302, items: vec![] },
+        PeerMessage::WorkerUpdates(workers()),
+        PeerMessage::WorkerSnapshot { workers: workers(), complete: true },
+        PeerMessage::WorkerSnapshot { workers: vec![], complete: false },
+        PeerMessage::Heartbeats(vec![("w-settled".into(), 40), ("w-decaying".into(), u64::MAX)]),
+        PeerMessage::ReplicateWorkers { request_id: 4, workers: workers() },
+        PeerMessage::WorkersReplicated { request_id: 4 },
         raft(Message::Vote { term, last: (3, 304), pre: true, transfer: false }),
         raft(Message::Vote { term, last: (3, 304), pre: false, transfer: true }),
         raft(Message::VoteReply { term, pre: true, granted: false }),
@@ -140,17 +164,17 @@
         raft(Message::PieceReply { term, round: 18, index: 299, offset: 131_077 }),
         raft(Message::TimeoutNow { term }),
         PeerMessage::Leave { id: id(v4(), 0) },
-        PeerMessage::Join { id: id(v6(), u64::MAX), passed: true },
+        PeerMessage::Join { id: id(v6(), u64::MAX), forwarded: true },
         forward(OperatorRequest::Amend(Arc::new(items()))),
         forward(OperatorRequest::Read),
-        forward(OperatorRequest::Refuse("why".into())),
-        forwarded(OperatorResponse::Taken),
-        forwarded(OperatorResponse::Refused(409, "why".into())),
-        forwarded(OperatorResponse::Unclear("why".into())),
+        forward(OperatorRequest::Reject("why".into())),
+        forwarded(OperatorResponse::Accepted),
+        forwarded(OperatorResponse::Rejected(409, "why".into())),
+        forwarded(OperatorResponse::Undetermined("why".into())),
         forwarded(OperatorResponse::Read(304)),
-        PeerMessage::Sync { ask: 9000, term, charges: vec![charge] },
-        PeerMessage::Totals { ask: 9000, term, held: true, totals: vec![total] },
-        PeerMessage::Totals { ask: 9001, term, held: false, totals: vec![] },
+        PeerMessage::QuotaSync { request_id: 9000, term, usage: vec![charge] },
+        PeerMessage::QuotaGrants { request_id: 9000, term, is_leader: true, grants: vec![total] },
+        PeerMessage::QuotaGrants { request_id: 9001, term, is_leader: false, grants: vec![] },
     ]
 }
 
@@ -158,38 +182,38 @@
 fn variants(msg: &PeerMessage) -> Vec<&'static str> {
     vec![match msg {
         PeerMessage::Hello { .. } => "Hello",
-        PeerMessage::Gates { .. } => "Gates",
-        PeerMessage::Members(_) => "Members",
+        PeerMessage::EdgeNodes { .. } => "Gates",
+        PeerMessage::CoreNodes(_) => "Members",
         PeerMessage::Ping { .. } => "Ping",
         PeerMessage::Pong { .. } => "Pong",
-        PeerMessage::Config { .. } => "Config",
-        PeerMessage::Workers(_) => "Workers",
-        PeerMessage::AllWorkers { .. } => "AllWorkers",
-        PeerMessage::Alive(_) => "Alive",
-        PeerMessage::Hold { .. } => "Hold",
-        PeerMessage::Held { .. } => "Held",
-        PeerMessage::Raft { message, .. } => return vec!["Raft", raft_variant(message)],
+        PeerMessage::ConfigUpdate { .. } => "Config",
+        PeerMessage::WorkerUpdates(_) => "Workers",
+        PeerMessage::WorkerSnapshot { .. } => "AllWorkers",
+        PeerMessage::Heartbeats(_) => "Alive",
+        PeerMessage::ReplicateWorkers { .. } => "Hold",
+        PeerMessage::WorkersReplicated { .. } => "Held",
+        PeerMessage::Consensus { message, .. } => return vec!["Raft", raft_variant(message)],
         PeerMessage::Leave { .. } => "Leave",
         PeerMessage::Join { .. } => "Join",
-        PeerMessage::Forward { wish, .. } => {
+        PeerMessage::ForwardRequest { request: wish, .. } => {
             let wish = match wish {
                 OperatorRequest::Amend(_) => "Amend",
                 OperatorRequest::Read => "Read",
-                OperatorRequest::Refuse(_) => "Refuse",
+                OperatorRequest::Reject(_) => "Refuse",
             };
             return vec!["Forward", wish];
         }
-        PeerMessage::Forwarded { answer, .. } => {
+        PeerMessage::ForwardResponse { response: answer, .. } => {
             let answer = match answer {
-                OperatorResponse::Taken => "Taken",
-                OperatorResponse::Refused(..) => "Refused",
-                OperatorResponse::Unclear(_) => "Unclear",
+                OperatorResponse::Accepted => "Taken",
+                OperatorResponse::Rejected(..) => "Refused",
+                OperatorResponse::Undetermined(_) => "Unclear",
                 OperatorResponse::Read(_) => "Read",
             };
             return vec!["Forwarded", answer];
         }
-        PeerMessage::Sync { .. } => "Sync",
-        PeerMessage::Totals { .. } => "Totals",
+        PeerMessage::QuotaSync { .. } => "Sync",
+        PeerMessage::QuotaGrants { .. } => "Totals",
     }]
 }
 
@@ -215,7 +239,7 @@
 }
 
 fn load() -> LoadReport {
-    LoadReport { life: u64::MAX, number: 9000, out: vec![(0xdead_beef, 2), (7, 65_535)] }
+    LoadReport { incarnation: u64::MAX, sequence: 9000, in_flight: vec![(0xdead_beef, 2), (7, 65_535)] }
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -3,7 +3,7 @@
 
 use crate::configuration::read_call;
 use crate::control_plane::{error_body, ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
-use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::discovery::{Worker, WorkerPhase};
 use crate::json_path::{JsonNode, JsonPathError};
 use crate::protocol::PeerMessage;
 use crate::settings::Settings;
@@ -189,12 +189,12 @@
         zone: at.need("zone_name")?.text()?.into(),
         capacity: at.get("capacity").map(|c| c.amount()).transpose()?.map_or(1, |c| c as u32),
         phase: match phase.text()? {
-            "settled" => WorkerPhase::Settled,
-            "decaying" => WorkerPhase::Decaying,
+            "settled" => WorkerPhase::Serving,
+            "decaying" => WorkerPhase::Draining,
             _ => return Err(JsonPathError::Not(phase.path(), "settled or decaying")),
         },
         warmup_ms: at.get("warmup_left").map(|t| t.time()).transpose()?.map_or(0, |t| t.as_millis() as u32),
-        calls: at.need("call_count")?.amount()? as u64,
+        call_count: at.need("call_count")?.amount()? as u64,
     })
 }
 
--- a/crates/gateway/src/storage/bootstrap_marker_tests.rs
+++ b/crates/gateway/src/storage/bootstrap_marker_tests.rs
@@ -100,7 +100,7 @@
         for broken in [LEGACY_DATABASE_FILE, DATABASE_FILE, WAL_FILE] {
             let folder = Folder::new("refused-marked");
             match broken {
-                NAME => copy(&whole, &folder, NAME),
+                DATABASE_FILE => copy(&whole, &folder, DATABASE_FILE),
                 name => put(&folder, name, b"something"),
             }
             if marked {
--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -23,8 +23,8 @@
 pub(crate) mod tests;
 
 use crate::consensus::{Entry, Index, LogWrite, Members, NodeId, Snapshot, Term};
-use crate::control_plane::LogCommand;
-use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::discovery::{Worker, WorkerPhase};
+use crate::protocol::LogCommand;
 use bytes::{Bytes, BytesMut};
 use rusqlite::config::DbConfig;
 use rusqlite::{params, Connection, OptionalExtension};
@@ -345,11 +345,11 @@
         }
         for worker in &put.workers {
             match worker.phase {
-                WorkerPhase::Settled | WorkerPhase::Decaying => self.execute(
+                WorkerPhase::Serving | WorkerPhase::Draining => self.execute(
                     "INSERT OR REPLACE INTO workers VALUES (?1, ?2)",
                     params![&*worker.id, blob(worker)?],
                 )?,
-                WorkerPhase::Silent | WorkerPhase::Gone => {
+                WorkerPhase::Unresponsive | WorkerPhase::Departed => {
                     self.execute("DELETE FROM workers WHERE id = ?1", params![&*worker.id])?
                 }
             }
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -4,8 +4,8 @@
 use crate::cli::export::{call, export, ExportError};
 use crate::configuration::{read_call, ConfigItem, ItemFields, ItemKind, ItemSet};
 use crate::consensus::{Entry, EntryPayload, LogWrite, NodeId, Snapshot};
-use crate::control_plane::LogCommand;
-use crate::discovery::registry::{Worker, WorkerPhase};
+use crate::discovery::{Worker, WorkerPhase};
+use crate::protocol::LogCommand;
 use crate::storage::{
     LoadedState, ReplicaStore, SnapshotChunk, StorageError, WriteBatch, DATABASE_FILE, LEGACY_DATABASE_FILE,
     SNAPSHOT_CHUNK_BYTES, WAL_FILE,
@@ -73,7 +73,7 @@
 fn worker(id: u64, phase: WorkerPhase, calls: u64) -> Worker {
     let address = std::net::SocketAddr::from(([10, 2, 0, 1], 80));
     let (id, service, zone) = (format!("w{id}").into(), "s".into(), "z".into());
-    Worker { id, service, address, zone, capacity: 4, phase, warmup_ms: 0, calls }
+    Worker { id, service, address, zone, capacity: 4, phase, warmup_ms: 0, call_count: calls }
 }
 
 fn put(writes: Vec<LogWrite<LogCommand>>) -> WriteBatch {
@@ -105,7 +105,7 @@
     }
     for worker in &put.workers {
         held.workers.retain(|w| w.id != worker.id);
-        if worker.phase <= WorkerPhase::Decaying {
+        if worker.phase <= WorkerPhase::Draining {
             held.workers.push(worker.clone());
         }
     }
@@ -149,7 +149,7 @@
             put.writes.push(LogWrite::Snapshot { snapshot, whole: true });
         }
         5 => {
-            let phase = [WorkerPhase::Settled, WorkerPhase::Decaying, WorkerPhase::Gone][rng.usize(..3)];
+            let phase = [WorkerPhase::Serving, WorkerPhase::Draining, WorkerPhase::Departed][rng.usize(..3)];
             put.workers.push(worker(rng.u64(..5), phase, rng.u64(..)));
         }
         // Ahead of a snapshot that may come, or not.
--- a/crates/simulation/src/external_actors.rs
+++ b/crates/simulation/src/external_actors.rs
@@ -9,7 +9,7 @@
 use whinstall_gateway::configuration::{read_call, ItemKind};
 use whinstall_gateway::control_plane::{self, ApiCommand};
 use whinstall_gateway::data_plane::requests::{FinalResponse, IncomingRequest};
-use whinstall_gateway::discovery::registry::{Worker, WorkerPhase};
+use whinstall_gateway::discovery::{Worker, WorkerPhase};
 
 /// A worker.
 pub struct Wk {
@@ -41,7 +41,7 @@
             address: ([10, 9, 0, n as u8 + 1], 80).into(),
             alive: true,
             dark: false,
-            phase: WorkerPhase::Settled,
+            phase: WorkerPhase::Serving,
             calls: 0,
             core: n,
             busy: 0,
@@ -52,7 +52,7 @@
     }
 
     pub fn leaves(&mut self) {
-        self.phase = WorkerPhase::Decaying;
+        self.phase = WorkerPhase::Draining;
     }
 }
 
@@ -116,7 +116,7 @@
             capacity: SLOTS as u32,
             phase: w.phase,
             warmup_ms: 0,
-            calls: w.calls,
+            call_count: w.calls,
         }
     }
 
@@ -151,7 +151,7 @@
             self.audit.read_back(body);
         }
         if let (Caller::Beat(n), 200) = (&call.by, status) {
-            if self.workers[*n].phase == WorkerPhase::Decaying && self.workers[*n].acked.is_none() {
+            if self.workers[*n].phase == WorkerPhase::Draining && self.workers[*n].acked.is_none() {
                 self.workers[*n].acked = Some(self.now);
                 self.audit.leaving(&self.workers[*n].id, self.now);
             }
@@ -176,7 +176,7 @@
         match call.by {
             Caller::Beat(n) => {
                 let leaving =
-                    self.workers[n].phase == WorkerPhase::Decaying && self.workers[n].acked.is_some();
+                    self.workers[n].phase == WorkerPhase::Draining && self.workers[n].acked.is_some();
                 if leaving && !self.workers[n].departing {
                     self.workers[n].departing = true;
                     self.after(2.8, SimulationEvent::Depart(n));
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -6,7 +6,7 @@
 use super::{SimulationEvent, World};
 use whinstall_gateway::consensus::{Index, LogWrite, Snapshot, Term};
 use whinstall_gateway::control_plane::{self, CoreNode};
-use whinstall_gateway::discovery::registry::WorkerPhase;
+use whinstall_gateway::discovery::WorkerPhase;
 use whinstall_gateway::settings::Settings;
 use whinstall_gateway::storage::{LoadedState, WriteBatch};
 
@@ -140,7 +140,7 @@
     fn take(&mut self, put: WriteBatch) {
         for worker in put.workers {
             self.held.workers.retain(|w| w.id != worker.id);
-            self.held.workers.extend(Some(worker).filter(|w| w.phase <= WorkerPhase::Decaying));
+            self.held.workers.extend(Some(worker).filter(|w| w.phase <= WorkerPhase::Draining));
         }
         let raft = &mut self.held.raft;
         for write in put.writes {
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -188,14 +188,14 @@
     pub fn say_back(&mut self, conn: u64, msg: PeerMessage) {
         let key = self.links.up.iter().find(|(_, l)| l.conn == conn).map(|(k, _)| *k);
         if let Some(key) = key {
-            if let (Who::Edge(_), PeerMessage::Totals { held: true, term, .. }) = (key.from, &msg) {
+            if let (Who::Edge(_), PeerMessage::QuotaGrants { is_leader: true, term, .. }) = (key.from, &msg) {
                 self.counted(key.to, *term);
             }
             if let Who::Edge(_) = key.from {
                 let what = match &msg {
-                    PeerMessage::Totals { held: true, .. } => Some("totals"),
-                    PeerMessage::AllWorkers { .. } => Some("all workers"),
-                    PeerMessage::Config { from: None, .. } => Some("a whole configuration"),
+                    PeerMessage::QuotaGrants { is_leader: true, .. } => Some("totals"),
+                    PeerMessage::WorkerSnapshot { .. } => Some("all workers"),
+                    PeerMessage::ConfigUpdate { previous: None, .. } => Some("a whole configuration"),
                     _ => None,
                 };
                 self.handed_out(key.to, what);
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -202,7 +202,7 @@
         key: super::network::LinkKey,
         msg: &whinstall_gateway::protocol::PeerMessage,
     ) {
-        let whinstall_gateway::protocol::PeerMessage::Raft {
+        let whinstall_gateway::protocol::PeerMessage::Consensus {
             message: whinstall_gateway::consensus::Message::Piece { data, .. },
             ..
         } = msg
