--- a/crates/gateway/src/control_plane/quota_counter/mod.rs
+++ b/crates/gateway/src/control_plane/quota_counter/mod.rs
@@ -18,7 +18,7 @@
 mod totals_tests;
 
 use crate::protocol::share_ceilings::{EdgeCeilings, ShareCeilings};
-use crate::protocol::{TenantGrant, TenantUsage};
+use crate::protocol::{TenantGrant, TenantLimit, TenantUsage};
 use allocation::{coarse, Allocation, AllocationTotals};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -42,22 +42,6 @@
     }
 }
 
-/// A tenant's limits.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TenantLimit {
-    /// Units a second.
-    pub rate: f64,
-    /// Units on top.
-    pub burst: f64,
-}
-
-impl TenantLimit {
-    /// Length of a window: about burst over rate.
-    pub fn window(&self) -> f64 {
-        (self.burst / self.rate.max(1e-9)).clamp(0.5, 20.0)
-    }
-}
-
 #[derive(Clone, Debug)]
 struct EdgeAccount {
     life: u64,
@@ -272,7 +256,7 @@
     /// Adds what the rate brings, less what strangers may spend.
     fn turn(&mut self, now: f64, tenant: TenantId, limit: &TenantLimit) {
         let strangers = self.strangers(now, tenant, limit.rate);
-        let number = (now / limit.window()).floor() as i64;
+        let number = (now / limit.window_secs()).floor() as i64;
         let mut burst = limit.burst.max(1.0);
         let at_first = match (self.first, self.complete) {
             (true, _) => burst,
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -1,10 +1,10 @@
 //! The counter and the gatekeepers' side of it against each other: lives that end, holders that are lost, cuts, late
 //! words; by seeds, with the bound of the quota counted exactly.
 
-use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig, TenantLimit};
+use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig};
 use crate::data_plane::quota_admission::{self, AdmissionDecision, GrantState, QuotaAdmission};
 use crate::protocol::share_ceilings::ShareCeilings;
-use crate::protocol::{TenantGrant, TenantUsage};
+use crate::protocol::{TenantGrant, TenantLimit, TenantUsage};
 use googletest::prelude::*;
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
@@ -1,9 +1,9 @@
 //! What the counter keeps by change against the same made anew: sums over gatekeepers, and the record of ceilings that
 //! the core folds from changes; by seeds, over lives that end, silences, changes of holder and lost answers.
 
-use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig, TenantLimit};
+use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig};
 use crate::protocol::share_ceilings::ShareCeilings;
-use crate::protocol::TenantUsage;
+use crate::protocol::{TenantLimit, TenantUsage};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/crates/gateway/src/control_plane/quota_lease.rs
+++ b/crates/gateway/src/control_plane/quota_lease.rs
@@ -5,29 +5,19 @@
 use super::CoreContext;
 use crate::consensus::Term;
 use crate::control_plane::event_journal::JournalEvent;
-use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig, TenantLimit};
+use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig};
 use crate::protocol::share_ceilings::ShareCeilings;
-use crate::protocol::{TenantGrant, TenantUsage};
+use crate::protocol::{
+    standing_share_expiry_secs, TenantGrant, TenantLimit, TenantUsage, QUOTA_CONTACT_TIMEOUT_SECS,
+    QUOTA_SYNC_INTERVAL_SECS,
+};
 use crate::settings::Settings;
 
 /// Shares that changed are recorded this often at the most: seconds.
 const RECORD: f64 = 0.3;
-/// Charges come at least this often: seconds.
-pub const SYNC_EVERY: f64 = 0.25;
-/// A gatekeeper that is not heard of for so long may go by its standing shares: seconds.
-pub const OVERDUE: f64 = 0.7;
-
-/// Standing shares outlast this many of the quota's horizons.
-const LAPSE_HORIZONS: f64 = 3.0;
-
 /// No machine led the core before this term, so none held the counter.
 const FIRST_TERM: Term = 1;
 
-/// How long standing shares last: seconds.
-pub fn lapse(settings: &Settings) -> f64 {
-    LAPSE_HORIZONS * settings.envelope.quota_horizon.as_secs_f64()
-}
-
 /// The counter's post on this machine.
 pub struct QuotaLease {
     terms: QuotaCounterConfig,
@@ -40,7 +30,11 @@
 impl QuotaLease {
     /// Nobody's.
     pub fn new(settings: &Settings) -> Self {
-        let terms = QuotaCounterConfig { overdue: OVERDUE, lapse: lapse(settings), every: SYNC_EVERY };
+        let terms = QuotaCounterConfig {
+            overdue: QUOTA_CONTACT_TIMEOUT_SECS,
+            lapse: standing_share_expiry_secs(settings),
+            every: QUOTA_SYNC_INTERVAL_SECS,
+        };
         QuotaLease { terms, counter: None, recorded_at: f64::NEG_INFINITY, ended: false }
     }
 
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -14,9 +14,11 @@
 
 use crate::configuration::replica::{ConfigReplica, ReplicaUpdate};
 use crate::configuration::{ActiveConfig, ItemKind};
-use crate::control_plane::quota_lease;
 use crate::discovery::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
-use crate::protocol::{LoadReport, NodeLocation, PeerMessage};
+use crate::protocol::{
+    standing_share_expiry_secs, LoadReport, NodeLocation, PeerMessage, QUOTA_CONTACT_TIMEOUT_SECS,
+    QUOTA_SYNC_INTERVAL_SECS,
+};
 use crate::settings::Settings;
 use drain::Drain;
 use load_table::LoadTable;
@@ -135,9 +137,9 @@
 fn quota_terms(settings: &Settings) -> quota_admission::QuotaAdmissionConfig {
     let e = &settings.envelope;
     quota_admission::QuotaAdmissionConfig {
-        every: quota_lease::SYNC_EVERY,
-        overdue: quota_lease::OVERDUE,
-        lapse: quota_lease::lapse(settings),
+        every: QUOTA_SYNC_INTERVAL_SECS,
+        overdue: QUOTA_CONTACT_TIMEOUT_SECS,
+        lapse: standing_share_expiry_secs(settings),
         overshoot: e.quota_overshoot,
         margin: e.quota_margin,
         horizon: e.quota_horizon.as_secs_f64(),
--- a/crates/gateway/src/data_plane/quota_admission.rs
+++ b/crates/gateway/src/data_plane/quota_admission.rs
@@ -2,8 +2,7 @@
 //! standing shares for when the counter can't be reached. Pure; time is passed in. It must never admit beyond what
 //! it was granted or, out of touch, beyond its standing share, nor take a word of an older holder after a newer one's.
 
-use crate::control_plane::quota_counter::TenantLimit;
-use crate::protocol::{TenantGrant, TenantUsage};
+use crate::protocol::{TenantGrant, TenantLimit, TenantUsage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
--- a/crates/gateway/src/data_plane/quota_slack_tests.rs
+++ b/crates/gateway/src/data_plane/quota_slack_tests.rs
@@ -1,11 +1,10 @@
 //! What a quota may be passed by, each part by itself, at gatekeepers that no counter hears: what standing shares saved up,
 //! and what tenants without a share may spend. What is on its way is in `counter_tests.rs`.
 
-use crate::control_plane::quota_counter::TenantLimit;
 use crate::data_plane::quota_admission::{
     AdmissionDecision, GrantState, QuotaAdmission, QuotaAdmissionConfig,
 };
-use crate::protocol::TenantGrant;
+use crate::protocol::{TenantGrant, TenantLimit};
 use googletest::prelude::*;
 use std::sync::Arc;
 
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -7,8 +7,8 @@
 use super::upstream_service::RequestClass;
 use super::{drain, EdgeNode, Effect};
 use crate::configuration::active_config::Route;
-use crate::control_plane::quota_counter::TenantLimit;
 use crate::data_plane::quota_admission::{AdmissionDecision, GrantState};
+use crate::protocol::TenantLimit;
 use std::sync::Arc;
 use whinstall::{Action, Ending, HostId, RequestId};
 
--- a/crates/gateway/src/protocol/mod.rs
+++ b/crates/gateway/src/protocol/mod.rs
@@ -24,4 +24,7 @@
 pub use message::PeerMessage;
 pub use node_location::NodeLocation;
 pub use operator::{OperatorRequest, OperatorResponse};
-pub use quota::{TenantGrant, TenantUsage};
+pub use quota::{
+    standing_share_expiry_secs, TenantGrant, TenantLimit, TenantUsage, QUOTA_CONTACT_TIMEOUT_SECS,
+    QUOTA_SYNC_INTERVAL_SECS,
+};
--- a/crates/gateway/src/protocol/quota.rs
+++ b/crates/gateway/src/protocol/quota.rs
@@ -1,7 +1,39 @@
-//! What an edge node and the quota leader exchange for each tenant.
+//! What an edge node and the quota leader exchange for each tenant, and the terms that both go by: a tenant's limit, and
+//! when an edge node may spend its standing share.
 
+use crate::settings::Settings;
 use serde::{Deserialize, Serialize};
 
+/// An edge node reports its usage at least this often, in seconds.
+pub const QUOTA_SYNC_INTERVAL_SECS: f64 = 0.25;
+/// An edge node that had no answer from the quota leader for this long, in seconds, spends its standing share instead of
+/// grants. The leader counts with the same time: an edge node that it has not heard for this long is out of contact.
+pub const QUOTA_CONTACT_TIMEOUT_SECS: f64 = 0.7;
+
+/// Standing shares outlast this many of the quota's horizons.
+const SHARE_EXPIRY_HORIZONS: f64 = 3.0;
+
+/// How long an edge node's standing shares stay valid after its last sync, in seconds.
+pub fn standing_share_expiry_secs(settings: &Settings) -> f64 {
+    SHARE_EXPIRY_HORIZONS * settings.envelope.quota_horizon.as_secs_f64()
+}
+
+/// A tenant's limit: a token bucket.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TenantLimit {
+    /// Refill: units a second.
+    pub rate: f64,
+    /// Capacity: units.
+    pub burst: f64,
+}
+
+impl TenantLimit {
+    /// Length of the window over which usage is totalled, in seconds: the time that fills the bucket, within limits.
+    pub fn window_secs(&self) -> f64 {
+        (self.burst / self.rate.max(1e-9)).clamp(0.5, 20.0)
+    }
+}
+
 /// One tenant's usage at an edge node, reported to the quota leader.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantUsage {
