--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -4,7 +4,7 @@
 
 use crate::configuration::{ConfigItem, ConfigState, ItemKind, ItemSet};
 use crate::consensus::EntryPayload;
-use crate::control_plane::snapshot_state;
+use crate::control_plane::decode_snapshot_config;
 use crate::protocol::LogCommand;
 use crate::storage::{ReplicaStore, StorageError, DATABASE_FILE, LEGACY_DATABASE_FILE, WAL_FILE};
 use rusqlite::Connection;
@@ -99,7 +99,7 @@
     sound(&Connection::open(scratch.0.join(DATABASE_FILE))?)?;
     let snapshot = held.raft.snapshot.as_ref();
     let mut state = match snapshot {
-        Some(snapshot) => snapshot_state(&snapshot.data).map_err(ExportError::Row)?,
+        Some(snapshot) => decode_snapshot_config(&snapshot.data).map_err(ExportError::Row)?,
         None => ConfigState::default(),
     };
     let behind = snapshot.map_or((0, 0), |s| (s.index, s.term));
--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -54,20 +54,20 @@
             })
             .collect();
         let replies = effects.into_iter().filter_map(|e| match e {
-            Effect::Reply(_, status, body) => Some((status, body)),
+            Effect::Respond(_, status, body) => Some((status, body)),
             _ => None,
         });
         self.replies.extend(replies);
         if let Some(last) = puts.last().map(|p| p.number) {
             self.store.write(&puts).expect("written");
-            self.event(Event::Disk(last));
+            self.event(Event::Persisted(last));
         }
     }
 
     /// The answer to a call; cuts of the log come with ticks.
     pub(crate) fn call(&mut self, command: ApiCommand) -> (u16, Value) {
         self.replies.clear();
-        self.event(Event::Call(1, command));
+        self.event(Event::ApiCall(1, command));
         self.now += TICK;
         self.event(Event::Tick);
         self.replies.pop().unwrap_or((0, Value::Null))
--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -6,7 +6,7 @@
 use crate::cli::export::export;
 use crate::configuration::{ConfigItem, ItemFields, ItemKind};
 use crate::consensus::{Entry, EntryPayload, LogWrite, NodeId};
-use crate::control_plane::{snapshot_state, ApiCommand};
+use crate::control_plane::{decode_snapshot_config, ApiCommand};
 use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::share_ceilings::ShareCeilings;
 use crate::protocol::LogCommand;
@@ -154,7 +154,7 @@
         worker("w-decaying", "s2", 2, WorkerPhase::Draining, 9),
         worker("w-left", "s2", 3, WorkerPhase::Serving, 1),
     ] {
-        assert_eq!(one.call(ApiCommand::Beat(worker)).0, 200);
+        assert_eq!(one.call(ApiCommand::Heartbeat(worker)).0, 200);
     }
     assert_eq!(one.call(ApiCommand::Departure("w-left".into())).0, 200);
 }
@@ -311,7 +311,7 @@
     let log = &held.raft.log;
     let ends = (log.first().map(|e| (e.index, e.term)), log.last().map(|e| (e.index, e.term)), log.len());
     expect_that!(ends, eq((Some((514, 2)), Some((516, 2)), 3)));
-    let state = snapshot_state(&snapshot.data).expect("a state");
+    let state = decode_snapshot_config(&snapshot.data).expect("a state");
     expect_that!(state.index(), eq(513));
     // Dropped ones too.
     let items: Vec<_> = state.items().map(|i| (i.kind, &*i.label, i.version, i.body.is_some())).collect();
@@ -393,7 +393,7 @@
         let now = one.call(ApiCommand::Read);
         expect_that!(now.0, eq(200));
         expect_that!(now.1, not(eq(&stood)), "{name}");
-        let fields = one.core.keeper.state.body(ItemKind::Service, changed);
+        let fields = one.core.configuration.state.body(ItemKind::Service, changed);
         let read = |field: &str| fields.as_ref().and_then(|f| f[field].as_str().map(str::to_owned));
         expect_that!(read("probe_path"), some(eq("/h9999")), "{name}");
         drop(one);
--- a/crates/gateway/src/control_plane/calls_tests.rs
+++ b/crates/gateway/src/control_plane/calls_tests.rs
@@ -28,7 +28,7 @@
     while now < to {
         for effect in std::mem::take(&mut out) {
             if let Effect::Persist(put) = effect {
-                core.handle(now, Event::Disk(put.number), &mut out);
+                core.handle(now, Event::Persisted(put.number), &mut out);
             }
         }
         core.handle(now, Event::Tick, &mut out);
@@ -39,9 +39,9 @@
 /// The answers to a call.
 fn replies(core: &mut CoreNode, now: f64, command: ApiCommand) -> Vec<u16> {
     let mut out = Vec::new();
-    core.handle(now, Event::Call(7, command), &mut out);
+    core.handle(now, Event::ApiCall(7, command), &mut out);
     out.iter()
-        .filter_map(|e| if let Effect::Reply(7, status, _) = e { Some(*status) } else { None })
+        .filter_map(|e| if let Effect::Respond(7, status, _) = e { Some(*status) } else { None })
         .collect()
 }
 
@@ -69,7 +69,7 @@
         while now < to {
             let ping = crate::protocol::PeerMessage::Ping { config_index: 0, workers_digest: 0, received: 0 };
             let mut out = Vec::new();
-            core.handle(now, Event::Peer(ip(2), ping), &mut out);
+            core.handle(now, Event::PeerMessage(ip(2), ping), &mut out);
             pass(core, now, now + 0.3, out);
             now += 0.3;
         }
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -74,14 +74,15 @@
         if raft.leads() {
             return self.lead(now, Waiter::Own(call), wish, (raft, shared), out);
         }
-        let leader = raft.leader(shared.ms(now)).map(|id| id.ip).filter(|ip| shared.touches(now, ip));
+        let leader =
+            raft.leader(shared.log_time(now)).map(|id| id.ip).filter(|ip| shared.is_reachable(now, ip));
         let Some(ip) = leader else {
             // Cut off, or between two leaders: the caller goes on to another machine.
-            return out.push(Effect::Reply(call, 503, error_body("no leader is in touch")));
+            return out.push(Effect::Respond(call, 503, error_body("no leader is in touch")));
         };
-        let ask = shared.number();
+        let ask = shared.next_id();
         self.passed.insert(ask, (call, now + CALL_WITHIN));
-        out.push(Effect::Send(ip, PeerMessage::ForwardRequest { request_id: ask, request: wish }));
+        out.push(Effect::SendToPeer(ip, PeerMessage::ForwardRequest { request_id: ask, request: wish }));
     }
 
     /// Another core machine passes a call on.
@@ -104,7 +105,7 @@
         (raft, shared): (&mut Raft<LogCommand>, &mut CoreContext),
         out: &mut Vec<Effect>,
     ) {
-        let (ms, until) = (shared.ms(now), now + CALL_WITHIN);
+        let (ms, until) = (shared.log_time(now), now + CALL_WITHIN);
         let place = match wish {
             OperatorRequest::Amend(order) => {
                 raft.propose(ms, LogCommand::Configure(order)).map(|(index, term)| {
@@ -145,7 +146,7 @@
     ) {
         let call = match waiter {
             Waiter::Remote(conn, ask) => {
-                return out.push(Effect::Return(
+                return out.push(Effect::SendToSession(
                     conn,
                     PeerMessage::ForwardResponse { request_id: ask, response: answer },
                 ))
@@ -162,7 +163,7 @@
                 return self.behind.push((index, call, shared.now + CALL_WITHIN));
             }
         };
-        out.push(Effect::Reply(call, status, body));
+        out.push(Effect::Respond(call, status, body));
     }
 
     /// An order is committed: it is judged, and what it changes is returned, with the index of the last change before.
@@ -225,7 +226,7 @@
             for waiting in std::mem::take(&mut self.copying) {
                 let holders = raft.holders(waiting.index);
                 let ips: Vec<IpAddr> = holders.iter().map(|id: &NodeId| id.ip).collect();
-                if shared.may_hold_all(ips.iter()) {
+                if shared.survives_tolerated_losses(ips.iter()) {
                     tracing::info!(index = waiting.index, copies = ips.len(), "acknowledges a configuration");
                     shared.journal.append(shared.now, JournalEvent::Acknowledged(ips.len()));
                     self.answer(waiting.waiter, OperatorResponse::Accepted, shared, out);
@@ -239,7 +240,7 @@
             let (ready, rest) = std::mem::take(&mut self.behind).into_iter().partition(|b| b.0 <= applied);
             self.behind = rest;
             let ready: Vec<(Index, CallId, f64)> = ready;
-            out.extend(ready.into_iter().map(|(_, call, _)| Effect::Reply(call, 200, self.state.render())));
+            out.extend(ready.into_iter().map(|(_, call, _)| Effect::Respond(call, 200, self.state.render())));
         }
     }
 
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -86,12 +86,12 @@
         out: &mut Vec<Effect>,
     ) {
         let member = core.then_some(me.ip);
-        self.tell_members(out);
-        out.push(Effect::Return(conn, PeerMessage::CoreNodes(self.shared.told())));
+        self.advertise_core_nodes(out);
+        out.push(Effect::SendToSession(conn, PeerMessage::CoreNodes(self.context.advertised_nodes())));
         if core {
-            self.meet(vec![me], out);
+            self.learn_core_nodes(vec![me], out);
         } else {
-            self.gates.meet(now, &node, me);
+            self.edges.meet(now, &node, me);
         }
         // What a gatekeeper holds comes with its first ping.
         let caller = PeerSession {
@@ -107,23 +107,23 @@
             differs: (0, now),
             whole: (f64::NEG_INFINITY, WHOLE_EVERY),
         };
-        self.callers.insert(conn, caller);
+        self.sessions.insert(conn, caller);
     }
 
     /// Counts what is said on connections.
     pub(super) fn count(&mut self, effects: &[Effect]) {
         for effect in effects {
-            let Effect::Return(conn, msg) = effect else { continue };
-            if let Some(caller) = self.callers.get_mut(conn) {
+            let Effect::SendToSession(conn, msg) = effect else { continue };
+            if let Some(caller) = self.sessions.get_mut(conn) {
                 caller.link.says(msg);
             }
         }
     }
 
     fn leave(&self, now: f64) -> SendPermissions {
-        let news = self.shared.majority(now);
-        let whole = news && self.raft.is_attached(self.shared.ms(now));
-        let most = self.shared.settings.memory as usize / MEMORY_PART / self.callers.len().max(1);
+        let news = self.context.has_majority(now);
+        let whole = news && self.raft.is_attached(self.context.log_time(now));
+        let most = self.context.settings.memory as usize / MEMORY_PART / self.sessions.len().max(1);
         SendPermissions { whole, news, most: most.max(LEAST) }
     }
 
@@ -135,12 +135,12 @@
         (config, workers, heard): (u64, u64, u64),
         out: &mut Vec<Effect>,
     ) {
-        let mine = (self.keeper.state.index(), self.roster.registry.digest());
-        let (leave, last) = (self.leave(now), self.roster.last());
-        let settled = leave.whole && self.roster.settled(now);
-        let Some(caller) = self.callers.get_mut(&conn) else { return };
+        let mine = (self.configuration.state.index(), self.membership.registry.digest());
+        let (leave, last) = (self.leave(now), self.membership.last());
+        let settled = leave.whole && self.membership.settled(now);
+        let Some(caller) = self.sessions.get_mut(&conn) else { return };
         if caller.member.is_some() {
-            out.push(Effect::Return(
+            out.push(Effect::SendToSession(
                 conn,
                 PeerMessage::Ping { config_index: mine.0, workers_digest: mine.1, received: 0 },
             ));
@@ -165,20 +165,20 @@
         if lasts && settled && now - at > every && caller.link.takes_whole(leave.most) {
             tracing::info!(gate = caller.node, "tells all workers to a gatekeeper that differs");
             caller.whole = (now, (2.0 * every).min(WHOLE_LAST));
-            let workers = self.roster.registry.all().cloned().collect();
-            out.push(Effect::Return(conn, PeerMessage::WorkerSnapshot { workers, complete: settled }));
+            let workers = self.membership.registry.all().cloned().collect();
+            out.push(Effect::SendToSession(conn, PeerMessage::WorkerSnapshot { workers, complete: settled }));
         }
         self.serve(conn, &leave, out);
-        let young = now - self.shared.started < COUNT_AFTER;
-        let gates = if young { 0 } else { self.gates.count() as u32 };
-        let ms = self.shared.ms(now);
+        let young = now - self.context.started < COUNT_AFTER;
+        let gates = if young { 0 } else { self.edges.count() as u32 };
+        let ms = self.context.log_time(now);
         let holder = match self.raft.leader(ms) {
             Some(leader) if leader == self.raft.me() => self.raft.holds_lease(ms).then_some(leader.ip),
             leader => leader.map(|l| l.ip),
         };
-        let core = self.shared.voters.len() as u32;
-        let settled = settled && self.callers.get(&conn).is_some_and(|c| c.workers == Some(last));
-        out.push(Effect::Return(
+        let core = self.context.voters.len() as u32;
+        let settled = settled && self.sessions.get(&conn).is_some_and(|c| c.workers == Some(last));
+        out.push(Effect::SendToSession(
             conn,
             PeerMessage::Pong {
                 quota_leader: holder,
@@ -191,8 +191,9 @@
 
     /// What a gatekeeper lacks, as far as its connection takes it.
     fn serve(&mut self, conn: ConnectionId, leave: &SendPermissions, out: &mut Vec<Effect>) {
-        let mine = (self.keeper.state.index(), self.roster.registry.digest(), self.roster.last());
-        let (Some(caller), last) = (self.callers.get_mut(&conn), mine.2) else { return };
+        let mine =
+            (self.configuration.state.index(), self.membership.registry.digest(), self.membership.last());
+        let (Some(caller), last) = (self.sessions.get_mut(&conn), mine.2) else { return };
         let Some((config, workers)) = caller.holds else { return };
         if leave.whole {
             // One that is back goes on from what it holds.
@@ -203,18 +204,19 @@
             caller.workers.filter(|n| *n < last && leave.news && caller.link.has_room(leave.most))
         {
             // Those that can't be told any more are told by the whole list.
-            let news = self.roster.since(known);
+            let news = self.membership.since(known);
             caller.workers = news.is_some().then_some(last);
-            out.extend(news.map(|workers| Effect::Return(conn, PeerMessage::WorkerUpdates(workers))));
+            out.extend(news.map(|workers| Effect::SendToSession(conn, PeerMessage::WorkerUpdates(workers))));
         }
         let lacks = !caller.told || caller.workers.is_none();
-        let most = self.shared.settings.memory as usize / MEMORY_PART;
-        let room = self.pace.wholes > 0.0 && (self.pace.under_way == 0 || self.pace.under_way < most);
+        let most = self.context.settings.memory as usize / MEMORY_PART;
+        let room = self.transfer_pacing.wholes > 0.0
+            && (self.transfer_pacing.under_way == 0 || self.transfer_pacing.under_way < most);
         if !(lacks && leave.whole && room && caller.link.takes_whole(leave.most)) {
             return;
         }
         let mut whole = Vec::new();
-        let state = &self.keeper.state;
+        let state = &self.configuration.state;
         if !std::mem::replace(&mut caller.told, true) && !state.is_empty() {
             let items: Vec<ConfigItem> = state.standing().map(|i| (**i).clone()).collect();
             whole.push(PeerMessage::ConfigUpdate { previous: None, index: state.index(), items });
@@ -222,30 +224,31 @@
         if caller.workers.is_none() {
             caller.workers = Some(last);
             // Who lives and is not among them may be known elsewhere: none is taken away by this.
-            let workers = self.roster.registry.all().cloned().collect();
+            let workers = self.membership.registry.all().cloned().collect();
             whole.push(PeerMessage::WorkerSnapshot { workers, complete: false });
         }
         let bytes: usize = whole.iter().map(weight).sum();
-        self.pace.wholes -= bytes as f64;
-        self.pace.under_way += bytes;
-        out.extend(whole.into_iter().map(|msg| Effect::Return(conn, msg)));
+        self.transfer_pacing.wholes -= bytes as f64;
+        self.transfer_pacing.under_way += bytes;
+        out.extend(whole.into_iter().map(|msg| Effect::SendToSession(conn, msg)));
     }
 
     /// Workers' news goes to all gatekeepers that it is news to.
     pub(super) fn tell_workers(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leave, last) = (self.leave(now), self.roster.last());
+        let (leave, last) = (self.leave(now), self.membership.last());
         if !leave.news {
             return;
         }
         let mut lacked: BTreeMap<u64, Option<Vec<Worker>>> = BTreeMap::new();
-        for (conn, caller) in &mut self.callers {
+        for (conn, caller) in &mut self.sessions {
             let Some(known) = caller.workers.filter(|n| *n < last && caller.link.has_room(leave.most)) else {
                 continue;
             };
-            let news = lacked.entry(known).or_insert_with(|| self.roster.since(known));
+            let news = lacked.entry(known).or_insert_with(|| self.membership.since(known));
             caller.workers = news.is_some().then_some(last);
             out.extend(
-                news.iter().map(|workers| Effect::Return(*conn, PeerMessage::WorkerUpdates(workers.clone()))),
+                news.iter()
+                    .map(|workers| Effect::SendToSession(*conn, PeerMessage::WorkerUpdates(workers.clone()))),
             );
         }
     }
@@ -258,26 +261,26 @@
         items: Vec<ConfigItem>,
         out: &mut Vec<Effect>,
     ) {
-        let most = self.leave(self.shared.now).most;
+        let most = self.leave(self.context.now).most;
         let msg = PeerMessage::ConfigUpdate { previous: Some(before), index, items };
-        for (conn, caller) in self.callers.iter_mut().filter(|(_, c)| c.member.is_none() && c.told) {
+        for (conn, caller) in self.sessions.iter_mut().filter(|(_, c)| c.member.is_none() && c.told) {
             caller.told = caller.link.has_room(most);
             if caller.told {
-                out.push(Effect::Return(*conn, msg.clone()));
+                out.push(Effect::SendToSession(*conn, msg.clone()));
             }
         }
     }
 
     /// This machine has skipped entries: gatekeepers here are to be told all again.
     pub(super) fn tell_anew(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.callers.values_mut().for_each(|c| c.told = false);
+        self.sessions.values_mut().for_each(|c| c.told = false);
         self.serve_all(now, out);
     }
 
     fn serve_all(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leave, last) = (self.leave(now), self.roster.last());
+        let (leave, last) = (self.leave(now), self.membership.last());
         let lacks = |c: &PeerSession| c.member.is_none() && (!c.told || c.workers.is_none_or(|n| n < last));
-        let lacking = self.callers.iter().filter(|(_, c)| lacks(c)).map(|(conn, _)| *conn);
+        let lacking = self.sessions.iter().filter(|(_, c)| lacks(c)).map(|(conn, _)| *conn);
         for conn in lacking.collect::<Vec<_>>() {
             self.serve(conn, &leave, out);
         }
@@ -285,9 +288,9 @@
 
     /// Upkeep.
     pub(super) fn tick_gates(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.gates.sweep(now);
-        self.pace.wholes = (self.pace.wholes + WHOLES * TICK).min(WHOLES * TICK);
-        self.pace.under_way = self.callers.values().map(|c| c.link.bytes()).sum();
+        self.edges.sweep(now);
+        self.transfer_pacing.wholes = (self.transfer_pacing.wholes + WHOLES * TICK).min(WHOLES * TICK);
+        self.transfer_pacing.under_way = self.sessions.values().map(|c| c.link.bytes()).sum();
         // Those that came while this machine could not speak for all, or whose connections lagged.
         self.serve_all(now, out);
         self.tell_list(now, out);
@@ -295,21 +298,21 @@
 
     /// The list of gatekeepers: each is told what is news to it, in turn.
     fn tell_list(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.pace.lists = (self.pace.lists + LISTS * TICK).min(LISTS * TICK);
-        let (most, last, from) = (self.leave(now).most, self.gates.last(), self.pace.listed);
+        self.transfer_pacing.lists = (self.transfer_pacing.lists + LISTS * TICK).min(LISTS * TICK);
+        let (most, last, from) = (self.leave(now).most, self.edges.last(), self.transfer_pacing.listed);
         let behind = |c: &PeerSession| c.member.is_none() && c.gates != Some(last) && c.link.has_room(most);
-        let turn = self.callers.range(from + 1..).chain(self.callers.range(..=from));
+        let turn = self.sessions.range(from + 1..).chain(self.sessions.range(..=from));
         let turn: Vec<ConnectionId> = turn.filter(|(_, c)| behind(c)).map(|(conn, _)| *conn).collect();
         for conn in turn {
-            if self.pace.lists <= 0.0 {
+            if self.transfer_pacing.lists <= 0.0 {
                 return;
             }
-            let Some(caller) = self.callers.get_mut(&conn) else { continue };
-            let msg = self.gates.lacked(caller.gates);
+            let Some(caller) = self.sessions.get_mut(&conn) else { continue };
+            let msg = self.edges.lacked(caller.gates);
             caller.gates = Some(last);
-            self.pace.lists -= weight(&msg) as f64;
-            self.pace.listed = conn;
-            out.push(Effect::Return(conn, msg));
+            self.transfer_pacing.lists -= weight(&msg) as f64;
+            self.transfer_pacing.listed = conn;
+            out.push(Effect::SendToSession(conn, msg));
         }
     }
 }
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -23,7 +23,7 @@
 /// Core machines that the gatekeeper on connection 1 is told of by these.
 fn told(out: &[Effect]) -> Vec<IpAddr> {
     let of = |effect: &Effect| match effect {
-        Effect::Return(1, PeerMessage::CoreNodes(members)) => members.iter().map(|m| m.ip).collect(),
+        Effect::SendToSession(1, PeerMessage::CoreNodes(members)) => members.iter().map(|m| m.ip).collect(),
         _ => Vec::new(),
     };
     out.iter().flat_map(of).collect()
@@ -39,15 +39,19 @@
     let mut core = CoreNode::new(1000.0, settings, held).expect("a core");
     let mut out = Vec::new();
     core.start(&mut out);
-    core.handle(1000.0, Event::Inbound(1, hello("edge-0", [10, 0, 2, 1].into(), false)), &mut out);
+    core.handle(1000.0, Event::SessionMessage(1, hello("edge-0", [10, 0, 2, 1].into(), false)), &mut out);
     expect_that!(told(&out), elements_are![eq(&ip(3))]);
     // Two others reach it at once; nothing was heard of them on a connection of its own yet.
     for n in [1, 2] {
-        core.handle(1000.1, Event::Inbound(u64::from(n) + 1, hello("core", ip(n), true)), &mut out);
+        core.handle(1000.1, Event::SessionMessage(u64::from(n) + 1, hello("core", ip(n), true)), &mut out);
     }
     out.clear();
     for n in [1, 2] {
-        core.handle(1000.2, Event::Peer(ip(n), PeerMessage::WorkersReplicated { request_id: 0 }), &mut out);
+        core.handle(
+            1000.2,
+            Event::PeerMessage(ip(n), PeerMessage::WorkersReplicated { request_id: 0 }),
+            &mut out,
+        );
     }
     let ticks = |from: f64| (1..=10).map(move |n| from + f64::from(n) * TICK);
     for now in ticks(1000.2) {
@@ -125,8 +129,8 @@
     fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Persist(put) => self.event(Event::Disk(put.number)),
-                Effect::Return(conn, msg) => {
+                Effect::Persist(put) => self.event(Event::Persisted(put.number)),
+                Effect::SendToSession(conn, msg) => {
                     *self.said.entry(kind(&msg)).or_default() += encode(&msg).len();
                     let Some(n) = self.edges.iter().position(|g| g.conn == conn) else { continue };
                     match self.edges[n].lags {
@@ -150,7 +154,7 @@
         self.edges[n].edge.handle(self.now, event, &mut out);
         for effect in out {
             if let data_plane::Effect::Send(_, msg) = effect {
-                self.event(Event::Inbound(self.edges[n].conn, msg));
+                self.event(Event::SessionMessage(self.edges[n].conn, msg));
             }
         }
     }
@@ -171,7 +175,7 @@
             n
         });
         if self.edges[n].conn != conn {
-            self.event(Event::Closed(self.edges[n].conn));
+            self.event(Event::SessionClosed(self.edges[n].conn));
             self.tell(n, data_plane::Event::LinkDown(ip(1)));
             (self.edges[n].conn, self.edges[n].waits) = (conn, Vec::new());
         }
@@ -203,7 +207,7 @@
             "route_set": { "columns": of, "records": routes },
         }});
         let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
-        self.event(Event::Call(1, ApiCommand::Amend(items)));
+        self.event(Event::ApiCall(1, ApiCommand::Amend(items)));
     }
 
     fn change(&mut self, version: u64) {
@@ -211,11 +215,11 @@
             "columns": ["label", "probe_path", "revision"], "records": [["s0", "/health", format!("r{version}")]],
         }}});
         let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
-        self.event(Event::Call(version, ApiCommand::Amend(items)));
+        self.event(Event::ApiCall(version, ApiCommand::Amend(items)));
     }
 
     fn beats(&mut self, n: usize, calls: u64) {
-        self.event(Event::Call(1 << 20, ApiCommand::Beat(worker(n, calls))));
+        self.event(Event::ApiCall(1 << 20, ApiCommand::Heartbeat(worker(n, calls))));
     }
 
     fn said(&self, kind: &str) -> usize {
@@ -227,7 +231,7 @@
             PeerMessage::Ping { config_index: config, workers_digest: workers, .. } => (config, workers),
             _ => (0, 0),
         };
-        let mine = (self.core.keeper.state.index(), self.core.roster.registry.digest());
+        let mine = (self.core.configuration.state.index(), self.core.membership.registry.digest());
         self.edges.iter().all(|g| of(&g.edge) == mine)
     }
 }
@@ -254,7 +258,7 @@
             cell.play(TICK);
         }
         cell.play(2.0);
-        expect_that!(cell.core.gates.count(), eq(many));
+        expect_that!(cell.core.edges.count(), eq(many));
         let all = cell.edges.iter().all(|g| g.edge.others() == many - 1);
         expect_that!(all, eq(true), "{many}: all are known");
         cell.said("gatekeepers")
@@ -294,7 +298,7 @@
 #[gtest]
 fn a_link_that_lags_is_not_filled_further() {
     let mut cell = Cell::new();
-    cell.core.shared.settings.memory = 1 << 20;
+    cell.core.context.settings.memory = 1 << 20;
     cell.configure(20);
     let n = cell.joins(None);
     cell.play(3.0);
@@ -336,7 +340,7 @@
             cell.tell(n, data_plane::Event::Core(ip(2), news.clone()));
         }
         cell.play(TICK);
-        cell.event(Event::Call(1 << 20, ApiCommand::Beat(worker(300 + round, 1))));
+        cell.event(Event::ApiCall(1 << 20, ApiCommand::Heartbeat(worker(300 + round, 1))));
         (0..300).for_each(|n| cell.beats(n, 2 + round as u64));
     }
     cell.play(2.0);
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -50,13 +50,13 @@
 #[derive(Clone, Debug)]
 pub enum ApiCommand {
     /// A worker lives.
-    Beat(Worker),
+    Heartbeat(Worker),
     /// A worker has left.
     Departure(String),
     /// Items change.
     Amend(Vec<crate::configuration::ConfigItem>),
     /// A call that changes items can't be read: why. Refused like any other, only in touch with most of the core.
-    Unreadable(String),
+    InvalidChange(String),
     /// Any other call that can't be read: why. Refused in the same way.
     Malformed(String),
     /// What stands?
@@ -77,17 +77,17 @@
     /// It went down.
     LinkDown(IpAddr),
     /// A core machine said this on the connection that this process opened to it.
-    Peer(IpAddr, PeerMessage),
+    PeerMessage(IpAddr, PeerMessage),
     /// Somebody said this on a connection that it opened.
-    Inbound(ConnectionId, PeerMessage),
+    SessionMessage(ConnectionId, PeerMessage),
     /// It closed that connection.
-    Closed(ConnectionId),
+    SessionClosed(ConnectionId),
     /// A worker or an operator calls.
-    Call(CallId, ApiCommand),
+    ApiCall(CallId, ApiCommand),
     /// What was to be persisted under this number is synced, and all before it.
-    Disk(u64),
+    Persisted(u64),
     /// This process is asked to end.
-    Ending,
+    Shutdown,
 }
 
 /// What is to be done.
@@ -98,11 +98,11 @@
     /// It is gone for good: no more.
     Disconnect(IpAddr),
     /// Say this on it.
-    Send(IpAddr, PeerMessage),
+    SendToPeer(IpAddr, PeerMessage),
     /// Say this on a connection that somebody opened.
-    Return(ConnectionId, PeerMessage),
+    SendToSession(ConnectionId, PeerMessage),
     /// Answer a call.
-    Reply(CallId, u16, Value),
+    Respond(CallId, u16, Value),
     /// Write and sync, in this order.
     Persist(WriteBatch),
 }
@@ -122,93 +122,94 @@
 }
 
 /// The configuration in a snapshot of the log.
-pub fn snapshot_state(data: &[u8]) -> Result<ConfigState, String> {
+pub fn decode_snapshot_config(data: &[u8]) -> Result<ConfigState, String> {
     Ok(snapshot::decode(data)?.0)
 }
 
 /// The core role.
 pub struct CoreNode {
     /// What its parts share.
-    pub shared: CoreContext,
+    pub context: CoreContext,
     /// The replicated log.
     pub raft: Raft<LogCommand>,
     /// Configuration.
-    pub keeper: ConfigurationService,
+    pub configuration: ConfigurationService,
     /// Workers.
-    pub roster: WorkerMembership,
+    pub membership: WorkerMembership,
     /// The counter.
-    pub seat: QuotaLease,
+    pub quota_lease: QuotaLease,
     /// The last record of shares that is applied.
-    record: Option<Arc<ShareCeilings>>,
-    log_side: LogDriver,
-    callers: BTreeMap<ConnectionId, PeerSession>,
+    recorded_ceilings: Option<Arc<ShareCeilings>>,
+    log_driver: LogDriver,
+    sessions: BTreeMap<ConnectionId, PeerSession>,
     /// Core machines that callers were told of last.
-    told: Vec<NodeLocation>,
+    advertised: Vec<NodeLocation>,
     /// Gatekeepers.
-    gates: EdgeDirectory,
-    pace: TransferPacing,
+    edges: EdgeDirectory,
+    transfer_pacing: TransferPacing,
     /// Core machines to which a connection stands.
-    connected: BTreeSet<IpAddr>,
-    standings: MemberStates,
-    ticked: f64,
-    pinged: f64,
-    forgot: f64,
+    connected_peers: BTreeSet<IpAddr>,
+    member_states: MemberStates,
+    last_tick: f64,
+    last_ping: f64,
+    last_cleanup: f64,
     /// Why this process can't go on, if so.
-    pub broken: Option<String>,
+    pub fatal_error: Option<String>,
 }
 
 impl CoreNode {
     /// Starts with what its disk holds.
-    pub fn new(now: f64, settings: Settings, held: LoadedState) -> Result<Self, String> {
-        let shared = CoreContext::new(now, settings);
-        let (state, record) = match &held.raft.snapshot {
-            Some(held) if !held.data.is_empty() => snapshot::decode(&held.data)?,
+    pub fn new(now: f64, settings: Settings, loaded: LoadedState) -> Result<Self, String> {
+        let context = CoreContext::new(now, settings);
+        let (state, recorded_ceilings) = match &loaded.raft.snapshot {
+            Some(snapshot) if !snapshot.data.is_empty() => snapshot::decode(&snapshot.data)?,
             _ => (ConfigState::default(), None),
         };
-        let applied = held.raft.snapshot.as_ref().map_or(0, |s| s.index);
-        let snapshot = held.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
-        let me = NodeId { ip: shared.me.ip, disk: held.disk };
-        let blank = held.raft.log.is_empty() && held.raft.snapshot.is_none();
-        let raft = Raft::new(shared.ms(now), me, held.raft, replicated_log::tuning(&shared.settings));
+        let applied = loaded.raft.snapshot.as_ref().map_or(0, |s| s.index);
+        let snapshot_bytes = loaded.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
+        let me = NodeId { ip: context.me.ip, disk: loaded.disk };
+        let is_empty = loaded.raft.log.is_empty() && loaded.raft.snapshot.is_none();
+        let raft =
+            Raft::new(context.log_time(now), me, loaded.raft, replicated_log::tuning(&context.settings));
         let mut core = CoreNode {
-            keeper: ConfigurationService::new(state, applied),
-            roster: WorkerMembership::new(&shared.settings, now, held.workers),
-            seat: QuotaLease::new(&shared.settings),
+            configuration: ConfigurationService::new(state, applied),
+            membership: WorkerMembership::new(&context.settings, now, loaded.workers),
+            quota_lease: QuotaLease::new(&context.settings),
             raft,
-            record,
-            log_side: LogDriver::default(),
-            callers: BTreeMap::new(),
-            told: Vec::new(),
-            gates: EdgeDirectory::default(),
-            pace: TransferPacing::default(),
-            connected: BTreeSet::new(),
-            standings: MemberStates::default(),
-            ticked: now,
-            pinged: f64::NEG_INFINITY,
-            forgot: now,
-            broken: None,
-            shared,
+            recorded_ceilings,
+            log_driver: LogDriver::default(),
+            sessions: BTreeMap::new(),
+            advertised: Vec::new(),
+            edges: EdgeDirectory::default(),
+            transfer_pacing: TransferPacing::default(),
+            connected_peers: BTreeSet::new(),
+            member_states: MemberStates::default(),
+            last_tick: now,
+            last_ping: f64::NEG_INFINITY,
+            last_cleanup: now,
+            fatal_error: None,
+            context,
         };
-        core.log_side.started(snapshot);
-        // The whole system starts for the first time: the seeds begin, each with its first disk. One that died before
-        // this was synced begins so again, though it isn't told any more that it is the first start.
-        let s = &core.shared.settings;
-        if blank && held.disk == 0 && s.is_seed() {
-            let seeds = s.seeds.iter().map(|s| NodeId { ip: s.ip(), disk: 0 }).collect();
-            core.raft.bootstrap(core.shared.ms(now), seeds);
+        core.log_driver.started(snapshot_bytes);
+        // First start of the whole system: each seed bootstraps the log with disk 0 of every seed. A seed that crashed
+        // before this was synced does so again, although its settings no longer say that this is the first start.
+        let settings = &core.context.settings;
+        if is_empty && loaded.disk == 0 && settings.is_seed() {
+            let seeds = settings.seeds.iter().map(|s| NodeId { ip: s.ip(), disk: 0 }).collect();
+            core.raft.bootstrap(core.context.log_time(now), seeds);
         }
         Ok(core)
     }
 
     /// What is to be done first.
     pub fn start(&mut self, out: &mut Vec<Effect>) {
-        out.extend(self.shared.peers().into_iter().map(Effect::Connect));
-        self.log_out(self.shared.now, out);
+        out.extend(self.context.peers().into_iter().map(Effect::Connect));
+        self.log_out(self.context.now, out);
     }
 
     /// Takes an event at `now`, in seconds of a steady clock.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Effect>) {
-        self.shared.now = now;
+        self.context.now = now;
         let before = out.len();
         self.take(now, event, out);
         self.count(&out[before..]);
@@ -219,19 +220,19 @@
             Event::Tick => self.tick(now, out),
             Event::LinkUp(ip) => self.link_up(ip, out),
             Event::LinkDown(ip) => {
-                self.shared.heard.remove(&ip);
-                self.connected.remove(&ip);
+                self.context.last_heard.remove(&ip);
+                self.connected_peers.remove(&ip);
             }
-            Event::Peer(ip, msg) => self.peer(now, ip, msg, out),
-            Event::Inbound(conn, msg) => self.inbound(now, conn, msg, out),
-            Event::Closed(conn) => {
-                self.callers.remove(&conn);
+            Event::PeerMessage(ip, msg) => self.peer(now, ip, msg, out),
+            Event::SessionMessage(conn, msg) => self.inbound(now, conn, msg, out),
+            Event::SessionClosed(conn) => {
+                self.sessions.remove(&conn);
             }
-            Event::Call(call, command) => self.call(now, call, command, out),
-            Event::Disk(put) => self.log_synced(now, put, out),
-            Event::Ending => {
-                self.seat.end();
-                let ms = self.shared.ms(now);
+            Event::ApiCall(call, command) => self.call(now, call, command, out),
+            Event::Persisted(put) => self.log_synced(now, put, out),
+            Event::Shutdown => {
+                self.quota_lease.end();
+                let ms = self.context.log_time(now);
                 self.raft.transfer(ms);
                 self.log_out(now, out);
                 self.tell_end(out);
@@ -240,32 +241,32 @@
     }
 
     /// Does this process still have what others wait for: the lead?
-    pub fn leads(&self) -> bool {
-        self.raft.leads() && self.shared.voters.len() > 1
+    pub fn has_leadership_to_transfer(&self) -> bool {
+        self.raft.leads() && self.context.voters.len() > 1
     }
 
     fn link_up(&mut self, ip: IpAddr, out: &mut Vec<Effect>) {
-        self.connected.insert(ip);
+        self.connected_peers.insert(ip);
         let hello = PeerMessage::Hello {
-            node: self.shared.settings.node.clone(),
-            incarnation: self.shared.life(),
-            location: self.shared.me.clone(),
+            node: self.context.settings.node.clone(),
+            incarnation: self.context.incarnation(),
+            location: self.context.me.clone(),
             is_core: true,
         };
-        out.push(Effect::Send(ip, hello));
-        out.push(Effect::Send(ip, PeerMessage::CoreNodes(self.shared.told())));
-        let workers: Vec<Worker> = self.roster.registry.all().cloned().collect();
+        out.push(Effect::SendToPeer(ip, hello));
+        out.push(Effect::SendToPeer(ip, PeerMessage::CoreNodes(self.context.advertised_nodes())));
+        let workers: Vec<Worker> = self.membership.registry.all().cloned().collect();
         if !workers.is_empty() {
-            out.push(Effect::Send(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
+            out.push(Effect::SendToPeer(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
     }
 
     /// Core machines are known, or more of them than before.
-    fn meet(&mut self, members: Vec<NodeLocation>, out: &mut Vec<Effect>) {
+    fn learn_core_nodes(&mut self, members: Vec<NodeLocation>, out: &mut Vec<Effect>) {
         let mut news = false;
         for m in members {
             let (ip, zone) = (m.ip, m.zone.clone());
-            let Some(new) = self.shared.meet(m) else { continue };
+            let Some(new) = self.context.learn_node(m) else { continue };
             news = true;
             if new {
                 tracing::info!(member = %ip, zone, "core machine met");
@@ -273,32 +274,32 @@
             }
         }
         if news {
-            self.tell_members(out);
+            self.advertise_core_nodes(out);
         }
     }
 
     /// Callers hear of core machines that they were not told of: one that is known is told only once it was heard.
-    fn tell_members(&mut self, out: &mut Vec<Effect>) {
-        let all = self.shared.told();
-        if all != self.told {
-            for conn in self.callers.keys() {
-                out.push(Effect::Return(*conn, PeerMessage::CoreNodes(all.clone())));
+    fn advertise_core_nodes(&mut self, out: &mut Vec<Effect>) {
+        let all = self.context.advertised_nodes();
+        if all != self.advertised {
+            for conn in self.sessions.keys() {
+                out.push(Effect::SendToSession(*conn, PeerMessage::CoreNodes(all.clone())));
             }
-            self.told = all;
+            self.advertised = all;
         }
     }
 
     /// What a core machine says on the connection that this process opened.
     fn peer(&mut self, now: f64, ip: IpAddr, msg: PeerMessage, out: &mut Vec<Effect>) {
-        self.shared.heard.insert(ip, now);
+        self.context.last_heard.insert(ip, now);
         match msg {
-            PeerMessage::CoreNodes(members) => self.meet(members, out),
+            PeerMessage::CoreNodes(members) => self.learn_core_nodes(members, out),
             PeerMessage::WorkersReplicated { request_id: ask } => {
-                self.roster.held(ip, ask, &self.shared, out)
+                self.membership.held(ip, ask, &self.context, out)
             }
             PeerMessage::Ping { workers_digest: workers, .. } => self.digest(now, ip, workers, out),
             PeerMessage::ForwardResponse { request_id: ask, response: answer } => {
-                self.keeper.told(ask, answer, &mut self.shared, out)
+                self.configuration.told(ask, answer, &mut self.context, out)
             }
             _ => {}
         }
@@ -306,9 +307,9 @@
 
     /// A core machine's digest of the workers: if they go on to differ it is told all.
     fn digest(&mut self, now: f64, ip: IpAddr, workers: u64, out: &mut Vec<Effect>) {
-        if self.roster.differs(now, ip, workers) {
-            let workers = self.roster.registry.all().cloned().collect();
-            out.push(Effect::Send(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
+        if self.membership.differs(now, ip, workers) {
+            let workers = self.membership.registry.all().cloned().collect();
+            out.push(Effect::SendToPeer(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
     }
 
@@ -316,22 +317,22 @@
         if let PeerMessage::Hello { node, incarnation: life, location: me, is_core: core } = msg {
             return self.hello(now, conn, (node, life, core), me, out);
         }
-        let Some(caller) = self.callers.get(&conn).cloned() else { return };
+        let Some(caller) = self.sessions.get(&conn).cloned() else { return };
         if caller.member.is_none() {
-            self.gates.heard(now, &caller.node);
+            self.edges.heard(now, &caller.node);
         }
         match msg {
-            PeerMessage::CoreNodes(members) => self.meet(members, out),
+            PeerMessage::CoreNodes(members) => self.learn_core_nodes(members, out),
             PeerMessage::Consensus { from, to, message } => self.log_says(now, (from, to), message, out),
             PeerMessage::Join { id, forwarded: passed } => self.wants_to_join(now, id, passed, out),
             PeerMessage::Leave { id } => {
-                let ms = self.shared.ms(now);
+                let ms = self.context.log_time(now);
                 self.raft.leave(ms, id);
                 self.log_out(now, out);
             }
             PeerMessage::ForwardRequest { request_id: ask, request: wish } => {
-                let parts = (&mut self.raft, &mut self.shared);
-                self.keeper.forwarded(now, (conn, ask), wish, parts, out);
+                let parts = (&mut self.raft, &mut self.context);
+                self.configuration.forwarded(now, (conn, ask), wish, parts, out);
                 self.log_out(now, out);
             }
             PeerMessage::WorkerUpdates(workers) | PeerMessage::WorkerSnapshot { workers, .. } => {
@@ -339,22 +340,22 @@
             }
             PeerMessage::ReplicateWorkers { request_id: ask, workers } => {
                 self.news(now, workers, false, out);
-                out.push(Effect::Return(conn, PeerMessage::WorkersReplicated { request_id: ask }));
+                out.push(Effect::SendToSession(conn, PeerMessage::WorkersReplicated { request_id: ask }));
             }
             PeerMessage::Heartbeats(heard) => {
                 // Some may be unknown here: the digests will differ, and the whole list comes.
-                self.roster.alive(now, &heard);
+                self.membership.alive(now, &heard);
             }
             PeerMessage::Ping { config_index: config, workers_digest: workers, received: heard } => {
                 self.pinged(now, conn, (config, workers, heard), out)
             }
             PeerMessage::QuotaSync { request_id: ask, term, usage: charges } => {
-                let limits = |name: &str| limit(&self.keeper.state, name);
-                let lease = self.raft.holds_lease(self.shared.ms(now)).then(|| self.raft.term());
+                let limits = |name: &str| limit(&self.configuration.state, name);
+                let lease = self.raft.holds_lease(self.context.log_time(now)).then(|| self.raft.term());
                 let gate = (caller.node.as_str(), caller.life);
-                let totals = self.seat.sync(now, lease, gate, term, &charges, &limits);
+                let totals = self.quota_lease.sync(now, lease, gate, term, &charges, &limits);
                 let (held, totals, term) = (totals.is_some(), totals.unwrap_or_default(), self.raft.term());
-                out.push(Effect::Return(
+                out.push(Effect::SendToSession(
                     conn,
                     PeerMessage::QuotaGrants { request_id: ask, term, is_leader: held, grants: totals },
                 ));
@@ -365,7 +366,7 @@
 
     /// Workers' news: what is new here goes to the gatekeepers, and to the core if it was told here first.
     fn news(&mut self, now: f64, workers: Vec<Worker>, first: bool, out: &mut Vec<Effect>) {
-        let (changed, contested) = self.roster.merge(now, workers, &mut self.shared.journal);
+        let (changed, contested) = self.membership.merge(now, workers, &mut self.context.journal);
         self.persist_workers(&changed, out);
         if !changed.is_empty() {
             self.tell_workers(now, out);
@@ -373,9 +374,9 @@
         // Somebody took for silent what was heard of here since.
         let tell = if first { changed } else { contested };
         if !tell.is_empty() {
-            let peers = self.shared.peers();
+            let peers = self.context.peers();
             out.extend(
-                peers.into_iter().map(|ip| Effect::Send(ip, PeerMessage::WorkerUpdates(tell.clone()))),
+                peers.into_iter().map(|ip| Effect::SendToPeer(ip, PeerMessage::WorkerUpdates(tell.clone()))),
             );
         }
     }
@@ -383,7 +384,7 @@
     /// Nobody waits for it: after a loss of power all are known at once again, as far as it got.
     fn persist_workers(&mut self, workers: &[Worker], out: &mut Vec<Effect>) {
         if !workers.is_empty() {
-            let number = self.shared.number();
+            let number = self.context.next_id();
             out.push(Effect::Persist(WriteBatch {
                 number,
                 workers: workers.to_vec(),
@@ -395,83 +396,89 @@
     fn call(&mut self, now: f64, call: CallId, command: ApiCommand, out: &mut Vec<Effect>) {
         let wish = match command {
             ApiCommand::Amend(items) => OperatorRequest::Amend(ConfigChange::new(items)),
-            ApiCommand::Unreadable(why) => OperatorRequest::Reject(why),
+            ApiCommand::InvalidChange(why) => OperatorRequest::Reject(why),
             ApiCommand::Read => OperatorRequest::Read,
-            ApiCommand::Journal => return out.push(Effect::Reply(call, 200, self.shared.journal.tell(now))),
-            ApiCommand::Status => return out.push(Effect::Reply(call, 200, self.status(now))),
-            ApiCommand::Beat(_) | ApiCommand::Departure(_) | ApiCommand::Malformed(_)
-                if !self.shared.majority(now) =>
+            ApiCommand::Journal => {
+                return out.push(Effect::Respond(call, 200, self.context.journal.tell(now)))
+            }
+            ApiCommand::Status => return out.push(Effect::Respond(call, 200, self.status(now))),
+            ApiCommand::Heartbeat(_) | ApiCommand::Departure(_) | ApiCommand::Malformed(_)
+                if !self.context.has_majority(now) =>
             {
-                return out.push(Effect::Reply(call, 503, error_body("out of touch with most of the core")));
+                return out.push(Effect::Respond(
+                    call,
+                    503,
+                    error_body("out of touch with most of the core"),
+                ));
             }
-            ApiCommand::Malformed(why) => return out.push(Effect::Reply(call, 400, error_body(why))),
-            ApiCommand::Beat(worker) => {
+            ApiCommand::Malformed(why) => return out.push(Effect::Respond(call, 400, error_body(why))),
+            ApiCommand::Heartbeat(worker) => {
                 let leaving = worker.phase != WorkerPhase::Serving;
                 self.news(now, vec![worker.clone()], true, out);
-                self.roster.refreshed(&worker);
+                self.membership.refreshed(&worker);
                 return match leaving {
-                    true => self.roster.hold(now, call, worker, &mut self.shared, out),
-                    false => out.push(Effect::Reply(call, 200, json!({}))),
+                    true => self.membership.hold(now, call, worker, &mut self.context, out),
+                    false => out.push(Effect::Respond(call, 200, json!({}))),
                 };
             }
             ApiCommand::Departure(id) => {
-                let Some(worker) = self.roster.departed(&id) else {
+                let Some(worker) = self.membership.departed(&id) else {
                     return out.push(self.departure_of_unknown(now, call));
                 };
                 self.news(now, vec![worker.clone()], true, out);
-                return self.roster.hold(now, call, worker, &mut self.shared, out);
+                return self.membership.hold(now, call, worker, &mut self.context, out);
             }
         };
-        self.keeper.call(now, call, wish, (&mut self.raft, &mut self.shared), out);
+        self.configuration.call(now, call, wish, (&mut self.raft, &mut self.context), out);
         self.log_out(now, out);
     }
 
     /// The answer to the departure of a worker that is not on the list here.
     fn departure_of_unknown(&self, now: f64, call: CallId) -> Effect {
-        if self.shared.voters.len() > 1 && !self.roster.settled(now) {
-            return Effect::Reply(call, 503, error_body("not every worker is known here yet"));
+        if self.context.voters.len() > 1 && !self.membership.settled(now) {
+            return Effect::Respond(call, 503, error_body("not every worker is known here yet"));
         }
         // Nobody knows it: nothing is to be taken away.
-        Effect::Reply(call, 200, json!({}))
+        Effect::Respond(call, 200, json!({}))
     }
 
     fn tick(&mut self, now: f64, out: &mut Vec<Effect>) {
-        if now - self.ticked > AWAY {
+        if now - self.last_tick > AWAY {
             // This process was away: others' silence tells nothing.
-            tracing::warn!(seconds = now - self.ticked, "was not running");
-            self.shared.journal.append(now, JournalEvent::Away(now - self.ticked));
-            self.roster.excuse(now);
+            tracing::warn!(seconds = now - self.last_tick, "was not running");
+            self.context.journal.append(now, JournalEvent::Away(now - self.last_tick));
+            self.membership.excuse(now);
         }
-        self.ticked = now;
-        if now - self.pinged >= PING {
-            self.pinged = now;
-            let (config, workers) = (self.keeper.state.index(), self.roster.registry.digest());
+        self.last_tick = now;
+        if now - self.last_ping >= PING {
+            self.last_ping = now;
+            let (config, workers) = (self.configuration.state.index(), self.membership.registry.digest());
             let ping = |ip| {
-                Effect::Send(
+                Effect::SendToPeer(
                     ip,
                     PeerMessage::Ping { config_index: config, workers_digest: workers, received: 0 },
                 )
             };
-            out.extend(self.shared.peers().into_iter().map(ping));
-            self.tell_members(out);
+            out.extend(self.context.peers().into_iter().map(ping));
+            self.advertise_core_nodes(out);
             self.note_standings(now);
         }
-        if now - self.forgot >= FORGET_EVERY {
-            self.forgot = now;
-            let gone = self.shared.forget();
-            self.connected.retain(|ip| !gone.contains(ip));
+        if now - self.last_cleanup >= FORGET_EVERY {
+            self.last_cleanup = now;
+            let gone = self.context.forget_stale_nodes();
+            self.connected_peers.retain(|ip| !gone.contains(ip));
             out.extend(gone.into_iter().map(Effect::Disconnect));
         }
         self.log_tick(now, out);
-        self.keeper.tick(now, &mut self.shared, out);
-        let silent = self.roster.tick(now, &mut self.shared, out);
+        self.configuration.tick(now, &mut self.context, out);
+        let silent = self.membership.tick(now, &mut self.context, out);
         self.persist_workers(&silent, out);
         self.tick_gates(now, out);
-        let limits = |name: &str| limit(&self.keeper.state, name);
-        let lease = self.raft.holds_lease(self.shared.ms(now)).then(|| self.raft.term());
-        let free = self.log_side.recording.is_none();
-        let record = self.record.as_deref();
-        if let Some(shares) = self.seat.tick(now, lease, (record, free), &mut self.shared, &limits) {
+        let limits = |name: &str| limit(&self.configuration.state, name);
+        let lease = self.raft.holds_lease(self.context.log_time(now)).then(|| self.raft.term());
+        let free = self.log_driver.recording.is_none();
+        let record = self.recorded_ceilings.as_deref();
+        if let Some(shares) = self.quota_lease.tick(now, lease, (record, free), &mut self.context, &limits) {
             self.record_shares(now, shares);
             self.log_out(now, out);
         }
@@ -482,9 +489,9 @@
         let blank = |ip| NodeLocation { ip, zone: String::new(), region: String::new() };
         let seeds = settings.seeds.iter().map(|s| blank(s.ip())).collect();
         self.raft.retune(replicated_log::tuning(&settings));
-        self.shared.settings = settings;
+        self.context.settings = settings;
         let before = out.len();
-        self.meet(seeds, out);
+        self.learn_core_nodes(seeds, out);
         self.count(&out[before..]);
     }
 }
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -97,42 +97,50 @@
             return;
         }
         // Its answers go by a connection of this process.
-        self.meet(vec![NodeLocation { ip: from.ip, zone: String::new(), region: String::new() }], out);
-        let ms = self.shared.ms(now);
+        self.learn_core_nodes(
+            vec![NodeLocation { ip: from.ip, zone: String::new(), region: String::new() }],
+            out,
+        );
+        let ms = self.context.log_time(now);
         self.raft.receive(ms, from, message);
         self.log_out(now, out);
     }
 
     /// A machine wants to join; passed on to the leader, once.
     pub(super) fn wants_to_join(&mut self, now: f64, id: NodeId, passed: bool, out: &mut Vec<Effect>) {
-        let ms = self.shared.ms(now);
+        let ms = self.context.log_time(now);
         if self.raft.leads() {
-            self.meet(vec![NodeLocation { ip: id.ip, zone: String::new(), region: String::new() }], out);
+            self.learn_core_nodes(
+                vec![NodeLocation { ip: id.ip, zone: String::new(), region: String::new() }],
+                out,
+            );
             self.raft.join(ms, id);
             return self.log_out(now, out);
         }
         let leader = self.raft.leader(ms).filter(|leader| !passed && leader.ip != id.ip);
         if let Some(leader) = leader {
-            out.push(Effect::Send(leader.ip, PeerMessage::Join { id, forwarded: true }));
+            out.push(Effect::SendToPeer(leader.ip, PeerMessage::Join { id, forwarded: true }));
         }
     }
 
     /// This process ends: the others may do without its vote.
     pub(super) fn tell_end(&mut self, out: &mut Vec<Effect>) {
         let id = self.raft.me();
-        out.extend(self.shared.peers().into_iter().map(|ip| Effect::Send(ip, PeerMessage::Leave { id })));
+        out.extend(
+            self.context.peers().into_iter().map(|ip| Effect::SendToPeer(ip, PeerMessage::Leave { id })),
+        );
     }
 
     /// Something is on the disk.
     pub(super) fn log_synced(&mut self, now: f64, put: u64, out: &mut Vec<Effect>) {
-        let side = &mut self.log_side;
+        let side = &mut self.log_driver;
         if let Some(making) = side.making.as_mut().filter(|m| m.put.is_some_and(|n| n <= put)) {
             making.put = None;
         }
         let done = side.puts.iter().filter(|p| p.0 <= put).map(|p| p.1).max();
         side.puts.retain(|p| p.0 > put);
         if let Some(number) = done {
-            let ms = self.shared.ms(now);
+            let ms = self.context.log_time(now);
             self.raft.persisted(ms, number);
             self.log_out(now, out);
         }
@@ -140,13 +148,13 @@
 
     /// Upkeep.
     pub(super) fn log_tick(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let ms = self.shared.ms(now);
+        let ms = self.context.log_time(now);
         self.raft.tick(ms);
-        if self.raft.leader(ms).is_none() && now - self.log_side.joined >= JOIN {
-            self.log_side.joined = now;
+        if self.raft.leader(ms).is_none() && now - self.log_driver.joined >= JOIN {
+            self.log_driver.joined = now;
             let id = self.raft.me();
-            let join = |ip| Effect::Send(ip, PeerMessage::Join { id, forwarded: false });
-            out.extend(self.shared.peers().into_iter().map(join));
+            let join = |ip| Effect::SendToPeer(ip, PeerMessage::Join { id, forwarded: false });
+            out.extend(self.context.peers().into_iter().map(join));
         }
         self.log_out(now, out);
         self.cut(now, out);
@@ -154,22 +162,26 @@
 
     /// Cuts the log behind a snapshot of what is applied, once it is long; the snapshot is made over several ticks.
     fn cut(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let side = &mut self.log_side;
+        let side = &mut self.log_driver;
         if side.making.is_none() {
             let patience = if self.raft.is_sending() { CUT_PATIENCE } else { 1 };
             let long = side.bytes > patience * CUT_BYTES.max(side.snapshot)
                 || self.raft.held().0 > patience * CUT_ENTRIES;
-            let index = self.keeper.applied;
+            let index = self.configuration.applied;
             let Some(term) = self.raft.term_at(index).filter(|_| long) else { return };
             let about = side.snapshot + side.snapshot / 8;
-            side.making =
-                Some(SnapshotWriter::new((index, term), &self.keeper.state, self.record.as_ref(), about));
+            side.making = Some(SnapshotWriter::new(
+                (index, term),
+                &self.configuration.state,
+                self.recorded_ceilings.as_ref(),
+                about,
+            ));
             side.bytes = 0;
         }
         // One step of it at a time is on its way to the disk.
         let Some(making) = side.making.as_mut().filter(|m| m.put.is_none()) else { return };
         if let Some(part) = making.step() {
-            let number = self.shared.number();
+            let number = self.context.next_id();
             making.put = Some(number);
             return out.push(Effect::Persist(WriteBatch {
                 number,
@@ -186,7 +198,7 @@
             "cuts the log behind a snapshot"
         );
         side.snapshot = data.len();
-        let ms = self.shared.ms(now);
+        let ms = self.context.log_time(now);
         self.raft.compact_to(ms, index, data);
         self.log_out(now, out);
     }
@@ -194,16 +206,16 @@
     /// What has come of a leader's snapshot is decoded, and put on the disk.
     fn snapshot_comes(&mut self, out: &mut Vec<Effect>) {
         let Some((index, term, bytes)) = self.raft.incoming() else {
-            self.log_side.taking = None;
+            self.log_driver.taking = None;
             return;
         };
         let of = (index, term);
-        let taking = self.log_side.taking.take().filter(|t| t.goes_on(of, bytes));
+        let taking = self.log_driver.taking.take().filter(|t| t.goes_on(of, bytes));
         let mut taking = taking.unwrap_or_else(|| SnapshotReceiver::new(of));
         let part = taking.come(bytes);
-        self.log_side.taking = Some(taking);
+        self.log_driver.taking = Some(taking);
         if part.is_some() {
-            let number = self.shared.number();
+            let number = self.context.next_id();
             out.push(Effect::Persist(WriteBatch { number, part, ..WriteBatch::default() }));
         }
     }
@@ -213,70 +225,70 @@
         for output in self.raft.take() {
             match output {
                 Output::Persist(number, writes) => {
-                    let put = self.shared.number();
-                    self.log_side.puts.push((put, number));
+                    let put = self.context.next_id();
+                    self.log_driver.puts.push((put, number));
                     out.push(Effect::Persist(WriteBatch { number: put, writes, ..WriteBatch::default() }));
                 }
                 Output::Send(to, message) => {
                     let message = PeerMessage::Consensus { from: self.raft.me(), to, message };
-                    out.push(Effect::Send(to.ip, message));
+                    out.push(Effect::SendToPeer(to.ip, message));
                 }
                 Output::Apply(entry) => self.apply(entry, out),
                 Output::Install(snapshot) => self.install(now, &snapshot, out),
-                Output::ReadReady(number) => self.keeper.ready(number, &mut self.shared, out),
+                Output::ReadReady(number) => self.configuration.ready(number, &mut self.context, out),
             }
         }
         self.snapshot_comes(out);
-        self.keeper.copied(&self.raft, &mut self.shared, out);
+        self.configuration.copied(&self.raft, &mut self.context, out);
         self.log_news(now, out);
     }
 
     /// Notices who leads and who votes.
     fn log_news(&mut self, now: f64, out: &mut Vec<Effect>) {
         let (leads, term) = (self.raft.leads(), self.raft.term());
-        if std::mem::replace(&mut self.log_side.leading, leads) != leads {
+        if std::mem::replace(&mut self.log_driver.leading, leads) != leads {
             match leads {
                 true => tracing::info!(term, "leads"),
                 false => tracing::info!(term, "leads no more"),
             }
-            self.shared.journal.append(now, JournalEvent::Leads(leads, term));
-            self.log_side.recording = None;
+            self.context.journal.append(now, JournalEvent::Leads(leads, term));
+            self.log_driver.recording = None;
         }
         let voters: Vec<NodeId> = self.raft.members().into_iter().collect();
-        if voters != self.log_side.voters {
+        if voters != self.log_driver.voters {
             let told: Vec<String> = voters.iter().map(|v| format!("{}/{:x}", v.ip, v.disk)).collect();
             tracing::info!(voters = told.join(" "), "votes in the log");
-            self.shared.journal.append(now, JournalEvent::Voters(told));
-            self.shared.voters = voters.iter().map(|v| v.ip).collect();
-            self.log_side.voters = voters;
+            self.context.journal.append(now, JournalEvent::Voters(told));
+            self.context.voters = voters.iter().map(|v| v.ip).collect();
+            self.log_driver.voters = voters;
             let blank = |ip: &IpAddr| NodeLocation { ip: *ip, zone: String::new(), region: String::new() };
-            let unknown: Vec<NodeLocation> = self.shared.voters.iter().map(blank).collect();
-            self.meet(unknown, out);
+            let unknown: Vec<NodeLocation> = self.context.voters.iter().map(blank).collect();
+            self.learn_core_nodes(unknown, out);
         }
     }
 
     fn apply(&mut self, entry: Entry<LogCommand>, out: &mut Vec<Effect>) {
         let place = (entry.index, entry.term);
-        self.keeper.applied = entry.index;
+        self.configuration.applied = entry.index;
         let EntryPayload::Command(command) = entry.body else { return };
-        self.log_side.bytes += weight(&command);
+        self.log_driver.bytes += weight(&command);
         match command {
             LogCommand::Configure(order) => {
-                let parts = (&self.raft, &mut self.shared);
-                let changed = self.keeper.apply(place, &order, parts, out);
+                let parts = (&self.raft, &mut self.context);
+                let changed = self.configuration.apply(place, &order, parts, out);
                 if let Some((before, items)) = changed {
                     let items: Vec<ConfigItem> = items.iter().map(|i| (**i).clone()).collect();
                     self.push_items(before, entry.index, items, out);
                 }
             }
             LogCommand::Shares(shares) => {
-                if self.log_side.recording == Some(place) {
-                    self.log_side.recording = None;
-                    self.seat.recorded(&shares);
+                if self.log_driver.recording == Some(place) {
+                    self.log_driver.recording = None;
+                    self.quota_lease.recorded(&shares);
                 }
-                match &mut self.record {
+                match &mut self.recorded_ceilings {
                     Some(record) => Arc::make_mut(record).amend(&shares),
-                    None => self.record = Some(shares),
+                    None => self.recorded_ceilings = Some(shares),
                 }
             }
         }
@@ -284,36 +296,37 @@
 
     fn install(&mut self, now: f64, snapshot: &Snapshot, out: &mut Vec<Effect>) {
         let of = (snapshot.index, snapshot.term);
-        let taking = self.log_side.taking.take().filter(|t| t.goes_on(of, &snapshot.data));
+        let taking = self.log_driver.taking.take().filter(|t| t.goes_on(of, &snapshot.data));
         let read = match taking {
             Some(taking) => taking.finish(&snapshot.data),
             None => snapshot::decode(&snapshot.data),
         };
-        self.log_side.making = None;
+        self.log_driver.making = None;
         match read {
             Ok((state, shares)) => {
                 tracing::info!(index = snapshot.index, bytes = snapshot.data.len(), "takes a snapshot");
-                self.shared.journal.append(now, JournalEvent::CaughtUp);
-                (self.keeper.state, self.keeper.applied, self.record) = (state, snapshot.index, shares);
-                (self.log_side.bytes, self.log_side.snapshot) = (0, snapshot.data.len());
+                self.context.journal.append(now, JournalEvent::CaughtUp);
+                (self.configuration.state, self.configuration.applied, self.recorded_ceilings) =
+                    (state, snapshot.index, shares);
+                (self.log_driver.bytes, self.log_driver.snapshot) = (0, snapshot.data.len());
                 self.tell_anew(now, out);
             }
             // Of another release: this machine can't go on with the others.
             Err(error) => {
                 tracing::error!(error, "a snapshot that can't be read");
-                self.broken = Some(error);
+                self.fatal_error = Some(error);
             }
         }
     }
 
     /// Proposes to record the shares, if they changed: they rise once most keep them.
     pub(super) fn record_shares(&mut self, now: f64, shares: ShareCeilings) {
-        let ms = self.shared.ms(now);
-        self.log_side.recording = self.raft.propose(ms, LogCommand::Shares(Arc::new(shares)));
+        let ms = self.context.log_time(now);
+        self.log_driver.recording = self.raft.propose(ms, LogCommand::Shares(Arc::new(shares)));
     }
 
     /// Bytes of the last snapshot.
     pub(super) fn snapshot_bytes(&self) -> usize {
-        self.log_side.snapshot
+        self.log_driver.snapshot
     }
 }
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -163,9 +163,13 @@
             match effect {
                 Effect::Connect(to) => self.queue.push_back((n, Event::LinkUp(to))),
                 // Connections are told by who opened them.
-                Effect::Send(to, msg) => self.queue.push_back((machine(to), Event::Inbound(n as u64, msg))),
-                Effect::Return(conn, msg) => self.queue.push_back((conn as usize, Event::Peer(ip(n), msg))),
-                Effect::Reply(_, status, _) => self.replies.push(status),
+                Effect::SendToPeer(to, msg) => {
+                    self.queue.push_back((machine(to), Event::SessionMessage(n as u64, msg)))
+                }
+                Effect::SendToSession(conn, msg) => {
+                    self.queue.push_back((conn as usize, Event::PeerMessage(ip(n), msg)))
+                }
+                Effect::Respond(_, status, _) => self.replies.push(status),
                 Effect::Persist(put) => self.persist(n, put),
                 Effect::Disconnect(_) => {}
             }
@@ -186,28 +190,30 @@
         let store = self.nodes[n].store.as_mut().expect("a disk");
         store.write(std::slice::from_ref(&put)).expect("writes");
         self.cost(what, since);
-        self.queue.push_back((n, Event::Disk(put.number)));
+        self.queue.push_back((n, Event::Persisted(put.number)));
     }
 
     fn work(&mut self) {
         while let Some((n, event)) = self.queue.pop_front() {
             let what = match &event {
                 Event::Tick => "tick (with a step of a snapshot's making)",
-                Event::Disk(_) => "a sync is done",
-                Event::Inbound(
+                Event::Persisted(_) => "a sync is done",
+                Event::SessionMessage(
                     _,
                     PeerMessage::Consensus { message: crate::consensus::Message::Piece { .. }, .. },
                 ) => "take a piece",
-                Event::Inbound(
+                Event::SessionMessage(
                     _,
                     PeerMessage::Consensus { message: crate::consensus::Message::PieceReply { .. }, .. },
                 ) => "send pieces",
-                Event::Call(..) => "a call",
+                Event::ApiCall(..) => "a call",
                 _ => "anything else",
             };
             // As it comes off the wire.
             let wire = match &event {
-                Event::Inbound(_, msg) | Event::Peer(_, msg) => Some(crate::protocol::encode(msg)),
+                Event::SessionMessage(_, msg) | Event::PeerMessage(_, msg) => {
+                    Some(crate::protocol::encode(msg))
+                }
                 _ => None,
             };
             let since = Instant::now();
@@ -248,7 +254,7 @@
     fn amend(&mut self, items: Vec<ConfigItem>) {
         let said = self.replies.len();
         let leader = self.leader().expect("a leader");
-        self.queue.push_back((leader, Event::Call(1, super::super::ApiCommand::Amend(items))));
+        self.queue.push_back((leader, Event::ApiCall(1, super::super::ApiCommand::Amend(items))));
         self.work();
         self.until(|t| t.replies.len() > said);
     }
@@ -266,7 +272,9 @@
 
     /// One is configured, cut, lost and repaired; seconds of the simulated clock that the repair took.
     fn life(&mut self, tenants: usize) -> f64 {
-        self.until(|t| t.leader().is_some_and(|l| t.core(l).raft.holds_lease(t.core(l).shared.ms(t.now))));
+        self.until(|t| {
+            t.leader().is_some_and(|l| t.core(l).raft.holds_lease(t.core(l).context.log_time(t.now)))
+        });
         self.print("start");
         self.amend(configuration(tenants));
         self.print("the first call");
@@ -283,7 +291,7 @@
         let took = self.until(|t| {
             let core = t.core(lost);
             core.raft.members().contains(&core.raft.me())
-                && core.keeper.state == t.core((lost + 1) % 3).keeper.state
+                && core.configuration.state == t.core((lost + 1) % 3).configuration.state
         });
         self.print(&format!("repair of a lost disk: {took:.2} s of simulated time"));
         self.start(lost, false);
@@ -320,7 +328,7 @@
     println!(
         "repaired after {took:.2} s of simulated time, in {} parts; snapshot of {} bytes",
         three.parts.1,
-        three.core(0).keeper.state.encode().len()
+        three.core(0).configuration.state.encode().len()
     );
 }
 
@@ -329,7 +337,8 @@
 #[ignore = "prints figures; by hand, in release"]
 fn measure_thousands_of_changes() {
     let mut three = Three::new("thousands");
-    three.until(|t| t.leader().is_some_and(|l| t.core(l).raft.holds_lease(t.core(l).shared.ms(t.now))));
+    three
+        .until(|t| t.leader().is_some_and(|l| t.core(l).raft.holds_lease(t.core(l).context.log_time(t.now))));
     three.amend(configuration(300));
     let mut made = 0;
     for most in [300, 3_000] {
@@ -338,7 +347,7 @@
             for n in 0..8 {
                 made += 1;
                 let order = vec![tenant((made * 7 + n) % 300, 10 + made as u64)];
-                three.queue.push_back((leader, Event::Call(1, super::super::ApiCommand::Amend(order))));
+                three.queue.push_back((leader, Event::ApiCall(1, super::super::ApiCommand::Amend(order))));
             }
             three.work();
             // A tick at the least: the log is cut by and by.
@@ -350,7 +359,7 @@
         let folder = std::fs::read_dir(&three.nodes[0].folder).expect("a folder");
         let disk: u64 = folder.map(|f| f.expect("a file").metadata().expect("a file").len()).sum();
         let leader = three.leader().unwrap_or(1);
-        let state = three.core(leader).keeper.state.encode().len();
+        let state = three.core(leader).configuration.state.encode().len();
         let (entries, base) = three.core(0).raft.held();
         three.print(&format!(
             "{made} changes: {disk} bytes of disk, state of {state} bytes, {entries} entries behind {base}"
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -50,17 +50,17 @@
 impl CoreNode {
     /// Notices how the others stand; the log is told what has changed.
     pub(super) fn note_standings(&mut self, now: f64) {
-        let peers = self.raft.peers(self.shared.ms(now));
-        self.standings.0.retain(|id, _| peers.iter().any(|p| p.0 == *id));
+        let peers = self.raft.peers(self.context.log_time(now));
+        self.member_states.0.retain(|id, _| peers.iter().any(|p| p.0 == *id));
         for peer in &peers {
             let (id, votes, _, silent) = *peer;
             let standing = MemberState::of(votes, silent);
-            let was = self.standings.0.get(&id).map(|s| s.0);
+            let was = self.member_states.0.get(&id).map(|s| s.0);
             if was == Some(standing) {
                 continue;
             }
             let since = if standing == MemberState::Out { now - silent as f64 / 1e3 } else { now };
-            self.standings.0.insert(id, (standing, since));
+            self.member_states.0.insert(id, (standing, since));
             let member = format!("{}/{:x}", id.ip, id.disk);
             match (was, standing) {
                 (_, MemberState::Out) => {
@@ -81,7 +81,7 @@
         let other = peers.iter().find(|p| p.0.ip == id.ip && p.0.disk != id.disk && p.3 <= ELECTION);
         match other {
             Some((now, ..)) => format!("its machine is there with another disk, {:x}", now.disk),
-            None if self.connected.contains(&id.ip) => {
+            None if self.connected_peers.contains(&id.ip) => {
                 "its machine is connected, but says nothing of the log: it has another disk, or stands still"
                     .into()
             }
@@ -91,7 +91,7 @@
 
     /// What goes on for a machine that does not take part.
     fn repair(&self, standing: MemberState) -> Option<String> {
-        let tuning = tuning(&self.shared.settings);
+        let tuning = tuning(&self.context.settings);
         match standing {
             MemberState::Out if self.raft.members().len() > tuning.least => {
                 Some(format!("is taken out of the members once it is silent for {} ms", tuning.out_after))
@@ -107,7 +107,7 @@
 
     fn name(&self, id: &NodeId) -> Value {
         let ip = id.ip;
-        let zone = self.shared.known.get(&ip).map(|m| m.zone.clone()).unwrap_or_default();
+        let zone = self.context.known_nodes.get(&ip).map(|m| m.zone.clone()).unwrap_or_default();
         json!({
             "node_name": self.node_name(ip),
             "address": ip.to_string(),
@@ -118,31 +118,31 @@
 
     /// The name of a core machine, if it has said so here.
     fn node_name(&self, ip: IpAddr) -> Option<&str> {
-        if ip == self.shared.me.ip {
-            return Some(&self.shared.settings.node);
+        if ip == self.context.me.ip {
+            return Some(&self.context.settings.node);
         }
         // The newest connection from there.
-        let callers = self.callers.values().rev().find(|c| c.member == Some(ip));
+        let callers = self.sessions.values().rev().find(|c| c.member == Some(ip));
         callers.map(|c| c.node.as_str())
     }
 
     /// Members, leader, term, applied, lag, who is out, what is repaired: for operators.
     pub fn status(&self, now: f64) -> Value {
-        let ms = self.shared.ms(now);
+        let ms = self.context.log_time(now);
         let (members, leader, me) = (self.raft.members(), self.raft.leader(ms), self.raft.me());
         let peers = self.raft.peers(ms);
         let member = |id: &NodeId| {
             let mut told = self.name(id);
-            let heard = self.shared.heard.get(&id.ip).map(|at| ((now - at) * 1e3) as u64);
+            let heard = self.context.last_heard.get(&id.ip).map(|at| ((now - at) * 1e3) as u64);
             told["heard_ms"] = json!(if *id == me { Some(0) } else { heard });
-            told["connected"] = json!(*id == me || self.connected.contains(&id.ip));
+            told["connected"] = json!(*id == me || self.connected_peers.contains(&id.ip));
             told["leads"] = json!(Some(*id) == leader);
             told
         };
         let other = |peer: &Peer| {
             let (id, votes, matched, silent) = *peer;
             let (standing, mut told) = (MemberState::of(votes, silent), self.name(&id));
-            let seen = self.standings.0.get(&id).filter(|s| s.0 == standing);
+            let seen = self.member_states.0.get(&id).filter(|s| s.0 == standing);
             told["votes"] = json!(votes);
             told["lag_entries"] = json!(self.raft.last().saturating_sub(matched));
             told["silent_ms"] = json!(silent);
@@ -176,16 +176,16 @@
             // Only the leader knows.
             "whole": self.raft.leads().then_some(whole),
             "committed": self.raft.commit(),
-            "applied": self.keeper.applied,
+            "applied": self.configuration.applied,
             "last": self.raft.last(),
-            "configuration_index": self.keeper.state.index(),
+            "configuration_index": self.configuration.state.index(),
             "log_entries": entries,
             "snapshot_index": base,
             "snapshot_bytes": self.snapshot_bytes(),
-            "calls_waiting": self.keeper.waiting(),
+            "calls_waiting": self.configuration.waiting(),
             "disk_hangs": self.raft.hangs(ms),
-            "gatekeepers": self.gates.count(),
-            "workers_settled": self.roster.settled(now),
+            "gatekeepers": self.edges.count(),
+            "workers_settled": self.membership.settled(now),
         })
     }
 }
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -121,14 +121,14 @@
         out: &mut Vec<Effect>,
     ) {
         if self.known.get(&*worker.id).is_some_and(|phase| *phase >= worker.phase) {
-            return out.push(Effect::Reply(call, 200, json!({})));
+            return out.push(Effect::Respond(call, 200, json!({})));
         }
-        let ask = shared.number();
+        let ask = shared.next_id();
         let held = BTreeSet::from([shared.me.ip]);
         let (id, phase) = (worker.id.to_string(), worker.phase);
         self.holdings.insert(ask, Holding { call, held, until: now + HOLD_WITHIN, id, phase });
         for ip in shared.peers() {
-            out.push(Effect::Send(
+            out.push(Effect::SendToPeer(
                 ip,
                 PeerMessage::ReplicateWorkers { request_id: ask, workers: vec![worker.clone()] },
             ));
@@ -140,9 +140,9 @@
     pub fn held(&mut self, ip: IpAddr, ask: u64, shared: &CoreContext, out: &mut Vec<Effect>) {
         let Some(holding) = self.holdings.get_mut(&ask) else { return };
         holding.held.insert(ip);
-        if shared.may_hold_all(holding.held.iter()) {
+        if shared.survives_tolerated_losses(holding.held.iter()) {
             tracing::info!(worker = holding.id, phase = ?holding.phase, "acknowledges a leaving worker");
-            out.push(Effect::Reply(holding.call, 200, json!({})));
+            out.push(Effect::Respond(holding.call, 200, json!({})));
             if let Some(done) = self.holdings.remove(&ask) {
                 self.known.insert(done.id, done.phase);
             }
@@ -195,16 +195,16 @@
         for ask in late {
             let Some(holding) = self.holdings.remove(&ask) else { continue };
             tracing::warn!(worker = holding.id, "too few core machines know of a leaving worker in time");
-            out.push(Effect::Reply(holding.call, 503, error_body("too few core machines in time")));
+            out.push(Effect::Respond(holding.call, 503, error_body("too few core machines in time")));
         }
         if now - self.told_at >= ALIVE_EVERY && !self.alive.is_empty() {
             self.told_at = now;
             let alive: Vec<(String, u64)> = std::mem::take(&mut self.alive).into_iter().collect();
             for ip in shared.peers() {
-                out.push(Effect::Send(ip, PeerMessage::Heartbeats(alive.clone())));
+                out.push(Effect::SendToPeer(ip, PeerMessage::Heartbeats(alive.clone())));
             }
         }
-        self.touch_since = match shared.majority(now) {
+        self.touch_since = match shared.has_majority(now) {
             true => self.touch_since.or(Some(now)),
             false => None,
         };
@@ -225,7 +225,7 @@
                 shared.journal.append(now, JournalEvent::Worker(worker.clone()));
             }
             for ip in shared.peers() {
-                out.push(Effect::Send(ip, PeerMessage::WorkerUpdates(silent.clone())));
+                out.push(Effect::SendToPeer(ip, PeerMessage::WorkerUpdates(silent.clone())));
             }
         }
         silent
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -66,13 +66,13 @@
             match effect {
                 Effect::Connect(ip) => self.connect(ip),
                 Effect::Disconnect(ip) => self.links.close(ip),
-                Effect::Send(ip, msg) => self.links.say(ip, msg),
-                Effect::Return(conn, msg) => {
+                Effect::SendToPeer(ip, msg) => self.links.say(ip, msg),
+                Effect::SendToSession(conn, msg) => {
                     if let Some(queue) = self.conns.borrow().get(&conn) {
                         let _ = queue.send(msg);
                     }
                 }
-                Effect::Reply(call, status, body) => {
+                Effect::Respond(call, status, body) => {
                     if let Some(reply) = self.calls.borrow_mut().remove(&call) {
                         let _ = reply.send((status, body));
                     }
@@ -88,7 +88,7 @@
 
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = LinkEventMapper { up: Event::LinkUp, said: Event::Peer, down: Event::LinkDown };
+        let events = LinkEventMapper { up: Event::LinkUp, said: Event::PeerMessage, down: Event::LinkDown };
         self.links.open(ip, events.of(ip, move |event| this.handle(event)));
     }
 
@@ -140,7 +140,7 @@
         self.next.set(call + 1);
         let (reply, answer) = oneshot::channel();
         self.calls.borrow_mut().insert(call, reply);
-        self.handle(Event::Call(call, command));
+        self.handle(Event::ApiCall(call, command));
         match answer.await {
             Ok((status, body)) => http_server::json(status, &body),
             Err(_) => http_server::json(503, &error_body("ending")),
@@ -152,7 +152,8 @@
 fn command(head: &Request, body: &[u8]) -> Result<Option<ApiCommand>, String> {
     if http_server::is(head, Method::POST, "/whinstall/configuration/amend") {
         // Also a refusal wants most of the core in touch: the log's side decides when it is said.
-        let read = read_call(body).map_or_else(|e| ApiCommand::Unreadable(e.to_string()), ApiCommand::Amend);
+        let read =
+            read_call(body).map_or_else(|e| ApiCommand::InvalidChange(e.to_string()), ApiCommand::Amend);
         return Ok(Some(read));
     }
     if http_server::is(head, Method::GET, "/whinstall/configuration/read") {
@@ -169,7 +170,9 @@
         Some(("", _)) => Err("an instance without an id".into()),
         Some((id, "heartbeat")) if head.method() == Method::POST => {
             let value = crate::json_path::parse(body).map_err(|e| e.to_string())?;
-            beat(id, &JsonNode::root(&value)).map(|w| Some(ApiCommand::Beat(w))).map_err(|e| e.to_string())
+            beat(id, &JsonNode::root(&value))
+                .map(|w| Some(ApiCommand::Heartbeat(w)))
+                .map_err(|e| e.to_string())
         }
         Some((id, "departure")) if head.method() == Method::POST => {
             Ok(Some(ApiCommand::Departure(id.into())))
@@ -272,10 +275,10 @@
             outgoing
         },
         move |conn, happens| match happens {
-            LinkEvent::Said(msg) => closing.handle(Event::Inbound(conn, msg)),
+            LinkEvent::Said(msg) => closing.handle(Event::SessionMessage(conn, msg)),
             LinkEvent::Down => {
                 closing.conns.borrow_mut().remove(&conn);
-                closing.handle(Event::Closed(conn));
+                closing.handle(Event::SessionClosed(conn));
             }
             LinkEvent::Up => {}
         },
@@ -293,7 +296,7 @@
     loop {
         tokio::select! {
             _ = ticks.tick() => server.handle(Event::Tick),
-            Some(number) = syncs.recv() => server.handle(Event::Disk(number)),
+            Some(number) = syncs.recv() => server.handle(Event::Persisted(number)),
             signal = signals.next() => match signal {
                 crate::runtime::ProcessSignal::Reread(settings) => {
                     let mut out = Vec::new();
@@ -303,29 +306,29 @@
                 crate::runtime::ProcessSignal::End => break,
             },
         }
-        if let Some(error) = server.core.borrow().broken.clone() {
+        if let Some(error) = server.core.borrow().fatal_error.clone() {
             return Err(crate::runtime::RunError::State(error));
         }
     }
     tracing::info!(
         calls = server.calls.borrow().len(),
-        leads = server.core.borrow().leads(),
+        leads = server.core.borrow().has_leadership_to_transfer(),
         "core role drains"
     );
     server.ending.set(true);
-    server.handle(Event::Ending);
+    server.handle(Event::Shutdown);
     let _ = tokio::time::timeout(END_WITHIN, async {
-        while !server.calls.borrow().is_empty() || server.core.borrow().leads() {
+        while !server.calls.borrow().is_empty() || server.core.borrow().has_leadership_to_transfer() {
             tokio::select! {
                 _ = ticks.tick() => server.handle(Event::Tick),
-                Some(number) = syncs.recv() => server.handle(Event::Disk(number)),
+                Some(number) = syncs.recv() => server.handle(Event::Persisted(number)),
             }
         }
         // What was just said goes out.
         tokio::time::sleep(Duration::from_millis(30)).await;
     })
     .await;
-    let (calls, leads) = (server.calls.borrow().len(), server.core.borrow().leads());
+    let (calls, leads) = (server.calls.borrow().len(), server.core.borrow().has_leadership_to_transfer());
     tracing::info!(calls, leads, "core role ends");
     Ok(())
 }
--- a/crates/simulation/src/external_actors.rs
+++ b/crates/simulation/src/external_actors.rs
@@ -89,7 +89,7 @@
             return;
         }
         let command = match &call.by {
-            Caller::Beat(n) => ApiCommand::Beat(self.say_of(*n)),
+            Caller::Beat(n) => ApiCommand::Heartbeat(self.say_of(*n)),
             Caller::Depart(n) => ApiCommand::Departure(self.workers[*n].id.to_string()),
             Caller::Amend(items) => ApiCommand::Amend(items.clone()),
             Caller::Order { order, .. } => ApiCommand::Amend(self.desk.orders[*order].items.clone()),
@@ -103,7 +103,7 @@
         if self.spoils(core, &call, &command) {
             return;
         }
-        self.core_event(core, control_plane::Event::Call(call.id, command));
+        self.core_event(core, control_plane::Event::ApiCall(call.id, command));
     }
 
     fn say_of(&mut self, n: usize) -> Worker {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -356,9 +356,9 @@
         for effect in effects {
             match effect {
                 control_plane::Effect::Connect(ip) => self.connect(Who::Core(n), ip),
-                control_plane::Effect::Send(ip, msg) => self.say(Who::Core(n), ip, msg),
-                control_plane::Effect::Return(conn, msg) => self.say_back(conn, msg),
-                control_plane::Effect::Reply(call, status, body) => self.replied(n, call, status, &body),
+                control_plane::Effect::SendToPeer(ip, msg) => self.say(Who::Core(n), ip, msg),
+                control_plane::Effect::SendToSession(conn, msg) => self.say_back(conn, msg),
+                control_plane::Effect::Respond(call, status, body) => self.replied(n, call, status, &body),
                 control_plane::Effect::Disconnect(ip) => self.disconnect(Who::Core(n), ip),
                 control_plane::Effect::Persist(put) => {
                     self.snapshot_written(n, &put);
@@ -385,7 +385,7 @@
             return self.at(at, SimulationEvent::DiskDone(n, life, put));
         }
         node.disk.land(put);
-        self.core_event(n, control_plane::Event::Disk(put));
+        self.core_event(n, control_plane::Event::Persisted(put));
     }
 
     pub fn edge_call(&mut self, n: usize, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<data_plane::Effect>)) {
@@ -503,8 +503,10 @@
     /// A message counts as said to a core machine.
     pub fn deliver(&mut self, key: LinkKey, conn: u64, forth: bool, msg: PeerMessage) {
         match (key.from, forth) {
-            (_, true) => self.core_event(key.to, control_plane::Event::Inbound(conn, msg)),
-            (Who::Core(n), false) => self.core_event(n, control_plane::Event::Peer(core_ip(key.to), msg)),
+            (_, true) => self.core_event(key.to, control_plane::Event::SessionMessage(conn, msg)),
+            (Who::Core(n), false) => {
+                self.core_event(n, control_plane::Event::PeerMessage(core_ip(key.to), msg))
+            }
             (Who::Edge(n), false) => {
                 let ip = core_ip(key.to);
                 self.heard(n, key.to);
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -247,7 +247,7 @@
     fn drop_link(&mut self, key: LinkKey) {
         let Some(link) = self.links.up.remove(&key) else { return };
         if !link.gone_there {
-            self.core_event(key.to, control_plane::Event::Closed(link.conn));
+            self.core_event(key.to, control_plane::Event::SessionClosed(link.conn));
         }
         if !link.gone_here {
             self.tell(key, false);
--- a/crates/simulation/src/repair_times.rs
+++ b/crates/simulation/src/repair_times.rs
@@ -37,9 +37,11 @@
     pub fn watch_repair(&mut self, n: usize) {
         let Some(mut repair) = self.repairs.pending.remove(&n) else { return };
         let Some(core) = self.cores[n].core.as_ref().filter(|_| self.cores[n].listed) else { return };
-        let holds = core.keeper.applied >= repair.target && core.raft.members().contains(&core.raft.me());
-        let leader =
-            core.raft.leader(core.shared.ms(1000.0 + (self.now - self.cores[n].boot) * self.cores[n].drift));
+        let holds =
+            core.configuration.applied >= repair.target && core.raft.members().contains(&core.raft.me());
+        let leader = core
+            .raft
+            .leader(core.context.log_time(1000.0 + (self.now - self.cores[n].boot) * self.cores[n].drift));
         if holds && leader.is_some() {
             return self.repairs.took.push(self.now - repair.since);
         }
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -312,7 +312,7 @@
 
     /// SIGTERM now; the process is gone a little later, and nobody calls the machine any more.
     fn end_core(&mut self, n: usize) {
-        self.core_event(n, control_plane::Event::Ending);
+        self.core_event(n, control_plane::Event::Shutdown);
         self.cores[n].listed = false;
         self.watch.left.insert(n, self.now);
         let (life, late) = (self.cores[n].life, 0.3 + 0.6 * self.rng.f64());
@@ -487,7 +487,7 @@
                 if !self.cores[core].listed || !self.there(Who::Core(core)) {
                     return;
                 }
-                self.core_event(core, control_plane::Event::Ending);
+                self.core_event(core, control_plane::Event::Shutdown);
                 let (life, late) = (self.cores[core].life, 0.1 + 0.8 * self.rng.f64());
                 self.after(late, SimulationEvent::Gone(core, life));
                 self.lost_for(late + down, 4.0);
