--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 use whinstall::{Ending, HostId, RequestId};
-use whinstall_gateway::data_plane::requests::{FinalResponse, IncomingRequest};
+use whinstall_gateway::data_plane::requests::{AttemptReport, FinalResponse, IncomingRequest};
 use whinstall_gateway::data_plane::{EdgeNode, Effect, Event};
 use whinstall_gateway::protocol::{self, LoadReport, PeerMessage};
 use whinstall_gateway::runtime::edge_loop::EdgeLoop;
@@ -150,28 +150,28 @@
                 self.links.say(ip, msg);
             }
             Effect::Dispatch { id, attempt, worker, .. } => self.dispatch(id, attempt, worker),
-            Effect::CallOff(id, attempt) => {
+            Effect::CancelAttempt(id, attempt) => {
                 let begun = self.out.borrow_mut().remove(&(id.clone(), attempt));
                 if let Some(begun) = begun {
                     begun.abort();
                 }
             }
-            Effect::Answer(_, answer) => {
+            Effect::Respond(_, answer) => {
                 let place = match answer {
-                    FinalResponse::Worker(_) => 1,
-                    FinalResponse::Limited(_) => 2,
+                    FinalResponse::Upstream(_) => 1,
+                    FinalResponse::RateLimited(_) => 2,
                     _ => 3,
                 };
                 self.run.report.borrow_mut().requests[place] += 1;
             }
-            Effect::Tell(to, load) if self.run.job.tell => {
+            Effect::SendLoadReport(to, load) if self.run.job.tell => {
                 let Ok(bytes) = rmp_serde::to_vec(&load) else { return };
                 for ip in to {
                     self.count_datagram("said", bytes.len());
                     let _ = self.hints.try_send_to(&bytes, SocketAddr::new(ip, self.port));
                 }
             }
-            Effect::Tell(..) | Effect::CloseIdle(_) => {}
+            Effect::SendLoadReport(..) | Effect::CloseIdleConnections(_) => {}
         }
     }
 
@@ -181,7 +181,7 @@
             LinkEvent::Up => this.handle(Event::LinkUp(ip)),
             LinkEvent::Said(msg) => {
                 this.count("heard", &msg, ip);
-                this.heard(Event::Core(ip, msg));
+                this.heard(Event::CoreMessage(ip, msg));
             }
             LinkEvent::Down => {
                 this.run.report.borrow_mut().downs += 1;
@@ -192,9 +192,9 @@
 
     /// Takes what the core said, and looks whether another configuration is in force.
     fn heard(self: &Rc<Self>, event: Event) {
-        let before = Arc::clone(&self.edge.state.borrow().view);
+        let before = Arc::clone(&self.edge.state.borrow().active_config);
         self.handle(event);
-        let view = Arc::clone(&self.edge.state.borrow().view);
+        let view = Arc::clone(&self.edge.state.borrow().active_config);
         if Arc::ptr_eq(&before, &view) {
             return;
         }
@@ -218,7 +218,9 @@
             tokio::time::sleep(work).await;
             this.out.borrow_mut().remove(&(id.clone(), attempt));
             this.with(|edge, now, out| {
-                edge.ended(now, &id, attempt, &worker, Ending::Ok, Some(true), out);
+                let (id, worker, ending) = (&id, &worker, Ending::Ok);
+                let report = AttemptReport { id, attempt, worker, ending, response_ok: Some(true) };
+                edge.on_attempt_end(now, report, out);
             });
         });
         self.out.borrow_mut().insert(key, begun.abort_handle());
@@ -227,7 +229,7 @@
     /// One request, of a tenant and to a route that are drawn.
     fn ask(self: &Rc<Self>) {
         let job = &self.run.job;
-        let view = Arc::clone(&self.edge.state.borrow().view);
+        let view = Arc::clone(&self.edge.state.borrow().active_config);
         let number = fastrand::u32(..job.routes.max(1));
         let host = format!("h{}.example", number / ROUTES_A_HOST);
         let Some(route) = view.route(&host, &format!("/p{number}/x")).cloned() else { return };
@@ -235,8 +237,8 @@
         let id = RequestId(self.next.get().to_string().into());
         self.next.set(self.next.get() + 1);
         self.run.report.borrow_mut().requests[0] += 1;
-        let arrival = IncomingRequest { id, route, tenant, left: 2.0 };
-        self.with(|edge, now, out| edge.arrived(now, arrival, out));
+        let arrival = IncomingRequest { id, route, tenant, remaining_secs: 2.0 };
+        self.with(|edge, now, out| edge.on_request(now, arrival, out));
     }
 
     async fn hear_others(self: Rc<Self>) {
@@ -246,7 +248,7 @@
                 Ok((length, from)) => {
                     self.count_datagram("heard", length);
                     if let Ok(load) = rmp_serde::from_slice::<LoadReport>(&bytes[..length]) {
-                        self.handle(Event::Told(from.ip(), load));
+                        self.handle(Event::PeerLoad(from.ip(), load));
                     }
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -131,7 +131,7 @@
                     let Some(n) = self.edges.iter().position(|g| g.conn == conn) else { continue };
                     match self.edges[n].lags {
                         true => self.edges[n].waits.push(msg),
-                        false => self.tell(n, data_plane::Event::Core(ip(1), msg)),
+                        false => self.tell(n, data_plane::Event::CoreMessage(ip(1), msg)),
                     }
                 }
                 _ => {}
@@ -223,7 +223,7 @@
     }
 
     fn agree(&self) -> bool {
-        let of = |e: &EdgeNode| match e.ping(ip(1)) {
+        let of = |e: &EdgeNode| match e.ping_message(ip(1)) {
             PeerMessage::Ping { config_index: config, workers_digest: workers, .. } => (config, workers),
             _ => (0, 0),
         };
@@ -255,7 +255,7 @@
         }
         cell.play(2.0);
         expect_that!(cell.core.gates.count(), eq(many));
-        let all = cell.edges.iter().all(|g| g.edge.others() == many - 1);
+        let all = cell.edges.iter().all(|g| g.edge.peer_count() == many - 1);
         expect_that!(all, eq(true), "{many}: all are known");
         cell.said("gatekeepers")
     };
@@ -312,7 +312,7 @@
     cell.edges[n].lags = false;
     cell.said.clear();
     for msg in std::mem::take(&mut cell.edges[n].waits) {
-        cell.tell(n, data_plane::Event::Core(ip(1), msg));
+        cell.tell(n, data_plane::Event::CoreMessage(ip(1), msg));
     }
     cell.play(3.0);
     expect_that!(cell.agree(), eq(true));
@@ -333,7 +333,7 @@
     for round in 0..200 {
         let news = PeerMessage::WorkerUpdates(vec![worker(300 + round, 1)]);
         for n in 0..5 {
-            cell.tell(n, data_plane::Event::Core(ip(2), news.clone()));
+            cell.tell(n, data_plane::Event::CoreMessage(ip(2), news.clone()));
         }
         cell.play(TICK);
         cell.event(Event::Call(1 << 20, ApiCommand::Beat(worker(300 + round, 1))));
@@ -343,7 +343,7 @@
     expect_that!(cell.agree(), eq(true));
     expect_that!(cell.said("workers"), eq(0));
     // One that holds a worker which nobody knows is told all, once.
-    cell.tell(0, data_plane::Event::Core(ip(2), PeerMessage::WorkerUpdates(vec![worker(9999, 1)])));
+    cell.tell(0, data_plane::Event::CoreMessage(ip(2), PeerMessage::WorkerUpdates(vec![worker(9999, 1)])));
     cell.play(5.0);
     expect_that!(cell.agree(), eq(true));
     expect_that!(cell.said("workers"), all![gt(0), lt(100 * 600)]);
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -21,10 +21,16 @@
 /// The gatekeeper of this number, which goes by this slack.
 fn quota_with((overshoot, margin): (f64, f64), gate: usize) -> QuotaAdmission {
     let QuotaCounterConfig { every, overdue, lapse } = TERMS;
-    let terms =
-        quota_admission::QuotaAdmissionConfig { every, overdue, lapse, overshoot, margin, horizon: HORIZON };
+    let terms = quota_admission::QuotaAdmissionConfig {
+        sync_interval_secs: every,
+        sync_timeout_secs: overdue,
+        share_lifetime_secs: lapse,
+        overshoot_ratio: overshoot,
+        overshoot_requests: margin,
+        horizon_secs: HORIZON,
+    };
     let mut quota = QuotaAdmission::new(terms, &format!("edge-{gate}"));
-    quota.gates(8);
+    quota.set_edge_count(8);
     quota
 }
 
@@ -222,7 +228,7 @@
         let gate = &mut self.gates[n];
         let mut answered = 0;
         while let Some((_, number, term, totals)) = gate.answers.pop_front_if(|a| a.0 <= now) {
-            if gate.cut_until <= now && gate.quota.told(now, number, term, &totals) {
+            if gate.cut_until <= now && gate.quota.on_grants(now, number, term, &totals) {
                 answered = number;
             }
         }
@@ -232,29 +238,31 @@
             decide.extend(over.then_some(if *number <= answered {
                 GrantState::Answered
             } else {
-                GrantState::InVain
+                GrantState::TimedOut
             }));
             !over
         });
         for _ in &decide {
-            gate.quota.waited(&tenant);
+            gate.quota.grant_wait_ended(&tenant);
         }
         let mut arrivals = gate.asks * STEP;
         while arrivals > 0.0 {
             if self.rng.f64() < arrivals.min(1.0) {
-                decide.push(GrantState::Not);
+                decide.push(GrantState::NotRequested);
                 self.asked.push(now);
             }
             arrivals -= 1.0;
         }
         for asked in decide {
             match gate.quota.admit(now, &tenant, &limit, asked) {
-                AdmissionDecision::Pass => self.passed.push(now),
-                AdmissionDecision::Ask => gate.waiting.push((now + 0.06, gate.quota.next_number())),
-                AdmissionDecision::Refuse(_) => {}
+                AdmissionDecision::Admit => self.passed.push(now),
+                AdmissionDecision::WaitForGrant => {
+                    gate.waiting.push((now + 0.06, gate.quota.next_request_id()))
+                }
+                AdmissionDecision::Reject(_) => {}
             }
         }
-        if let Some((number, charges)) = gate.quota.sync(now) {
+        if let Some((number, charges)) = gate.quota.begin_sync(now) {
             if gate.cut_until <= now {
                 self.syncs.push((now + out, n, gate.life, number, gate.quota.term(), charges));
             }
@@ -394,25 +402,28 @@
         }]
     };
     // It has met no holder yet.
-    expect_that!(quota.admit(1.0, &tenant, &limit, GrantState::Not), eq(AdmissionDecision::Refuse(0.25)));
-    let (first, _) = quota.sync(1.0).expect("a sync");
-    expect_that!(quota.told(1.01, first, 5, &total(1, 2.0)), eq(true));
-    expect_that!(quota.admit(1.02, &tenant, &limit, GrantState::Answered), eq(AdmissionDecision::Pass));
-    let (second, _) = quota.sync(1.3).expect("a sync");
+    expect_that!(
+        quota.admit(1.0, &tenant, &limit, GrantState::NotRequested),
+        eq(AdmissionDecision::Reject(0.25))
+    );
+    let (first, _) = quota.begin_sync(1.0).expect("a sync");
+    expect_that!(quota.on_grants(1.01, first, 5, &total(1, 2.0)), eq(true));
+    expect_that!(quota.admit(1.02, &tenant, &limit, GrantState::Answered), eq(AdmissionDecision::Admit));
+    let (second, _) = quota.begin_sync(1.3).expect("a sync");
     // The same number, but from a holder whose time is over: not its grant, not its share, and it is no contact.
-    expect_that!(quota.told(1.31, second, 4, &total(500, 90.0)), eq(false));
+    expect_that!(quota.on_grants(1.31, second, 4, &total(500, 90.0)), eq(false));
     expect_that!(quota.term(), eq(5));
     expect_that!(
         quota.admit(1.32, &tenant, &limit, GrantState::Answered),
-        eq(AdmissionDecision::Refuse(0.25))
+        eq(AdmissionDecision::Reject(0.25))
     );
-    expect_that!(quota.is_apart(1.75), eq(true));
-    let (_, charges) = quota.sync(2.1).expect("a sync");
+    expect_that!(quota.is_disconnected(1.75), eq(true));
+    let (_, charges) = quota.begin_sync(2.1).expect("a sync");
     expect_that!((charges[0].charged, charges[0].standing_share, charges[0].unused_grant), eq((1, 2.0, 0)));
     // What a newer one does not confirm is void.
-    let (third, _) = quota.sync(3.0).expect("a sync");
-    expect_that!(quota.told(3.01, third, 6, &[]), eq(true));
-    let (_, charges) = quota.sync(3.3).expect("a sync");
+    let (third, _) = quota.begin_sync(3.0).expect("a sync");
+    expect_that!(quota.on_grants(3.01, third, 6, &[]), eq(true));
+    let (_, charges) = quota.begin_sync(3.3).expect("a sync");
     expect_that!((charges[0].standing_share, charges[0].unused_grant), eq((0.0, 0)));
 }
 
--- a/crates/gateway/src/data_plane/drain.rs
+++ b/crates/gateway/src/data_plane/drain.rs
@@ -56,7 +56,7 @@
 
 impl EdgeNode {
     /// The process is asked to end: it is not ready any more, and serves on as the drain says.
-    pub fn end(&mut self, now: f64) -> Drain {
+    pub fn begin_drain(&mut self, now: f64) -> Drain {
         *self.drain.get_or_insert(Drain::new(now, &self.settings))
     }
 
@@ -85,7 +85,7 @@
     }
 
     /// The process ends: every request gets the final answer that is true of it.
-    pub fn abandon(&mut self, out: &mut Vec<Effect>) {
+    pub fn respond_to_all(&mut self, out: &mut Vec<Effect>) {
         let open: Vec<RequestId> = self.requests.keys().cloned().collect();
         for id in open {
             let Some(request) = self.requests.get_mut(&id) else { continue };
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -31,16 +31,16 @@
 /// What happens to this process.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Some time has passed: comes when [`Edge::next`] says, and every [`TICK`] seconds.
+    /// Some time has passed: comes when [`Edge::next`] says, and every [`TICK_SECS`] seconds.
     Tick,
     /// A connection to a core machine came up.
     LinkUp(IpAddr),
     /// It went down.
     LinkDown(IpAddr),
     /// A core machine said this.
-    Core(IpAddr, PeerMessage),
+    CoreMessage(IpAddr, PeerMessage),
     /// Another gatekeeper has this out.
-    Told(IpAddr, LoadReport),
+    PeerLoad(IpAddr, LoadReport),
 }
 
 /// What is to be done.
@@ -63,20 +63,20 @@
         /// Where it listens.
         address: SocketAddr,
         /// Seconds after which it is given up.
-        within: f64,
+        timeout_secs: f64,
     },
     /// Give up an attempt.
-    CallOff(RequestId, u32),
+    CancelAttempt(RequestId, u32),
     /// The final answer to a request.
-    Answer(RequestId, FinalResponse),
+    Respond(RequestId, FinalResponse),
     /// Close idle connections to a worker.
-    CloseIdle(HostId),
+    CloseIdleConnections(HostId),
     /// Tell these gatekeepers, in a datagram each.
-    Tell(Vec<IpAddr>, LoadReport),
+    SendLoadReport(Vec<IpAddr>, LoadReport),
 }
 
 /// Seconds between two ticks.
-pub const TICK: f64 = 0.05;
+pub const TICK_SECS: f64 = 0.05;
 /// Seconds between two pings to a core machine.
 const PING: f64 = 0.5;
 /// A core machine's word on who holds the counter counts for so long: seconds.
@@ -106,10 +106,10 @@
 pub struct EdgeNode {
     settings: Settings,
     /// What tells this life from others.
-    pub life: u64,
+    pub incarnation: u64,
     items: ConfigReplica,
     /// What is served by.
-    pub view: Arc<ActiveConfig>,
+    pub active_config: Arc<ActiveConfig>,
     registry: WorkerRegistry,
     quota: QuotaAdmission,
     budget: retry_budget::RetryBudgetConfig,
@@ -135,12 +135,12 @@
 fn quota_terms(settings: &Settings) -> quota_admission::QuotaAdmissionConfig {
     let e = &settings.envelope;
     quota_admission::QuotaAdmissionConfig {
-        every: quota_lease::SYNC_EVERY,
-        overdue: quota_lease::OVERDUE,
-        lapse: quota_lease::lapse(settings),
-        overshoot: e.quota_overshoot,
-        margin: e.quota_margin,
-        horizon: e.quota_horizon.as_secs_f64(),
+        sync_interval_secs: quota_lease::SYNC_EVERY,
+        sync_timeout_secs: quota_lease::OVERDUE,
+        share_lifetime_secs: quota_lease::lapse(settings),
+        overshoot_ratio: e.quota_overshoot,
+        overshoot_requests: e.quota_margin,
+        horizon_secs: e.quota_horizon.as_secs_f64(),
     }
 }
 
@@ -157,7 +157,7 @@
         let (terms, budget) = (quota_terms(&settings), budget_terms(&settings));
         let items = ConfigReplica::default();
         EdgeNode {
-            view: Arc::new(ActiveConfig::fold_parts(items.parts())),
+            active_config: Arc::new(ActiveConfig::fold_parts(items.parts())),
             items,
             registry: WorkerRegistry::default(),
             quota: QuotaAdmission::new(terms, &settings.node),
@@ -183,7 +183,7 @@
             rng: fastrand::Rng::with_seed(life ^ ground::hash(&settings.node)),
             drain: None,
             settings,
-            life,
+            incarnation: life,
         }
     }
 
@@ -203,15 +203,15 @@
 
     /// Can clients be served? Once the configuration and its workers are known and the counter was met.
     pub fn is_ready(&self, now: f64) -> bool {
-        let limited = self.view.tenants().values().any(|t| t.rate > 0.0);
-        self.drain.is_none() && self.can_serve() && !(limited && self.quota.is_lapsed(now))
+        let limited = self.active_config.tenants().values().any(|t| t.rate > 0.0);
+        self.drain.is_none() && self.can_serve() && !(limited && self.quota.are_shares_lapsed(now))
     }
 
     /// The same without regard to an end.
     pub fn can_serve(&self) -> bool {
         let mut routed =
-            self.view.routes().flat_map(|r| r.mixture.iter().filter(|m| m.1 > 0.0).map(|m| &m.0));
-        let limited = self.view.tenants().values().any(|t| t.rate > 0.0);
+            self.active_config.routes().flat_map(|r| r.mixture.iter().filter(|m| m.1 > 0.0).map(|m| &m.0));
+        let limited = self.active_config.tenants().values().any(|t| t.rate > 0.0);
         let has = |service: &Arc<str>| {
             self.registry.all().any(|w| w.service == *service && w.phase == WorkerPhase::Serving)
         };
@@ -225,29 +225,29 @@
 
     /// Other gatekeepers that are known.
     #[cfg(test)]
-    pub fn others(&self) -> usize {
+    pub fn peer_count(&self) -> usize {
         self.loads.others()
     }
 
     /// Is this request not over yet?
-    pub fn knows(&self, id: &RequestId) -> bool {
+    pub fn is_pending(&self, id: &RequestId) -> bool {
         self.requests.contains_key(id)
     }
 
     /// Requests that are owed an answer or have an attempt out.
-    pub fn open(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.requests.len()
     }
 
     /// Other settings from now on: other seeds are reached for, other bounds hold.
-    pub fn retune(&mut self, settings: Settings, out: &mut Vec<Effect>) {
+    pub fn update_settings(&mut self, settings: Settings, out: &mut Vec<Effect>) {
         for seed in &settings.seeds {
             self.reach(seed.ip(), out);
         }
         let slack_from = self.budget.slack_from;
         (self.budget, self.settings) = (budget_terms(&settings), settings);
         self.budget.slack_from = slack_from;
-        self.quota.retune(quota_terms(&self.settings));
+        self.quota.update_config(quota_terms(&self.settings));
     }
 
     /// Takes an event at `now`, in seconds of a steady clock.
@@ -259,21 +259,21 @@
         match event {
             Event::Tick => self.tick(now, out),
             // The last of a connection that was given up: kept as one, it would not be opened again.
-            Event::LinkUp(ip) | Event::LinkDown(ip) | Event::Core(ip, _) if !self.links.contains_key(&ip) => {
-            }
+            Event::LinkUp(ip) | Event::LinkDown(ip) | Event::CoreMessage(ip, _)
+                if !self.links.contains_key(&ip) => {}
             Event::LinkUp(ip) => {
                 let s = &self.settings;
                 let me = NodeLocation { ip: s.ip, zone: s.zone.clone(), region: s.region.clone() };
                 let hello = PeerMessage::Hello {
                     node: s.node.clone(),
-                    incarnation: self.life,
+                    incarnation: self.incarnation,
                     location: me,
                     is_core: false,
                 };
                 let link = self.links.entry(ip).or_default();
                 (link.up, link.messages) = (true, 0);
                 out.push(Effect::Send(ip, hello));
-                out.push(Effect::Send(ip, self.ping(ip)));
+                out.push(Effect::Send(ip, self.ping_message(ip)));
             }
             Event::LinkDown(ip) => {
                 let link = std::mem::take(self.links.entry(ip).or_default());
@@ -281,11 +281,11 @@
                 // Whom it named counts on until others do: a core that is lost takes nobody away.
                 self.links.insert(ip, CoreLink { since, gatekeepers, ..CoreLink::default() });
                 if lost {
-                    self.quota.unheld(now);
+                    self.quota.on_leader_lost(now);
                 }
             }
-            Event::Core(ip, msg) => self.core(now, ip, msg, out),
-            Event::Told(ip, load) => {
+            Event::CoreMessage(ip, msg) => self.core(now, ip, msg, out),
+            Event::PeerLoad(ip, load) => {
                 let news = self.loads.told(now, ip, load);
                 self.heard_loads(news);
             }
@@ -304,12 +304,12 @@
     /// Tells the others what is out here, if it is time.
     fn tell_loads(&mut self, now: f64, out: &mut Vec<Effect>) {
         if let Some((to, load)) = self.loads.tell(now) {
-            out.push(Effect::Tell(to, load));
+            out.push(Effect::SendLoadReport(to, load));
         }
     }
 
     /// What it holds, and how much of what this core machine said it has heard.
-    pub fn ping(&self, ip: IpAddr) -> PeerMessage {
+    pub fn ping_message(&self, ip: IpAddr) -> PeerMessage {
         let heard = self.links.get(&ip).map_or(0, |l| l.messages);
         PeerMessage::Ping {
             config_index: self.items.index(),
@@ -356,8 +356,8 @@
                 // Fewer only once every core machine that is in touch says so.
                 if most != self.gates {
                     self.gates = most;
-                    self.quota.gates(most);
-                    self.services.values_mut().for_each(|s| s.gates(most));
+                    self.quota.set_edge_count(most);
+                    self.services.values_mut().for_each(|s| s.set_edge_count(most));
                 }
                 self.sync(now, out);
             }
@@ -372,9 +372,9 @@
                     ReplicaUpdate::Taken => {
                         let view = match whole {
                             true => ActiveConfig::fold_parts(self.items.parts()),
-                            false => self.view.refold(self.items.parts(), &kinds),
+                            false => self.active_config.refold(self.items.parts(), &kinds),
                         };
-                        self.view = Arc::new(view);
+                        self.active_config = Arc::new(view);
                         tracing::info!(index, items = count, "configuration in force");
                     }
                     // Told again, by whoever speaks for all.
@@ -383,7 +383,7 @@
                 }
                 if whole || self.items.index() < index {
                     // What is large is not to wait for the next ping: the core goes on once it was heard.
-                    out.push(Effect::Send(ip, self.ping(ip)));
+                    out.push(Effect::Send(ip, self.ping_message(ip)));
                 }
             }
             PeerMessage::WorkerUpdates(workers) => self.workers(now, workers, out),
@@ -395,7 +395,7 @@
                 self.workers(now, workers, out);
             }
             PeerMessage::QuotaGrants { request_id: ask, term, is_leader: true, grants: totals } => {
-                if self.quota.told(now, ask, term, &totals) {
+                if self.quota.on_grants(now, ask, term, &totals) {
                     self.synced = true;
                     self.decide_waiting(now, ask, out);
                 }
@@ -403,7 +403,7 @@
             }
             PeerMessage::QuotaGrants { is_leader: false, .. } => {
                 self.links.entry(ip).or_default().holder = None;
-                self.quota.unheld(now);
+                self.quota.on_leader_lost(now);
             }
             _ => {}
         }
@@ -431,7 +431,7 @@
                 continue;
             }
             if self.registry.get(&id).is_some_and(|w| w.phase != WorkerPhase::Serving) {
-                out.push(Effect::CloseIdle(HostId(id)));
+                out.push(Effect::CloseIdleConnections(HostId(id)));
             }
             if !touched.contains(&service) {
                 touched.push(service);
@@ -466,7 +466,7 @@
     }
 
     /// May this worker be sent to right now?
-    pub fn takes_work(&self, worker: &HostId) -> bool {
+    pub fn is_serving(&self, worker: &HostId) -> bool {
         self.registry.get(&worker.0).is_some_and(|w| w.phase == WorkerPhase::Serving)
     }
 
@@ -484,9 +484,9 @@
     fn sync(&mut self, now: f64, out: &mut Vec<Effect>) {
         let Some(holder) = self.holder(now) else { return };
         if self.counted_by.replace(holder) != Some(holder) {
-            self.quota.afresh();
+            self.quota.resync_all();
         }
-        if let Some((ask, charges)) = self.quota.sync(now) {
+        if let Some((ask, charges)) = self.quota.begin_sync(now) {
             out.push(Effect::Send(
                 holder,
                 PeerMessage::QuotaSync { request_id: ask, term: self.quota.term(), usage: charges },
@@ -495,12 +495,12 @@
     }
 
     /// When a tick is wanted next at the latest.
-    pub fn next(&self, now: f64) -> f64 {
+    pub fn next_wakeup(&self, now: f64) -> f64 {
         let modules = self.services.values().map(|s| s.due);
         modules
-            .fold(now + TICK, f64::min)
+            .fold(now + TICK_SECS, f64::min)
             .min(self.loads.next().max(now))
-            .min(self.quota.next(now).max(now + 0.005))
+            .min(self.quota.next_sync_at(now).max(now + 0.005))
     }
 
     /// Core machines that were replaced are not reached for any more: not heard for long, no seeds, and named by nobody. A
@@ -525,7 +525,7 @@
         if now - self.pinged >= every {
             self.pinged = now;
             let up = self.links.iter().filter(|(_, l)| l.up).map(|(ip, _)| *ip);
-            out.extend(up.map(|ip| Effect::Send(ip, self.ping(ip))));
+            out.extend(up.map(|ip| Effect::Send(ip, self.ping_message(ip))));
             self.forget(now, out);
             self.registry.sweep(now);
             let news = self.loads.sweep(now);
--- a/crates/gateway/src/data_plane/quota_admission.rs
+++ b/crates/gateway/src/data_plane/quota_admission.rs
@@ -12,17 +12,17 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaAdmissionConfig {
     /// Charges are told this often: seconds.
-    pub every: f64,
+    pub sync_interval_secs: f64,
     /// Without an answer for so long, standing shares count, and grants no more: seconds.
-    pub overdue: f64,
+    pub sync_timeout_secs: f64,
     /// Standing shares lapse so long after the last answer: seconds.
-    pub lapse: f64,
+    pub share_lifetime_secs: f64,
     /// Part of a quota that may be passed by, from the settings...
-    pub overshoot: f64,
+    pub overshoot_ratio: f64,
     /// ...and requests beyond.
-    pub margin: f64,
+    pub overshoot_requests: f64,
     /// ...in every span of so many seconds.
-    pub horizon: f64,
+    pub horizon_secs: f64,
 }
 
 /// Part of what a quota may be passed by that standing shares may save up, over all gatekeepers, in the time after
@@ -48,22 +48,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
     /// It passes and is charged.
-    Pass,
+    Admit,
     /// The counter is to be asked first.
-    Ask,
+    WaitForGrant,
     /// Refused; come back after so many seconds.
-    Refuse(f64),
+    Reject(f64),
 }
 
 /// Was the counter asked for a request?
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantState {
     /// Not yet.
-    Not,
+    NotRequested,
     /// It has answered.
     Answered,
     /// It has not answered in time.
-    InVain,
+    TimedOut,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -198,23 +198,23 @@
     }
 
     /// How many gatekeepers there are.
-    pub fn gates(&mut self, gates: u32) {
+    pub fn set_edge_count(&mut self, gates: u32) {
         self.gates = gates;
     }
 
     /// Other terms from now on.
-    pub fn retune(&mut self, terms: QuotaAdmissionConfig) {
+    pub fn update_config(&mut self, terms: QuotaAdmissionConfig) {
         self.terms = terms;
     }
 
     /// Have the standing shares lapsed, so that nothing limited can pass here?
-    pub fn is_lapsed(&self, now: f64) -> bool {
-        now - self.synced_at > self.terms.lapse
+    pub fn are_shares_lapsed(&self, now: f64) -> bool {
+        now - self.synced_at > self.terms.share_lifetime_secs
     }
 
     /// Has the counter been silent for too long?
-    pub fn is_apart(&self, now: f64) -> bool {
-        now - self.synced_at > self.terms.overdue
+    pub fn is_disconnected(&self, now: f64) -> bool {
+        now - self.synced_at > self.terms.sync_timeout_secs
     }
 
     /// The highest term that a holder has answered in.
@@ -231,37 +231,37 @@
         asked: GrantState,
     ) -> AdmissionDecision {
         if limit.rate <= 0.0 {
-            return AdmissionDecision::Pass;
+            return AdmissionDecision::Admit;
         }
-        let (apart, terms, saved_at) = (self.is_apart(now), self.terms, self.met_at.unwrap_or(now));
+        let (apart, terms, saved_at) = (self.is_disconnected(now), self.terms, self.met_at.unwrap_or(now));
         let fresh = || Tenant { saved_at, turns: phase(&self.node, name), ..Tenant::default() };
         let t = self.tenants.entry(Arc::clone(name)).or_insert_with(fresh);
         if apart {
             // Told when it is in touch again. The next holder must not wait for long until nobody can spend what the last one granted.
             t.until = t.until.min(t.charged);
         }
-        if asked == GrantState::Not {
+        if asked == GrantState::NotRequested {
             t.asks = t.rate(now) + 1.0 / ASKS_S;
             t.asks_at = now;
         }
         t.enlist(name, &mut self.live);
         if t.charged < t.until {
             t.charged += 1;
-            return AdmissionDecision::Pass;
+            return AdmissionDecision::Admit;
         }
-        if apart || asked == GrantState::InVain {
+        if apart || asked == GrantState::TimedOut {
             return Self::by_share(now, t, limit, terms, (self.synced_at, self.gates));
         }
         if now < t.empty_until {
-            return AdmissionDecision::Refuse(t.empty_until - now);
+            return AdmissionDecision::Reject(t.empty_until - now);
         }
         if asked == GrantState::Answered {
-            return AdmissionDecision::Refuse(terms.every);
+            return AdmissionDecision::Reject(terms.sync_interval_secs);
         }
         self.wanted = true;
         t.waits += 1;
         self.waiting.insert(Arc::clone(name));
-        AdmissionDecision::Ask
+        AdmissionDecision::WaitForGrant
     }
 
     /// Out of touch: by the standing share, which the counter sets aside.
@@ -272,25 +272,28 @@
         terms: QuotaAdmissionConfig,
         (synced_at, gates): (f64, u32),
     ) -> AdmissionDecision {
-        if now - synced_at > terms.lapse {
-            return AdmissionDecision::Refuse(terms.every);
+        if now - synced_at > terms.share_lifetime_secs {
+            return AdmissionDecision::Reject(terms.sync_interval_secs);
         }
         let part = t.share / limit.rate;
-        let slack = terms.overshoot * (limit.rate * terms.horizon + limit.burst) + terms.margin;
+        let slack = terms.overshoot_ratio * (limit.rate * terms.horizon_secs + limit.burst)
+            + terms.overshoot_requests;
         // A tenant that never asked here has no share: a small allowance, safe with so many gatekeepers.
         let start = if gates == 0 { 0.0 } else { START_PART * slack / f64::from(gates) };
         let (rate, depth, again) = match t.share > 0.0 {
-            true => (t.share, SAVED_PART * slack * part, SAVED_PART * slack * part / terms.lapse),
-            false => (start / terms.horizon, start, start / terms.horizon),
+            true => {
+                (t.share, SAVED_PART * slack * part, SAVED_PART * slack * part / terms.share_lifetime_secs)
+            }
+            false => (start / terms.horizon_secs, start, start / terms.horizon_secs),
         };
         // In touch it saves up slowly, so that being cut off again and again brings no more.
         let touched = (synced_at - t.saved_at).max(0.0);
-        let cut_off = (now - t.saved_at.max(synced_at + terms.overdue)).max(0.0);
+        let cut_off = (now - t.saved_at.max(synced_at + terms.sync_timeout_secs)).max(0.0);
         t.saved_at = now;
         if depth < 1.0 {
             if !Self::by_turns(t, again * touched, rate * cut_off, depth) {
                 let missing = if depth < ROUNDED { t.turns.floor() + 1.0 - t.turns } else { 1.0 - t.saved };
-                return AdmissionDecision::Refuse((missing / rate.max(0.1)).min(2.0));
+                return AdmissionDecision::Reject((missing / rate.max(0.1)).min(2.0));
             }
         } else {
             if touched > 0.0 {
@@ -299,11 +302,11 @@
             t.saved = (t.saved + rate * cut_off).min(depth);
         }
         if t.saved < 1.0 {
-            return AdmissionDecision::Refuse(((1.0 - t.saved) / rate.max(0.1)).min(2.0));
+            return AdmissionDecision::Reject(((1.0 - t.saved) / rate.max(0.1)).min(2.0));
         }
         t.saved -= 1.0;
         t.charged += 1;
-        AdmissionDecision::Pass
+        AdmissionDecision::Admit
     }
 
     /// Less than a unit may be saved up: a whole one at each of many gatekeepers would be more than all may spend. So each
@@ -325,12 +328,12 @@
     }
 
     /// Number of the sync whose answer decides on a request that is to wait from now on.
-    pub fn next_number(&self) -> u64 {
+    pub fn next_request_id(&self) -> u64 {
         self.number + 1
     }
 
     /// A charged request did not run: its unit comes back.
-    pub fn take_back(&mut self, name: &str) {
+    pub fn refund(&mut self, name: &str) {
         if let Some(t) = self.tenants.get_mut(name) {
             t.charged -= 1;
             t.enlist(name, &mut self.live);
@@ -338,7 +341,7 @@
     }
 
     /// A request that waited is decided, or its client has left.
-    pub fn waited(&mut self, name: &str) {
+    pub fn grant_wait_ended(&mut self, name: &str) {
         if let Some(t) = self.tenants.get_mut(name) {
             t.waits = t.waits.saturating_sub(1);
             if t.waits == 0 {
@@ -348,16 +351,16 @@
     }
 
     /// Another machine holds the counter now: it is to be told all.
-    pub fn afresh(&mut self) {
+    pub fn resync_all(&mut self) {
         self.afresh = true;
     }
 
     /// What to tell the counter now, if anything, with the number that the answer must carry.
-    pub fn sync(&mut self, now: f64) -> Option<(u64, Vec<TenantUsage>)> {
-        let waiting = self.asked.is_some_and(|(_, at)| now - at < self.terms.overdue);
+    pub fn begin_sync(&mut self, now: f64) -> Option<(u64, Vec<TenantUsage>)> {
+        let waiting = self.asked.is_some_and(|(_, at)| now - at < self.terms.sync_timeout_secs);
         // One on demand shortly before the regular one is due is that, too.
-        let due = if self.wanted { self.due - self.terms.every / 2.0 } else { self.due };
-        let apart = self.is_apart(now);
+        let due = if self.wanted { self.due - self.terms.sync_interval_secs / 2.0 } else { self.due };
+        let apart = self.is_disconnected(now);
         let afresh = self.afresh || apart;
         if waiting || !(self.wanted || now >= due) {
             return None;
@@ -370,7 +373,7 @@
         let mut names = std::mem::take(&mut self.named);
         names.clear();
         if now >= due || afresh {
-            self.due = now + self.terms.every;
+            self.due = now + self.terms.sync_interval_secs;
             names.extend(self.live.iter().cloned());
         } else {
             names.extend(self.waiting.iter().cloned());
@@ -406,7 +409,7 @@
 
     /// Nothing that was said counts any more; out of touch, grants go back and shares lapse.
     fn forget(&mut self, now: f64, apart: bool) {
-        let lapsed = self.is_lapsed(now);
+        let lapsed = self.are_shares_lapsed(now);
         for (name, t) in &mut self.tenants {
             if apart && t.until > t.charged {
                 (t.until, t.dirty) = (t.charged, true);
@@ -423,9 +426,9 @@
     }
 
     /// When a sync is next due, in the time that was passed in.
-    pub fn next(&self, now: f64) -> f64 {
+    pub fn next_sync_at(&self, now: f64) -> f64 {
         match self.asked {
-            Some((_, at)) if now - at < self.terms.overdue => at + self.terms.overdue,
+            Some((_, at)) if now - at < self.terms.sync_timeout_secs => at + self.terms.sync_timeout_secs,
             _ if self.wanted => now,
             _ => self.due,
         }
@@ -433,7 +436,7 @@
 
     /// The answer of the counter's holder in this term. `false`: not to anything asked last, or of an older holder than
     /// one that has answered; then nothing of it is taken.
-    pub fn told(&mut self, now: f64, number: u64, term: u64, totals: &[TenantGrant]) -> bool {
+    pub fn on_grants(&mut self, now: f64, number: u64, term: u64, totals: &[TenantGrant]) -> bool {
         if term < self.term {
             return false;
         }
@@ -471,7 +474,7 @@
     }
 
     /// The one that was asked does not hold the counter, or the way to it broke.
-    pub fn unheld(&mut self, now: f64) {
+    pub fn on_leader_lost(&mut self, now: f64) {
         if self.asked.take().is_some() {
             self.due = self.due.min(now + 0.1);
         }
--- a/crates/gateway/src/data_plane/quota_slack_tests.rs
+++ b/crates/gateway/src/data_plane/quota_slack_tests.rs
@@ -10,26 +10,26 @@
 use std::sync::Arc;
 
 const TERMS: QuotaAdmissionConfig = QuotaAdmissionConfig {
-    every: 0.25,
-    overdue: 0.7,
-    lapse: 15.0,
-    overshoot: 0.1,
-    margin: 20.0,
-    horizon: 5.0,
+    sync_interval_secs: 0.25,
+    sync_timeout_secs: 0.7,
+    share_lifetime_secs: 15.0,
+    overshoot_ratio: 0.1,
+    overshoot_requests: 20.0,
+    horizon_secs: 5.0,
 };
 const LIMIT: TenantLimit = TenantLimit { rate: 100.0, burst: 100.0 };
 const STEP: f64 = 0.02;
 
 /// What the rule allows beyond rate x horizon + burst.
 fn slack(limit: &TenantLimit) -> f64 {
-    TERMS.overshoot * (limit.rate * TERMS.horizon + limit.burst) + TERMS.margin
+    TERMS.overshoot_ratio * (limit.rate * TERMS.horizon_secs + limit.burst) + TERMS.overshoot_requests
 }
 
 /// Gatekeepers that know of each other.
 fn gatekeepers(n: usize) -> Vec<QuotaAdmission> {
     let gatekeeper = |n| QuotaAdmission::new(TERMS, &format!("edge-{n}"));
     let mut all: Vec<QuotaAdmission> = (0..n).map(gatekeeper).collect();
-    all.iter_mut().for_each(|g| g.gates(n as u32));
+    all.iter_mut().for_each(|g| g.set_edge_count(n as u32));
     all
 }
 
@@ -52,17 +52,17 @@
         hot = if rng.f64() < 0.02 { rng.bool() } else { hot };
         let mut passed = 0.0;
         for (gate, share) in gates.iter_mut().zip(shares) {
-            if hot && gate.is_apart(now) {
-                while gate.admit(now, &tenant, limit, GrantState::Not) == AdmissionDecision::Pass {
+            if hot && gate.is_disconnected(now) {
+                while gate.admit(now, &tenant, limit, GrantState::NotRequested) == AdmissionDecision::Admit {
                     passed += 1.0;
                 }
             } else if rng.f64() < 0.05 {
                 // Known to the gatekeeper, and nothing granted.
                 passed += f64::from(u8::from(
-                    gate.admit(now, &tenant, limit, GrantState::InVain) == AdmissionDecision::Pass,
+                    gate.admit(now, &tenant, limit, GrantState::TimedOut) == AdmissionDecision::Admit,
                 ));
             }
-            if let Some((number, charges)) = gate.sync(now).filter(|_| touch) {
+            if let Some((number, charges)) = gate.begin_sync(now).filter(|_| touch) {
                 let total = |c: &crate::protocol::TenantUsage| TenantGrant {
                     tenant: c.tenant.clone(),
                     window_total: 0.0,
@@ -70,15 +70,15 @@
                     standing_share: *share as f32,
                     retry_after_ms: 0,
                 };
-                gate.told(now, number, 1, &charges.iter().map(total).collect::<Vec<_>>());
+                gate.on_grants(now, number, 1, &charges.iter().map(total).collect::<Vec<_>>());
                 touched = now;
             }
         }
-        let counts = now - touched > TERMS.overdue;
+        let counts = now - touched > TERMS.sync_timeout_secs;
         let rate: f64 = if counts { shares.iter().sum() } else { 0.0 };
         beyond.push(passed - rate * STEP);
     }
-    let span = (TERMS.horizon / STEP) as usize;
+    let span = (TERMS.horizon_secs / STEP) as usize;
     let mut most: f64 = 0.0;
     for from in 0..beyond.len() {
         let mut sum = 0.0;
@@ -135,8 +135,8 @@
         while now < 60.0 {
             now += 0.25;
             for gate in &mut gates {
-                gate.admit(now, &tenant, &limit, GrantState::Not);
-                if let Some((number, charges)) = gate.sync(now) {
+                gate.admit(now, &tenant, &limit, GrantState::NotRequested);
+                if let Some((number, charges)) = gate.begin_sync(now) {
                     let total = |c: &crate::protocol::TenantUsage| TenantGrant {
                         tenant: c.tenant.clone(),
                         window_total: 0.0,
@@ -144,14 +144,15 @@
                         standing_share: 2.3 / 11.0,
                         retry_after_ms: 0,
                     };
-                    gate.told(now, number, 1, &charges.iter().map(total).collect::<Vec<_>>());
+                    gate.on_grants(now, number, 1, &charges.iter().map(total).collect::<Vec<_>>());
                 }
             }
         }
         // One request at one gatekeeper, just after the counter is gone.
         let gate = &mut gates[n % 11];
-        served +=
-            usize::from(gate.admit(now + 1.0, &tenant, &limit, GrantState::Not) == AdmissionDecision::Pass);
+        served += usize::from(
+            gate.admit(now + 1.0, &tenant, &limit, GrantState::NotRequested) == AdmissionDecision::Admit,
+        );
     }
     expect_that!(served, ge(40));
 }
--- a/crates/gateway/src/data_plane/request_state.rs
+++ b/crates/gateway/src/data_plane/request_state.rs
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
     /// What the worker said in this attempt, as it is.
-    Worker(u32),
+    Upstream(u32),
     /// Beyond the tenant's quota; come back after so many seconds.
-    Limited(f64),
+    RateLimited(f64),
     /// Not run, and it never will be; come back after so many seconds.
-    Refused(f64),
+    NotExecuted(f64),
     /// It may have run; a worker failed it.
-    Failed,
+    UpstreamFailed,
     /// It may have run; there was no answer in time.
     TimedOut,
 }
@@ -23,9 +23,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchDecision {
     /// It goes out.
-    Go(u32),
+    Send(u32),
     /// It must not: it is to end as one that was never sent.
-    Withheld(u32),
+    Withhold(u32),
 }
 
 /// An attempt that has ended.
@@ -123,7 +123,7 @@
     /// It is beyond its quota.
     pub fn limited(&mut self, after: f64) -> Option<FinalResponse> {
         let promise = !self.may_have_run && self.out.is_empty();
-        let answer = if promise { FinalResponse::Limited(after) } else { FinalResponse::Failed };
+        let answer = if promise { FinalResponse::RateLimited(after) } else { FinalResponse::UpstreamFailed };
         self.answer(answer)
     }
 
@@ -133,10 +133,10 @@
         self.attempts += 1;
         self.out.push((attempt, now));
         if !goes {
-            return DispatchDecision::Withheld(attempt);
+            return DispatchDecision::Withhold(attempt);
         }
         self.sent += 1;
-        DispatchDecision::Go(attempt)
+        DispatchDecision::Send(attempt)
     }
 
     /// An attempt has ended. `whole`: there is a whole answer of the worker to pass on, good (true) or a failure.
@@ -150,7 +150,7 @@
             self.failure = Some(attempt);
         }
         let answer = match self.given_up.filter(|_| self.out.is_empty()) {
-            _ if ending == Ending::Ok && whole == Some(true) => self.answer(FinalResponse::Worker(attempt)),
+            _ if ending == Ending::Ok && whole == Some(true) => self.answer(FinalResponse::Upstream(attempt)),
             Some(after) => self.give_up(after),
             None => None,
         };
@@ -164,10 +164,10 @@
             return None;
         }
         let answer = match (self.may_have_run, self.failure, self.late) {
-            (false, ..) => FinalResponse::Refused(after),
-            (true, Some(attempt), _) => FinalResponse::Worker(attempt),
+            (false, ..) => FinalResponse::NotExecuted(after),
+            (true, Some(attempt), _) => FinalResponse::Upstream(attempt),
             (true, None, true) => FinalResponse::TimedOut,
-            (true, None, false) => FinalResponse::Failed,
+            (true, None, false) => FinalResponse::UpstreamFailed,
         };
         self.answer(answer)
     }
--- a/crates/gateway/src/data_plane/request_state_tests.rs
+++ b/crates/gateway/src/data_plane/request_state_tests.rs
@@ -220,14 +220,14 @@
     fn told(&mut self, answer: Option<FinalResponse>, fault: Option<Fault>) -> Result<()> {
         let Some(mut answer) = answer else { return Ok(()) };
         if fault == Some(Fault::PromisedThoughSent)
-            && matches!(answer, FinalResponse::Failed | FinalResponse::TimedOut)
+            && matches!(answer, FinalResponse::UpstreamFailed | FinalResponse::TimedOut)
         {
-            answer = FinalResponse::Refused(0.1);
+            answer = FinalResponse::NotExecuted(0.1);
         }
         if self.gone || self.answer.is_some() {
             return fail!("{answer:?} after {:?}, client gone: {}", self.answer, self.gone);
         }
-        if let FinalResponse::Worker(attempt) = answer {
+        if let FinalResponse::Upstream(attempt) = answer {
             let ran = self.wires.iter().any(|w| w.attempt == attempt && w.fate == Fate::Ran && !w.out);
             verify_that!(ran, eq(true))?;
         }
@@ -242,7 +242,7 @@
         }
         verify_that!(self.wires.len(), le(self.machine.most as usize))?;
         let may_run = |w: &Wire| w.fate == Fate::Ran || w.fate == Fate::Open && w.written != Written::Nothing;
-        if matches!(self.answer, Some(FinalResponse::Limited(_) | FinalResponse::Refused(_))) {
+        if matches!(self.answer, Some(FinalResponse::RateLimited(_) | FinalResponse::NotExecuted(_))) {
             verify_that!(self.wires.iter().any(|w| may_run(w) || w.out), eq(false))?;
         }
         if self.over() {
@@ -286,17 +286,17 @@
                 (w.machine.repeatable, w.machine.most) = (m.repeatable, m.most);
                 w.machine.answered = m.answered;
                 match sending {
-                    DispatchDecision::Go(attempt) if m.answered => {
+                    DispatchDecision::Send(attempt) if m.answered => {
                         fail!("{attempt} goes out after the answer")?
                     }
-                    DispatchDecision::Go(attempt) => w.wires.push(Wire {
+                    DispatchDecision::Send(attempt) => w.wires.push(Wire {
                         attempt,
                         out: true,
                         written: Written::Nothing,
                         fate: Fate::Open,
                         unrun: false,
                     }),
-                    DispatchDecision::Withheld(attempt) => {
+                    DispatchDecision::Withhold(attempt) => {
                         let answer = w.machine.ended(attempt, Ending::Moot, None).and_then(|e| e.answer);
                         w.turn = true;
                         w.told(answer, fault)?;
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -41,20 +41,42 @@
     /// Its tenant, where the configuration has any.
     pub tenant: Option<Arc<crate::configuration::active_config::Tenant>>,
     /// Seconds that its client waits from now on.
-    pub left: f64,
+    pub remaining_secs: f64,
+}
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptReport<'a> {
+    /// The request.
+    pub id: &'a RequestId,
+    /// Number of the attempt, counted from 0 for each request.
+    pub attempt: u32,
+    /// The worker it was dispatched to.
+    pub worker: &'a HostId,
+    /// How it ended.
+    pub ending: Ending,
+    /// Whether the worker's complete response is at hand, and then whether it is a success.
+    pub response_ok: Option<bool>,
+}
+
+impl<'a> AttemptReport<'a> {
+    /// An attempt of which no byte was sent.
+    fn not_sent(id: &'a RequestId, attempt: u32, worker: &'a HostId) -> Self {
+        AttemptReport { id, attempt, worker, ending: Ending::Moot, response_ok: None }
+    }
 }
 
 impl EdgeNode {
     /// A request whose route and tenant are known.
-    pub fn arrived(&mut self, now: f64, arrival: IncomingRequest, out: &mut Vec<Effect>) {
-        let IncomingRequest { id, route, tenant, left } = arrival;
+    pub fn on_request(&mut self, now: f64, arrival: IncomingRequest, out: &mut Vec<Effect>) {
+        let IncomingRequest { id, route, tenant, remaining_secs: left } = arrival;
         let Some(service) = route.service(self.rng.f64()).cloned() else {
-            return out.push(Effect::Answer(id, FinalResponse::Refused(0.1)));
+            return out.push(Effect::Respond(id, FinalResponse::NotExecuted(0.1)));
         };
         let left = route.cutoff.map_or(left, |c| left.min(c.as_secs_f64())) - MARGIN;
         let target = route.target.as_secs_f64();
         if self.drain.is_some_and(|drain| !drain.takes(now, target, left)) {
-            return out.push(Effect::Answer(id, FinalResponse::Refused(drain::RETRY_AFTER)));
+            return out.push(Effect::Respond(id, FinalResponse::NotExecuted(drain::RETRY_AFTER)));
         }
         let left = self.time_for(now, left);
         let rank = tenant.as_ref().and_then(|t| t.rank).unwrap_or(route.rank);
@@ -69,34 +91,34 @@
             waits: None,
         };
         if left <= 0.0 || self.requests.contains_key(&id) {
-            return out.push(Effect::Answer(id, FinalResponse::Refused(0.05)));
+            return out.push(Effect::Respond(id, FinalResponse::NotExecuted(0.05)));
         }
         self.requests.insert(id.clone(), request);
-        self.admit(now, &id, GrantState::Not, out);
+        self.admit(now, &id, GrantState::NotRequested, out);
     }
 
     /// The ordinary path: charged against the window's total, refused at once beyond it, else to the module.
     fn admit(&mut self, now: f64, id: &RequestId, asked: GrantState, out: &mut Vec<Effect>) {
         let Some(r) = self.requests.get_mut(id) else { return };
-        let limits = r.tenant.as_ref().and_then(|t| self.view.tenants().get(t).cloned());
+        let limits = r.tenant.as_ref().and_then(|t| self.active_config.tenants().get(t).cloned());
         let (verdict, limited) = match (&r.tenant, limits) {
             (Some(name), Some(t)) => {
                 let limit = TenantLimit { rate: t.rate, burst: t.burst };
                 (self.quota.admit(now, name, &limit, asked), limit.rate > 0.0)
             }
-            _ => (AdmissionDecision::Pass, false),
+            _ => (AdmissionDecision::Admit, false),
         };
         match verdict {
-            AdmissionDecision::Pass => {
+            AdmissionDecision::Admit => {
                 r.progress.admitted(limited);
                 self.begin(now, id, out);
             }
-            AdmissionDecision::Refuse(after) => {
+            AdmissionDecision::Reject(after) => {
                 let answer = r.progress.limited(after);
                 self.settle(id, answer, out);
             }
-            AdmissionDecision::Ask => {
-                r.waits = Some((now + ASK_WITHIN, self.quota.next_number()));
+            AdmissionDecision::WaitForGrant => {
+                r.waits = Some((now + ASK_WITHIN, self.quota.next_request_id()));
                 self.waiting.push(id.clone());
                 self.sync(now, out);
             }
@@ -117,9 +139,9 @@
             }
             r.waits = None;
             if let Some(tenant) = &r.tenant {
-                self.quota.waited(tenant);
+                self.quota.grant_wait_ended(tenant);
             }
-            let asked = if number <= answered { GrantState::Answered } else { GrantState::InVain };
+            let asked = if number <= answered { GrantState::Answered } else { GrantState::TimedOut };
             self.admit(now, &id, asked, out);
         }
     }
@@ -150,9 +172,9 @@
                     let sending = r.progress.dispatch(now);
                     self.loads.begins(now, &host.0);
                     let attempt = match sending {
-                        DispatchDecision::Go(attempt) => attempt,
-                        DispatchDecision::Withheld(attempt) => {
-                            self.ended(now, &id, attempt, &host, Ending::Moot, None, out);
+                        DispatchDecision::Send(attempt) => attempt,
+                        DispatchDecision::Withhold(attempt) => {
+                            self.on_attempt_end(now, AttemptReport::not_sent(&id, attempt, &host), out);
                             continue;
                         }
                     };
@@ -162,16 +184,16 @@
                         service.sent(now, attempt == 0, &self.budget);
                     }
                     let Some(worker) = self.registry.get(&host.0) else {
-                        self.ended(now, &id, attempt, &host, Ending::Moot, None, out);
+                        self.on_attempt_end(now, AttemptReport::not_sent(&id, attempt, &host), out);
                         continue;
                     };
                     let address = worker.address;
-                    out.push(Effect::Dispatch { id, attempt, worker: host, address, within });
+                    out.push(Effect::Dispatch { id, attempt, worker: host, address, timeout_secs: within });
                 }
                 Action::Cancel { id, attempt } => {
                     // What may run only once is never broken off.
                     if self.requests.get(&id).is_some_and(|r| r.progress.is_repeatable()) {
-                        out.push(Effect::CallOff(id, attempt));
+                        out.push(Effect::CancelAttempt(id, attempt));
                     }
                 }
                 Action::Refuse { id, stay_away } => {
@@ -179,7 +201,7 @@
                     self.gave_up(&id, after, out);
                 }
                 Action::Fail { id } => self.gave_up(&id, 0.1, out),
-                Action::Close { host } => out.push(Effect::CloseIdle(host)),
+                Action::Close { host } => out.push(Effect::CloseIdleConnections(host)),
                 Action::Count { .. } | Action::Probe { .. } | Action::Timer { .. } | Action::Subscribe => {}
             }
         }
@@ -201,30 +223,21 @@
 
     pub(super) fn settle(&mut self, id: &RequestId, answer: Option<FinalResponse>, out: &mut Vec<Effect>) {
         let Some(r) = self.requests.get_mut(id) else { return };
-        out.extend(answer.map(|answer| Effect::Answer(id.clone(), answer)));
+        out.extend(answer.map(|answer| Effect::Respond(id.clone(), answer)));
         let due = r.progress.settle();
         if let Some(tenant) = r.tenant.as_ref().filter(|_| due.take_back) {
-            self.quota.take_back(tenant);
+            self.quota.refund(tenant);
         }
         if due.over {
             self.requests.remove(id);
         }
     }
 
-    /// An attempt has ended. `whole`: there is a whole answer of the worker to pass on.
-    #[allow(clippy::too_many_arguments)]
-    pub fn ended(
-        &mut self,
-        now: f64,
-        id: &RequestId,
-        attempt: u32,
-        worker: &HostId,
-        ending: Ending,
-        whole: Option<bool>,
-        out: &mut Vec<Effect>,
-    ) {
+    /// An attempt has ended.
+    pub fn on_attempt_end(&mut self, now: f64, ended: AttemptReport<'_>, out: &mut Vec<Effect>) {
+        let AttemptReport { id, attempt, worker, ending, response_ok } = ended;
         let Some(r) = self.requests.get_mut(id) else { return };
-        let Some(ended) = r.progress.ended(attempt, ending, whole) else { return };
+        let Some(ended) = r.progress.ended(attempt, ending, response_ok) else { return };
         self.loads.ends(now, &worker.0);
         let (name, done, sent) = (Arc::clone(&r.service), r.progress.is_answered(), ended.sent);
         let may = r.progress.may_go_again() && now < r.deadline;
@@ -239,12 +252,12 @@
     }
 
     /// The client has left. What may run only once is left to end by itself.
-    pub fn left(&mut self, now: f64, id: &RequestId, out: &mut Vec<Effect>) {
+    pub fn on_client_disconnect(&mut self, now: f64, id: &RequestId, out: &mut Vec<Effect>) {
         let Some(r) = self.requests.get_mut(id) else { return };
         let may_call_off = r.progress.leave();
         if r.waits.take().is_some() {
             if let Some(tenant) = &r.tenant {
-                self.quota.waited(tenant);
+                self.quota.grant_wait_ended(tenant);
             }
         }
         if !may_call_off {
@@ -260,7 +273,7 @@
     }
 
     /// A worker that is not there any more: another one answered in its place.
-    pub fn misdirected(&mut self, now: f64, worker: &HostId, out: &mut Vec<Effect>) {
+    pub fn on_misdirected(&mut self, now: f64, worker: &HostId, out: &mut Vec<Effect>) {
         let Some(held) = self.registry.get(&worker.0) else { return };
         let gone =
             crate::discovery::Worker { phase: crate::discovery::WorkerPhase::Unresponsive, ..held.clone() };
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -73,7 +73,7 @@
             PeerMessage::ConfigUpdate { previous: None, index: 1, items },
             PeerMessage::WorkerUpdates(workers),
         ] {
-            day.with(|edge, now, out| edge.handle(now, Event::Core(core, msg), out));
+            day.with(|edge, now, out| edge.handle(now, Event::CoreMessage(core, msg), out));
         }
         day
     }
@@ -84,7 +84,7 @@
         let mut dispatched = Vec::new();
         for effect in out {
             match effect {
-                Effect::Dispatch { id, attempt, worker, within, .. } => {
+                Effect::Dispatch { id, attempt, worker, timeout_secs: within, .. } => {
                     let seen = self.seen.get_mut(&*id.0).expect("known");
                     assert_that!(
                         seen.once && (seen.may_have_run || !seen.out.is_empty()),
@@ -99,14 +99,14 @@
                     seen.out.insert(attempt, worker);
                     dispatched.push((id, attempt, within));
                 }
-                Effect::CallOff(id, attempt) => {
+                Effect::CancelAttempt(id, attempt) => {
                     let seen = self.seen.get_mut(&*id.0).expect("known");
                     assert_that!(seen.once, eq(false), "{id:?} is broken off");
                     if seen.out.contains_key(&attempt) {
                         dispatched.extend(self.ended(&id, attempt, Ending::Cancelled, None));
                     }
                 }
-                Effect::Answer(id, answer) => self.answered(&id, answer),
+                Effect::Respond(id, answer) => self.answered(&id, answer),
                 _ => {}
             }
         }
@@ -117,28 +117,30 @@
         let seen = self.seen.get_mut(&*id.0).expect("known");
         assert_that!((&seen.answer, seen.left), eq((&None, false)), "{id:?}: {answer:?}");
         match &answer {
-            FinalResponse::Limited(_) | FinalResponse::Refused(_) => {
+            FinalResponse::RateLimited(_) | FinalResponse::NotExecuted(_) => {
                 assert_that!(seen.may_have_run || !seen.out.is_empty(), eq(false), "{id:?}: {answer:?}");
             }
-            FinalResponse::Worker(attempt) => assert_that!(seen.whole, contains(eq(attempt))),
+            FinalResponse::Upstream(attempt) => assert_that!(seen.whole, contains(eq(attempt))),
             // With an attempt out only where the process ends.
             FinalResponse::TimedOut if self.abandoned => {
                 assert_that!(seen.may_have_run || !seen.out.is_empty(), eq(true));
             }
-            FinalResponse::Failed | FinalResponse::TimedOut => assert_that!(seen.may_have_run, eq(true)),
+            FinalResponse::UpstreamFailed | FinalResponse::TimedOut => {
+                assert_that!(seen.may_have_run, eq(true))
+            }
         }
         seen.answer = Some(answer);
     }
 
     fn arrives(&mut self, n: usize, path: &str, key: &str) {
-        let view = Arc::clone(&self.edge.view);
+        let view = Arc::clone(&self.edge.active_config);
         let route = view.route("a.example", path).cloned().expect("a route");
         let tenant = view.tenant(key).cloned();
         let id = RequestId(format!("{n}").into());
         let seen = Seen { once: !route.repeatable, arrived: self.now, ..Default::default() };
         self.seen.insert(n.to_string(), seen);
-        let arrival = IncomingRequest { id, route, tenant, left: 1.0 };
-        self.with(|edge, now, out| edge.arrived(now, arrival, out));
+        let arrival = IncomingRequest { id, route, tenant, remaining_secs: 1.0 };
+        self.with(|edge, now, out| edge.on_request(now, arrival, out));
     }
 
     fn ended(
@@ -152,13 +154,14 @@
         let host = seen.out.remove(&attempt).expect("out");
         seen.may_have_run |= !ending.never_ran();
         seen.whole.extend(whole.map(|_| attempt));
-        self.with(|edge, now, out| edge.ended(now, id, attempt, &host, ending, whole, out))
+        let report = AttemptReport { id, attempt, worker: &host, ending, response_ok: whole };
+        self.with(|edge, now, out| edge.on_attempt_end(now, report, out))
     }
 
     fn leaves(&mut self, n: usize) {
         let id = RequestId(n.to_string().into());
         self.seen.get_mut(&n.to_string()).expect("known").left = true;
-        self.with(|edge, now, out| edge.left(now, &id, out));
+        self.with(|edge, now, out| edge.on_client_disconnect(now, &id, out));
     }
 
     /// One of the attempts that are out, if there is any.
@@ -220,12 +223,12 @@
                 let news = vec![worker(n % 250, phase, self.calls)];
                 let core = "10.0.1.1".parse().expect("an address");
                 self.with(|edge, now, out| {
-                    edge.handle(now, Event::Core(core, PeerMessage::WorkerUpdates(news)), out)
+                    edge.handle(now, Event::CoreMessage(core, PeerMessage::WorkerUpdates(news)), out)
                 });
             }
             17 => {
                 let host = HostId(format!("i-{}", self.rng.usize(0..workers)).into());
-                self.with(|edge, now, out| edge.misdirected(now, &host, out));
+                self.with(|edge, now, out| edge.on_misdirected(now, &host, out));
             }
             _ => self.passes(0.07),
         }
@@ -241,28 +244,28 @@
         for n in 0..300 {
             if n == 200 {
                 // SIGTERM: what waits goes on as before.
-                day.edge.end(day.now);
+                day.edge.begin_drain(day.now);
             }
             day.drawn(n, workers);
         }
         if seed % 2 == 0 {
             // The process ends: all is answered at once, whatever is out.
             day.abandoned = true;
-            day.with(|edge, _, out| edge.abandon(out));
+            day.with(|edge, _, out| edge.respond_to_all(out));
             assert_that!(day.edge.unanswered(), eq(Unanswered::default()), "seed {seed}");
         }
         for _ in 0..30 {
             day.passes(0.1);
         }
-        assert_that!(day.edge.open(), eq(0), "seed {seed}");
+        assert_that!(day.edge.pending_count(), eq(0), "seed {seed}");
         for (id, seen) in &day.seen {
             assert_that!(seen.left || seen.answer.is_some(), eq(true), "seed {seed}: {id}");
             let kind = match &seen.answer {
                 None => "left",
-                Some(FinalResponse::Worker(_)) => "worker",
-                Some(FinalResponse::Limited(_)) => "limited",
-                Some(FinalResponse::Refused(_)) => "refused",
-                Some(FinalResponse::Failed) => "failed",
+                Some(FinalResponse::Upstream(_)) => "worker",
+                Some(FinalResponse::RateLimited(_)) => "limited",
+                Some(FinalResponse::NotExecuted(_)) => "refused",
+                Some(FinalResponse::UpstreamFailed) => "failed",
                 Some(FinalResponse::TimedOut) => "timed out",
             };
             (requests, *answers.entry(kind).or_default()) =
@@ -278,7 +281,7 @@
     for path in ["/once/x", "/any/x"] {
         let mut day = Day::new(1, 3);
         day.arrives(1, path, "key-free");
-        day.edge.end(day.now);
+        day.edge.begin_drain(day.now);
         expect_that!(day.seen["1"].out.len(), eq(1));
         day.leaves(1);
         // The one is left alone, the other called off; neither is sent again or answered.
@@ -286,14 +289,14 @@
         if let Some((id, attempt)) = day.any() {
             day.ended(&id, attempt, Ending::Full, None);
         }
-        expect_that!((day.seen["1"].sent, day.edge.open()), eq((1, 0)));
+        expect_that!((day.seen["1"].sent, day.edge.pending_count()), eq((1, 0)));
     }
 }
 
 #[gtest]
 fn a_drain_takes_what_it_can_end_and_refuses_the_rest_unsent() {
     let mut day = Day::new(1, 3);
-    let drain = day.edge.end(day.now);
+    let drain = day.edge.begin_drain(day.now);
     day.ends_at = drain.ends_at;
     // Their target is 0.4 s, and they are waited for for a second. Until the platform may have noticed, all are taken.
     let latest = drain.ends_at - 0.15 - 0.8 - 1e-6;
@@ -304,7 +307,7 @@
         day.arrives(n, "/once/x", "key-free");
         let seen = &day.seen[&n.to_string()];
         expect_that!(seen.out.len(), eq(usize::from(taken)), "{n}");
-        expect_that!(matches!(seen.answer, Some(FinalResponse::Refused(_))), eq(!taken), "{n}");
+        expect_that!(matches!(seen.answer, Some(FinalResponse::NotExecuted(_))), eq(!taken), "{n}");
         // Its worker is to be done before the drain is.
         let left = day.edge.work_time_for(day.now, 1.0);
         expect_that!(at + left, le(drain.ends_at - 0.1));
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -113,7 +113,7 @@
     }
 
     /// How many gatekeepers there are.
-    pub fn gates(&mut self, gates: u32) {
+    pub fn set_edge_count(&mut self, gates: u32) {
         if self.settings.replicas != gates.max(1) {
             self.settings.replicas = gates.max(1);
             self.module.retune(self.settings.clone());
--- a/crates/gateway/src/runtime/edge_loop.rs
+++ b/crates/gateway/src/runtime/edge_loop.rs
@@ -29,7 +29,7 @@
         let now = self.clock.now();
         let mut edge = self.state.borrow_mut();
         f(&mut edge, now, &mut out);
-        if edge.next(now) + 1e-3 < self.due.get() {
+        if edge.next_wakeup(now) + 1e-3 < self.due.get() {
             self.wake.notify_one();
         }
         out
@@ -38,7 +38,7 @@
     /// Waits until a tick is due; returned: by how much it comes late, in seconds.
     pub async fn due(&self) -> f64 {
         let now = self.clock.now();
-        let next = self.state.borrow().next(now);
+        let next = self.state.borrow().next_wakeup(now);
         self.due.set(next);
         let wait = (next - now).max(0.001);
         tokio::select! {
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -3,7 +3,7 @@
 
 mod drain;
 
-use crate::data_plane::requests::{FinalResponse, IncomingRequest};
+use crate::data_plane::requests::{AttemptReport, FinalResponse, IncomingRequest};
 use crate::data_plane::{EdgeNode, Effect, Event};
 use crate::runtime::edge_loop::EdgeLoop;
 use crate::settings::Settings;
@@ -95,27 +95,27 @@
             Effect::Connect(ip) => self.connect(ip),
             Effect::Disconnect(ip) => self.links.close(ip),
             Effect::Send(ip, msg) => self.links.say(ip, msg),
-            Effect::Dispatch { id, attempt, worker, address, within } => {
-                self.dispatch(id, attempt, worker, address, Duration::from_secs_f64(within.max(0.0)));
+            Effect::Dispatch { id, attempt, worker, address, timeout_secs } => {
+                self.dispatch(id, attempt, worker, address, Duration::from_secs_f64(timeout_secs.max(0.0)));
             }
-            Effect::CallOff(id, attempt) => {
+            Effect::CancelAttempt(id, attempt) => {
                 let called_off =
                     self.pending.borrow_mut().get_mut(&id).and_then(|p| p.called_off.remove(&attempt));
                 drop(called_off);
             }
-            Effect::Answer(id, answer) => {
+            Effect::Respond(id, answer) => {
                 let mut pending = self.pending.borrow_mut();
                 let Some(p) = pending.get_mut(&id) else { return };
                 let told = match answer {
-                    FinalResponse::Worker(attempt) => p.replies.remove(&attempt).map(Final::Reply),
+                    FinalResponse::Upstream(attempt) => p.replies.remove(&attempt).map(Final::Reply),
                     other => Some(Final::Plain(other)),
                 };
                 if let Some(reply) = p.reply.take() {
-                    let _ = reply.send(told.unwrap_or(Final::Plain(FinalResponse::Failed)));
+                    let _ = reply.send(told.unwrap_or(Final::Plain(FinalResponse::UpstreamFailed)));
                 }
             }
-            Effect::CloseIdle(worker) => self.courier.close(&worker.0),
-            Effect::Tell(to, load) => {
+            Effect::CloseIdleConnections(worker) => self.courier.close(&worker.0),
+            Effect::SendLoadReport(to, load) => {
                 let Ok(bytes) = rmp_serde::to_vec(&load) else { return };
                 for ip in to {
                     // Lost where the way is full: it is told again.
@@ -127,7 +127,7 @@
 
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = LinkEventMapper { up: Event::LinkUp, said: Event::Core, down: Event::LinkDown };
+        let events = LinkEventMapper { up: Event::LinkUp, said: Event::CoreMessage, down: Event::LinkDown };
         self.links.open(ip, events.of(ip, move |event| this.handle(event)));
     }
 
@@ -148,7 +148,7 @@
         };
         let this = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let may_begin = || this.edge.state.borrow().takes_work(&worker);
+            let may_begin = || this.edge.state.borrow().is_serving(&worker);
             let sent =
                 this.courier.attempt(&worker.0, address, &forward, tenant.as_deref(), within, may_begin);
             let ended = tokio::select! {
@@ -161,7 +161,7 @@
                 None => (Ending::Cancelled, None),
                 Some(ended) => {
                     if ended.misdirected {
-                        this.with(|edge, now, out| edge.misdirected(now, &worker, out));
+                        this.with(|edge, now, out| edge.on_misdirected(now, &worker, out));
                     }
                     let whole = ended.reply.is_some().then_some(ended.ending == Ending::Ok);
                     if let Some(p) = this.pending.borrow_mut().get_mut(&id) {
@@ -171,7 +171,8 @@
                     (ended.ending, whole)
                 }
             };
-            this.with(|edge, now, out| edge.ended(now, &id, attempt, &worker, ending, whole, out));
+            let report = AttemptReport { id: &id, attempt, worker: &worker, ending, response_ok: whole };
+            this.with(|edge, now, out| edge.on_attempt_end(now, report, out));
             this.forget(&id);
         });
     }
@@ -179,14 +180,14 @@
     /// Forgets a request that is over in all respects.
     fn forget(&self, id: &RequestId) {
         let mut pending = self.pending.borrow_mut();
-        if pending.get(id).is_some_and(|p| p.reply.is_none()) && !self.edge.state.borrow().knows(id) {
+        if pending.get(id).is_some_and(|p| p.reply.is_none()) && !self.edge.state.borrow().is_pending(id) {
             pending.remove(id);
         }
     }
 
     fn bounds(&self) -> RequestLimits {
         let edge = self.edge.state.borrow();
-        let s = &edge.view.saturation;
+        let s = &edge.active_config.saturation;
         RequestLimits {
             head_bytes: s.header_bytes,
             body_bytes: s.body_bytes,
@@ -199,7 +200,7 @@
     async fn converse(self: Rc<Self>, mut connection: Connection) {
         let mut ending = self.ending.subscribe();
         loop {
-            let idle = || self.edge.state.borrow().view.saturation.idle_cutoff;
+            let idle = || self.edge.state.borrow().active_config.saturation.idle_cutoff;
             if connection.rested(idle, &mut ending).await == IdleOutcome::Over {
                 // Dropped, not drained: a request that comes now must not be read, or its client can't repeat it.
                 return;
@@ -236,10 +237,10 @@
         connection: &mut Connection,
     ) -> Option<(ResponseBuilder, Bytes)> {
         let ReceivedRequest { head, body, held: _held } = whole;
-        let view = Arc::clone(&self.edge.state.borrow().view);
+        let view = Arc::clone(&self.edge.state.borrow().active_config);
         let host = head.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or_default();
         if !self.edge.state.borrow().is_configured() {
-            return Some(plain(FinalResponse::Refused(NOT_YET)));
+            return Some(plain(FinalResponse::NotExecuted(NOT_YET)));
         }
         let Some(route) = view.route(host, head.path()).cloned() else {
             return Some(http_server::plain(StatusCode::NOT_FOUND, "no route"));
@@ -299,16 +300,16 @@
             called_off: HashMap::new(),
         };
         self.pending.borrow_mut().insert(id.clone(), pending);
-        let arrival = IncomingRequest { id: id.clone(), route, tenant, left: left.as_secs_f64() };
-        self.with(|edge, now, out| edge.arrived(now, arrival, out));
+        let arrival = IncomingRequest { id: id.clone(), route, tenant, remaining_secs: left.as_secs_f64() };
+        self.with(|edge, now, out| edge.on_request(now, arrival, out));
         let told = tokio::select! {
             biased;
-            told = &mut told => told.unwrap_or(Final::Plain(FinalResponse::Failed)),
+            told = &mut told => told.unwrap_or(Final::Plain(FinalResponse::UpstreamFailed)),
             () = connection.left() => {
                 if let Some(p) = self.pending.borrow_mut().get_mut(&id) {
                     p.reply = None;
                 }
-                self.with(|edge, now, out| edge.left(now, &id, out));
+                self.with(|edge, now, out| edge.on_client_disconnect(now, &id, out));
                 self.forget(&id);
                 return None;
             }
@@ -330,10 +331,14 @@
 /// An answer that is not a worker's.
 fn plain(answer: FinalResponse) -> (ResponseBuilder, Bytes) {
     let (status, after, text) = match answer {
-        FinalResponse::Limited(after) => (StatusCode::TOO_MANY_REQUESTS, Some(after), "beyond the quota"),
-        FinalResponse::Refused(after) => (StatusCode::SERVICE_UNAVAILABLE, Some(after), "not run: come back"),
+        FinalResponse::RateLimited(after) => (StatusCode::TOO_MANY_REQUESTS, Some(after), "beyond the quota"),
+        FinalResponse::NotExecuted(after) => {
+            (StatusCode::SERVICE_UNAVAILABLE, Some(after), "not run: come back")
+        }
         FinalResponse::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None, "no answer in time"),
-        FinalResponse::Failed | FinalResponse::Worker(_) => (StatusCode::BAD_GATEWAY, None, "failed"),
+        FinalResponse::UpstreamFailed | FinalResponse::Upstream(_) => {
+            (StatusCode::BAD_GATEWAY, None, "failed")
+        }
     };
     let (mut response, body) = http_server::plain(status, text);
     if let Some(after) = after {
@@ -433,7 +438,7 @@
             match hearing.hints.recv_from(&mut bytes).await {
                 Ok((length, from)) => {
                     if let Ok(load) = rmp_serde::from_slice(&bytes[..length]) {
-                        hearing.handle(Event::Told(from.ip(), load));
+                        hearing.handle(Event::PeerLoad(from.ip(), load));
                     }
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
@@ -453,7 +458,7 @@
         }
     });
     while let crate::runtime::ProcessSignal::Reread(settings) = signals.next().await {
-        server.with(|edge, _, out| edge.retune(*settings, out));
+        server.with(|edge, _, out| edge.update_settings(*settings, out));
     }
     drain::drain(&server).await;
     Ok(())
--- a/crates/gateway/src/runtime/edge_server/drain.rs
+++ b/crates/gateway/src/runtime/edge_server/drain.rs
@@ -13,7 +13,7 @@
 /// Serves on until nothing is open or the time is over; nobody waits for an answer when this returns.
 pub(super) async fn drain(server: &Rc<EdgeServer>) {
     let begun = server.edge.clock.now();
-    let drain = server.edge.state.borrow_mut().end(begun);
+    let drain = server.edge.state.borrow_mut().begin_drain(begun);
     let after = |at: f64| Instant::now() + Duration::from_secs_f64((at - begun).max(0.0));
     let (closes_at, ends_at) = (after(drain.closes_at), after(drain.ends_at));
     tracing::info!(open = server.open.get(), "edge role drains");
@@ -30,13 +30,14 @@
         newest_read_s = owed.newest.map_or(0.0, |at| at - begun),
         "edge role ends"
     );
-    server.with(|edge, _, out| edge.abandon(out));
+    server.with(|edge, _, out| edge.respond_to_all(out));
     idle_by(server, Instant::now() + FLUSH).await;
 }
 
 /// Waits until no client is connected and no attempt is out, but no longer than `latest`.
 async fn idle_by(server: &Rc<EdgeServer>, latest: Instant) {
-    while Instant::now() < latest && (server.open.get() > 0 || server.edge.state.borrow().open() > 0) {
+    while Instant::now() < latest && (server.open.get() > 0 || server.edge.state.borrow().pending_count() > 0)
+    {
         tokio::time::sleep(LOOK).await;
     }
 }
--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -158,10 +158,10 @@
     pub fn answered(&mut self, now: f64, request: u64, answer: &FinalResponse, ran_all_the_while: bool) {
         let asked = &mut self.asked[request as usize];
         let status = match answer {
-            FinalResponse::Worker(_) => 200,
-            FinalResponse::Limited(_) => 429,
-            FinalResponse::Refused(_) => 503,
-            FinalResponse::Failed => 502,
+            FinalResponse::Upstream(_) => 200,
+            FinalResponse::RateLimited(_) => 429,
+            FinalResponse::NotExecuted(_) => 503,
+            FinalResponse::UpstreamFailed => 502,
             FinalResponse::TimedOut => 504,
         };
         if asked.answer.replace(status).is_some() {
--- a/crates/simulation/src/external_actors.rs
+++ b/crates/simulation/src/external_actors.rs
@@ -8,7 +8,7 @@
 use whinstall::{Ending, HostId, RequestId};
 use whinstall_gateway::configuration::{read_call, ItemKind};
 use whinstall_gateway::control_plane::{self, ApiCommand};
-use whinstall_gateway::data_plane::requests::{FinalResponse, IncomingRequest};
+use whinstall_gateway::data_plane::requests::{AttemptReport, FinalResponse, IncomingRequest};
 use whinstall_gateway::discovery::{Worker, WorkerPhase};
 
 /// A worker.
@@ -359,7 +359,7 @@
         self.asked.insert((n, life, id.clone()), request);
         let mut turned = false;
         self.edge_call(n, |edge, now, out| {
-            let view = Arc::clone(&edge.view);
+            let view = Arc::clone(&edge.active_config);
             let Some(route) = view.route("shop.example:80", path).cloned() else {
                 turned = true;
                 return;
@@ -368,9 +368,9 @@
                 turned = true;
                 return;
             };
-            edge.arrived(
+            edge.on_request(
                 now,
-                IncomingRequest { id: id.clone(), route, tenant: Some(tenant), left: 1.0 },
+                IncomingRequest { id: id.clone(), route, tenant: Some(tenant), remaining_secs: 1.0 },
                 out,
             );
         });
@@ -473,9 +473,11 @@
         let whole = (ending == Ending::Ok).then_some(true);
         self.edge_call(hit.edge, |edge, now, out| {
             if misdirected {
-                edge.misdirected(now, &hit.host, out);
+                edge.on_misdirected(now, &hit.host, out);
             }
-            edge.ended(now, &hit.id, hit.attempt, &hit.host, ending, whole, out);
+            let (id, attempt, worker) = (&hit.id, hit.attempt, &hit.host);
+            let report = AttemptReport { id, attempt, worker, ending, response_ok: whole };
+            edge.on_attempt_end(now, report, out);
         });
     }
 
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -323,7 +323,7 @@
         let steady = most.is_some_and(|most| most.iter().all(reaches)) && !node.frozen && now > node.trouble;
         let clock = 1000.0 + (now - node.boot) * node.drift;
         let ready = edge.is_ready(clock);
-        let routes = edge.view.routes().filter_map(|r| {
+        let routes = edge.active_config.routes().filter_map(|r| {
             let label = r.label.strip_prefix("x-")?.parse::<usize>().ok()?;
             Some((label, content(&r.prefix)?))
         });
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -313,7 +313,7 @@
                 edge.start(&mut out);
                 node.edge = Some(edge);
                 self.edge_effects(n, out);
-                self.after(data_plane::TICK, SimulationEvent::EdgeTick(n, life));
+                self.after(data_plane::TICK_SECS, SimulationEvent::EdgeTick(n, life));
             }
         }
     }
@@ -404,13 +404,13 @@
                 data_plane::Effect::Connect(ip) => self.connect(Who::Edge(n), ip),
                 data_plane::Effect::Disconnect(ip) => self.disconnect(Who::Edge(n), ip),
                 data_plane::Effect::Send(ip, msg) => self.say(Who::Edge(n), ip, msg),
-                data_plane::Effect::Dispatch { id, attempt, worker, within, .. } => {
+                data_plane::Effect::Dispatch { id, attempt, worker, timeout_secs: within, .. } => {
                     self.dispatched(n, life, id, attempt, worker, within);
                 }
-                data_plane::Effect::CallOff(id, attempt) => self.called_off(n, life, id, attempt),
-                data_plane::Effect::Answer(id, answer) => self.answered(n, life, id, answer),
-                data_plane::Effect::CloseIdle(_) => {}
-                data_plane::Effect::Tell(to, load) => {
+                data_plane::Effect::CancelAttempt(id, attempt) => self.called_off(n, life, id, attempt),
+                data_plane::Effect::Respond(id, answer) => self.answered(n, life, id, answer),
+                data_plane::Effect::CloseIdleConnections(_) => {}
+                data_plane::Effect::SendLoadReport(to, load) => {
                     for ip in to {
                         // One in a hundred is lost.
                         if let (IpAddr::V4(v4), true) = (ip, self.rng.f64() > 0.01) {
@@ -434,10 +434,9 @@
         self.edge_call(n, |edge, now, out| edge.handle(now, data_plane::Event::Tick, out));
         let node = &self.edges[n];
         let now = 1000.0 + (self.now - node.boot) * node.drift;
-        let next = node
-            .edge
-            .as_ref()
-            .map_or(data_plane::TICK, |e| (e.next(now) - now).clamp(0.002, data_plane::TICK));
+        let next = node.edge.as_ref().map_or(data_plane::TICK_SECS, |e| {
+            (e.next_wakeup(now) - now).clamp(0.002, data_plane::TICK_SECS)
+        });
         self.after(next, SimulationEvent::EdgeTick(n, life));
     }
 
@@ -482,7 +481,7 @@
                 SimulationEvent::Told(from, to, load) => {
                     let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 2, from as u8 + 1));
                     self.edge_call(to, |edge, now, out| {
-                        edge.handle(now, data_plane::Event::Told(ip, load), out)
+                        edge.handle(now, data_plane::Event::PeerLoad(ip, load), out)
                     });
                 }
                 SimulationEvent::Operate => self.operate(),
@@ -508,7 +507,9 @@
             (Who::Edge(n), false) => {
                 let ip = core_ip(key.to);
                 self.heard(n, key.to);
-                self.edge_call(n, |edge, now, out| edge.handle(now, data_plane::Event::Core(ip, msg), out));
+                self.edge_call(n, |edge, now, out| {
+                    edge.handle(now, data_plane::Event::CoreMessage(ip, msg), out)
+                });
             }
         }
     }
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -389,7 +389,7 @@
                 self.core_effects(n, out);
             }
             Who::Edge(n) => {
-                self.edge_call(n, |edge, _, out| edge.retune(settings, out));
+                self.edge_call(n, |edge, _, out| edge.update_settings(settings, out));
             }
         }
     }
