--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -147,7 +147,7 @@
             Effect::Disconnect(ip) => self.links.close(ip),
             Effect::Send(ip, msg) => {
                 self.count("said", &msg, ip);
-                self.links.say(ip, msg);
+                self.links.send(ip, msg);
             }
             Effect::Dispatch { id, attempt, worker, .. } => self.dispatch(id, attempt, worker),
             Effect::CallOff(id, attempt) => {
@@ -179,7 +179,7 @@
         let this = Rc::clone(self);
         self.links.open(ip, move |happens| match happens {
             LinkEvent::Up => this.handle(Event::LinkUp(ip)),
-            LinkEvent::Said(msg) => {
+            LinkEvent::Received(msg) => {
                 this.count("heard", &msg, ip);
                 this.heard(Event::Core(ip, msg));
             }
@@ -284,8 +284,8 @@
         Rc::new(Run { job, report: RefCell::default(), clock: whinstall_gateway::runtime::Clock::start() });
     let mut gates = Vec::new();
     for (number, text) in run.job.settings.iter().enumerate() {
-        let settings = Settings::read(text).map_err(|e| CapacityError::Child(e.to_string()))?;
-        let port = settings.inner_port;
+        let settings = Settings::from_toml(text).map_err(|e| CapacityError::Child(e.to_string()))?;
+        let port = settings.internal_port;
         let hints = UdpSocket::bind((settings.ip, port)).await.map_err(CapacityError::Socket)?;
         let gate = Rc::new(Gate {
             edge: EdgeLoop::new(EdgeNode::new(settings, fastrand::u64(..)), run.clock),
--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -15,22 +15,22 @@
 #[derive(Debug, displaydoc::Display)]
 pub enum ExportError {
     /// the data folder: {0}
-    Folder(std::io::Error),
+    Io(std::io::Error),
     /// the database: {0}
     Database(rusqlite::Error),
     /// what is there can't be read: {0}
-    Row(String),
+    Corrupt(String),
     /// the disk of a member: {0}
     Replica(StorageError),
     /// {0} holds no disk of a core machine
-    Nothing(String),
+    NoDisk(String),
 }
 
 impl std::error::Error for ExportError {}
 
 impl From<std::io::Error> for ExportError {
     fn from(e: std::io::Error) -> Self {
-        ExportError::Folder(e)
+        ExportError::Io(e)
     }
 }
 
@@ -87,7 +87,7 @@
     if folder.join(DATABASE_FILE).try_exists()? {
         return member(folder);
     }
-    Err(ExportError::Nothing(folder.display().to_string()))
+    Err(ExportError::NoDisk(folder.display().to_string()))
 }
 
 /// The disk of a member: its snapshot and all of its log. A disk alone can't tell what is committed behind the snapshot:
@@ -99,7 +99,7 @@
     sound(&Connection::open(scratch.0.join(DATABASE_FILE))?)?;
     let snapshot = held.raft.snapshot.as_ref();
     let mut state = match snapshot {
-        Some(snapshot) => snapshot_state(&snapshot.data).map_err(ExportError::Row)?,
+        Some(snapshot) => snapshot_state(&snapshot.data).map_err(ExportError::Corrupt)?,
         None => ConfigState::default(),
     };
     let behind = snapshot.map_or((0, 0), |s| (s.index, s.term));
@@ -131,14 +131,14 @@
         "items": state.standing().count(),
         "dropped": state.items().count() - state.standing().count(),
     });
-    Ok(Export { call: call(&items), origin })
+    Ok(Export { call: import_call(&items), origin })
 }
 
 fn sound(db: &Connection) -> Result<(), ExportError> {
     let sound: String = db.query_row("PRAGMA quick_check(1)", [], |row| row.get(0))?;
     match sound.as_str() {
         "ok" => Ok(()),
-        _ => Err(ExportError::Row(sound)),
+        _ => Err(ExportError::Corrupt(sound)),
     }
 }
 
@@ -153,15 +153,16 @@
     let mut rows = query.query([])?;
     while let Some(row) = rows.next()? {
         let blob = row.get_ref(0)?.as_blob().map_err(rusqlite::Error::from)?;
-        let item: ConfigItem = rmp_serde::from_slice(blob).map_err(|e| ExportError::Row(e.to_string()))?;
+        let item: ConfigItem =
+            rmp_serde::from_slice(blob).map_err(|e| ExportError::Corrupt(e.to_string()))?;
         items.merge(item);
     }
     let origin = json!({ "disk": "of the program before the replicated log", "items": items.all().count() });
-    Ok(Export { call: call(&items), origin })
+    Ok(Export { call: import_call(&items), origin })
 }
 
 /// The call that sets what stands and drops what was dropped, in the versions held.
-pub fn call(items: &ItemSet) -> Value {
+pub fn import_call(items: &ItemSet) -> Value {
     let mut upsert = items.render();
     let mut remove: Map<String, Value> = Map::new();
     for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation] {
--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -21,7 +21,7 @@
 impl One {
     pub(crate) fn start(data: &Path) -> Self {
         let mut settings =
-            Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
+            Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
         settings.ip = [10, 0, 1, 1].into();
         (settings.seeds, settings.cold_start) = (vec![(settings.ip, 80).into()], true);
         settings.tolerance.machines = 0;
@@ -183,5 +183,5 @@
     put(&whole[0], &whole[1]);
     expect_that!(export(&old.0).is_ok(), eq(true));
     std::fs::remove_file(&database).expect("removed");
-    expect_that!(export(&old.0).err(), some(matches_pattern!(ExportError::Nothing(_))));
+    expect_that!(export(&old.0).err(), some(matches_pattern!(ExportError::NoDisk(_))));
 }
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -72,7 +72,7 @@
 
 /// Runs the role of this name, if there is one.
 pub fn run_role(name: &str) -> Option<ExitCode> {
-    Role::named(name).map(runtime::run)
+    Role::from_name(name).map(runtime::run)
 }
 
 /// Tells what a settings file or a configuration call would put in force, or what is wrong with it.
--- a/crates/gateway/src/configuration/active_config.rs
+++ b/crates/gateway/src/configuration/active_config.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 use super::item::ItemSet;
 use super::item::{ConfigItem, ItemKind};
-use crate::json_path::time;
+use crate::json_path::parse_duration;
 use serde_json::{Map, Value};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
@@ -97,7 +97,7 @@
 }
 
 fn duration(body: &Map<String, Value>, name: &str) -> Option<Duration> {
-    body.get(name).and_then(Value::as_str).and_then(time)
+    body.get(name).and_then(Value::as_str).and_then(parse_duration)
 }
 
 /// What is served by of one item that stands: a tenth of the item's memory (a JSON object takes some 2 KB).
--- a/crates/gateway/src/configuration/change.rs
+++ b/crates/gateway/src/configuration/change.rs
@@ -53,13 +53,13 @@
     let root = JsonNode::root(&value);
     root.object()?;
     let mut items = Vec::new();
-    if let Some(set) = root.get("upsert") {
+    if let Some(set) = root.optional("upsert") {
         for (name, value) in set.object()? {
             let Some(kind) = kind(name) else { return Err(ChangeError::UnknownList(name.clone())) };
             if value.is_null() {
                 continue;
             }
-            let list = set.need(name)?;
+            let list = set.required(name)?;
             match kind {
                 ItemKind::Saturation => items.push(item(kind, &list, String::new())?),
                 _ => rows(&list, |row, path| {
@@ -69,15 +69,16 @@
             }
         }
     }
-    if let Some(drop) = root.get("remove") {
+    if let Some(drop) = root.optional("remove") {
         for (name, value) in drop.object()? {
             let Some(kind) = kind(name) else { return Err(ChangeError::UnknownList(name.clone())) };
             if value.is_null() {
                 continue;
             }
-            rows(&drop.need(name)?, |row, _| {
+            rows(&drop.required(name)?, |row, _| {
                 let at = JsonNode::root(row);
-                let (label, version) = (at.need("label")?.name()?, at.need("revision")?.version()?);
+                let (label, version) =
+                    (at.required("label")?.as_non_empty_str()?, at.required("revision")?.as_version()?);
                 items.push(ConfigItem { kind, label: label.into(), version, body: None });
                 Ok(())
             })?;
@@ -98,20 +99,20 @@
     mut take: impl FnMut(&Value, String) -> Result<(), ChangeError>,
 ) -> Result<(), ChangeError> {
     if list.value().is_array() {
-        for object in list.list()? {
+        for object in list.elements()? {
             object.object()?;
             take(object.value(), object.path())?;
         }
         return Ok(());
     }
-    let columns = list.need("columns")?.list()?;
-    let columns: Vec<&str> = columns.iter().map(JsonNode::name).collect::<Result<_, _>>()?;
+    let columns = list.required("columns")?.elements()?;
+    let columns: Vec<&str> = columns.iter().map(JsonNode::as_non_empty_str).collect::<Result<_, _>>()?;
     let mut met = BTreeSet::new();
     if let Some(twice) = columns.iter().find(|name| !met.insert(**name)) {
         return Err(ChangeError::TwiceNamed(list.path(), (*twice).into()));
     }
-    for record in list.need("records")?.list()? {
-        let values = record.list()?;
+    for record in list.required("records")?.elements()? {
+        let values = record.elements()?;
         if values.len() != columns.len() {
             return Err(ChangeError::Ragged(record.path(), values.len(), columns.len()));
         }
@@ -127,14 +128,15 @@
         JsonPathError::Missing(at) if !path.is_empty() => {
             JsonPathError::Missing(format!("{path}{}", &at[1..]))
         }
-        JsonPathError::Not(at, what) if !path.is_empty() => {
-            JsonPathError::Not(format!("{path}{}", &at[1..]), what)
+        JsonPathError::Invalid(at, what) if !path.is_empty() => {
+            JsonPathError::Invalid(format!("{path}{}", &at[1..]), what)
         }
         e => e,
     };
     let check = || -> Result<ConfigItem, ChangeError> {
-        let version = at.need("revision")?.version()?;
-        let label = if kind == ItemKind::Saturation { "" } else { at.need("label")?.name()? };
+        let version = at.required("revision")?.as_version()?;
+        let label =
+            if kind == ItemKind::Saturation { "" } else { at.required("label")?.as_non_empty_str()? };
         match kind {
             ItemKind::Route => route(at, &path)?,
             ItemKind::Tenant => tenant(at)?,
@@ -150,36 +152,36 @@
 }
 
 fn route(at: &JsonNode, path: &str) -> Result<(), ChangeError> {
-    at.need("hostname")?.name()?;
-    let prefix = at.need("path_prefix")?.text()?;
+    at.required("hostname")?.as_non_empty_str()?;
+    let prefix = at.required("path_prefix")?.as_str()?;
     if !(prefix.starts_with('/') && prefix.ends_with('/')) {
         return Err(ChangeError::OddPrefix(path.into()));
     }
-    if !matches!(at.need("route_class")?.text()?, "idempotent" | "effectful") {
+    if !matches!(at.required("route_class")?.as_str()?, "idempotent" | "effectful") {
         return Err(ChangeError::OddClass(path.into()));
     }
     for name in ["cutoff", "target"] {
-        if at.get(name).map(|t| t.time()).transpose()?.is_some_and(|t| t > CUTOFF_MOST) {
+        if at.optional(name).map(|t| t.as_duration()).transpose()?.is_some_and(|t| t > CUTOFF_MOST) {
             return Err(ChangeError::TooLong(format!("{path}.{name}")));
         }
     }
     for name in ["rank", "max_attempts"] {
-        at.get(name).map(|n| n.amount()).transpose()?;
+        at.optional(name).map(|n| n.as_non_negative()).transpose()?;
     }
-    at.get("unkeyed").map(|t| t.truth()).transpose()?;
-    match (at.get("mixture"), at.get("service_ref")) {
+    at.optional("unkeyed").map(|t| t.as_bool()).transpose()?;
+    match (at.optional("mixture"), at.optional("service_ref")) {
         (Some(mixture), _) => {
             let mut sum = 0.0;
-            for part in mixture.list()? {
-                part.need("service_ref")?.name()?;
-                sum += part.need("gain")?.amount()?;
+            for part in mixture.elements()? {
+                part.required("service_ref")?.as_non_empty_str()?;
+                sum += part.required("gain")?.as_non_negative()?;
             }
             if sum <= 0.0 {
                 return Err(ChangeError::NoGain(path.into()));
             }
         }
         (None, Some(service)) => {
-            service.name()?;
+            service.as_non_empty_str()?;
         }
         (None, None) => return Err(ChangeError::NoService(path.into())),
     }
@@ -187,29 +189,29 @@
 }
 
 fn tenant(at: &JsonNode) -> Result<(), ChangeError> {
-    if let Some(keys) = at.get("credentials") {
-        for key in keys.list()? {
-            key.name()?;
+    if let Some(keys) = at.optional("credentials") {
+        for key in keys.elements()? {
+            key.as_non_empty_str()?;
         }
     }
     for name in ["rank", "rate_per_s", "burst_size"] {
-        at.get(name).map(|n| n.amount()).transpose()?;
+        at.optional(name).map(|n| n.as_non_negative()).transpose()?;
     }
     Ok(())
 }
 
 fn service(at: &JsonNode) -> Result<(), ChangeError> {
-    at.get("probe_path").map(|p| p.text()).transpose()?;
-    at.get("conn_limit").map(|n| n.amount()).transpose()?;
+    at.optional("probe_path").map(|p| p.as_str()).transpose()?;
+    at.optional("conn_limit").map(|n| n.as_non_negative()).transpose()?;
     Ok(())
 }
 
 fn saturation(at: &JsonNode) -> Result<(), ChangeError> {
     for name in ["header_max_bytes", "body_max_bytes"] {
-        at.get(name).map(|n| n.amount()).transpose()?;
+        at.optional(name).map(|n| n.as_non_negative()).transpose()?;
     }
     for name in ["header_deadline", "idle_cutoff"] {
-        at.get(name).map(|t| t.time()).transpose()?;
+        at.optional(name).map(|t| t.as_duration()).transpose()?;
     }
     Ok(())
 }
--- a/crates/gateway/src/configuration/content_hash.rs
+++ b/crates/gateway/src/configuration/content_hash.rs
@@ -36,13 +36,14 @@
 fn field(name: &str, value: &Value) -> Value {
     let text = value.as_str();
     let spelled = match (name, text, value) {
-        ("cutoff" | "target" | "header_deadline" | "idle_cutoff", Some(text), _) => json_path::time(text)
-            .map(|time| {
+        ("cutoff" | "target" | "header_deadline" | "idle_cutoff", Some(text), _) => {
+            json_path::parse_duration(text).map(|time| {
                 let whole = time.as_nanos() % 1_000_000 == 0;
                 let told = if whole { (time.as_millis(), "ms") } else { (time.as_nanos(), "ns") };
                 Value::String(format!("{}{}", told.0, told.1))
-            }),
-        ("revision", Some(text), _) => json_path::version(text).map(|n| Value::String(format!("r{n}"))),
+            })
+        }
+        ("revision", Some(text), _) => json_path::parse_version(text).map(|n| Value::String(format!("r{n}"))),
         ("hostname", Some(text), _) => Some(Value::String(text.to_ascii_lowercase())),
         ("credentials", _, Value::Array(keys)) => {
             let mut keys: Vec<&str> = keys.iter().filter_map(Value::as_str).collect();
--- a/crates/gateway/src/control_plane/calls_tests.rs
+++ b/crates/gateway/src/control_plane/calls_tests.rs
@@ -12,7 +12,8 @@
 
 /// The first of these seeds, five seconds after the first start of all; its disk is quick, the others are not there.
 fn started(seeds: &[u8]) -> CoreNode {
-    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
+    let mut settings =
+        Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.cold_start) = (ip(1), true);
     settings.seeds = seeds.iter().map(|n| (ip(*n), 80).into()).collect();
     let mut core = CoreNode::new(1000.0, settings, LoadedState::default()).expect("a core");
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -123,7 +123,7 @@
     fn leave(&self, now: f64) -> SendPermissions {
         let news = self.shared.majority(now);
         let whole = news && self.raft.is_attached(self.shared.ms(now));
-        let most = self.shared.settings.memory as usize / MEMORY_PART / self.callers.len().max(1);
+        let most = self.shared.settings.memory_bytes as usize / MEMORY_PART / self.callers.len().max(1);
         SendPermissions { whole, news, most: most.max(LEAST) }
     }
 
@@ -208,7 +208,7 @@
             out.extend(news.map(|workers| Effect::Return(conn, PeerMessage::WorkerUpdates(workers))));
         }
         let lacks = !caller.told || caller.workers.is_none();
-        let most = self.shared.settings.memory as usize / MEMORY_PART;
+        let most = self.shared.settings.memory_bytes as usize / MEMORY_PART;
         let room = self.pace.wholes > 0.0 && (self.pace.under_way == 0 || self.pace.under_way < most);
         if !(lacks && leave.whole && room && caller.link.takes_whole(leave.most)) {
             return;
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -33,7 +33,8 @@
 /// cut off): it has to hear of the others, or it is alone once that one is replaced.
 #[gtest]
 fn a_gatekeeper_hears_of_machines_that_are_heard_after_it_came() {
-    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
+    let mut settings =
+        Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.seeds, settings.cold_start) = (ip(3), vec![(ip(3), 80).into()], false);
     let held = LoadedState { disk: 7, fresh: true, ..LoadedState::default() };
     let mut core = CoreNode::new(1000.0, settings, held).expect("a core");
@@ -81,7 +82,8 @@
 }
 
 fn settings() -> Settings {
-    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
+    let mut settings =
+        Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.seeds, settings.cold_start) = (ip(1), vec![(ip(1), 80).into()], true);
     settings
 }
@@ -294,7 +296,7 @@
 #[gtest]
 fn a_link_that_lags_is_not_filled_further() {
     let mut cell = Cell::new();
-    cell.core.shared.settings.memory = 1 << 20;
+    cell.core.shared.settings.memory_bytes = 1 << 20;
     cell.configure(20);
     let n = cell.joins(None);
     cell.play(3.0);
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -39,7 +39,7 @@
         heartbeat: HEARTBEAT,
         election: ELECTION,
         lease: LEASE,
-        out_after: settings.envelope.resync.as_millis() as u64 / 2,
+        out_after: settings.envelope.resync_bound.as_millis() as u64 / 2,
         least: (2 * losses + 1).max(3),
         batch: 64,
         piece: 128 * 1024,
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -130,7 +130,7 @@
     /// With an empty disk, or the one that it had.
     fn start(&mut self, n: usize, empty: bool) {
         let mut settings =
-            Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
+            Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
         (settings.ip, settings.cold_start) = (ip(n), self.now == 1000.0);
         settings.seeds = (0..3).map(|n| (ip(n), 80).into()).collect();
         (self.nodes[n].core, self.nodes[n].store) = (None, None);
--- a/crates/gateway/src/data_plane/drain.rs
+++ b/crates/gateway/src/data_plane/drain.rs
@@ -32,7 +32,7 @@
 impl Drain {
     /// One that begins now.
     pub fn new(now: f64, settings: &Settings) -> Self {
-        let grace = settings.envelope.grace.as_secs_f64();
+        let grace = settings.envelope.grace_period.as_secs_f64();
         let lasts = grace - MARGIN.min(grace * MARGIN_PART);
         Drain { closes_at: now + NOTICE.min(lasts / 2.0), ends_at: now + lasts }
     }
--- a/crates/gateway/src/data_plane/links_tests.rs
+++ b/crates/gateway/src/data_plane/links_tests.rs
@@ -20,7 +20,8 @@
 /// talks of something else: that address is not reached for any more; seeds and machines that are named always are.
 #[gtest]
 fn an_address_that_belongs_to_somebody_else_is_forgotten() {
-    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
+    let mut settings =
+        Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     settings.seeds = vec![(ip(1), 80).into(), (ip(4), 80).into()];
     let mut edge = EdgeNode::new(settings, 1);
     let (mut now, mut out) = (1000.0, Vec::new());
--- a/crates/gateway/src/data_plane/request_state_tests.rs
+++ b/crates/gateway/src/data_plane/request_state_tests.rs
@@ -3,7 +3,7 @@
 //! beside the machine, and what workers say is judged by the program's own code.
 
 use super::*;
-use crate::transport::upstream_pool::exchange::{is_sound, judge, whose, ResponseOwner};
+use crate::transport::upstream_pool::exchange::{classify, is_acceptable, response_owner, ResponseOwner};
 use crate::transport::upstream_pool::UpstreamResponse;
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::{ResponseHead, StatusCode};
@@ -371,17 +371,19 @@
             }
             _ => {}
         }
-        match whose(&head, &id) {
+        match response_owner(&head, &id) {
             // Passed over; the answer is still waited for.
-            ResponseOwner::Others => return Ok(()),
-            ResponseOwner::Nobodys => return self.ends(n, Ending::Error, None, fault),
-            ResponseOwner::Ours if !is_sound(&head) => return self.ends(n, Ending::Error, None, fault),
-            ResponseOwner::Ours => {}
+            ResponseOwner::OtherRequest => return Ok(()),
+            ResponseOwner::Unidentified => return self.ends(n, Ending::Error, None, fault),
+            ResponseOwner::ThisRequest if !is_acceptable(&head) => {
+                return self.ends(n, Ending::Error, None, fault)
+            }
+            ResponseOwner::ThisRequest => {}
         }
         let reply =
             UpstreamResponse { status: head.status, headers: head.headers.clone(), body: Default::default() };
-        let ended = judge(reply);
-        let whole = ended.reply.is_some().then_some(ended.ending == Ending::Ok);
+        let ended = classify(reply);
+        let whole = ended.response.is_some().then_some(ended.ending == Ending::Ok);
         if whole == Some(true) {
             // What a client takes for its success: this worker's, with its stamp and its id.
             let names = |name: &str| SAID[said].1.iter().any(|(n, _)| *n == name);
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -54,7 +54,8 @@
 
 impl Day {
     fn new(seed: u64, workers: usize) -> Self {
-        let settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
+        let settings =
+            Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
         let rng = fastrand::Rng::with_seed(seed);
         let mut day = Day {
             edge: EdgeNode::new(settings, seed),
@@ -316,9 +317,10 @@
 
 #[gtest]
 fn the_times_of_a_drain_fit_every_grace_period() {
-    let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
+    let mut settings =
+        Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     for grace_ms in [0, 1, 200, 1000, 2000, 3000, 6000, 30_000] {
-        settings.envelope.grace = std::time::Duration::from_millis(grace_ms);
+        settings.envelope.grace_period = std::time::Duration::from_millis(grace_ms);
         let grace = grace_ms as f64 / 1e3;
         let drain = crate::data_plane::drain::Drain::new(1000.0, &settings);
         expect_that!((drain.closes_at, drain.ends_at), (ge(1000.0), ge(drain.closes_at)), "{grace_ms}");
--- a/crates/gateway/src/json_path.rs
+++ b/crates/gateway/src/json_path.rs
@@ -15,7 +15,7 @@
     /// {0}: missing
     Missing(String),
     /// {0}: not {1}
-    Not(String, &'static str),
+    Invalid(String, &'static str),
 }
 
 /// A value and the path that leads to it.
@@ -58,68 +58,68 @@
         self.path.to_string()
     }
 
-    fn not<T>(&self, what: &'static str) -> Result<T, JsonPathError> {
-        Err(JsonPathError::Not(self.path(), what))
+    fn invalid<T>(&self, what: &'static str) -> Result<T, JsonPathError> {
+        Err(JsonPathError::Invalid(self.path(), what))
     }
 
     /// A field that may be missing or null.
-    pub fn get(&self, name: &'a str) -> Option<JsonNode<'a>> {
+    pub fn optional(&self, name: &'a str) -> Option<JsonNode<'a>> {
         let value = self.value.get(name).filter(|v| !v.is_null())?;
         Some(JsonNode { value, path: Path::Field(Box::new(self.path.clone()), name) })
     }
 
     /// A field that must be there.
-    pub fn need(&self, name: &'a str) -> Result<JsonNode<'a>, JsonPathError> {
-        self.get(name).ok_or_else(|| JsonPathError::Missing(format!("{}.{name}", self.path)))
+    pub fn required(&self, name: &'a str) -> Result<JsonNode<'a>, JsonPathError> {
+        self.optional(name).ok_or_else(|| JsonPathError::Missing(format!("{}.{name}", self.path)))
     }
 
     /// The elements of a list.
-    pub fn list(&self) -> Result<Vec<JsonNode<'a>>, JsonPathError> {
-        let Some(list) = self.value.as_array() else { return self.not("a list") };
+    pub fn elements(&self) -> Result<Vec<JsonNode<'a>>, JsonPathError> {
+        let Some(list) = self.value.as_array() else { return self.invalid("a list") };
         let at = |(n, value)| JsonNode { value, path: Path::Index(Box::new(self.path.clone()), n) };
         Ok(list.iter().enumerate().map(at).collect())
     }
 
     /// The fields of an object.
     pub fn object(&self) -> Result<&'a Map<String, Value>, JsonPathError> {
-        self.value.as_object().map_or_else(|| self.not("an object"), Ok)
+        self.value.as_object().map_or_else(|| self.invalid("an object"), Ok)
     }
 
     /// A text.
-    pub fn text(&self) -> Result<&'a str, JsonPathError> {
-        self.value.as_str().map_or_else(|| self.not("a text"), Ok)
+    pub fn as_str(&self) -> Result<&'a str, JsonPathError> {
+        self.value.as_str().map_or_else(|| self.invalid("a text"), Ok)
     }
 
     /// A text that says something.
-    pub fn name(&self) -> Result<&'a str, JsonPathError> {
-        let text = self.text()?;
+    pub fn as_non_empty_str(&self) -> Result<&'a str, JsonPathError> {
+        let text = self.as_str()?;
         if text.trim().is_empty() {
-            return self.not("a name");
+            return self.invalid("a name");
         }
         Ok(text)
     }
 
     /// A number that is finite and not below nought.
-    pub fn amount(&self) -> Result<f64, JsonPathError> {
+    pub fn as_non_negative(&self) -> Result<f64, JsonPathError> {
         let amount = self.value.as_f64().filter(|x| x.is_finite() && *x >= 0.0);
-        amount.map_or_else(|| self.not("a number of at least 0"), Ok)
+        amount.map_or_else(|| self.invalid("a number of at least 0"), Ok)
     }
 
     /// True or false.
-    pub fn truth(&self) -> Result<bool, JsonPathError> {
-        self.value.as_bool().map_or_else(|| self.not("true or false"), Ok)
+    pub fn as_bool(&self) -> Result<bool, JsonPathError> {
+        self.value.as_bool().map_or_else(|| self.invalid("true or false"), Ok)
     }
 
     /// A time, as `2500ms` or `2.5s`.
-    pub fn time(&self) -> Result<Duration, JsonPathError> {
-        let told = self.value.as_str().and_then(time);
-        told.map_or_else(|| self.not("a time such as 2500ms or 2.5s"), Ok)
+    pub fn as_duration(&self) -> Result<Duration, JsonPathError> {
+        let told = self.value.as_str().and_then(parse_duration);
+        told.map_or_else(|| self.invalid("a time such as 2500ms or 2.5s"), Ok)
     }
 
     /// A version, as `r12`.
-    pub fn version(&self) -> Result<u64, JsonPathError> {
-        let told = self.value.as_str().and_then(version);
-        told.map_or_else(|| self.not("a version such as r12"), Ok)
+    pub fn as_version(&self) -> Result<u64, JsonPathError> {
+        let told = self.value.as_str().and_then(parse_version);
+        told.map_or_else(|| self.invalid("a version such as r12"), Ok)
     }
 }
 
@@ -196,7 +196,7 @@
 }
 
 /// A time in text: a number and `ms` or `s`.
-pub fn time(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let text = text.trim();
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e-3),
@@ -207,6 +207,6 @@
 }
 
 /// A version in text: `r` and a number.
-pub fn version(text: &str) -> Option<u64> {
+pub fn parse_version(text: &str) -> Option<u64> {
     text.strip_prefix('r')?.parse().ok()
 }
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -25,10 +25,10 @@
 
 /// Bounds on calls of workers and operators.
 const BOUNDS: RequestLimits = RequestLimits {
-    head_bytes: 16 * 1024,
-    body_bytes: 16 * 1024 * 1024,
-    head_within: Duration::from_secs(3),
-    body_within: Duration::from_secs(10),
+    max_head_bytes: 16 * 1024,
+    max_body_bytes: 16 * 1024 * 1024,
+    head_timeout: Duration::from_secs(3),
+    body_timeout: Duration::from_secs(10),
 };
 /// Bodies may take this part of the memory: one over so many.
 const BODIES_PART: usize = 8;
@@ -66,7 +66,7 @@
             match effect {
                 Effect::Connect(ip) => self.connect(ip),
                 Effect::Disconnect(ip) => self.links.close(ip),
-                Effect::Send(ip, msg) => self.links.say(ip, msg),
+                Effect::Send(ip, msg) => self.links.send(ip, msg),
                 Effect::Return(conn, msg) => {
                     if let Some(queue) = self.conns.borrow().get(&conn) {
                         let _ = queue.send(msg);
@@ -88,22 +88,22 @@
 
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = LinkEventMapper { up: Event::LinkUp, said: Event::Peer, down: Event::LinkDown };
-        self.links.open(ip, events.of(ip, move |event| this.handle(event)));
+        let events = LinkEventMapper { up: Event::LinkUp, received: Event::Peer, down: Event::LinkDown };
+        self.links.open(ip, events.for_peer(ip, move |event| this.handle(event)));
     }
 
     /// Serves a caller's connection.
     async fn converse(self: Rc<Self>, mut connection: Connection) {
         loop {
-            match tokio::time::timeout(IDLE, connection.first()).await {
+            match tokio::time::timeout(IDLE, connection.wait_readable()).await {
                 Ok(Ok(())) => {}
                 _ => return,
             }
-            let (response, body) = match connection.request(&BOUNDS, &self.room).await {
+            let (response, body) = match connection.read_request(&BOUNDS, &self.room).await {
                 Ok(whole) => self.answer(&whole.head, whole.body.unwrap_or_default()).await,
-                Err(HttpError::Gone) => return,
+                Err(HttpError::ConnectionClosed) => return,
                 Err(HttpError::Rejected(status, why)) => {
-                    let (mut response, body) = http_server::plain(status, why);
+                    let (mut response, body) = http_server::text_response(status, why);
                     response.force_close();
                     (response, body)
                 }
@@ -113,7 +113,7 @@
             if self.ending.get() {
                 response.force_close();
             }
-            if !matches!(connection.answer(response, body).await, Ok(true)) || self.ending.get() {
+            if !matches!(connection.respond(response, body).await, Ok(true)) || self.ending.get() {
                 return;
             }
         }
@@ -126,11 +126,11 @@
     ) -> (actix_http::ResponseBuilder, bytes::Bytes) {
         if self.ending.get() {
             // It may take longer than this process lives: its caller goes on to another machine.
-            return http_server::json(503, &error_body("ending"));
+            return http_server::json_response(503, &error_body("ending"));
         }
         let command = match command(head, &body) {
             Ok(Some(command)) => command,
-            Ok(None) => return http_server::plain(StatusCode::NOT_FOUND, "no such call"),
+            Ok(None) => return http_server::text_response(StatusCode::NOT_FOUND, "no such call"),
             Err(error) => {
                 tracing::warn!(error, path = head.path(), "refused a call");
                 ApiCommand::Malformed(error)
@@ -142,26 +142,26 @@
         self.calls.borrow_mut().insert(call, reply);
         self.handle(Event::Call(call, command));
         match answer.await {
-            Ok((status, body)) => http_server::json(status, &body),
-            Err(_) => http_server::json(503, &error_body("ending")),
+            Ok((status, body)) => http_server::json_response(status, &body),
+            Err(_) => http_server::json_response(503, &error_body("ending")),
         }
     }
 }
 
 /// The command that a call stands for; `None`: there is no such call.
 fn command(head: &Request, body: &[u8]) -> Result<Option<ApiCommand>, String> {
-    if http_server::is(head, Method::POST, "/whinstall/configuration/amend") {
+    if http_server::matches_endpoint(head, Method::POST, "/whinstall/configuration/amend") {
         // Also a refusal wants most of the core in touch: the log's side decides when it is said.
         let read = read_call(body).map_or_else(|e| ApiCommand::Unreadable(e.to_string()), ApiCommand::Amend);
         return Ok(Some(read));
     }
-    if http_server::is(head, Method::GET, "/whinstall/configuration/read") {
+    if http_server::matches_endpoint(head, Method::GET, "/whinstall/configuration/read") {
         return Ok(Some(ApiCommand::Read));
     }
-    if http_server::is(head, Method::GET, "/whinstall/core") {
+    if http_server::matches_endpoint(head, Method::GET, "/whinstall/core") {
         return Ok(Some(ApiCommand::Status));
     }
-    if http_server::is(head, Method::GET, "/whinstall/journal") {
+    if http_server::matches_endpoint(head, Method::GET, "/whinstall/journal") {
         return Ok(Some(ApiCommand::Journal));
     }
     let Some(rest) = head.path().strip_prefix("/whinstall/instances/") else { return Ok(None) };
@@ -179,22 +179,27 @@
 }
 
 fn beat(id: &str, at: &JsonNode) -> Result<Worker, JsonPathError> {
-    let address = at.need("address")?;
-    let socket = address.text()?.parse();
-    let phase = at.need("phase")?;
+    let address = at.required("address")?;
+    let socket = address.as_str()?.parse();
+    let phase = at.required("phase")?;
     Ok(Worker {
         id: id.into(),
-        service: at.need("service_ref")?.name()?.into(),
-        address: socket.map_err(|_| JsonPathError::Not(address.path(), "an address such as 10.0.0.1:80"))?,
-        zone: at.need("zone_name")?.text()?.into(),
-        capacity: at.get("capacity").map(|c| c.amount()).transpose()?.map_or(1, |c| c as u32),
-        phase: match phase.text()? {
+        service: at.required("service_ref")?.as_non_empty_str()?.into(),
+        address: socket
+            .map_err(|_| JsonPathError::Invalid(address.path(), "an address such as 10.0.0.1:80"))?,
+        zone: at.required("zone_name")?.as_str()?.into(),
+        capacity: at.optional("capacity").map(|c| c.as_non_negative()).transpose()?.map_or(1, |c| c as u32),
+        phase: match phase.as_str()? {
             "settled" => WorkerPhase::Serving,
             "decaying" => WorkerPhase::Draining,
-            _ => return Err(JsonPathError::Not(phase.path(), "settled or decaying")),
+            _ => return Err(JsonPathError::Invalid(phase.path(), "settled or decaying")),
         },
-        warmup_ms: at.get("warmup_left").map(|t| t.time()).transpose()?.map_or(0, |t| t.as_millis() as u32),
-        call_count: at.need("call_count")?.amount()? as u64,
+        warmup_ms: at
+            .optional("warmup_left")
+            .map(|t| t.as_duration())
+            .transpose()?
+            .map_or(0, |t| t.as_millis() as u32),
+        call_count: at.required("call_count")?.as_non_negative()? as u64,
     })
 }
 
@@ -216,16 +221,18 @@
     // Before anything else: an unhandled signal would end the process with all that it has begun.
     let mut signals = crate::runtime::SignalListener::new().map_err(crate::runtime::RunError::Signals)?;
     let clock = crate::runtime::Clock::start();
-    let control =
-        settings.control.ok_or(crate::runtime::RunError::NotTold("network.endpoints.control_port"))?;
-    let data = settings.data.clone().ok_or(crate::runtime::RunError::NotTold("self.data_path"))?;
+    let control = settings
+        .control_address
+        .ok_or(crate::runtime::RunError::MissingSetting("network.endpoints.control_port"))?;
+    let data =
+        settings.data_path.clone().ok_or(crate::runtime::RunError::MissingSetting("self.data_path"))?;
     let mut opening = std::pin::pin!(open(&data, settings.is_first_seed()));
     let (store, held) = loop {
         tokio::select! {
-            opened = &mut opening => break opened.map_err(crate::runtime::RunError::Store)?,
+            opened = &mut opening => break opened.map_err(crate::runtime::RunError::Storage)?,
             signal = signals.next() => match signal {
-                crate::runtime::ProcessSignal::Reread(reread) => settings = *reread,
-                crate::runtime::ProcessSignal::End => return Ok(()),
+                crate::runtime::ProcessSignal::Reload(reread) => settings = *reread,
+                crate::runtime::ProcessSignal::Shutdown => return Ok(()),
             },
         }
     };
@@ -240,8 +247,8 @@
         workers = held.workers.len(),
         "core role starts"
     );
-    let (port, ip) = (settings.inner_port, settings.ip);
-    let room = BodyBudget::new(settings.memory as usize / BODIES_PART);
+    let (port, ip) = (settings.internal_port, settings.ip);
+    let room = BodyBudget::new(settings.memory_bytes as usize / BODIES_PART);
     let core = CoreNode::new(clock.now(), settings, held).map_err(crate::runtime::RunError::State)?;
     let server = Rc::new(CoreServer {
         core: RefCell::new(core),
@@ -272,7 +279,7 @@
             outgoing
         },
         move |conn, happens| match happens {
-            LinkEvent::Said(msg) => closing.handle(Event::Inbound(conn, msg)),
+            LinkEvent::Received(msg) => closing.handle(Event::Inbound(conn, msg)),
             LinkEvent::Down => {
                 closing.conns.borrow_mut().remove(&conn);
                 closing.handle(Event::Closed(conn));
@@ -282,9 +289,9 @@
     ));
     let serving = Rc::clone(&server);
     tokio::task::spawn_local(async move {
-        let config = http_server::config();
+        let config = http_server::service_config();
         loop {
-            let connection = Connection::new(peer_link::accepted(&control).await, &config);
+            let connection = Connection::new(peer_link::accept_connection(&control).await, &config);
             tokio::task::spawn_local(Rc::clone(&serving).converse(connection));
         }
     });
@@ -295,12 +302,12 @@
             _ = ticks.tick() => server.handle(Event::Tick),
             Some(number) = syncs.recv() => server.handle(Event::Disk(number)),
             signal = signals.next() => match signal {
-                crate::runtime::ProcessSignal::Reread(settings) => {
+                crate::runtime::ProcessSignal::Reload(settings) => {
                     let mut out = Vec::new();
                     server.core.borrow_mut().retune(*settings, &mut out);
                     server.carry_out(out);
                 }
-                crate::runtime::ProcessSignal::End => break,
+                crate::runtime::ProcessSignal::Shutdown => break,
             },
         }
         if let Some(error) = server.core.borrow().broken.clone() {
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -11,7 +11,9 @@
     self, BodyBudget, Connection, HttpError, IdleOutcome, ReceivedRequest, RequestLimits,
 };
 use crate::transport::peer_link::{self, LinkEventMapper, PeerLinks};
-use crate::transport::upstream_pool::{ForwardedRequest, UpstreamPool, UpstreamResponse, LOOK};
+use crate::transport::upstream_pool::{
+    ForwardedRequest, UpstreamPool, UpstreamResponse, IDLE_SWEEP_INTERVAL,
+};
 use actix_http::header::HeaderMap;
 use actix_http::{HttpMessage, Response, ResponseBuilder, StatusCode};
 use bytes::Bytes;
@@ -94,7 +96,7 @@
         match effect {
             Effect::Connect(ip) => self.connect(ip),
             Effect::Disconnect(ip) => self.links.close(ip),
-            Effect::Send(ip, msg) => self.links.say(ip, msg),
+            Effect::Send(ip, msg) => self.links.send(ip, msg),
             Effect::Dispatch { id, attempt, worker, address, within } => {
                 self.dispatch(id, attempt, worker, address, Duration::from_secs_f64(within.max(0.0)));
             }
@@ -114,7 +116,7 @@
                     let _ = reply.send(told.unwrap_or(Final::Plain(FinalResponse::Failed)));
                 }
             }
-            Effect::CloseIdle(worker) => self.courier.close(&worker.0),
+            Effect::CloseIdle(worker) => self.courier.close_idle(&worker.0),
             Effect::Tell(to, load) => {
                 let Ok(bytes) = rmp_serde::to_vec(&load) else { return };
                 for ip in to {
@@ -127,8 +129,8 @@
 
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = LinkEventMapper { up: Event::LinkUp, said: Event::Core, down: Event::LinkDown };
-        self.links.open(ip, events.of(ip, move |event| this.handle(event)));
+        let events = LinkEventMapper { up: Event::LinkUp, received: Event::Core, down: Event::LinkDown };
+        self.links.open(ip, events.for_peer(ip, move |event| this.handle(event)));
     }
 
     fn dispatch(
@@ -163,10 +165,10 @@
                     if ended.misdirected {
                         this.with(|edge, now, out| edge.misdirected(now, &worker, out));
                     }
-                    let whole = ended.reply.is_some().then_some(ended.ending == Ending::Ok);
+                    let whole = ended.response.is_some().then_some(ended.ending == Ending::Ok);
                     if let Some(p) = this.pending.borrow_mut().get_mut(&id) {
                         p.called_off.remove(&attempt);
-                        p.replies.extend(ended.reply.map(|reply| (attempt, reply)));
+                        p.replies.extend(ended.response.map(|reply| (attempt, reply)));
                     }
                     (ended.ending, whole)
                 }
@@ -188,10 +190,10 @@
         let edge = self.edge.state.borrow();
         let s = &edge.view.saturation;
         RequestLimits {
-            head_bytes: s.header_bytes,
-            body_bytes: s.body_bytes,
-            head_within: s.header_deadline,
-            body_within: BODY_WITHIN,
+            max_head_bytes: s.header_bytes,
+            max_body_bytes: s.body_bytes,
+            head_timeout: s.header_deadline,
+            body_timeout: BODY_WITHIN,
         }
     }
 
@@ -200,19 +202,19 @@
         let mut ending = self.ending.subscribe();
         loop {
             let idle = || self.edge.state.borrow().view.saturation.idle_cutoff;
-            if connection.rested(idle, &mut ending).await == IdleOutcome::Over {
+            if connection.wait_idle(idle, &mut ending).await == IdleOutcome::Close {
                 // Dropped, not drained: a request that comes now must not be read, or its client can't repeat it.
                 return;
             }
             let bounds = self.bounds();
-            let (mut response, body) = match connection.request(&bounds, &self.room).await {
+            let (mut response, body) = match connection.read_request(&bounds, &self.room).await {
                 Ok(whole) => match self.answer(whole, &mut connection).await {
                     Some(answer) => answer,
                     None => return,
                 },
-                Err(HttpError::Gone) => return,
+                Err(HttpError::ConnectionClosed) => return,
                 Err(HttpError::Rejected(status, why)) => {
-                    let (mut response, body) = http_server::plain(status, why);
+                    let (mut response, body) = http_server::text_response(status, why);
                     if status == StatusCode::SERVICE_UNAVAILABLE {
                         response.insert_header(("retry-after", NOT_YET.to_string()));
                     }
@@ -223,7 +225,7 @@
             if ending.borrow().is_some() {
                 response.force_close();
             }
-            if !matches!(connection.answer(response, body).await, Ok(true)) {
+            if !matches!(connection.respond(response, body).await, Ok(true)) {
                 return;
             }
         }
@@ -235,14 +237,14 @@
         whole: ReceivedRequest,
         connection: &mut Connection,
     ) -> Option<(ResponseBuilder, Bytes)> {
-        let ReceivedRequest { head, body, held: _held } = whole;
+        let ReceivedRequest { head, body, reservation: _held } = whole;
         let view = Arc::clone(&self.edge.state.borrow().view);
         let host = head.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or_default();
         if !self.edge.state.borrow().is_configured() {
             return Some(plain(FinalResponse::Refused(NOT_YET)));
         }
         let Some(route) = view.route(host, head.path()).cloned() else {
-            return Some(http_server::plain(StatusCode::NOT_FOUND, "no route"));
+            return Some(http_server::text_response(StatusCode::NOT_FOUND, "no route"));
         };
         let tenant = match view.keyed && !route.unkeyed {
             false => None,
@@ -251,7 +253,7 @@
                 let key = keys.next().and_then(|k| k.to_str().ok());
                 match key.and_then(|key| view.tenant(key)).filter(|_| keys.next().is_none()) {
                     Some(tenant) => Some(Arc::clone(tenant)),
-                    None => return Some(http_server::plain(StatusCode::UNAUTHORIZED, "unknown key")),
+                    None => return Some(http_server::text_response(StatusCode::UNAUTHORIZED, "unknown key")),
                 }
             }
         };
@@ -259,7 +261,7 @@
         let mut ids = head.headers().get_all("x-attempt-id");
         let attempt_id = match (ids.next(), ids.next()) {
             (Some(id), None) if !id.as_bytes().trim_ascii().is_empty() => id.clone(),
-            _ => return Some(http_server::plain(StatusCode::BAD_REQUEST, "not one X-Attempt-Id")),
+            _ => return Some(http_server::text_response(StatusCode::BAD_REQUEST, "not one X-Attempt-Id")),
         };
         let left = head.headers().get("x-remaining-ms").and_then(|v| v.to_str().ok()?.trim().parse().ok());
         let left = left.and_then(|ms: f64| Duration::try_from_secs_f64(ms / 1e3).ok());
@@ -285,7 +287,7 @@
             headers,
             body,
             id: attempt_id,
-            repeatable: route.repeatable,
+            is_idempotent: route.repeatable,
             deadline: Instant::now() + Duration::from_secs_f64(time),
         });
         let id = RequestId(self.next.get().to_string().into());
@@ -304,7 +306,7 @@
         let told = tokio::select! {
             biased;
             told = &mut told => told.unwrap_or(Final::Plain(FinalResponse::Failed)),
-            () = connection.left() => {
+            () = connection.client_disconnected() => {
                 if let Some(p) = self.pending.borrow_mut().get_mut(&id) {
                     p.reply = None;
                 }
@@ -335,7 +337,7 @@
         FinalResponse::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None, "no answer in time"),
         FinalResponse::Failed | FinalResponse::Worker(_) => (StatusCode::BAD_GATEWAY, None, "failed"),
     };
-    let (mut response, body) = http_server::plain(status, text);
+    let (mut response, body) = http_server::text_response(status, text);
     if let Some(after) = after {
         response.insert_header(("retry-after", format!("{:.3}", after.max(0.001))));
     }
@@ -344,24 +346,24 @@
 
 /// Answers the platform's question whether this gatekeeper is ready.
 async fn readiness(server: Rc<EdgeServer>, listener: TcpListener) {
-    let config = http_server::config();
+    let config = http_server::service_config();
     let bounds = RequestLimits {
-        head_bytes: 8192,
-        body_bytes: 1024,
-        head_within: Duration::from_secs(2),
-        body_within: Duration::from_secs(2),
+        max_head_bytes: 8192,
+        max_body_bytes: 1024,
+        head_timeout: Duration::from_secs(2),
+        body_timeout: Duration::from_secs(2),
     };
     loop {
-        let stream = peer_link::accepted(&listener).await;
+        let stream = peer_link::accept_connection(&listener).await;
         let (server, mut connection) = (Rc::clone(&server), Connection::new(stream, &config));
         tokio::task::spawn_local(async move {
             let idle = Duration::from_secs(10);
-            while let Ok(Ok(())) = tokio::time::timeout(idle, connection.first()).await {
-                let Ok(_) = connection.request(&bounds, &server.room).await else { return };
+            while let Ok(Ok(())) = tokio::time::timeout(idle, connection.wait_readable()).await {
+                let Ok(_) = connection.read_request(&bounds, &server.room).await else { return };
                 let ready = server.edge.state.borrow().is_ready(server.edge.clock.now());
                 let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-                let (response, body) = http_server::plain(status, "");
-                if !matches!(connection.answer(response, body).await, Ok(true)) {
+                let (response, body) = http_server::text_response(status, "");
+                if !matches!(connection.respond(response, body).await, Ok(true)) {
                     return;
                 }
             }
@@ -378,9 +380,9 @@
 }
 
 async fn front(server: Rc<EdgeServer>, listener: TcpListener) {
-    let config = http_server::config();
+    let config = http_server::service_config();
     loop {
-        let stream = peer_link::accepted(&listener).await;
+        let stream = peer_link::accept_connection(&listener).await;
         if server.open.get() >= server.descriptors / 2 {
             // Closed unread: its client may come again elsewhere.
             continue;
@@ -399,14 +401,18 @@
 pub async fn run(settings: Settings) -> Result<(), crate::runtime::RunError> {
     // Before anybody can connect: an unhandled signal would end the process with all of its connections.
     let mut signals = crate::runtime::SignalListener::new().map_err(crate::runtime::RunError::Signals)?;
-    let front_at = settings.front.ok_or(crate::runtime::RunError::NotTold("network.endpoints.front_http"))?;
-    let ready_at = settings.ready.ok_or(crate::runtime::RunError::NotTold("network.endpoints.ready_port"))?;
+    let front_at = settings
+        .front_address
+        .ok_or(crate::runtime::RunError::MissingSetting("network.endpoints.front_http"))?;
+    let ready_at = settings
+        .readiness_address
+        .ok_or(crate::runtime::RunError::MissingSetting("network.endpoints.ready_port"))?;
     let since = std::time::SystemTime::UNIX_EPOCH;
     let life = since.elapsed().map_or(0, |d| d.as_nanos() as u64) ^ fastrand::u64(..);
     tracing::info!(node = settings.node, life, "edge role starts");
-    let port = settings.inner_port;
-    let descriptors = settings.descriptors.saturating_sub(300).max(64);
-    let room = BodyBudget::new(settings.memory as usize / BODIES_PART);
+    let port = settings.internal_port;
+    let descriptors = settings.max_descriptors.saturating_sub(300).max(64);
+    let room = BodyBudget::new(settings.memory_bytes as usize / BODIES_PART);
     let hints = UdpSocket::bind((settings.ip, port)).await.map_err(crate::runtime::RunError::Listen)?;
     let server = Rc::new(EdgeServer {
         edge: EdgeLoop::new(EdgeNode::new(settings, life), crate::runtime::Clock::start()),
@@ -445,14 +451,14 @@
         let mut looked = Instant::now();
         loop {
             ticking.handle(Event::Tick);
-            if looked.elapsed() >= LOOK {
+            if looked.elapsed() >= IDLE_SWEEP_INTERVAL {
                 looked = Instant::now();
-                ticking.courier.look();
+                ticking.courier.sweep_idle();
             }
             ticking.edge.due().await;
         }
     });
-    while let crate::runtime::ProcessSignal::Reread(settings) = signals.next().await {
+    while let crate::runtime::ProcessSignal::Reload(settings) = signals.next().await {
         server.with(|edge, _, out| edge.retune(*settings, out));
     }
     drain::drain(&server).await;
--- a/crates/gateway/src/runtime/edge_server/drain.rs
+++ b/crates/gateway/src/runtime/edge_server/drain.rs
@@ -24,7 +24,7 @@
     let owed = server.edge.state.borrow().unanswered();
     tracing::info!(
         open = server.open.get(),
-        opened = server.courier.opened.get(),
+        opened = server.courier.connections_opened.get(),
         waiting = owed.waiting,
         at_workers = owed.at_workers,
         newest_read_s = owed.newest.map_or(0.0, |at| at - begun),
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -20,13 +20,13 @@
     /// settings: {0}
     Settings(SettingsError),
     /// settings: {0} is missing
-    NotTold(&'static str),
+    MissingSetting(&'static str),
     /// can't listen: {0}
     Listen(std::io::Error),
     /// no signals: {0}
     Signals(std::io::Error),
     /// the disk: {0}
-    Store(storage::StorageError),
+    Storage(storage::StorageError),
     /// the state in a snapshot can't be read: {0}
     State(String),
 }
@@ -58,7 +58,7 @@
 
 impl Role {
     /// The role of this name, or of the one that deploy files gave it before.
-    pub fn named(name: &str) -> Option<Self> {
+    pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "edge" | "jig" => Some(Role::Edge),
             "core" | "anvil" => Some(Role::Core),
--- a/crates/gateway/src/runtime/signals.rs
+++ b/crates/gateway/src/runtime/signals.rs
@@ -11,9 +11,9 @@
 /// What a process is asked to do.
 pub enum ProcessSignal {
     /// Its settings have changed.
-    Reread(Box<Settings>),
+    Reload(Box<Settings>),
     /// It is to end.
-    End,
+    Shutdown,
 }
 
 /// When a file was changed, and its length; none: it is not there.
@@ -33,7 +33,7 @@
     }
 
     /// A look; returned: is it to be read?
-    pub fn look(&mut self, stamp: FileStamp) -> bool {
+    pub fn observe(&mut self, stamp: FileStamp) -> bool {
         let steady = std::mem::replace(&mut self.last, stamp) == stamp;
         let changed = steady && stamp != self.read;
         if changed {
@@ -43,7 +43,7 @@
     }
 
     /// It is read now in any case.
-    pub fn reads(&mut self, stamp: FileStamp) {
+    pub fn mark_loaded(&mut self, stamp: FileStamp) {
         *self = FileWatch::new(stamp);
     }
 }
@@ -76,15 +76,15 @@
     pub async fn next(&mut self) -> ProcessSignal {
         loop {
             tokio::select! {
-                _ = self.term.recv() => return ProcessSignal::End,
-                _ = self.int.recv() => return ProcessSignal::End,
-                _ = self.hup.recv() => self.watch.reads(stamp()),
-                _ = self.look.tick() => if !self.watch.look(stamp()) { continue },
+                _ = self.term.recv() => return ProcessSignal::Shutdown,
+                _ = self.int.recv() => return ProcessSignal::Shutdown,
+                _ = self.hup.recv() => self.watch.mark_loaded(stamp()),
+                _ = self.look.tick() => if !self.watch.observe(stamp()) { continue },
             }
             match Settings::load() {
                 Ok(settings) => {
                     tracing::info!("settings read again");
-                    return ProcessSignal::Reread(Box::new(settings));
+                    return ProcessSignal::Reload(Box::new(settings));
                 }
                 Err(error) => tracing::error!(%error, "settings can't be used; the old ones stay"),
             }
@@ -93,6 +93,6 @@
 }
 
 fn stamp() -> FileStamp {
-    let file = std::fs::metadata(Settings::place().ok()?).ok()?;
+    let file = std::fs::metadata(Settings::file_path().ok()?).ok()?;
     Some((file.modified().ok()?, file.len()))
 }
--- a/crates/gateway/src/runtime/signals_tests.rs
+++ b/crates/gateway/src/runtime/signals_tests.rs
@@ -11,21 +11,21 @@
 #[gtest]
 fn a_file_is_read_once_it_stands_still() {
     let mut watch = FileWatch::new(at(0, 100));
-    expect_that!(watch.look(at(0, 100)), eq(false), "it did not change");
+    expect_that!(watch.observe(at(0, 100)), eq(false), "it did not change");
     // Written in steps: also two within the same moment of the disk's clock.
     for stamp in [at(10, 0), at(10, 40), at(11, 80), at(12, 120)] {
-        expect_that!(watch.look(stamp), eq(false), "{stamp:?}");
+        expect_that!(watch.observe(stamp), eq(false), "{stamp:?}");
     }
-    expect_that!(watch.look(at(12, 120)), eq(true));
-    expect_that!(watch.look(at(12, 120)), eq(false), "once only");
+    expect_that!(watch.observe(at(12, 120)), eq(true));
+    expect_that!(watch.observe(at(12, 120)), eq(false), "once only");
     // Away while it is replaced, and back as another.
-    expect_that!(watch.look(None), eq(false));
-    expect_that!(watch.look(at(13, 120)), eq(false));
-    expect_that!(watch.look(at(13, 120)), eq(true));
+    expect_that!(watch.observe(None), eq(false));
+    expect_that!(watch.observe(at(13, 120)), eq(false));
+    expect_that!(watch.observe(at(13, 120)), eq(true));
     // A signal tells at once: nothing is left to be read after it.
-    expect_that!(watch.look(at(14, 120)), eq(false));
-    watch.reads(at(14, 120));
-    expect_that!(watch.look(at(14, 120)), eq(false));
+    expect_that!(watch.observe(at(14, 120)), eq(false));
+    watch.mark_loaded(at(14, 120));
+    expect_that!(watch.observe(at(14, 120)), eq(false));
     // Away for good: said once.
-    expect_that!([watch.look(None), watch.look(None), watch.look(None)], eq([false, true, false]));
+    expect_that!([watch.observe(None), watch.observe(None), watch.observe(None)], eq([false, true, false]));
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,7 +1,7 @@
 //! Owns the settings file: what a process is told of itself, its network, its platform and the bounds that hold.
 //! It must never guess what the file does not say: what is missing has a stated default or is an error.
 
-use crate::json_path::time;
+use crate::json_path::parse_duration;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -11,13 +11,13 @@
 #[derive(Debug, displaydoc::Display)]
 pub enum SettingsError {
     /// WHINSTALL_NODE_FILE is not set
-    NotNamed,
+    PathNotSet,
     /// {0}: {1}
     Unreadable(String, std::io::Error),
     /// not TOML: {0}
     NotToml(String),
     /// {0}: missing or not {1}
-    Field(String, &'static str),
+    InvalidField(String, &'static str),
 }
 
 impl std::error::Error for SettingsError {}
@@ -28,13 +28,13 @@
     /// How long a machine is calm before it counts as in touch.
     pub contact: Duration,
     /// A call of the operator, or of a leaving worker, is acknowledged within this.
-    pub ack: Duration,
+    pub ack_bound: Duration,
     /// A machine counts as lost for so long after its return.
-    pub resync: Duration,
+    pub resync_bound: Duration,
     /// No request reaches a worker this long after its leaving was acknowledged.
-    pub drain: Duration,
+    pub drain_bound: Duration,
     /// SIGKILL follows SIGTERM after this.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// A version is in force everywhere this long after its acknowledgement.
     pub settle: Duration,
     /// Further tries: part of the requests of a window...
@@ -74,25 +74,25 @@
     /// Its region.
     pub region: String,
     /// Regions by zone.
-    pub zones: BTreeMap<String, String>,
+    pub region_by_zone: BTreeMap<String, String>,
     /// Does the whole system start for the first time?
     pub cold_start: bool,
     /// Memory in bytes.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// Descriptors.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Where its files live, if it has a disk.
-    pub data: Option<PathBuf>,
+    pub data_path: Option<PathBuf>,
     /// The port on which core machines hear the system's own processes.
-    pub inner_port: u16,
+    pub internal_port: u16,
     /// Core machines, as far as they were known when the file was written.
     pub seeds: Vec<SocketAddr>,
     /// Where clients are served.
-    pub front: Option<SocketAddr>,
+    pub front_address: Option<SocketAddr>,
     /// Where the platform asks whether it is ready.
-    pub ready: Option<SocketAddr>,
+    pub readiness_address: Option<SocketAddr>,
     /// Where workers and operators call.
-    pub control: Option<SocketAddr>,
+    pub control_address: Option<SocketAddr>,
     /// Time between two heartbeats of a worker.
     pub heartbeat: Duration,
     /// What may be lost.
@@ -112,7 +112,7 @@
 
     fn text(&self, path: &str) -> Result<String, SettingsError> {
         let found = self.find(path).and_then(|v| v.as_str());
-        found.map(str::to_owned).ok_or_else(|| SettingsError::Field(path.into(), "a text"))
+        found.map(str::to_owned).ok_or_else(|| SettingsError::InvalidField(path.into(), "a text"))
     }
 
     /// What is there, if it can be read as what it should be; none where nothing is.
@@ -122,7 +122,8 @@
         what: &'static str,
         read: impl FnOnce(&toml::Value) -> Option<T>,
     ) -> Result<Option<T>, SettingsError> {
-        let told = self.find(path).map(|value| read(value).ok_or(SettingsError::Field(path.into(), what)));
+        let told =
+            self.find(path).map(|value| read(value).ok_or(SettingsError::InvalidField(path.into(), what)));
         told.transpose()
     }
 
@@ -133,7 +134,7 @@
     }
 
     fn time(&self, path: &str, default_ms: u64) -> Result<Duration, SettingsError> {
-        let told = self.read(path, "a time such as 2500ms or 2.5s", |v| time(v.as_str()?))?;
+        let told = self.read(path, "a time such as 2500ms or 2.5s", |v| parse_duration(v.as_str()?))?;
         Ok(told.unwrap_or(Duration::from_millis(default_ms)))
     }
 
@@ -145,7 +146,7 @@
 impl Settings {
     /// Reads the file that `WHINSTALL_NODE_FILE` names.
     pub fn load() -> Result<Self, SettingsError> {
-        Self::load_from(&Self::place()?)
+        Self::load_from(&Self::file_path()?)
     }
 
     /// Is this one of the machines that the whole system begins with, at its first start?
@@ -159,22 +160,22 @@
     }
 
     /// Where the settings file is.
-    pub fn place() -> Result<PathBuf, SettingsError> {
-        std::env::var_os("WHINSTALL_NODE_FILE").map(PathBuf::from).ok_or(SettingsError::NotNamed)
+    pub fn file_path() -> Result<PathBuf, SettingsError> {
+        std::env::var_os("WHINSTALL_NODE_FILE").map(PathBuf::from).ok_or(SettingsError::PathNotSet)
     }
 
     /// Reads this file.
     pub fn load_from(path: &std::path::Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path);
-        Self::read(&text.map_err(|e| SettingsError::Unreadable(path.display().to_string(), e))?)
+        Self::from_toml(&text.map_err(|e| SettingsError::Unreadable(path.display().to_string(), e))?)
     }
 
     /// Reads settings in TOML.
-    pub fn read(text: &str) -> Result<Self, SettingsError> {
+    pub fn from_toml(text: &str) -> Result<Self, SettingsError> {
         let table: toml::Table =
             text.parse().map_err(|e: toml::de::Error| SettingsError::NotToml(e.to_string()))?;
         let r = Reader(&table);
-        let field = |path: &str, what| SettingsError::Field(path.into(), what);
+        let field = |path: &str, what| SettingsError::InvalidField(path.into(), what);
         let ip = r.text("self.ip_addr")?.parse().map_err(|_| field("self.ip_addr", "an address"))?;
         let ports = r.find("network.internal_ports").and_then(|v| v.as_array()?.first()?.as_integer());
         let inner_port = ports.and_then(|p| u16::try_from(p).ok());
@@ -194,16 +195,16 @@
             ip,
             zone: r.text("self.zone_name")?,
             region: r.text("self.region_name").unwrap_or_default(),
-            zones: zones.collect(),
+            region_by_zone: zones.collect(),
             cold_start: r.find("self.cold_start").and_then(|v| v.as_bool()).unwrap_or(false),
-            memory: (r.number(&format!("{saturation}.memory_cap_mb"), 256.0)? * 1e6) as u64,
-            descriptors: r.number(&format!("{saturation}.file_handles"), 1024.0)? as usize,
-            data: r.find("self.data_path").and_then(|v| v.as_str()).map(PathBuf::from),
-            inner_port: inner_port.ok_or_else(|| field("network.internal_ports", "two ports"))?,
+            memory_bytes: (r.number(&format!("{saturation}.memory_cap_mb"), 256.0)? * 1e6) as u64,
+            max_descriptors: r.number(&format!("{saturation}.file_handles"), 1024.0)? as usize,
+            data_path: r.find("self.data_path").and_then(|v| v.as_str()).map(PathBuf::from),
+            internal_port: inner_port.ok_or_else(|| field("network.internal_ports", "two ports"))?,
             seeds: seeds.ok_or_else(|| field("network.seed_list", "a list of addresses"))?,
-            front: r.address("network.endpoints.front_http")?,
-            ready: r.address("network.endpoints.ready_port")?,
-            control: r.address("network.endpoints.control_port")?,
+            front_address: r.address("network.endpoints.front_http")?,
+            readiness_address: r.address("network.endpoints.ready_port")?,
+            control_address: r.address("network.endpoints.control_port")?,
             heartbeat: r.time("substrate.heartbeat", 1500)?,
             tolerance: LossTolerance {
                 machines: lost("machine_losses")?,
@@ -212,10 +213,10 @@
             },
             envelope: DeploymentBounds {
                 contact: time("contact", 3000)?,
-                ack: time("ack_bound", 5000)?,
-                resync: time("resync_bound", 4000)?,
-                drain: time("drain_bound", 2500)?,
-                grace: time("grace_period", 6000)?,
+                ack_bound: time("ack_bound", 5000)?,
+                resync_bound: time("resync_bound", 4000)?,
+                drain_bound: time("drain_bound", 2500)?,
+                grace_period: time("grace_period", 6000)?,
                 settle: time("settle", 2500)?,
                 retry_ratio: number("retry_ratio", 0.2)?,
                 retry_window: time("retry_window", 10_000)?,
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -1,7 +1,7 @@
 //! What the replicated log's disk must outlive, against a model in memory and against every way that a loss of power
 //! may leave its files; and the way of items from an earlier disk.
 
-use crate::cli::export::{call, export, ExportError};
+use crate::cli::export::{export, import_call, ExportError};
 use crate::configuration::{read_call, ConfigItem, ItemFields, ItemKind, ItemSet};
 use crate::consensus::{Entry, EntryPayload, LogWrite, NodeId, Snapshot};
 use crate::discovery::{Worker, WorkerPhase};
@@ -506,11 +506,11 @@
     let all = |items: &ItemSet| items.all().cloned().collect::<Vec<_>>();
     assert_that!(all(&again), eq(&all(&items)));
     expect_that!(all(&again), len(eq(8)));
-    expect_that!(call(&again).to_string(), eq(&printed));
+    expect_that!(import_call(&again).to_string(), eq(&printed));
 }
 
 #[gtest]
 fn a_folder_without_a_disk_is_not_exported() {
     let folder = Folder::new("unlike");
-    expect_that!(export(&folder.0).err(), some(matches_pattern!(ExportError::Nothing(_))));
+    expect_that!(export(&folder.0).err(), some(matches_pattern!(ExportError::NoDisk(_))));
 }
--- a/crates/gateway/src/transport/http_server.rs
+++ b/crates/gateway/src/transport/http_server.rs
@@ -34,13 +34,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
     /// The longest head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// The longest body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// A head is whole within this from its first byte.
-    pub head_within: Duration,
+    pub head_timeout: Duration,
     /// A body is whole within this.
-    pub body_within: Duration,
+    pub body_timeout: Duration,
 }
 
 /// A whole request.
@@ -50,7 +50,7 @@
     /// Its body; `None`: it has none, which is not the same as an empty one.
     pub body: Option<Bytes>,
     /// Its part of what bodies may take.
-    pub held: BodyReservation,
+    pub reservation: BodyReservation,
 }
 
 /// What bodies may take together.
@@ -65,7 +65,7 @@
         Rc::new(BodyBudget { most, used: Cell::new(0) })
     }
 
-    fn hold(self: &Rc<Self>, bytes: usize) -> Result<BodyReservation, HttpError> {
+    fn reserve(self: &Rc<Self>, bytes: usize) -> Result<BodyReservation, HttpError> {
         let used = self.used.get().saturating_add(bytes);
         if used > self.most {
             return Err(HttpError::Rejected(
@@ -94,32 +94,32 @@
 #[derive(Debug, PartialEq, displaydoc::Display)]
 pub enum HttpError {
     /// the connection has ended
-    Gone,
+    ConnectionClosed,
     /// {0}: {1}
     Rejected(StatusCode, &'static str),
 }
 
 /// How connections are served: the same for all.
-pub fn config() -> ServiceConfig {
+pub fn service_config() -> ServiceConfig {
     ServiceConfigBuilder::new().keep_alive(KeepAlive::Os).build()
 }
 
 /// Is a connection open, with nothing on it to be read? The system itself is asked, as the runtime may not have heard
 /// yet of what has just come.
-pub fn quiet(stream: &TcpStream) -> bool {
+pub fn is_idle(stream: &TcpStream) -> bool {
     let seen = socket2::SockRef::from(stream).peek(&mut [std::mem::MaybeUninit::uninit()]);
     seen.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
 }
 
 /// A stream that can be looked at without reading.
-pub trait Peek {
+pub trait IdleProbe {
     /// Is it open, with nothing on it to be read?
-    fn is_quiet(&self) -> bool;
+    fn is_idle(&self) -> bool;
 }
 
-impl Peek for TcpStream {
-    fn is_quiet(&self) -> bool {
-        quiet(self)
+impl IdleProbe for TcpStream {
+    fn is_idle(&self) -> bool {
+        is_idle(self)
     }
 }
 
@@ -127,9 +127,9 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum IdleOutcome {
     /// A request begins.
-    Request,
+    RequestStarted,
     /// The connection has ended, or is to be closed now, with nothing of it unanswered.
-    Over,
+    Close,
 }
 
 /// A connection that somebody opened.
@@ -147,15 +147,15 @@
     /// Serves this stream.
     pub fn new(stream: TcpStream, config: &ServiceConfig) -> Self {
         let _ = stream.set_nodelay(true);
-        Connection::over(stream, config)
+        Connection::from_stream(stream, config)
     }
 }
 
-impl<S: AsyncRead + AsyncWrite + Peek + Unpin> Connection<S> {
+impl<S: AsyncRead + AsyncWrite + IdleProbe + Unpin> Connection<S> {
     /// Waits for the next request, as long as the connection may rest: `idle` tells how long that is now, and the
     /// longest that it told since the rest began counts. From the moment in `ending` on, none rests that was ever
     /// used.
-    pub async fn rested(
+    pub async fn wait_idle(
         &mut self,
         idle: impl Fn() -> Duration,
         ending: &mut watch::Receiver<Option<std::time::Instant>>,
@@ -170,14 +170,14 @@
             let until = last.map_or(until, |last| until.min(last));
             tokio::select! {
                 biased;
-                first = self.first() => return if first.is_ok() { IdleOutcome::Request } else { IdleOutcome::Over },
+                first = self.wait_readable() => return if first.is_ok() { IdleOutcome::RequestStarted } else { IdleOutcome::Close },
                 Ok(()) = ending.changed() => {}
                 () = tokio::time::sleep_until(until) => {
                     if most < idle() {
                         continue;
                     }
-                    if self.is_quiet() {
-                        return IdleOutcome::Over;
+                    if self.is_idle() {
+                        return IdleOutcome::Close;
                     }
                     tokio::task::yield_now().await;
                 }
@@ -186,20 +186,20 @@
     }
 
     /// Has anything been read, or is there anything to be read, that is not answered yet?
-    fn is_quiet(&self) -> bool {
-        self.read.is_empty() && self.stream.is_quiet()
+    fn is_idle(&self) -> bool {
+        self.read.is_empty() && self.stream.is_idle()
     }
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Connection<S> {
     /// Serves this stream.
-    pub fn over(stream: S, config: &ServiceConfig) -> Self {
+    pub fn from_stream(stream: S, config: &ServiceConfig) -> Self {
         let codec = Codec::new(config.clone());
         Connection { stream, codec, read: BytesMut::new(), used: false, head_only: false }
     }
 
     /// Waits for the first byte of a request.
-    pub async fn first(&mut self) -> Result<(), HttpError> {
+    pub async fn wait_readable(&mut self) -> Result<(), HttpError> {
         while self.read.is_empty() {
             self.more().await?;
         }
@@ -209,20 +209,20 @@
     async fn more(&mut self) -> Result<(), HttpError> {
         self.read.reserve(2048);
         match self.stream.read_buf(&mut self.read).await {
-            Ok(0) | Err(_) => Err(HttpError::Gone),
+            Ok(0) | Err(_) => Err(HttpError::ConnectionClosed),
             Ok(_) => Ok(()),
         }
     }
 
     /// The next request, whole.
-    pub async fn request(
+    pub async fn read_request(
         &mut self,
         bounds: &RequestLimits,
         room: &Rc<BodyBudget>,
     ) -> Result<ReceivedRequest, HttpError> {
         (self.used, self.head_only) = (true, false);
         let late = HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, "not whole in time");
-        let head = timeout(bounds.head_within, self.head(bounds)).await.map_err(|_| late)??;
+        let head = timeout(bounds.head_timeout, self.head(bounds)).await.map_err(|_| late)??;
         self.head_only = head.method() == Method::HEAD;
         if self.codec.message_type() == MessageType::Stream {
             // A tunnel, whose end nothing tells.
@@ -230,13 +230,17 @@
         }
         let too_long = || HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
         let claimed = head.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.trim().parse().ok());
-        if claimed.is_some_and(|length: u64| length > bounds.body_bytes as u64) {
+        if claimed.is_some_and(|length: u64| length > bounds.max_body_bytes as u64) {
             return Err(too_long());
         }
         if self.codec.message_type() == MessageType::None {
-            return Ok(ReceivedRequest { body: claimed.map(|_| Bytes::new()), head, held: room.hold(0)? });
+            return Ok(ReceivedRequest {
+                body: claimed.map(|_| Bytes::new()),
+                head,
+                reservation: room.reserve(0)?,
+            });
         }
-        let mut held = vec![room.hold(claimed.unwrap_or(0) as usize)?];
+        let mut held = vec![room.reserve(claimed.unwrap_or(0) as usize)?];
         if head.head().expect() {
             let _ = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         }
@@ -244,11 +248,11 @@
         let told = claimed.is_some();
         let reading = self.body(bounds, |bytes| match told {
             true => Ok(()),
-            false => room.hold(bytes).map(|part| held.push(part)),
+            false => room.reserve(bytes).map(|part| held.push(part)),
         });
-        let body = timeout(bounds.body_within, reading).await.map_err(|_| late)??;
+        let body = timeout(bounds.body_timeout, reading).await.map_err(|_| late)??;
         drop(held);
-        Ok(ReceivedRequest { held: room.hold(body.len())?, head, body: Some(body) })
+        Ok(ReceivedRequest { reservation: room.reserve(body.len())?, head, body: Some(body) })
     }
 
     async fn head(&mut self, bounds: &RequestLimits) -> Result<Request, HttpError> {
@@ -261,7 +265,7 @@
             match self.codec.decode(&mut self.read) {
                 Ok(Some(Message::Item(request))) if !is_whole_target(&request) => return Err(odd()),
                 Ok(Some(Message::Item(request))) => return Ok(request),
-                Ok(None) if self.read.len() <= bounds.head_bytes => self.more().await?,
+                Ok(None) if self.read.len() <= bounds.max_head_bytes => self.more().await?,
                 Ok(None) | Err(ParseError::TooLarge) => return Err(too_long),
                 Ok(Some(Message::Chunk(_))) | Err(_) => {
                     return Err(HttpError::Rejected(StatusCode::BAD_REQUEST, "not HTTP"))
@@ -279,7 +283,7 @@
         loop {
             match self.codec.decode(&mut self.read) {
                 Ok(Some(Message::Chunk(None))) => return Ok(body.freeze()),
-                Ok(Some(Message::Chunk(Some(chunk)))) if body.len() + chunk.len() > bounds.body_bytes => {
+                Ok(Some(Message::Chunk(Some(chunk)))) if body.len() + chunk.len() > bounds.max_body_bytes => {
                     return Err(HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long"))
                 }
                 Ok(Some(Message::Chunk(Some(chunk)))) => {
@@ -295,7 +299,7 @@
     }
 
     /// Resolves when the other side closes. What else it sends meanwhile is kept for later, up to a bound.
-    pub async fn left(&mut self) {
+    pub async fn client_disconnected(&mut self) {
         while self.read.len() < 65536 {
             if self.more().await.is_err() {
                 return;
@@ -305,21 +309,21 @@
     }
 
     /// Writes an answer. `Ok(true)`: the connection lives on.
-    pub async fn answer(&mut self, mut response: ResponseBuilder, body: Bytes) -> Result<bool, HttpError> {
+    pub async fn respond(&mut self, mut response: ResponseBuilder, body: Bytes) -> Result<bool, HttpError> {
         let mut out = BytesMut::with_capacity(384 + body.len());
-        let head = response.message_body(()).map_err(|_| HttpError::Gone)?;
+        let head = response.message_body(()).map_err(|_| HttpError::ConnectionClosed)?;
         // What follows such a head would be taken for the next answer.
         let bare = matches!(head.status(), StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let (size, body) = match self.head_only || bare {
             true => (BodySize::None, Bytes::new()),
             false => (BodySize::Sized(body.len() as u64), body),
         };
-        self.codec.encode(Message::Item((head, size)), &mut out).map_err(|_| HttpError::Gone)?;
+        self.codec.encode(Message::Item((head, size)), &mut out).map_err(|_| HttpError::ConnectionClosed)?;
         out.extend_from_slice(&body);
         while out.has_remaining() {
             match timeout(TAKEN_WITHIN, self.stream.write_buf(&mut out)).await {
                 Ok(Ok(n)) if n > 0 => {}
-                _ => return Err(HttpError::Gone),
+                _ => return Err(HttpError::ConnectionClosed),
             }
         }
         if !self.codec.keep_alive() {
@@ -361,12 +365,12 @@
 }
 
 /// An answer with a text.
-pub fn plain(status: StatusCode, text: &'static str) -> (ResponseBuilder, Bytes) {
+pub fn text_response(status: StatusCode, text: &'static str) -> (ResponseBuilder, Bytes) {
     (Response::build(status), Bytes::from_static(text.as_bytes()))
 }
 
 /// An answer in JSON.
-pub fn json(status: u16, body: &serde_json::Value) -> (ResponseBuilder, Bytes) {
+pub fn json_response(status: u16, body: &serde_json::Value) -> (ResponseBuilder, Bytes) {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut response = Response::build(status);
     response.insert_header(("content-type", "application/json"));
@@ -374,7 +378,7 @@
 }
 
 /// Is this method and path the one?
-pub fn is(request: &Request, method: Method, path: &str) -> bool {
+pub fn matches_endpoint(request: &Request, method: Method, path: &str) -> bool {
     request.method() == method && request.path() == path
 }
 
--- a/crates/gateway/src/transport/http_server/tests.rs
+++ b/crates/gateway/src/transport/http_server/tests.rs
@@ -6,17 +6,17 @@
 use std::future::Future;
 use tokio::io::DuplexStream;
 
-impl Peek for DuplexStream {
-    fn is_quiet(&self) -> bool {
+impl IdleProbe for DuplexStream {
+    fn is_idle(&self) -> bool {
         true
     }
 }
 
 const BOUNDS: RequestLimits = RequestLimits {
-    head_bytes: 2048,
-    body_bytes: 64,
-    head_within: Duration::from_secs(3),
-    body_within: Duration::from_secs(3),
+    max_head_bytes: 2048,
+    max_body_bytes: 64,
+    head_timeout: Duration::from_secs(3),
+    body_timeout: Duration::from_secs(3),
 };
 
 fn run<T>(future: impl Future<Output = T>) -> T {
@@ -26,14 +26,14 @@
 
 fn pair() -> (DuplexStream, Connection<DuplexStream>) {
     let (client, server) = tokio::io::duplex(1 << 20);
-    (client, Connection::over(server, &config()))
+    (client, Connection::from_stream(server, &service_config()))
 }
 
 /// A request as far as anything goes by it.
 type Read = (String, String, Option<Bytes>);
 
 async fn next(connection: &mut Connection<DuplexStream>) -> Result<Read, HttpError> {
-    let whole = connection.request(&BOUNDS, &BodyBudget::new(1 << 20)).await?;
+    let whole = connection.read_request(&BOUNDS, &BodyBudget::new(1 << 20)).await?;
     Ok((whole.head.method().to_string(), whole.head.uri().to_string(), whole.body))
 }
 
@@ -93,13 +93,17 @@
             cuts += 1;
             // In two pieces...
             let (all, error) = run(read(&[&bytes[..cut], &bytes[cut..]]));
-            assert_that!((seen(all), error), eq(&(expected.clone(), HttpError::Gone)), "cut at {cut}");
+            assert_that!(
+                (seen(all), error),
+                eq(&(expected.clone(), HttpError::ConnectionClosed)),
+                "cut at {cut}"
+            );
             // ...and ended in the middle: what is not whole is not served.
             let (all, error) = run(read(&[&bytes[..cut]]));
             let whole = ends.iter().filter(|end| **end <= cut).count();
             assert_that!(
                 (seen(all), error),
-                eq(&(expected[..whole].to_vec(), HttpError::Gone)),
+                eq(&(expected[..whole].to_vec(), HttpError::ConnectionClosed)),
                 "ends at {cut}"
             );
         }
@@ -185,7 +189,7 @@
     // What stands where trailers may stand is dropped with them.
     let (all, error) = run(read(&[format!("{chunked}0\r\nX: {inner}").as_bytes()]));
     expect_that!(all, elements_are![eq(&("POST".to_owned(), "/a".to_owned(), Some(Bytes::new())))]);
-    expect_that!(error, eq(&HttpError::Gone));
+    expect_that!(error, eq(&HttpError::ConnectionClosed));
     println!("{} heads, 12 chunkings", cases.len());
 }
 
@@ -234,7 +238,7 @@
             client.write_all(text.as_bytes()).await.expect("taken");
             for (status, body) in [(status, "body"), (StatusCode::OK, "next")] {
                 next(&mut connection).await.expect("whole");
-                let answered = connection.answer(good(status), Bytes::from_static(body.as_bytes())).await;
+                let answered = connection.respond(good(status), Bytes::from_static(body.as_bytes())).await;
                 expect_that!(answered, ok(eq(&true)));
             }
             drop(connection);
@@ -251,12 +255,12 @@
 fn an_answer_goes_out_whole_to_a_client_that_takes_it_slowly() {
     let heard = run(async {
         let (mut client, server) = tokio::io::duplex(16);
-        let mut connection = Connection::over(server, &config());
+        let mut connection = Connection::from_stream(server, &service_config());
         client.write_all(b"GET /a HT").await.expect("taken");
         let serve = async {
             next(&mut connection).await.expect("whole");
             let body = Bytes::from(vec![b'x'; 40]);
-            let answered = connection.answer(Response::build(StatusCode::OK), body).await;
+            let answered = connection.respond(Response::build(StatusCode::OK), body).await;
             expect_that!(answered, ok(eq(&true)));
             drop(connection);
         };
@@ -287,10 +291,10 @@
         let (first, second) = WHOLE[3].0.as_bytes().split_at(70);
         for piece in [first, second] {
             client.write_all(piece).await.expect("taken");
-            let left = timeout(Duration::from_secs(1), connection.left()).await;
+            let left = timeout(Duration::from_secs(1), connection.client_disconnected()).await;
             expect_that!(left, err(anything()));
         }
-        let answered = connection.answer(Response::build(StatusCode::OK), Bytes::new()).await;
+        let answered = connection.respond(Response::build(StatusCode::OK), Bytes::new()).await;
         expect_that!(answered, ok(eq(&true)));
         let read = next(&mut connection).await;
         expect_that!(
@@ -298,7 +302,7 @@
             ok(eq(&("PUT".to_owned(), "/d".to_owned(), Some(Bytes::from_static(b"form-42")))))
         );
         drop(client);
-        expect_that!(timeout(Duration::from_secs(1), connection.left()).await, ok(anything()));
+        expect_that!(timeout(Duration::from_secs(1), connection.client_disconnected()).await, ok(anything()));
     });
 }
 
@@ -309,7 +313,7 @@
         if used {
             client.write_all(WHOLE[0].0.as_bytes()).await.expect("taken");
             next(&mut connection).await.expect("whole");
-            let answered = connection.answer(Response::build(StatusCode::OK), Bytes::new()).await;
+            let answered = connection.respond(Response::build(StatusCode::OK), Bytes::new()).await;
             expect_that!(answered, ok(eq(&true)));
         }
         let begun = Instant::now();
@@ -320,7 +324,7 @@
         };
         let (end, mut ending) = watch::channel(None);
         let rest = async {
-            let rested = connection.rested(told, &mut ending).await;
+            let rested = connection.wait_idle(told, &mut ending).await;
             (rested, begun.elapsed().as_millis())
         };
         let others = async {
@@ -345,23 +349,32 @@
     let slack = REST_SLACK.as_millis();
     // Taken up at four fifths, and up to the whole.
     for at in [0, 1, 12_000, 14_999, 15_000] {
-        expect_that!(rest(true, &[(0, 15_000)], None, Some(at)), eq(&(IdleOutcome::Request, u128::from(at))));
+        expect_that!(
+            rest(true, &[(0, 15_000)], None, Some(at)),
+            eq(&(IdleOutcome::RequestStarted, u128::from(at)))
+        );
     }
-    expect_that!(rest(true, &[(0, 15_000)], None, None), eq(&(IdleOutcome::Over, 15_000 + slack)));
+    expect_that!(rest(true, &[(0, 15_000)], None, None), eq(&(IdleOutcome::Close, 15_000 + slack)));
     // The bound is raised while it rests: the new one counts. It is lowered: its client may not know yet.
     let raised = [(0, 15_000), (9_000, 30_000)];
-    expect_that!(rest(true, &raised, None, Some(24_000)), eq(&(IdleOutcome::Request, 24_000)));
+    expect_that!(rest(true, &raised, None, Some(24_000)), eq(&(IdleOutcome::RequestStarted, 24_000)));
     let (over, at) = rest(true, &raised, None, None);
-    expect_that!((over, at), eq(&(IdleOutcome::Over, 30_000 + slack)));
-    expect_that!(rest(true, &[(0, 15_000), (2_000, 5_000)], None, Some(12_000)).0, eq(&IdleOutcome::Request));
+    expect_that!((over, at), eq(&(IdleOutcome::Close, 30_000 + slack)));
+    expect_that!(
+        rest(true, &[(0, 15_000), (2_000, 5_000)], None, Some(12_000)).0,
+        eq(&IdleOutcome::RequestStarted)
+    );
     // This process ends: what rests is closed when it is time, and not before.
-    expect_that!(rest(true, &[(0, 15_000)], Some(2_600), Some(2_599)), eq(&(IdleOutcome::Request, 2_599)));
-    expect_that!(rest(true, &[(0, 15_000)], Some(2_600), None), eq(&(IdleOutcome::Over, 2_600)));
+    expect_that!(
+        rest(true, &[(0, 15_000)], Some(2_600), Some(2_599)),
+        eq(&(IdleOutcome::RequestStarted, 2_599))
+    );
+    expect_that!(rest(true, &[(0, 15_000)], Some(2_600), None), eq(&(IdleOutcome::Close, 2_600)));
     // One that was just opened is heard first.
-    expect_that!(rest(false, &[(0, 15_000)], Some(0), Some(900)), eq(&(IdleOutcome::Request, 900)));
+    expect_that!(rest(false, &[(0, 15_000)], Some(0), Some(900)), eq(&(IdleOutcome::RequestStarted, 900)));
     expect_that!(
         rest(false, &[(0, 15_000)], Some(0), None),
-        eq(&(IdleOutcome::Over, FIRST_WITHIN.as_millis()))
+        eq(&(IdleOutcome::Close, FIRST_WITHIN.as_millis()))
     );
 }
 
--- a/crates/gateway/src/transport/peer_link.rs
+++ b/crates/gateway/src/transport/peer_link.rs
@@ -31,7 +31,7 @@
     /// It is up.
     Up,
     /// A message came.
-    Said(PeerMessage),
+    Received(PeerMessage),
     /// It is down.
     Down,
 }
@@ -41,18 +41,18 @@
     /// It is up.
     pub up: fn(IpAddr) -> E,
     /// A message came.
-    pub said: fn(IpAddr, PeerMessage) -> E,
+    pub received: fn(IpAddr, PeerMessage) -> E,
     /// It is down.
     pub down: fn(IpAddr) -> E,
 }
 
 impl<E> LinkEventMapper<E> {
     /// Hands them on.
-    pub fn of(self, ip: IpAddr, mut handle: impl FnMut(E)) -> impl FnMut(LinkEvent) {
+    pub fn for_peer(self, ip: IpAddr, mut handle: impl FnMut(E)) -> impl FnMut(LinkEvent) {
         move |happens| {
             handle(match happens {
                 LinkEvent::Up => (self.up)(ip),
-                LinkEvent::Said(msg) => (self.said)(ip, msg),
+                LinkEvent::Received(msg) => (self.received)(ip, msg),
                 LinkEvent::Down => (self.down)(ip),
             });
         }
@@ -131,7 +131,8 @@
                 return;
             }
             happens(LinkEvent::Up);
-            let ended = converse(stream, &mut outgoing, SILENCE, |msg| happens(LinkEvent::Said(msg))).await;
+            let ended =
+                converse(stream, &mut outgoing, SILENCE, |msg| happens(LinkEvent::Received(msg))).await;
             tracing::debug!(%address, error = ended.err().map(|e| e.to_string()), "link down");
             happens(LinkEvent::Down);
         }
@@ -143,7 +144,7 @@
 }
 
 /// The next connection that somebody opens; where none can be taken now, it is tried again.
-pub async fn accepted(listener: &TcpListener) -> TcpStream {
+pub async fn accept_connection(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
@@ -185,7 +186,7 @@
             match what {
                 LinkEvent::Up => noted.set(true),
                 LinkEvent::Down => noted.set(false),
-                LinkEvent::Said(_) => {}
+                LinkEvent::Received(_) => {}
             }
             happens(what);
         };
@@ -200,7 +201,7 @@
     }
 
     /// Says something to it.
-    pub fn say(&self, ip: IpAddr, msg: PeerMessage) {
+    pub fn send(&self, ip: IpAddr, msg: PeerMessage) {
         if let Some(queue) = self.queues.borrow().get(&ip).filter(|q| q.up.get()) {
             let _ = queue.sender.send(msg);
         }
@@ -215,11 +216,11 @@
 ) {
     let mut number = 0;
     loop {
-        let stream = accepted(&listener).await;
+        let stream = accept_connection(&listener).await;
         number += 1;
         let (mut outgoing, happens) = (opened(number), happens.clone());
         tokio::task::spawn_local(async move {
-            let heard = |msg| happens(number, LinkEvent::Said(msg));
+            let heard = |msg| happens(number, LinkEvent::Received(msg));
             let _ = converse(stream, &mut outgoing, SILENCE, heard).await;
             happens(number, LinkEvent::Down);
         });
--- a/crates/gateway/src/transport/upstream_pool.rs
+++ b/crates/gateway/src/transport/upstream_pool.rs
@@ -8,13 +8,13 @@
 #[cfg(test)]
 mod tests;
 
-use crate::transport::http_server::{self, quiet};
+use crate::transport::http_server::{self, is_idle};
 use actix_http::h1::ClientCodec;
 use actix_http::header::{HeaderMap, HeaderValue};
 use actix_http::uri::Uri;
 use actix_http::{Method, ServiceConfig, StatusCode};
 use bytes::Bytes;
-use exchange::{encode, exchange, judge, ExchangeError};
+use exchange::{classify, encode, exchange, ExchangeError};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -28,7 +28,7 @@
 /// A connection comes up within this: a worker that is down says nothing.
 const DIAL: Duration = Duration::from_millis(200);
 /// Idle connections are looked at this often.
-pub const LOOK: Duration = Duration::from_millis(250);
+pub const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 /// Before anything is known of when workers close idle connections.
 const IDLE_FIRST: Duration = Duration::from_millis(2500);
 /// So many of the last ids that went out on a connection are remembered.
@@ -51,7 +51,7 @@
     /// Its id.
     pub id: HeaderValue,
     /// May it run more than once?
-    pub repeatable: bool,
+    pub is_idempotent: bool,
     /// When its client leaves.
     pub deadline: Instant,
 }
@@ -73,14 +73,14 @@
     /// For the module.
     pub ending: Ending,
     /// The worker's answer, where there is one to pass on.
-    pub reply: Option<UpstreamResponse>,
+    pub response: Option<UpstreamResponse>,
     /// Another worker answered at this address.
     pub misdirected: bool,
 }
 
 impl AttemptOutcome {
     fn with(ending: Ending) -> Self {
-        AttemptOutcome { ending, reply: None, misdirected: false }
+        AttemptOutcome { ending, response: None, misdirected: false }
     }
 }
 
@@ -110,7 +110,7 @@
     learned: Cell<Option<Duration>>,
     config: ServiceConfig,
     /// Connections opened so far.
-    pub opened: Cell<u64>,
+    pub connections_opened: Cell<u64>,
 }
 
 struct Open(Rc<Cell<usize>>);
@@ -129,8 +129,8 @@
             open: Rc::default(),
             most,
             learned: Cell::new(None),
-            config: http_server::config(),
-            opened: Cell::new(0),
+            config: http_server::service_config(),
+            connections_opened: Cell::new(0),
         }
     }
 
@@ -140,7 +140,7 @@
         let part = if repeatable { IDLE_ANY } else { IDLE_ONCE };
         let most = known.map_or(IDLE_FIRST, |known| known.mul_f64(part));
         let most = if repeatable && known.is_none() { 4 * most } else { most };
-        idle.since.elapsed() < most && quiet(&idle.stream)
+        idle.since.elapsed() < most && is_idle(&idle.stream)
     }
 
     /// The connection that was used last, of those on which this request may go out.
@@ -148,29 +148,29 @@
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(worker)?;
         let id = hash(&forward.id);
-        let fits = |i: &Idle| !i.ids.contains(&id) && self.usable(i, forward.repeatable);
+        let fits = |i: &Idle| !i.ids.contains(&id) && self.usable(i, forward.is_idempotent);
         let at = idle.iter().rposition(fits)?;
         Some(idle.remove(at))
     }
 
     fn give_back(&self, worker: &Arc<str>, idle: Idle) {
-        if quiet(&idle.stream) && idle.keeps.is_none_or(|keeps| !keeps.is_zero()) {
+        if is_idle(&idle.stream) && idle.keeps.is_none_or(|keeps| !keeps.is_zero()) {
             self.idle.borrow_mut().entry(Arc::clone(worker)).or_default().push(idle);
         }
     }
 
     /// Closes the idle connections to a worker.
-    pub fn close(&self, worker: &str) {
+    pub fn close_idle(&self, worker: &str) {
         self.idle.borrow_mut().remove(worker);
     }
 
     /// Looks at the idle connections: those that were closed go, and tell how long they were kept.
-    pub fn look(&self) {
+    pub fn sweep_idle(&self) {
         self.idle.borrow_mut().retain(|_, idle| {
             idle.retain(|i| {
                 let age = i.since.elapsed();
                 let known = i.keeps.or(self.learned.get());
-                let keep = quiet(&i.stream);
+                let keep = is_idle(&i.stream);
                 if !keep && age > Duration::from_millis(500) && i.keeps.is_none() {
                     self.learned.set(Some(self.learned.get().map_or(age, |l| l.min(age))));
                 }
@@ -216,7 +216,7 @@
                 }
                 self.open.set(self.open.get() + 1);
                 let open = Open(Rc::clone(&self.open));
-                self.opened.set(self.opened.get() + 1);
+                self.connections_opened.set(self.connections_opened.get() + 1);
                 match tokio::time::timeout(DIAL, TcpStream::connect(address)).await {
                     Ok(Ok(stream)) => {
                         let _ = stream.set_nodelay(true);
@@ -242,11 +242,11 @@
                     let (since, keeps) = (Instant::now(), answer.keeps);
                     self.give_back(worker, Idle { stream, open, since, keeps, ids });
                 }
-                judge(answer.reply)
+                classify(answer.reply)
             }
-            Err(ExchangeError::Unsent) => AttemptOutcome::with(Ending::ConnectFailed),
-            Err(ExchangeError::Garbled) => AttemptOutcome::with(Ending::Error),
-            Err(ExchangeError::Ended) => AttemptOutcome::with(Ending::Reset),
+            Err(ExchangeError::NotSent) => AttemptOutcome::with(Ending::ConnectFailed),
+            Err(ExchangeError::InvalidResponse) => AttemptOutcome::with(Ending::Error),
+            Err(ExchangeError::ConnectionLost) => AttemptOutcome::with(Ending::Reset),
         }
     }
 
--- a/crates/gateway/src/transport/upstream_pool/exchange.rs
+++ b/crates/gateway/src/transport/upstream_pool/exchange.rs
@@ -36,16 +36,16 @@
 #[derive(Debug, PartialEq)]
 pub enum ExchangeError {
     /// Not a byte of the request went out.
-    Unsent,
+    NotSent,
     /// The connection ended, or broke.
-    Ended,
+    ConnectionLost,
     /// What came is no answer to be passed on.
-    Garbled,
+    InvalidResponse,
 }
 
 impl From<std::io::Error> for ExchangeError {
     fn from(_: std::io::Error) -> Self {
-        ExchangeError::Ended
+        ExchangeError::ConnectionLost
     }
 }
 
@@ -64,27 +64,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseOwner {
     /// This request's.
-    Ours,
+    ThisRequest,
     /// Another's: it came late, or too often.
-    Others,
+    OtherRequest,
     /// It names none, or several.
-    Nobodys,
+    Unidentified,
 }
 
 /// Whose is the answer with this head, on a connection where the request of this id waits?
-pub fn whose(head: &ResponseHead, id: &HeaderValue) -> ResponseOwner {
+pub fn response_owner(head: &ResponseHead, id: &HeaderValue) -> ResponseOwner {
     let mut told = head.headers.get_all("x-attempt-id");
     match (told.next(), told.next()) {
-        (Some(told), None) if told.is_empty() => ResponseOwner::Nobodys,
-        (Some(told), None) if told == id => ResponseOwner::Ours,
-        (Some(_), None) => ResponseOwner::Others,
-        _ => ResponseOwner::Nobodys,
+        (Some(told), None) if told.is_empty() => ResponseOwner::Unidentified,
+        (Some(told), None) if told == id => ResponseOwner::ThisRequest,
+        (Some(_), None) => ResponseOwner::OtherRequest,
+        _ => ResponseOwner::Unidentified,
     }
 }
 
 /// Can an answer with this head be passed on, or believed, if it is whole? A success has the worker's stamp, is as the
 /// client asked for it, and does not say that it has not run.
-pub fn is_sound(head: &ResponseHead) -> bool {
+pub fn is_acceptable(head: &ResponseHead) -> bool {
     let has = |name: &str| head.headers.contains_key(name);
     let good = !head.status.is_success() || has("x-server-seal") && !has("x-not-executed");
     good && !head.headers.contains_key(CONTENT_ENCODING)
@@ -142,11 +142,11 @@
         // A worker may turn a request away before it has read all of it.
         early = &mut answer => {
             let early = early.map(|answered| ExchangeResult { reusable: false, ..answered });
-            return if written.get() { early } else { Err(ExchangeError::Unsent) };
+            return if written.get() { early } else { Err(ExchangeError::NotSent) };
         }
     };
     if !written.get() {
-        return Err(ExchangeError::Unsent);
+        return Err(ExchangeError::NotSent);
     }
     // Of a request that is cut off somewhere the worker may make what it likes; it may have said so.
     let answered = answer.await?;
@@ -156,7 +156,7 @@
 async fn more<R: AsyncRead + Unpin>(stream: &mut R, read: &mut BytesMut) -> Result<(), ExchangeError> {
     read.reserve(4096);
     match stream.read_buf(read).await? {
-        0 => Err(ExchangeError::Ended),
+        0 => Err(ExchangeError::ConnectionLost),
         _ => Ok(()),
     }
 }
@@ -172,21 +172,21 @@
     loop {
         let Whole { head, body, clean, codec: back } = one(codec, stream, &mut read).await?;
         codec = back;
-        match whose(&head, id) {
-            ResponseOwner::Ours => {}
-            ResponseOwner::Others if clean => {
+        match response_owner(&head, id) {
+            ResponseOwner::ThisRequest => {}
+            ResponseOwner::OtherRequest if clean => {
                 tracing::warn!("a surplus answer of a worker came first");
                 reusable = false;
                 continue;
             }
-            ResponseOwner::Others => return Err(ExchangeError::Garbled),
-            ResponseOwner::Nobodys => {
+            ResponseOwner::OtherRequest => return Err(ExchangeError::InvalidResponse),
+            ResponseOwner::Unidentified => {
                 tracing::warn!(status = head.status.as_u16(), "an answer of a worker names no request");
-                return Err(ExchangeError::Garbled);
+                return Err(ExchangeError::InvalidResponse);
             }
         }
-        if !is_sound(&head) {
-            return Err(ExchangeError::Garbled);
+        if !is_acceptable(&head) {
+            return Err(ExchangeError::InvalidResponse);
         }
         reusable &= codec.keep_alive() && head.version == Version::HTTP_11 && clean && read.is_empty();
         let keeps = head.headers.get("keep-alive").and_then(|v| keep_alive(v.to_str().ok()?));
@@ -225,15 +225,15 @@
     let head = loop {
         // Empty lines ahead of a head are passed over; they may be the end of something else.
         clean &= !matches!(read.first(), Some(b'\r' | b'\n'));
-        match codec.decode(read).map_err(|_| ExchangeError::Garbled)? {
+        match codec.decode(read).map_err(|_| ExchangeError::InvalidResponse)? {
             None => more(stream, read).await?,
             Some(head) if head.status == StatusCode::SWITCHING_PROTOCOLS => {
-                return Err(ExchangeError::Garbled)
+                return Err(ExchangeError::InvalidResponse)
             }
             // One that is not final has no body, whatever it says.
             Some(head) if head.status.is_informational() => {
                 if codec.message_type() != MessageType::None {
-                    return Err(ExchangeError::Garbled);
+                    return Err(ExchangeError::InvalidResponse);
                 }
             }
             Some(head) => break head,
@@ -244,7 +244,7 @@
     let chunked = encodings.next().map(|v| v.as_bytes().eq_ignore_ascii_case(b"chunked"));
     if lengths > 1 || chunked == Some(false) || chunked.is_some() && lengths > 0 || encodings.next().is_some()
     {
-        return Err(ExchangeError::Garbled);
+        return Err(ExchangeError::InvalidResponse);
     }
     let none = codec.message_type() == MessageType::None;
     if matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) {
@@ -253,7 +253,7 @@
     }
     if chunked.is_none() && lengths == 0 {
         // The end of the connection would be its end: whether it is whole can't be told.
-        return Err(ExchangeError::Garbled);
+        return Err(ExchangeError::InvalidResponse);
     }
     if none {
         return Ok(Whole { head, body: Bytes::new(), clean, codec });
@@ -261,10 +261,10 @@
     let mut payload = codec.into_payload_codec();
     let mut body = BytesMut::new();
     loop {
-        match payload.decode(read).map_err(|_| ExchangeError::Garbled)? {
+        match payload.decode(read).map_err(|_| ExchangeError::InvalidResponse)? {
             Some(Some(chunk)) => {
                 if body.len() + chunk.len() > BODY_MOST {
-                    return Err(ExchangeError::Garbled);
+                    return Err(ExchangeError::InvalidResponse);
                 }
                 body.extend_from_slice(&chunk);
             }
@@ -283,10 +283,10 @@
 }
 
 /// What a whole answer means.
-pub fn judge(reply: UpstreamResponse) -> AttemptOutcome {
+pub fn classify(reply: UpstreamResponse) -> AttemptOutcome {
     let misdirected = reply.status == StatusCode::MISDIRECTED_REQUEST;
     if misdirected || reply.headers.contains_key("x-not-executed") {
-        return AttemptOutcome { ending: Ending::Full, reply: None, misdirected };
+        return AttemptOutcome { ending: Ending::Full, response: None, misdirected };
     }
     let promise = matches!(reply.status.as_u16(), 408 | 429 | 503);
     let ending = match reply.status.as_u16() {
@@ -294,5 +294,5 @@
         _ => Ending::Error,
     };
     // Without the worker's word for it such a status would promise what nobody knows.
-    AttemptOutcome { ending, reply: Some(reply).filter(|_| !promise), misdirected }
+    AttemptOutcome { ending, response: Some(reply).filter(|_| !promise), misdirected }
 }
--- a/crates/gateway/src/transport/upstream_pool/pool_tests.rs
+++ b/crates/gateway/src/transport/upstream_pool/pool_tests.rs
@@ -61,7 +61,7 @@
 }
 
 fn body(ended: &AttemptOutcome) -> String {
-    let reply = ended.reply.as_ref().map(|r| String::from_utf8_lossy(&r.body).into_owned());
+    let reply = ended.response.as_ref().map(|r| String::from_utf8_lossy(&r.body).into_owned());
     reply.unwrap_or_else(|| format!("{:?}", ended.ending))
 }
 
@@ -119,7 +119,7 @@
                 tokio::task::yield_now().await;
                 turn.notified().await;
                 expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"), "after {behind:?}, {ends:?}");
-                worker.courier.opened.get()
+                worker.courier.connections_opened.get()
             };
             tokio::select! {
                 opened = ask => opened,
@@ -149,7 +149,7 @@
         let ask = async {
             for opened in [1, 1, 2] {
                 expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"));
-                expect_that!(worker.courier.opened.get(), eq(opened));
+                expect_that!(worker.courier.connections_opened.get(), eq(opened));
             }
         };
         tokio::select! {
@@ -189,7 +189,7 @@
             () = ask => {}
             () = serve => unreachable!(),
         }
-        expect_that!(worker.courier.opened.get(), eq(2));
+        expect_that!(worker.courier.connections_opened.get(), eq(2));
     });
 }
 
@@ -212,7 +212,7 @@
             expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"));
             let ended = worker.ask("i-2", 0).await;
             expect_that!((ended.ending, ended.misdirected), eq((Ending::Full, true)));
-            expect_that!(ended.reply.is_none(), eq(true));
+            expect_that!(ended.response.is_none(), eq(true));
         };
         tokio::select! {
             () = ask => {}
@@ -283,7 +283,7 @@
                     expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"));
                 }
                 expect_that!(body(&worker.ask_as("again", "i-1", 0).await), eq("papers"), "{between}");
-                expect_that!(worker.courier.opened.get(), eq(2), "{between}");
+                expect_that!(worker.courier.connections_opened.get(), eq(2), "{between}");
             };
             tokio::select! {
                 () = ask => {}
@@ -319,7 +319,11 @@
                 for _ in 0..2 {
                     expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"));
                 }
-                expect_that!(worker.courier.opened.get(), eq(if again { 1 } else { 2 }), "{keeps}");
+                expect_that!(
+                    worker.courier.connections_opened.get(),
+                    eq(if again { 1 } else { 2 }),
+                    "{keeps}"
+                );
             };
             tokio::select! {
                 () = ask => {}
--- a/crates/gateway/src/transport/upstream_pool/tests.rs
+++ b/crates/gateway/src/transport/upstream_pool/tests.rs
@@ -82,7 +82,7 @@
         headers: HeaderMap::new(),
         body,
         id: HeaderValue::from_static("id-1"),
-        repeatable,
+        is_idempotent: repeatable,
         deadline: Instant::now() + Duration::from_secs(60),
     }
 }
@@ -138,7 +138,7 @@
 }
 
 fn player<T>(with: impl FnOnce(Player) -> T) -> T {
-    local(async { with(Player { config: http_server::config() }) })
+    local(async { with(Player { config: http_server::service_config() }) })
 }
 
 const OURS: &str = "X-Attempt-Id: id-1\r\nX-Server-Seal: s\r\n";
@@ -259,7 +259,11 @@
                     match end {
                         _ if cut == bytes.len() => assert_that!(told, ok(some(eq(&seen)))),
                         End::Silence => assert_that!(told, ok(none()), "{what}, silent at {cut}"),
-                        _ => assert_that!(told, err(eq(&ExchangeError::Ended)), "{what}, {end:?} at {cut}"),
+                        _ => assert_that!(
+                            told,
+                            err(eq(&ExchangeError::ConnectionLost)),
+                            "{what}, {end:?} at {cut}"
+                        ),
                     }
                 }
                 // In three pieces.
@@ -393,14 +397,14 @@
         for takes in 0..whole.took.len() {
             let mut cut = worker(takes, String::new());
             let (told, written) = player.send(&forward, &mut cut);
-            let expected = if takes == 0 { ExchangeError::Unsent } else { ExchangeError::Ended };
+            let expected = if takes == 0 { ExchangeError::NotSent } else { ExchangeError::ConnectionLost };
             expect_that!(told, err(eq(&expected)), "{takes}");
             expect_that!((written, cut.took.len()), eq((takes > 0, takes)));
             // A worker that turns it away before it has read all of it is heard.
             let mut cut = worker(takes, turned.into());
             let (told, _) = player.send(&forward, &mut cut);
             match takes {
-                0 => expect_that!(told, err(eq(&ExchangeError::Unsent))),
+                0 => expect_that!(told, err(eq(&ExchangeError::NotSent))),
                 _ => expect_that!(told, ok(some(eq(&(503, String::new(), false))))),
             }
         }
@@ -414,7 +418,7 @@
         let line = "X-Long: 0123456789abcdef\r\n".repeat(40);
         let mut says = vec![b"HTTP/1.1 200 OK\r\n".as_slice()];
         says.extend(std::iter::repeat_n(line.as_bytes(), 1000));
-        expect_that!(player.play(Method::GET, &says, End::Silence), err(eq(&ExchangeError::Garbled)));
+        expect_that!(player.play(Method::GET, &says, End::Silence), err(eq(&ExchangeError::InvalidResponse)));
     });
 }
 
@@ -455,20 +459,22 @@
             );
             let told = local(async {
                 let (mut client, server) = tokio::io::duplex(1 << 16);
-                let mut connection = http_server::Connection::over(server, &http_server::config());
+                let mut connection =
+                    http_server::Connection::from_stream(server, &http_server::service_config());
                 tokio::io::AsyncWriteExt::write_all(&mut client, text.as_bytes()).await.expect("taken");
                 let second = Duration::from_secs(1);
                 let bounds = http_server::RequestLimits {
-                    head_bytes: 4096,
-                    body_bytes: 64,
-                    head_within: second,
-                    body_within: second,
+                    max_head_bytes: 4096,
+                    max_body_bytes: 64,
+                    head_timeout: second,
+                    body_timeout: second,
                 };
-                let whole = connection.request(&bounds, &http_server::BodyBudget::new(4096)).await.ok()?;
+                let whole =
+                    connection.read_request(&bounds, &http_server::BodyBudget::new(4096)).await.ok()?;
                 let (method, uri) = (whole.head.method().clone(), whole.head.uri().clone());
                 let headers = whole.head.headers().clone();
                 let forward = ForwardedRequest { uri, headers, ..forward(method, None, false) };
-                encode(&mut ClientCodec::new(http_server::config()), &forward, None, "i-1")
+                encode(&mut ClientCodec::new(http_server::service_config()), &forward, None, "i-1")
             });
             let Some(told) = told else {
                 refused.push(target);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -269,13 +269,13 @@
             Who::Edge(n) => (n, false),
         };
         let text = include_str!("../../gateway/tests/fixtures/settings.toml");
-        let mut settings = Settings::read(text).expect("settings");
+        let mut settings = Settings::from_toml(text).expect("settings");
         settings.node = format!("{}-{n}", if core { "core" } else { "edge" });
         settings.ip = if core { core_ip(n) } else { IpAddr::V4(Ipv4Addr::new(10, 0, 2, n as u8 + 1)) };
         settings.zone = zone(n);
         settings.cold_start = if core { self.cores[n].cold } else { self.edges[n].life == 0 };
         settings.seeds = self.seeds(who);
-        settings.envelope.resync = std::time::Duration::from_secs_f64(self.plan.resync);
+        settings.envelope.resync_bound = std::time::Duration::from_secs_f64(self.plan.resync);
         settings.tolerance = LossTolerance { machines: self.plan.losses, zones: 0, regions: 0 };
         settings
     }
