--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -123,7 +123,7 @@
     fn leave(&self, now: f64) -> SendPermissions {
         let news = self.context.has_majority(now);
         let whole = news && self.raft.is_attached(self.context.log_time(now));
-        let most = self.context.settings.memory as usize / MEMORY_PART / self.sessions.len().max(1);
+        let most = self.context.settings.memory_bytes as usize / MEMORY_PART / self.sessions.len().max(1);
         SendPermissions { whole, news, most: most.max(LEAST) }
     }
 
@@ -209,7 +209,7 @@
             out.extend(news.map(|workers| Effect::SendToSession(conn, PeerMessage::WorkerUpdates(workers))));
         }
         let lacks = !caller.told || caller.workers.is_none();
-        let most = self.context.settings.memory as usize / MEMORY_PART;
+        let most = self.context.settings.memory_bytes as usize / MEMORY_PART;
         let room = self.transfer_pacing.wholes > 0.0
             && (self.transfer_pacing.under_way == 0 || self.transfer_pacing.under_way < most);
         if !(lacks && leave.whole && room && caller.link.takes_whole(leave.most)) {
