--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -1,6 +1,6 @@
 //! The auditor: what RULES forbids, by what workers, clients and the operator saw.
 
-use super::{Plan, WorkerAttempt};
+use super::{DeploymentPlan, WorkerAttempt};
 use std::collections::{BTreeMap, HashMap};
 use whinstall_gateway::configuration::{ConfigItem, ItemKind};
 use whinstall_gateway::data_plane::requests::FinalResponse;
@@ -10,7 +10,7 @@
 const HORIZON: f64 = 5.0;
 const WINDOW: f64 = 10.0;
 
-struct Asked {
+struct AuditedRequest {
     at: f64,
     key: &'static str,
     path: &'static str,
@@ -19,8 +19,8 @@
     arrivals: u32,
 }
 
-pub struct Audit {
-    asked: Vec<Asked>,
+pub struct Auditor {
+    asked: Vec<AuditedRequest>,
     quotas: HashMap<&'static str, f64>,
     /// Runs by key.
     runs: HashMap<&'static str, Vec<f64>>,
@@ -39,9 +39,9 @@
     pub read_at: f64,
 }
 
-impl Audit {
-    pub fn new(plan: &Plan) -> Self {
-        Audit {
+impl Auditor {
+    pub fn new(plan: &DeploymentPlan) -> Self {
+        Auditor {
             asked: Vec::new(),
             quotas: HashMap::from([("key-big", plan.quota), ("key-small", 6.0)]),
             runs: HashMap::new(),
@@ -58,7 +58,7 @@
     }
 
     pub fn asked(&mut self, at: f64, _: usize, _: u64, key: &'static str, path: &'static str) -> u64 {
-        self.asked.push(Asked { at, key, path, runs: 0, answer: None, arrivals: 0 });
+        self.asked.push(AuditedRequest { at, key, path, runs: 0, answer: None, arrivals: 0 });
         self.asked.len() as u64 - 1
     }
 
--- a/crates/simulation/src/external_actors.rs
+++ b/crates/simulation/src/external_actors.rs
@@ -1,7 +1,7 @@
 //! Workers, clients and the operator, as PROTOCOL has them.
 
-use super::partitions::Party;
-use super::{Call, Caller, SimulationEvent, WorkerAttempt, World};
+use super::partitions::Participant;
+use super::{CallOrigin, ControlCall, SimulationEvent, WorkerAttempt, World};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use whinstall_gateway::discovery::{Worker, WorkerPhase};
 
 /// A worker.
-pub struct Wk {
+pub struct SimulatedWorker {
     pub id: Arc<str>,
     pub service: usize,
     pub zone: String,
@@ -32,9 +32,9 @@
 const SLOTS: usize = 3;
 const QUEUE: usize = 4;
 
-impl Wk {
+impl SimulatedWorker {
     pub fn new(n: usize, service: usize, zone: &str) -> Self {
-        Wk {
+        SimulatedWorker {
             id: format!("i-{n}").into(),
             service,
             zone: zone.into(),
@@ -71,36 +71,36 @@
 impl World {
     // Calls to the core.
 
-    pub fn call(&mut self, core: usize, by: Caller) {
+    pub fn call(&mut self, core: usize, by: CallOrigin) {
         let id = self.rng.u64(..);
         let core = self.pick(core);
-        let call = Call { id, core, by };
+        let call = ControlCall { id, core, by };
         self.calls.insert(id, call.clone());
         let delay = self.delay();
         self.after(delay, SimulationEvent::CallArrives(core, call));
-        self.after(1.0, SimulationEvent::CallLate(id));
+        self.after(1.0, SimulationEvent::CallTimedOut(id));
     }
 
-    pub fn call_arrives(&mut self, core: usize, call: Call) {
+    pub fn call_arrives(&mut self, core: usize, call: ControlCall) {
         if self.cores[core].core.is_none() {
             return;
         }
-        if !self.links.reaches(self.sender(&call.by), Party::Core(core)) {
+        if !self.links.reaches(self.sender(&call.by), Participant::Core(core)) {
             return;
         }
         let command = match &call.by {
-            Caller::Beat(n) => ApiCommand::Beat(self.say_of(*n)),
-            Caller::Depart(n) => ApiCommand::Departure(self.workers[*n].id.to_string()),
-            Caller::Amend(items) => ApiCommand::Amend(items.clone()),
-            Caller::Order { order, .. } => ApiCommand::Amend(self.desk.orders[*order].items.clone()),
-            Caller::Look { .. } => ApiCommand::Read,
-            Caller::Read => {
+            CallOrigin::Beat(n) => ApiCommand::Beat(self.say_of(*n)),
+            CallOrigin::Depart(n) => ApiCommand::Departure(self.workers[*n].id.to_string()),
+            CallOrigin::Amend(items) => ApiCommand::Amend(items.clone()),
+            CallOrigin::Order { order, .. } => ApiCommand::Amend(self.desk.orders[*order].items.clone()),
+            CallOrigin::Look { .. } => ApiCommand::Read,
+            CallOrigin::Read => {
                 self.audit.reads(self.now);
                 ApiCommand::Read
             }
         };
         self.pending.insert((core, call.id), call.id);
-        if self.spoils(core, &call, &command) {
+        if self.answers_wrongly(core, &call, &command) {
             return;
         }
         self.core_event(core, control_plane::Event::Call(call.id, command));
@@ -120,8 +120,8 @@
         }
     }
 
-    fn by_operator(&self, call: &Call) -> bool {
-        matches!(self.sender(&call.by), Party::Operator(_))
+    fn by_operator(&self, call: &ControlCall) -> bool {
+        matches!(self.sender(&call.by), Participant::Operator(_))
     }
 
     pub fn replied(&mut self, core: usize, call: u64, status: u16, body: &serde_json::Value) {
@@ -131,111 +131,111 @@
         if self.by_operator(&call) {
             self.operator_answered(core, status);
         }
-        if matches!(call.by, Caller::Beat(_) | Caller::Depart(_)) {
+        if matches!(call.by, CallOrigin::Beat(_) | CallOrigin::Depart(_)) {
             self.worker_answered(core, status);
         }
-        if let Caller::Order { order, .. } = call.by {
+        if let CallOrigin::Order { order, .. } = call.by {
             self.order_answered(order, core, status);
         }
-        let clerk = matches!(call.by, Caller::Order { .. } | Caller::Look { .. });
+        let clerk = matches!(call.by, CallOrigin::Order { .. } | CallOrigin::Look { .. });
         let deaf = Some(self.deaf.1).filter(|_| self.now < self.deaf.0 && self.by_operator(&call));
         let part = deaf.or(Some(self.plan.crew.lost).filter(|_| clerk)).filter(|_| !self.operator.done);
         let lost = part.is_some_and(|part| self.rng.f64() < part);
-        if lost || !self.links.reaches(Party::Core(core), self.sender(&call.by)) {
+        if lost || !self.links.reaches(Participant::Core(core), self.sender(&call.by)) {
             return;
         }
-        if let (Caller::Look { .. }, 200) = (&call.by, status) {
+        if let (CallOrigin::Look { .. }, 200) = (&call.by, status) {
             self.read_answered(call.id, body);
         }
-        if let (Caller::Read, 200) = (&call.by, status) {
+        if let (CallOrigin::Read, 200) = (&call.by, status) {
             self.audit.read_back(body);
         }
-        if let (Caller::Beat(n), 200) = (&call.by, status) {
+        if let (CallOrigin::Beat(n), 200) = (&call.by, status) {
             if self.workers[*n].phase == WorkerPhase::Draining && self.workers[*n].acked.is_none() {
                 self.workers[*n].acked = Some(self.now);
                 self.audit.leaving(&self.workers[*n].id, self.now);
             }
         }
-        if let (Caller::Amend(items), 200) = (&call.by, status) {
+        if let (CallOrigin::Amend(items), 200) = (&call.by, status) {
             self.audit.acknowledged(self.now, items);
         }
         let delay = self.delay();
-        self.after(delay, SimulationEvent::CallBack(call, status));
+        self.after(delay, SimulationEvent::CallAnswered(call, status));
     }
 
-    pub fn call_back(&mut self, call: Call, status: u16) {
+    pub fn call_back(&mut self, call: ControlCall, status: u16) {
         if self.calls.remove(&call.id).is_none() {
             return;
         }
-        if let Caller::Order { .. } = call.by {
+        if let CallOrigin::Order { .. } = call.by {
             return self.order_back(call, status);
         }
         if status != 200 && status != 400 && status != 409 {
             return self.call_failed(call);
         }
         match call.by {
-            Caller::Beat(n) => {
+            CallOrigin::Beat(n) => {
                 let leaving =
                     self.workers[n].phase == WorkerPhase::Draining && self.workers[n].acked.is_some();
                 if leaving && !self.workers[n].departing {
                     self.workers[n].departing = true;
-                    self.after(2.8, SimulationEvent::Depart(n));
+                    self.after(2.8, SimulationEvent::WorkerDeparts(n));
                 }
                 let wait = 1.4 + 0.2 * self.rng.f64();
-                self.after(wait, SimulationEvent::Beat(n));
+                self.after(wait, SimulationEvent::HeartbeatDue(n));
             }
-            Caller::Depart(_) => {}
-            Caller::Amend(_) if status != 200 => {
+            CallOrigin::Depart(_) => {}
+            CallOrigin::Amend(_) if status != 200 => {
                 let text = format!("REFUSED {:.3}: a valid change gets {status}", self.now);
                 self.audit.broken.push(text);
             }
-            Caller::Order { .. } => {}
-            Caller::Look { clerk, from } => self.look_back(call.id, clerk, from),
-            Caller::Amend(_) => {
+            CallOrigin::Order { .. } => {}
+            CallOrigin::Look { clerk, from } => self.look_back(call.id, clerk, from),
+            CallOrigin::Amend(_) => {
                 self.operator.waits = None;
                 let wait = 0.3 + 0.8 * self.rng.f64();
-                self.after(wait, SimulationEvent::Operate);
+                self.after(wait, SimulationEvent::OperatorActs);
             }
-            Caller::Read => self.operator.read = Some(status),
+            CallOrigin::Read => self.operator.read = Some(status),
         }
     }
 
-    pub fn call_failed(&mut self, call: Call) {
+    pub fn call_failed(&mut self, call: ControlCall) {
         let pause = 0.1 + 0.2 * self.rng.f64();
         match call.by.clone() {
-            Caller::Order { .. } => self.order_failed(call),
-            Caller::Look { clerk, .. } => {
+            CallOrigin::Order { .. } => self.order_failed(call),
+            CallOrigin::Look { clerk, .. } => {
                 let from = self.now;
-                self.call(call.core + 1, Caller::Look { clerk, from });
+                self.call(call.core + 1, CallOrigin::Look { clerk, from });
             }
-            Caller::Beat(n) => {
+            CallOrigin::Beat(n) => {
                 self.workers[n].core = call.core + 1;
-                self.after(0.01, SimulationEvent::Beat(n));
+                self.after(0.01, SimulationEvent::HeartbeatDue(n));
             }
-            Caller::Depart(_) => {}
+            CallOrigin::Depart(_) => {}
             // Unchanged, to another one.
-            Caller::Amend(_) => self.recall(call, pause),
-            Caller::Read => self.call(call.core + 1, Caller::Read),
+            CallOrigin::Amend(_) => self.recall(call, pause),
+            CallOrigin::Read => self.call(call.core + 1, CallOrigin::Read),
         }
     }
 
     /// The same call again, to another one.
-    pub fn recall(&mut self, call: Call, pause: f64) {
+    pub fn recall(&mut self, call: ControlCall, pause: f64) {
         let at = self.now + pause;
         let id = self.rng.u64(..);
         let core = self.pick(call.core + 1);
-        let call = Call { id, core, by: call.by };
+        let call = ControlCall { id, core, by: call.by };
         self.calls.insert(id, call.clone());
         self.at(at, SimulationEvent::CallArrives(core, call));
-        self.at(at + 1.0, SimulationEvent::CallLate(id));
+        self.at(at + 1.0, SimulationEvent::CallTimedOut(id));
     }
 
     pub fn read_back(&mut self) {
         self.operator.done = true;
         for clerk in 0..self.plan.crew.clerks {
-            self.turn(super::operators::Turn::Read(clerk));
+            self.turn(super::operators::OperatorStep::Read(clerk));
         }
-        self.call(0, Caller::Read);
+        self.call(0, CallOrigin::Read);
     }
 
     pub fn beat(&mut self, n: usize) {
@@ -244,20 +244,20 @@
         }
         self.workers[n].calls += 1;
         let core = self.workers[n].core;
-        self.call(core, Caller::Beat(n));
+        self.call(core, CallOrigin::Beat(n));
     }
 
     pub fn depart(&mut self, n: usize) {
         let core = self.workers[n].core;
-        self.call(core, Caller::Depart(n));
+        self.call(core, CallOrigin::Depart(n));
         self.workers[n].alive = false;
         // Its address goes to a new worker of another service.
         let (service, address, zone) = ((self.workers[n].service + 1) % 3, self.workers[n].address, "b");
         let fresh = self.workers.len();
-        let mut worker = Wk::new(fresh, service, zone);
+        let mut worker = SimulatedWorker::new(fresh, service, zone);
         worker.address = address;
         self.workers.push(worker);
-        self.after(2.0, SimulationEvent::Beat(fresh));
+        self.after(2.0, SimulationEvent::HeartbeatDue(fresh));
     }
 
     // The operator.
@@ -325,7 +325,7 @@
         self.audit.told(&items);
         self.operator.waits = Some(self.now);
         let core = self.operator.core + self.rng.usize(0..3);
-        self.call(core, Caller::Amend(items));
+        self.call(core, CallOrigin::Amend(items));
     }
 
     // Clients.
@@ -335,7 +335,7 @@
         let big = 0.4 * hot;
         let all = big + 0.6;
         let wait = -(1.0 - self.rng.f64()).ln() / (self.plan.rate * all);
-        self.after(wait, SimulationEvent::Ask);
+        self.after(wait, SimulationEvent::ClientRequest);
         let draw = self.rng.f64() * all;
         let key = if draw < big {
             "key-big"
@@ -394,32 +394,32 @@
             WorkerAttempt { edge: n, life, id: id.clone(), attempt, worker: index, host: worker, request };
         self.open.insert((n, life, id, attempt));
         let delay = self.delay();
-        self.after(delay, SimulationEvent::Arrive(hit.clone()));
-        self.after(within, SimulationEvent::Ended(hit, Ending::Timeout, false));
+        self.after(delay, SimulationEvent::AttemptArrives(hit.clone()));
+        self.after(within, SimulationEvent::AttemptEnded(hit, Ending::Timeout, false));
     }
 
     pub fn called_off(&mut self, n: usize, life: u64, id: RequestId, attempt: u32) {
         let Some(request) = self.asked.get(&(n, life, id.clone())).copied() else { return };
         let hit = WorkerAttempt { edge: n, life, id, attempt, worker: 0, host: HostId("".into()), request };
-        self.after(0.0, SimulationEvent::Ended(hit, Ending::Cancelled, false));
+        self.after(0.0, SimulationEvent::AttemptEnded(hit, Ending::Cancelled, false));
     }
 
     /// A request reaches the address where its worker was.
     pub fn arrive(&mut self, hit: WorkerAttempt) {
-        if !self.links.reaches(Party::Edge(hit.edge), Party::Worker(hit.worker)) {
+        if !self.links.reaches(Participant::Edge(hit.edge), Participant::Worker(hit.worker)) {
             return;
         }
         let back = self.delay();
         let address = self.workers[hit.worker].address;
         let Some(there) = self.workers.iter().rposition(|w| w.address == address && (w.alive || w.dark))
         else {
-            return self.after(back, SimulationEvent::Ended(hit, Ending::ConnectFailed, false));
+            return self.after(back, SimulationEvent::AttemptEnded(hit, Ending::ConnectFailed, false));
         };
         if self.workers[there].dark {
-            return self.after(0.2, SimulationEvent::Ended(hit, Ending::ConnectFailed, false));
+            return self.after(0.2, SimulationEvent::AttemptEnded(hit, Ending::ConnectFailed, false));
         }
         if there != hit.worker {
-            return self.after(back, SimulationEvent::Ended(hit, Ending::Full, true));
+            return self.after(back, SimulationEvent::AttemptEnded(hit, Ending::Full, true));
         }
         let edge = &self.edges[hit.edge];
         let in_touch = self.now > edge.trouble && self.now > self.unsettled;
@@ -430,7 +430,7 @@
         } else if w.queue.len() < QUEUE {
             w.queue.push_back(hit);
         } else {
-            self.after(back, SimulationEvent::Ended(hit, Ending::Full, false));
+            self.after(back, SimulationEvent::AttemptEnded(hit, Ending::Full, false));
         }
     }
 
@@ -440,7 +440,7 @@
         let calm = self.now > edge.trouble && self.now > self.unsettled;
         self.audit.runs(self.now, &hit, SERVICES[self.workers[n].service], calm);
         let work = 0.03 + 0.06 * self.rng.f64();
-        self.after(work, SimulationEvent::Finish(n, hit));
+        self.after(work, SimulationEvent::WorkerFinishes(n, hit));
     }
 
     pub fn finish(&mut self, n: usize, hit: WorkerAttempt) {
@@ -451,12 +451,12 @@
         if let Some(next) = next.filter(|_| alive) {
             self.run(n, next);
         }
-        if !self.links.reaches(Party::Worker(n), Party::Edge(hit.edge)) {
+        if !self.links.reaches(Participant::Worker(n), Participant::Edge(hit.edge)) {
             return;
         }
         let back = self.delay();
         let ending = if lost || !alive { Ending::Reset } else { Ending::Ok };
-        self.after(back, SimulationEvent::Ended(hit, ending, false));
+        self.after(back, SimulationEvent::AttemptEnded(hit, ending, false));
     }
 
     pub fn ended(&mut self, hit: WorkerAttempt, ending: Ending, misdirected: bool) {
@@ -468,7 +468,7 @@
         }
         if self.edges[hit.edge].frozen {
             self.open.insert((hit.edge, hit.life, hit.id.clone(), hit.attempt));
-            return self.after(0.05, SimulationEvent::Ended(hit, ending, misdirected));
+            return self.after(0.05, SimulationEvent::AttemptEnded(hit, ending, misdirected));
         }
         let whole = (ending == Ending::Ok).then_some(true);
         self.edge_call(hit.edge, |edge, now, out| {
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,8 +1,8 @@
 //! The troubles that a story may hold, and the simulated disk: what is synced, what is on its way, what a loss of power
 //! or of the disk leaves.
 
-use super::network::Who;
-use super::severe_faults::Severe;
+use super::network::NodeRef;
+use super::severe_faults::SevereFault;
 use super::{SimulationEvent, World};
 use whinstall_gateway::consensus::{Index, LogWrite, Snapshot, Term};
 use whinstall_gateway::control_plane::{self, CoreNode};
@@ -47,7 +47,7 @@
     },
     /// A process does not run for a while.
     Freeze {
-        who: Who,
+        who: NodeRef,
         secs: f64,
     },
     /// All core processes are killed at the same moment.
@@ -68,7 +68,7 @@
         worker: usize,
     },
     /// What operators call their worst days.
-    Severe(Severe),
+    Severe(SevereFault),
     /// One tenant sends this many times its usual.
     Hot {
         times: f64,
@@ -78,7 +78,7 @@
 
 /// A core machine's disk.
 #[derive(Default)]
-pub struct Disk {
+pub struct SimulatedDisk {
     pub held: LoadedState,
     pub writing: Vec<WriteBatch>,
     /// What is there of a snapshot that is not written yet.
@@ -105,7 +105,7 @@
     part.map_or(0, |p| p.1) + whole.sum::<usize>()
 }
 
-impl Disk {
+impl SimulatedDisk {
     /// What a process that starts finds; a new disk gets its identity first.
     pub fn open(&mut self, first: bool, rng: &mut fastrand::Rng) -> LoadedState {
         self.held.fresh = !std::mem::replace(&mut self.made, true);
@@ -185,7 +185,7 @@
             self.mark = None;
         }
         if wipe {
-            *self = Disk::default();
+            *self = SimulatedDisk::default();
         }
     }
 }
@@ -215,11 +215,11 @@
             None if told => node.disk.mark = Some(false),
             Some(false) => node.disk.mark = Some(true),
             _ => {
-                let settings = Settings { cold_start: told, ..self.settings(Who::Core(n)) };
+                let settings = Settings { cold_start: told, ..self.settings(NodeRef::Core(n)) };
                 return self.start_core(n, settings);
             }
         }
-        self.after(self.plan.making, SimulationEvent::Making(n, life, told));
+        self.after(self.plan.making, SimulationEvent::CreatingDisk(n, life, told));
     }
 
     /// The rules that a gatekeeper keeps while it is in touch wait for so long.
@@ -232,33 +232,33 @@
         let contact = 3.0;
         match &fault {
             Fault::KillCore { core, down, power, wipe } => {
-                self.kill(Who::Core(*core), *power);
+                self.kill(NodeRef::Core(*core), *power);
                 self.cores[*core].disk.crash(*power, *wipe, &mut self.rng);
                 self.unsettled = self.unsettled.max(self.now + down + contact);
-                self.after(*down, SimulationEvent::Boot(Who::Core(*core)));
+                self.after(*down, SimulationEvent::Boot(NodeRef::Core(*core)));
             }
             Fault::KillEdge { edge, down } => {
-                self.kill(Who::Edge(*edge), false);
+                self.kill(NodeRef::Edge(*edge), false);
                 self.trouble(*edge, down + contact);
-                self.after(*down, SimulationEvent::Boot(Who::Edge(*edge)));
+                self.after(*down, SimulationEvent::Boot(NodeRef::Edge(*edge)));
             }
             Fault::KillManyEdges { edges, down, dark } => {
                 for n in 0..*edges {
-                    self.kill(Who::Edge(n), *dark);
+                    self.kill(NodeRef::Edge(n), *dark);
                     self.trouble(n, down + contact);
-                    self.after(*down, SimulationEvent::Boot(Who::Edge(n)));
+                    self.after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
                 }
             }
             Fault::CutCore { core, secs, one_way } => {
                 self.links.cut_core(*core, *one_way, true);
                 self.touch();
                 self.unsettled = self.unsettled.max(self.now + secs + contact);
-                self.after(*secs, SimulationEvent::Mend(fault.clone()));
+                self.after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::CutEdge { edge, secs } => {
                 self.links.cut_edge(*edge, true);
                 self.trouble(*edge, secs + contact);
-                self.after(*secs, SimulationEvent::Mend(fault.clone()));
+                self.after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::StallDisk { core, secs } => {
                 self.cores[*core].disk.stalled_until = self.now + secs;
@@ -268,31 +268,31 @@
             Fault::Freeze { who, secs } => {
                 self.freeze(*who, true);
                 match who {
-                    Who::Core(_) => self.unsettled = self.unsettled.max(self.now + secs + contact),
-                    Who::Edge(n) => self.trouble(*n, secs + contact),
+                    NodeRef::Core(_) => self.unsettled = self.unsettled.max(self.now + secs + contact),
+                    NodeRef::Edge(n) => self.trouble(*n, secs + contact),
                 }
-                self.after(*secs, SimulationEvent::Mend(fault.clone()));
+                self.after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::KillAllCore { down } => {
                 // One that was removed, or was lost for good, has no process that could come back.
                 for n in self.listed() {
-                    self.kill(Who::Core(n), false);
+                    self.kill(NodeRef::Core(n), false);
                     self.cores[n].disk.crash(false, false, &mut self.rng);
-                    self.after(*down, SimulationEvent::Boot(Who::Core(n)));
+                    self.after(*down, SimulationEvent::Boot(NodeRef::Core(n)));
                 }
                 self.unsettled = self.unsettled.max(self.now + down + contact);
             }
             Fault::PowerOffAll { down, wipe } => {
                 for n in self.listed() {
-                    self.kill(Who::Core(n), true);
+                    self.kill(NodeRef::Core(n), true);
                     self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
                     let late = self.rng.f64() * 0.2;
-                    self.after(*down + late, SimulationEvent::Boot(Who::Core(n)));
+                    self.after(*down + late, SimulationEvent::Boot(NodeRef::Core(n)));
                 }
                 for n in 0..self.edges.len() {
-                    self.kill(Who::Edge(n), true);
+                    self.kill(NodeRef::Edge(n), true);
                     self.trouble(n, down + contact);
-                    self.after(*down, SimulationEvent::Boot(Who::Edge(n)));
+                    self.after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
                 }
                 self.unsettled = self.unsettled.max(self.now + down + contact);
             }
@@ -306,16 +306,16 @@
         }
     }
 
-    pub fn freeze(&mut self, who: Who, frozen: bool) {
+    pub fn freeze(&mut self, who: NodeRef, frozen: bool) {
         match who {
-            Who::Core(n) => {
+            NodeRef::Core(n) => {
                 let node = &mut self.cores[n];
                 node.frozen = frozen;
                 self.touch();
                 let late = if frozen { Vec::new() } else { std::mem::take(&mut self.cores[n].backlog) };
                 late.into_iter().for_each(|event| self.core_event(n, event));
             }
-            Who::Edge(n) => self.edges[n].frozen = frozen,
+            NodeRef::Edge(n) => self.edges[n].frozen = frozen,
         }
     }
 
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -2,10 +2,10 @@
 //! answers, readiness and views, never into a core machine.
 
 use super::history::{self, Write};
-use super::network::Who;
-use super::operators::{content, Sort};
-use super::partitions::Party;
-use super::severe_faults::Trap;
+use super::network::NodeRef;
+use super::operators::{content, ChangeValidity};
+use super::partitions::Participant;
+use super::severe_faults::PendingCrash;
 use super::{SimulationEvent, World};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -22,11 +22,11 @@
 const OVERLAP: f64 = 0.5;
 
 /// A register, the number that is to be served by, since when.
-type Due = (usize, u64, f64);
+type ExpectedVersion = (usize, u64, f64);
 
 /// What is remembered.
 #[derive(Default)]
-pub struct Watch {
+pub struct InvariantMonitor {
     /// When the core was last touched: kills, starts, cuts, pauses.
     pub touched: f64,
     settled_since: Option<f64>,
@@ -55,19 +55,19 @@
     /// Operators' lists of the core, by when each came to be.
     pub lists: Vec<(f64, Vec<usize>)>,
     /// Losses that wait for a moment of a snapshot.
-    pub at_snapshot: Vec<super::severe_faults::AtSnapshot>,
+    pub at_snapshot: Vec<super::severe_faults::SnapshotCrash>,
     /// How often each moment of a snapshot came, and how many losses came at one.
     pub moments: BTreeMap<usize, u64>,
     pub struck: u64,
     /// What waits for the next order to be confirmed, until then.
-    pub trap: Option<(f64, Trap)>,
+    pub trap: Option<(f64, PendingCrash)>,
     pub holders: u64,
     /// Who counted in each term: machine and life.
     terms: BTreeMap<u64, (usize, u64)>,
     pub settled_for: f64,
 }
 
-impl Watch {
+impl InvariantMonitor {
     /// Who answered last as the counter.
     pub fn holder(&self) -> Option<usize> {
         self.counters.last().map(|c| c.1)
@@ -104,12 +104,12 @@
         node.core.is_some() && !node.frozen
     }
 
-    fn both_ways(&self, a: Party, b: Party) -> bool {
+    fn both_ways(&self, a: Participant, b: Participant) -> bool {
         self.links.reaches(a, b) && self.links.reaches(b, a)
     }
 
     pub fn joined(&self, a: usize, b: usize) -> bool {
-        a == b || self.both_ways(Party::Core(a), Party::Core(b))
+        a == b || self.both_ways(Participant::Core(a), Participant::Core(b))
     }
 
     pub fn listed(&self) -> Vec<usize> {
@@ -255,7 +255,7 @@
         }
         for operator in 0..=self.plan.crew.clerks {
             let whole = |most: &BTreeSet<usize>| {
-                most.iter().all(|n| self.both_ways(Party::Operator(operator), Party::Core(*n)))
+                most.iter().all(|n| self.both_ways(Participant::Operator(operator), Participant::Core(*n)))
             };
             match most.as_ref().is_some_and(whole) {
                 true => drop(self.watch.reach_since.entry(operator).or_insert(now)),
@@ -286,7 +286,7 @@
             let rival = o.rival.map(|r| &self.desk.orders[r]);
             // Of two under one number one is owed an answer.
             let beaten = rival.is_some_and(|r| !r.unanswered() || r.began < o.began);
-            if o.sort == Sort::Invalid || beaten {
+            if o.sort == ChangeValidity::Invalid || beaten {
                 continue;
             }
             let Some(reach) = self.watch.reach_since.get(&(o.clerk + 1)) else { continue };
@@ -311,7 +311,12 @@
         }
     }
 
-    fn watch_edge(&mut self, n: usize, most: Option<&BTreeSet<usize>>, (due, due_outer): (&[Due], &[Due])) {
+    fn watch_edge(
+        &mut self,
+        n: usize,
+        most: Option<&BTreeSet<usize>>,
+        (due, due_outer): (&[ExpectedVersion], &[ExpectedVersion]),
+    ) {
         let (now, node) = (self.now, &self.edges[n]);
         let Some(edge) = &node.edge else {
             self.watch.edge_reach_since.remove(&n);
@@ -319,7 +324,7 @@
             return;
         };
         let life = node.life;
-        let reaches = |core: &usize| self.both_ways(Party::Edge(n), Party::Core(*core));
+        let reaches = |core: &usize| self.both_ways(Participant::Edge(n), Participant::Core(*core));
         let steady = most.is_some_and(|most| most.iter().all(reaches)) && !node.frozen && now > node.trouble;
         let clock = 1000.0 + (now - node.boot) * node.drift;
         let ready = edge.is_ready(clock);
@@ -390,9 +395,9 @@
     }
 
     /// The highest number of each register that was confirmed so long ago, but not before.
-    fn confirmed_orders(&self, since: f64, ago: f64) -> Vec<Due> {
+    fn confirmed_orders(&self, since: f64, ago: f64) -> Vec<ExpectedVersion> {
         let mut newest: BTreeMap<usize, (u64, f64)> = BTreeMap::new();
-        for o in self.desk.orders.iter().filter(|o| o.sort == Sort::Proper) {
+        for o in self.desk.orders.iter().filter(|o| o.sort == ChangeValidity::Proper) {
             let at = o.confirmed.filter(|at| *at >= since && self.now - at > ago + EVERY);
             let Some(at) = at else { continue };
             for label in &o.labels {
@@ -416,7 +421,7 @@
         if self.plan.crew.clerks == 0 {
             return;
         }
-        let proper = self.desk.orders.iter().filter(|o| o.sort == Sort::Proper);
+        let proper = self.desk.orders.iter().filter(|o| o.sort == ChangeValidity::Proper);
         let writes: Vec<Write> = proper
             .map(|o| Write {
                 from: o.began,
@@ -435,10 +440,10 @@
     }
 
     /// Is there a process for this?
-    pub fn there(&self, who: Who) -> bool {
+    pub fn there(&self, who: NodeRef) -> bool {
         match who {
-            Who::Core(n) => self.cores[n].core.is_some(),
-            Who::Edge(n) => self.edges[n].edge.is_some(),
+            NodeRef::Core(n) => self.cores[n].core.is_some(),
+            NodeRef::Edge(n) => self.edges[n].edge.is_some(),
         }
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -17,16 +17,16 @@
 pub mod severe_faults;
 pub mod trials;
 
-use auditor::Audit;
+use auditor::Auditor;
 use digest::Digest;
-use external_actors::{Operator, Wk};
-use faults::{Disk, Fault};
-use invariants::Watch;
-use network::{LinkKey, Links, Who};
-use operators::{Desk, Turn};
-use partitions::{Cut, Party};
-pub use plan::Plan;
-use repair_times::Repairs;
+use external_actors::{Operator, SimulatedWorker};
+use faults::{Fault, SimulatedDisk};
+use invariants::InvariantMonitor;
+use network::{LinkKey, NodeRef, SimulatedLinks};
+use operators::{OperatorRecords, OperatorStep};
+use partitions::{Participant, Partition};
+pub use plan::DeploymentPlan;
+use repair_times::RepairTimes;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr};
 use whinstall_gateway::configuration::ConfigItem;
@@ -42,44 +42,44 @@
     EdgeTick(usize, u64),
     Dial(LinkKey, u64),
     DialUp(LinkKey, u64),
-    Pump(LinkKey, u64, bool),
+    DeliverMessages(LinkKey, u64, bool),
     LinkCheck,
     DiskDone(usize, u64, u64),
-    Beat(usize),
-    CallArrives(usize, Call),
-    CallBack(Call, u16),
-    CallLate(u64),
-    Depart(usize),
-    Ask,
-    Arrive(WorkerAttempt),
-    Finish(usize, WorkerAttempt),
-    Told(usize, usize, LoadReport),
-    Ended(WorkerAttempt, whinstall::Ending, bool),
-    Operate,
+    HeartbeatDue(usize),
+    CallArrives(usize, ControlCall),
+    CallAnswered(ControlCall, u16),
+    CallTimedOut(u64),
+    WorkerDeparts(usize),
+    ClientRequest,
+    AttemptArrives(WorkerAttempt),
+    WorkerFinishes(usize, WorkerAttempt),
+    LoadReportArrives(usize, usize, LoadReport),
+    AttemptEnded(WorkerAttempt, whinstall::Ending, bool),
+    OperatorActs,
     Fault(Fault),
-    Mend(Fault),
-    Boot(Who),
+    Repair(Fault),
+    Boot(NodeRef),
     /// The next step of making a core machine's new disk, in this life; is it told that the system starts first?
-    Making(usize, u64, bool),
+    CreatingDisk(usize, u64, bool),
     Watch,
-    Clerk(Turn),
+    OperatorTurn(OperatorStep),
     /// A process that was asked to end is gone.
-    Gone(usize, u64),
-    Rejoin(Cut),
+    ProcessExited(usize, u64),
+    PartitionHeals(Partition),
     /// The operator's list changed: files are written anew.
-    Lists,
+    SeedListsChange,
 }
 
 /// A call to a core machine under way.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct ControlCall {
     pub id: u64,
     pub core: usize,
-    pub by: Caller,
+    pub by: CallOrigin,
 }
 
 #[derive(Clone, Debug)]
-pub enum Caller {
+pub enum CallOrigin {
     Beat(usize),
     Depart(usize),
     Amend(Vec<ConfigItem>),
@@ -112,7 +112,7 @@
 pub struct SimulatedCore {
     pub core: Option<CoreNode>,
     pub life: u64,
-    pub disk: Disk,
+    pub disk: SimulatedDisk,
     pub boot: f64,
     pub drift: f64,
     pub frozen: bool,
@@ -137,28 +137,28 @@
 }
 
 pub struct World {
-    pub plan: Plan,
+    pub plan: DeploymentPlan,
     pub now: f64,
     pub rng: fastrand::Rng,
     queue: BTreeMap<(u64, u64), SimulationEvent>,
     next: u64,
     pub cores: Vec<SimulatedCore>,
     pub edges: Vec<SimulatedEdge>,
-    pub workers: Vec<Wk>,
-    pub links: Links,
-    pub calls: HashMap<u64, Call>,
+    pub workers: Vec<SimulatedWorker>,
+    pub links: SimulatedLinks,
+    pub calls: HashMap<u64, ControlCall>,
     pub pending: HashMap<(usize, u64), u64>,
     pub open: HashSet<(usize, u64, whinstall::RequestId, u32)>,
     pub asked: HashMap<(usize, u64, whinstall::RequestId), u64>,
     pub operator: Operator,
-    pub audit: Audit,
+    pub audit: Auditor,
     pub unsettled: f64,
     pub hot: (f64, f64),
     /// Until then such a part of the answers to operators is lost.
     pub deaf: (f64, f64),
-    pub desk: Desk,
-    pub watch: Watch,
-    pub repairs: Repairs,
+    pub desk: OperatorRecords,
+    pub watch: InvariantMonitor,
+    pub repairs: RepairTimes,
     pub digest: Digest,
 }
 
@@ -171,7 +171,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, plan: Plan) -> Self {
+    pub fn new(seed: u64, plan: DeploymentPlan) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         // The one draw that the core makes by itself, for when it claims the counter.
         fastrand::seed(seed);
@@ -180,7 +180,7 @@
         let cores = (0..plan.cores).map(|_| SimulatedCore {
             core: None,
             life: 0,
-            disk: Disk::default(),
+            disk: SimulatedDisk::default(),
             boot: 0.0,
             drift: drift(),
             frozen: false,
@@ -200,8 +200,8 @@
             seeds: seeds.clone(),
         });
         let edges = edges.collect();
-        let workers = (0..3 * plan.workers).map(|n| Wk::new(n, n % 3, &zone(n / 3))).collect();
-        let audit = Audit::new(&plan);
+        let workers = (0..3 * plan.workers).map(|n| SimulatedWorker::new(n, n % 3, &zone(n / 3))).collect();
+        let audit = Auditor::new(&plan);
         let mut world = World {
             now: 0.0,
             queue: BTreeMap::new(),
@@ -209,7 +209,7 @@
             cores,
             edges,
             workers,
-            links: Links::default(),
+            links: SimulatedLinks::default(),
             calls: HashMap::new(),
             pending: HashMap::new(),
             open: HashSet::new(),
@@ -219,9 +219,9 @@
             unsettled: 0.0,
             hot: (0.0, 1.0),
             deaf: (0.0, 0.0),
-            desk: Desk::default(),
-            watch: Watch::default(),
-            repairs: Repairs::default(),
+            desk: OperatorRecords::default(),
+            watch: InvariantMonitor::default(),
+            repairs: RepairTimes::default(),
             digest: Digest::default(),
             plan,
             rng,
@@ -229,18 +229,18 @@
         for n in 0..world.cores.len() {
             let late: f64 = world.plan.late.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
             let spread = if world.plan.spread > 0.0 { world.plan.spread * world.rng.f64() } else { 0.0 };
-            world.at(0.01 + spread + late, SimulationEvent::Boot(Who::Core(n)));
+            world.at(0.01 + spread + late, SimulationEvent::Boot(NodeRef::Core(n)));
         }
         for n in 0..world.edges.len() {
-            world.at(0.02, SimulationEvent::Boot(Who::Edge(n)));
+            world.at(0.02, SimulationEvent::Boot(NodeRef::Edge(n)));
         }
         for n in 0..world.workers.len() {
             let after = 0.3 + world.rng.f64();
-            world.at(after, SimulationEvent::Beat(n));
+            world.at(after, SimulationEvent::HeartbeatDue(n));
         }
         world.at(0.2, SimulationEvent::LinkCheck);
-        world.at(1.0, SimulationEvent::Operate);
-        world.at(4.0, SimulationEvent::Ask);
+        world.at(1.0, SimulationEvent::OperatorActs);
+        world.at(4.0, SimulationEvent::ClientRequest);
         if world.plan.crew.clerks > 0 {
             world.at(0.1, SimulationEvent::Watch);
             world.start_clerks();
@@ -263,10 +263,10 @@
         self.plan.delay + self.plan.jitter * self.rng.f64()
     }
 
-    pub fn settings(&self, who: Who) -> Settings {
+    pub fn settings(&self, who: NodeRef) -> Settings {
         let (n, core) = match who {
-            Who::Core(n) => (n, true),
-            Who::Edge(n) => (n, false),
+            NodeRef::Core(n) => (n, true),
+            NodeRef::Edge(n) => (n, false),
         };
         let text = include_str!("../../gateway/tests/fixtures/settings.toml");
         let mut settings = Settings::read(text).expect("settings");
@@ -280,16 +280,16 @@
         settings
     }
 
-    fn boot(&mut self, who: Who) {
+    fn boot(&mut self, who: NodeRef) {
         if self.there(who) {
             return;
         }
-        if matches!(who, Who::Core(_)) {
+        if matches!(who, NodeRef::Core(_)) {
             self.touch();
         }
         let settings = self.settings(who);
         match who {
-            Who::Core(n) => {
+            NodeRef::Core(n) => {
                 let node = &mut self.cores[n];
                 node.life += 1;
                 node.boot = self.now;
@@ -297,12 +297,12 @@
                 node.backlog.clear();
                 node.cold = false;
                 if self.plan.making > 0.0 && node.disk.makes() {
-                    let making = SimulationEvent::Making(n, node.life, settings.cold_start);
+                    let making = SimulationEvent::CreatingDisk(n, node.life, settings.cold_start);
                     return self.after(self.plan.making, making);
                 }
                 self.start_core(n, settings);
             }
-            Who::Edge(n) => {
+            NodeRef::Edge(n) => {
                 let node = &mut self.edges[n];
                 node.life += 1;
                 node.boot = self.now;
@@ -319,14 +319,14 @@
     }
 
     /// Kills a process: those at the other ends hear of it at once, or (`dark`) not.
-    fn kill(&mut self, who: Who, dark: bool) {
+    fn kill(&mut self, who: NodeRef, dark: bool) {
         match who {
-            Who::Core(n) => {
+            NodeRef::Core(n) => {
                 self.touch();
                 self.cores[n].core = None;
                 self.pending.retain(|(core, _), _| *core != n);
             }
-            Who::Edge(n) => {
+            NodeRef::Edge(n) => {
                 self.edges[n].edge = None;
                 self.audit.edge_died(n, self.edges[n].life);
             }
@@ -355,11 +355,11 @@
     fn core_effects(&mut self, n: usize, effects: Vec<control_plane::Effect>) {
         for effect in effects {
             match effect {
-                control_plane::Effect::Connect(ip) => self.connect(Who::Core(n), ip),
-                control_plane::Effect::Send(ip, msg) => self.say(Who::Core(n), ip, msg),
+                control_plane::Effect::Connect(ip) => self.connect(NodeRef::Core(n), ip),
+                control_plane::Effect::Send(ip, msg) => self.say(NodeRef::Core(n), ip, msg),
                 control_plane::Effect::Return(conn, msg) => self.say_back(conn, msg),
                 control_plane::Effect::Reply(call, status, body) => self.replied(n, call, status, &body),
-                control_plane::Effect::Disconnect(ip) => self.disconnect(Who::Core(n), ip),
+                control_plane::Effect::Disconnect(ip) => self.disconnect(NodeRef::Core(n), ip),
                 control_plane::Effect::Persist(put) => {
                     self.snapshot_written(n, &put);
                     let (life, sync) = (self.cores[n].life, self.plan.sync);
@@ -401,9 +401,9 @@
         let life = self.edges[n].life;
         for effect in effects {
             match effect {
-                data_plane::Effect::Connect(ip) => self.connect(Who::Edge(n), ip),
-                data_plane::Effect::Disconnect(ip) => self.disconnect(Who::Edge(n), ip),
-                data_plane::Effect::Send(ip, msg) => self.say(Who::Edge(n), ip, msg),
+                data_plane::Effect::Connect(ip) => self.connect(NodeRef::Edge(n), ip),
+                data_plane::Effect::Disconnect(ip) => self.disconnect(NodeRef::Edge(n), ip),
+                data_plane::Effect::Send(ip, msg) => self.say(NodeRef::Edge(n), ip, msg),
                 data_plane::Effect::Dispatch { id, attempt, worker, within, .. } => {
                     self.dispatched(n, life, id, attempt, worker, within);
                 }
@@ -416,10 +416,10 @@
                         if let (IpAddr::V4(v4), true) = (ip, self.rng.f64() > 0.01) {
                             let delay = self.delay();
                             let to = usize::from(v4.octets()[3]) - 1;
-                            if !self.links.reaches(Party::Edge(n), Party::Edge(to)) {
+                            if !self.links.reaches(Participant::Edge(n), Participant::Edge(to)) {
                                 continue;
                             }
-                            self.after(delay, SimulationEvent::Told(n, to, load.clone()));
+                            self.after(delay, SimulationEvent::LoadReportArrives(n, to, load.clone()));
                         }
                     }
                 }
@@ -460,41 +460,43 @@
                 SimulationEvent::EdgeTick(n, life) => self.tick_edge(n, life),
                 SimulationEvent::Dial(key, life) => self.dial(key, life),
                 SimulationEvent::DialUp(key, life) => self.dial_up(key, life),
-                SimulationEvent::Pump(key, conn, forth) => self.pump(key, conn, forth),
+                SimulationEvent::DeliverMessages(key, conn, forth) => self.pump(key, conn, forth),
                 SimulationEvent::LinkCheck => {
                     self.check_links();
                     self.after(0.2, SimulationEvent::LinkCheck);
                 }
                 SimulationEvent::DiskDone(n, life, put) => self.disk_done(n, life, put),
-                SimulationEvent::Beat(n) => self.beat(n),
+                SimulationEvent::HeartbeatDue(n) => self.beat(n),
                 SimulationEvent::CallArrives(core, call) => self.call_arrives(core, call),
-                SimulationEvent::CallBack(call, status) => self.call_back(call, status),
-                SimulationEvent::CallLate(id) => {
+                SimulationEvent::CallAnswered(call, status) => self.call_back(call, status),
+                SimulationEvent::CallTimedOut(id) => {
                     if let Some(call) = self.calls.remove(&id) {
                         self.call_failed(call);
                     }
                 }
-                SimulationEvent::Depart(n) => self.depart(n),
-                SimulationEvent::Ask => self.ask(),
-                SimulationEvent::Arrive(hit) => self.arrive(hit),
-                SimulationEvent::Finish(worker, hit) => self.finish(worker, hit),
-                SimulationEvent::Ended(hit, ending, misdirected) => self.ended(hit, ending, misdirected),
-                SimulationEvent::Told(from, to, load) => {
+                SimulationEvent::WorkerDeparts(n) => self.depart(n),
+                SimulationEvent::ClientRequest => self.ask(),
+                SimulationEvent::AttemptArrives(hit) => self.arrive(hit),
+                SimulationEvent::WorkerFinishes(worker, hit) => self.finish(worker, hit),
+                SimulationEvent::AttemptEnded(hit, ending, misdirected) => {
+                    self.ended(hit, ending, misdirected)
+                }
+                SimulationEvent::LoadReportArrives(from, to, load) => {
                     let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 2, from as u8 + 1));
                     self.edge_call(to, |edge, now, out| {
                         edge.handle(now, data_plane::Event::Told(ip, load), out)
                     });
                 }
-                SimulationEvent::Operate => self.operate(),
+                SimulationEvent::OperatorActs => self.operate(),
                 SimulationEvent::Fault(fault) => self.fault(fault),
-                SimulationEvent::Mend(fault) => self.mend(fault),
+                SimulationEvent::Repair(fault) => self.mend(fault),
                 SimulationEvent::Boot(who) => self.boot(who),
-                SimulationEvent::Making(n, life, told) => self.making(n, life, told),
+                SimulationEvent::CreatingDisk(n, life, told) => self.making(n, life, told),
                 SimulationEvent::Watch => self.look_round(),
-                SimulationEvent::Clerk(turn) => self.turn(turn),
-                SimulationEvent::Gone(n, life) => self.gone(n, life),
-                SimulationEvent::Rejoin(cut) => self.rejoin(&cut),
-                SimulationEvent::Lists => self.lists(),
+                SimulationEvent::OperatorTurn(turn) => self.turn(turn),
+                SimulationEvent::ProcessExited(n, life) => self.gone(n, life),
+                SimulationEvent::PartitionHeals(cut) => self.rejoin(&cut),
+                SimulationEvent::SeedListsChange => self.lists(),
             }
         }
         self.now = until;
@@ -504,8 +506,8 @@
     pub fn deliver(&mut self, key: LinkKey, conn: u64, forth: bool, msg: PeerMessage) {
         match (key.from, forth) {
             (_, true) => self.core_event(key.to, control_plane::Event::Inbound(conn, msg)),
-            (Who::Core(n), false) => self.core_event(n, control_plane::Event::Peer(core_ip(key.to), msg)),
-            (Who::Edge(n), false) => {
+            (NodeRef::Core(n), false) => self.core_event(n, control_plane::Event::Peer(core_ip(key.to), msg)),
+            (NodeRef::Edge(n), false) => {
                 let ip = core_ip(key.to);
                 self.heard(n, key.to);
                 self.edge_call(n, |edge, now, out| edge.handle(now, data_plane::Event::Core(ip, msg), out));
--- a/crates/simulation/src/misbehaving_core.rs
+++ b/crates/simulation/src/misbehaving_core.rs
@@ -1,14 +1,14 @@
 //! Faults that are put into the core machines of the cluster, to show that the auditor and the check of the history see
 //! them: a machine that answers by what it holds itself, without a word to the others.
 
-use crate::{Call, World};
+use crate::{ControlCall, World};
 use whinstall_gateway::configuration::state::ChangeOutcome;
 use whinstall_gateway::configuration::ConfigChange;
 use whinstall_gateway::control_plane::ApiCommand;
 
 /// What is wrong with the core machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Spoiled {
+pub enum Misbehaviour {
     /// One that leads, or led last before it was cut off, answers reads by what it holds.
     LeaderReads,
     /// One that follows does.
@@ -19,7 +19,7 @@
 
 impl World {
     /// Answers a call as the spoiled machine would; `false`: it goes on as usual.
-    pub fn spoils(&mut self, n: usize, call: &Call, command: &ApiCommand) -> bool {
+    pub fn answers_wrongly(&mut self, n: usize, call: &ControlCall, command: &ApiCommand) -> bool {
         let Some(spoiled) = self.plan.spoiled else { return false };
         let Some(core) = self.cores[n].core.as_ref() else { return false };
         let now = 1000.0 + (self.now - self.cores[n].boot) * self.cores[n].drift;
@@ -27,9 +27,11 @@
         let led = core.raft.leads() || !hears && self.watch.held(n);
         let state = &core.keeper.state;
         let answer = match (spoiled, command) {
-            (Spoiled::LeaderReads, ApiCommand::Read) if led => Some((200, state.render())),
-            (Spoiled::FollowerReads, ApiCommand::Read) if !core.raft.leads() => Some((200, state.render())),
-            (Spoiled::LeaderRefuses, ApiCommand::Amend(items)) if led => {
+            (Misbehaviour::LeaderReads, ApiCommand::Read) if led => Some((200, state.render())),
+            (Misbehaviour::FollowerReads, ApiCommand::Read) if !core.raft.leads() => {
+                Some((200, state.render()))
+            }
+            (Misbehaviour::LeaderRefuses, ApiCommand::Amend(items)) if led => {
                 match state.clone().apply(core.keeper.applied + 1, &ConfigChange::new(items.clone())) {
                     ChangeOutcome::Conflict(_) => Some((409, serde_json::json!({}))),
                     ChangeOutcome::Invalid(_) => Some((400, serde_json::json!({}))),
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,6 +1,6 @@
 //! The simulated network: connections to core machines with delay and order, cuts that hold bytes up, resets.
 
-use super::partitions::{Cut, Party};
+use super::partitions::{Participant, Partition};
 use super::{core_ip, SimulationEvent, World};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::IpAddr;
@@ -10,16 +10,16 @@
 
 /// A process of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Who {
+pub enum NodeRef {
     Core(usize),
     Edge(usize),
 }
 
-impl From<Who> for Party {
-    fn from(who: Who) -> Self {
+impl From<NodeRef> for Participant {
+    fn from(who: NodeRef) -> Self {
         match who {
-            Who::Core(n) => Party::Core(n),
-            Who::Edge(n) => Party::Edge(n),
+            NodeRef::Core(n) => Participant::Core(n),
+            NodeRef::Edge(n) => Participant::Edge(n),
         }
     }
 }
@@ -27,7 +27,7 @@
 /// A connection: who opened it, to which core machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkKey {
-    pub from: Who,
+    pub from: NodeRef,
     pub to: usize,
 }
 
@@ -43,17 +43,17 @@
 
 /// All connections, and what is cut.
 #[derive(Default)]
-pub struct Links {
+pub struct SimulatedLinks {
     up: BTreeMap<LinkKey, Link>,
     wanted: BTreeSet<LinkKey>,
     next: u64,
     cut_cores: Vec<(usize, bool)>,
     cut_edges: HashSet<usize>,
     /// Cuts between sides.
-    pub cuts: Vec<Cut>,
+    pub cuts: Vec<Partition>,
 }
 
-impl Links {
+impl SimulatedLinks {
     pub fn cut_core(&mut self, core: usize, one_way: bool, cut: bool) {
         match cut {
             true => self.cut_cores.push((core, one_way)),
@@ -70,7 +70,7 @@
 
     /// Do packets pass from the opener to the core machine (`forth`), or back?
     fn passes(&self, key: LinkKey, forth: bool) -> bool {
-        let (from, to) = (key.from.into(), Party::Core(key.to));
+        let (from, to) = (key.from.into(), Participant::Core(key.to));
         if forth {
             self.reaches(from, to)
         } else {
@@ -79,12 +79,12 @@
     }
 
     /// Do packets pass from the one to the other?
-    pub fn reaches(&self, from: Party, to: Party) -> bool {
+    pub fn reaches(&self, from: Participant, to: Participant) -> bool {
         let open = match (from, to) {
-            (Party::Edge(n), Party::Core(_)) | (Party::Core(_), Party::Edge(n)) => {
+            (Participant::Edge(n), Participant::Core(_)) | (Participant::Core(_), Participant::Edge(n)) => {
                 !self.cut_edges.contains(&n)
             }
-            (Party::Core(from), Party::Core(to)) => {
+            (Participant::Core(from), Participant::Core(to)) => {
                 // One way: what it says is lost, what others say arrives.
                 !self.cut_cores.iter().any(|(c, one_way)| *c == from || *c == to && !one_way)
             }
@@ -94,31 +94,31 @@
     }
 
     /// The process is gone without a word: nothing of it is left at its own side.
-    pub fn forget_own(&mut self, who: Who) {
+    pub fn forget_own(&mut self, who: NodeRef) {
         for (key, link) in &mut self.up {
             link.gone_here |= key.from == who;
-            link.gone_there |= Who::Core(key.to) == who;
+            link.gone_there |= NodeRef::Core(key.to) == who;
         }
         self.wanted.retain(|k| k.from != who);
     }
 }
 
 impl World {
-    fn alive(&self, who: Who) -> Option<u64> {
+    fn alive(&self, who: NodeRef) -> Option<u64> {
         match who {
-            Who::Core(n) => self.cores[n].core.as_ref().map(|_| self.cores[n].life),
-            Who::Edge(n) => self.edges[n].edge.as_ref().map(|_| self.edges[n].life),
+            NodeRef::Core(n) => self.cores[n].core.as_ref().map(|_| self.cores[n].life),
+            NodeRef::Edge(n) => self.edges[n].edge.as_ref().map(|_| self.edges[n].life),
         }
     }
 
-    fn life(&self, who: Who) -> u64 {
+    fn life(&self, who: NodeRef) -> u64 {
         match who {
-            Who::Core(n) => self.cores[n].life,
-            Who::Edge(n) => self.edges[n].life,
+            NodeRef::Core(n) => self.cores[n].life,
+            NodeRef::Edge(n) => self.edges[n].life,
         }
     }
 
-    pub fn connect(&mut self, from: Who, ip: IpAddr) {
+    pub fn connect(&mut self, from: NodeRef, ip: IpAddr) {
         let Some(to) = (0..self.cores.len()).find(|n| core_ip(*n) == ip) else { return };
         let key = LinkKey { from, to };
         self.links.wanted.insert(key);
@@ -126,7 +126,7 @@
         self.after(0.001, SimulationEvent::Dial(key, life));
     }
 
-    pub fn disconnect(&mut self, from: Who, ip: IpAddr) {
+    pub fn disconnect(&mut self, from: NodeRef, ip: IpAddr) {
         let Some(to) = (0..self.cores.len()).find(|n| core_ip(*n) == ip) else { return };
         let key = LinkKey { from, to };
         self.links.wanted.remove(&key);
@@ -137,7 +137,7 @@
         if self.alive(key.from) != Some(life) || !self.links.wanted.contains(&key) {
             return;
         }
-        let there = self.alive(Who::Core(key.to)).is_some();
+        let there = self.alive(NodeRef::Core(key.to)).is_some();
         let passes = self.links.passes(key, true) && self.links.passes(key, false);
         if there && passes && !self.links.up.contains_key(&key) {
             let rtt = self.delay() + self.delay();
@@ -148,7 +148,7 @@
     }
 
     pub fn dial_up(&mut self, key: LinkKey, life: u64) {
-        if self.alive(key.from) != Some(life) || self.alive(Who::Core(key.to)).is_none() {
+        if self.alive(key.from) != Some(life) || self.alive(NodeRef::Core(key.to)).is_none() {
             return self.after(0.25, SimulationEvent::Dial(key, life));
         }
         self.links.next += 1;
@@ -164,13 +164,13 @@
     fn tell(&mut self, key: LinkKey, up: bool) {
         let ip = core_ip(key.to);
         match key.from {
-            Who::Core(n) => {
+            NodeRef::Core(n) => {
                 self.core_event(
                     n,
                     if up { control_plane::Event::LinkUp(ip) } else { control_plane::Event::LinkDown(ip) },
                 );
             }
-            Who::Edge(n) => self.edge_call(n, |edge, now, out| {
+            NodeRef::Edge(n) => self.edge_call(n, |edge, now, out| {
                 edge.handle(
                     now,
                     if up { data_plane::Event::LinkUp(ip) } else { data_plane::Event::LinkDown(ip) },
@@ -180,7 +180,7 @@
         }
     }
 
-    pub fn say(&mut self, from: Who, ip: IpAddr, msg: PeerMessage) {
+    pub fn say(&mut self, from: NodeRef, ip: IpAddr, msg: PeerMessage) {
         let Some(to) = (0..self.cores.len()).find(|n| core_ip(*n) == ip) else { return };
         self.push(LinkKey { from, to }, true, msg);
     }
@@ -188,10 +188,12 @@
     pub fn say_back(&mut self, conn: u64, msg: PeerMessage) {
         let key = self.links.up.iter().find(|(_, l)| l.conn == conn).map(|(k, _)| *k);
         if let Some(key) = key {
-            if let (Who::Edge(_), PeerMessage::QuotaGrants { is_leader: true, term, .. }) = (key.from, &msg) {
+            if let (NodeRef::Edge(_), PeerMessage::QuotaGrants { is_leader: true, term, .. }) =
+                (key.from, &msg)
+            {
                 self.counted(key.to, *term);
             }
-            if let Who::Edge(_) = key.from {
+            if let NodeRef::Edge(_) = key.from {
                 let what = match &msg {
                     PeerMessage::QuotaGrants { is_leader: true, .. } => Some("totals"),
                     PeerMessage::WorkerSnapshot { .. } => Some("all workers"),
@@ -216,15 +218,15 @@
         let queue = if forth { &mut link.forth } else { &mut link.back };
         let at = queue.back().map_or(at, |(last, _)| at.max(*last));
         queue.push_back((at, msg));
-        self.at(at, SimulationEvent::Pump(key, conn, forth));
+        self.at(at, SimulationEvent::DeliverMessages(key, conn, forth));
     }
 
     pub fn pump(&mut self, key: LinkKey, conn: u64, forth: bool) {
         let passes = self.links.passes(key, forth);
         let frozen = match (key.from, forth) {
             (_, true) => self.cores[key.to].frozen,
-            (Who::Core(n), false) => self.cores[n].frozen,
-            (Who::Edge(n), false) => self.edges[n].frozen,
+            (NodeRef::Core(n), false) => self.cores[n].frozen,
+            (NodeRef::Edge(n), false) => self.edges[n].frozen,
         };
         let Some(link) = self.links.up.get_mut(&key).filter(|l| l.conn == conn) else { return };
         if if forth { link.gone_there } else { link.gone_here } {
@@ -232,7 +234,7 @@
         }
         if !passes || frozen {
             // Held up, in order.
-            return self.after(0.05, SimulationEvent::Pump(key, conn, forth));
+            return self.after(0.05, SimulationEvent::DeliverMessages(key, conn, forth));
         }
         let queue = if forth { &mut link.forth } else { &mut link.back };
         let Some((_, msg)) = queue.pop_front() else { return };
@@ -257,18 +259,18 @@
     }
 
     /// A process died and its machine resets what is open.
-    pub fn reset_links(&mut self, who: Who) {
+    pub fn reset_links(&mut self, who: NodeRef) {
         self.links.forget_own(who);
         let keys: Vec<LinkKey> = self.links.up.keys().copied().collect();
-        for key in keys.into_iter().filter(|k| k.from == who || Who::Core(k.to) == who) {
+        for key in keys.into_iter().filter(|k| k.from == who || NodeRef::Core(k.to) == who) {
             self.drop_link(key);
         }
     }
 
     /// A part of a machine's connections are reset.
-    pub fn reset_some(&mut self, who: Who, part: f64) {
+    pub fn reset_some(&mut self, who: NodeRef, part: f64) {
         let keys: Vec<LinkKey> = self.links.up.keys().copied().collect();
-        for key in keys.into_iter().filter(|k| k.from == who || Who::Core(k.to) == who) {
+        for key in keys.into_iter().filter(|k| k.from == who || NodeRef::Core(k.to) == who) {
             if self.rng.f64() < part {
                 self.drop_link(key);
             }
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -1,14 +1,14 @@
 //! Operators in number: orders under way at once, twins under one number, answers lost on their way, the same order
 //! sent again long after, invalid ones, reads all the while. They know what comes back on their sockets and no more.
 
-use super::partitions::Party;
-use super::{Call, Caller, SimulationEvent, World};
+use super::partitions::Participant;
+use super::{CallOrigin, ControlCall, SimulationEvent, World};
 use crate::history::{Held, Read};
 use whinstall_gateway::configuration::{read_call, ConfigItem};
 
 /// How much operators do.
 #[derive(Clone, Debug)]
-pub struct Crew {
+pub struct OperatorLoad {
     pub clerks: usize,
     /// Orders that one has under way at once.
     pub at_once: usize,
@@ -36,9 +36,9 @@
     pub note: usize,
 }
 
-impl Default for Crew {
+impl Default for OperatorLoad {
     fn default() -> Self {
-        Crew {
+        OperatorLoad {
             clerks: 0,
             at_once: 2,
             orders: 10_000,
@@ -60,7 +60,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sort {
+pub enum ChangeValidity {
     Proper,
     /// Names a service that is nowhere.
     Invalid,
@@ -70,9 +70,9 @@
 
 /// An order, and what was heard of it.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct SentChange {
     pub clerk: usize,
-    pub sort: Sort,
+    pub sort: ChangeValidity,
     pub labels: Vec<usize>,
     pub version: u64,
     /// Differs from that of all other orders.
@@ -93,7 +93,7 @@
     tries: u32,
 }
 
-impl Order {
+impl SentChange {
     /// Did no clear answer leave the core yet? One that is lost on its way counts as an answer.
     pub fn unanswered(&self) -> bool {
         self.taken.is_none() && self.refused.is_none() && !self.given_up
@@ -102,7 +102,7 @@
 
 /// What a clerk is to do.
 #[derive(Clone, Debug)]
-pub enum Turn {
+pub enum OperatorStep {
     Next(usize),
     Again(usize),
     Read(usize),
@@ -110,8 +110,8 @@
 
 /// The operators' records.
 #[derive(Default)]
-pub struct Desk {
-    pub orders: Vec<Order>,
+pub struct OperatorRecords {
+    pub orders: Vec<SentChange>,
     pub reads: Vec<Read>,
     pub read_at_end: bool,
     /// What answers to reads on their way say, by call.
@@ -133,9 +133,16 @@
         "revision": format!("r{version}")})
 }
 
-fn items(sort: Sort, labels: &[usize], version: u64, content: u64, key: u64, note: usize) -> Vec<ConfigItem> {
+fn items(
+    sort: ChangeValidity,
+    labels: &[usize],
+    version: u64,
+    content: u64,
+    key: u64,
+    note: usize,
+) -> Vec<ConfigItem> {
     let body = match sort {
-        Sort::Proper => {
+        ChangeValidity::Proper => {
             let prefix = |l: &usize| format!("/{l}/{content}/");
             let mut all: Vec<_> =
                 labels.iter().map(|l| route(&label(*l), &prefix(l), "planer", version)).collect();
@@ -144,12 +151,14 @@
             }
             serde_json::json!({"upsert": {"route_set": all}})
         }
-        Sort::Invalid => {
+        ChangeValidity::Invalid => {
             let wrong = route(&format!("bad-{content}"), &format!("/bad/{content}/"), "nowhere", version);
             serde_json::json!({"upsert": {"route_set": [wrong]}})
         }
-        Sort::SharedKey => serde_json::json!({"upsert": {"tenant_set": [{"label": format!("t-{content}"),
-            "credentials": [format!("shared-{key}")], "revision": format!("r{version}")}]}}),
+        ChangeValidity::SharedKey => {
+            serde_json::json!({"upsert": {"tenant_set": [{"label": format!("t-{content}"),
+            "credentials": [format!("shared-{key}")], "revision": format!("r{version}")}]}})
+        }
     };
     read_call(body.to_string().as_bytes()).expect("a readable call")
 }
@@ -182,27 +191,29 @@
         for clerk in 0..crew.clerks {
             for _ in 0..crew.at_once {
                 let late = 0.2 * self.rng.f64();
-                self.at(crew.from + late, SimulationEvent::Clerk(Turn::Next(clerk)));
+                self.at(crew.from + late, SimulationEvent::OperatorTurn(OperatorStep::Next(clerk)));
             }
             if crew.reads > 0.0 {
-                self.at(crew.from, SimulationEvent::Clerk(Turn::Read(clerk)));
+                self.at(crew.from, SimulationEvent::OperatorTurn(OperatorStep::Read(clerk)));
             }
         }
     }
 
-    pub fn turn(&mut self, turn: Turn) {
+    pub fn turn(&mut self, turn: OperatorStep) {
         match turn {
             // Services that orders name must stand.
-            Turn::Next(_) if !self.audit.begun() => self.after(0.2, SimulationEvent::Clerk(turn)),
-            Turn::Next(clerk) => self.issue(clerk),
-            Turn::Again(order) => {
+            OperatorStep::Next(_) if !self.audit.begun() => {
+                self.after(0.2, SimulationEvent::OperatorTurn(turn))
+            }
+            OperatorStep::Next(clerk) => self.issue(clerk),
+            OperatorStep::Again(order) => {
                 let (clerk, core) = (self.desk.orders[order].clerk, self.rng.usize(0..64));
-                self.call(core, Caller::Order { order, clerk, again: true });
+                self.call(core, CallOrigin::Order { order, clerk, again: true });
             }
-            Turn::Read(clerk) => {
+            OperatorStep::Read(clerk) => {
                 let core = self.rng.usize(0..64);
                 let from = self.now;
-                self.call(core, Caller::Look { clerk, from });
+                self.call(core, CallOrigin::Look { clerk, from });
             }
         }
     }
@@ -217,9 +228,9 @@
         self.desk.version += 1;
         let (version, draw) = (self.desk.version, self.rng.f64());
         let sort = match draw {
-            _ if draw < invalid => Sort::Invalid,
-            _ if draw < invalid + shared => Sort::SharedKey,
-            _ => Sort::Proper,
+            _ if draw < invalid => ChangeValidity::Invalid,
+            _ if draw < invalid + shared => ChangeValidity::SharedKey,
+            _ => ChangeValidity::Proper,
         };
         let some = |rng: &mut fastrand::Rng, first: usize| {
             let mut some = vec![first];
@@ -233,32 +244,40 @@
         let first = self.rng.usize(0..labels);
         let ours = some(&mut self.rng, first);
         let one = self.file(clerk, sort, ours.clone(), version, version);
-        let twin = sort == Sort::SharedKey || sort == Sort::Proper && self.rng.f64() < twins;
+        let twin =
+            sort == ChangeValidity::SharedKey || sort == ChangeValidity::Proper && self.rng.f64() < twins;
         if twin {
             let other = self.rng.usize(0..self.plan.crew.clerks);
             let theirs = if self.rng.bool() { ours } else { some(&mut self.rng, first) };
             let two = self.file(other, sort, theirs, version, version);
             (self.desk.orders[one].rival, self.desk.orders[two].rival) = (Some(two), Some(one));
             let core = self.rng.usize(0..64);
-            self.call(core, Caller::Order { order: two, clerk: other, again: true });
+            self.call(core, CallOrigin::Order { order: two, clerk: other, again: true });
         }
         let drawn = self.rng.usize(0..64);
         let runs = |n: &usize| self.cores[*n].listed && self.cores[*n].core.is_some();
         let running = (drawn..drawn + self.cores.len()).map(|n| n % self.cores.len()).find(runs);
         let core = running.filter(|_| self.plan.crew.learned).unwrap_or(drawn);
-        self.call(core, Caller::Order { order: one, clerk, again: false });
+        self.call(core, CallOrigin::Order { order: one, clerk, again: false });
         if self.plan.crew.doubled > 0.0 && self.rng.f64() < self.plan.crew.doubled {
-            self.call(core + 1, Caller::Order { order: one, clerk, again: true });
+            self.call(core + 1, CallOrigin::Order { order: one, clerk, again: true });
         }
     }
 
-    fn file(&mut self, clerk: usize, sort: Sort, labels: Vec<usize>, version: u64, key: u64) -> usize {
+    fn file(
+        &mut self,
+        clerk: usize,
+        sort: ChangeValidity,
+        labels: Vec<usize>,
+        version: u64,
+        key: u64,
+    ) -> usize {
         let content = self.desk.orders.len() as u64;
         let items = items(sort, &labels, version, content, key, self.plan.crew.note);
         let (taken, confirmed, refused, rival) = (None, None, None, None);
         let began = self.now;
         let (open, given_up, tries) = (true, false, 0);
-        self.desk.orders.push(Order {
+        self.desk.orders.push(SentChange {
             clerk,
             sort,
             labels,
@@ -287,13 +306,16 @@
         let who = format!("order {order} (r{} of {:?}, {:?}) at core {core}", o.version, o.labels, o.sort);
         let mut wrong = None;
         match status {
-            200 if o.sort == Sort::Invalid => wrong = Some(format!("INVALID {now:.3}: {who} was confirmed")),
+            200 if o.sort == ChangeValidity::Invalid => {
+                wrong = Some(format!("INVALID {now:.3}: {who} was confirmed"))
+            }
             200 => {
                 if let Some((at, status)) = o.refused.filter(|r| r.1 == 409) {
                     wrong = Some(format!("NUMBER {now:.3}: {who} is confirmed, {status} at {at:.3}"));
                 }
                 if let Some(at) = rival.and_then(|r| r.taken) {
-                    let (what, other) = (if o.sort == Sort::Proper { "NUMBER" } else { "KEY" }, o.rival);
+                    let (what, other) =
+                        (if o.sort == ChangeValidity::Proper { "NUMBER" } else { "KEY" }, o.rival);
                     wrong = Some(format!(
                         "{what} {now:.3}: {who} is confirmed, its rival {other:?} was at {at:.3}"
                     ));
@@ -304,8 +326,8 @@
                     wrong = Some(format!("REFUSED {now:.3}: {who} gets {status}, confirmed at {at:.3}"));
                 }
                 let proper = match o.sort {
-                    Sort::Proper => status == 409 && rival.is_some(),
-                    Sort::Invalid | Sort::SharedKey => status == 400,
+                    ChangeValidity::Proper => status == 409 && rival.is_some(),
+                    ChangeValidity::Invalid | ChangeValidity::SharedKey => status == 400,
                 };
                 if !proper {
                     wrong = Some(format!("REFUSED {now:.3}: {who} gets {status}, rival {:?}", o.rival));
@@ -319,7 +341,7 @@
         match status {
             200 => {
                 let first = o.taken.replace(o.taken.unwrap_or(now)).is_none();
-                for label in o.labels.clone().into_iter().filter(|_| o.sort == Sort::Proper) {
+                for label in o.labels.clone().into_iter().filter(|_| o.sort == ChangeValidity::Proper) {
                     let (version, content) = (o.version, o.content);
                     self.watch.stands(now, label, version, content, "confirmed", &mut self.audit.broken);
                 }
@@ -335,8 +357,8 @@
     }
 
     /// An operator hears the answer to an order.
-    pub fn order_back(&mut self, call: Call, status: u16) {
-        let Caller::Order { order, again, .. } = call.by else { return };
+    pub fn order_back(&mut self, call: ControlCall, status: u16) {
+        let CallOrigin::Order { order, again, .. } = call.by else { return };
         let o = &mut self.desk.orders[order];
         if status != 200 && status != 400 && status != 409 {
             return self.order_failed(call);
@@ -346,7 +368,7 @@
             o.confirmed.get_or_insert(self.now);
             if first && self.rng.f64() < self.plan.crew.again {
                 let late = 8.0 * self.rng.f64() * self.rng.f64();
-                self.after(late, SimulationEvent::Clerk(Turn::Again(order)));
+                self.after(late, SimulationEvent::OperatorTurn(OperatorStep::Again(order)));
             }
         }
         self.freed(again, order);
@@ -356,13 +378,13 @@
         if !again {
             let wait = self.plan.crew.pause * self.rng.f64();
             let clerk = self.desk.orders[order].clerk;
-            self.after(wait, SimulationEvent::Clerk(Turn::Next(clerk)));
+            self.after(wait, SimulationEvent::OperatorTurn(OperatorStep::Next(clerk)));
         }
     }
 
     /// Silence or no clear answer: the same once more to another machine.
-    pub fn order_failed(&mut self, call: Call) {
-        let Caller::Order { order, again, .. } = call.by else { return };
+    pub fn order_failed(&mut self, call: ControlCall) {
+        let CallOrigin::Order { order, again, .. } = call.by else { return };
         let o = &mut self.desk.orders[order];
         o.tries += 1;
         // Twins may stay without a clear answer, and so may what is sent again.
@@ -410,7 +432,7 @@
             true => self.desk.read_at_end = true,
             false if self.plan.crew.reads > 0.0 => {
                 let wait = self.plan.crew.reads * (0.5 + self.rng.f64());
-                self.after(wait, SimulationEvent::Clerk(Turn::Read(clerk)));
+                self.after(wait, SimulationEvent::OperatorTurn(OperatorStep::Read(clerk)));
             }
             false => {}
         }
@@ -429,11 +451,13 @@
     }
 
     /// Who sends this call?
-    pub fn sender(&self, by: &Caller) -> Party {
+    pub fn sender(&self, by: &CallOrigin) -> Participant {
         match by {
-            Caller::Beat(n) | Caller::Depart(n) => Party::Worker(*n),
-            Caller::Amend(_) | Caller::Read => Party::Operator(0),
-            Caller::Order { clerk, .. } | Caller::Look { clerk, .. } => Party::Operator(clerk + 1),
+            CallOrigin::Beat(n) | CallOrigin::Depart(n) => Participant::Worker(*n),
+            CallOrigin::Amend(_) | CallOrigin::Read => Participant::Operator(0),
+            CallOrigin::Order { clerk, .. } | CallOrigin::Look { clerk, .. } => {
+                Participant::Operator(clerk + 1)
+            }
         }
     }
 }
--- a/crates/simulation/src/partitions.rs
+++ b/crates/simulation/src/partitions.rs
@@ -3,7 +3,7 @@
 
 /// Anybody who sends packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Party {
+pub enum Participant {
     Core(usize),
     Edge(usize),
     Worker(usize),
@@ -12,7 +12,7 @@
 
 /// Which packets a cut holds up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     Both,
     /// What the inside says.
     Out,
@@ -22,28 +22,38 @@
 
 /// A cut between `inside` and all others, or only these others.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Cut {
-    pub inside: Vec<Party>,
-    pub others: Option<Vec<Party>>,
-    pub way: Way,
+pub struct Partition {
+    pub inside: Vec<Participant>,
+    pub others: Option<Vec<Participant>>,
+    pub way: Direction,
 }
 
-impl Cut {
+impl Partition {
     /// These core machines with a gatekeeper, two workers and an operator on their side.
-    pub fn side(cores: &[usize], edges: &[usize], workers: &[usize], operators: &[usize], way: Way) -> Self {
-        let cores = cores.iter().map(|n| Party::Core(*n));
-        let edges = edges.iter().map(|n| Party::Edge(*n));
-        let workers = workers.iter().map(|n| Party::Worker(*n));
-        let operators = operators.iter().map(|n| Party::Operator(*n));
-        Cut { inside: cores.chain(edges).chain(workers).chain(operators).collect(), others: None, way }
+    pub fn side(
+        cores: &[usize],
+        edges: &[usize],
+        workers: &[usize],
+        operators: &[usize],
+        way: Direction,
+    ) -> Self {
+        let cores = cores.iter().map(|n| Participant::Core(*n));
+        let edges = edges.iter().map(|n| Participant::Edge(*n));
+        let workers = workers.iter().map(|n| Participant::Worker(*n));
+        let operators = operators.iter().map(|n| Participant::Operator(*n));
+        Partition { inside: cores.chain(edges).chain(workers).chain(operators).collect(), others: None, way }
     }
 
     /// Two core machines that don't reach each other, though others reach both.
     pub fn pair(one: usize, other: usize) -> Self {
-        Cut { inside: vec![Party::Core(one)], others: Some(vec![Party::Core(other)]), way: Way::Both }
+        Partition {
+            inside: vec![Participant::Core(one)],
+            others: Some(vec![Participant::Core(other)]),
+            way: Direction::Both,
+        }
     }
 
-    fn outside(&self, party: Party) -> bool {
+    fn outside(&self, party: Participant) -> bool {
         match &self.others {
             Some(others) => others.contains(&party),
             None => !self.inside.contains(&party),
@@ -51,13 +61,13 @@
     }
 
     /// Are packets from the one to the other held up?
-    pub fn stops(&self, from: Party, to: Party) -> bool {
+    pub fn stops(&self, from: Participant, to: Participant) -> bool {
         let out = self.inside.contains(&from) && self.outside(to);
         let back = self.outside(from) && self.inside.contains(&to);
         match self.way {
-            Way::Both => out || back,
-            Way::Out => out,
-            Way::In => back,
+            Direction::Both => out || back,
+            Direction::Out => out,
+            Direction::In => back,
         }
     }
 }
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -1,11 +1,11 @@
 //! What a simulated deployment is like. It must never change while a run is under way.
 
-use super::misbehaving_core::Spoiled;
-use super::operators::Crew;
+use super::misbehaving_core::Misbehaviour;
+use super::operators::OperatorLoad;
 
 /// What a deployment is like.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct DeploymentPlan {
     pub cores: usize,
     pub losses: usize,
     pub edges: usize,
@@ -23,7 +23,7 @@
     pub making: f64,
     /// No tenant has a quota.
     pub unlimited: bool,
-    pub crew: Crew,
+    pub crew: OperatorLoad,
     /// How many changes the first operator makes.
     pub steps: Option<u64>,
     /// Services with two kilobytes of fields each that stand from the first change on.
@@ -36,12 +36,12 @@
     /// The list of addresses that a machine gets at its start is so old: seconds.
     pub seed_delay: f64,
     /// A fault that is put in.
-    pub spoiled: Option<Spoiled>,
+    pub spoiled: Option<Misbehaviour>,
 }
 
-impl Default for Plan {
+impl Default for DeploymentPlan {
     fn default() -> Self {
-        Plan {
+        DeploymentPlan {
             cores: 3,
             losses: 1,
             edges: 6,
@@ -56,7 +56,7 @@
             late: Vec::new(),
             making: 0.0,
             unlimited: false,
-            crew: Crew::default(),
+            crew: OperatorLoad::default(),
             steps: None,
             bulk: 0,
             sync: 0.004,
--- a/crates/simulation/src/repair_times.rs
+++ b/crates/simulation/src/repair_times.rs
@@ -13,7 +13,7 @@
 
 /// Repairs under way, and how long the others took.
 #[derive(Default)]
-pub struct Repairs {
+pub struct RepairTimes {
     pending: BTreeMap<usize, Repair>,
     pub took: Vec<f64>,
 }
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -1,18 +1,18 @@
 //! The operators' worst days: cuts between sides, machines replaced, starts beside a machine that is cut off, slow
 //! disks. Steps of time of day are not among them: no state machine is told the time of day.
 
-use super::faults::{Disk, Fault};
-use super::network::Who;
-use super::partitions::{Cut, Party, Way};
+use super::faults::{Fault, SimulatedDisk};
+use super::network::NodeRef;
+use super::partitions::{Direction, Participant, Partition};
 use super::{core_ip, SimulatedCore, SimulationEvent, World};
 use std::net::SocketAddr;
 use whinstall_gateway::control_plane;
 
 /// A trouble of such a day.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Severe {
+pub enum SevereFault {
     Cut {
-        cut: Cut,
+        cut: Partition,
         secs: f64,
     },
     /// Cut off is whichever core machine answered last as the counter, with some of the others' callers.
@@ -24,7 +24,7 @@
     },
     /// The same, from all others or from the next core machine only, one way or both.
     CutLeader {
-        way: Way,
+        way: Direction,
         pair: bool,
         secs: f64,
     },
@@ -74,7 +74,7 @@
         edges: bool,
     },
     /// Some lose power at a moment of the next snapshot.
-    AtSnapshot(AtSnapshot),
+    AtSnapshot(SnapshotCrash),
     /// The machine that confirms the next order loses power right after, and `more` others; its disk, too, if `wipe`.
     HitAfterAck {
         down: f64,
@@ -93,7 +93,7 @@
     },
     /// The settings of these name other seeds; read while they run.
     Reread {
-        who: Vec<Who>,
+        who: Vec<NodeRef>,
         seeds: Vec<usize>,
     },
     /// A part of the answers to operators is lost for a while.
@@ -103,7 +103,7 @@
     },
     /// A part of a machine's connections are reset.
     Reset {
-        who: Who,
+        who: NodeRef,
         part: f64,
     },
     /// Gets a fifth of its time for a while.
@@ -128,7 +128,7 @@
 
 /// What happens to a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Moment {
+pub enum SnapshotStage {
     /// A part of it is on its way to a machine's disk, ahead of it.
     Ahead,
     /// It is itself, and the log is cut with it.
@@ -139,7 +139,7 @@
 
 /// Who loses power then.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Struck {
+pub enum CrashTarget {
     /// Whose snapshot it is, or whose disk: that machine.
     Owner,
     /// To whom it is sent.
@@ -150,11 +150,11 @@
 
 /// A loss of power at a moment of a snapshot.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AtSnapshot {
-    pub moment: Moment,
+pub struct SnapshotCrash {
+    pub moment: SnapshotStage,
     /// The so-manieth time that it comes, from now.
     pub nth: usize,
-    pub struck: Struck,
+    pub struck: CrashTarget,
     pub down: f64,
     /// Once those are back, `resync_bound` later, the next machine loses its disk.
     pub then: bool,
@@ -162,7 +162,7 @@
 
 /// What waits for an order to be confirmed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trap {
+pub enum PendingCrash {
     Blackout { down: f64, edges: bool },
     Hit { down: f64, wipe: bool, more: usize },
 }
@@ -174,9 +174,11 @@
             Fault::KillCore { core, .. } | Fault::StallDisk { core, .. } | Fault::CutCore { core, .. } => {
                 *core = at
             }
-            Fault::Freeze { who, .. } => *who = Who::Core(at),
-            Fault::Severe(Severe::Term { core, .. } | Severe::Drag { core, .. }) => *core = at,
-            Fault::Severe(Severe::DiskFull { core, .. } | Severe::SlowDisk { core, .. }) => *core = at,
+            Fault::Freeze { who, .. } => *who = NodeRef::Core(at),
+            Fault::Severe(SevereFault::Term { core, .. } | SevereFault::Drag { core, .. }) => *core = at,
+            Fault::Severe(SevereFault::DiskFull { core, .. } | SevereFault::SlowDisk { core, .. }) => {
+                *core = at
+            }
             _ => {}
         }
         self
@@ -189,8 +191,8 @@
         let cut =
             put.writes.iter().any(|w| matches!(w, whinstall_gateway::consensus::LogWrite::Snapshot { .. }));
         let moment = match (&put.part, cut) {
-            (Some(_), _) => Moment::Ahead,
-            (None, true) => Moment::Cut,
+            (Some(_), _) => SnapshotStage::Ahead,
+            (None, true) => SnapshotStage::Cut,
             (None, false) => return,
         };
         self.snapshot_at(moment, n, n);
@@ -209,12 +211,12 @@
         else {
             return;
         };
-        if let (Who::Core(from), false) = (key.from, data.is_empty()) {
-            self.snapshot_at(Moment::Sent, from, key.to);
+        if let (NodeRef::Core(from), false) = (key.from, data.is_empty()) {
+            self.snapshot_at(SnapshotStage::Sent, from, key.to);
         }
     }
 
-    fn snapshot_at(&mut self, moment: Moment, owner: usize, receiver: usize) {
+    fn snapshot_at(&mut self, moment: SnapshotStage, owner: usize, receiver: usize) {
         *self.watch.moments.entry(moment as usize).or_default() += 1;
         let mut waiting = std::mem::take(&mut self.watch.at_snapshot);
         for at in waiting.iter_mut().filter(|at| at.moment == moment) {
@@ -223,14 +225,14 @@
         let due = waiting.iter().position(|at| at.moment == moment && at.nth == 0);
         let due = due.map(|n| waiting.remove(n));
         self.watch.at_snapshot = waiting;
-        let Some(AtSnapshot { struck, down, then, .. }) = due else { return };
+        let Some(SnapshotCrash { struck, down, then, .. }) = due else { return };
         self.watch.struck += 1;
         // Somewhere in the write, or on the way.
         let late = 0.01 * self.rng.f64();
-        let core = if struck == Struck::Receiver { receiver } else { owner };
+        let core = if struck == CrashTarget::Receiver { receiver } else { owner };
         let lost = match struck {
-            Struck::All => {
-                super::faults::Fault::Severe(Severe::Blackout { down, wipe: Vec::new(), edges: false })
+            CrashTarget::All => {
+                super::faults::Fault::Severe(SevereFault::Blackout { down, wipe: Vec::new(), edges: false })
             }
             _ => super::faults::Fault::KillCore { core, down, power: true, wipe: false },
         };
@@ -250,10 +252,10 @@
     }
 
     /// The addresses that a `seed_list` of these holds.
-    pub fn seeds(&self, who: Who) -> Vec<SocketAddr> {
+    pub fn seeds(&self, who: NodeRef) -> Vec<SocketAddr> {
         let seeds = match who {
-            Who::Core(n) => &self.cores[n].seeds,
-            Who::Edge(n) => &self.edges[n].seeds,
+            NodeRef::Core(n) => &self.cores[n].seeds,
+            NodeRef::Edge(n) => &self.edges[n].seeds,
         };
         seeds.iter().map(|n| (core_ip(*n), 80).into()).collect()
     }
@@ -267,7 +269,7 @@
             return list.map_or(first, |l| l.1.clone()).into_iter().take(3).collect();
         }
         let listed = self.listed().into_iter().filter(|n| *n != but);
-        let up = listed.filter(|n| self.there(Who::Core(*n)));
+        let up = listed.filter(|n| self.there(NodeRef::Core(*n)));
         up.take(3).collect()
     }
 
@@ -275,7 +277,7 @@
     fn list_changed(&mut self) {
         let (now, listed) = (self.now, self.listed());
         self.watch.lists.push((now, listed));
-        self.after(self.plan.seed_delay, SimulationEvent::Lists);
+        self.after(self.plan.seed_delay, SimulationEvent::SeedListsChange);
     }
 
     /// The files of all machines are written anew, by the operator's list as it is; read at their next start.
@@ -289,7 +291,7 @@
         let n = self.cores.len();
         let seeds = self.three(n);
         let drift = 1.0 + 2e-4 * (self.rng.f64() - 0.5);
-        let (core, life, disk, boot, backlog) = (None, 0, Disk::default(), self.now, Vec::new());
+        let (core, life, disk, boot, backlog) = (None, 0, SimulatedDisk::default(), self.now, Vec::new());
         let node = SimulatedCore {
             core,
             life,
@@ -304,9 +306,9 @@
         };
         self.cores.push(node);
         self.watch.joining.insert(n, self.now);
-        self.after(0.0, SimulationEvent::Boot(Who::Core(n)));
+        self.after(0.0, SimulationEvent::Boot(NodeRef::Core(n)));
         self.lost_for(0.0, self.plan.resync);
-        self.after(0.3, SimulationEvent::Lists);
+        self.after(0.3, SimulationEvent::SeedListsChange);
         self.list_changed();
     }
 
@@ -316,14 +318,14 @@
         self.cores[n].listed = false;
         self.watch.left.insert(n, self.now);
         let (life, late) = (self.cores[n].life, 0.3 + 0.6 * self.rng.f64());
-        self.after(late, SimulationEvent::Gone(n, life));
+        self.after(late, SimulationEvent::ProcessExited(n, life));
         self.lost_for(late, self.plan.resync);
         self.list_changed();
     }
 
     pub fn gone(&mut self, n: usize, life: u64) {
         if self.cores[n].life == life && self.cores[n].core.is_some() {
-            self.kill(Who::Core(n), false);
+            self.kill(NodeRef::Core(n), false);
             let unwritten = self.rng.bool();
             self.cores[n].disk.crash(unwritten, false, &mut self.rng);
         }
@@ -343,30 +345,30 @@
         self.rewrite_lists();
     }
 
-    fn cut(&mut self, cut: Cut, secs: f64) {
+    fn cut(&mut self, cut: Partition, secs: f64) {
         for party in &cut.inside {
-            if let Party::Edge(n) = party {
+            if let Participant::Edge(n) = party {
                 self.trouble(*n, secs + 3.0);
             }
         }
         self.links.cuts.push(cut.clone());
         self.lost_for(secs, 3.0);
-        self.after(secs, SimulationEvent::Rejoin(cut));
+        self.after(secs, SimulationEvent::PartitionHeals(cut));
     }
 
-    pub fn rejoin(&mut self, cut: &Cut) {
+    pub fn rejoin(&mut self, cut: &Partition) {
         if let Some(at) = self.links.cuts.iter().position(|c| c == cut) {
             self.links.cuts.remove(at);
         }
         self.touch();
     }
 
-    fn lay(&mut self, trap: Trap) {
+    fn lay(&mut self, trap: PendingCrash) {
         self.watch.trap = Some((self.now + 2.5, trap));
     }
 
     /// Its settings change, and it is told so if it runs.
-    fn reread(&mut self, who: Who, seeds: &[usize]) {
+    fn reread(&mut self, who: NodeRef, seeds: &[usize]) {
         // As an operator would write them: machines that are listed, more of them than may be lost.
         let named = seeds.iter().filter(|n| self.cores.get(**n).is_some_and(|c| c.listed)).copied();
         let mut seeds: Vec<usize> = Vec::new();
@@ -377,18 +379,18 @@
         }
         match who {
             // Not there yet.
-            Who::Core(n) if n >= self.cores.len() => return,
-            Who::Core(n) => self.cores[n].seeds = seeds,
-            Who::Edge(n) => self.edges[n].seeds = seeds,
+            NodeRef::Core(n) if n >= self.cores.len() => return,
+            NodeRef::Core(n) => self.cores[n].seeds = seeds,
+            NodeRef::Edge(n) => self.edges[n].seeds = seeds,
         }
         let (settings, mut out) = (self.settings(who), Vec::new());
         match who {
-            Who::Core(n) => {
+            NodeRef::Core(n) => {
                 let Some(core) = self.cores[n].core.as_mut() else { return };
                 core.retune(settings, &mut out);
                 self.core_effects(n, out);
             }
-            Who::Edge(n) => {
+            NodeRef::Edge(n) => {
                 self.edge_call(n, |edge, _, out| edge.retune(settings, out));
             }
         }
@@ -402,8 +404,8 @@
             return;
         }
         let (down, edges) = match trap {
-            Trap::Blackout { down, edges } => (down, edges),
-            Trap::Hit { down, wipe, more } => {
+            PendingCrash::Blackout { down, edges } => (down, edges),
+            PendingCrash::Hit { down, wipe, more } => {
                 let others = listed.into_iter().filter(|n| *n != core).take(more);
                 for core in std::iter::once(core).chain(others) {
                     let late = 0.004 * self.rng.f64();
@@ -418,127 +420,128 @@
         let other = listed[self.rng.usize(0..listed.len())];
         let wipe = vec![if self.rng.bool() { core } else { other }];
         let late = 0.003 * self.rng.f64();
-        let dark = Severe::Blackout { down, wipe, edges };
+        let dark = SevereFault::Blackout { down, wipe, edges };
         self.after(late, SimulationEvent::Fault(Fault::Severe(dark)));
     }
 
-    pub fn severe(&mut self, severe: Severe) {
+    pub fn severe(&mut self, severe: SevereFault) {
         match severe {
-            Severe::Cut { cut, secs } => self.cut(cut, secs),
-            Severe::CutHolder { edges, workers, operators, secs } => {
+            SevereFault::Cut { cut, secs } => self.cut(cut, secs),
+            SevereFault::CutHolder { edges, workers, operators, secs } => {
                 let holder = self.watch.holder().unwrap_or(0);
-                self.cut(Cut::side(&[holder], &edges, &workers, &operators, Way::Both), secs);
+                self.cut(Partition::side(&[holder], &edges, &workers, &operators, Direction::Both), secs);
             }
-            Severe::CutLeader { way, pair, secs } => {
+            SevereFault::CutLeader { way, pair, secs } => {
                 let leader = self.watch.holder().unwrap_or(0);
-                let other = Party::Core(self.pick(leader + 1));
-                let side = Cut::side(&[leader], &[0], &[0, 4], &[1], way);
-                let only = Cut { inside: vec![Party::Core(leader)], others: Some(vec![other]), way };
+                let other = Participant::Core(self.pick(leader + 1));
+                let side = Partition::side(&[leader], &[0], &[0, 4], &[1], way);
+                let only =
+                    Partition { inside: vec![Participant::Core(leader)], others: Some(vec![other]), way };
                 self.cut(if pair { only } else { side }, secs);
             }
-            Severe::RestartCore { core, down, power, wipe, seeds } => {
+            SevereFault::RestartCore { core, down, power, wipe, seeds } => {
                 if !self.cores[core].listed {
                     return;
                 }
-                self.kill(Who::Core(core), power);
+                self.kill(NodeRef::Core(core), power);
                 self.cores[core].disk.crash(power, wipe, &mut self.rng);
                 self.cores[core].seeds = seeds;
                 self.lost_for(down, self.plan.resync);
-                self.after(down, SimulationEvent::Boot(Who::Core(core)));
+                self.after(down, SimulationEvent::Boot(NodeRef::Core(core)));
             }
-            Severe::RestartEdge { edge, down, seeds } => {
-                self.kill(Who::Edge(edge), false);
+            SevereFault::RestartEdge { edge, down, seeds } => {
+                self.kill(NodeRef::Edge(edge), false);
                 self.edges[edge].seeds = seeds;
                 self.trouble(edge, down + 3.0);
-                self.after(down, SimulationEvent::Boot(Who::Edge(edge)));
+                self.after(down, SimulationEvent::Boot(NodeRef::Edge(edge)));
             }
-            Severe::Replace { core, later } => {
+            SevereFault::Replace { core, later } => {
                 self.end_core(core);
-                self.after(later, SimulationEvent::Fault(Fault::Severe(Severe::Add)));
+                self.after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
             }
-            Severe::ReplaceHolder { later } => {
+            SevereFault::ReplaceHolder { later } => {
                 let holder = self.watch.holder().filter(|n| self.cores[*n].listed).unwrap_or(self.pick(0));
                 self.end_core(holder);
-                self.after(later, SimulationEvent::Fault(Fault::Severe(Severe::Add)));
+                self.after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
             }
-            Severe::Add => self.add_core(),
-            Severe::Remove { core } => self.end_core(core),
-            Severe::RemoveHolder => {
+            SevereFault::Add => self.add_core(),
+            SevereFault::Remove { core } => self.end_core(core),
+            SevereFault::RemoveHolder => {
                 let holder = self.watch.holder().filter(|n| self.cores[*n].listed).unwrap_or(self.pick(0));
                 self.end_core(holder);
             }
-            Severe::Dies { core } => {
-                self.kill(Who::Core(core), true);
+            SevereFault::Dies { core } => {
+                self.kill(NodeRef::Core(core), true);
                 self.cores[core].disk.crash(true, true, &mut self.rng);
                 self.lost_for(0.0, self.plan.resync);
             }
-            Severe::SlowDisk { core, each, secs } => {
+            SevereFault::SlowDisk { core, each, secs } => {
                 self.cores[core].disk.stalled_until = self.now + each;
                 self.lost_for(each, 3.0);
                 if secs > each {
-                    let later = Severe::SlowDisk { core, each, secs: secs - 1.5 * each };
+                    let later = SevereFault::SlowDisk { core, each, secs: secs - 1.5 * each };
                     self.after(1.5 * each, SimulationEvent::Fault(Fault::Severe(later)));
                 }
             }
-            Severe::AtSnapshot(at) => self.watch.at_snapshot.push(at),
-            Severe::BlackoutAfterAck { down, edges } => self.lay(Trap::Blackout { down, edges }),
-            Severe::HitAfterAck { down, wipe, more } => self.lay(Trap::Hit { down, wipe, more }),
-            Severe::Term { core, down } => {
-                if !self.cores[core].listed || !self.there(Who::Core(core)) {
+            SevereFault::AtSnapshot(at) => self.watch.at_snapshot.push(at),
+            SevereFault::BlackoutAfterAck { down, edges } => self.lay(PendingCrash::Blackout { down, edges }),
+            SevereFault::HitAfterAck { down, wipe, more } => self.lay(PendingCrash::Hit { down, wipe, more }),
+            SevereFault::Term { core, down } => {
+                if !self.cores[core].listed || !self.there(NodeRef::Core(core)) {
                     return;
                 }
                 self.core_event(core, control_plane::Event::Ending);
                 let (life, late) = (self.cores[core].life, 0.1 + 0.8 * self.rng.f64());
-                self.after(late, SimulationEvent::Gone(core, life));
+                self.after(late, SimulationEvent::ProcessExited(core, life));
                 self.lost_for(late + down, 4.0);
-                self.after(late + down, SimulationEvent::Boot(Who::Core(core)));
+                self.after(late + down, SimulationEvent::Boot(NodeRef::Core(core)));
             }
-            Severe::Succeed { core, later } => {
-                self.kill(Who::Core(core), true);
+            SevereFault::Succeed { core, later } => {
+                self.kill(NodeRef::Core(core), true);
                 self.cores[core].disk.crash(true, true, &mut self.rng);
                 self.cores[core].listed = false;
                 self.watch.left.insert(core, self.now);
                 self.lost_for(later, 4.0);
                 self.rewrite_lists();
-                self.after(later, SimulationEvent::Fault(Fault::Severe(Severe::Add)));
+                self.after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
             }
-            Severe::Reread { who, seeds } => who.into_iter().for_each(|who| self.reread(who, &seeds)),
-            Severe::AcksLost { part, secs } => self.deaf = (self.now + secs, part),
-            Severe::Reset { who, part } => {
+            SevereFault::Reread { who, seeds } => who.into_iter().for_each(|who| self.reread(who, &seeds)),
+            SevereFault::AcksLost { part, secs } => self.deaf = (self.now + secs, part),
+            SevereFault::Reset { who, part } => {
                 self.reset_some(who, part);
                 match who {
-                    Who::Core(_) => self.lost_for(0.0, 3.0),
-                    Who::Edge(n) => self.trouble(n, 3.0),
+                    NodeRef::Core(_) => self.lost_for(0.0, 3.0),
+                    NodeRef::Edge(n) => self.trouble(n, 3.0),
                 }
             }
-            Severe::Drag { core, secs } => {
-                self.fault(Fault::Freeze { who: Who::Core(core), secs: 0.16 });
+            SevereFault::Drag { core, secs } => {
+                self.fault(Fault::Freeze { who: NodeRef::Core(core), secs: 0.16 });
                 if secs > 0.2 {
                     self.after(
                         0.2,
-                        SimulationEvent::Fault(Fault::Severe(Severe::Drag { core, secs: secs - 0.2 })),
+                        SimulationEvent::Fault(Fault::Severe(SevereFault::Drag { core, secs: secs - 0.2 })),
                     );
                 }
             }
-            Severe::DiskFull { core, secs } => {
+            SevereFault::DiskFull { core, secs } => {
                 self.cores[core].disk.full_until = self.now + secs;
                 self.lost_for(secs, 3.0);
             }
-            Severe::AtHolder(fault) => {
+            SevereFault::AtHolder(fault) => {
                 let holder = self.watch.holder().filter(|n| self.cores[*n].listed).unwrap_or(self.pick(0));
                 self.fault(fault.at(holder));
             }
-            Severe::Blackout { down, wipe, edges } => {
+            SevereFault::Blackout { down, wipe, edges } => {
                 for n in self.listed() {
-                    self.kill(Who::Core(n), true);
+                    self.kill(NodeRef::Core(n), true);
                     self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
                     let late = 0.2 * self.rng.f64();
-                    self.after(down + late, SimulationEvent::Boot(Who::Core(n)));
+                    self.after(down + late, SimulationEvent::Boot(NodeRef::Core(n)));
                 }
                 for n in (0..self.edges.len()).filter(|_| edges) {
-                    self.kill(Who::Edge(n), true);
+                    self.kill(NodeRef::Edge(n), true);
                     self.trouble(n, down + 4.0);
-                    self.after(down, SimulationEvent::Boot(Who::Edge(n)));
+                    self.after(down, SimulationEvent::Boot(NodeRef::Edge(n)));
                 }
                 self.lost_for(down + 0.2, self.plan.resync);
             }
--- a/crates/simulation/src/trials.rs
+++ b/crates/simulation/src/trials.rs
@@ -1,18 +1,18 @@
 //! Runs of a story over many seeds; says of each seed what is broken.
 
 use super::faults::Fault;
-use super::operators::Crew;
-use super::partitions::{Cut, Way};
-use super::severe_faults::Severe;
-use super::{Plan, SimulationEvent, World};
+use super::operators::OperatorLoad;
+use super::partitions::{Direction, Partition};
+use super::severe_faults::SevereFault;
+use super::{DeploymentPlan, SimulationEvent, World};
 
 /// Troubles and when they come.
-pub type Days = Vec<(f64, Fault)>;
+pub type FaultSchedule = Vec<(f64, Fault)>;
 
 /// A deployment whose control side is under way all day, its traffic light.
-pub fn control(cores: usize, losses: usize) -> Plan {
-    let crew = Crew { clerks: 3, twins: 0.0, shared: 0.0, pause: 1.0, ..Crew::default() };
-    Plan {
+pub fn control(cores: usize, losses: usize) -> DeploymentPlan {
+    let crew = OperatorLoad { clerks: 3, twins: 0.0, shared: 0.0, pause: 1.0, ..OperatorLoad::default() };
+    DeploymentPlan {
         cores,
         losses,
         edges: 3,
@@ -21,17 +21,17 @@
         length: 34.0,
         steps: Some(5),
         crew,
-        ..Plan::default()
+        ..DeploymentPlan::default()
     }
 }
 
-pub fn severe(at: f64, severe: Severe) -> (f64, Fault) {
+pub fn severe(at: f64, severe: SevereFault) -> (f64, Fault) {
     (at, Fault::Severe(severe))
 }
 
 /// A core machine cut off with a gatekeeper, workers and an operator on its side.
-pub fn cut(at: f64, cores: &[usize], way: Way, secs: f64) -> (f64, Fault) {
-    severe(at, Severe::Cut { cut: Cut::side(cores, &[0], &[0, 4], &[1], way), secs })
+pub fn cut(at: f64, cores: &[usize], way: Direction, secs: f64) -> (f64, Fault) {
+    severe(at, SevereFault::Cut { cut: Partition::side(cores, &[0], &[0, 4], &[1], way), secs })
 }
 
 /// Killed with its disk for good or for a while.
@@ -39,7 +39,7 @@
     (at, Fault::KillCore { core, down, power: true, wipe: true })
 }
 
-pub fn play(seed: u64, plan: Plan, days: &[(f64, Fault)]) -> World {
+pub fn play(seed: u64, plan: DeploymentPlan, days: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
     for (at, fault) in days {
         world.at(*at, SimulationEvent::Fault(fault.clone()));
@@ -65,14 +65,17 @@
 }
 
 /// Plays a story on each seed; all that is broken is told, with the seeds. Returned: how many orders were confirmed.
-pub fn trial(seeds: std::ops::Range<u64>, story: impl Fn(u64, &mut fastrand::Rng) -> (Plan, Days)) -> usize {
+pub fn trial(
+    seeds: std::ops::Range<u64>,
+    story: impl Fn(u64, &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule),
+) -> usize {
     trial_with(seeds, story, |_| None)
 }
 
 /// The same; `more` tells what else is broken.
 pub fn trial_with(
     seeds: std::ops::Range<u64>,
-    story: impl Fn(u64, &mut fastrand::Rng) -> (Plan, Days),
+    story: impl Fn(u64, &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule),
     more: impl Fn(&World) -> Option<String>,
 ) -> usize {
     let (mut failed, many) = (Vec::new(), seeds.end - seeds.start);
--- a/crates/simulation/tests/scenarios/basic.rs
+++ b/crates/simulation/tests/scenarios/basic.rs
@@ -2,10 +2,10 @@
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
-use whinstall_simulation::network::Who;
-use whinstall_simulation::{Plan, SimulationEvent, World};
+use whinstall_simulation::network::NodeRef;
+use whinstall_simulation::{DeploymentPlan, SimulationEvent, World};
 
-pub(super) fn played(seed: u64, plan: Plan, faults: &[(f64, Fault)]) -> World {
+pub(super) fn played(seed: u64, plan: DeploymentPlan, faults: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
     for (at, fault) in faults {
         world.at(*at, SimulationEvent::Fault(fault.clone()));
@@ -19,7 +19,7 @@
 }
 
 /// Plays on some seeds; what is broken names the seed.
-pub(super) fn all(seeds: std::ops::Range<u64>, plan: &Plan, faults: &[(f64, Fault)]) -> Vec<World> {
+pub(super) fn all(seeds: std::ops::Range<u64>, plan: &DeploymentPlan, faults: &[(f64, Fault)]) -> Vec<World> {
     let mut worlds = Vec::new();
     for seed in seeds {
         let world = played(seed, plan.clone(), faults);
@@ -32,7 +32,9 @@
 #[gtest]
 fn a_calm_day_is_served_and_nothing_is_refused() {
     // The large tenant asks for 24 a second, the small one for 3 of its 6; some seeds draw more than its burst at once.
-    for world in all(0..6, &Plan { lost_answers: 0.0, quota: 40.0, ..Plan::default() }, &[]) {
+    for world in
+        all(0..6, &DeploymentPlan { lost_answers: 0.0, quota: 40.0, ..DeploymentPlan::default() }, &[])
+    {
         for key in ["key-big", "key-free", "key-small"] {
             expect_that!(world.audit.served_of_owed(5.0, 20.0, key), ge(0.97), "{key}");
         }
@@ -41,7 +43,7 @@
 
 #[gtest]
 fn quotas_bind_over_all_gatekeepers_while_one_tenant_sends_tenfold() {
-    for world in all(10..20, &Plan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })]) {
+    for world in all(10..20, &DeploymentPlan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })]) {
         expect_that!(world.audit.served(8.0, 16.0, "key-free"), ge(0.9));
     }
 }
@@ -55,7 +57,7 @@
         (10.0, Fault::KillCore { core: 0, down: 2.5, power: true, wipe: false }),
         (15.0, Fault::KillCore { core: 1, down: 1.0, power: false, wipe: false }),
     ];
-    all(30..42, &Plan::default(), &faults);
+    all(30..42, &DeploymentPlan::default(), &faults);
 }
 
 #[gtest]
@@ -66,7 +68,7 @@
         (9.5, Fault::CutEdge { edge: 2, secs: 5.0 }),
         (14.0, Fault::KillAllCore { down: 0.4 }),
     ];
-    for world in all(50..60, &Plan::default(), &faults) {
+    for world in all(50..60, &DeploymentPlan::default(), &faults) {
         // Gatekeepers serve on with what they know, within their shares.
         expect_that!(world.audit.served(9.0, 11.0, "key-free"), ge(0.9));
     }
@@ -75,7 +77,7 @@
 #[gtest]
 fn a_gatekeeper_cut_off_serves_a_tenant_within_its_quota_on() {
     let faults = [(8.0, Fault::CutEdge { edge: 0, secs: 10.0 })];
-    for world in all(70..94, &Plan { quota: 60.0, ..Plan::default() }, &faults) {
+    for world in all(70..94, &DeploymentPlan { quota: 60.0, ..DeploymentPlan::default() }, &faults) {
         expect_that!(world.audit.served(8.0, 18.0, "key-big"), ge(0.93));
     }
 }
@@ -84,7 +86,7 @@
 fn acknowledged_items_outlive_the_disk_of_one_and_the_power_of_all() {
     for (seeds, lost) in [(80..86, 0), (90..96, 1), (100..106, 2)] {
         let fault = Fault::PowerOffAll { down: 1.0, wipe: vec![lost] };
-        for world in all(seeds, &Plan::default(), &[(12.0, fault)]) {
+        for world in all(seeds, &DeploymentPlan::default(), &[(12.0, fault)]) {
             expect_that!(world.audit.served(16.0, 20.0, "key-free"), ge(0.8));
         }
     }
@@ -92,7 +94,7 @@
 
 #[gtest]
 fn two_of_five_disks_may_go() {
-    let plan = Plan { cores: 5, losses: 2, ..Plan::default() };
+    let plan = DeploymentPlan { cores: 5, losses: 2, ..DeploymentPlan::default() };
     let faults = [
         (7.0, Fault::KillCore { core: 4, down: 2.0, power: true, wipe: true }),
         (14.0, Fault::PowerOffAll { down: 1.0, wipe: vec![1, 3] }),
@@ -107,7 +109,7 @@
         (12.0, Fault::StallDisk { core: 1, secs: 3.0 }),
         (15.5, Fault::KillCore { core: 2, down: 1.5, power: true, wipe: true }),
     ];
-    for world in all(120..130, &Plan::default(), &faults) {
+    for world in all(120..130, &DeploymentPlan::default(), &faults) {
         expect_that!(world.audit.served(6.0, 20.0, "key-free"), ge(0.93));
     }
 }
@@ -116,11 +118,11 @@
 fn one_way_cuts_and_pauses_break_nothing() {
     let faults = [
         (6.0, Fault::CutCore { core: 1, secs: 4.0, one_way: true }),
-        (11.0, Fault::Freeze { who: Who::Core(0), secs: 3.0 }),
-        (15.0, Fault::Freeze { who: Who::Edge(1), secs: 2.0 }),
+        (11.0, Fault::Freeze { who: NodeRef::Core(0), secs: 3.0 }),
+        (15.0, Fault::Freeze { who: NodeRef::Edge(1), secs: 2.0 }),
         (9.0, Fault::Hot { times: 8.0, secs: 9.0 }),
     ];
-    all(140..152, &Plan::default(), &faults);
+    all(140..152, &DeploymentPlan::default(), &faults);
 }
 
 #[gtest]
@@ -133,13 +135,13 @@
         (10.0, Fault::CrashWorker { worker: 3, dark: true }),
         (11.0, Fault::CrashWorker { worker: 5, dark: false }),
     ];
-    for world in all(160..172, &Plan::default(), &faults) {
+    for world in all(160..172, &DeploymentPlan::default(), &faults) {
         expect_that!(world.audit.served(12.0, 20.0, "key-free"), ge(0.85));
     }
 }
 
 /// Draws troubles within what may be lost at once.
-pub(super) fn drawn(rng: &mut fastrand::Rng, plan: &Plan) -> Vec<(f64, Fault)> {
+pub(super) fn drawn(rng: &mut fastrand::Rng, plan: &DeploymentPlan) -> Vec<(f64, Fault)> {
     let mut faults = Vec::new();
     let mut at = 5.0 + rng.f64();
     while at < plan.length - 9.0 {
@@ -153,14 +155,14 @@
                 0 => Fault::KillCore { core, down: secs, power, wipe: rng.bool() },
                 1 => Fault::CutCore { core, secs, one_way: rng.bool() },
                 2 => Fault::StallDisk { core, secs },
-                3 => Fault::Freeze { who: Who::Core(core), secs },
+                3 => Fault::Freeze { who: NodeRef::Core(core), secs },
                 4 => Fault::KillAllCore { down: 0.3 + 0.6 * rng.f64() },
                 5 => Fault::PowerOffAll { down: 1.0, wipe: vec![core] },
                 6 => Fault::KillEdge { edge, down: secs },
                 7 => Fault::CutEdge { edge, secs },
                 8 => Fault::Hot { times: 3.0 + 8.0 * rng.f64(), secs },
                 9 => Fault::DrainWorker { worker: rng.usize(0..6) },
-                _ => Fault::Freeze { who: Who::Edge(edge), secs },
+                _ => Fault::Freeze { who: NodeRef::Edge(edge), secs },
             },
         ));
         // Core machines count as lost for a while after their return: the next comes after that.
@@ -170,7 +172,7 @@
     faults
 }
 
-fn hunt(seeds: std::ops::Range<u64>, plan: &Plan) {
+fn hunt(seeds: std::ops::Range<u64>, plan: &DeploymentPlan) {
     for seed in seeds {
         let faults = drawn(&mut fastrand::Rng::with_seed(seed), plan);
         let world = played(seed, plan.clone(), &faults);
@@ -180,15 +182,21 @@
 
 #[gtest]
 fn drawn_troubles_on_three_core_machines() {
-    hunt(1000..1050, &Plan { length: 30.0, ..Plan::default() });
+    hunt(1000..1050, &DeploymentPlan { length: 30.0, ..DeploymentPlan::default() });
 }
 
 #[gtest]
 fn drawn_troubles_on_four_core_machines_far_apart() {
-    hunt(2000..2040, &Plan { cores: 4, delay: 0.008, jitter: 0.004, length: 30.0, ..Plan::default() });
+    hunt(
+        2000..2040,
+        &DeploymentPlan { cores: 4, delay: 0.008, jitter: 0.004, length: 30.0, ..DeploymentPlan::default() },
+    );
 }
 
 #[gtest]
 fn drawn_troubles_on_five_core_machines_with_two_losses() {
-    hunt(3000..3040, &Plan { cores: 5, losses: 2, edges: 9, length: 30.0, ..Plan::default() });
+    hunt(
+        3000..3040,
+        &DeploymentPlan { cores: 5, losses: 2, edges: 9, length: 30.0, ..DeploymentPlan::default() },
+    );
 }
--- a/crates/simulation/tests/scenarios/bounds.rs
+++ b/crates/simulation/tests/scenarios/bounds.rs
@@ -2,14 +2,14 @@
 //! after a successor's start, in every setting that a deployment may have.
 
 use googletest::prelude::*;
-use whinstall_simulation::severe_faults::Severe;
-use whinstall_simulation::trials::{control, severe, trial, wiped, Days};
-use whinstall_simulation::Plan;
+use whinstall_simulation::severe_faults::SevereFault;
+use whinstall_simulation::trials::{control, severe, trial, wiped, FaultSchedule};
+use whinstall_simulation::DeploymentPlan;
 
 const SIZES: [(usize, usize); 4] = [(3, 1), (4, 1), (5, 1), (5, 2)];
 
 /// All settings, one after the other by the seed: machines and losses, `resync_bound`, syncs, delays between zones.
-fn setting(seed: u64) -> Plan {
+fn setting(seed: u64) -> DeploymentPlan {
     let n = seed as usize;
     let (cores, losses) = SIZES[n % 4];
     let resync = [4.0, 6.0][n / 4 % 2];
@@ -17,18 +17,27 @@
     let delay = [0.0005, 0.003, 0.006][n / 16 % 3];
     let plan = control(cores, losses);
     let length = 6.0 + 5.0 * (resync + 1.5) + 10.0;
-    Plan { resync, sync, delay, jitter: delay / 4.0, seed_delay: 3.0, length, steps: Some(3), ..plan }
+    DeploymentPlan {
+        resync,
+        sync,
+        delay,
+        jitter: delay / 4.0,
+        seed_delay: 3.0,
+        length,
+        steps: Some(3),
+        ..plan
+    }
 }
 
 /// A moment after `resync_bound` is over.
-fn after(plan: &Plan) -> f64 {
+fn after(plan: &DeploymentPlan) -> f64 {
     plan.resync + 0.01
 }
 
-fn five_lost_in_a_row(seed: u64, rng: &mut fastrand::Rng) -> (Plan, Days) {
+fn five_lost_in_a_row(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let plan = setting(seed);
     let (first, mut at) = (rng.usize(0..plan.cores), 6.0);
-    let mut days = Days::new();
+    let mut days = FaultSchedule::new();
     for n in 0..5 {
         let down = 0.3 + rng.f64();
         days.push(wiped(at, (first + n) % plan.cores, down));
@@ -39,17 +48,17 @@
 
 /// SIGTERM, then the successor at a new address; every other time it is the holder of the counter. Between them a disk
 /// is lost.
-fn five_replaced_in_a_row(seed: u64, rng: &mut fastrand::Rng) -> (Plan, Days) {
+fn five_replaced_in_a_row(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let plan = setting(seed);
-    let mut days = Days::new();
+    let mut days = FaultSchedule::new();
     let mut at = 6.0;
     for n in 0..5 {
         let later = 1.2 * rng.f64();
         let holder = n % 2 == 1;
         match n {
             2 => days.push(wiped(at, plan.cores, later)),
-            _ if holder => days.push(severe(at, Severe::ReplaceHolder { later })),
-            _ => days.push(severe(at, Severe::Replace { core: n / 2, later })),
+            _ if holder => days.push(severe(at, SevereFault::ReplaceHolder { later })),
+            _ => days.push(severe(at, SevereFault::Replace { core: n / 2, later })),
         }
         at += later + after(&plan);
     }
@@ -57,19 +66,19 @@
 }
 
 /// The successor first; once it has had its time the machine is removed, and stops counting: another is lost soon after.
-fn succeeded_first(seed: u64, rng: &mut fastrand::Rng) -> (Plan, Days) {
+fn succeeded_first(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let plan = setting(seed);
     let cores = plan.cores;
     let holder = rng.bool();
     let removed = 6.0 + after(&plan);
-    let remove = if holder { Severe::RemoveHolder } else { Severe::Remove { core: 0 } };
+    let remove = if holder { SevereFault::RemoveHolder } else { SevereFault::Remove { core: 0 } };
     let lost = removed + 0.9 + 1.5 * rng.f64();
     let down = 0.3 + rng.f64();
     let again = lost + down + after(&plan);
-    let mut days = vec![severe(6.0, Severe::Add), severe(removed, remove)];
+    let mut days = vec![severe(6.0, SevereFault::Add), severe(removed, remove)];
     // Whoever is left: the new one, and the last of the first ones unless that was the holder.
     days.push(wiped(lost, cores, down));
-    days.push(severe(again, Severe::ReplaceHolder { later: 0.5 }));
+    days.push(severe(again, SevereFault::ReplaceHolder { later: 0.5 }));
     days.push(wiped(again + 0.5 + after(&plan), cores + 1, 0.5));
     (plan, days)
 }
--- a/crates/simulation/tests/scenarios/cut.rs
+++ b/crates/simulation/tests/scenarios/cut.rs
@@ -2,20 +2,22 @@
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
-use whinstall_simulation::partitions::{Cut, Party, Way};
-use whinstall_simulation::severe_faults::Severe;
-use whinstall_simulation::trials::{control, cut, severe, trial, Days};
-use whinstall_simulation::Plan;
+use whinstall_simulation::partitions::{Direction, Participant, Partition};
+use whinstall_simulation::severe_faults::SevereFault;
+use whinstall_simulation::trials::{control, cut, severe, trial, FaultSchedule};
+use whinstall_simulation::DeploymentPlan;
 
 #[gtest]
 fn a_machine_cut_off_both_ways_answers_operators_503_only_and_the_others_go_on() {
-    trial(11_000..11_009, |seed, _| (control(3, 1), vec![cut(6.0, &[seed as usize % 3], Way::Both, 20.0)]));
+    trial(11_000..11_009, |seed, _| {
+        (control(3, 1), vec![cut(6.0, &[seed as usize % 3], Direction::Both, 20.0)])
+    });
 }
 
 #[gtest]
 fn a_machine_cut_off_one_way_does_no_harm() {
     trial(11_100..11_109, |seed, rng| {
-        let way = if rng.bool() { Way::Out } else { Way::In };
+        let way = if rng.bool() { Direction::Out } else { Direction::In };
         (control(3, 1), vec![cut(6.0, &[seed as usize % 3], way, 20.0)])
     });
 }
@@ -25,7 +27,7 @@
     trial(11_200..11_206, |_, rng| {
         let holder = |at, secs| {
             let (edges, workers, operators) = (vec![0], vec![0, 4], vec![1]);
-            severe(at, Severe::CutHolder { edges, workers, operators, secs })
+            severe(at, SevereFault::CutHolder { edges, workers, operators, secs })
         };
         (control(3, 1), vec![holder(6.0, 8.0 + 2.0 * rng.f64()), holder(20.0, 6.0)])
     });
@@ -34,7 +36,7 @@
 #[gtest]
 fn two_of_five_cut_off_together_answer_nothing() {
     trial(11_300..11_305, |_, rng| {
-        let (one, way) = (rng.usize(0..5), [Way::Both, Way::Out, Way::In][rng.usize(0..3)]);
+        let (one, way) = (rng.usize(0..5), [Direction::Both, Direction::Out, Direction::In][rng.usize(0..3)]);
         (control(5, 2), vec![cut(6.0, &[one, (one + 1 + rng.usize(0..4)) % 5], way, 20.0)])
     });
 }
@@ -43,7 +45,7 @@
 fn of_two_halves_neither_answers() {
     trial(11_400..11_404, |_, rng| {
         let one = rng.usize(0..4);
-        (control(4, 1), vec![cut(6.0, &[one, (one + 1) % 4], Way::Both, 18.0)])
+        (control(4, 1), vec![cut(6.0, &[one, (one + 1) % 4], Direction::Both, 18.0)])
     });
 }
 
@@ -53,11 +55,12 @@
         // The counter is with the second; the third, that gave its word, is gone for a moment and has forgotten what
         // it didn't write down.
         let kill = |at, core, down| (at, Fault::KillCore { core, down, power: false, wipe: false });
-        let mut days = vec![kill(5.0, 0, 0.6), severe(8.0, Severe::Cut { cut: Cut::pair(0, 1), secs: 12.0 })];
+        let mut days =
+            vec![kill(5.0, 0, 0.6), severe(8.0, SevereFault::Cut { cut: Partition::pair(0, 1), secs: 12.0 })];
         for n in 0..5 {
             days.push(kill(10.0 + 2.0 * n as f64 + 0.9 * rng.f64(), 2, 0.02 + 0.2 * rng.f64()));
         }
-        (Plan { edges: 8, ..control(3, 1) }, days)
+        (DeploymentPlan { edges: 8, ..control(3, 1) }, days)
     });
 }
 
@@ -66,19 +69,22 @@
     trial(11_600..11_609, |seed, rng| {
         let core = seed as usize % 3;
         let (power, wipe) = (rng.bool(), seed % 2 == 0);
-        let restart = Severe::RestartCore { core, down: 1.0, power, wipe, seeds: vec![core] };
-        (control(3, 1), vec![cut(6.0, &[core], Way::Both, 20.0), severe(12.0, restart)])
+        let restart = SevereFault::RestartCore { core, down: 1.0, power, wipe, seeds: vec![core] };
+        (control(3, 1), vec![cut(6.0, &[core], Direction::Both, 20.0), severe(12.0, restart)])
     });
 }
 
 /// A gatekeeper's seeds begin with the one that is cut off, and it reaches only that one.
-fn fresh_edge(seed: u64, unlimited: bool) -> (Plan, Vec<(f64, Fault)>) {
+fn fresh_edge(seed: u64, unlimited: bool) -> (DeploymentPlan, Vec<(f64, Fault)>) {
     let core = seed as usize % 3;
     let seeds = vec![core, (core + 1) % 3, (core + 2) % 3];
-    let restart = Severe::RestartEdge { edge: 0, down: 0.5, seeds };
+    let restart = SevereFault::RestartEdge { edge: 0, down: 0.5, seeds };
     let plan = control(3, 1);
     let quota = if unlimited { 1e6 } else { plan.quota };
-    (Plan { unlimited, quota, ..plan }, vec![cut(6.0, &[core], Way::Both, 20.0), severe(14.0, restart)])
+    (
+        DeploymentPlan { unlimited, quota, ..plan },
+        vec![cut(6.0, &[core], Direction::Both, 20.0), severe(14.0, restart)],
+    )
 }
 
 #[gtest]
@@ -95,18 +101,18 @@
 fn fresh_core_machines_beside_one_that_is_cut_off_make_no_core_of_their_own() {
     // A spare of the operator's starts there, and a wiped member: three of the seeds, but not of the members.
     trial(11_800..11_805, |_, rng| {
-        let spares = [Party::Core(5), Party::Core(6)];
-        let mut side = Cut::side(&[0, 1], &[0], &[0, 4], &[1], Way::Both);
+        let spares = [Participant::Core(5), Participant::Core(6)];
+        let mut side = Partition::side(&[0, 1], &[0], &[0, 4], &[1], Direction::Both);
         side.inside.extend(spares);
         let days = vec![
-            severe(6.0, Severe::Cut { cut: side, secs: 16.0 }),
+            severe(6.0, SevereFault::Cut { cut: side, secs: 16.0 }),
             severe(
                 9.0,
-                Severe::RestartCore { core: 1, down: 0.5, power: true, wipe: true, seeds: vec![0, 1] },
+                SevereFault::RestartCore { core: 1, down: 0.5, power: true, wipe: true, seeds: vec![0, 1] },
             ),
-            severe(12.0 + rng.f64(), Severe::Add),
+            severe(12.0 + rng.f64(), SevereFault::Add),
         ];
-        (Plan { length: 40.0, ..control(5, 2) }, days)
+        (DeploymentPlan { length: 40.0, ..control(5, 2) }, days)
     });
 }
 
@@ -115,19 +121,24 @@
 #[gtest]
 fn a_leader_cut_one_way_or_from_one_other_makes_way_for_a_leader_that_stands() {
     trial(11_900..11_909, |seed, _| {
-        let way = [Way::Out, Way::In, Way::Both][seed as usize % 3];
+        let way = [Direction::Out, Direction::In, Direction::Both][seed as usize % 3];
         let (pair, cores) = (seed % 2 == 0, 3 + 2 * usize::from(seed % 9 > 6));
         let plan = control(cores, (cores - 1) / 2);
-        (plan, vec![severe(6.0, Severe::CutLeader { way, pair, secs: 20.0 })])
+        (plan, vec![severe(6.0, SevereFault::CutLeader { way, pair, secs: 20.0 })])
     });
 }
 
 #[gtest]
 fn two_followers_that_do_not_reach_each_other_harm_nobody() {
     trial(11_930..11_936, |seed, _| {
-        let (one, way) = (seed as usize % 3, [Way::Both, Way::Out, Way::In][seed as usize / 3 % 3]);
-        let cut = Cut { inside: vec![Party::Core(one)], others: Some(vec![Party::Core((one + 1) % 3)]), way };
-        (control(3, 1), vec![severe(6.0, Severe::Cut { cut, secs: 20.0 })])
+        let (one, way) =
+            (seed as usize % 3, [Direction::Both, Direction::Out, Direction::In][seed as usize / 3 % 3]);
+        let cut = Partition {
+            inside: vec![Participant::Core(one)],
+            others: Some(vec![Participant::Core((one + 1) % 3)]),
+            way,
+        };
+        (control(3, 1), vec![severe(6.0, SevereFault::Cut { cut, secs: 20.0 })])
     });
 }
 
@@ -146,15 +157,16 @@
         Some(told).filter(|_| longest > 5.0)
     };
     let story = |seed: u64, rng: &mut fastrand::Rng| {
-        let (one, way) = (rng.usize(0..3), [Way::Both, Way::Out, Way::In][seed as usize % 3]);
-        let next = vec![Party::Core((one + 1) % 3)];
+        let (one, way) =
+            (rng.usize(0..3), [Direction::Both, Direction::Out, Direction::In][seed as usize % 3]);
+        let next = vec![Participant::Core((one + 1) % 3)];
         let cut = match seed % 2 {
-            0 => Cut::side(&[one], &[0], &[0, 4], &[1], way),
-            _ => Cut { inside: vec![Party::Core(one)], others: Some(next), way },
+            0 => Partition::side(&[one], &[0], &[0, 4], &[1], way),
+            _ => Partition { inside: vec![Participant::Core(one)], others: Some(next), way },
         };
-        let days =
-            (0..10).map(|n| severe(6.0 + 4.0 * f64::from(n), Severe::Cut { cut: cut.clone(), secs: 2.0 }));
-        (Plan { length: 60.0, ..control(3, 1) }, days.collect())
+        let days = (0..10)
+            .map(|n| severe(6.0 + 4.0 * f64::from(n), SevereFault::Cut { cut: cut.clone(), secs: 2.0 }));
+        (DeploymentPlan { length: 60.0, ..control(3, 1) }, days.collect())
     };
     whinstall_simulation::trials::trial_with(11_950..11_956, story, confirmed);
 }
@@ -170,11 +182,11 @@
     };
     let story = |seed: u64, _: &mut fastrand::Rng| {
         let drains = [(9.0, 0), (10.0, 1), (11.0, 4), (12.0, 5)];
-        let mut days: Days =
+        let mut days: FaultSchedule =
             drains.into_iter().map(|(at, worker)| (at, Fault::DrainWorker { worker })).collect();
-        let way = [Way::Both, Way::Out, Way::In][seed as usize % 3];
+        let way = [Direction::Both, Direction::Out, Direction::In][seed as usize % 3];
         days.push(cut(6.0, &[seed as usize / 3 % 3], way, 20.0));
-        (Plan { workers: 4, rate: 30.0, length: 44.0, ..control(3, 1) }, days)
+        (DeploymentPlan { workers: 4, rate: 30.0, length: 44.0, ..control(3, 1) }, days)
     };
     whinstall_simulation::trials::trial_with(11_970..11_976, story, acked);
 }
@@ -184,13 +196,14 @@
 fn gatekeepers_that_start_beside_a_machine_cut_off_go_on_from_where_they_were() {
     trial(11_980..11_984, |seed, rng| {
         let core = seed as usize % 3;
-        let mut days = vec![cut(6.0, &[core], [Way::Both, Way::Out][seed as usize / 3 % 2], 20.0)];
+        let mut days =
+            vec![cut(6.0, &[core], [Direction::Both, Direction::Out][seed as usize / 3 % 2], 20.0)];
         for n in 0..4 {
             let at = 9.0 + 4.0 * f64::from(n) + rng.f64();
-            days.push(severe(at, Severe::RestartEdge { edge: 0, down: 0.3, seeds: vec![core] }));
+            days.push(severe(at, SevereFault::RestartEdge { edge: 0, down: 0.3, seeds: vec![core] }));
         }
         // One starts just as the cut ends, one is joined then with what it has.
-        days.push(severe(25.9, Severe::RestartEdge { edge: 1, down: 0.3, seeds: vec![core] }));
-        (Plan { length: 44.0, ..control(3, 1) }, days)
+        days.push(severe(25.9, SevereFault::RestartEdge { edge: 1, down: 0.3, seeds: vec![core] }));
+        (DeploymentPlan { length: 44.0, ..control(3, 1) }, days)
     });
 }
--- a/crates/simulation/tests/scenarios/digest_tests.rs
+++ b/crates/simulation/tests/scenarios/digest_tests.rs
@@ -5,9 +5,9 @@
 use super::snapshot;
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
-use whinstall_simulation::partitions::Way;
+use whinstall_simulation::partitions::Direction;
 use whinstall_simulation::trials::{self, control, cut, wiped};
-use whinstall_simulation::{Plan, World};
+use whinstall_simulation::{DeploymentPlan, World};
 
 /// One line of numbers, without names of the program.
 fn told(world: &World) -> String {
@@ -42,15 +42,22 @@
         (7.0, Fault::KillCore { core: 4, down: 2.0, power: true, wipe: true }),
         (14.0, Fault::PowerOffAll { down: 1.0, wipe: vec![1, 3] }),
     ];
-    let far = Plan { cores: 4, delay: 0.008, jitter: 0.004, length: 30.0, ..Plan::default() };
+    let far =
+        DeploymentPlan { cores: 4, delay: 0.008, jitter: 0.004, length: 30.0, ..DeploymentPlan::default() };
     let faults = drawn(&mut fastrand::Rng::with_seed(2000), &far);
     let (bulky, days) = snapshot::sent(14_700, &mut fastrand::Rng::with_seed(14_700));
-    let side = [cut(8.0, &[0], Way::Both, 6.0), wiped(20.0, 1, 0.5)];
+    let side = [cut(8.0, &[0], Direction::Both, 6.0), wiped(20.0, 1, 0.5)];
     let worlds = [
-        ("calm", played(0, Plan { lost_answers: 0.0, quota: 40.0, ..Plan::default() }, &[])),
-        ("tenfold", played(10, Plan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })])),
-        ("cut off, hung, wiped", played(120, Plan::default(), &cut_off)),
-        ("two of five disks", played(110, Plan { cores: 5, losses: 2, ..Plan::default() }, &two_lost)),
+        (
+            "calm",
+            played(0, DeploymentPlan { lost_answers: 0.0, quota: 40.0, ..DeploymentPlan::default() }, &[]),
+        ),
+        ("tenfold", played(10, DeploymentPlan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })])),
+        ("cut off, hung, wiped", played(120, DeploymentPlan::default(), &cut_off)),
+        (
+            "two of five disks",
+            played(110, DeploymentPlan { cores: 5, losses: 2, ..DeploymentPlan::default() }, &two_lost),
+        ),
         ("drawn, far apart", played(2000, far, &faults)),
         ("operators", trials::play(7, control(3, 1), &side)),
         ("snapshot sent", trials::play(14_700, bulky, &days)),
--- a/crates/simulation/tests/scenarios/long.rs
+++ b/crates/simulation/tests/scenarios/long.rs
@@ -3,20 +3,29 @@
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
-use whinstall_simulation::operators::Crew;
-use whinstall_simulation::partitions::{Cut, Party, Way};
-use whinstall_simulation::severe_faults::Severe;
-use whinstall_simulation::trials::{control, severe, trial, wiped, Days};
-use whinstall_simulation::Plan;
+use whinstall_simulation::operators::OperatorLoad;
+use whinstall_simulation::partitions::{Direction, Participant, Partition};
+use whinstall_simulation::severe_faults::SevereFault;
+use whinstall_simulation::trials::{control, severe, trial, wiped, FaultSchedule};
+use whinstall_simulation::DeploymentPlan;
 
 /// Eight at once, as fast as they are answered.
-pub fn many(orders: usize) -> Crew {
-    let calm = Crew { clerks: 4, at_once: 2, orders, pause: 0.1, ..Crew::default() };
-    Crew { twins: 0.0, lost: 0.02, again: 0.05, invalid: 0.02, shared: 0.0, until: 14.0, reads: 0.5, ..calm }
+pub fn many(orders: usize) -> OperatorLoad {
+    let calm = OperatorLoad { clerks: 4, at_once: 2, orders, pause: 0.1, ..OperatorLoad::default() };
+    OperatorLoad {
+        twins: 0.0,
+        lost: 0.02,
+        again: 0.05,
+        invalid: 0.02,
+        shared: 0.0,
+        until: 14.0,
+        reads: 0.5,
+        ..calm
+    }
 }
 
-fn plan(orders: usize) -> Plan {
-    Plan { length: 30.0, crew: many(orders), ..control(3, 1) }
+fn plan(orders: usize) -> DeploymentPlan {
+    DeploymentPlan { length: 30.0, crew: many(orders), ..control(3, 1) }
 }
 
 #[gtest]
@@ -28,7 +37,7 @@
             wiped(19.1, (away + 1) % 3, 1.0),
             wiped(24.3, (away + 2) % 3, 0.5),
         ];
-        (Plan { length: 32.0, ..plan(300) }, days)
+        (DeploymentPlan { length: 32.0, ..plan(300) }, days)
     });
 }
 
@@ -47,7 +56,7 @@
 fn the_whole_core_restarts_after_300_changes_with_torn_last_writes() {
     trial(14_200..14_203, |_, rng| {
         let wipe = if rng.bool() { vec![rng.usize(0..3)] } else { Vec::new() };
-        let dark = |at, wipe| severe(at, Severe::Blackout { down: 0.8, wipe, edges: true });
+        let dark = |at, wipe| severe(at, SevereFault::Blackout { down: 0.8, wipe, edges: true });
         let days = vec![dark(8.0, Vec::new()), dark(14.0, wipe), (20.0, Fault::KillAllCore { down: 0.5 })];
         (plan(300), days)
     });
@@ -58,7 +67,7 @@
     trial(14_300..14_303, |_, rng| {
         let core = rng.usize(0..3);
         let days = vec![
-            severe(4.0, Severe::SlowDisk { core, each: 0.25, secs: 8.0 }),
+            severe(4.0, SevereFault::SlowDisk { core, each: 0.25, secs: 8.0 }),
             (14.0, Fault::StallDisk { core: (core + 1) % 3, secs: 6.0 }),
         ];
         (plan(300), days)
@@ -67,17 +76,17 @@
 
 /// 3,000 changes, eight under way at once: for all of them one is away, which is needed as soon as it had its time; then
 /// one is wiped, then all lose power with torn last writes and one its disk, and at last all are killed.
-fn three_thousand(seed: u64, rng: &mut fastrand::Rng) -> (Plan, Days) {
+fn three_thousand(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let away = seed as usize % 3;
-    let crew = Crew { pause: 0.0, until: 21.0, again: 0.02, reads: 1.0, learned: true, ..many(3000) };
-    let dark = Severe::Blackout { down: 0.8, wipe: vec![rng.usize(0..3)], edges: rng.bool() };
+    let crew = OperatorLoad { pause: 0.0, until: 21.0, again: 0.02, reads: 1.0, learned: true, ..many(3000) };
+    let dark = SevereFault::Blackout { down: 0.8, wipe: vec![rng.usize(0..3)], edges: rng.bool() };
     let days = vec![
         (2.1, Fault::KillCore { core: away, down: 20.0, power: rng.bool(), wipe: false }),
         wiped(26.2, (away + 1) % 3, 0.5),
         severe(30.9, dark),
         (36.2, Fault::KillAllCore { down: 0.5 }),
     ];
-    (Plan { length: 46.0, crew, ..control(3, 1) }, days)
+    (DeploymentPlan { length: 46.0, crew, ..control(3, 1) }, days)
 }
 
 #[gtest]
@@ -93,58 +102,58 @@
 }
 
 /// Troubles of every kind, within what may be lost at once.
-fn drawn(rng: &mut fastrand::Rng, plan: &Plan) -> Days {
-    let (mut days, mut next) = (Days::new(), plan.cores);
+fn drawn(rng: &mut fastrand::Rng, plan: &DeploymentPlan) -> FaultSchedule {
+    let (mut days, mut next) = (FaultSchedule::new(), plan.cores);
     let mut listed: Vec<usize> = (0..plan.cores).collect();
     let mut at = 5.0 + 2.0 * rng.f64();
     while at < plan.length - 14.0 {
         let secs = 0.5 + 4.0 * rng.f64();
         let core = listed[rng.usize(0..listed.len())];
         let (edge, power, wipe) = (rng.usize(0..plan.edges), rng.bool(), rng.bool());
-        let way = [Way::Both, Way::Both, Way::Out, Way::In][rng.usize(0..4)];
-        let side = Cut::side(&[core], &[edge], &[rng.usize(0..6)], &[1 + rng.usize(0..3)], way);
+        let way = [Direction::Both, Direction::Both, Direction::Out, Direction::In][rng.usize(0..4)];
+        let side = Partition::side(&[core], &[edge], &[rng.usize(0..6)], &[1 + rng.usize(0..3)], way);
         let long = 6.0 + 14.0 * rng.f64();
         let (fault, lasts) = match rng.usize(0..14) {
-            0 | 1 => (Fault::Severe(Severe::Cut { cut: side, secs: long }), long),
+            0 | 1 => (Fault::Severe(SevereFault::Cut { cut: side, secs: long }), long),
             2 => {
                 let (edges, workers, operators) = (vec![edge], vec![0], vec![2]);
-                (Fault::Severe(Severe::CutHolder { edges, workers, operators, secs: long }), long)
+                (Fault::Severe(SevereFault::CutHolder { edges, workers, operators, secs: long }), long)
             }
             3 => {
                 // Restarted in the middle of its cut, with a gatekeeper beside it.
                 let seeds = vec![core];
                 let edge_seeds = seeds.clone();
-                days.push(severe(at + 3.0, Severe::RestartCore { core, down: 0.5, power, wipe, seeds }));
-                days.push(severe(at + 4.0, Severe::RestartEdge { edge, down: 0.5, seeds: edge_seeds }));
-                (Fault::Severe(Severe::Cut { cut: side, secs: long }), long)
+                days.push(severe(at + 3.0, SevereFault::RestartCore { core, down: 0.5, power, wipe, seeds }));
+                days.push(severe(at + 4.0, SevereFault::RestartEdge { edge, down: 0.5, seeds: edge_seeds }));
+                (Fault::Severe(SevereFault::Cut { cut: side, secs: long }), long)
             }
             4 | 5 if next < 12 => {
                 let later = 2.0 * rng.f64();
                 listed.retain(|n| *n != core);
                 listed.push(next);
                 next += 1;
-                (Fault::Severe(Severe::Replace { core, later }), later.max(1.0))
+                (Fault::Severe(SevereFault::Replace { core, later }), later.max(1.0))
             }
             6 => {
                 let wipe = if rng.bool() { vec![core] } else { Vec::new() };
                 let (down, edges) = (1.0, rng.bool());
                 match rng.bool() {
-                    true => (Fault::Severe(Severe::Blackout { down, wipe, edges }), 1.2),
+                    true => (Fault::Severe(SevereFault::Blackout { down, wipe, edges }), 1.2),
                     // The order that it waits for comes within a moment.
-                    false => (Fault::Severe(Severe::BlackoutAfterAck { down, edges }), 3.0),
+                    false => (Fault::Severe(SevereFault::BlackoutAfterAck { down, edges }), 3.0),
                 }
             }
-            7 => (Fault::Severe(Severe::SlowDisk { core, each: 0.1 + 0.3 * rng.f64(), secs }), secs),
+            7 => (Fault::Severe(SevereFault::SlowDisk { core, each: 0.1 + 0.3 * rng.f64(), secs }), secs),
             8 => (Fault::StallDisk { core, secs }, secs),
             9 => (Fault::KillAllCore { down: 0.3 + 0.6 * rng.f64() }, 1.0),
-            10 => (Fault::Freeze { who: whinstall_simulation::network::Who::Core(core), secs }, secs),
+            10 => (Fault::Freeze { who: whinstall_simulation::network::NodeRef::Core(core), secs }, secs),
             11 if plan.cores == 3 => {
-                let cut = Cut {
-                    inside: vec![Party::Core(core)],
-                    others: Some(vec![Party::Core((core + 1) % 3)]),
+                let cut = Partition {
+                    inside: vec![Participant::Core(core)],
+                    others: Some(vec![Participant::Core((core + 1) % 3)]),
                     way,
                 };
-                (Fault::Severe(Severe::Cut { cut, secs }), secs)
+                (Fault::Severe(SevereFault::Cut { cut, secs }), secs)
             }
             12 => (Fault::KillEdge { edge, down: secs }, secs),
             _ => (Fault::KillCore { core, down: secs, power, wipe }, secs),
@@ -157,19 +166,19 @@
 }
 
 /// A day of any of these.
-pub fn any(seed: u64, rng: &mut fastrand::Rng) -> (Plan, Days) {
+pub fn any(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let cores = [3, 3, 3, 4, 5][rng.usize(0..5)];
-    let crew = Crew {
+    let crew = OperatorLoad {
         clerks: 4,
         twins: 0.4,
         again: 0.4,
         lost: 0.15,
         labels: 2 + rng.usize(0..6),
-        ..Crew::default()
+        ..OperatorLoad::default()
     };
     let far = if rng.u8(0..3) == 0 { 0.006 } else { 0.0005 };
     let plan = control(cores, (cores - 1) / 2);
-    let plan = Plan { length: 50.0, delay: far, jitter: far / 2.0, spread: 0.3, crew, ..plan };
+    let plan = DeploymentPlan { length: 50.0, delay: far, jitter: far / 2.0, spread: 0.3, crew, ..plan };
     let days = drawn(rng, &plan);
     let _ = seed;
     (plan, days)
--- a/crates/simulation/tests/scenarios/quota_counter.rs
+++ b/crates/simulation/tests/scenarios/quota_counter.rs
@@ -4,11 +4,11 @@
 use super::basic::all;
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
-use whinstall_simulation::{Plan, World};
+use whinstall_simulation::{DeploymentPlan, World};
 
 /// The deployments' proportions: tenants ask for five eighths of their quota at all gatekeepers.
-fn plan() -> Plan {
-    Plan { edges: 9, quota: 39.0, lost_answers: 0.0, length: 26.0, ..Plan::default() }
+fn plan() -> DeploymentPlan {
+    DeploymentPlan { edges: 9, quota: 39.0, lost_answers: 0.0, length: 26.0, ..DeploymentPlan::default() }
 }
 
 fn power_off_core(at: f64, down: f64) -> Vec<(f64, Fault)> {
@@ -84,7 +84,7 @@
 /// A tenant at ten times its usual all the while: nothing is left, and the bound holds whoever is lost.
 #[gtest]
 fn quotas_bind_while_gatekeepers_and_holders_come_and_go() {
-    let hot = |quota| Plan { quota, rate: 90.0, ..plan() };
+    let hot = |quota| DeploymentPlan { quota, rate: 90.0, ..plan() };
     for (seeds, quota) in [(5100..5106, 39.0), (5110..5116, 15.0)] {
         let mut faults = power_off_core(9.0, 0.97);
         faults.push((7.0, Fault::Hot { times: 10.0, secs: 14.0 }));
--- a/crates/simulation/tests/scenarios/race.rs
+++ b/crates/simulation/tests/scenarios/race.rs
@@ -2,20 +2,20 @@
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
-use whinstall_simulation::operators::Crew;
-use whinstall_simulation::trials::{control, trial, Days};
-use whinstall_simulation::Plan;
+use whinstall_simulation::operators::OperatorLoad;
+use whinstall_simulation::trials::{control, trial, FaultSchedule};
+use whinstall_simulation::DeploymentPlan;
 
-fn plan(cores: usize, crew: Crew) -> Plan {
-    Plan {
-        crew: Crew { clerks: 4, pause: 0.4, until: 13.0, ..crew },
+fn plan(cores: usize, crew: OperatorLoad) -> DeploymentPlan {
+    DeploymentPlan {
+        crew: OperatorLoad { clerks: 4, pause: 0.4, until: 13.0, ..crew },
         length: 20.0,
         ..control(cores, (cores - 1) / 2)
     }
 }
 
 /// The core is hit again and again: whoever leads goes.
-fn hits(rng: &mut fastrand::Rng, cores: usize) -> Days {
+fn hits(rng: &mut fastrand::Rng, cores: usize) -> FaultSchedule {
     let mut days = Vec::new();
     let mut at = 4.0 + rng.f64();
     while at < 14.0 {
@@ -25,7 +25,7 @@
             match rng.usize(0..6) {
                 0 => Fault::StallDisk { core, secs },
                 1 => Fault::KillAllCore { down: 0.3 + 0.5 * rng.f64() },
-                2 => Fault::Freeze { who: whinstall_simulation::network::Who::Core(core), secs },
+                2 => Fault::Freeze { who: whinstall_simulation::network::NodeRef::Core(core), secs },
                 3 => Fault::CutCore { core, secs, one_way: rng.bool() },
                 n => Fault::KillCore { core, down: secs, power: n == 4, wipe: false },
             },
@@ -37,19 +37,20 @@
 
 #[gtest]
 fn of_two_orders_under_one_number_one_is_confirmed_at_most() {
-    let crew = Crew { twins: 1.0, invalid: 0.0, shared: 0.0, ..Crew::default() };
+    let crew = OperatorLoad { twins: 1.0, invalid: 0.0, shared: 0.0, ..OperatorLoad::default() };
     trial(12_000..12_005, |_, _| (plan(3, crew.clone()), Vec::new()));
 }
 
 #[gtest]
 fn nor_while_answers_are_lost_and_machines_go_and_come() {
-    let crew = Crew { twins: 0.7, lost: 0.4, shared: 0.0, ..Crew::default() };
+    let crew = OperatorLoad { twins: 0.7, lost: 0.4, shared: 0.0, ..OperatorLoad::default() };
     trial(12_100..12_108, |_, rng| (plan(3, crew.clone()), hits(rng, 3)));
 }
 
 #[gtest]
 fn an_order_sent_again_is_confirmed_again_through_changes_of_leader_and_restarts() {
-    let crew = Crew { twins: 0.0, lost: 0.5, again: 1.0, shared: 0.0, labels: 3, ..Crew::default() };
+    let crew =
+        OperatorLoad { twins: 0.0, lost: 0.5, again: 1.0, shared: 0.0, labels: 3, ..OperatorLoad::default() };
     trial(12_200..12_208, |seed, rng| {
         let cores = 3 + 2 * (seed as usize % 2);
         (plan(cores, crew.clone()), hits(rng, cores))
@@ -58,32 +59,39 @@
 
 #[gtest]
 fn twins_on_four_far_machines_with_eight_under_way() {
-    let crew = Crew { twins: 0.8, again: 0.7, lost: 0.2, labels: 3, ..Crew::default() };
+    let crew = OperatorLoad { twins: 0.8, again: 0.7, lost: 0.2, labels: 3, ..OperatorLoad::default() };
     trial(12_300..12_305, |_, rng| {
-        (Plan { delay: 0.008, jitter: 0.004, ..plan(4, crew.clone()) }, hits(rng, 4))
+        (DeploymentPlan { delay: 0.008, jitter: 0.004, ..plan(4, crew.clone()) }, hits(rng, 4))
     });
 }
 
 #[gtest]
 fn one_key_goes_to_one_tenant_only() {
-    let crew = Crew { twins: 0.0, shared: 0.8, again: 0.0, ..Crew::default() };
+    let crew = OperatorLoad { twins: 0.0, shared: 0.8, again: 0.0, ..OperatorLoad::default() };
     trial(12_400..12_405, |_, _| {
-        let crew = Crew { clerks: 4, at_once: 1, pause: 1.0, until: 10.0, ..crew.clone() };
-        (Plan { crew, length: 16.0, ..control(3, 1) }, Vec::new())
+        let crew = OperatorLoad { clerks: 4, at_once: 1, pause: 1.0, until: 10.0, ..crew.clone() };
+        (DeploymentPlan { crew, length: 16.0, ..control(3, 1) }, Vec::new())
     });
 }
 
 #[gtest]
 fn invalid_orders_are_never_confirmed() {
-    let crew = Crew { twins: 0.0, shared: 0.0, invalid: 0.6, lost: 0.3, ..Crew::default() };
+    let crew = OperatorLoad { twins: 0.0, shared: 0.0, invalid: 0.6, lost: 0.3, ..OperatorLoad::default() };
     trial(12_500..12_504, |_, rng| (plan(3, crew.clone()), hits(rng, 3)));
 }
 
 /// The same order at two machines at once, passed on to the leader twice, while whoever leads goes.
 #[gtest]
 fn an_order_under_way_at_two_machines_is_taken_once_and_confirmed_by_both() {
-    let crew =
-        Crew { twins: 0.2, lost: 0.3, again: 0.3, shared: 0.0, doubled: 0.8, labels: 3, ..Crew::default() };
+    let crew = OperatorLoad {
+        twins: 0.2,
+        lost: 0.3,
+        again: 0.3,
+        shared: 0.0,
+        doubled: 0.8,
+        labels: 3,
+        ..OperatorLoad::default()
+    };
     trial(12_600..12_606, |seed, rng| {
         let cores = 3 + 2 * (seed as usize % 2);
         (plan(cores, crew.clone()), hits(rng, cores))
--- a/crates/simulation/tests/scenarios/repair.rs
+++ b/crates/simulation/tests/scenarios/repair.rs
@@ -2,23 +2,23 @@
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
-use whinstall_simulation::severe_faults::Severe;
-use whinstall_simulation::trials::{control, play, severe, trial, wiped, Days};
-use whinstall_simulation::{Plan, SimulationEvent, World};
+use whinstall_simulation::severe_faults::SevereFault;
+use whinstall_simulation::trials::{control, play, severe, trial, wiped, FaultSchedule};
+use whinstall_simulation::{DeploymentPlan, SimulationEvent, World};
 
 /// As the settings have it: seconds.
 const RESYNC: f64 = 4.0;
 
-fn plan(cores: usize, losses: usize) -> Plan {
-    Plan { length: 32.0, ..control(cores, losses) }
+fn plan(cores: usize, losses: usize) -> DeploymentPlan {
+    DeploymentPlan { length: 32.0, ..control(cores, losses) }
 }
 
 fn replace(at: f64, core: usize, later: f64) -> (f64, Fault) {
-    severe(at, Severe::Replace { core, later })
+    severe(at, SevereFault::Replace { core, later })
 }
 
 fn blackout(at: f64, wipe: &[usize], edges: bool) -> (f64, Fault) {
-    severe(at, Severe::Blackout { down: 1.0, wipe: wipe.to_vec(), edges })
+    severe(at, SevereFault::Blackout { down: 1.0, wipe: wipe.to_vec(), edges })
 }
 
 #[gtest]
@@ -58,8 +58,8 @@
         let later = 1.5 * rng.f64();
         let each = later + RESYNC + 0.1;
         let mut days: Vec<_> = (0..3).map(|n| replace(6.0 + n as f64 * each, n, later)).collect();
-        days.push(severe(6.0 + 3.0 * each, Severe::Dies { core: 3 + rng.usize(0..3) }));
-        (Plan { length: 40.0, ..plan(3, 1) }, days)
+        days.push(severe(6.0 + 3.0 * each, SevereFault::Dies { core: 3 + rng.usize(0..3) }));
+        (DeploymentPlan { length: 40.0, ..plan(3, 1) }, days)
     });
 }
 
@@ -80,9 +80,9 @@
     trial(13_500..13_506, |seed, rng| {
         let core = seed as usize % 3;
         let days = vec![
-            severe(6.0, Severe::Add),
-            severe(6.5 + RESYNC, Severe::Remove { core }),
-            severe(11.7 + RESYNC, Severe::Dies { core: (core + 1) % 3 }),
+            severe(6.0, SevereFault::Add),
+            severe(6.5 + RESYNC, SevereFault::Remove { core }),
+            severe(11.7 + RESYNC, SevereFault::Dies { core: (core + 1) % 3 }),
             (16.5 + RESYNC, Fault::KillCore { core: 3, down: 0.5 + rng.f64(), power: false, wipe: false }),
         ];
         (plan(3, 1), days)
@@ -99,7 +99,7 @@
             replace(11.0 + RESYNC + 0.1, (away + 1) % 3, 0.5 * rng.f64()),
             wiped(16.0 + 2.0 * RESYNC, (away + 2) % 3, 1.0),
         ];
-        (Plan { length: 36.0, ..plan(3, 1) }, days)
+        (DeploymentPlan { length: 36.0, ..plan(3, 1) }, days)
     });
 }
 
@@ -117,7 +117,7 @@
 fn who_holds_the_counter_is_replaced_twice_then_a_disk_is_lost() {
     trial(13_800..13_805, |_, rng| {
         let leaves =
-            |at, rng: &mut fastrand::Rng| severe(at, Severe::ReplaceHolder { later: 0.8 * rng.f64() });
+            |at, rng: &mut fastrand::Rng| severe(at, SevereFault::ReplaceHolder { later: 0.8 * rng.f64() });
         let days =
             vec![leaves(6.0, rng), leaves(6.8 + RESYNC + 0.1, rng), wiped(17.0, 3 + rng.usize(0..2), 1.0)];
         (plan(3, 1), days)
@@ -129,15 +129,15 @@
     // Where machines are far apart others' disks lag most.
     trial(13_900..13_909, |seed, rng| {
         let far = if seed % 3 == 0 { 0.0005 } else { 0.008 };
-        let dark = |at, edges| severe(at, Severe::BlackoutAfterAck { down: 1.0, edges });
+        let dark = |at, edges| severe(at, SevereFault::BlackoutAfterAck { down: 1.0, edges });
         let days = vec![dark(5.0 + rng.f64(), false), dark(13.0 + rng.f64(), rng.bool()), dark(20.0, false)];
-        (Plan { delay: far, jitter: far / 2.0, ..plan(3, 1) }, days)
+        (DeploymentPlan { delay: far, jitter: far / 2.0, ..plan(3, 1) }, days)
     });
 }
 
 /// The disk of one is full, and the machine loses power in that time: it starts on a disk that takes no bytes.
-fn started_on_a_full_disk(core: usize) -> Days {
-    let full = Severe::DiskFull { core, secs: FULL };
+fn started_on_a_full_disk(core: usize) -> FaultSchedule {
+    let full = SevereFault::DiskFull { core, secs: FULL };
     vec![severe(6.0, full), (6.6, Fault::KillCore { core, down: 0.5, power: true, wipe: false })]
 }
 
@@ -155,7 +155,7 @@
     for seed in 13_960..13_963 {
         let core = seed as usize % 3;
         // A sync takes longer than the check's ticks are apart.
-        let mut world = World::new(seed, Plan { sync: 0.12, ..plan(3, 1) });
+        let mut world = World::new(seed, DeploymentPlan { sync: 0.12, ..plan(3, 1) });
         for (at, fault) in started_on_a_full_disk(core) {
             world.at(at, SimulationEvent::Fault(fault));
         }
@@ -176,7 +176,7 @@
     // others, as members with disks that no later loss of power struck.
     for all_back in [Fault::KillAllCore { down: 0.5 }, Fault::PowerOffAll { down: 0.5, wipe: Vec::new() }] {
         let days = vec![replace(6.0, 1, 0.5), (12.0, all_back)];
-        let world = play(13_970, Plan { length: 24.0, ..plan(3, 1) }, &days);
+        let world = play(13_970, DeploymentPlan { length: 24.0, ..plan(3, 1) }, &days);
         expect_that!(world.audit.broken, is_empty());
         let up: Vec<bool> = world.cores.iter().map(|n| n.core.is_some()).collect();
         expect_that!(up, elements_are![eq(&true), eq(&false), eq(&true), eq(&true)]);
--- a/crates/simulation/tests/scenarios/snapshot.rs
+++ b/crates/simulation/tests/scenarios/snapshot.rs
@@ -2,29 +2,36 @@
 //! come; then another disk is lost. The state takes several pieces.
 
 use googletest::prelude::*;
-use whinstall_simulation::operators::Crew;
-use whinstall_simulation::severe_faults::{AtSnapshot, Moment, Severe, Struck};
-use whinstall_simulation::trials::{control, severe, trial, wiped, Days};
-use whinstall_simulation::Plan;
+use whinstall_simulation::operators::OperatorLoad;
+use whinstall_simulation::severe_faults::{CrashTarget, SevereFault, SnapshotCrash, SnapshotStage};
+use whinstall_simulation::trials::{control, severe, trial, wiped, FaultSchedule};
+use whinstall_simulation::DeploymentPlan;
 
 /// A state of five pieces, and orders so large that the log is cut every few seconds.
-fn plan() -> Plan {
-    let crew =
-        Crew { clerks: 4, at_once: 2, pause: 1.0, again: 0.05, twins: 0.0, shared: 0.0, ..Crew::default() };
-    let crew = Crew { note: 16 * 1024, lost: 0.02, until: 18.0, reads: 0.5, ..crew };
-    Plan { length: 32.0, bulk: 300, crew, disk_rate: 10e6, ..control(3, 1) }
+fn plan() -> DeploymentPlan {
+    let crew = OperatorLoad {
+        clerks: 4,
+        at_once: 2,
+        pause: 1.0,
+        again: 0.05,
+        twins: 0.0,
+        shared: 0.0,
+        ..OperatorLoad::default()
+    };
+    let crew = OperatorLoad { note: 16 * 1024, lost: 0.02, until: 18.0, reads: 0.5, ..crew };
+    DeploymentPlan { length: 32.0, bulk: 300, crew, disk_rate: 10e6, ..control(3, 1) }
 }
 
-fn at(moment: Moment, nth: usize, struck: Struck, down: f64, then: bool) -> Severe {
-    Severe::AtSnapshot(AtSnapshot { moment, nth, struck, down, then })
+fn at(moment: SnapshotStage, nth: usize, struck: CrashTarget, down: f64, then: bool) -> SevereFault {
+    SevereFault::AtSnapshot(SnapshotCrash { moment, nth, struck, down, then })
 }
 
 #[gtest]
 fn power_goes_between_the_parts_of_a_snapshots_write() {
     trial(14_500..14_503, |seed, rng| {
-        let struck = if seed % 3 == 2 { Struck::All } else { Struck::Owner };
+        let struck = if seed % 3 == 2 { CrashTarget::All } else { CrashTarget::Owner };
         let lost = |from: f64, rng: &mut fastrand::Rng, then| {
-            severe(from, at(Moment::Ahead, 1 + rng.usize(0..6), struck, 0.3 + rng.f64(), then))
+            severe(from, at(SnapshotStage::Ahead, 1 + rng.usize(0..6), struck, 0.3 + rng.f64(), then))
         };
         (plan(), vec![lost(4.0, rng, false), lost(8.0, rng, true)])
     });
@@ -33,19 +40,20 @@
 #[gtest]
 fn power_goes_between_a_snapshot_and_the_cut_behind_it() {
     trial(14_600..14_603, |seed, rng| {
-        let struck = if seed % 3 == 2 { Struck::All } else { Struck::Owner };
+        let struck = if seed % 3 == 2 { CrashTarget::All } else { CrashTarget::Owner };
         let lost = |from: f64, rng: &mut fastrand::Rng, then| {
-            severe(from, at(Moment::Cut, 1 + rng.usize(0..3), struck, 0.3 + rng.f64(), then))
+            severe(from, at(SnapshotStage::Cut, 1 + rng.usize(0..3), struck, 0.3 + rng.f64(), then))
         };
         (plan(), vec![lost(4.0, rng, false), lost(8.0, rng, true)])
     });
 }
 
 /// A machine lost its disk; while its snapshot is on the way the sender, the receiver or all lose power, then again.
-pub(super) fn sent(seed: u64, rng: &mut fastrand::Rng) -> (Plan, Days) {
-    let struck = [Struck::Owner, Struck::Receiver, Struck::All][seed as usize % 3];
+pub(super) fn sent(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
+    let struck = [CrashTarget::Owner, CrashTarget::Receiver, CrashTarget::All][seed as usize % 3];
     let core = rng.usize(0..3);
-    let lost = |rng: &mut fastrand::Rng, then| at(Moment::Sent, 1 + rng.usize(0..5), struck, 0.8, then);
+    let lost =
+        |rng: &mut fastrand::Rng, then| at(SnapshotStage::Sent, 1 + rng.usize(0..5), struck, 0.8, then);
     // The rest of it is sent again.
     let days = vec![wiped(6.0, core, 0.5), severe(6.1, lost(rng, false)), severe(7.0, lost(rng, true))];
     (plan(), days)
--- a/crates/simulation/tests/scenarios/spoiled.rs
+++ b/crates/simulation/tests/scenarios/spoiled.rs
@@ -2,23 +2,23 @@
 //! them: a machine that answers by what it holds itself, without a word to the others.
 
 use googletest::prelude::*;
-use whinstall_simulation::misbehaving_core::Spoiled;
-use whinstall_simulation::operators::Crew;
-use whinstall_simulation::severe_faults::Severe;
-use whinstall_simulation::trials::{control, play, severe, Days};
-use whinstall_simulation::Plan;
+use whinstall_simulation::misbehaving_core::Misbehaviour;
+use whinstall_simulation::operators::OperatorLoad;
+use whinstall_simulation::severe_faults::SevereFault;
+use whinstall_simulation::trials::{control, play, severe, FaultSchedule};
+use whinstall_simulation::DeploymentPlan;
 
 /// What is found broken over some seeds, by kind.
-fn broken(spoiled: Option<Spoiled>, plan: &Plan, days: &Days) -> Vec<String> {
+fn broken(spoiled: Option<Misbehaviour>, plan: &DeploymentPlan, days: &FaultSchedule) -> Vec<String> {
     let kinds = (16_000..16_004).flat_map(|seed| {
-        let world = play(seed, Plan { spoiled, ..plan.clone() }, days);
+        let world = play(seed, DeploymentPlan { spoiled, ..plan.clone() }, days);
         world.audit.broken
     });
     kinds.map(|text| text.split([' ', ':']).next().unwrap_or_default().to_owned()).collect()
 }
 
-fn busy(invalid: f64) -> Plan {
-    let crew = Crew {
+fn busy(invalid: f64) -> DeploymentPlan {
+    let crew = OperatorLoad {
         clerks: 4,
         pause: 0.3,
         reads: 0.2,
@@ -26,35 +26,35 @@
         shared: 0.0,
         invalid,
         labels: 3,
-        ..Crew::default()
+        ..OperatorLoad::default()
     };
-    Plan { length: 22.0, crew, ..control(3, 1) }
+    DeploymentPlan { length: 22.0, crew, ..control(3, 1) }
 }
 
 /// Whoever leads is cut off, with an operator on its side.
-fn leader_cut() -> Days {
+fn leader_cut() -> FaultSchedule {
     let (edges, workers, operators) = (vec![0], vec![0], vec![1, 2]);
-    vec![severe(6.0, Severe::CutHolder { edges, workers, operators, secs: 8.0 })]
+    vec![severe(6.0, SevereFault::CutHolder { edges, workers, operators, secs: 8.0 })]
 }
 
 #[gtest]
 fn a_read_by_a_leader_that_is_cut_off_is_found_by_the_history() {
     let (plan, days) = (busy(0.0), leader_cut());
     expect_that!(broken(None, &plan, &days), is_empty());
-    expect_that!(broken(Some(Spoiled::LeaderReads), &plan, &days), contains(eq("HISTORY")));
+    expect_that!(broken(Some(Misbehaviour::LeaderReads), &plan, &days), contains(eq("HISTORY")));
 }
 
 #[gtest]
 fn a_read_by_a_follower_alone_is_found_by_the_history() {
     // Far apart: a follower hears of a commit later than the operator.
-    let plan = Plan { delay: 0.008, jitter: 0.03, ..busy(0.0) };
+    let plan = DeploymentPlan { delay: 0.008, jitter: 0.03, ..busy(0.0) };
     expect_that!(broken(None, &plan, &Vec::new()), is_empty());
-    expect_that!(broken(Some(Spoiled::FollowerReads), &plan, &Vec::new()), contains(eq("HISTORY")));
+    expect_that!(broken(Some(Misbehaviour::FollowerReads), &plan, &Vec::new()), contains(eq("HISTORY")));
 }
 
 #[gtest]
 fn a_refusal_by_a_leader_that_is_cut_off_is_found() {
     let (plan, days) = (busy(0.5), leader_cut());
     expect_that!(broken(None, &plan, &days), is_empty());
-    expect_that!(broken(Some(Spoiled::LeaderRefuses), &plan, &days), contains(eq("APART")));
+    expect_that!(broken(Some(Misbehaviour::LeaderRefuses), &plan, &days), contains(eq("APART")));
 }
--- a/crates/simulation/tests/scenarios/start.rs
+++ b/crates/simulation/tests/scenarios/start.rs
@@ -2,13 +2,13 @@
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
-use whinstall_simulation::severe_faults::Severe;
-use whinstall_simulation::trials::{control, severe, trial, Days};
-use whinstall_simulation::{Plan, SimulationEvent, World};
+use whinstall_simulation::severe_faults::SevereFault;
+use whinstall_simulation::trials::{control, severe, trial, FaultSchedule};
+use whinstall_simulation::{DeploymentPlan, SimulationEvent, World};
 
-fn plan(cores: usize) -> Plan {
+fn plan(cores: usize) -> DeploymentPlan {
     let losses = (cores - 1) / 2;
-    Plan { spread: 0.3, length: 20.0, ..control(cores, losses) }
+    DeploymentPlan { spread: 0.3, length: 20.0, ..control(cores, losses) }
 }
 
 #[gtest]
@@ -21,7 +21,7 @@
     trial(10_100..10_108, |seed, rng| {
         let cores = 2 + seed as usize % 5;
         let late = vec![(rng.usize(0..cores), 5.0 * rng.f64()), (rng.usize(0..cores), 2.0)];
-        (Plan { late, length: 24.0, ..plan(cores) }, Vec::new())
+        (DeploymentPlan { late, length: 24.0, ..plan(cores) }, Vec::new())
     });
 }
 
@@ -31,7 +31,7 @@
         let cores = 3 + seed as usize % 4;
         let (core, at, down) = (rng.usize(0..cores.min(3)), 0.02 + 0.5 * rng.f64(), 0.5 + 4.0 * rng.f64());
         let fault = Fault::KillCore { core, down, power: true, wipe: rng.bool() };
-        (Plan { length: 24.0, ..plan(cores) }, vec![(at, fault)])
+        (DeploymentPlan { length: 24.0, ..plan(cores) }, vec![(at, fault)])
     });
 }
 
@@ -40,7 +40,7 @@
     trial(10_300..10_308, |seed, rng| {
         let cores = 3 + seed as usize % 4;
         let (core, at) = (rng.usize(0..3), 0.02 + 0.5 * rng.f64());
-        (plan(cores), vec![severe(at, Severe::Dies { core })])
+        (plan(cores), vec![severe(at, SevereFault::Dies { core })])
     });
 }
 
@@ -48,7 +48,7 @@
 const MAKING: f64 = 0.025;
 
 /// Cores killed, or without power, so long after their start; back though none is told of the first start any more.
-fn stopped(rng: &mut fastrand::Rng, cores: &[usize], from: f64) -> Days {
+fn stopped(rng: &mut fastrand::Rng, cores: &[usize], from: f64) -> FaultSchedule {
     let power = rng.bool();
     let mut fault = |&core: &usize| {
         let (at, down) = (0.01 + from + (0.1 - from) * rng.f64(), 0.3 + rng.f64());
@@ -66,7 +66,7 @@
         // One, two, all; the mark is there, synced by the time it has to outlive a loss of power.
         hit.truncate([1, 2, cores][seed as usize / 6 % 3]);
         let days = stopped(rng, &hit, 2.0 * MAKING + 0.001);
-        (Plan { making: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
+        (DeploymentPlan { making: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
     });
 }
 
@@ -76,7 +76,7 @@
         let cores = 3 + seed as usize % 4;
         let hit = rng.usize(0..3);
         let days = stopped(rng, &[hit], 0.0);
-        (Plan { making: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
+        (DeploymentPlan { making: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
     });
 }
 
@@ -87,7 +87,7 @@
     for seed in 10_400..10_408 {
         // Services take turns: the first has no worker, or none has any.
         let workers = if seed % 2 == 0 { 0 } else { 4 };
-        let mut world = World::new(seed, Plan { workers, ..plan(1 + seed as usize % 5) });
+        let mut world = World::new(seed, DeploymentPlan { workers, ..plan(1 + seed as usize % 5) });
         for worker in (0..3 * workers).step_by(3) {
             world.at(0.05, SimulationEvent::Fault(Fault::CrashWorker { worker, dark: false }));
         }
--- a/crates/simulation/tests/scenarios/worst.rs
+++ b/crates/simulation/tests/scenarios/worst.rs
@@ -5,12 +5,12 @@
 use super::long::{any, many};
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
-use whinstall_simulation::network::Who;
-use whinstall_simulation::operators::Crew;
-use whinstall_simulation::partitions::{Cut, Party, Way};
-use whinstall_simulation::severe_faults::Severe;
-use whinstall_simulation::trials::{control, play, severe, told, trial, Days};
-use whinstall_simulation::Plan;
+use whinstall_simulation::network::NodeRef;
+use whinstall_simulation::operators::OperatorLoad;
+use whinstall_simulation::partitions::{Direction, Participant, Partition};
+use whinstall_simulation::severe_faults::SevereFault;
+use whinstall_simulation::trials::{control, play, severe, told, trial, FaultSchedule};
+use whinstall_simulation::DeploymentPlan;
 
 /// What comes back counts as lost for so long: seconds, as the settings have it.
 const RESYNC: f64 = 4.0;
@@ -25,12 +25,12 @@
     /// Core machines on the operator's list, and the number of the next one.
     listed: Vec<usize>,
     next: usize,
-    days: Days,
+    days: FaultSchedule,
     at: f64,
 }
 
 impl Draw<'_> {
-    fn add(&mut self, after: f64, fault: Severe) {
+    fn add(&mut self, after: f64, fault: SevereFault) {
         self.days.push(severe(self.at + after, fault));
     }
 
@@ -52,38 +52,43 @@
     fn main(&mut self, kind: usize) -> f64 {
         let (core, secs, long) = (self.some(), self.span(0.3, 4.5), self.span(6.0, 20.0));
         let (edge, power, wipe) = (self.rng.usize(0..self.edges), self.rng.bool(), self.rng.bool());
-        let way = [Way::Both, Way::Both, Way::Out, Way::In][self.rng.usize(0..4)];
+        let way = [Direction::Both, Direction::Both, Direction::Out, Direction::In][self.rng.usize(0..4)];
         let worker = self.rng.usize(0..6);
-        let side = Cut::side(&[core], &[edge], &[worker], &[1 + self.rng.usize(0..3)], way);
-        let cut = |secs| Severe::Cut { cut: side.clone(), secs };
+        let side = Partition::side(&[core], &[edge], &[worker], &[1 + self.rng.usize(0..3)], way);
+        let cut = |secs| SevereFault::Cut { cut: side.clone(), secs };
         let others: Vec<usize> = self.listed.iter().copied().filter(|n| *n != core).collect();
-        let restart = |core, wipe, down| Severe::RestartCore { core, down, power, wipe, seeds: vec![core] };
+        let restart =
+            |core, wipe, down| SevereFault::RestartCore { core, down, power, wipe, seeds: vec![core] };
         let kill = |core, down, wipe| Fault::KillCore { core, down, power, wipe };
-        let holder = |fault| Severe::AtHolder(Box::new(fault));
+        let holder = |fault| SevereFault::AtHolder(Box::new(fault));
         let stays = self.next >= 20;
         match kind {
             0 | 1 => self.add(0.0, cut(long)),
             2 => {
                 let (edges, workers, operators) = (vec![edge], vec![worker], vec![2]);
-                self.add(0.0, Severe::CutHolder { edges, workers, operators, secs: long });
+                self.add(0.0, SevereFault::CutHolder { edges, workers, operators, secs: long });
             }
             3 => {
                 // Restarted in the middle of its cut, with a gatekeeper beside it that knows no other.
                 self.add(0.0, cut(long));
                 self.add(2.0, restart(core, wipe, secs.min(2.0)));
-                self.add(3.0, Severe::RestartEdge { edge, down: 0.5, seeds: vec![core] });
+                self.add(3.0, SevereFault::RestartEdge { edge, down: 0.5, seeds: vec![core] });
                 // Its list is put right again before that one may be lost.
-                self.add(long, Severe::Reread { who: vec![Who::Edge(edge)], seeds: self.listed.clone() });
+                self.add(
+                    long,
+                    SevereFault::Reread { who: vec![NodeRef::Edge(edge)], seeds: self.listed.clone() },
+                );
             }
             4 => {
                 // New seeds begin with the one that is cut off, and gatekeepers on both sides are restarted.
                 self.add(0.0, cut(long));
                 let seeds: Vec<usize> = std::iter::once(core).chain(others.iter().copied()).take(3).collect();
-                let who = (0..self.edges).map(Who::Edge).chain(self.listed.iter().map(|n| Who::Core(*n)));
-                self.add(1.0, Severe::Reread { who: who.collect(), seeds: seeds.clone() });
+                let who =
+                    (0..self.edges).map(NodeRef::Edge).chain(self.listed.iter().map(|n| NodeRef::Core(*n)));
+                self.add(1.0, SevereFault::Reread { who: who.collect(), seeds: seeds.clone() });
                 for edge in 0..self.edges {
                     let down = self.span(0.2, 1.0);
-                    self.add(2.0, Severe::RestartEdge { edge, down, seeds: seeds.clone() });
+                    self.add(2.0, SevereFault::RestartEdge { edge, down, seeds: seeds.clone() });
                 }
             }
             5 => {
@@ -92,66 +97,67 @@
                 self.add(2.0, restart(core, false, 0.5));
                 for (n, other) in others.into_iter().enumerate() {
                     let seeds = vec![core, other];
-                    let restart = Severe::RestartCore { core: other, down: 0.4, power, wipe: false, seeds };
+                    let restart =
+                        SevereFault::RestartCore { core: other, down: 0.4, power, wipe: false, seeds };
                     self.add(4.0 + 1.5 * n as f64, restart);
                 }
                 return long.max(8.0);
             }
             6 if !stays => {
                 let later = self.span(0.0, 2.0);
-                self.add(0.0, Severe::Replace { core, later });
+                self.add(0.0, SevereFault::Replace { core, later });
                 self.replaced(core);
                 return 1.0 + later;
             }
             7 if !stays => {
                 // Planned: the successor first.
-                self.add(0.0, Severe::Add);
+                self.add(0.0, SevereFault::Add);
                 let joined = RESYNC + self.span(0.1, 1.0);
-                self.add(joined, Severe::Remove { core });
+                self.add(joined, SevereFault::Remove { core });
                 self.replaced(core);
                 return joined + 1.0;
             }
             8 if !stays => {
                 let later = self.span(0.0, 2.0);
-                self.add(0.0, Severe::Succeed { core, later });
+                self.add(0.0, SevereFault::Succeed { core, later });
                 self.replaced(core);
                 return later;
             }
             9 => {
                 let lost = if wipe { vec![core] } else { Vec::new() };
-                self.add(0.0, Severe::Blackout { down: secs, wipe: lost, edges: power });
+                self.add(0.0, SevereFault::Blackout { down: secs, wipe: lost, edges: power });
                 return secs + 0.2;
             }
             10 | 11 => {
-                self.add(0.0, Severe::BlackoutAfterAck { down: 0.8, edges: power });
+                self.add(0.0, SevereFault::BlackoutAfterAck { down: 0.8, edges: power });
                 return 3.6;
             }
             12 | 13 => {
                 let more = self.losses - 1;
-                self.add(0.0, Severe::HitAfterAck { down: secs, wipe, more });
+                self.add(0.0, SevereFault::HitAfterAck { down: secs, wipe, more });
                 return 2.6 + secs;
             }
-            14 => self.add(0.0, Severe::SlowDisk { core, each: 0.12, secs: long }),
+            14 => self.add(0.0, SevereFault::SlowDisk { core, each: 0.12, secs: long }),
             15 => self.days.push((self.at, Fault::StallDisk { core, secs })),
-            16 => self.add(0.0, Severe::DiskFull { core, secs: long }),
+            16 => self.add(0.0, SevereFault::DiskFull { core, secs: long }),
             17 => {
                 // A full disk, and the process on it is killed.
-                self.add(0.0, Severe::DiskFull { core, secs: long });
+                self.add(0.0, SevereFault::DiskFull { core, secs: long });
                 self.days.push((self.at + secs, kill(core, 0.5, false)));
             }
             18 => self.days.push((self.at, Fault::KillAllCore { down: secs.min(1.5) })),
-            19 => self.days.push((self.at, Fault::Freeze { who: Who::Core(core), secs })),
-            20 => self.add(0.0, Severe::Drag { core, secs: long }),
+            19 => self.days.push((self.at, Fault::Freeze { who: NodeRef::Core(core), secs })),
+            20 => self.add(0.0, SevereFault::Drag { core, secs: long }),
             21 => {
-                let (inside, others) = (vec![Party::Core(core)], Some(others.into_iter().take(1)));
-                let others = others.map(|o| o.map(Party::Core).collect());
-                self.add(0.0, Severe::Cut { cut: Cut { inside, others, way }, secs: long });
+                let (inside, others) = (vec![Participant::Core(core)], Some(others.into_iter().take(1)));
+                let others = others.map(|o| o.map(Participant::Core).collect());
+                self.add(0.0, SevereFault::Cut { cut: Partition { inside, others, way }, secs: long });
             }
             22 => {
                 let fault = match self.rng.usize(0..5) {
                     0 => Fault::StallDisk { core, secs },
-                    1 => Fault::Freeze { who: Who::Core(core), secs },
-                    2 => Fault::Severe(Severe::Term { core, down: secs }),
+                    1 => Fault::Freeze { who: NodeRef::Core(core), secs },
+                    2 => Fault::Severe(SevereFault::Term { core, down: secs }),
                     _ => kill(core, secs, wipe),
                 };
                 self.add(0.0, holder(fault));
@@ -160,7 +166,7 @@
                 // Each is asked to end, one after the other, and comes back.
                 let (each, down) = (self.span(1.5, 3.5), self.span(0.1, 1.0));
                 for (n, core) in self.listed.clone().into_iter().enumerate() {
-                    self.add(each * n as f64, Severe::Term { core, down });
+                    self.add(each * n as f64, SevereFault::Term { core, down });
                 }
                 return each * self.listed.len() as f64 + 1.0;
             }
@@ -184,16 +190,17 @@
         let (core, secs) = (self.some(), self.span(0.3, 4.0));
         let (edge, dark) = (self.rng.usize(0..self.edges), self.rng.bool());
         let part = self.span(0.2, 1.0);
-        let who = if dark { Who::Core(core) } else { Who::Edge(edge) };
+        let who = if dark { NodeRef::Core(core) } else { NodeRef::Edge(edge) };
         let fault = match self.rng.usize(0..8) {
-            0 | 1 => Fault::Severe(Severe::AcksLost { part: 0.7, secs: 2.0 * secs }),
-            2 | 3 => Fault::Severe(Severe::Reset { who, part }),
+            0 | 1 => Fault::Severe(SevereFault::AcksLost { part: 0.7, secs: 2.0 * secs }),
+            2 | 3 => Fault::Severe(SevereFault::Reset { who, part }),
             4 => {
                 let seeds = self.listed.iter().copied().filter(|_| self.rng.bool()).collect();
                 let seeds: Vec<usize> = [seeds, self.listed[..=self.losses].to_vec()].concat();
-                let all = (0..self.edges).map(Who::Edge).chain(self.listed.iter().map(|n| Who::Core(*n)));
+                let all =
+                    (0..self.edges).map(NodeRef::Edge).chain(self.listed.iter().map(|n| NodeRef::Core(*n)));
                 let who = all.filter(|_| self.rng.f64() < part).collect();
-                Fault::Severe(Severe::Reread { who, seeds })
+                Fault::Severe(SevereFault::Reread { who, seeds })
             }
             5 => Fault::KillManyEdges { edges: 1 + edge, down: secs.min(1.5), dark },
             6 => Fault::KillEdge { edge, down: secs },
@@ -204,10 +211,10 @@
 }
 
 /// Some of the kinds, each twice and more, in any order; others beside them; a last one right after an order is confirmed.
-fn worst(_: u64, rng: &mut fastrand::Rng) -> (Plan, Days) {
+fn worst(_: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let cores = [3, 3, 4, 5][rng.usize(0..4)];
     let losses = (cores - 1) / 2;
-    let crew = Crew {
+    let crew = OperatorLoad {
         clerks: 3,
         at_once: 1 + rng.usize(0..2),
         pause: 1.5,
@@ -215,10 +222,10 @@
         again: 0.4,
         lost: 0.15,
         labels: 2 + rng.usize(0..6),
-        ..Crew::default()
+        ..OperatorLoad::default()
     };
     let far = if rng.u8(0..3) == 0 { 0.006 } else { 0.0005 };
-    let plan = Plan { delay: far, jitter: far / 2.0, spread: 0.3, crew, ..control(cores, losses) };
+    let plan = DeploymentPlan { delay: far, jitter: far / 2.0, spread: 0.3, crew, ..control(cores, losses) };
     let mut kinds: Vec<usize> = (0..KINDS).collect();
     rng.shuffle(&mut kinds);
     kinds.truncate(3 + rng.usize(0..4));
@@ -238,7 +245,7 @@
         draw.days.push(fault);
         draw.at += 0.5 + 8.0 * draw.rng.f64();
     }
-    (Plan { length: end + 8.0, ..plan }, draw.days)
+    (DeploymentPlan { length: end + 8.0, ..plan }, draw.days)
 }
 
 #[gtest]
@@ -252,7 +259,7 @@
     // Seed 800276, the auditor's fault: it looked every tenth of a second whether a gatekeeper could have met the core, and this one
     // met it in between. It goes by what was heard now.
     trial(15_100..15_103, |_, _| {
-        let dark = Severe::Blackout { down: 0.8, wipe: Vec::new(), edges: false };
+        let dark = SevereFault::Blackout { down: 0.8, wipe: Vec::new(), edges: false };
         (control(3, 1), vec![(8.0, Fault::KillEdge { edge: 0, down: 0.92 }), severe(8.99, dark)])
     });
 }
@@ -309,7 +316,7 @@
                 }
                 let (mut plan, days) = story(seed, &mut fastrand::Rng::with_seed(seed));
                 if changes > 0 {
-                    plan.crew = Crew {
+                    plan.crew = OperatorLoad {
                         labels: plan.crew.labels,
                         until: plan.length - 12.0,
                         ..many(changes as usize)
