--- a/deploy/halls.cue
+++ b/deploy/halls.cue
@@ -1,5 +1,5 @@
 // Halls of the cluj-drafting deployment: tiers, bounded spill, the way back. Read by `whinstall check`;
-// not yet switched on in `run` (docs/halls.md).
+// not yet switched on in `run` (docs/zone-failover.md).
 halls: {
 	key: "zone"             // nodes find their hall by the server table's zone
 	overprovisioning: 1.4   // a tier at 1/1.4 of its health still takes all its load
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -87,10 +87,10 @@
 pub mod fleet;
 mod gateway;
 pub mod ground;
-pub mod halls;
 pub mod operators;
 pub mod quota;
 #[cfg(feature = "adapter")]
 pub mod settings;
+pub mod zone_failover;
 
 pub use gateway::*;
--- a/src/main.rs
+++ b/src/main.rs
@@ -20,9 +20,9 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
 use whinstall::fleet::FleetSettings;
-use whinstall::halls::HallSettings;
 use whinstall::operators::Operators;
 use whinstall::quota::QuotaSettings;
+use whinstall::zone_failover::HallSettings;
 use whinstall::{settings, Gateway, ListScope, Settings};
 
 /// The fewest descriptors that a gatekeeper can work with.
@@ -251,7 +251,13 @@
         Core::new(Gateway::new(s, seed).with_quota(quota), clock, platform, queue.clone(), max_attempts);
     if let Some((file, settings)) = halls {
         tracing::info!(file = %file.display(), "halls in force");
-        core = core.with_halls(net::halls::HallsDesk::new(settings, &zone, ordinal, replicas, clock.now()));
+        core = core.with_halls(net::zone_failover::HallsDesk::new(
+            settings,
+            &zone,
+            ordinal,
+            replicas,
+            clock.now(),
+        ));
     }
     let mut core = actix_rt::spawn(core.run(inputs));
     let fleet = match fleet {
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -3,8 +3,8 @@
 //! header, a path or a shape of JSON: whatever a front speaks, sessions come in and answers go out as here.
 
 use super::ending::{ConnectionEnd, Peer};
-use super::halls::{HallsDesk, Told};
 use super::report::CounterLog;
+use super::zone_failover::{HallsDesk, Told};
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
 use std::rc::Rc;
@@ -164,7 +164,7 @@
     /// The server table has changed.
     ServerTable(ListScope, Vec<HostEntry>),
     /// Settings of halls read again: they replace those in force, if any.
-    Halls(Box<whinstall::halls::HallSettings>),
+    Halls(Box<whinstall::zone_failover::HallSettings>),
     /// What this gateway charged and saw is asked for, to be copied.
     Known(oneshot::Sender<Known>),
     /// What other gateways, and former lives of this one, charged and saw: all that is known.
--- a/src/net/ending.rs
+++ b/src/net/ending.rs
@@ -78,8 +78,8 @@
         self,
         took: std::time::Duration,
         silence: std::time::Duration,
-    ) -> Option<whinstall::halls::Seen> {
-        use whinstall::halls::Seen;
+    ) -> Option<whinstall::zone_failover::Seen> {
+        use whinstall::zone_failover::Seen;
         match self {
             ConnectionEnd::Answered
             | ConnectionEnd::TurnedAway
@@ -113,7 +113,7 @@
     #[test]
     fn only_long_silence_is_silence() {
         use std::time::Duration;
-        use whinstall::halls::Seen;
+        use whinstall::zone_failover::Seen;
         let (short, long, silence) =
             (Duration::from_millis(5), Duration::from_secs(1), Duration::from_millis(600));
         assert_eq!(ConnectionEnd::Declined.seen(long, silence), Some(Seen::Answered));
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -9,11 +9,11 @@
 pub mod exchange;
 pub mod fleet;
 pub mod frontend;
-pub mod halls;
 pub mod operator;
 pub mod report;
 pub mod server_table;
 pub mod takeover;
+pub mod zone_failover;
 
 #[cfg(test)]
 #[path = "../../tests/common/peer.rs"]
--- a/src/net/halls.rs
+++ b/src/net/zone_failover.rs
@@ -1,12 +1,12 @@
 //! The halls' thin side in the core: it keeps the server table as the halls see it, turns dispatch endings
 //! and silences into [`Seen`] facts, measures what is offered to this gatekeeper, and turns the halls' plan into
 //! the factors that the decision module weighs hosts by. It must never decide a share, a state or a node
-//! (that is `whinstall::halls` and the module), and it touches no socket: the core calls it.
+//! (that is `whinstall::zone_failover` and the module), and it touches no socket: the core calls it.
 
 use super::ending::ConnectionEnd;
 use std::collections::BTreeMap;
 use std::time::Duration;
-use whinstall::halls::{HallSettings, HallState, Halls, Plan, Seen, TableNode};
+use whinstall::zone_failover::{HallSettings, HallState, Halls, Plan, Seen, TableNode};
 use whinstall::{Availability, HostEntry, HostId, ListScope};
 
 /// The time constant of the dispatch rate.
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -4,8 +4,8 @@
 use crate::config::{self, ConfigError};
 use crate::fleet::site::SiteSettings;
 use crate::fleet::FleetSettings;
-use crate::halls::HallSettings;
 use crate::quota::QuotaSettings;
+use crate::zone_failover::HallSettings;
 
 /// All that one file puts in force.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/src/halls/pressure.rs
+++ b/src/zone_failover/latency.rs
@@ -3,7 +3,7 @@
 //! common base, and turns them into a brake on spill; it must never loosen a limit, name a node or read a
 //! clock.
 //!
-//! The bound on spill ([`super::tiers::spill_limit`]) goes by the fleet's use as this gatekeeper's own rate
+//! The bound on spill ([`super::locality::spill_limit`]) goes by the fleet's use as this gatekeeper's own rate
 //! tells it. That is wrong wherever traffic is uneven, and nobody tells a gatekeeper so but the answers.
 
 /// Weight of the newest answer in a hall's mean: some twenty answers, a second or two of traffic.
--- a/src/halls/mod.rs
+++ b/src/zone_failover/mod.rs
@@ -10,19 +10,19 @@
 //! answers while every other hall with nodes is lost is itself the one cut off: it spills nowhere
 //! ([`Plan::isolated`]).
 
-pub mod detect;
-pub mod pressure;
-pub mod ramp;
+pub mod detection;
+pub mod latency;
+pub mod locality;
 pub mod settings;
-pub mod tiers;
+pub mod slow_start;
 
-pub use detect::{HallState, Seen};
+pub use detection::{HallState, Seen};
 pub use settings::{Bound, HallKey, HallSettings};
 
-use detect::{Evidence, HallSeen, NodeSeen};
-use pressure::Pressure;
-use ramp::Ramp;
-use tiers::TierInput;
+use detection::{Evidence, HallSeen, NodeSeen};
+use latency::Pressure;
+use locality::TierInput;
+use slow_start::Ramp;
 
 /// A node as the server table tells it, for the halls.
 #[derive(Clone, Debug, PartialEq)]
@@ -240,7 +240,7 @@
             let mut others = others_with_nodes.peekable();
             others.peek().is_some() && others.all(|h| self.seen[h].state == HallState::Lost)
         };
-        let shares = tiers::shares(&inputs, self.settings.overprovisioning);
+        let shares = locality::shares(&inputs, self.settings.overprovisioning);
         let halls = self.seen.iter().zip(shares.part).map(|(h, part)| (h.state, part)).collect();
         let usable = inputs.iter().map(|i| i.health).collect();
         Plan { halls, usable, unplaced: shares.unplaced, isolated }
@@ -281,7 +281,7 @@
             .sum();
         let spillers = (replicas * missing / whole).ceil().max(1.0) as u32;
         for h in (0..cap.len()).filter(|&h| Some(h) != self.own) {
-            let limit = tiers::spill_limit(cap[h] * node_rate, used, self.settings.spill_use, spillers);
+            let limit = locality::spill_limit(cap[h] * node_rate, used, self.settings.spill_use, spillers);
             limits[h] = limit * self.pressure.brake(now, h);
             let enforced = match self.settings.bound {
                 Bound::Rated => 1.0,
--- a/src/halls/settings.rs
+++ b/src/zone_failover/settings.rs
@@ -11,7 +11,7 @@
 use ipnet::IpNet;
 use std::time::Duration;
 
-use super::ramp::RampSettings;
+use super::slow_start::RampSettings;
 
 /// How a node finds its hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/halls/tests.rs
+++ b/src/zone_failover/tests.rs
@@ -232,7 +232,7 @@
     #[test]
     fn shares_sum_to_one(parts in prop::collection::vec((any::<bool>(), 0.0f64..10.0, -1.0f64..2.0), 0..6), op in 0.5f64..5.0) {
         let inputs: Vec<TierInput> = parts.iter().map(|&(own, weight, health)| TierInput { own, weight, health }).collect();
-        let s = tiers::shares(&inputs, op);
+        let s = locality::shares(&inputs, op);
         let sum: f64 = s.part.iter().sum::<f64>() + s.unplaced;
         prop_assert!((sum - 1.0).abs() < 1e-9, "{s:?}");
         prop_assert!(s.part.iter().all(|p| *p >= 0.0 && *p <= 1.0 + 1e-12));
@@ -240,7 +240,7 @@
 
     #[test]
     fn spill_from_many_gatekeepers_stays_under_the_headroom(capacity in 0.0f64..100.0, used in 0.0f64..1.2, target in 0.05f64..1.0, spillers in 1u32..200) {
-        let each = tiers::spill_limit(capacity, used, target, spillers);
+        let each = locality::spill_limit(capacity, used, target, spillers);
         prop_assert!(each * f64::from(spillers) <= (target - used).max(0.0) * capacity + 1e-9);
     }
 
@@ -262,8 +262,8 @@
 
     #[test]
     fn a_ramp_never_jumps(steps in prop::collection::vec(0.0f64..2.0, 1..100), unit in 0.0f64..1.0, ramp in 1.0f64..60.0, jitter in 0.0f64..0.9) {
-        let s = ramp::RampSettings { ramp, jitter, hold: 1.0, hold_most: 10.0 };
-        let mut r = ramp::Ramp::new(&s, unit);
+        let s = slow_start::RampSettings { ramp, jitter, hold: 1.0, hold_most: 10.0 };
+        let mut r = slow_start::Ramp::new(&s, unit);
         r.returning(0.0);
         let (mut t, mut last) = (0.0, r.factor(0.0, &s));
         for dt in steps {
--- a/tests/halls_measure.rs
+++ b/tests/zone_failover_measure.rs
@@ -1,7 +1,7 @@
 //! A measurement, not a test of CI: three gatekeepers before three stand-in halls of nodes with a fixed
 //! capacity, one hall cut for eight seconds of twenty. It compares today's behaviour, halls with spill
 //! unbounded (the plain alternative) and halls with spill bounded by headroom. Run it with
-//! `cargo test --release --test halls_measure -- --ignored --nocapture`; it prints a table.
+//! `cargo test --release --test zone_failover_measure -- --ignored --nocapture`; it prints a table.
 
 mod common;
 
