--- a/src/bin/whinstall-simhost/wire.rs
+++ b/src/bin/whinstall-simhost/wire.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::sync::Arc;
-use whinstall::settings::{self, span};
+use whinstall::settings::{self, duration_from_secs};
 use whinstall::*;
 
 /// An enum value by its wire code; an unknown code counts as one that may have run.
@@ -96,7 +96,7 @@
             _ => Availability::Gone,
         },
         nominal: w.nominal,
-        last_start: (w.last_start_s != 0.0).then(|| span(w.last_start_s)),
+        last_start: (w.last_start_s != 0.0).then(|| duration_from_secs(w.last_start_s)),
     }
 }
 
@@ -126,7 +126,7 @@
             let seed = w.init_seed.as_u64().or_else(|| w.init_seed.as_i64().map(|s| s as u64));
             return Ok(Message::Start(
                 seed.ok_or("'initSeed' is no integer")?,
-                Box::new(settings::read(w.boot_info)?.0),
+                Box::new(settings::read(w.boot_info).map_err(|e| e.to_string())?.0),
             ));
         }
         "PowerOff" => return Ok(Message::PowerOff),
@@ -148,7 +148,7 @@
                 class: w.tier_class,
                 plan: w.tariff,
                 customer: CustomerId(Arc::from(w.user_key)),
-                budget: span(w.budget_s),
+                budget: duration_from_secs(w.budget_s),
                 units: w.quota_units,
                 width: w.width as u32,
             }
@@ -169,7 +169,7 @@
                 host: host_id(w.host),
                 ending: ending(w.ending),
                 done: w.done_flag,
-                delay: span(w.delay_seen_s),
+                delay: duration_from_secs(w.delay_seen_s),
                 cost: w.cost,
                 // One more than the percentage; 0: none.
                 metered: Some((w.metered - 1.0) / 100.0).filter(|part| *part >= 0.0),
@@ -178,7 +178,7 @@
         "Health" => {
             let w: WireHealth = read(value)?;
             let stats: WireStats = read(w.stats).unwrap_or_default();
-            let latency = stats.latency_ms.map(|ms| span(ms / 1e3));
+            let latency = stats.latency_ms.map(|ms| duration_from_secs(ms / 1e3));
             Event::Probed { host: host_id(w.host), ending: ending(w.ending), latency }
         }
         "CountResult" => {
@@ -187,7 +187,7 @@
                 name: CountName(Arc::from(w.counter)),
                 ending: ending(w.ending),
                 total: w.total,
-                delay: span(w.delay_seen_s),
+                delay: duration_from_secs(w.delay_seen_s),
             }
         }
         "TimeoutFired" => Event::Timer { token: read::<WireTimer>(value)?.cookie },
--- a/src/fleet/site/tests.rs
+++ b/src/fleet/site/tests.rs
@@ -1,7 +1,7 @@
 //! The plan's properties, for any sites, loads and ways; and what the settings refuse.
 
 use super::settings::{Kind, Site, SiteSettings, Way};
-use crate::operators::Operators;
+use crate::operators::OperatorSettings;
 use proptest::prelude::*;
 
 fn kind(name: &str, part: f64, refuse: u32, must: bool) -> Kind {
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_plan_is_read_and_told() {
-    let s = Operators::load(FILE).unwrap().sites.unwrap();
+    let s = OperatorSettings::load(FILE).unwrap().sites.unwrap();
     // Cluj's 60: 40 to arad, of which 28 fit, 4 to deva, which is full then; 28 have no place.
     let p = s.plan(&[0]);
     assert!((p.moved[0][1] - 28.0).abs() < 1e-6 && (p.moved[0][2] - 4.0).abs() < 1e-6, "{p:?}");
@@ -133,7 +133,7 @@
         ("refuse: 2", "refus: 2", "is no known field"),
     ] {
         assert!(FILE.contains(from), "{from}");
-        let said: Vec<String> = Operators::load(&FILE.replacen(from, to, 1))
+        let said: Vec<String> = OperatorSettings::load(&FILE.replacen(from, to, 1))
             .unwrap_err()
             .iter()
             .map(ToString::to_string)
--- a/src/main.rs
+++ b/src/main.rs
@@ -20,7 +20,7 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
 use whinstall::fleet::FleetSettings;
-use whinstall::operators::Operators;
+use whinstall::operators::OperatorSettings;
 use whinstall::quota::QuotaSettings;
 use whinstall::zone_failover::ZoneFailoverSettings;
 use whinstall::{settings, Gateway, ListScope, Settings};
@@ -100,7 +100,7 @@
 
 fn usable(text: &[u8]) -> Result<Told, String> {
     let c: Configuration = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    let (decisions, sockets) = settings::read(c.settings.clone())?;
+    let (decisions, sockets) = settings::read(c.settings.clone()).map_err(|e| e.to_string())?;
     if c.limits.sockets < LEAST_DESCRIPTORS {
         return Err(format!("limits.sockets is under {LEAST_DESCRIPTORS}"));
     }
@@ -164,7 +164,7 @@
 /// A configuration that may take the place of the one in force, whole and as read.
 fn renewed(text: &[u8], in_force: &Value) -> Result<(Value, Told), String> {
     let whole: Value = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-    settings::replaces(&whole, in_force)?;
+    settings::check_replacement(&whole, in_force).map_err(|e| e.to_string())?;
     Ok((whole, usable(text)?))
 }
 
@@ -441,9 +441,9 @@
 }
 
 /// Reads an operators' file, or says in one line what is wrong.
-fn operators_from(file: &Path) -> Result<Operators, String> {
+fn operators_from(file: &Path) -> Result<OperatorSettings, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    Operators::load(&text).map_err(|errors| {
+    OperatorSettings::load(&text).map_err(|errors| {
         let more = match errors.len() - 1 {
             0 => String::new(),
             n => format!(" (and {n} more: `whinstall check` names them)"),
@@ -453,13 +453,13 @@
 }
 
 /// Reads one record of an operators' file, or says in one line what is wrong.
-fn record_from<T>(file: &Path, name: &str, of: impl Fn(Operators) -> Option<T>) -> Result<T, String> {
+fn record_from<T>(file: &Path, name: &str, of: impl Fn(OperatorSettings) -> Option<T>) -> Result<T, String> {
     of(operators_from(file)?).ok_or_else(|| format!("{}: no `{name}` record", file.display()))
 }
 
 /// Reads the settings of halls from an operators' file.
 fn halls_from(file: &Path) -> Result<ZoneFailoverSettings, String> {
-    record_from(file, "halls", |o| o.halls)
+    record_from(file, "halls", |o| o.zone_failover)
 }
 
 #[derive(clap::Subcommand)]
@@ -495,7 +495,7 @@
             return ExitCode::FAILURE;
         }
     };
-    match Operators::load(&text) {
+    match OperatorSettings::load(&text) {
         Ok(operators) => print!("{}", operators.describe()),
         Err(errors) => {
             for e in errors {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,103 +1,191 @@
-//! The settings object that a gateway is told at its start, by the simulator's first message or by its
-//! configuration file: the only place that knows its keys and units. It must never decide anything, and keys
-//! that it does not know are skipped, as sites add some.
+//! The settings object of a gateway, from the first message of the simulator or from its configuration file.
+//!
+//! This module knows its keys and units; the decision module and the sockets receive typed settings. Keys that it
+//! does not know are skipped, because deployments add some.
 
 use crate::gateway::*;
 use serde::Deserialize;
 use serde_json::Value;
+use std::collections::BTreeSet;
+use std::fmt;
 use std::time::Duration;
 
-/// What the sockets need of the settings, beside what the decisions go by.
+/// Settings of the socket layer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SocketSettings {
-    /// A connection that is not up by then never comes up.
+    /// Timeout of a connect.
     pub dial_timeout: Duration,
-    /// Hosts close connections that stood idle for so long.
+    /// Idle time after which hosts close a connection.
     pub conn_idle: Duration,
-    /// A call to the counter is given up after this.
+    /// Timeout of a call to the quota counter.
     pub count_wait: Duration,
-    /// The longest advice to stay away that clients heed.
+    /// The longest `Retry-After` that clients respect.
     pub max_retry_after: Duration,
 }
 
-/// Reads the settings object: the part for the decisions and the part for the sockets.
-pub fn read(value: Value) -> Result<(Settings, SocketSettings), String> {
-    let told: WireSettings = serde_json::from_value(value).map_err(|e| format!("settings: {e}"))?;
+/// The settings object does not have the expected form.
+#[derive(Debug)]
+pub struct SettingsError(serde_json::Error);
+
+impl fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "settings: {}", self.0)
+    }
+}
+
+impl std::error::Error for SettingsError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        Some(&self.0)
+    }
+}
+
+/// Reads a settings object: the settings of the decision module and those of the socket layer. Keys that are not
+/// given are zero, empty or false; durations that are negative or not finite are zero.
+///
+/// # Errors
+/// A value of the wrong type.
+pub fn read(value: Value) -> Result<(Settings, SocketSettings), SettingsError> {
+    let wire: WireSettings = serde_json::from_value(value).map_err(SettingsError)?;
     let sockets = SocketSettings {
-        dial_timeout: span(told.limits.dial_timeout_s),
-        conn_idle: span(told.limits.conn_idle_s),
-        count_wait: span(told.family_info.count_wait_s),
-        max_retry_after: span(told.limits.max_retry_after_s),
+        dial_timeout: duration_from_secs(wire.limits.dial_timeout_s),
+        conn_idle: duration_from_secs(wire.limits.conn_idle_s),
+        count_wait: duration_from_secs(wire.family_info.count_wait_s),
+        max_retry_after: duration_from_secs(wire.limits.max_retry_after_s),
     };
-    Ok((told.into_settings(), sockets))
+    Ok((wire.into_settings(), sockets))
 }
 
-/// Keys of a class that only some effects have.
-const OF_SOME_CLASSES: [&str; 3] = ["aimStretch", "group", "windowS"];
+/// A configuration cannot replace the one in force.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReplaceError {
+    /// The first field at fault, by its path.
+    pub field: String,
+    /// What is wrong with it.
+    pub reason: ReplaceErrorReason,
+}
 
-/// May this whole configuration replace the one in force, as far as keys go? It must have every key that the one in
-/// force has, each class and plan every key that all of them have, and deadlines and attempts that are numbers above
-/// 0. The list of nodes is discovery's to judge.
+/// What is wrong with a field of a configuration that should replace the one in force.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ReplaceErrorReason {
+    /// The configuration in force has the field, the new one does not.
+    Missing,
+    /// Its type differs from the one in force.
+    TypeChanged,
+    /// It must be a number above 0.
+    NotPositive,
+    /// The list must not be empty.
+    Empty,
+    /// A class must have a name.
+    Unnamed,
+    /// The name of a class is used more than once.
+    DuplicateName(String),
+    /// It is none of the known kinds of idempotency.
+    UnknownIdempotency,
+}
+
+impl ReplaceErrorReason {
+    fn at(self, field: impl Into<String>) -> ReplaceError {
+        ReplaceError { field: field.into(), reason: self }
+    }
+}
+
+impl fmt::Display for ReplaceError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(&self.field)?;
+        match &self.reason {
+            ReplaceErrorReason::Missing => f.write_str(": missing"),
+            ReplaceErrorReason::TypeChanged => f.write_str(": of another kind than before"),
+            ReplaceErrorReason::NotPositive => f.write_str(": no number above 0"),
+            ReplaceErrorReason::Empty => f.write_str(": none"),
+            ReplaceErrorReason::Unnamed => Ok(()),
+            ReplaceErrorReason::DuplicateName(name) => write!(f, ": {name:?} stands twice"),
+            ReplaceErrorReason::UnknownIdempotency => f.write_str(": no such effect"),
+        }
+    }
+}
+
+impl std::error::Error for ReplaceError {}
+
+/// Keys that only some kinds of classes have.
+const OPTIONAL_CLASS_KEYS: [&str; 3] = ["aimStretch", "group", "windowS"];
+
+/// Checks whether a configuration may replace the one in force at a reload. It must have every key that the one in
+/// force has, and each class and plan every key that all of those in force have; deadlines and the number of attempts
+/// must be above 0. The list of hosts (`known`) is not checked: the server table validates it.
 ///
 /// # Errors
-/// One line that names the first field at fault.
-pub fn replaces(new: &Value, in_force: &Value) -> Result<(), String> {
-    has_keys_of(new, in_force, "")?;
-    let above_nought = |value: Option<&Value>, path: String| {
-        let number = value.and_then(Value::as_f64);
-        number.filter(|n| *n > 0.0).map(drop).ok_or_else(|| format!("{path}: no number above 0"))
-    };
+/// The first field at fault.
+pub fn check_replacement(new: &Value, in_force: &Value) -> Result<(), ReplaceError> {
+    check_keys(new, in_force, "")?;
     let settings = &new["settings"];
-    above_nought(settings["limits"].get("maxAttempts"), "settings.limits.maxAttempts".into())?;
-    let classes = settings["classes"].as_array().filter(|c| !c.is_empty()).ok_or("settings.classes: none")?;
-    let mut names = std::collections::BTreeSet::new();
+    check_positive(settings["limits"].get("maxAttempts"), "settings.limits.maxAttempts".into())?;
+    let classes = settings["classes"].as_array().filter(|classes| !classes.is_empty());
+    let classes = classes.ok_or_else(|| ReplaceErrorReason::Empty.at("settings.classes"))?;
+    let mut names = BTreeSet::new();
     for (index, class) in classes.iter().enumerate() {
         let path = |key: &str| format!("settings.classes[{index}].{key}");
-        above_nought(class.get("hardLimitS"), path("hardLimitS"))?;
-        above_nought(class.get("aimS"), path("aimS"))?;
-        let name = class["name"].as_str().filter(|n| !n.is_empty()).ok_or_else(|| path("name"))?;
+        check_positive(class.get("hardLimitS"), path("hardLimitS"))?;
+        check_positive(class.get("aimS"), path("aimS"))?;
+        let name = class["name"].as_str().filter(|name| !name.is_empty());
+        let name = name.ok_or_else(|| ReplaceErrorReason::Unnamed.at(path("name")))?;
         if !names.insert(name) {
-            return Err(format!("{}: {name:?} stands twice", path("name")));
+            return Err(ReplaceErrorReason::DuplicateName(name.to_string()).at(path("name")));
         }
-        let known = matches!(class["idempotency"].as_str(), Some("repeatable" | "once" | "by_key"));
-        if !known {
-            return Err(format!("{}: no such effect", path("idempotency")));
+        if !matches!(class["idempotency"].as_str(), Some("repeatable" | "once" | "by_key")) {
+            return Err(ReplaceErrorReason::UnknownIdempotency.at(path("idempotency")));
         }
     }
     Ok(())
 }
 
-fn has_keys_of(new: &Value, in_force: &Value, path: &str) -> Result<(), String> {
+fn check_positive(value: Option<&Value>, path: String) -> Result<(), ReplaceError> {
+    match value.and_then(Value::as_f64) {
+        Some(number) if number > 0.0 => Ok(()),
+        _ => Err(ReplaceErrorReason::NotPositive.at(path)),
+    }
+}
+
+/// Checks that `new`, the value at `path`, has the keys and types of the one in force.
+fn check_keys(new: &Value, in_force: &Value, path: &str) -> Result<(), ReplaceError> {
     match (new, in_force) {
-        (Value::Object(new), Value::Object(held)) => {
-            for (key, held) in held.iter().filter(|(key, held)| !held.is_null() && *key != "known") {
-                let path = format!("{path}{}{key}", if path.is_empty() { "" } else { "." });
-                let new = new.get(key).filter(|v| !v.is_null()).ok_or_else(|| format!("{path}: missing"))?;
-                has_keys_of(new, held, &path)?;
+        (Value::Object(new), Value::Object(in_force)) => {
+            let required = in_force.iter().filter(|(key, value)| !value.is_null() && *key != "known");
+            for (key, in_force) in required {
+                let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+                let new = new.get(key).filter(|value| !value.is_null());
+                check_keys(new.ok_or_else(|| ReplaceErrorReason::Missing.at(&path))?, in_force, &path)?;
             }
             Ok(())
         }
-        (Value::Array(new), Value::Array(held)) => {
-            let Some(Value::Object(first)) = held.first() else { return Ok(()) };
-            let common = |key: &String| held.iter().all(|h| h.get(key).is_some());
-            let needed =
-                first.iter().filter(|(key, _)| common(key) && !OF_SOME_CLASSES.contains(&key.as_str()));
-            let needed = Value::Object(needed.map(|(k, v)| (k.clone(), v.clone())).collect());
+        (Value::Array(new), Value::Array(in_force)) => {
+            let Some(required) = common_keys(in_force) else { return Ok(()) };
             let mut entries = new.iter().enumerate();
-            entries.try_for_each(|(n, entry)| has_keys_of(entry, &needed, &format!("{path}[{n}]")))
+            entries.try_for_each(|(n, entry)| check_keys(entry, &required, &format!("{path}[{n}]")))
         }
         (Value::Number(_), Value::Number(_))
         | (Value::String(_), Value::String(_))
         | (Value::Bool(_), Value::Bool(_)) => Ok(()),
-        _ => Err(format!("{path}: of another kind than before")),
+        _ => Err(ReplaceErrorReason::TypeChanged.at(path)),
     }
 }
 
-/// A span in seconds; what is negative or not finite counts as none.
-pub fn span(seconds: f64) -> Duration {
-    Duration::try_from_secs_f64(seconds).unwrap_or(Duration::ZERO)
+/// The first object of a list, reduced to the keys that all objects of the list have. `None` if the first entry is no
+/// object.
+fn common_keys(list: &[Value]) -> Option<Value> {
+    let Value::Object(first) = list.first()? else { return None };
+    let is_common = |key: &String| list.iter().all(|entry| entry.get(key).is_some());
+    let required =
+        first.iter().filter(|(key, _)| is_common(key) && !OPTIONAL_CLASS_KEYS.contains(&key.as_str()));
+    Some(Value::Object(required.map(|(key, value)| (key.clone(), value.clone())).collect()))
+}
+
+/// A duration from seconds; zero if they are negative or not finite.
+pub fn duration_from_secs(secs: f64) -> Duration {
+    Duration::try_from_secs_f64(secs).unwrap_or(Duration::ZERO)
 }
 
+/// Declares structs of the JSON form, with camel-case keys that all have defaults. Units are in the names (`_s`:
+/// seconds).
 macro_rules! wire {
     ($($name:ident { $($field:ident: $kind:ty,)* })*) => {$(
         #[derive(Deserialize, Default)]
@@ -173,25 +261,25 @@
 }
 
 impl WireSettings {
-    /// As the decisions want them.
+    /// The settings of the decision module.
     fn into_settings(self) -> Settings {
-        let whole = |x: f64| x as u32;
+        let integer = |x: f64| x as u32;
         Settings {
-            replicas: whole(self.replicas_of_me),
-            ordinal: whole(self.ordinal),
+            replicas: integer(self.replicas_of_me),
+            ordinal: integer(self.ordinal),
             zone: self.zone,
             classes: self.classes.into_iter().map(class).collect(),
             plans: self.tiers_of_service.into_iter().map(plan).collect(),
             may_count: self.family_info.may_count,
-            count_wait: span(self.family_info.count_wait_s),
+            count_wait: duration_from_secs(self.family_info.count_wait_s),
             post_paid: self.family_info.post_paid,
             units_top: self.family_info.units_top,
             may_cancel: self.limits.cancel,
             may_duplicate: self.limits.may_duplicate,
             may_probe: self.limits.may_probe,
-            max_attempts: whole(self.limits.max_attempts),
+            max_attempts: integer(self.limits.max_attempts),
             retry_after: self.limits.retry_after,
-            max_retry_after: span(self.limits.max_retry_after_s),
+            max_retry_after: duration_from_secs(self.limits.max_retry_after_s),
             on_request: self.discovery == "on_request",
             load_reports: match self.load_report.how.as_str() {
                 "inline" => LoadReports::Inline,
@@ -200,8 +288,8 @@
             },
             cold_share: self.rules.cold_share,
             tip_multiple: self.rules.tip_multiple,
-            fall: span(self.rules.fall_s),
-            warm_after: span(self.rules.warm_after_s),
+            fall: duration_from_secs(self.rules.fall_s),
+            warm_after: duration_from_secs(self.rules.warm_after_s),
             cross_zone_price: self.charges.cross_zone,
             probe_price: self.charges.probe,
         }
@@ -216,7 +304,7 @@
     };
     Class {
         name: w.name,
-        aim: span(w.aim_s),
+        aim: duration_from_secs(w.aim_s),
         gain: w.gain,
         late_worth: w.late_worth,
         idempotency: match w.idempotency.as_str() {
@@ -224,7 +312,7 @@
             "by_key" => Idempotency::ByKey(group),
             _ => Idempotency::Once,
         },
-        key_window: span(w.window_s),
+        key_window: duration_from_secs(w.window_s),
     }
 }
 
