--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! Loader of the operators' settings files.
 //!
 //! A file goes through three steps: [`grammar`] parses the CUE-like text into a tree of values with positions,
-//! [`resolve`] replaces references between fields, and a [`Reader`] per record checks types and ranges. Each
+//! [`resolve()`] replaces references between fields, and a [`Reader`] per record checks types and ranges. Each
 //! subsystem reads its own record this way, so that all files share one syntax and one kind of error: line,
 //! column, field, message. Nothing here does I/O or knows a field; the caller reads the file.
 
--- a/src/zone_failover/mod.rs
+++ b/src/zone_failover/mod.rs
@@ -4,14 +4,13 @@
 //! that the endpoint list gives each endpoint: the operators' settings may group several labels into one zone,
 //! or assign endpoints to zones by network.
 //!
-//! The state of a zone (the health part of an outlier-detection state machine):
+//! Transitions of a zone:
 //!
 //! ```text
-//!          capacity lost                unreachable
-//! Healthy <-------------> Degraded    (from any state) ----> Ejected
-//!    ^   capacity regained   ^                                  |
-//!    |                       |                                  | backoff passed
-//!    +------- slow start complete --------- Recovering <--------+
+//! Healthy <-> Degraded               some of its capacity is unusable, or usable again
+//! any but Ejected -> Ejected         unreachable (see `detection`)
+//! Ejected -> Recovering              its backoff has passed: half-open
+//! Recovering -> Healthy or Degraded  its slow start is complete
 //! ```
 //!
 //! Health checks are not available to a gatekeeper, so the few first dispatches of the slow start serve as
