--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -103,19 +103,19 @@
         None => ConfigState::default(),
     };
     let behind = snapshot.map_or((0, 0), |s| (s.index, s.term));
-    let mut members = snapshot.map(|s| s.members.clone()).unwrap_or_default();
+    let mut members = snapshot.map(|s| s.voters.clone()).unwrap_or_default();
     let mut calls = 0;
-    for entry in &held.raft.log {
-        match &entry.body {
+    for entry in &held.raft.entries {
+        match &entry.payload {
             EntryPayload::Command(LogCommand::Configure(order)) => {
                 calls += 1;
                 state.apply(entry.index, order);
             }
-            EntryPayload::Members(changed) => members.clone_from(changed),
+            EntryPayload::ConfChange(changed) => members.clone_from(changed),
             EntryPayload::Command(LogCommand::Shares(_)) | EntryPayload::TermStart => {}
         }
     }
-    let last = held.raft.log.last().map_or(behind, |e| (e.index, e.term));
+    let last = held.raft.entries.last().map_or(behind, |e| (e.index, e.term));
     let mut items = ItemSet::default();
     for item in state.items() {
         items.merge((**item).clone());
--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -35,7 +35,7 @@
             one.now += TICK;
             one.event(Event::Tick);
         }
-        assert!(one.core.raft.leads());
+        assert!(one.core.raft.is_leader());
         one
     }
 
@@ -103,7 +103,7 @@
         "route_set": [{ "label": "b", "revision": "r8" }], "service_set": [{ "label": "s9", "revision": "r1000" }],
     }});
     expect_that!(one.amend(&drop), eq(200));
-    let (entries, behind) = one.core.raft.held();
+    let (entries, behind) = (one.core.raft.entry_count(), one.core.raft.snapshot_index());
     expect_that!((entries, behind), (gt(10), gt(100)), "a snapshot, and a log behind it");
     one.call(ApiCommand::Read).1
 }
--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -118,9 +118,10 @@
 /// What a core did, in a disk of its own; the records of shares and of members as a leader of several would write them.
 fn written_on(folder: &Path, bodies: Vec<EntryPayload<LogCommand>>) {
     let (mut store, held) = ReplicaStore::open(folder, false).expect("opens");
-    let last = held.raft.log.last().expect("a log");
+    let last = held.raft.entries.last().expect("a log");
     let (term, next) = (last.term, last.index + 1);
-    let entries = bodies.into_iter().zip(next..).map(|(body, index)| Entry { term, index, body }).collect();
+    let entries =
+        bodies.into_iter().zip(next..).map(|(payload, index)| Entry { term, index, payload }).collect();
     store
         .write(&[WriteBatch { writes: vec![LogWrite::Append(entries)], ..WriteBatch::default() }])
         .expect("written");
@@ -138,10 +139,11 @@
     let _ = std::fs::remove_dir_all(to);
     std::fs::create_dir_all(to).expect("a folder");
     let (mut store, _) = ReplicaStore::open(to, true).expect("opens");
-    let snapshot = held.raft.snapshot.clone().map(|snapshot| LogWrite::Snapshot { snapshot, whole: true });
-    let mut writes = vec![LogWrite::Hard(held.raft.term, held.raft.vote)];
+    let snapshot =
+        held.raft.snapshot.clone().map(|snapshot| LogWrite::Snapshot { snapshot, replaces_log: true });
+    let mut writes = vec![LogWrite::HardState(held.raft.term, held.raft.vote)];
     writes.extend(snapshot);
-    writes.push(LogWrite::Append(held.raft.log.clone()));
+    writes.push(LogWrite::Append(held.raft.entries.clone()));
     store
         .write(&[WriteBatch { writes, workers: held.workers.clone(), ..WriteBatch::default() }])
         .expect("written");
@@ -174,10 +176,10 @@
     let stood = one.call(ApiCommand::Read).1;
     drop(one);
     let bodies = vec![
-        EntryPayload::Members([me(), other()].into()),
+        EntryPayload::ConfChange([me(), other()].into()),
         shares(whole_shares()),
         shares(changed_shares()),
-        EntryPayload::Members([me()].into()),
+        EntryPayload::ConfChange([me()].into()),
     ];
     written_on(&folder.0, bodies);
     put_down(&folder.0, &to.join(LOG_ONLY));
@@ -193,14 +195,14 @@
         assert!(version < 5000, "no snapshot");
         called(one, &[service(["s4", "s5"][version as usize % 2], version)]);
     };
-    while one.core.raft.held().0 < 500 {
+    while one.core.raft.entry_count() < 500 {
         next(&mut one);
     }
     drop(one);
     written_on(&folder.0, vec![shares(whole_shares()), shares(changed_shares())]);
     // The next holder of the counter takes the ceilings over, and a snapshot is written before they lapse.
     let mut one = One::start(&folder.0);
-    while one.core.raft.held().1 == 0 {
+    while one.core.raft.snapshot_index() == 0 {
         next(&mut one);
     }
     let remove = json!({ "remove": { "service_set": [{ "label": "s4", "revision": "r9000" }] } });
@@ -249,11 +251,11 @@
     expect_that!((held.raft.term, held.raft.vote), eq((1, Some(me()))));
     expect_that!(held.raft.snapshot, none());
     expect_that!(held.workers, eq(&workers_held()));
-    let log = &held.raft.log;
+    let log = &held.raft.entries;
     let places: Vec<_> = log.iter().map(|e| (e.index, e.term)).collect();
     let expected: Vec<_> = std::iter::once((1, 0)).chain((2..=11).map(|index| (index, 1))).collect();
     expect_that!(places, eq(&expected));
-    let bodies: Vec<_> = log.iter().map(|e| e.body.clone()).collect();
+    let bodies: Vec<_> = log.iter().map(|e| e.payload.clone()).collect();
     assert_that!(bodies, len(eq(11)));
     let service = |label: &str, version, body: Option<Value>| ConfigItem {
         kind: ItemKind::Service,
@@ -269,7 +271,7 @@
     let dropped = ConfigItem { kind: ItemKind::Route, label: "r1".into(), version: 8, body: None };
     let dropped =
         EntryPayload::Command(LogCommand::Configure(Arc::new(vec![dropped, service("s3", 9, None)])));
-    expect_that!(bodies[0], eq(&EntryPayload::Members([me()].into())));
+    expect_that!(bodies[0], eq(&EntryPayload::ConfChange([me()].into())));
     expect_that!(bodies[1], eq(&EntryPayload::TermStart));
     // The first of a holder of the counter: nobody has a share.
     let none = ShareCeilings { term: 1, number: 1, edges: vec![], whole: true, ended: vec![] };
@@ -292,10 +294,10 @@
     expect_that!(bodies[4], eq(&sent(4)));
     expect_that!(bodies[5], eq(&sent(5)));
     expect_that!(bodies[6], eq(&dropped));
-    expect_that!(bodies[7], eq(&EntryPayload::Members([me(), other()].into())));
+    expect_that!(bodies[7], eq(&EntryPayload::ConfChange([me(), other()].into())));
     expect_that!(bodies[8], eq(&shares(whole_shares())));
     expect_that!(bodies[9], eq(&shares(changed_shares())));
-    expect_that!(bodies[10], eq(&EntryPayload::Members([me()].into())));
+    expect_that!(bodies[10], eq(&EntryPayload::ConfChange([me()].into())));
 }
 
 #[gtest]
@@ -307,8 +309,8 @@
     expect_that!(held.workers, eq(&workers_held()));
     let snapshot = held.raft.snapshot.expect("a snapshot");
     expect_that!((snapshot.index, snapshot.term, snapshot.data.len()), eq((513, 2, 8002)));
-    expect_that!(snapshot.members, eq(&[me()].into()));
-    let log = &held.raft.log;
+    expect_that!(snapshot.voters, eq(&[me()].into()));
+    let log = &held.raft.entries;
     let ends = (log.first().map(|e| (e.index, e.term)), log.last().map(|e| (e.index, e.term)), log.len());
     expect_that!(ends, eq((Some((514, 2)), Some((516, 2)), 3)));
     let state = snapshot_state(&snapshot.data).expect("a state");
@@ -361,9 +363,9 @@
         let votes: Vec<_> = held.raft.vote.iter().map(bytes).collect();
         expect_that!(votes, len(eq(1)));
         expect_that!(blobs("SELECT vote FROM meta"), eq(&votes), "{name}: the vote");
-        let entries: Vec<_> = held.raft.log.iter().map(|e| bytes(&e.body)).collect();
+        let entries: Vec<_> = held.raft.entries.iter().map(|e| bytes(&e.payload)).collect();
         expect_that!(blobs("SELECT entry FROM log ORDER BY idx"), eq(&entries), "{name}: the log");
-        let members: Vec<_> = held.raft.snapshot.iter().map(|s| bytes(&s.members)).collect();
+        let members: Vec<_> = held.raft.snapshot.iter().map(|s| bytes(&s.voters)).collect();
         expect_that!(blobs("SELECT members FROM snapshot"), eq(&members), "{name}: the members");
         let workers: Vec<_> = held.workers.iter().map(bytes).collect();
         expect_that!(blobs("SELECT worker FROM workers ORDER BY id"), eq(&workers), "{name}: the workers");
--- a/crates/gateway/src/consensus/election.rs
+++ b/crates/gateway/src/consensus/election.rs
@@ -1,167 +1,188 @@
-//! Owns terms and votes: who may lead. It must never give two votes in a term, nor let a log that lacks what is committed
-//! lead, nor disturb a leader that is heard.
+//! Elections: terms, PreVote and votes.
+//!
+//! Election Safety (Raft paper, 5.2): a member grants at most one vote in a term, and the vote is durable before it is
+//! sent, so at most one candidate gets a majority. Leader Completeness (5.4): a vote goes only to a candidate whose log
+//! is at least as up to date, so a new leader has all committed entries. PreVote (dissertation, 9.6) and the rule that
+//! nobody votes while it hears a leader (dissertation, 4.2.3) keep members that were cut off from deposing a leader.
 
-use super::*;
+use super::quorum::is_majority;
+use super::raft::Role;
+use super::{InjectedFault, LastLogPosition, Message, Millis, NodeId, Raft, Term};
+use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-impl<C: Clone> Raft<C> {
-    /// Waits for a leader anew: for the span of an election, and up to twice that.
-    pub(super) fn await_leader(&mut self, now: Millis) {
-        // Drawn, but the same in every run: by who waits, in which term, since when.
-        let mut hasher = DefaultHasher::new();
-        (self.me, self.term, now / 64).hash(&mut hasher);
-        self.election_at = now + self.tuning.election + hasher.finish() % self.tuning.election.max(1);
-    }
+/// The time that enters the draw of an election timeout counts in steps of this many milliseconds.
+const TIMEOUT_DRAW_STEP: Millis = 64;
 
-    /// Has it run for less than the span within which a leader that it heard before its start may rely on that? It knows by
-    /// its vote who that can be ([`Raft::follow`]): not itself.
-    pub(super) fn is_young(&self, now: Millis) -> bool {
-        let own = self.vote == Some(self.me) || self.broken(InjectedFault::YoungVotes);
-        now < self.started + self.tuning.election && !own
-    }
+/// Content of a [`Message::RequestVote`].
+#[derive(Clone, Copy)]
+pub(super) struct VoteRequest {
+    pub term: Term,
+    pub last_log: LastLogPosition,
+    pub is_pre_vote: bool,
+    pub leader_transfer: bool,
+}
 
-    /// Did it lead, or stand, before its start, so lately that nobody else does yet? Its lease ended with that life.
-    pub(super) fn returns(&self, now: Millis) -> bool {
-        now < self.started + self.tuning.election && self.vote == Some(self.me) && !self.hears_leader(now)
+impl<C: Clone> Raft<C> {
+    /// Waits for a leader anew: for the election timeout and up to twice that.
+    pub(super) fn reset_election_deadline(&mut self, now: Millis) {
+        // Pseudo-random, so that votes are seldom split (Raft paper, 5.2), but the same in every run: drawn by member,
+        // term and time.
+        let mut hasher = DefaultHasher::new();
+        (self.id, self.term, now / TIMEOUT_DRAW_STEP).hash(&mut hasher);
+        let election_timeout = self.config.election_timeout;
+        self.election_deadline = now + election_timeout + hasher.finish() % election_timeout.max(1);
     }
 
-    /// Another term has begun, or this one has a leader: follows.
+    /// Becomes a follower: `term` is newer, or a leader or the loss of the quorum ends this member's own role.
     pub(super) fn step_down(&mut self, now: Millis, term: Term) {
         if term > self.term {
-            self.set_term(term, None);
-            (self.leader, self.verified, self.heard_round) = (None, 0, 0);
-            self.incoming = None;
+            self.set_hard_state(term, None);
+            self.forget_leader();
         }
         if self.role != Role::Follower {
-            if self.leads() {
-                self.leader = None;
+            if self.is_leader() {
+                self.leader_id = None;
             }
             self.role = Role::Follower;
-            self.await_leader(now);
+            self.reset_election_deadline(now);
         }
     }
 
-    /// Asks whether most would vote for it.
-    pub(super) fn ask_around(&mut self, now: Millis) {
-        if self.broken(InjectedFault::NoPreVote) {
+    /// Drops what belongs to the leader of one term.
+    fn forget_leader(&mut self) {
+        self.leader_id = None;
+        self.verified_index = 0;
+        self.seen_heartbeat_seq = 0;
+        self.incoming_snapshot = None;
+    }
+
+    /// Asks whether a majority would vote for this member, without raising the term.
+    pub(super) fn start_pre_vote(&mut self, now: Millis) {
+        if self.has_fault(InjectedFault::SkipPreVote) {
             return self.campaign(now, false);
         }
-        self.await_leader(now);
-        self.leader = None;
-        let votes = BTreeSet::from([self.me]);
-        self.role = Role::Candidate { pre: true, votes, transfer: false };
-        self.ask(true, false);
-        self.count(now);
+        self.reset_election_deadline(now);
+        self.leader_id = None;
+        let votes = BTreeSet::from([self.id]);
+        self.role = Role::Candidate { is_pre_vote: true, votes, is_leader_transfer: false };
+        self.request_votes(true, false);
+        self.count_votes(now);
     }
 
-    /// Stands for election.
-    pub(super) fn campaign(&mut self, now: Millis, transfer: bool) {
-        self.await_leader(now);
-        let (leader, me) = (None, self.me);
-        (self.leader, self.verified, self.heard_round, self.incoming) = (leader, 0, 0, None);
-        self.set_term(self.term + 1, Some(me));
-        self.role = Role::Candidate { pre: false, votes: BTreeSet::new(), transfer };
-        self.ask(false, transfer);
-        if self.broken(InjectedFault::VoteUnsynced) || self.broken(InjectedFault::TermUnwritten) {
+    /// Starts an election in a new term. Its own vote counts once it is durable ([`Raft::on_persisted`]).
+    pub(super) fn campaign(&mut self, now: Millis, is_leader_transfer: bool) {
+        self.reset_election_deadline(now);
+        self.forget_leader();
+        self.set_hard_state(self.term + 1, Some(self.id));
+        self.role = Role::Candidate { is_pre_vote: false, votes: BTreeSet::new(), is_leader_transfer };
+        self.request_votes(false, is_leader_transfer);
+        if self.has_fault(InjectedFault::SendBeforeHardStateSync)
+            || self.has_fault(InjectedFault::HardStateNotWritten)
+        {
             self.vote_for_self(now);
         }
     }
 
-    fn ask(&mut self, pre: bool, transfer: bool) {
-        let term = if pre { self.term + 1 } else { self.term };
-        let last = self.log.end();
-        let me = self.me;
-        for to in self.members().into_iter().filter(|id| *id != me) {
-            self.send(to, Message::Vote { term, last, pre, transfer });
+    fn request_votes(&mut self, pre_vote: bool, leader_transfer: bool) {
+        let term = if pre_vote { self.term + 1 } else { self.term };
+        let last_log = self.log.last_position();
+        let own_id = self.id;
+        for to in self.voters().into_iter().filter(|id| *id != own_id) {
+            self.send(to, Message::RequestVote { term, last_log, pre_vote, leader_transfer });
         }
     }
 
-    /// Its own vote is on the disk.
+    /// Counts the candidate's own vote, which is durable.
     pub(super) fn vote_for_self(&mut self, now: Millis) {
-        let me = self.me;
-        if let Role::Candidate { pre: false, votes, .. } = &mut self.role {
-            votes.insert(me);
+        if let Role::Candidate { is_pre_vote: false, votes, .. } = &mut self.role {
+            votes.insert(self.id);
         }
-        self.count(now);
+        self.count_votes(now);
     }
 
-    /// Somebody asks for a vote.
-    pub(super) fn asked(
-        &mut self,
-        now: Millis,
-        from: NodeId,
-        term: Term,
-        last: (Term, Index),
-        (pre, transfer): (bool, bool),
-    ) {
-        // A leader was heard within the span that it may rely on, perhaps before this process's start: nobody else is
-        // let, not even to raise the term.
-        // A leader that stands itself, for a later term, relies on nothing any more.
-        let heard =
-            self.hears_leader(now) && self.leader != Some(from) && !self.broken(InjectedFault::HeardVotes);
-        let young = self.is_young(now) && self.vote != Some(from);
-        let bound = !transfer && (self.leads_surely(now) || heard || young);
-        if bound {
-            if pre {
-                self.send(from, Message::VoteReply { term: self.term, pre, granted: false });
+    pub(super) fn handle_request_vote(&mut self, now: Millis, from: NodeId, request: VoteRequest) {
+        let VoteRequest { term, last_log, is_pre_vote, leader_transfer } = request;
+        if !leader_transfer && self.is_bound_to_leader(now, from) {
+            if is_pre_vote {
+                self.respond_to_vote(from, self.term, is_pre_vote, false);
             }
             return;
         }
-        let current = last >= self.log.end() || self.broken(InjectedFault::ShortLogWins);
-        if pre {
-            let granted = term > self.term && current;
+        let is_up_to_date =
+            last_log >= self.log.last_position() || self.has_fault(InjectedFault::IgnoreLogRecency);
+        if is_pre_vote {
+            let granted = term > self.term && is_up_to_date;
             let term = if granted { term } else { self.term };
-            return self.send(from, Message::VoteReply { term, pre, granted });
+            return self.respond_to_vote(from, term, is_pre_vote, granted);
         }
         if term > self.term {
             self.step_down(now, term);
         }
-        let free = self.vote.is_none_or(|v| v == from) || self.broken(InjectedFault::VotesTwice);
-        let free = free && !self.leads();
-        let granted = term == self.term && free && current;
+        let has_vote_left =
+            self.vote.is_none_or(|vote| vote == from) || self.has_fault(InjectedFault::VoteTwice);
+        let granted = term == self.term && has_vote_left && !self.is_leader() && is_up_to_date;
         if granted {
             if self.vote.is_none() {
-                self.set_term(term, Some(from));
+                self.set_hard_state(term, Some(from));
             }
-            self.await_leader(now);
+            self.reset_election_deadline(now);
         }
-        self.send(from, Message::VoteReply { term: self.term, pre, granted });
+        self.respond_to_vote(from, self.term, is_pre_vote, granted);
+    }
+
+    /// Whether a leader other than `candidate` may rely on this member not voting: then a request has no effect, not
+    /// even on the term. A leader that stands as a candidate for a later term relies on nothing any more.
+    fn is_bound_to_leader(&self, now: Millis, candidate: NodeId) -> bool {
+        let hears_other = self.hears_leader(now)
+            && self.leader_id != Some(candidate)
+            && !self.has_fault(InjectedFault::VoteDespiteLeader);
+        let bound_by_restart = self.is_bound_by_restart(now) && self.vote != Some(candidate);
+        let leads = self.is_leader() && self.has_quorum_contact(now);
+        leads || hears_other || bound_by_restart
     }
 
-    fn leads_surely(&self, now: Millis) -> bool {
-        self.leads() && now < self.contact(now).saturating_add(self.tuning.election)
+    fn respond_to_vote(&mut self, to: NodeId, term: Term, pre_vote: bool, granted: bool) {
+        self.send(to, Message::RequestVoteResponse { term, pre_vote, granted });
     }
 
-    /// A vote came, or a refusal.
-    pub(super) fn voted(&mut self, now: Millis, from: NodeId, term: Term, pre: bool, granted: bool) {
+    pub(super) fn handle_vote_response(
+        &mut self,
+        now: Millis,
+        from: NodeId,
+        term: Term,
+        pre_vote: bool,
+        granted: bool,
+    ) {
         if !granted {
             if term > self.term {
                 self.step_down(now, term);
             }
             return;
         }
-        let wanted = if pre { self.term + 1 } else { self.term };
-        if term != wanted {
+        let expected_term = if pre_vote { self.term + 1 } else { self.term };
+        if term != expected_term {
             return;
         }
         match &mut self.role {
-            Role::Candidate { pre: at, votes, .. } if *at == pre => {
+            Role::Candidate { is_pre_vote, votes, .. } if *is_pre_vote == pre_vote => {
                 votes.insert(from);
             }
             _ => return,
         }
-        self.count(now);
+        self.count_votes(now);
     }
 
-    fn count(&mut self, now: Millis) {
-        let Role::Candidate { pre, votes, .. } = &self.role else { return };
-        let (pre, members) = (*pre, self.members());
-        if 2 * members.intersection(votes).count() <= members.len() {
+    /// With the votes of a majority: a PreVote leads to the election, an election to the leadership.
+    fn count_votes(&mut self, now: Millis) {
+        let Role::Candidate { is_pre_vote, votes, .. } = &self.role else { return };
+        let (is_pre_vote, voters) = (*is_pre_vote, self.voters());
+        if !is_majority(voters.intersection(votes).count(), voters.len()) {
             return;
         }
-        match pre {
+        match is_pre_vote {
             true => self.campaign(now, false),
-            false => self.begin_term(now),
+            false => self.become_leader(now),
         }
     }
 }
--- a/crates/gateway/src/consensus/log.rs
+++ b/crates/gateway/src/consensus/log.rs
@@ -1,102 +1,111 @@
-//! Owns the log in memory: a snapshot's place and the entries behind it, and who votes as of each place. It must never
-//! have a gap.
+//! The log in memory: a snapshot, the entries after it without a gap, and the configuration at each index.
 
-use super::types::*;
+use super::{Entry, EntryPayload, Index, LastLogPosition, LogPosition, Snapshot, Term, VoterSet};
 
-/// The log from the snapshot on.
+/// A configuration, and the index of the entry or snapshot that it is from.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Configuration {
+    pub index: Index,
+    pub voters: VoterSet,
+}
+
+/// The log, from the snapshot on. Entry `i` of `entries` has the index `snapshot index + 1 + i`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Log<C> {
-    /// What stands for the entries before these.
+pub(super) struct Log<C> {
+    /// Replaces the entries up to its index.
     pub snapshot: Option<Snapshot>,
     entries: Vec<Entry<C>>,
-    /// Who votes from an index on, oldest first.
-    members: Vec<(Index, Members)>,
+    /// The configurations of the snapshot and of the entries, oldest first.
+    configurations: Vec<Configuration>,
 }
 
 impl<C: Clone> Log<C> {
-    /// As a disk held it.
+    /// A log as a disk holds it.
     pub fn new(snapshot: Option<Snapshot>, entries: Vec<Entry<C>>) -> Self {
-        let first = snapshot.as_ref().map(|s| (s.index, s.members.clone()));
-        let mut log = Log { snapshot, entries: Vec::new(), members: first.into_iter().collect() };
+        let first = snapshot.as_ref().map(|s| Configuration { index: s.index, voters: s.voters.clone() });
+        let mut log = Log { snapshot, entries: Vec::new(), configurations: first.into_iter().collect() };
         log.append(entries);
         log
     }
 
-    /// Index and term of what the snapshot ends with.
-    pub fn base(&self) -> (Index, Term) {
-        self.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term))
+    /// Position of the last entry that the snapshot covers; (0, 0) without a snapshot.
+    pub fn snapshot_position(&self) -> LogPosition {
+        let position = |s: &Snapshot| LogPosition { index: s.index, term: s.term };
+        self.snapshot.as_ref().map(position).unwrap_or_default()
     }
 
     /// Index of the last entry.
-    pub fn last(&self) -> Index {
-        self.base().0 + self.entries.len() as Index
+    pub fn last_index(&self) -> Index {
+        self.snapshot_position().index + self.entries.len() as Index
     }
 
-    /// Term and index of the last entry.
-    pub fn end(&self) -> (Term, Index) {
-        (self.term(self.last()).unwrap_or(0), self.last())
+    /// Position of the last entry, as elections compare it.
+    pub fn last_position(&self) -> LastLogPosition {
+        let index = self.last_index();
+        LastLogPosition { term: self.term(index).unwrap_or(0), index }
     }
 
-    /// The term of an entry; `None`: before the snapshot's end, or not there.
+    /// Term of an entry, or of the last one that the snapshot covers. `None` for others.
     pub fn term(&self, index: Index) -> Option<Term> {
-        let (base, term) = self.base();
-        if index == base {
-            return Some(term);
+        let snapshot = self.snapshot_position();
+        if index == snapshot.index {
+            return Some(snapshot.term);
         }
-        self.get(index).map(|e| e.term)
+        self.get(index).map(|entry| entry.term)
     }
 
-    /// An entry.
+    /// An entry after the snapshot.
     pub fn get(&self, index: Index) -> Option<&Entry<C>> {
-        self.entries.get(index.checked_sub(self.base().0 + 1)? as usize)
+        self.entries.get(index.checked_sub(self.snapshot_position().index + 1)? as usize)
     }
 
-    /// Entries from an index on, so many at the most.
-    pub fn from(&self, index: Index, most: usize) -> Vec<Entry<C>> {
-        let skip = index.saturating_sub(self.base().0 + 1) as usize;
-        self.entries.iter().skip(skip).take(most).cloned().collect()
+    /// Entries from an index on, `limit` at most.
+    pub fn entries_from(&self, index: Index, limit: usize) -> Vec<Entry<C>> {
+        let skipped = index.saturating_sub(self.snapshot_position().index + 1) as usize;
+        self.entries.iter().skip(skipped).take(limit).cloned().collect()
     }
 
-    /// Puts entries at their places; what stood there and behind goes.
+    /// Appends contiguous entries at their indexes; entries that were there and after them are dropped.
     pub fn append(&mut self, entries: Vec<Entry<C>>) {
-        let Some(first) = entries.first().map(|e| e.index) else { return };
-        let keep = first.saturating_sub(self.base().0 + 1) as usize;
-        self.entries.truncate(keep);
-        self.members.retain(|(at, _)| *at < first);
+        let Some(first) = entries.first().map(|entry| entry.index) else { return };
+        let kept = first.saturating_sub(self.snapshot_position().index + 1) as usize;
+        self.entries.truncate(kept);
+        self.configurations.retain(|configuration| configuration.index < first);
         for entry in entries {
-            if let EntryPayload::Members(members) = &entry.body {
-                self.members.push((entry.index, members.clone()));
+            if let EntryPayload::ConfChange(voters) = &entry.payload {
+                self.configurations.push(Configuration { index: entry.index, voters: voters.clone() });
             }
             self.entries.push(entry);
         }
     }
 
-    /// Who votes, by the newest word, committed or not; and where it stands.
-    pub fn members(&self) -> (Index, Members) {
-        self.members.last().cloned().unwrap_or_default()
+    /// The latest configuration, committed or not; empty if there is none.
+    pub fn configuration(&self) -> Configuration {
+        self.configurations.last().cloned().unwrap_or_default()
     }
 
-    /// Who votes as of an index.
-    pub fn members_at(&self, index: Index) -> Members {
-        let at = self.members.iter().rev().find(|(at, _)| *at <= index);
-        at.map(|m| m.1.clone()).unwrap_or_default()
+    /// The voters as of an index.
+    pub fn voters_at(&self, index: Index) -> VoterSet {
+        let latest = self.configurations.iter().rev().find(|configuration| configuration.index <= index);
+        latest.map(|configuration| configuration.voters.clone()).unwrap_or_default()
     }
 
-    /// A snapshot takes the place of what it covers; `whole`: and of all else.
-    pub fn compact(&mut self, snapshot: Snapshot, whole: bool) {
-        let gone = snapshot.index.saturating_sub(self.base().0) as usize;
-        if whole {
+    /// A snapshot replaces the entries that it covers; with `replaces_log` all entries.
+    pub fn compact(&mut self, snapshot: Snapshot, replaces_log: bool) {
+        let covered = snapshot.index.saturating_sub(self.snapshot_position().index) as usize;
+        if replaces_log {
             self.entries.clear();
-            self.members.clear();
+            self.configurations.clear();
         } else {
-            self.entries.drain(..gone.min(self.entries.len()));
-            self.members.retain(|(at, _)| *at > snapshot.index);
+            self.entries.drain(..covered.min(self.entries.len()));
+            self.configurations.retain(|configuration| configuration.index > snapshot.index);
         }
-        self.members.insert(0, (snapshot.index, snapshot.members.clone()));
+        let configuration = Configuration { index: snapshot.index, voters: snapshot.voters.clone() };
+        self.configurations.insert(0, configuration);
         self.snapshot = Some(snapshot);
     }
 
-    /// Entries that are held.
+    /// How many entries there are after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/gateway/src/consensus/membership.rs
+++ b/crates/gateway/src/consensus/membership.rs
@@ -1,126 +1,176 @@
-//! Owns who votes: machines that join, catch up and vote, disks that are lost, machines that are gone; and handing over the
-//! lead. It must never change the members by more than one, nor before the last change is committed.
+//! Configuration changes: learners become voters, lost disks and machines that are gone are removed.
+//!
+//! Each change adds or removes one voter (dissertation, 4.1), so majorities before and after it overlap. That holds only
+//! if changes don't overlap in time, and if a leader begins none before it has committed in its own term (the correction
+//! of 2015 to the published algorithm).
 
-use super::*;
+use super::leader::LeaderState;
+use super::progress::Progress;
+use super::quorum::is_majority;
+use super::raft::Role;
+use super::{EntryPayload, Index, InjectedFault, Millis, NodeId, Raft, RaftConfig, VoterSet};
+use std::collections::BTreeMap;
+
+/// A learner that was silent for this many voter removal timeouts is forgotten.
+const LEARNER_TIMEOUT_FACTOR: Millis = 4;
 
 impl<C: Clone> Raft<C> {
-    /// A core machine says that it is there, with this disk, and hears no leader.
+    /// A core machine announces itself with its current disk: it hears no leader. A leader replicates to it from now on,
+    /// and makes it a voter once it has caught up.
     pub fn join(&mut self, now: Millis, id: NodeId) {
-        if id == self.me {
+        if id == self.id {
             return;
         }
-        let fresh = self.unknown(now);
-        // It is back.
-        self.leaving.remove(&id);
+        let fresh = Progress::new(now, self.log.last_index());
+        self.departing.remove(&id);
         let Role::Leader(leader) = &mut self.role else { return };
-        leader.present.insert(id.ip, id.disk);
-        // Others of this machine's disks that don't vote are nobody's any more.
-        let members = self.log.members().1;
-        leader.peers.retain(|p, _| p.ip != id.ip || *p == id || members.contains(p));
-        let known = leader.peers.contains_key(&id);
+        leader.current_disks.insert(id.ip, id.disk);
+        // Learners that were earlier disks of the same machine don't come back.
+        let voters = self.log.configuration().voters;
+        leader.peers.retain(|peer, _| peer.ip != id.ip || *peer == id || voters.contains(peer));
+        let is_known = leader.peers.contains_key(&id);
         let progress = leader.peers.entry(id).or_insert(fresh);
-        if !members.contains(&id) {
-            progress.heard = now;
+        if !voters.contains(&id) {
+            progress.heard_at = now;
         }
-        if !known {
-            self.feed(now, id, true);
+        if !is_known {
+            self.replicate_to(now, id, true);
         }
-        self.flush(now);
+        self.issue_writes(now);
     }
 
-    /// A machine says that it ends: it may go at once, where silence would have to tell. Whoever leads, now or soon, knows.
+    /// A member announces that its process ends: it may be removed at once, without waiting for the removal timeout.
+    /// Remembered on every member, for whoever leads in that time.
     pub fn leave(&mut self, now: Millis, id: NodeId) {
-        self.leaving.retain(|_, until| now < *until);
-        if id != self.me {
-            self.leaving.insert(id, now + self.tuning.out_after);
+        self.departing.retain(|_, until| now < *until);
+        if id != self.id {
+            self.departing.insert(id, now + self.config.voter_removal_timeout);
         }
         if let Role::Leader(_) = &self.role {
-            self.mend_members(now);
+            self.change_configuration(now);
         }
-        self.flush(now);
+        self.issue_writes(now);
     }
 
-    /// One change of members at a time: who has caught up votes, whose disk is lost or who is gone for long goes.
-    pub(super) fn mend_members(&mut self, now: Millis) {
-        let (at, members) = self.log.members();
-        let Role::Leader(leader) = &mut self.role else { return };
-        let busy = at > self.commit && self.mutant != Some(InjectedFault::TwoChanges);
-        let early = self.commit < leader.first && self.mutant != Some(InjectedFault::EarlyChange);
-        if early || busy || leader.transfer.is_some() {
+    /// Begins the next configuration change, if one is due and none is going on.
+    pub(super) fn change_configuration(&mut self, now: Millis) {
+        if !self.may_change_configuration() {
             return;
         }
-        let (out_after, election) = (self.tuning.out_after, self.tuning.election);
-        // Machines that only wanted to join and are not heard any more.
-        leader.peers.retain(|id, p| members.contains(id) || now < p.heard + 4 * out_after);
-        let silent = |id: &NodeId, span: Millis| {
-            *id != self.me && leader.peers.get(id).is_none_or(|p| now >= p.heard + span)
-        };
-        let superseded = |id: &NodeId| leader.present.get(&id.ip).is_some_and(|disk| *disk != id.disk);
-        // Never by a step after which those that are heard could not go on.
-        let able = |next: &Members| 2 * next.iter().filter(|id| !silent(id, election)).count() > next.len();
-        let leaves = |id: &NodeId| self.leaving.get(id).is_some_and(|until| now < *until);
-        // Of two, one that ends leaves the other able to go on; one that is silent may be cut off.
-        let enough = |id: &NodeId| members.len() > self.tuning.least || members.len() == 2 && leaves(id);
-        let gone = |id: &&NodeId| {
-            let lost = superseded(id) && silent(id, election);
-            lost || enough(id) && (silent(id, out_after) || leaves(id))
-        };
-        // A lost disk goes before the machine's next one comes: with both, all others would be needed for every step, and
-        // a machine that loses its disk again in its repair would leave no majority for ever.
-        let ready = |(id, p): &(&NodeId, &Progress)| {
-            let other = members.iter().any(|m| m.ip == id.ip);
-            !other && !leaves(id) && p.matched >= self.commit && !silent(id, election) && !superseded(id)
+        let voters = self.voters();
+        let learner_timeout = LEARNER_TIMEOUT_FACTOR * self.config.voter_removal_timeout;
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.peers.retain(|id, progress| voters.contains(id) || now < progress.heard_at + learner_timeout);
+        let planner = ChangePlanner {
+            now,
+            leader_id: self.id,
+            voters: &voters,
+            leader,
+            departing: &self.departing,
+            commit_index: self.commit_index,
+            config: &self.config,
         };
-        let mut next = members.clone();
-        if let Some(id) = members.iter().find(|id| superseded(id) && gone(id)) {
-            next.remove(id);
-        } else if let Some((id, _)) = leader.peers.iter().find(ready) {
-            next.insert(*id);
-        } else if let Some(id) = members.iter().find(gone) {
-            next.remove(id);
-        }
-        if next != members && able(&next) {
-            self.add(now, EntryPayload::Members(next));
+        if let Some(next) = planner.next_voters() {
+            self.append_and_broadcast(now, EntryPayload::ConfChange(next));
         }
     }
 
-    /// A change of members is committed, or anything else: who does not vote any more is told no more, and does not lead.
-    pub(super) fn retire(&mut self, now: Millis) {
-        let (at, members) = self.log.members();
-        if at > self.commit {
+    fn may_change_configuration(&self) -> bool {
+        let Role::Leader(leader) = &self.role else { return false };
+        let is_change_pending = self.log.configuration().index > self.commit_index
+            && !self.has_fault(InjectedFault::OverlappingConfChanges);
+        let is_term_uncommitted = self.commit_index < leader.term_start_index
+            && !self.has_fault(InjectedFault::ConfChangeBeforeTermCommit);
+        !is_change_pending && !is_term_uncommitted && leader.transfer.is_none()
+    }
+
+    /// After a commit: a leader that the committed configuration does not contain steps down (dissertation, 4.2.2), and
+    /// replicates no longer to removed members whose disk is lost.
+    pub(super) fn finish_conf_change(&mut self, now: Millis) {
+        let configuration = self.log.configuration();
+        if configuration.index > self.commit_index {
             return;
         }
-        if !members.contains(&self.me) {
+        let voters = configuration.voters;
+        if !voters.contains(&self.id) {
             return self.step_down(now, self.term);
         }
         let Role::Leader(leader) = &mut self.role else { return };
-        let superseded = |id: &NodeId| leader.present.get(&id.ip).is_some_and(|disk| *disk != id.disk);
-        leader.peers.retain(|id, _| members.contains(id) || !superseded(id));
+        let LeaderState { peers, current_disks, .. } = leader;
+        let is_superseded = |id: &NodeId| current_disks.get(&id.ip).is_some_and(|disk| *disk != id.disk);
+        peers.retain(|id, _| voters.contains(id) || !is_superseded(id));
     }
+}
 
-    /// Hands the lead to whoever is up with it: this process ends, or its disk hangs.
-    pub fn transfer(&mut self, now: Millis) {
-        let members = self.members();
-        let election = self.tuning.election;
-        let Role::Leader(leader) = &mut self.role else { return };
-        if leader.transfer.is_some() {
-            return;
+/// Decides which change of the configuration a leader makes next.
+struct ChangePlanner<'a> {
+    now: Millis,
+    leader_id: NodeId,
+    voters: &'a VoterSet,
+    leader: &'a LeaderState,
+    departing: &'a BTreeMap<NodeId, Millis>,
+    commit_index: Index,
+    config: &'a RaftConfig,
+}
+
+impl ChangePlanner<'_> {
+    /// The next configuration, if a change is due: first a lost disk is removed, then a learner that has caught up is
+    /// added, then a voter that is gone is removed.
+    ///
+    /// A lost disk goes before the same machine's new one is added: with both of them in the configuration each further
+    /// step would need all other voters, and a machine that lost its disk again during its repair would leave the
+    /// configuration without a majority for good.
+    fn next_voters(&self) -> Option<VoterSet> {
+        let mut next = self.voters.clone();
+        if let Some(id) = self.voters.iter().find(|id| self.is_superseded(id) && self.is_removable(id)) {
+            next.remove(id);
+        } else if let Some((id, _)) = self.leader.peers.iter().find(|(id, p)| self.is_ready_to_vote(id, p)) {
+            next.insert(*id);
+        } else if let Some(id) = self.voters.iter().find(|id| self.is_removable(id)) {
+            next.remove(id);
         }
-        let fit = leader.peers.iter().filter(|(id, p)| members.contains(id) && now < p.heard + election);
-        let Some((to, _)) = fit.max_by_key(|(_, p)| p.matched) else { return };
-        leader.transfer = Some((*to, now));
-        self.hand_over();
-        self.flush(now);
+        (next != *self.voters && self.has_live_majority(&next)).then_some(next)
+    }
+
+    /// Whether nothing was heard of a member for this long. The leader itself is never silent.
+    fn is_silent(&self, id: &NodeId, span: Millis) -> bool {
+        let heard_at = |progress: &Progress| progress.heard_at;
+        let last = self.leader.peers.get(id).map(heard_at);
+        *id != self.leader_id && last.is_none_or(|at| self.now >= at + span)
+    }
+
+    /// Whether the member's machine has announced itself with another disk.
+    fn is_superseded(&self, id: &NodeId) -> bool {
+        self.leader.current_disks.get(&id.ip).is_some_and(|disk| *disk != id.disk)
+    }
+
+    fn is_departing(&self, id: &NodeId) -> bool {
+        self.departing.get(id).is_some_and(|until| self.now < *until)
     }
 
-    /// Tells the next leader to stand, once it holds all.
-    pub(super) fn hand_over(&mut self) {
-        let (last, term) = (self.log.last(), self.term);
-        let Role::Leader(leader) = &self.role else { return };
-        let Some((to, _)) = leader.transfer else { return };
-        let ready = leader.peers.get(&to).is_some_and(|p| p.matched >= last);
-        if ready || self.broken(InjectedFault::EarlyHandOver) {
-            self.send(to, Message::TimeoutNow { term });
+    fn is_removable(&self, id: &NodeId) -> bool {
+        if self.is_superseded(id) && self.is_silent(id, self.config.election_timeout) {
+            return true;
         }
+        // Of two voters one that departs leaves the other able to go on; one that is merely silent may be cut off, and
+        // then both would go on.
+        let leaves_enough =
+            self.voters.len() > self.config.min_voters || self.voters.len() == 2 && self.is_departing(id);
+        leaves_enough && (self.is_silent(id, self.config.voter_removal_timeout) || self.is_departing(id))
+    }
+
+    fn is_ready_to_vote(&self, id: &NodeId, progress: &Progress) -> bool {
+        let has_voting_disk = self.voters.iter().any(|voter| voter.ip == id.ip);
+        !has_voting_disk
+            && !self.is_departing(id)
+            && progress.match_index >= self.commit_index
+            && !self.is_silent(id, self.config.election_timeout)
+            && !self.is_superseded(id)
+    }
+
+    /// Whether the members that are heard now are a majority of these voters: a change must not stop the cluster.
+    fn has_live_majority(&self, voters: &VoterSet) -> bool {
+        let live = voters.iter().filter(|id| !self.is_silent(id, self.config.election_timeout));
+        is_majority(live.count(), voters.len())
     }
 }
--- /dev/null
+++ b/crates/gateway/src/consensus/output.rs
@@ -0,0 +1,42 @@
+//! What a [`super::Raft`] asks its driver to do.
+
+use super::message::Message;
+use super::types::{Entry, NodeId, Snapshot, Term};
+
+/// Number of a write batch of this process, from 1; batches become durable in this order.
+pub type WriteId = u64;
+/// Number of a read of this process, from 1.
+pub type ReadId = u64;
+
+/// An action for the driver, which performs them in the order in which they come out.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum Output<C> {
+    /// Write all of these atomically and in this order, sync, then call [`super::Raft::on_persisted`] with the number.
+    /// Later outputs need not wait for that: messages that depend on a write are held back until it is durable.
+    Persist(WriteId, Vec<LogWrite<C>>),
+    /// Send this message. It may be lost.
+    Send(NodeId, Message<C>),
+    /// This entry is committed: apply it. Entries come in log order, each once in the life of a process.
+    Apply(Entry<C>),
+    /// Replace the state machine's state by this one, which is newer than all that was applied.
+    InstallSnapshot(Snapshot),
+    /// The read with this number may be answered from what is applied now.
+    ReadReady(ReadId),
+}
+
+/// One write to the disk. The writes of one [`Output::Persist`] become durable together or not at all.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum LogWrite<C> {
+    /// The current term and the vote in it.
+    HardState(Term, Option<NodeId>),
+    /// Entries. Whatever the stored log has from the first one's index on is dropped.
+    Append(Vec<Entry<C>>),
+    /// A snapshot. Stored entries up to its index are dropped.
+    Snapshot {
+        /// The snapshot.
+        snapshot: Snapshot,
+        /// Drop all other entries too: the snapshot came from a leader, and the stored log conflicts with it or ends
+        /// before it.
+        replaces_log: bool,
+    },
+}
--- a/crates/gateway/src/consensus/tests.rs
+++ b/crates/gateway/src/consensus/tests.rs
@@ -1,442 +1,554 @@
-//! Many lives of a small core, by seeds: messages late, lost and out of order, disks that hang, processes that die, disks that
-//! are lost, machines that come and go. What is committed is the same everywhere and for ever.
+//! Randomised runs of a small cluster, by seed: messages that are delayed, lost and reordered, disks that stall, processes
+//! that are killed, disks that are lost, machines that are cut off. Checked throughout: what is committed is the same
+//! everywhere and for good, reads are linearizable, and nobody holds a lease beside another.
 
 use super::*;
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr};
 
-const TUNING: RaftConfig = RaftConfig {
-    heartbeat: 100,
-    election: 600,
-    lease: 500,
-    out_after: 2000,
-    least: 3,
-    batch: 4,
-    piece: 256,
-    window: 2,
-    hang: 400,
+const CONFIG: RaftConfig = RaftConfig {
+    heartbeat_interval: 100,
+    election_timeout: 600,
+    lease_duration: 500,
+    voter_removal_timeout: 2000,
+    min_voters: 3,
+    max_entries_per_append: 4,
+    snapshot_chunk_bytes: 256,
+    max_chunks_in_flight: 2,
+    disk_stall_timeout: 400,
 };
 
+/// Milliseconds of a simulation step.
+const STEP: Millis = 5;
+/// Milliseconds between two calls of [`Raft::tick`].
+const TICK_INTERVAL: Millis = 50;
+/// Milliseconds between two announcements of a machine that hears no leader.
+const JOIN_INTERVAL: Millis = 300;
+/// Milliseconds between two rounds of client work.
+const CLIENT_INTERVAL: Millis = 20;
+/// Milliseconds without new faults, within which a cluster must have recovered.
+const RECOVERY_SPAN: Millis = 6000;
+/// Upper bound for the commands that are proposed in one such span.
+const MAX_PROPOSALS: u64 = 150;
+/// The log is compacted above this many entries, unless a snapshot is being sent.
+const COMPACT_ABOVE: usize = 20;
+/// The log is compacted above this many entries in any case.
+const COMPACT_ALWAYS_ABOVE: usize = 80;
+
 fn ip(n: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(10, 0, 0, n as u8 + 1))
 }
 
+/// A write batch that the disk has not finished.
+struct DiskWrite {
+    id: WriteId,
+    done_at: Millis,
+    writes: Vec<LogWrite<u64>>,
+}
+
+/// A command that the state machine applied.
+type AppliedCommand = (Index, u64);
+
 struct Machine {
+    /// `None` while the process is down.
     raft: Option<Raft<u64>>,
     disk: u64,
-    held: PersistedState<u64>,
-    writing: Vec<(u64, Millis, Vec<LogWrite<u64>>)>,
-    life: u64,
-    applied: Vec<(Index, u64)>,
-    seen: HashSet<u64>,
+    persisted: PersistedState<u64>,
+    disk_queue: Vec<DiskWrite>,
+    /// Number of the process's start.
+    incarnation: u64,
+    applied: Vec<AppliedCommand>,
+    applied_values: HashSet<u64>,
+    /// So many of the confirmed values were found by an earlier read of this process.
     checked: usize,
-    hung: Millis,
-    cut: Millis,
+    disk_stalled_until: Millis,
+    cut_off_until: Millis,
 }
 
-pub(super) fn land<C: Clone>(held: &mut PersistedState<C>, writes: Vec<LogWrite<C>>) {
+/// Performs writes as a disk does.
+pub(super) fn apply_writes<C: Clone>(persisted: &mut PersistedState<C>, writes: Vec<LogWrite<C>>) {
     for write in writes {
         match write {
-            LogWrite::Hard(term, vote) => (held.term, held.vote) = (term, vote),
+            LogWrite::HardState(term, vote) => (persisted.term, persisted.vote) = (term, vote),
             LogWrite::Append(entries) => {
-                held.log.retain(|e| e.index < entries[0].index);
-                held.log.extend(entries);
+                persisted.entries.retain(|e| e.index < entries[0].index);
+                persisted.entries.extend(entries);
             }
-            LogWrite::Snapshot { snapshot, whole } => {
-                held.log.retain(|e| !whole && e.index > snapshot.index);
-                held.snapshot = Some(snapshot);
+            LogWrite::Snapshot { snapshot, replaces_log } => {
+                persisted.entries.retain(|e| !replaces_log && e.index > snapshot.index);
+                persisted.snapshot = Some(snapshot);
             }
         }
     }
 }
 
-struct World {
+struct InFlightMessage {
+    arrives_at: Millis,
+    from: NodeId,
+    to: NodeId,
+    message: Message<u64>,
+}
+
+/// A command that was proposed and is not applied yet by the machine that proposed it.
+struct Proposal {
+    position: LogPosition,
+    value: u64,
+    machine: usize,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct ReadKey {
+    machine: usize,
+    incarnation: u64,
+    read: ReadId,
+}
+
+struct Cluster {
     now: Millis,
     rng: fastrand::Rng,
     machines: Vec<Machine>,
-    wire: Vec<(Millis, NodeId, NodeId, Message<u64>)>,
-    agreed: HashMap<Index, (Term, Option<u64>)>,
+    network: Vec<InFlightMessage>,
+    /// The entry at each index that any machine applied: its term, and its value if it is a command.
+    committed: HashMap<Index, (Term, Option<u64>)>,
     proposed: u64,
+    /// Values whose commitment was confirmed to the client, oldest first.
     confirmed: Vec<u64>,
-    pending: Vec<(Index, Term, u64, usize)>,
-    reads: HashMap<(usize, u64, u64), usize>,
+    proposals: Vec<Proposal>,
+    /// How many values were confirmed when a read began.
+    reads: HashMap<ReadKey, usize>,
     leaders: HashMap<Term, NodeId>,
-    most: (usize, usize),
 }
 
-fn encode(applied: &[(Index, u64)]) -> bytes::Bytes {
+fn encode(applied: &[AppliedCommand]) -> bytes::Bytes {
     rmp_serde::to_vec(applied).expect("encodes").into()
 }
 
-impl World {
-    fn new(seed: u64, n: usize) -> Self {
+impl Cluster {
+    /// `machine_count` machines, of which the first three at most are the initial voters.
+    fn new(seed: u64, machine_count: usize) -> Self {
         let machine = || Machine {
             raft: None,
             disk: 0,
-            held: PersistedState::default(),
-            writing: vec![],
-            life: 0,
+            persisted: PersistedState::default(),
+            disk_queue: vec![],
+            incarnation: 0,
             applied: vec![],
-            seen: HashSet::new(),
+            applied_values: HashSet::new(),
             checked: 0,
-            hung: 0,
-            cut: 0,
+            disk_stalled_until: 0,
+            cut_off_until: 0,
         };
-        let mut world = World {
+        let mut cluster = Cluster {
             now: 10_000,
             rng: fastrand::Rng::with_seed(seed),
-            machines: (0..n).map(|_| machine()).collect(),
-            wire: vec![],
-            agreed: HashMap::new(),
+            machines: (0..machine_count).map(|_| machine()).collect(),
+            network: vec![],
+            committed: HashMap::new(),
             proposed: 0,
             confirmed: vec![],
-            pending: vec![],
+            proposals: vec![],
             reads: HashMap::new(),
             leaders: HashMap::new(),
-            most: (0, 0),
         };
-        for m in 0..n {
-            world.boot(m, m < 3.min(n));
+        for m in 0..machine_count {
+            cluster.start(m, m < 3.min(machine_count));
         }
-        world
+        cluster
     }
 
-    fn boot(&mut self, m: usize, first: bool) {
-        let n = self.machines.len();
+    /// Starts the process of a machine from its disk; one with an empty disk becomes a new member.
+    fn start(&mut self, m: usize, bootstraps: bool) {
+        let machine_count = self.machines.len();
         let machine = &mut self.machines[m];
-        machine.life += 1;
-        if machine.held == PersistedState::default() && !first {
+        machine.incarnation += 1;
+        if machine.persisted == PersistedState::default() && !bootstraps {
             machine.disk = self.rng.u64(1..);
         }
-        let me = NodeId { ip: ip(m), disk: machine.disk };
-        let mut raft = Raft::new(self.now, me, machine.held.clone(), TUNING);
-        machine.applied = match &machine.held.snapshot {
+        let id = NodeId { ip: ip(m), disk: machine.disk };
+        let mut raft = Raft::new(self.now, id, machine.persisted.clone(), CONFIG);
+        machine.applied = match &machine.persisted.snapshot {
             Some(s) => rmp_serde::from_slice(&s.data).expect("decodes"),
             None => vec![],
         };
-        machine.seen = machine.applied.iter().map(|a| a.1).collect();
+        machine.applied_values = machine.applied.iter().map(|a| a.1).collect();
         machine.checked = 0;
-        if first {
-            raft.bootstrap(self.now, (0..3.min(n)).map(|m| NodeId { ip: ip(m), disk: 0 }).collect());
+        if bootstraps {
+            let voters = (0..3.min(machine_count)).map(|m| NodeId { ip: ip(m), disk: 0 }).collect();
+            raft.bootstrap(self.now, voters);
         }
         machine.raft = Some(raft);
-        self.drain(m);
+        self.perform_outputs(m);
     }
 
-    fn kill(&mut self, m: usize, power: bool, wipe: bool) {
+    /// Ends a process. `loses_power`: only a random part of the unfinished writes reaches the disk.
+    fn kill(&mut self, m: usize, loses_power: bool, loses_disk: bool) {
         let machine = &mut self.machines[m];
         machine.raft = None;
-        for (_, _, writes) in std::mem::take(&mut machine.writing) {
-            if power && self.rng.bool() {
+        for write in std::mem::take(&mut machine.disk_queue) {
+            if loses_power && self.rng.bool() {
                 break;
             }
-            land(&mut machine.held, writes);
+            apply_writes(&mut machine.persisted, write.writes);
         }
-        machine.hung = 0;
-        if wipe {
-            machine.held = PersistedState::default();
+        machine.disk_stalled_until = 0;
+        if loses_disk {
+            machine.persisted = PersistedState::default();
         }
     }
 
-    fn drain(&mut self, m: usize) {
+    fn perform_outputs(&mut self, m: usize) {
         let Some(raft) = &mut self.machines[m].raft else { return };
-        if raft.leads() {
-            let held = self.leaders.entry(raft.term()).or_insert(raft.me());
-            assert_eq!(*held, raft.me(), "two leaders of term {}", raft.term());
+        if raft.is_leader() {
+            let first = self.leaders.entry(raft.term()).or_insert(raft.id());
+            assert_eq!(*first, raft.id(), "two leaders of term {}", raft.term());
         }
-        for output in raft.take() {
+        for output in raft.take_outputs() {
             match output {
-                Output::Persist(number, writes) => {
-                    let machine = &mut self.machines[m];
-                    let at = self.now.max(machine.hung) + self.rng.u64(1..12);
-                    let at = machine.writing.last().map_or(at, |w| at.max(w.1));
-                    machine.writing.push((number, at, writes));
-                }
-                Output::Send(to, message) => {
-                    if self.rng.u8(..) > 0 {
-                        let at = self.now + self.rng.u64(1..8);
-                        let from = self.machines[m].raft.as_ref().expect("runs").me();
-                        self.wire.push((at, from, to, message));
-                    }
-                }
-                Output::Apply(entry) => self.applied(m, entry),
-                Output::Install(snapshot) => {
-                    let list: Vec<(Index, u64)> = rmp_serde::from_slice(&snapshot.data).expect("decodes");
-                    for (index, value) in &list {
-                        if let Some((_, Some(held))) = self.agreed.get(index) {
-                            assert_eq!(held, value, "snapshot differs at {index}");
-                        }
-                    }
-                    assert!(list.len() >= self.machines[m].applied.len(), "goes back by a snapshot");
-                    self.machines[m].seen = list.iter().map(|a| a.1).collect();
-                    self.machines[m].applied = list;
-                }
-                Output::ReadReady(number) => {
-                    let life = self.machines[m].life;
-                    if let Some(least) = self.reads.remove(&(m, life, number)) {
-                        let machine = &mut self.machines[m];
-                        let fresh = &self.confirmed[machine.checked.min(least)..least];
-                        let missing = fresh.iter().find(|v| !machine.seen.contains(v));
-                        assert!(missing.is_none(), "a read lacks {missing:?}, confirmed before it");
-                        machine.checked = machine.checked.max(least);
-                    }
-                }
+                Output::Persist(id, writes) => self.enqueue_write(m, id, writes),
+                Output::Send(to, message) => self.send(m, to, message),
+                Output::Apply(entry) => self.apply(m, entry),
+                Output::InstallSnapshot(snapshot) => self.install_snapshot(m, &snapshot),
+                Output::ReadReady(read) => self.finish_read(m, read),
             }
         }
     }
 
-    fn applied(&mut self, m: usize, entry: Entry<u64>) {
-        let value = match entry.body {
+    fn enqueue_write(&mut self, m: usize, id: WriteId, writes: Vec<LogWrite<u64>>) {
+        let machine = &mut self.machines[m];
+        let done_at = self.now.max(machine.disk_stalled_until) + self.rng.u64(1..12);
+        let done_at = machine.disk_queue.last().map_or(done_at, |w| done_at.max(w.done_at));
+        machine.disk_queue.push(DiskWrite { id, done_at, writes });
+    }
+
+    /// One message of 256 is lost.
+    fn send(&mut self, m: usize, to: NodeId, message: Message<u64>) {
+        if self.rng.u8(..) > 0 {
+            let arrives_at = self.now + self.rng.u64(1..8);
+            let from = self.machines[m].raft.as_ref().expect("runs").id();
+            self.network.push(InFlightMessage { arrives_at, from, to, message });
+        }
+    }
+
+    fn apply(&mut self, m: usize, entry: Entry<u64>) {
+        let value = match entry.payload {
             EntryPayload::Command(value) => Some(value),
             _ => None,
         };
-        let told = (entry.term, value);
-        let held = *self.agreed.entry(entry.index).or_insert(told);
-        assert_eq!(held, told, "two entries at {}", entry.index);
+        let applied = (entry.term, value);
+        let first = *self.committed.entry(entry.index).or_insert(applied);
+        assert_eq!(first, applied, "two entries at {}", entry.index);
         if let Some(value) = value {
             let machine = &mut self.machines[m];
             assert!(machine.applied.last().is_none_or(|a| a.0 < entry.index), "applied out of order");
             machine.applied.push((entry.index, value));
-            machine.seen.insert(value);
-            let place = self.pending.iter().position(|p| (p.0, p.1) == (entry.index, entry.term) && p.3 == m);
-            if let Some(place) = place {
-                self.confirmed.push(self.pending.remove(place).2);
+            machine.applied_values.insert(value);
+            let position = LogPosition { index: entry.index, term: entry.term };
+            let proposal = self.proposals.iter().position(|p| p.position == position && p.machine == m);
+            if let Some(proposal) = proposal {
+                self.confirmed.push(self.proposals.remove(proposal).value);
+            }
+        }
+    }
+
+    fn install_snapshot(&mut self, m: usize, snapshot: &Snapshot) {
+        let commands: Vec<AppliedCommand> = rmp_serde::from_slice(&snapshot.data).expect("decodes");
+        for (index, value) in &commands {
+            if let Some((_, Some(committed))) = self.committed.get(index) {
+                assert_eq!(committed, value, "snapshot differs at {index}");
             }
         }
+        assert!(commands.len() >= self.machines[m].applied.len(), "goes back by a snapshot");
+        self.machines[m].applied_values = commands.iter().map(|a| a.1).collect();
+        self.machines[m].applied = commands;
+    }
+
+    /// A read must see all that was confirmed before it began.
+    fn finish_read(&mut self, m: usize, read: ReadId) {
+        let incarnation = self.machines[m].incarnation;
+        if let Some(confirmed) = self.reads.remove(&ReadKey { machine: m, incarnation, read }) {
+            let machine = &mut self.machines[m];
+            let unchecked = &self.confirmed[machine.checked.min(confirmed)..confirmed];
+            let missing = unchecked.iter().find(|v| !machine.applied_values.contains(v));
+            assert!(missing.is_none(), "a read lacks {missing:?}, confirmed before it");
+            machine.checked = machine.checked.max(confirmed);
+        }
     }
 
     fn step(&mut self) {
-        self.now += 5;
-        let now = self.now;
+        self.now += STEP;
         for m in 0..self.machines.len() {
-            while self.machines[m].writing.first().is_some_and(|w| w.1 <= now) && now >= self.machines[m].hung
-            {
-                let (number, _, writes) = self.machines[m].writing.remove(0);
-                land(&mut self.machines[m].held, writes);
-                if let Some(raft) = &mut self.machines[m].raft {
-                    raft.persisted(now, number);
-                }
-                self.drain(m);
-            }
-            let Some(raft) = &mut self.machines[m].raft else { continue };
-            if now.is_multiple_of(50) {
-                raft.tick(now);
+            self.finish_writes(m);
+            self.tick(m);
+        }
+        self.deliver_messages();
+    }
+
+    fn finish_writes(&mut self, m: usize) {
+        let now = self.now;
+        let is_due = |machine: &Machine| {
+            machine.disk_queue.first().is_some_and(|w| w.done_at <= now) && now >= machine.disk_stalled_until
+        };
+        while is_due(&self.machines[m]) {
+            let write = self.machines[m].disk_queue.remove(0);
+            apply_writes(&mut self.machines[m].persisted, write.writes);
+            if let Some(raft) = &mut self.machines[m].raft {
+                raft.on_persisted(now, write.id);
             }
-            if now.is_multiple_of(300) && raft.leader(now).is_none() {
-                let id = raft.me();
-                let cut = self.machines[m].cut > now;
-                for n in (0..self.machines.len()).filter(|n| *n != m && !cut) {
-                    let there = self.machines[n].cut <= now;
-                    if let Some(raft) = self.machines[n].raft.as_mut().filter(|_| there) {
-                        raft.join(now, id);
-                    }
-                    self.drain(n);
-                }
+            self.perform_outputs(m);
+        }
+    }
+
+    fn tick(&mut self, m: usize) {
+        let now = self.now;
+        let Some(raft) = &mut self.machines[m].raft else { return };
+        if now.is_multiple_of(TICK_INTERVAL) {
+            raft.tick(now);
+        }
+        if now.is_multiple_of(JOIN_INTERVAL) && raft.leader(now).is_none() {
+            let id = raft.id();
+            self.announce(m, id);
+        }
+        self.perform_outputs(m);
+    }
+
+    /// All other machines that are reached hear that this one is there.
+    fn announce(&mut self, m: usize, id: NodeId) {
+        let now = self.now;
+        let is_cut_off = self.machines[m].cut_off_until > now;
+        for n in (0..self.machines.len()).filter(|n| *n != m && !is_cut_off) {
+            let is_reached = self.machines[n].cut_off_until <= now;
+            if let Some(raft) = self.machines[n].raft.as_mut().filter(|_| is_reached) {
+                raft.join(now, id);
             }
-            self.drain(m);
+            self.perform_outputs(n);
         }
-        let due;
-        (due, self.wire) = std::mem::take(&mut self.wire).into_iter().partition(|w| w.0 <= now);
-        for (_, from, to, message) in due {
-            let find = |id: NodeId| (0..self.machines.len()).find(|m| ip(*m) == id.ip);
-            let (Some(f), Some(t)) = (find(from), find(to)) else { continue };
-            if self.machines[f].cut > now || self.machines[t].cut > now {
+    }
+
+    fn deliver_messages(&mut self) {
+        let now = self.now;
+        let due: Vec<InFlightMessage>;
+        (due, self.network) =
+            std::mem::take(&mut self.network).into_iter().partition(|message| message.arrives_at <= now);
+        for InFlightMessage { from, to, message, .. } in due {
+            let machine_of = |id: NodeId| (0..self.machines.len()).find(|m| ip(*m) == id.ip);
+            let (Some(sender), Some(receiver)) = (machine_of(from), machine_of(to)) else { continue };
+            if self.machines[sender].cut_off_until > now || self.machines[receiver].cut_off_until > now {
                 continue;
             }
-            let Some(raft) = &mut self.machines[t].raft else { continue };
-            if raft.me() == to {
+            let Some(raft) = &mut self.machines[receiver].raft else { continue };
+            if raft.id() == to {
                 raft.receive(now, from, message);
             }
-            self.drain(t);
+            self.perform_outputs(receiver);
         }
     }
 
-    fn work(&mut self) {
+    /// A client proposes a command to a random machine and reads from it; the machine compacts its log.
+    fn client_work(&mut self) {
         let m = self.rng.usize(0..self.machines.len());
-        let (now, life, confirmed) = (self.now, self.machines[m].life, self.confirmed.len());
+        let (now, confirmed) = (self.now, self.confirmed.len());
+        let incarnation = self.machines[m].incarnation;
         let Some(raft) = &mut self.machines[m].raft else { return };
-        if raft.leads() && self.proposed < 150 {
+        if raft.is_leader() && self.proposed < MAX_PROPOSALS {
             self.proposed += 1;
             let value = self.proposed;
-            if let Some((index, term)) = raft.propose(now, value) {
-                self.pending.push((index, term, value, m));
+            if let Some(position) = raft.propose(now, value) {
+                self.proposals.push(Proposal { position, value, machine: m });
             }
-            if let Some(number) = raft.read(now) {
-                self.reads.insert((m, life, number), confirmed);
+            if let Some(read) = raft.read_index(now) {
+                self.reads.insert(ReadKey { machine: m, incarnation, read }, confirmed);
             }
         }
-        if raft.held().0 > 80 || raft.held().0 > 20 && !raft.is_sending() {
+        let entries = raft.entry_count();
+        if entries > COMPACT_ALWAYS_ABOVE || entries > COMPACT_ABOVE && !raft.is_sending_snapshot() {
             let data = encode(&self.machines[m].applied);
             if let Some(raft) = &mut self.machines[m].raft {
-                raft.compact(now, data);
+                raft.compact_applied(now, data);
             }
         }
-        self.drain(m);
-        let leases = self.machines.iter().filter(|m| m.raft.as_ref().is_some_and(|r| r.holds_lease(now)));
-        assert!(leases.count() <= 1, "two leases at {now}");
+        self.perform_outputs(m);
+        let running = self.machines.iter().filter_map(|machine| machine.raft.as_ref());
+        assert!(running.filter(|raft| raft.holds_lease(now)).count() <= 1, "two leases at {now}");
     }
 
-    fn run(&mut self, until: Millis) {
-        while self.now < until {
+    fn run_until(&mut self, end: Millis) {
+        while self.now < end {
             self.step();
-            if self.now.is_multiple_of(20) {
-                self.work();
+            if self.now.is_multiple_of(CLIENT_INTERVAL) {
+                self.client_work();
             }
         }
     }
 
-    fn calm(&mut self, what: &str) {
+    fn run_for(&mut self, span: Millis) {
+        self.run_until(self.now + span);
+    }
+
+    /// Without new faults the cluster recovers: it commits, all machines vote, members that are gone don't, and nothing
+    /// that was confirmed is lost.
+    fn assert_recovers(&mut self, context: &str) {
         let (at, confirmed) = (self.now, self.confirmed.len());
         self.proposed = 0;
-        self.run(at + 6000);
-        assert!(self.confirmed.len() > confirmed, "nothing is confirmed {what} at {at}: {}", self.tell());
-        let (lead, values) = self
-            .machines
-            .iter()
-            .find_map(|m| m.raft.as_ref().filter(|r| r.leads()).map(|r| (r, &m.applied)))
-            .expect("leads");
+        self.run_until(at + RECOVERY_SPAN);
+        let state = || self.describe();
+        assert!(self.confirmed.len() > confirmed, "nothing is confirmed {context} at {at}: {}", state());
+        let leading = |m: &Machine| m.raft.as_ref().is_some_and(|raft| raft.is_leader());
+        let leader = self.machines.iter().find(|m| leading(m)).expect("leads");
+        let voters = leader.raft.as_ref().expect("leads").voters();
         let live: Vec<NodeId> =
-            self.machines.iter().filter_map(|m| m.raft.as_ref()).map(|r| r.me()).collect();
-        let dead = lead.members().into_iter().filter(|id| !live.contains(id)).count();
-        assert!(live.iter().all(|id| lead.members().contains(id)), "not all vote {what}: {}", self.tell());
-        assert!(dead == 0 || lead.members().len() <= TUNING.least, "the dead vote {what}: {}", self.tell());
-        let kept: std::collections::HashSet<u64> = values.iter().map(|a| a.1).collect();
-        assert!(self.confirmed.iter().all(|v| kept.contains(v)), "confirmed and lost {what}");
+            self.machines.iter().filter_map(|m| m.raft.as_ref()).map(|r| r.id()).collect();
+        let gone = voters.iter().filter(|id| !live.contains(id)).count();
+        assert!(live.iter().all(|id| voters.contains(id)), "not all vote {context}: {}", state());
+        assert!(gone == 0 || voters.len() <= CONFIG.min_voters, "lost members vote {context}: {}", state());
+        let applied: HashSet<u64> = leader.applied.iter().map(|a| a.1).collect();
+        assert!(self.confirmed.iter().all(|v| applied.contains(v)), "confirmed and lost {context}");
     }
 
-    fn tell(&self) -> String {
-        let tell = |m: &Machine| match &m.raft {
+    fn describe(&self) -> String {
+        let describe = |m: &Machine| match &m.raft {
             Some(r) => format!(
-                "[{}/{:x} t{} c{} {:?} members {:?} peers {:?}]\n",
-                r.me().ip,
-                r.me().disk & 0xffff,
+                "[{}/{:x} t{} c{} {:?} voters {:?} peers {:?}]\n",
+                r.id().ip,
+                r.id().disk & 0xffff,
                 r.term(),
-                r.commit(),
-                r.leads(),
-                r.members().iter().map(|m| (m.ip, m.disk & 0xffff)).collect::<Vec<_>>(),
-                r.peers(self.now)
+                r.commit_index(),
+                r.is_leader(),
+                r.voters().iter().map(|m| (m.ip, m.disk & 0xffff)).collect::<Vec<_>>(),
+                r.peer_statuses(self.now)
             ),
             None => "down".into(),
         };
-        self.machines.iter().map(tell).collect()
+        self.machines.iter().map(describe).collect()
+    }
+
+    // Faults. Each ends with all processes running.
+
+    /// A machine loses power, and perhaps its disk.
+    fn lose_power(&mut self, m: usize, span: Millis) {
+        let loses_disk = self.machines.len() > 1 && self.rng.bool();
+        self.kill(m, true, loses_disk);
+        self.run_for(span);
+        self.start(m, false);
+    }
+
+    /// All machines lose power, and one of them, if any, its disk.
+    fn lose_power_everywhere(&mut self, lost_disk: Option<usize>, span: Millis) {
+        for m in 0..self.machines.len() {
+            self.kill(m, true, lost_disk == Some(m));
+        }
+        self.run_for(span);
+        for m in 0..self.machines.len() {
+            self.start(m, false);
+        }
+    }
+
+    fn transfer_leadership(&mut self, span: Millis) {
+        let now = self.now;
+        let mut running = self.machines.iter_mut().filter_map(|m| m.raft.as_mut());
+        if let Some(leader) = running.find(|raft| raft.is_leader()) {
+            leader.transfer_leadership(now);
+        }
+        self.run_for(span);
+    }
+
+    /// A machine is cut off, and a process is killed meanwhile.
+    fn cut_off_and_kill(&mut self, m: usize, span: Millis) {
+        self.machines[m].cut_off_until = self.now + span;
+        self.run_for(span / 2);
+        let killed = self.rng.usize(0..self.machines.len());
+        self.kill(killed, false, false);
+        self.run_for(span / 2);
+        self.start(killed, false);
     }
 }
 
-fn play(seed: u64, n: usize) {
-    let mut world = World::new(seed, n);
-    world.calm("at first");
+/// Eight faults in a row, with time to recover after each.
+fn run_with_faults(seed: u64, machine_count: usize) {
+    let mut cluster = Cluster::new(seed, machine_count);
+    cluster.assert_recovers("at first");
     for round in 0..8 {
-        let m = world.rng.usize(0..n);
-        let what = world.rng.usize(0..7);
-        let span = world.rng.u64(100..4000);
-        match what {
-            0 => {
-                let wipe = n > 1 && world.rng.bool();
-                world.kill(m, true, wipe);
-                world.run(world.now + span);
-                world.boot(m, false);
-            }
+        let m = cluster.rng.usize(0..machine_count);
+        let fault = cluster.rng.usize(0..7);
+        let span = cluster.rng.u64(100..4000);
+        match fault {
+            0 => cluster.lose_power(m, span),
             1 => {
-                world.machines[m].cut = world.now + 2 * span;
-                world.run(world.now + 2 * span);
+                cluster.machines[m].cut_off_until = cluster.now + 2 * span;
+                cluster.run_for(2 * span);
             }
             2 => {
-                world.machines[m].hung = world.now + span;
-                world.run(world.now + span);
-            }
-            3 => {
-                for m in 0..n {
-                    world.kill(m, true, false);
-                }
-                world.run(world.now + span / 4);
-                for m in 0..n {
-                    world.boot(m, false);
-                }
-            }
-            4 => {
-                let now = world.now;
-                if let Some(raft) =
-                    world.machines.iter_mut().find_map(|m| m.raft.as_mut().filter(|r| r.leads()))
-                {
-                    raft.transfer(now);
-                }
-                world.run(world.now + span / 4);
-            }
-            5 => {
-                // One disk is lost while all others lose power.
-                for k in 0..n {
-                    world.kill(k, true, n > 1 && k == m);
-                }
-                world.run(world.now + span / 4);
-                for k in 0..n {
-                    world.boot(k, false);
-                }
-            }
-            _ => {
-                world.machines[m].cut = world.now + span;
-                world.run(world.now + span / 2);
-                let k = world.rng.usize(0..n);
-                world.kill(k, false, false);
-                world.run(world.now + span / 2);
-                world.boot(k, false);
+                cluster.machines[m].disk_stalled_until = cluster.now + span;
+                cluster.run_for(span);
             }
+            3 => cluster.lose_power_everywhere(None, span / 4),
+            4 => cluster.transfer_leadership(span / 4),
+            5 => cluster.lose_power_everywhere(Some(m).filter(|_| machine_count > 1), span / 4),
+            _ => cluster.cut_off_and_kill(m, span),
         }
-        world.calm(&format!("after round {round} of seed {seed}, trouble {what} of {m}"));
+        cluster.assert_recovers(&format!("after round {round} of seed {seed}, fault {fault} of {m}"));
     }
-    let held = world.machines.iter().filter_map(|m| m.raft.as_ref()).map(|r| r.held().0).max();
-    world.most.0 = held.unwrap_or(0);
 }
 
 #[test]
-fn what_is_confirmed_is_kept_and_the_same_everywhere() {
+fn committed_entries_survive_random_faults_and_are_the_same_everywhere() {
     for seed in 0..16 {
-        play(seed, 3);
+        run_with_faults(seed, 3);
     }
     for seed in 100..108 {
-        play(seed, 4);
+        run_with_faults(seed, 4);
     }
     for seed in 200..208 {
-        play(seed, 5);
+        run_with_faults(seed, 5);
     }
     for seed in 300..306 {
-        play(seed, 1 + (seed % 2) as usize * 2);
+        run_with_faults(seed, 1 + (seed % 2) as usize * 2);
     }
 }
 
-/// Guards the lease through restarts: whom a machine may be bound to is on its disk before the leader hears that it
-/// follows, so after a restart it is bound to nobody else, and to nobody longer than that one leads.
+/// Guards leases across restarts: the leader that may rely on a member is on that member's disk before the leader hears
+/// that it is followed. So after a restart the member is bound to that leader only, and not for longer than the leader
+/// may rely on it.
 #[test]
-fn a_restart_is_bound_to_the_leader_that_was_followed_and_to_nobody_else() {
+fn after_a_restart_a_follower_votes_for_nobody_but_its_last_leader_within_the_election_timeout() {
     let id = |n| NodeId { ip: ip(n), disk: 0 };
-    let members: Members = (0..3).map(id).collect();
-    let first = Entry { term: 0, index: 1, body: EntryPayload::Members(members) };
-    // It stood in term 5 itself, and lost to the first one.
-    let mut held = PersistedState { term: 5, vote: Some(id(1)), snapshot: None, log: vec![first] };
-    let mut raft = Raft::<u64>::new(10_000, id(1), held.clone(), TUNING);
-    let word = Message::Append { term: 5, prev: (1, 0), entries: vec![], commit: 1, sure: None, round: 1 };
-    raft.receive(10_100, id(0), word);
-    for output in raft.take() {
+    let voters: VoterSet = (0..3).map(id).collect();
+    let first = Entry { term: 0, index: 1, payload: EntryPayload::ConfChange(voters) };
+    // Member 1 was a candidate in term 5, and lost to member 0.
+    let mut persisted = PersistedState { term: 5, vote: Some(id(1)), snapshot: None, entries: vec![first] };
+    let mut follower = Raft::<u64>::new(10_000, id(1), persisted.clone(), CONFIG);
+    let heartbeat = Message::AppendEntries {
+        term: 5,
+        prev_log: LogPosition { index: 1, term: 0 },
+        entries: vec![],
+        leader_commit: 1,
+        echoed_clock: None,
+        heartbeat_seq: 1,
+    };
+    follower.receive(10_100, id(0), heartbeat);
+    for output in follower.take_outputs() {
         match output {
-            Output::Persist(_, writes) => land(&mut held, writes),
-            Output::Send(..) => panic!("it speaks before that is on the disk"),
+            Output::Persist(_, writes) => apply_writes(&mut persisted, writes),
+            Output::Send(..) => panic!("it responds before its vote is on disk"),
             _ => {}
         }
     }
-    assert_eq!(held.vote, Some(id(0)));
-    let granted = |now: Millis, from: NodeId| {
-        let mut raft = Raft::<u64>::new(20_000, id(1), held.clone(), TUNING);
-        raft.receive(now, from, Message::Vote { term: 6, last: (5, 9), pre: false, transfer: false });
+    assert_eq!(persisted.vote, Some(id(0)));
+    let accepts_candidate = |now: Millis, candidate: NodeId| {
+        let mut raft = Raft::<u64>::new(20_000, id(1), persisted.clone(), CONFIG);
+        let last_log = LastLogPosition { term: 5, index: 9 };
+        let request = Message::RequestVote { term: 6, last_log, pre_vote: false, leader_transfer: false };
+        raft.receive(now, candidate, request);
         raft.term() == 6
     };
-    assert!(!granted(20_100, id(2)), "the first one may rely on it yet");
-    assert!(granted(20_100, id(0)), "who stands again leads no more");
-    assert!(granted(20_000 + TUNING.election, id(2)), "nobody relies on it for longer");
-    // Nor does it stand itself before that, unless it had its own vote.
-    let mut stands = Raft::<u64>::new(20_000, id(1), held.clone(), TUNING);
-    stands.tick(20_100);
-    assert!(stands.take().is_empty());
-    held.vote = Some(id(1));
-    let mut leads_again = Raft::<u64>::new(20_000, id(1), held, TUNING);
-    leads_again.tick(20_100);
-    assert_eq!(leads_again.take().len(), 2, "it asks both others at once");
+    assert!(!accepts_candidate(20_100, id(2)), "the leader may still rely on this member");
+    assert!(accepts_candidate(20_100, id(0)), "a leader that stands again relies on nothing");
+    assert!(accepts_candidate(20_000 + CONFIG.election_timeout, id(2)), "nobody relies on it for longer");
+    // Nor does it stand itself before that, unless its vote is its own.
+    let mut bound = Raft::<u64>::new(20_000, id(1), persisted.clone(), CONFIG);
+    bound.tick(20_100);
+    assert!(bound.take_outputs().is_empty());
+    persisted.vote = Some(id(1));
+    let mut unbound = Raft::<u64>::new(20_000, id(1), persisted, CONFIG);
+    unbound.tick(20_100);
+    assert_eq!(unbound.take_outputs().len(), 2, "it asks both others at once");
 }
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -5,7 +5,7 @@
 use super::{error_body, CallId, ConnectionId, CoreContext, Effect};
 use crate::configuration::state::ChangeOutcome;
 use crate::configuration::{ConfigChange, ConfigItem, ConfigState};
-use crate::consensus::{Index, NodeId, Raft, Term};
+use crate::consensus::{Index, LogPosition, NodeId, Raft, Term};
 use crate::control_plane::event_journal::JournalEvent;
 use crate::protocol::{LogCommand, OperatorRequest, OperatorResponse, PeerMessage};
 use serde_json::json;
@@ -71,7 +71,7 @@
         (raft, shared): (&mut Raft<LogCommand>, &mut CoreContext),
         out: &mut Vec<Effect>,
     ) {
-        if raft.leads() {
+        if raft.is_leader() {
             return self.lead(now, Waiter::Own(call), wish, (raft, shared), out);
         }
         let leader = raft.leader(shared.ms(now)).map(|id| id.ip).filter(|ip| shared.touches(now, ip));
@@ -107,14 +107,14 @@
         let (ms, until) = (shared.ms(now), now + CALL_WITHIN);
         let place = match wish {
             OperatorRequest::Amend(order) => {
-                raft.propose(ms, LogCommand::Configure(order)).map(|(index, term)| {
+                raft.propose(ms, LogCommand::Configure(order)).map(|LogPosition { index, term }| {
                     self.placed.insert(index, Placed { term, waiter, until });
                 })
             }
-            OperatorRequest::Read => raft.read(ms).map(|read| {
+            OperatorRequest::Read => raft.read_index(ms).map(|read| {
                 self.reads.insert(read, (waiter, None, until));
             }),
-            OperatorRequest::Reject(why) => raft.read(ms).map(|read| {
+            OperatorRequest::Reject(why) => raft.read_index(ms).map(|read| {
                 self.reads.insert(read, (waiter, Some(why), until));
             }),
         };
@@ -221,9 +221,9 @@
 
     /// Something may have been copied, or applied: whoever waits for it hears.
     pub fn copied(&mut self, raft: &Raft<LogCommand>, shared: &mut CoreContext, out: &mut Vec<Effect>) {
-        if !self.copying.is_empty() && raft.leads() {
+        if !self.copying.is_empty() && raft.is_leader() {
             for waiting in std::mem::take(&mut self.copying) {
-                let holders = raft.holders(waiting.index);
+                let holders = raft.voters_with(waiting.index);
                 let ips: Vec<IpAddr> = holders.iter().map(|id: &NodeId| id.ip).collect();
                 if shared.may_hold_all(ips.iter()) {
                     tracing::info!(index = waiting.index, copies = ips.len(), "acknowledges a configuration");
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -173,7 +173,7 @@
         let gates = if young { 0 } else { self.gates.count() as u32 };
         let ms = self.shared.ms(now);
         let holder = match self.raft.leader(ms) {
-            Some(leader) if leader == self.raft.me() => self.raft.holds_lease(ms).then_some(leader.ip),
+            Some(leader) if leader == self.raft.id() => self.raft.holds_lease(ms).then_some(leader.ip),
             leader => leader.map(|l| l.ip),
         };
         let core = self.shared.voters.len() as u32;
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -118,7 +118,7 @@
         cell.core.start(&mut out);
         cell.carry_out(out);
         cell.play(3.0);
-        assert!(cell.core.raft.leads());
+        assert!(cell.core.raft.is_leader());
         cell
     }
 
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -168,7 +168,7 @@
         let applied = held.raft.snapshot.as_ref().map_or(0, |s| s.index);
         let snapshot = held.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
         let me = NodeId { ip: shared.me.ip, disk: held.disk };
-        let blank = held.raft.log.is_empty() && held.raft.snapshot.is_none();
+        let blank = held.raft.entries.is_empty() && held.raft.snapshot.is_none();
         let raft = Raft::new(shared.ms(now), me, held.raft, replicated_log::tuning(&shared.settings));
         let mut core = CoreNode {
             keeper: ConfigurationService::new(state, applied),
@@ -232,7 +232,7 @@
             Event::Ending => {
                 self.seat.end();
                 let ms = self.shared.ms(now);
-                self.raft.transfer(ms);
+                self.raft.transfer_leadership(ms);
                 self.log_out(now, out);
                 self.tell_end(out);
             }
@@ -241,7 +241,7 @@
 
     /// Does this process still have what others wait for: the lead?
     pub fn leads(&self) -> bool {
-        self.raft.leads() && self.shared.voters.len() > 1
+        self.raft.is_leader() && self.shared.voters.len() > 1
     }
 
     fn link_up(&mut self, ip: IpAddr, out: &mut Vec<Effect>) {
@@ -481,7 +481,7 @@
     pub fn retune(&mut self, settings: Settings, out: &mut Vec<Effect>) {
         let blank = |ip| NodeLocation { ip, zone: String::new(), region: String::new() };
         let seeds = settings.seeds.iter().map(|s| blank(s.ip())).collect();
-        self.raft.retune(replicated_log::tuning(&settings));
+        self.raft.set_config(replicated_log::tuning(&settings));
         self.shared.settings = settings;
         let before = out.len();
         self.meet(seeds, out);
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -36,15 +36,15 @@
     // A lost zone or region may hold several: at least one more than twice the losses must be left in any case.
     let losses = t.machines.max(t.zones).max(t.regions);
     RaftConfig {
-        heartbeat: HEARTBEAT,
-        election: ELECTION,
-        lease: LEASE,
-        out_after: settings.envelope.resync.as_millis() as u64 / 2,
-        least: (2 * losses + 1).max(3),
-        batch: 64,
-        piece: 128 * 1024,
-        window: 8,
-        hang: HANG,
+        heartbeat_interval: HEARTBEAT,
+        election_timeout: ELECTION,
+        lease_duration: LEASE,
+        voter_removal_timeout: settings.envelope.resync.as_millis() as u64 / 2,
+        min_voters: (2 * losses + 1).max(3),
+        max_entries_per_append: 64,
+        snapshot_chunk_bytes: 128 * 1024,
+        max_chunks_in_flight: 8,
+        disk_stall_timeout: HANG,
     }
 }
 
@@ -93,7 +93,7 @@
         message: Message<LogCommand>,
         out: &mut Vec<Effect>,
     ) {
-        if to != self.raft.me() {
+        if to != self.raft.id() {
             return;
         }
         // Its answers go by a connection of this process.
@@ -106,7 +106,7 @@
     /// A machine wants to join; passed on to the leader, once.
     pub(super) fn wants_to_join(&mut self, now: f64, id: NodeId, passed: bool, out: &mut Vec<Effect>) {
         let ms = self.shared.ms(now);
-        if self.raft.leads() {
+        if self.raft.is_leader() {
             self.meet(vec![NodeLocation { ip: id.ip, zone: String::new(), region: String::new() }], out);
             self.raft.join(ms, id);
             return self.log_out(now, out);
@@ -119,7 +119,7 @@
 
     /// This process ends: the others may do without its vote.
     pub(super) fn tell_end(&mut self, out: &mut Vec<Effect>) {
-        let id = self.raft.me();
+        let id = self.raft.id();
         out.extend(self.shared.peers().into_iter().map(|ip| Effect::Send(ip, PeerMessage::Leave { id })));
     }
 
@@ -133,7 +133,7 @@
         side.puts.retain(|p| p.0 > put);
         if let Some(number) = done {
             let ms = self.shared.ms(now);
-            self.raft.persisted(ms, number);
+            self.raft.on_persisted(ms, number);
             self.log_out(now, out);
         }
     }
@@ -144,7 +144,7 @@
         self.raft.tick(ms);
         if self.raft.leader(ms).is_none() && now - self.log_side.joined >= JOIN {
             self.log_side.joined = now;
-            let id = self.raft.me();
+            let id = self.raft.id();
             let join = |ip| Effect::Send(ip, PeerMessage::Join { id, forwarded: false });
             out.extend(self.shared.peers().into_iter().map(join));
         }
@@ -156,9 +156,9 @@
     fn cut(&mut self, now: f64, out: &mut Vec<Effect>) {
         let side = &mut self.log_side;
         if side.making.is_none() {
-            let patience = if self.raft.is_sending() { CUT_PATIENCE } else { 1 };
+            let patience = if self.raft.is_sending_snapshot() { CUT_PATIENCE } else { 1 };
             let long = side.bytes > patience * CUT_BYTES.max(side.snapshot)
-                || self.raft.held().0 > patience * CUT_ENTRIES;
+                || self.raft.entry_count() > patience * CUT_ENTRIES;
             let index = self.keeper.applied;
             let Some(term) = self.raft.term_at(index).filter(|_| long) else { return };
             let about = side.snapshot + side.snapshot / 8;
@@ -182,22 +182,23 @@
         tracing::info!(
             index,
             bytes = data.len(),
-            entries = self.raft.held().0,
+            entries = self.raft.entry_count(),
             "cuts the log behind a snapshot"
         );
         side.snapshot = data.len();
         let ms = self.shared.ms(now);
-        self.raft.compact_to(ms, index, data);
+        self.raft.compact(ms, index, data);
         self.log_out(now, out);
     }
 
     /// What has come of a leader's snapshot is decoded, and put on the disk.
     fn snapshot_comes(&mut self, out: &mut Vec<Effect>) {
-        let Some((index, term, bytes)) = self.raft.incoming() else {
+        let Some(incoming) = self.raft.incoming_snapshot() else {
             self.log_side.taking = None;
             return;
         };
-        let of = (index, term);
+        let bytes = &incoming.data[..];
+        let of = (incoming.last_included.index, incoming.last_included.term);
         let taking = self.log_side.taking.take().filter(|t| t.goes_on(of, bytes));
         let mut taking = taking.unwrap_or_else(|| SnapshotReceiver::new(of));
         let part = taking.come(bytes);
@@ -210,7 +211,7 @@
 
     /// Carries out what the log wants.
     pub(super) fn log_out(&mut self, now: f64, out: &mut Vec<Effect>) {
-        for output in self.raft.take() {
+        for output in self.raft.take_outputs() {
             match output {
                 Output::Persist(number, writes) => {
                     let put = self.shared.number();
@@ -218,11 +219,11 @@
                     out.push(Effect::Persist(WriteBatch { number: put, writes, ..WriteBatch::default() }));
                 }
                 Output::Send(to, message) => {
-                    let message = PeerMessage::Consensus { from: self.raft.me(), to, message };
+                    let message = PeerMessage::Consensus { from: self.raft.id(), to, message };
                     out.push(Effect::Send(to.ip, message));
                 }
                 Output::Apply(entry) => self.apply(entry, out),
-                Output::Install(snapshot) => self.install(now, &snapshot, out),
+                Output::InstallSnapshot(snapshot) => self.install(now, &snapshot, out),
                 Output::ReadReady(number) => self.keeper.ready(number, &mut self.shared, out),
             }
         }
@@ -233,7 +234,7 @@
 
     /// Notices who leads and who votes.
     fn log_news(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leads, term) = (self.raft.leads(), self.raft.term());
+        let (leads, term) = (self.raft.is_leader(), self.raft.term());
         if std::mem::replace(&mut self.log_side.leading, leads) != leads {
             match leads {
                 true => tracing::info!(term, "leads"),
@@ -242,7 +243,7 @@
             self.shared.journal.append(now, JournalEvent::Leads(leads, term));
             self.log_side.recording = None;
         }
-        let voters: Vec<NodeId> = self.raft.members().into_iter().collect();
+        let voters: Vec<NodeId> = self.raft.voters().into_iter().collect();
         if voters != self.log_side.voters {
             let told: Vec<String> = voters.iter().map(|v| format!("{}/{:x}", v.ip, v.disk)).collect();
             tracing::info!(voters = told.join(" "), "votes in the log");
@@ -258,7 +259,7 @@
     fn apply(&mut self, entry: Entry<LogCommand>, out: &mut Vec<Effect>) {
         let place = (entry.index, entry.term);
         self.keeper.applied = entry.index;
-        let EntryPayload::Command(command) = entry.body else { return };
+        let EntryPayload::Command(command) = entry.payload else { return };
         self.log_side.bytes += weight(&command);
         match command {
             LogCommand::Configure(order) => {
@@ -309,7 +310,8 @@
     /// Proposes to record the shares, if they changed: they rise once most keep them.
     pub(super) fn record_shares(&mut self, now: f64, shares: ShareCeilings) {
         let ms = self.shared.ms(now);
-        self.log_side.recording = self.raft.propose(ms, LogCommand::Shares(Arc::new(shares)));
+        let place = self.raft.propose(ms, LogCommand::Shares(Arc::new(shares)));
+        self.log_side.recording = place.map(|at| (at.index, at.term));
     }
 
     /// Bytes of the last snapshot.
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -196,11 +196,16 @@
                 Event::Disk(_) => "a sync is done",
                 Event::Inbound(
                     _,
-                    PeerMessage::Consensus { message: crate::consensus::Message::Piece { .. }, .. },
+                    PeerMessage::Consensus {
+                        message: crate::consensus::Message::InstallSnapshot { .. }, ..
+                    },
                 ) => "take a piece",
                 Event::Inbound(
                     _,
-                    PeerMessage::Consensus { message: crate::consensus::Message::PieceReply { .. }, .. },
+                    PeerMessage::Consensus {
+                        message: crate::consensus::Message::InstallSnapshotResponse { .. },
+                        ..
+                    },
                 ) => "send pieces",
                 Event::Call(..) => "a call",
                 _ => "anything else",
@@ -242,7 +247,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..3).find(|n| self.nodes[*n].core.as_ref().is_some_and(|c| c.raft.leads()))
+        (0..3).find(|n| self.nodes[*n].core.as_ref().is_some_and(|c| c.raft.is_leader()))
     }
 
     fn amend(&mut self, items: Vec<ConfigItem>) {
@@ -270,7 +275,7 @@
         self.print("start");
         self.amend(configuration(tenants));
         self.print("the first call");
-        let cut = |t: &Three| (0..3).all(|n| t.core(n).raft.held().1 > 0);
+        let cut = |t: &Three| (0..3).all(|n| t.core(n).raft.snapshot_index() > 0);
         let took = self.until(cut);
         self.print(&format!("cut the log: {took:.2} s"));
         let lost = (self.leader().expect("a leader") + 1) % 3;
@@ -282,7 +287,7 @@
         self.start(lost, true);
         let took = self.until(|t| {
             let core = t.core(lost);
-            core.raft.members().contains(&core.raft.me())
+            core.raft.voters().contains(&core.raft.id())
                 && core.keeper.state == t.core((lost + 1) % 3).keeper.state
         });
         self.print(&format!("repair of a lost disk: {took:.2} s of simulated time"));
@@ -351,7 +356,8 @@
         let disk: u64 = folder.map(|f| f.expect("a file").metadata().expect("a file").len()).sum();
         let leader = three.leader().unwrap_or(1);
         let state = three.core(leader).keeper.state.encode().len();
-        let (entries, base) = three.core(0).raft.held();
+        let raft = &three.core(0).raft;
+        let (entries, base) = (raft.entry_count(), raft.snapshot_index());
         three.print(&format!(
             "{made} changes: {disk} bytes of disk, state of {state} bytes, {entries} entries behind {base}"
         ));
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -3,7 +3,7 @@
 
 use super::replicated_log::{tuning, ELECTION};
 use super::CoreNode;
-use crate::consensus::{Index, Millis, NodeId};
+use crate::consensus::{Millis, NodeId, PeerStatus};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -45,15 +45,13 @@
 #[derive(Default)]
 pub(super) struct MemberStates(BTreeMap<NodeId, (MemberState, f64)>);
 
-type Peer = (NodeId, bool, Index, Millis);
-
 impl CoreNode {
     /// Notices how the others stand; the log is told what has changed.
     pub(super) fn note_standings(&mut self, now: f64) {
-        let peers = self.raft.peers(self.shared.ms(now));
-        self.standings.0.retain(|id, _| peers.iter().any(|p| p.0 == *id));
+        let peers = self.raft.peer_statuses(self.shared.ms(now));
+        self.standings.0.retain(|id, _| peers.iter().any(|p| p.id == *id));
         for peer in &peers {
-            let (id, votes, _, silent) = *peer;
+            let PeerStatus { id, is_voter: votes, silent_for: silent, .. } = *peer;
             let standing = MemberState::of(votes, silent);
             let was = self.standings.0.get(&id).map(|s| s.0);
             if was == Some(standing) {
@@ -77,10 +75,11 @@
     }
 
     /// Why a member is not heard, as far as this machine can tell.
-    fn why_out(&self, id: &NodeId, peers: &[Peer]) -> String {
-        let other = peers.iter().find(|p| p.0.ip == id.ip && p.0.disk != id.disk && p.3 <= ELECTION);
+    fn why_out(&self, id: &NodeId, peers: &[PeerStatus]) -> String {
+        let other =
+            peers.iter().find(|p| p.id.ip == id.ip && p.id.disk != id.disk && p.silent_for <= ELECTION);
         match other {
-            Some((now, ..)) => format!("its machine is there with another disk, {:x}", now.disk),
+            Some(now) => format!("its machine is there with another disk, {:x}", now.id.disk),
             None if self.connected.contains(&id.ip) => {
                 "its machine is connected, but says nothing of the log: it has another disk, or stands still"
                     .into()
@@ -93,8 +92,8 @@
     fn repair(&self, standing: MemberState) -> Option<String> {
         let tuning = tuning(&self.shared.settings);
         match standing {
-            MemberState::Out if self.raft.members().len() > tuning.least => {
-                Some(format!("is taken out of the members once it is silent for {} ms", tuning.out_after))
+            MemberState::Out if self.raft.voters().len() > tuning.min_voters => {
+                Some(format!("is taken out of the members once it is silent for {} ms", tuning.voter_removal_timeout))
             }
             MemberState::Out => Some(
                 "stays a member until it is back, or its machine with an empty disk or a successor has caught up"
@@ -129,8 +128,8 @@
     /// Members, leader, term, applied, lag, who is out, what is repaired: for operators.
     pub fn status(&self, now: f64) -> Value {
         let ms = self.shared.ms(now);
-        let (members, leader, me) = (self.raft.members(), self.raft.leader(ms), self.raft.me());
-        let peers = self.raft.peers(ms);
+        let (members, leader, me) = (self.raft.voters(), self.raft.leader(ms), self.raft.id());
+        let peers = self.raft.peer_statuses(ms);
         let member = |id: &NodeId| {
             let mut told = self.name(id);
             let heard = self.shared.heard.get(&id.ip).map(|at| ((now - at) * 1e3) as u64);
@@ -139,12 +138,12 @@
             told["leads"] = json!(Some(*id) == leader);
             told
         };
-        let other = |peer: &Peer| {
-            let (id, votes, matched, silent) = *peer;
+        let other = |peer: &PeerStatus| {
+            let PeerStatus { id, is_voter: votes, match_index: matched, silent_for: silent } = *peer;
             let (standing, mut told) = (MemberState::of(votes, silent), self.name(&id));
             let seen = self.standings.0.get(&id).filter(|s| s.0 == standing);
             told["votes"] = json!(votes);
-            told["lag_entries"] = json!(self.raft.last().saturating_sub(matched));
+            told["lag_entries"] = json!(self.raft.last_index().saturating_sub(matched));
             told["silent_ms"] = json!(silent);
             told["state"] = json!(standing.word());
             told["since_s"] = json!(seen.map(|s| ((now - s.1) * 10.0).round() / 10.0));
@@ -156,14 +155,13 @@
             }
             told
         };
-        let whole = peers.iter().all(|p| MemberState::of(p.1, p.3) != MemberState::Out)
-            && !peers.iter().any(|p| MemberState::of(p.1, p.3) == MemberState::CatchingUp);
-        let role = match (self.raft.leads(), members.contains(&me)) {
+        let whole = peers.iter().all(|p| MemberState::of(p.is_voter, p.silent_for) != MemberState::Out)
+            && !peers.iter().any(|p| MemberState::of(p.is_voter, p.silent_for) == MemberState::CatchingUp);
+        let role = match (self.raft.is_leader(), members.contains(&me)) {
             (true, _) => "leader",
             (false, true) => "follower",
             (false, false) => "learner",
         };
-        let (entries, base) = self.raft.held();
         json!({
             "me": self.name(&me),
             "role": role,
@@ -174,16 +172,16 @@
             "members": members.iter().map(member).collect::<Vec<_>>(),
             "others": peers.iter().map(other).collect::<Vec<_>>(),
             // Only the leader knows.
-            "whole": self.raft.leads().then_some(whole),
-            "committed": self.raft.commit(),
+            "whole": self.raft.is_leader().then_some(whole),
+            "committed": self.raft.commit_index(),
             "applied": self.keeper.applied,
-            "last": self.raft.last(),
+            "last": self.raft.last_index(),
             "configuration_index": self.keeper.state.index(),
-            "log_entries": entries,
-            "snapshot_index": base,
+            "log_entries": self.raft.entry_count(),
+            "snapshot_index": self.raft.snapshot_index(),
             "snapshot_bytes": self.snapshot_bytes(),
             "calls_waiting": self.keeper.waiting(),
-            "disk_hangs": self.raft.hangs(ms),
+            "disk_hangs": self.raft.is_disk_stalled(ms),
             "gatekeepers": self.gates.count(),
             "workers_settled": self.roster.settled(now),
         })
--- a/crates/gateway/src/protocol/wire_fixture_tests.rs
+++ b/crates/gateway/src/protocol/wire_fixture_tests.rs
@@ -3,7 +3,7 @@
 //! together while a core is replaced machine by machine, so names and the order of fields on the wire must stay.
 
 use crate::configuration::{ConfigItem, ItemFields, ItemKind};
-use crate::consensus::{Entry, EntryPayload, Message, NodeId};
+use crate::consensus::{Entry, EntryPayload, LastLogPosition, LogPosition, Message, NodeId};
 use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::share_ceilings::ShareCeilings;
 use crate::protocol::LogCommand;
@@ -78,12 +78,12 @@
         ShareCeilings { term: 3, number: 10, edges: gates, whole: false, ended: vec!["edge-2".into()] };
     let bodies = [
         EntryPayload::TermStart,
-        EntryPayload::Members([id(v4(), 0), id(v6(), u64::MAX)].into()),
+        EntryPayload::ConfChange([id(v4(), 0), id(v6(), u64::MAX)].into()),
         EntryPayload::Command(LogCommand::Configure(Arc::new(items()))),
         EntryPayload::Command(LogCommand::Shares(Arc::new(whole))),
         EntryPayload::Command(LogCommand::Shares(Arc::new(part))),
     ];
-    bodies.into_iter().zip(300..).map(|(body, index)| Entry { term: 3, index, body }).collect()
+    bodies.into_iter().zip(300..).map(|(payload, index)| Entry { term: 3, index, payload }).collect()
 }
 
 fn raft(message: Message<LogCommand>) -> PeerMessage {
@@ -93,8 +93,15 @@
 /// At least one of each variant, with each optional part both there and not.
 fn messages() -> Vec<PeerMessage> {
     let term = 70_000;
-    let append =
-        |entries, sure| Message::Append { term, prev: (299, 2), entries, commit: 298, sure, round: 17 };
+    let last_log = LastLogPosition { term: 3, index: 304 };
+    let append = |entries, echoed_clock| Message::AppendEntries {
+        term,
+        prev_log: LogPosition { index: 299, term: 2 },
+        entries,
+        leader_commit: 298,
+        echoed_clock,
+        heartbeat_seq: 17,
+    };
     let forward = |wish| PeerMessage::ForwardRequest { request_id: 5, request: wish };
     let forwarded = |answer| PeerMessage::ForwardResponse { request_id: 5, response: answer };
     let charge = TenantUsage {
@@ -145,23 +152,34 @@
         PeerMessage::Heartbeats(vec![("w-settled".into(), 40), ("w-decaying".into(), u64::MAX)]),
         PeerMessage::ReplicateWorkers { request_id: 4, workers: workers() },
         PeerMessage::WorkersReplicated { request_id: 4 },
-        raft(Message::Vote { term, last: (3, 304), pre: true, transfer: false }),
-        raft(Message::Vote { term, last: (3, 304), pre: false, transfer: true }),
-        raft(Message::VoteReply { term, pre: true, granted: false }),
+        raft(Message::RequestVote { term, last_log, pre_vote: true, leader_transfer: false }),
+        raft(Message::RequestVote { term, last_log, pre_vote: false, leader_transfer: true }),
+        raft(Message::RequestVoteResponse { term, pre_vote: true, granted: false }),
         raft(append(entries(), Some(123_456))),
         raft(append(vec![], None)),
-        raft(Message::AppendReply { term, round: 17, index: 304, matches: true, stamp: 123_456 }),
-        raft(Message::Piece {
+        raft(Message::AppendEntriesResponse {
+            term,
+            heartbeat_seq: 17,
+            index: 304,
+            success: true,
+            follower_clock: 123_456,
+        }),
+        raft(Message::InstallSnapshot {
             term,
-            round: 18,
-            index: 299,
-            last: 2,
-            members: [id(v4(), 0), id(v6(), u64::MAX)].into(),
+            heartbeat_seq: 18,
+            last_included_index: 299,
+            last_included_term: 2,
+            voters: [id(v4(), 0), id(v6(), u64::MAX)].into(),
             offset: 131_072,
-            total: 131_077,
+            total_bytes: 131_077,
             data: vec![1, 2, 3, 254, 255].into(),
         }),
-        raft(Message::PieceReply { term, round: 18, index: 299, offset: 131_077 }),
+        raft(Message::InstallSnapshotResponse {
+            term,
+            heartbeat_seq: 18,
+            last_included_index: 299,
+            next_offset: 131_077,
+        }),
         raft(Message::TimeoutNow { term }),
         PeerMessage::Leave { id: id(v4(), 0) },
         PeerMessage::Join { id: id(v6(), u64::MAX), forwarded: true },
@@ -219,21 +237,21 @@
 
 fn raft_variant(message: &Message<LogCommand>) -> &'static str {
     match message {
-        Message::Vote { .. } => "Vote",
-        Message::VoteReply { .. } => "VoteReply",
-        Message::Append { entries, .. } => {
+        Message::RequestVote { .. } => "Vote",
+        Message::RequestVoteResponse { .. } => "VoteReply",
+        Message::AppendEntries { entries, .. } => {
             // As above, for what entries say.
             for entry in entries {
-                match &entry.body {
-                    EntryPayload::TermStart | EntryPayload::Members(_) => {}
+                match &entry.payload {
+                    EntryPayload::TermStart | EntryPayload::ConfChange(_) => {}
                     EntryPayload::Command(LogCommand::Configure(_) | LogCommand::Shares(_)) => {}
                 }
             }
             "Append"
         }
-        Message::AppendReply { .. } => "AppendReply",
-        Message::Piece { .. } => "Piece",
-        Message::PieceReply { .. } => "PieceReply",
+        Message::AppendEntriesResponse { .. } => "AppendReply",
+        Message::InstallSnapshot { .. } => "Piece",
+        Message::InstallSnapshotResponse { .. } => "PieceReply",
         Message::TimeoutNow { .. } => "TimeoutNow",
     }
 }
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -236,7 +236,7 @@
         cold_start = settings.cold_start,
         term = held.raft.term,
         snapshot = held.raft.snapshot.as_ref().map_or(0, |s| s.index),
-        entries = held.raft.log.len(),
+        entries = held.raft.entries.len(),
         workers = held.workers.len(),
         "core role starts"
     );
--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -22,7 +22,7 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-use crate::consensus::{Entry, Index, LogWrite, Members, NodeId, Snapshot, Term};
+use crate::consensus::{Entry, Index, LogWrite, NodeId, Snapshot, Term, VoterSet};
 use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::LogCommand;
 use bytes::{Bytes, BytesMut};
@@ -270,7 +270,7 @@
         File::open(folder.join(WAL_FILE))?.sync_all()?;
         bootstrap_marker::done(folder)?;
         let behind = held.raft.snapshot.as_ref().map_or(0, |s| s.index);
-        let span = Span { behind, last: held.raft.log.last().map_or(behind, |e| e.index) };
+        let span = Span { behind, last: held.raft.entries.last().map_or(behind, |e| e.index) };
         Ok((ReplicaStore { db, span, ahead: None, tight: false, swept: false }, held))
     }
 
@@ -332,12 +332,12 @@
     fn put(&mut self, put: &WriteBatch) -> Result<(), StorageError> {
         for write in &put.writes {
             match write {
-                LogWrite::Hard(term, vote) => {
+                LogWrite::HardState(term, vote) => {
                     let vote = vote.as_ref().map(blob).transpose()?;
                     self.execute("UPDATE meta SET term = ?1, vote = ?2", params![signed(*term)?, vote])?;
                 }
                 LogWrite::Append(entries) => self.append(entries)?,
-                LogWrite::Snapshot { snapshot, whole } => self.snapshot(snapshot, *whole)?,
+                LogWrite::Snapshot { snapshot, replaces_log } => self.snapshot(snapshot, *replaces_log)?,
             }
         }
         if let Some(part) = put.part.as_ref().filter(|_| !self.tight) {
@@ -370,7 +370,7 @@
             }
             self.span.last = at;
             let (index, term) = (signed(entry.index)?, signed(entry.term)?);
-            self.execute("INSERT INTO log VALUES (?1, ?2, ?3)", params![index, term, blob(&entry.body)?])?;
+            self.execute("INSERT INTO log VALUES (?1, ?2, ?3)", params![index, term, blob(&entry.payload)?])?;
         }
         Ok(())
     }
@@ -401,7 +401,7 @@
     }
 
     fn snapshot(&mut self, snapshot: &Snapshot, whole: bool) -> Result<(), StorageError> {
-        let Snapshot { index, term, members, data } = snapshot;
+        let Snapshot { index, term, voters: members, data } = snapshot;
         if *index < self.span.behind && !whole {
             return Err(StorageError::Row(format!("a snapshot of {index} after {}", self.span.behind)));
         }
@@ -472,7 +472,7 @@
     found.raft.vote = vote.map(|vote| read::<NodeId>(&vote, "the vote")).transpose()?;
     found.raft.snapshot = snapshot(db)?;
     let behind = found.raft.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
-    found.raft.log = log(db, behind)?;
+    found.raft.entries = log(db, behind)?;
     let mut workers = db.prepare("SELECT worker FROM workers ORDER BY id")?;
     let mut rows = workers.query([])?;
     while let Some(row) = rows.next()? {
@@ -490,7 +490,7 @@
         .optional()?;
     let Some((index, term, members, size)) = head else { return Ok(None) };
     let size = usize::try_from(size).map_err(|_| StorageError::Row(format!("a snapshot of {size} bytes")))?;
-    let members: Members = read(&members, "the snapshot's members")?;
+    let members: VoterSet = read(&members, "the snapshot's members")?;
     let mut data = BytesMut::with_capacity(size);
     let mut parts =
         db.prepare("SELECT part, data FROM snapshot_part WHERE part >= ?1 AND part < ?2 ORDER BY part")?;
@@ -509,7 +509,7 @@
         return Err(StorageError::Row(format!("{} bytes of a snapshot of {size}", data.len())));
     }
     let (index, term) = (unsigned(index, "snapshot index")?, unsigned(term, "snapshot term")?);
-    Ok(Some(Snapshot { index, term, members, data: data.freeze() }))
+    Ok(Some(Snapshot { index, term, voters: members, data: data.freeze() }))
 }
 
 /// The entries behind the index and term of the snapshot.
@@ -527,7 +527,7 @@
             return Err(StorageError::Row(format!("term {term} of entry {index} comes after {}", before.1)));
         }
         let body = row.get_ref(2)?.as_blob().map_err(rusqlite::Error::from)?;
-        log.push(Entry { term, index, body: read(body, &format!("entry {index}"))? });
+        log.push(Entry { term, index, payload: read(body, &format!("entry {index}"))? });
         before = (index, term);
     }
     Ok(log)
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -62,12 +62,12 @@
 }
 
 fn entry(index: u64, term: u64, size: usize) -> Entry<LogCommand> {
-    let body = match index % 7 {
+    let payload = match index % 7 {
         0 => EntryPayload::TermStart,
-        1 => EntryPayload::Members([node(0), node(index)].into()),
+        1 => EntryPayload::ConfChange([node(0), node(index)].into()),
         _ => EntryPayload::Command(order("s", index, size)),
     };
-    Entry { term, index, body }
+    Entry { term, index, payload }
 }
 
 fn worker(id: u64, phase: WorkerPhase, calls: u64) -> Worker {
@@ -92,13 +92,13 @@
 fn apply(held: &mut LoadedState, put: &WriteBatch) {
     for write in &put.writes {
         match write.clone() {
-            LogWrite::Hard(term, vote) => (held.raft.term, held.raft.vote) = (term, vote),
+            LogWrite::HardState(term, vote) => (held.raft.term, held.raft.vote) = (term, vote),
             LogWrite::Append(entries) => {
-                held.raft.log.retain(|e| e.index < entries[0].index);
-                held.raft.log.extend(entries);
+                held.raft.entries.retain(|e| e.index < entries[0].index);
+                held.raft.entries.extend(entries);
             }
-            LogWrite::Snapshot { snapshot, whole } => {
-                held.raft.log.retain(|e| !whole && e.index > snapshot.index);
+            LogWrite::Snapshot { snapshot, replaces_log } => {
+                held.raft.entries.retain(|e| !replaces_log && e.index > snapshot.index);
                 held.raft.snapshot = Some(snapshot);
             }
         }
@@ -115,38 +115,38 @@
 /// A put that a member may write next.
 fn next(rng: &mut fastrand::Rng, held: &LoadedState, most: usize) -> WriteBatch {
     let behind = held.raft.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
-    let last = held.raft.log.last().map_or(behind, |e| (e.index, e.term));
+    let last = held.raft.entries.last().map_or(behind, |e| (e.index, e.term));
     let mut put = WriteBatch::default();
     let term = held.raft.term.max(last.1).max(1);
     // The bytes by the place: what was written ahead is the same.
     let snapshot = |rng: &mut fastrand::Rng, index, term| Snapshot {
         index,
         term,
-        members: [node(1), node(2)].into(),
+        voters: [node(1), node(2)].into(),
         data: vec![index as u8; rng.usize(..most)].into(),
     };
     match rng.u8(..10) {
         // A new leader's entries in the place of those that did not last.
-        0 if !held.raft.log.is_empty() => {
-            let from = held.raft.log[rng.usize(..held.raft.log.len())].index;
-            put.writes.push(LogWrite::Hard(term + 1, None));
+        0 if !held.raft.entries.is_empty() => {
+            let from = held.raft.entries[rng.usize(..held.raft.entries.len())].index;
+            put.writes.push(LogWrite::HardState(term + 1, None));
             put.writes.push(LogWrite::Append(
                 (from..from + 2).map(|i| entry(i, term + 1, rng.usize(..most))).collect(),
             ));
         }
-        1 => put.writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4))))),
+        1 => put.writes.push(LogWrite::HardState(term + 1, Some(node(rng.u64(..4))))),
         // A snapshot, and the log behind it cut.
-        2 | 3 if !held.raft.log.is_empty() => {
-            let many = held.raft.log.len();
-            let at = &held.raft.log[if rng.bool() { many - 1 } else { rng.usize(..many) }];
+        2 | 3 if !held.raft.entries.is_empty() => {
+            let many = held.raft.entries.len();
+            let at = &held.raft.entries[if rng.bool() { many - 1 } else { rng.usize(..many) }];
             let snapshot = snapshot(rng, at.index, at.term);
-            put.writes.push(LogWrite::Snapshot { snapshot, whole: false });
+            put.writes.push(LogWrite::Snapshot { snapshot, replaces_log: false });
         }
         // A leader's snapshot.
         4 => {
             let index = rng.u64(behind.0 + 1..last.0 + 9);
             let snapshot = snapshot(rng, index, term);
-            put.writes.push(LogWrite::Snapshot { snapshot, whole: true });
+            put.writes.push(LogWrite::Snapshot { snapshot, replaces_log: true });
         }
         5 => {
             let phase = [WorkerPhase::Serving, WorkerPhase::Draining, WorkerPhase::Departed][rng.usize(..3)];
@@ -165,7 +165,7 @@
         }
     }
     if rng.bool() {
-        put.writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4)))));
+        put.writes.push(LogWrite::HardState(term + 1, Some(node(rng.u64(..4)))));
     }
     put
 }
@@ -303,10 +303,10 @@
 fn a_disk_that_cant_be_read_is_refused_and_left_as_it_is() {
     let whole = Folder::new("readable");
     let (mut store, _) = open(&whole.0);
-    let members = [node(1)].into();
-    let snapshot = Snapshot { index: 3, term: 2, members, data: vec![7; 200_000].into() };
+    let voters = [node(1)].into();
+    let snapshot = Snapshot { index: 3, term: 2, voters, data: vec![7; 200_000].into() };
     let entries = (1..10).map(|i| entry(i, 2 + i / 5, 40)).collect();
-    let writes = vec![LogWrite::Append(entries), LogWrite::Snapshot { snapshot, whole: false }];
+    let writes = vec![LogWrite::Append(entries), LogWrite::Snapshot { snapshot, replaces_log: false }];
     store.write(&[put(writes)]).expect("writes");
     drop(store);
     let breaks = [
@@ -375,19 +375,19 @@
     apply(&mut model, &small(2));
     store.write(&[small(2)]).expect("what fits is written at once");
     // Too high a number is refused by itself, and so is what could not be read again.
-    let snapshot = |index| Snapshot { index, term: 1, members: [node(1)].into(), data: vec![1].into() };
+    let snapshot = |index| Snapshot { index, term: 1, voters: [node(1)].into(), data: vec![1].into() };
     for wrong in [
-        vec![LogWrite::Hard(u64::MAX, None)],
+        vec![LogWrite::HardState(u64::MAX, None)],
         vec![LogWrite::Append(vec![entry(4, 1, 50)])],
         vec![LogWrite::Append(vec![entry(3, 1, 50), entry(5, 1, 50)])],
         vec![LogWrite::Append(vec![entry(3, 1, 50)]), LogWrite::Append(vec![entry(5, 1, 50)])],
         vec![
-            LogWrite::Snapshot { snapshot: snapshot(2), whole: false },
+            LogWrite::Snapshot { snapshot: snapshot(2), replaces_log: false },
             LogWrite::Append(vec![entry(2, 1, 50)]),
         ],
-        [2, 1].map(|i| LogWrite::Snapshot { snapshot: snapshot(i), whole: false }).into(),
+        [2, 1].map(|i| LogWrite::Snapshot { snapshot: snapshot(i), replaces_log: false }).into(),
         vec![
-            LogWrite::Snapshot { snapshot: snapshot(9), whole: true },
+            LogWrite::Snapshot { snapshot: snapshot(9), replaces_log: true },
             LogWrite::Append(vec![entry(3, 1, 50)]),
         ],
     ] {
@@ -430,8 +430,8 @@
         let mut writes = vec![LogWrite::Append(vec![entry(index, 1, 150)])];
         if index % 200 == 0 {
             let data = vec![index as u8; 100_000 + (index as usize * 37) % 50_000].into();
-            let snapshot = Snapshot { index: index - 20, term: 1, members: [node(1)].into(), data };
-            writes.push(LogWrite::Snapshot { snapshot, whole: false });
+            let snapshot = Snapshot { index: index - 20, term: 1, voters: [node(1)].into(), data };
+            writes.push(LogWrite::Snapshot { snapshot, replaces_log: false });
         }
         store.write(&[put(writes)]).expect("writes");
         if index % 600 == 0 {
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -145,14 +145,14 @@
         let raft = &mut self.held.raft;
         for write in put.writes {
             match write {
-                LogWrite::Hard(term, vote) => (raft.term, raft.vote) = (term, vote),
+                LogWrite::HardState(term, vote) => (raft.term, raft.vote) = (term, vote),
                 LogWrite::Append(entries) => {
                     let Some(first) = entries.first().map(|e| e.index) else { continue };
-                    raft.log.retain(|e| e.index < first);
-                    raft.log.extend(entries);
+                    raft.entries.retain(|e| e.index < first);
+                    raft.entries.extend(entries);
                 }
-                LogWrite::Snapshot { snapshot, whole } => {
-                    raft.log.retain(|e| !whole && e.index > snapshot.index);
+                LogWrite::Snapshot { snapshot, replaces_log } => {
+                    raft.entries.retain(|e| !replaces_log && e.index > snapshot.index);
                     // What was put ahead is not written again: it counts as it is.
                     let of = (snapshot.index, snapshot.term);
                     let ahead = self.ahead.take().filter(|a| a.0 == of && a.1.len() <= snapshot.data.len());
--- a/crates/simulation/src/misbehaving_core.rs
+++ b/crates/simulation/src/misbehaving_core.rs
@@ -24,11 +24,13 @@
         let Some(core) = self.cores[n].core.as_ref() else { return false };
         let now = 1000.0 + (self.now - self.cores[n].boot) * self.cores[n].drift;
         let hears = core.raft.leader(core.shared.ms(now)).is_some();
-        let led = core.raft.leads() || !hears && self.watch.held(n);
+        let led = core.raft.is_leader() || !hears && self.watch.held(n);
         let state = &core.keeper.state;
         let answer = match (spoiled, command) {
             (Spoiled::LeaderReads, ApiCommand::Read) if led => Some((200, state.render())),
-            (Spoiled::FollowerReads, ApiCommand::Read) if !core.raft.leads() => Some((200, state.render())),
+            (Spoiled::FollowerReads, ApiCommand::Read) if !core.raft.is_leader() => {
+                Some((200, state.render()))
+            }
             (Spoiled::LeaderRefuses, ApiCommand::Amend(items)) if led => {
                 match state.clone().apply(core.keeper.applied + 1, &ConfigChange::new(items.clone())) {
                     ChangeOutcome::Conflict(_) => Some((409, serde_json::json!({}))),
--- a/crates/simulation/src/repair_times.rs
+++ b/crates/simulation/src/repair_times.rs
@@ -21,7 +21,7 @@
 impl World {
     /// All that is committed, as any machine knows.
     fn committed(&self) -> u64 {
-        let known = self.cores.iter().filter_map(|n| n.core.as_ref()).map(|c| c.raft.commit());
+        let known = self.cores.iter().filter_map(|n| n.core.as_ref()).map(|c| c.raft.commit_index());
         known.max().unwrap_or(0)
     }
 
@@ -37,7 +37,7 @@
     pub fn watch_repair(&mut self, n: usize) {
         let Some(mut repair) = self.repairs.pending.remove(&n) else { return };
         let Some(core) = self.cores[n].core.as_ref().filter(|_| self.cores[n].listed) else { return };
-        let holds = core.keeper.applied >= repair.target && core.raft.members().contains(&core.raft.me());
+        let holds = core.keeper.applied >= repair.target && core.raft.voters().contains(&core.raft.id());
         let leader =
             core.raft.leader(core.shared.ms(1000.0 + (self.now - self.cores[n].boot) * self.cores[n].drift));
         if holds && leader.is_some() {
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -203,7 +203,7 @@
         msg: &whinstall_gateway::protocol::PeerMessage,
     ) {
         let whinstall_gateway::protocol::PeerMessage::Consensus {
-            message: whinstall_gateway::consensus::Message::Piece { data, .. },
+            message: whinstall_gateway::consensus::Message::InstallSnapshot { data, .. },
             ..
         } = msg
         else {
