--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -167,7 +167,7 @@
         let applied = loaded.raft.snapshot.as_ref().map_or(0, |s| s.index);
         let snapshot_bytes = loaded.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
         let me = NodeId { ip: context.me.ip, disk: loaded.disk };
-        let is_empty = loaded.raft.log.is_empty() && loaded.raft.snapshot.is_none();
+        let is_empty = loaded.raft.entries.is_empty() && loaded.raft.snapshot.is_none();
         let raft =
             Raft::new(context.log_time(now), me, loaded.raft, replicated_log::tuning(&context.settings));
         let mut core = CoreNode {
@@ -232,7 +232,7 @@
             Event::Shutdown => {
                 self.quota_lease.end();
                 let ms = self.context.log_time(now);
-                self.raft.transfer(ms);
+                self.raft.transfer_leadership(ms);
                 self.log_out(now, out);
                 self.tell_end(out);
             }
@@ -241,7 +241,7 @@
 
     /// Does this process still have what others wait for: the lead?
     pub fn has_leadership_to_transfer(&self) -> bool {
-        self.raft.leads() && self.context.voters.len() > 1
+        self.raft.is_leader() && self.context.voters.len() > 1
     }
 
     fn link_up(&mut self, ip: IpAddr, out: &mut Vec<Effect>) {
@@ -487,7 +487,7 @@
     pub fn retune(&mut self, settings: Settings, out: &mut Vec<Effect>) {
         let blank = |ip| NodeLocation { ip, zone: String::new(), region: String::new() };
         let seeds = settings.seeds.iter().map(|s| blank(s.ip())).collect();
-        self.raft.retune(replicated_log::tuning(&settings));
+        self.raft.set_config(replicated_log::tuning(&settings));
         self.context.settings = settings;
         let before = out.len();
         self.learn_core_nodes(seeds, out);
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -36,15 +36,15 @@
     // A lost zone or region may hold several: at least one more than twice the losses must be left in any case.
     let losses = t.machines.max(t.zones).max(t.regions);
     RaftConfig {
-        heartbeat: HEARTBEAT,
-        election: ELECTION,
-        lease: LEASE,
-        out_after: settings.envelope.resync_bound.as_millis() as u64 / 2,
-        least: (2 * losses + 1).max(3),
-        batch: 64,
-        piece: 128 * 1024,
-        window: 8,
-        hang: HANG,
+        heartbeat_interval: HEARTBEAT,
+        election_timeout: ELECTION,
+        lease_duration: LEASE,
+        voter_removal_timeout: settings.envelope.resync_bound.as_millis() as u64 / 2,
+        min_voters: (2 * losses + 1).max(3),
+        max_entries_per_append: 64,
+        snapshot_chunk_bytes: 128 * 1024,
+        max_chunks_in_flight: 8,
+        disk_stall_timeout: HANG,
     }
 }
 
@@ -93,7 +93,7 @@
         message: Message<LogCommand>,
         out: &mut Vec<Effect>,
     ) {
-        if to != self.raft.me() {
+        if to != self.raft.id() {
             return;
         }
         // Its answers go by a connection of this process.
@@ -109,7 +109,7 @@
     /// A machine wants to join; passed on to the leader, once.
     pub(super) fn wants_to_join(&mut self, now: f64, id: NodeId, passed: bool, out: &mut Vec<Effect>) {
         let ms = self.context.log_time(now);
-        if self.raft.leads() {
+        if self.raft.is_leader() {
             self.learn_core_nodes(
                 vec![NodeLocation { ip: id.ip, zone: String::new(), region: String::new() }],
                 out,
@@ -125,7 +125,7 @@
 
     /// This process ends: the others may do without its vote.
     pub(super) fn tell_end(&mut self, out: &mut Vec<Effect>) {
-        let id = self.raft.me();
+        let id = self.raft.id();
         out.extend(
             self.context.peers().into_iter().map(|ip| Effect::SendToPeer(ip, PeerMessage::Leave { id })),
         );
@@ -141,7 +141,7 @@
         side.puts.retain(|p| p.0 > put);
         if let Some(number) = done {
             let ms = self.context.log_time(now);
-            self.raft.persisted(ms, number);
+            self.raft.on_persisted(ms, number);
             self.log_out(now, out);
         }
     }
@@ -152,7 +152,7 @@
         self.raft.tick(ms);
         if self.raft.leader(ms).is_none() && now - self.log_driver.joined >= JOIN {
             self.log_driver.joined = now;
-            let id = self.raft.me();
+            let id = self.raft.id();
             let join = |ip| Effect::SendToPeer(ip, PeerMessage::Join { id, forwarded: false });
             out.extend(self.context.peers().into_iter().map(join));
         }
@@ -164,9 +164,9 @@
     fn cut(&mut self, now: f64, out: &mut Vec<Effect>) {
         let side = &mut self.log_driver;
         if side.making.is_none() {
-            let patience = if self.raft.is_sending() { CUT_PATIENCE } else { 1 };
+            let patience = if self.raft.is_sending_snapshot() { CUT_PATIENCE } else { 1 };
             let long = side.bytes > patience * CUT_BYTES.max(side.snapshot)
-                || self.raft.held().0 > patience * CUT_ENTRIES;
+                || self.raft.entry_count() > patience * CUT_ENTRIES;
             let index = self.configuration.applied;
             let Some(term) = self.raft.term_at(index).filter(|_| long) else { return };
             let about = side.snapshot + side.snapshot / 8;
@@ -194,22 +194,23 @@
         tracing::info!(
             index,
             bytes = data.len(),
-            entries = self.raft.held().0,
+            entries = self.raft.entry_count(),
             "cuts the log behind a snapshot"
         );
         side.snapshot = data.len();
         let ms = self.context.log_time(now);
-        self.raft.compact_to(ms, index, data);
+        self.raft.compact(ms, index, data);
         self.log_out(now, out);
     }
 
     /// What has come of a leader's snapshot is decoded, and put on the disk.
     fn snapshot_comes(&mut self, out: &mut Vec<Effect>) {
-        let Some((index, term, bytes)) = self.raft.incoming() else {
+        let Some(incoming) = self.raft.incoming_snapshot() else {
             self.log_driver.taking = None;
             return;
         };
-        let of = (index, term);
+        let bytes = &incoming.data[..];
+        let of = (incoming.last_included.index, incoming.last_included.term);
         let taking = self.log_driver.taking.take().filter(|t| t.goes_on(of, bytes));
         let mut taking = taking.unwrap_or_else(|| SnapshotReceiver::new(of));
         let part = taking.come(bytes);
@@ -222,7 +223,7 @@
 
     /// Carries out what the log wants.
     pub(super) fn log_out(&mut self, now: f64, out: &mut Vec<Effect>) {
-        for output in self.raft.take() {
+        for output in self.raft.take_outputs() {
             match output {
                 Output::Persist(number, writes) => {
                     let put = self.context.next_id();
@@ -230,11 +231,11 @@
                     out.push(Effect::Persist(WriteBatch { number: put, writes, ..WriteBatch::default() }));
                 }
                 Output::Send(to, message) => {
-                    let message = PeerMessage::Consensus { from: self.raft.me(), to, message };
+                    let message = PeerMessage::Consensus { from: self.raft.id(), to, message };
                     out.push(Effect::SendToPeer(to.ip, message));
                 }
                 Output::Apply(entry) => self.apply(entry, out),
-                Output::Install(snapshot) => self.install(now, &snapshot, out),
+                Output::InstallSnapshot(snapshot) => self.install(now, &snapshot, out),
                 Output::ReadReady(number) => self.configuration.ready(number, &mut self.context, out),
             }
         }
@@ -245,7 +246,7 @@
 
     /// Notices who leads and who votes.
     fn log_news(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leads, term) = (self.raft.leads(), self.raft.term());
+        let (leads, term) = (self.raft.is_leader(), self.raft.term());
         if std::mem::replace(&mut self.log_driver.leading, leads) != leads {
             match leads {
                 true => tracing::info!(term, "leads"),
@@ -254,7 +255,7 @@
             self.context.journal.append(now, JournalEvent::Leads(leads, term));
             self.log_driver.recording = None;
         }
-        let voters: Vec<NodeId> = self.raft.members().into_iter().collect();
+        let voters: Vec<NodeId> = self.raft.voters().into_iter().collect();
         if voters != self.log_driver.voters {
             let told: Vec<String> = voters.iter().map(|v| format!("{}/{:x}", v.ip, v.disk)).collect();
             tracing::info!(voters = told.join(" "), "votes in the log");
@@ -270,7 +271,7 @@
     fn apply(&mut self, entry: Entry<LogCommand>, out: &mut Vec<Effect>) {
         let place = (entry.index, entry.term);
         self.configuration.applied = entry.index;
-        let EntryPayload::Command(command) = entry.body else { return };
+        let EntryPayload::Command(command) = entry.payload else { return };
         self.log_driver.bytes += weight(&command);
         match command {
             LogCommand::Configure(order) => {
@@ -322,7 +323,8 @@
     /// Proposes to record the shares, if they changed: they rise once most keep them.
     pub(super) fn record_shares(&mut self, now: f64, shares: ShareCeilings) {
         let ms = self.context.log_time(now);
-        self.log_driver.recording = self.raft.propose(ms, LogCommand::Shares(Arc::new(shares)));
+        let place = self.raft.propose(ms, LogCommand::Shares(Arc::new(shares)));
+        self.log_driver.recording = place.map(|at| (at.index, at.term));
     }
 
     /// Bytes of the last snapshot.
--- a/crates/simulation/src/misbehaving_core.rs
+++ b/crates/simulation/src/misbehaving_core.rs
@@ -24,11 +24,11 @@
         let Some(core) = self.cores[n].core.as_ref() else { return false };
         let now = 1000.0 + (self.now - self.cores[n].boot) * self.cores[n].drift;
         let hears = core.raft.leader(core.context.log_time(now)).is_some();
-        let led = core.raft.leads() || !hears && self.watch.held(n);
+        let led = core.raft.is_leader() || !hears && self.watch.held(n);
         let state = &core.configuration.state;
         let answer = match (spoiled, command) {
             (Misbehaviour::LeaderReads, ApiCommand::Read) if led => Some((200, state.render())),
-            (Misbehaviour::FollowerReads, ApiCommand::Read) if !core.raft.leads() => {
+            (Misbehaviour::FollowerReads, ApiCommand::Read) if !core.raft.is_leader() => {
                 Some((200, state.render()))
             }
             (Misbehaviour::LeaderRefuses, ApiCommand::Amend(items)) if led => {
