--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -199,7 +199,7 @@
             return;
         }
         let number = |view: &whinstall_gateway::configuration::ActiveConfig| {
-            view.route(PROBE.0, PROBE.1).map_or(0, |route| route.target.as_millis() as u64)
+            view.match_route(PROBE.0, PROBE.1).map_or(0, |route| route.latency_target.as_millis() as u64)
         };
         let (was, is) = (number(&before), number(&view));
         let mut report = self.run.report.borrow_mut();
@@ -230,8 +230,9 @@
         let view = Arc::clone(&self.edge.state.borrow().view);
         let number = fastrand::u32(..job.routes.max(1));
         let host = format!("h{}.example", number / ROUTES_A_HOST);
-        let Some(route) = view.route(&host, &format!("/p{number}/x")).cloned() else { return };
-        let tenant = view.tenant(&format!("key-{}", fastrand::u32(..job.tenants.max(1)))).cloned();
+        let Some(route) = view.match_route(&host, &format!("/p{number}/x")).cloned() else { return };
+        let tenant =
+            view.tenant_by_credential(&format!("key-{}", fastrand::u32(..job.tenants.max(1)))).cloned();
         let id = RequestId(self.next.get().to_string().into());
         self.next.set(self.next.get() + 1);
         self.run.report.borrow_mut().requests[0] += 1;
--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -97,7 +97,7 @@
     let (store, held) = ReplicaStore::open(&scratch.0, false).map_err(ExportError::Replica)?;
     drop(store);
     sound(&Connection::open(scratch.0.join(DATABASE_FILE))?)?;
-    let snapshot = held.raft.snapshot.as_ref();
+    let snapshot = held.raft_state.snapshot.as_ref();
     let mut state = match snapshot {
         Some(snapshot) => snapshot_state(&snapshot.data).map_err(ExportError::Row)?,
         None => ConfigState::default(),
@@ -105,7 +105,7 @@
     let behind = snapshot.map_or((0, 0), |s| (s.index, s.term));
     let mut members = snapshot.map(|s| s.members.clone()).unwrap_or_default();
     let mut calls = 0;
-    for entry in &held.raft.log {
+    for entry in &held.raft_state.log {
         match &entry.body {
             EntryPayload::Command(LogCommand::Configure(order)) => {
                 calls += 1;
@@ -115,21 +115,21 @@
             EntryPayload::Command(LogCommand::Shares(_)) | EntryPayload::TermStart => {}
         }
     }
-    let last = held.raft.log.last().map_or(behind, |e| (e.index, e.term));
+    let last = held.raft_state.log.last().map_or(behind, |e| (e.index, e.term));
     let mut items = ItemSet::default();
-    for item in state.items() {
+    for item in state.all_items() {
         items.merge((**item).clone());
     }
     let names: Vec<String> = members.iter().map(|m| format!("{}/{:x}", m.ip, m.disk)).collect();
     let origin = json!({
-        "disk": format!("{:x}", held.disk),
+        "disk": format!("{:x}", held.disk_id),
         "members": names,
         "last_term": last.1,
         "last_index": last.0,
         "committed_up_to_at_least": behind.0,
         "calls_behind_that": calls,
-        "items": state.standing().count(),
-        "dropped": state.items().count() - state.standing().count(),
+        "items": state.active_items().count(),
+        "dropped": state.all_items().count() - state.active_items().count(),
     });
     Ok(Export { call: call(&items), origin })
 }
@@ -156,26 +156,27 @@
         let item: ConfigItem = rmp_serde::from_slice(blob).map_err(|e| ExportError::Row(e.to_string()))?;
         items.merge(item);
     }
-    let origin = json!({ "disk": "of the program before the replicated log", "items": items.all().count() });
+    let origin = json!({ "disk": "of the program before the replicated log", "items": items.iter().count() });
     Ok(Export { call: call(&items), origin })
 }
 
 /// The call that sets what stands and drops what was dropped, in the versions held.
 pub fn call(items: &ItemSet) -> Value {
-    let mut upsert = items.render();
+    let mut upsert = items.to_json();
     let mut remove: Map<String, Value> = Map::new();
     for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation] {
         // A field that was sent as null can't be told from none in columns.
         if kind != ItemKind::Saturation
-            && items.standing(kind).any(|(_, body)| body.map().values().any(Value::is_null))
+            && items.active_items(kind).any(|(_, body)| body.to_map().values().any(Value::is_null))
         {
-            upsert[kind.list()] = items.standing(kind).map(|(_, body)| Value::Object(body.map())).collect();
+            upsert[kind.set_name()] =
+                items.active_items(kind).map(|(_, body)| Value::Object(body.to_map())).collect();
         }
-        let dropped = items.all().filter(|i| i.kind == kind && i.body.is_none());
+        let dropped = items.iter().filter(|i| i.kind == kind && i.body.is_none());
         let records: Vec<Value> = dropped.map(|i| json!([i.label, format!("r{}", i.version)])).collect();
         if !records.is_empty() {
             let columns = ["label", "revision"];
-            remove.insert(kind.list().into(), json!({ "columns": columns, "records": records }));
+            remove.insert(kind.set_name().into(), json!({ "columns": columns, "records": records }));
         }
     }
     json!({ "upsert": upsert, "remove": remove })
--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -1,7 +1,7 @@
 //! The way back when most of the core is lost for good: from a disk that is left, by a call, to a new core.
 
 use crate::cli::export::{export, ExportError};
-use crate::configuration::read_call;
+use crate::configuration::parse_change;
 use crate::control_plane::{ApiCommand, CoreNode, Effect, Event, TICK};
 use crate::settings::Settings;
 use crate::storage::tests::Folder;
@@ -58,7 +58,7 @@
             _ => None,
         });
         self.replies.extend(replies);
-        if let Some(last) = puts.last().map(|p| p.number) {
+        if let Some(last) = puts.last().map(|p| p.sequence) {
             self.store.write(&puts).expect("written");
             self.event(Event::Disk(last));
         }
@@ -74,7 +74,7 @@
     }
 
     pub(crate) fn amend(&mut self, body: &Value) -> u16 {
-        self.call(ApiCommand::Amend(read_call(body.to_string().as_bytes()).expect("a call"))).0
+        self.call(ApiCommand::Amend(parse_change(body.to_string().as_bytes()).expect("a call"))).0
     }
 }
 
@@ -124,7 +124,7 @@
     expect_that!(origin["members"][0].as_str(), some(eq("10.0.1.1/0")));
 
     let mut one = One::start(&new.0);
-    let call = read_call(exported.to_string().as_bytes()).expect("a call");
+    let call = parse_change(exported.to_string().as_bytes()).expect("a call");
     expect_that!(one.call(ApiCommand::Amend(call.clone())).0, eq(200));
     let (status, stands) = one.call(ApiCommand::Read);
     expect_that!(status, eq(200));
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -85,8 +85,8 @@
                 return ExitCode::FAILURE;
             }
         };
-        let judged = configuration::read_call(&body)
-            .and_then(|items| configuration::change::judge(&Default::default(), &items));
+        let judged = configuration::parse_change(&body)
+            .and_then(|items| configuration::change::validate_change(&Default::default(), &items));
         return match judged {
             Ok(items) => {
                 println!("{path}: {} items, valid on their own", items.len());
--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -118,11 +118,11 @@
 /// What a core did, in a disk of its own; the records of shares and of members as a leader of several would write them.
 fn written_on(folder: &Path, bodies: Vec<EntryPayload<LogCommand>>) {
     let (mut store, held) = ReplicaStore::open(folder, false).expect("opens");
-    let last = held.raft.log.last().expect("a log");
+    let last = held.raft_state.log.last().expect("a log");
     let (term, next) = (last.term, last.index + 1);
     let entries = bodies.into_iter().zip(next..).map(|(body, index)| Entry { term, index, body }).collect();
     store
-        .write(&[WriteBatch { writes: vec![LogWrite::Append(entries)], ..WriteBatch::default() }])
+        .write(&[WriteBatch { log_writes: vec![LogWrite::Append(entries)], ..WriteBatch::default() }])
         .expect("written");
 }
 
@@ -138,12 +138,13 @@
     let _ = std::fs::remove_dir_all(to);
     std::fs::create_dir_all(to).expect("a folder");
     let (mut store, _) = ReplicaStore::open(to, true).expect("opens");
-    let snapshot = held.raft.snapshot.clone().map(|snapshot| LogWrite::Snapshot { snapshot, whole: true });
-    let mut writes = vec![LogWrite::Hard(held.raft.term, held.raft.vote)];
+    let snapshot =
+        held.raft_state.snapshot.clone().map(|snapshot| LogWrite::Snapshot { snapshot, whole: true });
+    let mut writes = vec![LogWrite::Hard(held.raft_state.term, held.raft_state.vote)];
     writes.extend(snapshot);
-    writes.push(LogWrite::Append(held.raft.log.clone()));
+    writes.push(LogWrite::Append(held.raft_state.log.clone()));
     store
-        .write(&[WriteBatch { writes, workers: held.workers.clone(), ..WriteBatch::default() }])
+        .write(&[WriteBatch { log_writes: writes, workers: held.workers.clone(), ..WriteBatch::default() }])
         .expect("written");
     held
 }
@@ -231,7 +232,7 @@
     expect_that!(DATABASE_FILE, eq("replica.sqlite"));
     expect_that!(WAL_FILE, eq("replica.sqlite-wal"));
     expect_that!(LEGACY_DATABASE_FILE, eq("toolroom.sqlite"));
-    expect_that!(bootstrap_marker::NAME, eq("replica.bootstrap"));
+    expect_that!(bootstrap_marker::MARKER_FILE, eq("replica.bootstrap"));
 }
 
 fn workers_held() -> Vec<Worker> {
@@ -245,11 +246,11 @@
 fn a_stored_log_is_read_as_it_was_written() {
     let folder = copy(LOG_ONLY, "read");
     let (_, held) = ReplicaStore::open(&folder.0, false).expect("opens");
-    expect_that!((held.disk, held.fresh), eq((0, false)));
-    expect_that!((held.raft.term, held.raft.vote), eq((1, Some(me()))));
-    expect_that!(held.raft.snapshot, none());
+    expect_that!((held.disk_id, held.is_new), eq((0, false)));
+    expect_that!((held.raft_state.term, held.raft_state.vote), eq((1, Some(me()))));
+    expect_that!(held.raft_state.snapshot, none());
     expect_that!(held.workers, eq(&workers_held()));
-    let log = &held.raft.log;
+    let log = &held.raft_state.log;
     let places: Vec<_> = log.iter().map(|e| (e.index, e.term)).collect();
     let expected: Vec<_> = std::iter::once((1, 0)).chain((2..=11).map(|index| (index, 1))).collect();
     expect_that!(places, eq(&expected));
@@ -302,19 +303,19 @@
 fn a_stored_snapshot_is_read_as_it_was_written() {
     let folder = copy(SNAPSHOT, "read");
     let (_, held) = ReplicaStore::open(&folder.0, false).expect("opens");
-    expect_that!((held.disk, held.fresh), eq((0, false)));
-    expect_that!((held.raft.term, held.raft.vote), eq((2, Some(me()))));
+    expect_that!((held.disk_id, held.is_new), eq((0, false)));
+    expect_that!((held.raft_state.term, held.raft_state.vote), eq((2, Some(me()))));
     expect_that!(held.workers, eq(&workers_held()));
-    let snapshot = held.raft.snapshot.expect("a snapshot");
+    let snapshot = held.raft_state.snapshot.expect("a snapshot");
     expect_that!((snapshot.index, snapshot.term, snapshot.data.len()), eq((513, 2, 8002)));
     expect_that!(snapshot.members, eq(&[me()].into()));
-    let log = &held.raft.log;
+    let log = &held.raft_state.log;
     let ends = (log.first().map(|e| (e.index, e.term)), log.last().map(|e| (e.index, e.term)), log.len());
     expect_that!(ends, eq((Some((514, 2)), Some((516, 2)), 3)));
     let state = snapshot_state(&snapshot.data).expect("a state");
-    expect_that!(state.index(), eq(513));
+    expect_that!(state.last_change_index(), eq(513));
     // Dropped ones too.
-    let items: Vec<_> = state.items().map(|i| (i.kind, &*i.label, i.version, i.body.is_some())).collect();
+    let items: Vec<_> = state.all_items().map(|i| (i.kind, &*i.label, i.version, i.body.is_some())).collect();
     let expected = [
         (ItemKind::Route, "r1", 8, false),
         (ItemKind::Route, "r2", 1, true),
@@ -358,12 +359,12 @@
             let rows = rows.query_map([], |row| row.get(0)).expect(sql);
             rows.map(|blob| blob.expect(sql)).collect()
         };
-        let votes: Vec<_> = held.raft.vote.iter().map(bytes).collect();
+        let votes: Vec<_> = held.raft_state.vote.iter().map(bytes).collect();
         expect_that!(votes, len(eq(1)));
         expect_that!(blobs("SELECT vote FROM meta"), eq(&votes), "{name}: the vote");
-        let entries: Vec<_> = held.raft.log.iter().map(|e| bytes(&e.body)).collect();
+        let entries: Vec<_> = held.raft_state.log.iter().map(|e| bytes(&e.body)).collect();
         expect_that!(blobs("SELECT entry FROM log ORDER BY idx"), eq(&entries), "{name}: the log");
-        let members: Vec<_> = held.raft.snapshot.iter().map(|s| bytes(&s.members)).collect();
+        let members: Vec<_> = held.raft_state.snapshot.iter().map(|s| bytes(&s.members)).collect();
         expect_that!(blobs("SELECT members FROM snapshot"), eq(&members), "{name}: the members");
         let workers: Vec<_> = held.workers.iter().map(bytes).collect();
         expect_that!(blobs("SELECT worker FROM workers ORDER BY id"), eq(&workers), "{name}: the workers");
--- a/crates/gateway/src/configuration/active_config.rs
+++ b/crates/gateway/src/configuration/active_config.rs
@@ -1,7 +1,7 @@
 //! Owns what a gatekeeper serves by: routes by host and longest prefix, keys to tenants, bounds on clients; folded
 //! from parts, one of each item. It must never be changed but by folding anew, nor keep an item's JSON.
 
-use super::change::keys;
+use super::change::tenant_credentials;
 #[cfg(test)]
 use super::item::ItemSet;
 use super::item::{ConfigItem, ItemKind};
@@ -18,34 +18,34 @@
     /// Its name.
     pub label: Arc<str>,
     /// What a path must begin with.
-    pub prefix: String,
+    pub path_prefix: String,
     /// May its requests run more than once?
-    pub repeatable: bool,
+    pub is_idempotent: bool,
     /// The longest that a request is held.
-    pub cutoff: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// An answer within this earns its full worth.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// 0 is the highest.
-    pub rank: u32,
+    pub priority: u32,
     /// Where its requests go, with weights.
-    pub mixture: Vec<(Arc<str>, f64)>,
+    pub service_weights: Vec<(Arc<str>, f64)>,
     /// The most workers that one request is sent to.
     pub max_attempts: u32,
     /// Does it need no key?
-    pub unkeyed: bool,
+    pub allows_anonymous: bool,
     version: u64,
 }
 
 impl Route {
     /// The service for a request, by a draw from 0 to 1.
-    pub fn service(&self, draw: f64) -> Option<&Arc<str>> {
-        let sum: f64 = self.mixture.iter().map(|m| m.1).sum();
+    pub fn pick_service(&self, draw: f64) -> Option<&Arc<str>> {
+        let sum: f64 = self.service_weights.iter().map(|m| m.1).sum();
         let mut at = draw * sum;
-        let hit = self.mixture.iter().find(|m| {
+        let hit = self.service_weights.iter().find(|m| {
             at -= m.1;
             at < 0.0
         });
-        hit.or(self.mixture.iter().rev().find(|m| m.1 > 0.0)).map(|m| &m.0)
+        hit.or(self.service_weights.iter().rev().find(|m| m.1 > 0.0)).map(|m| &m.0)
     }
 }
 
@@ -55,9 +55,9 @@
     /// Its name.
     pub label: Arc<str>,
     /// Goes before that of the route.
-    pub rank: Option<u32>,
+    pub priority: Option<u32>,
     /// Requests a second; 0: no limit.
-    pub rate: f64,
+    pub requests_per_sec: f64,
     /// Requests on top.
     pub burst: f64,
     version: u64,
@@ -67,13 +67,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientLimits {
     /// The longest head.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// The longest body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// A head is whole within this.
-    pub header_deadline: Duration,
+    pub header_timeout: Duration,
     /// A connection may be idle for this long.
-    pub idle_cutoff: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// What a gatekeeper serves by.
@@ -83,9 +83,9 @@
     keys: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
     tenants: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
     /// Does the configuration hold tenants, so that keys are asked for?
-    pub keyed: bool,
+    pub requires_credentials: bool,
     /// Bounds on clients.
-    pub saturation: ClientLimits,
+    pub client_limits: ClientLimits,
 }
 
 fn text<'a>(body: &'a Map<String, Value>, name: &str) -> &'a str {
@@ -115,8 +115,8 @@
 
 impl ActiveItem {
     /// Of an item; `None`: it is dropped.
-    pub fn of(item: &ConfigItem) -> Option<Self> {
-        let body = &item.body.as_ref()?.map();
+    pub fn from_item(item: &ConfigItem) -> Option<Self> {
+        let body = &item.body.as_ref()?.to_map();
         Some(match item.kind {
             ItemKind::Route => ActiveItem::Route(
                 text(body, "hostname").to_ascii_lowercase().into(),
@@ -125,12 +125,12 @@
             ItemKind::Tenant => {
                 let tenant = Tenant {
                     label: item.label.as_str().into(),
-                    rank: number(body, "rank").map(|n| n as u32),
-                    rate: number(body, "rate_per_s").unwrap_or(0.0),
+                    priority: number(body, "rank").map(|n| n as u32),
+                    requests_per_sec: number(body, "rate_per_s").unwrap_or(0.0),
                     burst: number(body, "burst_size").unwrap_or(0.0),
                     version: item.version,
                 };
-                ActiveItem::Tenant(Arc::new(tenant), keys(body).map(Into::into).collect())
+                ActiveItem::Tenant(Arc::new(tenant), tenant_credentials(body).map(Into::into).collect())
             }
             ItemKind::Service => ActiveItem::Service,
             ItemKind::Saturation => ActiveItem::Saturation(Box::new(saturation(Some(body)))),
@@ -156,14 +156,14 @@
     }
     Route {
         label: item.label.as_str().into(),
-        prefix: text(body, "path_prefix").into(),
-        repeatable: text(body, "route_class") == "idempotent",
-        cutoff: duration(body, "cutoff"),
-        target: duration(body, "target").unwrap_or(Duration::from_secs(1)),
-        rank: number(body, "rank").unwrap_or(0.0) as u32,
-        mixture,
+        path_prefix: text(body, "path_prefix").into(),
+        is_idempotent: text(body, "route_class") == "idempotent",
+        timeout: duration(body, "cutoff"),
+        latency_target: duration(body, "target").unwrap_or(Duration::from_secs(1)),
+        priority: number(body, "rank").unwrap_or(0.0) as u32,
+        service_weights: mixture,
         max_attempts: number(body, "max_attempts").map_or(1, |n| n.max(1.0) as u32),
-        unkeyed: body.get("unkeyed").and_then(Value::as_bool).unwrap_or(false),
+        allows_anonymous: body.get("unkeyed").and_then(Value::as_bool).unwrap_or(false),
         version: item.version,
     }
 }
@@ -175,7 +175,7 @@
     }
     for routes in hosts.values_mut() {
         // The longest prefix first; of the same place the newer route.
-        let place = |r: &Route| (Reverse(r.prefix.len()), Reverse(r.version));
+        let place = |r: &Route| (Reverse(r.path_prefix.len()), Reverse(r.version));
         routes.sort_by(|a, b| place(a).cmp(&place(b)).then_with(|| a.label.cmp(&b.label)));
     }
     hosts
@@ -202,10 +202,10 @@
     let amount = |name| body.and_then(|b| number(b, name)).map(|n| n as usize);
     let time = |name| body.and_then(|b| duration(b, name));
     ClientLimits {
-        header_bytes: amount("header_max_bytes").unwrap_or(16384),
-        body_bytes: amount("body_max_bytes").unwrap_or(1048576),
-        header_deadline: time("header_deadline").unwrap_or(Duration::from_secs(3)),
-        idle_cutoff: time("idle_cutoff").unwrap_or(Duration::from_secs(15)),
+        max_header_bytes: amount("header_max_bytes").unwrap_or(16384),
+        max_body_bytes: amount("body_max_bytes").unwrap_or(1048576),
+        header_timeout: time("header_deadline").unwrap_or(Duration::from_secs(3)),
+        idle_timeout: time("idle_cutoff").unwrap_or(Duration::from_secs(15)),
     }
 }
 
@@ -216,8 +216,8 @@
             hosts: Arc::default(),
             keys: Arc::default(),
             tenants: Arc::default(),
-            keyed: false,
-            saturation: saturation(None),
+            requires_credentials: false,
+            client_limits: saturation(None),
         }
     }
 }
@@ -225,27 +225,27 @@
 impl ActiveConfig {
     /// Folds the items that stand.
     #[cfg(test)]
-    pub fn fold(items: &ItemSet) -> Self {
-        ActiveConfig::fold_items(items.all())
+    pub fn from_item_set(items: &ItemSet) -> Self {
+        ActiveConfig::from_items(items.iter())
     }
 
     /// Folds the items that stand, given in any order, each name once; those dropped are passed over.
     #[cfg(test)]
-    pub fn fold_items<'a>(items: impl Iterator<Item = &'a ConfigItem>) -> Self {
-        let parts: Vec<ActiveItem> = items.filter_map(ActiveItem::of).collect();
-        ActiveConfig::fold_parts(parts.iter())
+    pub fn from_items<'a>(items: impl Iterator<Item = &'a ConfigItem>) -> Self {
+        let parts: Vec<ActiveItem> = items.filter_map(ActiveItem::from_item).collect();
+        ActiveConfig::from_active_items(parts.iter())
     }
 
     /// Folds the parts of all items that stand, given in any order.
-    pub fn fold_parts<'a>(parts: impl Iterator<Item = &'a ActiveItem>) -> Self {
+    pub fn from_active_items<'a>(parts: impl Iterator<Item = &'a ActiveItem>) -> Self {
         let all = [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation];
-        ActiveConfig::default().refold(parts, &BTreeSet::from(all))
+        ActiveConfig::default().with_changed_kinds(parts, &BTreeSet::from(all))
     }
 
     /// The view after a change: `changed` kinds are folded from `parts` (of all items that stand, as for
     /// [`View::fold_parts`]), the others are shared with this view. Equal to a full fold if `changed` names the kind of
     /// every item that changed.
-    pub fn refold<'a>(
+    pub fn with_changed_kinds<'a>(
         &self,
         parts: impl Iterator<Item = &'a ActiveItem>,
         changed: &BTreeSet<ItemKind>,
@@ -265,29 +265,29 @@
         }
         if changed.contains(&ItemKind::Tenant) {
             let (by_key, by_label) = fold_tenants(tenants);
-            view.keyed = !by_label.is_empty();
+            view.requires_credentials = !by_label.is_empty();
             (view.keys, view.tenants) = (Arc::new(by_key), Arc::new(by_label));
         }
         if changed.contains(&ItemKind::Saturation) {
-            view.saturation = bounds.map_or_else(|| saturation(None), |s| (**s).clone());
+            view.client_limits = bounds.map_or_else(|| saturation(None), |s| (**s).clone());
         }
         view
     }
 
     /// The route of a request: of the host's routes the one with the longest prefix that begins the path.
-    pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
+    pub fn match_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()));
         let name = name.map_or(host, |(name, _)| name).to_ascii_lowercase();
-        self.hosts.get(name.as_str())?.iter().find(|r| path.starts_with(&r.prefix))
+        self.hosts.get(name.as_str())?.iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
     /// The tenant that holds a key.
-    pub fn tenant(&self, key: &str) -> Option<&Arc<Tenant>> {
+    pub fn tenant_by_credential(&self, key: &str) -> Option<&Arc<Tenant>> {
         self.keys.get(key)
     }
 
     /// The tenants by name.
-    pub fn tenants(&self) -> &HashMap<Arc<str>, Arc<Tenant>> {
+    pub fn tenants_by_label(&self) -> &HashMap<Arc<str>, Arc<Tenant>> {
         &self.tenants
     }
 
--- a/crates/gateway/src/configuration/change.rs
+++ b/crates/gateway/src/configuration/change.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// No route may hold a request longer than this.
-const CUTOFF_MOST: Duration = Duration::from_secs(600);
+const MAX_ROUTE_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// Why a call is refused.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
@@ -18,25 +18,25 @@
     /// {0}: unknown list
     UnknownList(String),
     /// {0}: {1} values for {2} columns
-    Ragged(String, usize, usize),
+    RecordLengthMismatch(String, usize, usize),
     /// {0}: the column {1} comes twice
-    TwiceNamed(String, String),
+    DuplicateColumn(String, String),
     /// {0}: neither a service nor a mixture
-    NoService(String),
+    MissingService(String),
     /// {0}: gains add up to 0
-    NoGain(String),
+    ZeroTotalGain(String),
     /// {0}: over ten minutes
-    TooLong(String),
+    DurationTooLong(String),
     /// {0}: neither idempotent nor effectful
-    OddClass(String),
+    UnknownRouteClass(String),
     /// {0}: does not begin and end with a slash
-    OddPrefix(String),
+    InvalidPathPrefix(String),
     /// route {0} names the unknown service {1}
     UnknownService(String, String),
     /// tenants {0} and {1} share a key
-    SharedKey(String, String),
+    SharedCredential(String, String),
     /// {0} {1:?}: r{2} has another content
-    OtherContent(&'static str, String, u64),
+    VersionContentMismatch(&'static str, String, u64),
 }
 
 impl std::error::Error for ChangeError {}
@@ -48,7 +48,7 @@
 }
 
 /// The items of a call, each checked for itself.
-pub fn read_call(body: &[u8]) -> Result<Vec<ConfigItem>, ChangeError> {
+pub fn parse_change(body: &[u8]) -> Result<Vec<ConfigItem>, ChangeError> {
     let value = crate::json_path::parse(body)?;
     let root = JsonNode::root(&value);
     root.object()?;
@@ -89,7 +89,7 @@
 fn kind(name: &str) -> Option<ItemKind> {
     [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation]
         .into_iter()
-        .find(|k| k.list() == name)
+        .find(|k| k.set_name() == name)
 }
 
 /// Hands over the rows of a list, one after the other, as objects: given so, or as columns and records.
@@ -108,12 +108,12 @@
     let columns: Vec<&str> = columns.iter().map(JsonNode::name).collect::<Result<_, _>>()?;
     let mut met = BTreeSet::new();
     if let Some(twice) = columns.iter().find(|name| !met.insert(**name)) {
-        return Err(ChangeError::TwiceNamed(list.path(), (*twice).into()));
+        return Err(ChangeError::DuplicateColumn(list.path(), (*twice).into()));
     }
     for record in list.need("records")?.list()? {
         let values = record.list()?;
         if values.len() != columns.len() {
-            return Err(ChangeError::Ragged(record.path(), values.len(), columns.len()));
+            return Err(ChangeError::RecordLengthMismatch(record.path(), values.len(), columns.len()));
         }
         let fields = columns.iter().zip(&values).filter(|(_, v)| !v.value().is_null());
         let object: Map<String, Value> = fields.map(|(c, v)| ((*c).into(), v.value().clone())).collect();
@@ -153,14 +153,14 @@
     at.need("hostname")?.name()?;
     let prefix = at.need("path_prefix")?.text()?;
     if !(prefix.starts_with('/') && prefix.ends_with('/')) {
-        return Err(ChangeError::OddPrefix(path.into()));
+        return Err(ChangeError::InvalidPathPrefix(path.into()));
     }
     if !matches!(at.need("route_class")?.text()?, "idempotent" | "effectful") {
-        return Err(ChangeError::OddClass(path.into()));
+        return Err(ChangeError::UnknownRouteClass(path.into()));
     }
     for name in ["cutoff", "target"] {
-        if at.get(name).map(|t| t.time()).transpose()?.is_some_and(|t| t > CUTOFF_MOST) {
-            return Err(ChangeError::TooLong(format!("{path}.{name}")));
+        if at.get(name).map(|t| t.time()).transpose()?.is_some_and(|t| t > MAX_ROUTE_TIMEOUT) {
+            return Err(ChangeError::DurationTooLong(format!("{path}.{name}")));
         }
     }
     for name in ["rank", "max_attempts"] {
@@ -175,13 +175,13 @@
                 sum += part.need("gain")?.amount()?;
             }
             if sum <= 0.0 {
-                return Err(ChangeError::NoGain(path.into()));
+                return Err(ChangeError::ZeroTotalGain(path.into()));
             }
         }
         (None, Some(service)) => {
             service.name()?;
         }
-        (None, None) => return Err(ChangeError::NoService(path.into())),
+        (None, None) => return Err(ChangeError::MissingService(path.into())),
     }
     Ok(())
 }
@@ -216,35 +216,35 @@
 
 /// Judges the whole configuration that would stand: refused is what a call would newly put wrong, not what was so
 /// before it. The items that would change anything are returned.
-pub fn judge(held: &ItemSet, call: &[ConfigItem]) -> Result<Vec<ConfigItem>, ChangeError> {
+pub fn validate_change(held: &ItemSet, call: &[ConfigItem]) -> Result<Vec<ConfigItem>, ChangeError> {
     let mut after = held.clone();
     let news: Vec<ConfigItem> = call.iter().filter(|i| after.merge((*i).clone())).cloned().collect();
     if news.is_empty() {
         return Ok(news);
     }
-    let before = faults(held);
-    match faults(&after).into_iter().find(|f| !before.contains(f)) {
+    let before = find_violations(held);
+    match find_violations(&after).into_iter().find(|f| !before.contains(f)) {
         Some(fault) => Err(fault),
         None => Ok(news),
     }
 }
 
 /// What is wrong between the items of a configuration.
-pub fn faults(items: &ItemSet) -> Vec<ChangeError> {
+pub fn find_violations(items: &ItemSet) -> Vec<ChangeError> {
     let mut found = Vec::new();
-    for (label, body) in items.standing(ItemKind::Route) {
-        for service in body.services() {
-            let stands = items.standing(ItemKind::Service).any(|(l, _)| l == service);
+    for (label, body) in items.active_items(ItemKind::Route) {
+        for service in body.route_services() {
+            let stands = items.active_items(ItemKind::Service).any(|(l, _)| l == service);
             if !stands {
                 found.push(ChangeError::UnknownService(label.into(), service));
             }
         }
     }
     let mut owners: BTreeMap<String, &str> = BTreeMap::new();
-    for (label, body) in items.standing(ItemKind::Tenant) {
-        for key in body.keys() {
+    for (label, body) in items.active_items(ItemKind::Tenant) {
+        for key in body.tenant_credentials() {
             if let Some(other) = owners.insert(key, label).filter(|other| *other != label) {
-                found.push(ChangeError::SharedKey(other.into(), label.into()));
+                found.push(ChangeError::SharedCredential(other.into(), label.into()));
             }
         }
     }
@@ -252,7 +252,7 @@
 }
 
 /// The services that a route names.
-pub fn services(route: &Map<String, Value>) -> Vec<&str> {
+pub fn route_services(route: &Map<String, Value>) -> Vec<&str> {
     let mixture = route.get("mixture").and_then(Value::as_array).into_iter().flatten();
     let mut named: Vec<&str> = mixture.filter_map(|p| p.get("service_ref")?.as_str()).collect();
     if named.is_empty() {
@@ -262,6 +262,6 @@
 }
 
 /// The keys that a tenant has.
-pub fn keys(tenant: &Map<String, Value>) -> impl Iterator<Item = &str> {
+pub fn tenant_credentials(tenant: &Map<String, Value>) -> impl Iterator<Item = &str> {
     tenant.get("credentials").and_then(Value::as_array).into_iter().flatten().filter_map(Value::as_str)
 }
--- a/crates/gateway/src/configuration/content_hash.rs
+++ b/crates/gateway/src/configuration/content_hash.rs
@@ -11,8 +11,8 @@
 
 /// The hash of an item's meaning: times, versions and hosts in one spelling, keys and services in one order, what is
 /// left out for what it stands for.
-pub fn meaning_hash(body: Option<&Map<String, Value>>) -> u64 {
-    content_hash(body.map(meaning).as_ref())
+pub fn semantic_hash(body: Option<&Map<String, Value>>) -> u64 {
+    verbatim_hash(body.map(meaning).as_ref())
 }
 
 fn meaning(body: &Map<String, Value>) -> Map<String, Value> {
@@ -69,7 +69,7 @@
 
 /// FNV-1a (64 bits) of the canonical form. All dropped items (`None`) are the same. A field that is null is left out,
 /// as in a record; numbers are compared by value (`1` and `1.0` are the same).
-pub fn content_hash(body: Option<&Map<String, Value>>) -> u64 {
+pub fn verbatim_hash(body: Option<&Map<String, Value>>) -> u64 {
     let mut text = String::new();
     match body {
         None => text.push_str("dropped"),
--- a/crates/gateway/src/configuration/content_hash_tests.rs
+++ b/crates/gateway/src/configuration/content_hash_tests.rs
@@ -1,16 +1,16 @@
 //! When two items say the same: whatever the spelling, on disks of earlier builds, too.
 
-use super::content_hash::{content_hash, meaning_hash};
+use super::content_hash::{semantic_hash, verbatim_hash};
 use super::state::ChangeOutcome;
-use super::{read_call, ConfigItem, ConfigState, ItemKind};
+use super::{parse_change, ConfigItem, ConfigState, ItemKind};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 
 /// 200 with an effect, 200 without, 409.
 fn code(outcome: &ChangeOutcome) -> &'static str {
     match outcome {
-        ChangeOutcome::Taken(_) => "taken",
-        ChangeOutcome::Known => "known",
+        ChangeOutcome::Applied(_) => "taken",
+        ChangeOutcome::AlreadyApplied => "known",
         ChangeOutcome::Conflict(_) => "conflict",
         _ => "other",
     }
@@ -19,7 +19,7 @@
 /// Guards an order that is sent again in another spelling, by another client or through another reader: the same.
 #[gtest]
 fn an_item_is_the_same_however_it_is_spelled() {
-    let read = |body: Value| read_call(body.to_string().as_bytes()).expect("readable");
+    let read = |body: Value| parse_change(body.to_string().as_bytes()).expect("readable");
     let columns = ["label", "hostname", "path_prefix", "route_class", "cutoff", "target", "rank", "mixture"];
     let route = |more: Value| {
         let mut body = json!({ "label": "r1", "hostname": "a.example", "path_prefix": "/x/", "cutoff": "2500ms",
@@ -110,7 +110,7 @@
     let mut state = ConfigState::default();
     assert_that!(code(&state.apply(1, &order)), eq("taken"));
     let body = body.as_object();
-    let (now, before) = (meaning_hash(body), content_hash(body));
+    let (now, before) = (semantic_hash(body), verbatim_hash(body));
     let bytes = state.encode();
     let [now, before] = [now, before].map(|hash| rmp_serde::to_vec(&hash).expect("encoded"));
     let at = bytes.windows(now.len()).position(|w| w == now).expect("there");
--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -8,8 +8,14 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A tenant's requests a second, and those on top, as configured; 0 where nothing is said.
-pub type TenantRate = (f64, f64);
+/// A tenant's request rate as configured.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct TenantRate {
+    /// Sustained requests per second; 0: not limited.
+    pub requests_per_sec: f64,
+    /// Requests that may come on top of the sustained rate; 0: not configured.
+    pub burst: f64,
+}
 
 /// Fields by name, as MessagePack, sorted by name. Equal fields are equal bytes.
 #[derive(Clone, PartialEq, Eq)]
@@ -24,28 +30,28 @@
 
 impl ItemFields {
     /// The fields, each by itself.
-    pub fn map(&self) -> Map<String, Value> {
+    pub fn to_map(&self) -> Map<String, Value> {
         // What can't be read is never taken in.
         rmp_serde::from_slice(&self.0).unwrap_or_default()
     }
 
     /// Bytes that they take.
-    pub fn size(&self) -> usize {
+    pub fn encoded_len(&self) -> usize {
         self.0.len()
     }
 
     /// The services that a route names.
-    pub fn services(&self) -> Vec<String> {
-        change::services(&self.map()).into_iter().map(str::to_owned).collect()
+    pub fn route_services(&self) -> Vec<String> {
+        change::route_services(&self.to_map()).into_iter().map(str::to_owned).collect()
     }
 
     /// The keys that a tenant has.
-    pub fn keys(&self) -> Vec<String> {
-        self.tenant().0
+    pub fn tenant_credentials(&self) -> Vec<String> {
+        self.credentials_and_rate().0
     }
 
     /// The keys that a tenant has, and its quota.
-    pub fn tenant(&self) -> (Vec<String>, TenantRate) {
+    pub fn credentials_and_rate(&self) -> (Vec<String>, TenantRate) {
         #[derive(Deserialize)]
         struct Tenant<'a> {
             #[serde(borrow, default)]
@@ -57,19 +63,23 @@
         }
         if let Ok(read) = rmp_serde::from_slice::<Tenant>(&self.0) {
             let keys = read.credentials.into_iter().flatten().map(str::to_owned).collect();
-            return (keys, (read.rate_per_s.unwrap_or(0.0), read.burst_size.unwrap_or(0.0)));
+            let rate = TenantRate {
+                requests_per_sec: read.rate_per_s.unwrap_or(0.0),
+                burst: read.burst_size.unwrap_or(0.0),
+            };
+            return (keys, rate);
         }
         // Fields of other kinds than a tenant's should be.
-        let map = self.map();
+        let map = self.to_map();
         let number = |field: &str| map.get(field).and_then(Value::as_f64).unwrap_or(0.0);
-        let keys = change::keys(&map).map(str::to_owned).collect();
-        (keys, (number("rate_per_s"), number("burst_size")))
+        let keys = change::tenant_credentials(&map).map(str::to_owned).collect();
+        (keys, TenantRate { requests_per_sec: number("rate_per_s"), burst: number("burst_size") })
     }
 }
 
 impl fmt::Debug for ItemFields {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.map().fmt(f)
+        self.to_map().fmt(f)
     }
 }
 
--- a/crates/gateway/src/configuration/item.rs
+++ b/crates/gateway/src/configuration/item.rs
@@ -22,7 +22,7 @@
 
 impl ItemKind {
     /// The list that holds items of this kind.
-    pub fn list(self) -> &'static str {
+    pub fn set_name(self) -> &'static str {
         match self {
             ItemKind::Route => "route_set",
             ItemKind::Tenant => "tenant_set",
@@ -73,17 +73,17 @@
     /// The fields of one item, if it stands.
     #[cfg(test)]
     pub fn body(&self, kind: ItemKind, label: &str) -> Option<Map<String, Value>> {
-        self.map.get(&(kind, label.to_owned()))?.body.as_ref().map(ItemFields::map)
+        self.map.get(&(kind, label.to_owned()))?.body.as_ref().map(ItemFields::to_map)
     }
 
     /// Would this item change anything?
-    pub fn is_news(&self, item: &ConfigItem) -> bool {
+    pub fn is_newer(&self, item: &ConfigItem) -> bool {
         self.version(item.kind, &item.label).is_none_or(|v| v < item.version)
     }
 
     /// Takes an item if its version is higher than the one held.
     pub fn merge(&mut self, item: ConfigItem) -> bool {
-        if !self.is_news(&item) {
+        if !self.is_newer(&item) {
             return false;
         }
         self.digest ^= hash(&item);
@@ -94,18 +94,18 @@
     }
 
     /// All items, the dropped ones too.
-    pub fn all(&self) -> impl Iterator<Item = &ConfigItem> {
+    pub fn iter(&self) -> impl Iterator<Item = &ConfigItem> {
         self.map.values()
     }
 
     /// The items of a kind that stand.
-    pub fn standing(&self, kind: ItemKind) -> impl Iterator<Item = (&str, &ItemFields)> {
+    pub fn active_items(&self, kind: ItemKind) -> impl Iterator<Item = (&str, &ItemFields)> {
         let of_kind = self.map.iter().filter(move |((k, _), _)| *k == kind);
         of_kind.filter_map(|((_, label), item)| Some((label.as_str(), item.body.as_ref()?)))
     }
 
     /// All items that stand, laid out as in the first call's set.
-    pub fn render(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         render(self.map.values())
     }
 }
@@ -122,7 +122,7 @@
         let mut columns: Vec<String> = Vec::new();
         let mut records: Vec<Value> = Vec::with_capacity(bodies.len());
         for body in bodies {
-            let mut body = body.map();
+            let mut body = body.to_map();
             let mut record: Vec<Value> =
                 columns.iter().map(|c| body.remove(c).unwrap_or(Value::Null)).collect();
             for (name, value) in body {
@@ -134,10 +134,10 @@
         for record in records.iter_mut().filter_map(Value::as_array_mut) {
             record.resize(columns.len(), Value::Null);
         }
-        out.insert(kind.list().into(), serde_json::json!({ "columns": columns, "records": records }));
+        out.insert(kind.set_name().into(), serde_json::json!({ "columns": columns, "records": records }));
     }
     if let Some(body) = standing[ItemKind::Saturation as usize].first() {
-        out.insert(ItemKind::Saturation.list().into(), Value::Object(body.map()));
+        out.insert(ItemKind::Saturation.set_name().into(), Value::Object(body.to_map()));
     }
     Value::Object(out)
 }
--- a/crates/gateway/src/configuration/mod.rs
+++ b/crates/gateway/src/configuration/mod.rs
@@ -10,7 +10,7 @@
 pub mod state;
 
 pub use active_config::ActiveConfig;
-pub use change::read_call;
+pub use change::parse_change;
 pub use fields::ItemFields;
 pub use item::{ConfigItem, ItemKind, ItemSet};
 pub use state::ConfigState;
--- a/crates/gateway/src/configuration/race_tests.rs
+++ b/crates/gateway/src/configuration/race_tests.rs
@@ -45,7 +45,7 @@
         let before = state.clone();
         let outcome = state.apply(index, &order(told));
         match outcome {
-            ChangeOutcome::Taken(_) | ChangeOutcome::Known => {
+            ChangeOutcome::Applied(_) | ChangeOutcome::AlreadyApplied => {
                 assert_that!(self.refused, not(contains(eq(&n))), "{told:?} was refused");
                 self.confirmed.push(n);
                 for (label, version, content) in told {
@@ -143,9 +143,9 @@
                     .copied()
                     .collect::<Vec<_>>()
                 {
-                    let before = state.render();
+                    let before = state.to_json();
                     apply(&mut state, &mut heard, again);
-                    assert_that!(state.render(), eq(&before));
+                    assert_that!(state.to_json(), eq(&before));
                 }
             }
             courses += 1;
--- a/crates/gateway/src/configuration/replica.rs
+++ b/crates/gateway/src/configuration/replica.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaUpdate {
     /// It is in force.
-    Taken,
+    Applied,
     /// It was in force already, or something newer is.
-    Old,
+    Stale,
     /// Changes before it are lacking.
     Gap,
 }
@@ -35,14 +35,14 @@
     }
 
     /// The parts of all items that stand.
-    pub fn parts(&self) -> impl Iterator<Item = &ActiveItem> {
+    pub fn active_items(&self) -> impl Iterator<Item = &ActiveItem> {
         self.parts.values()
     }
 
     /// Takes all that stands as of an entry (`from`: none), or what that entry changed behind another one.
-    pub fn take(&mut self, from: Option<u64>, index: u64, items: Vec<ConfigItem>) -> ReplicaUpdate {
+    pub fn apply_update(&mut self, from: Option<u64>, index: u64, items: Vec<ConfigItem>) -> ReplicaUpdate {
         if index <= self.index {
-            return ReplicaUpdate::Old;
+            return ReplicaUpdate::Stale;
         }
         match from {
             None => self.parts.clear(),
@@ -52,13 +52,13 @@
         self.index = index;
         // Each item goes as soon as its part is made: all of them as JSON take many times the parts' memory.
         for item in items {
-            let part = ActiveItem::of(&item);
+            let part = ActiveItem::from_item(&item);
             let name = (item.kind, item.label.into_boxed_str());
             match part {
                 Some(part) => self.parts.insert(name, part),
                 None => self.parts.remove(&name),
             };
         }
-        ReplicaUpdate::Taken
+        ReplicaUpdate::Applied
     }
 }
--- a/crates/gateway/src/configuration/state.rs
+++ b/crates/gateway/src/configuration/state.rs
@@ -11,34 +11,34 @@
 mod encoding;
 
 use super::change::ChangeError;
-use super::content_hash::{content_hash, meaning_hash};
+use super::content_hash::{semantic_hash, verbatim_hash};
 use super::fields::{ItemFields, TenantRate};
 use super::item::{render, ConfigItem, ItemKind};
-pub use encoding::{Decoder, Encoder};
+pub use encoding::{StateDecoder, StateEncoder};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
 /// Overtaken versions that are remembered of all names together, those that were overtaken last.
-pub const HISTORY_MAX: usize = 65_536;
+pub const MAX_SUPERSEDED_VERSIONS: usize = 65_536;
 /// Dropped items that are remembered, those of the highest versions.
-pub const TOMBSTONES_MAX: usize = 4096;
+pub const MAX_TOMBSTONES: usize = 4096;
 const KINDS: usize = 4;
 
 /// What an order came to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeOutcome {
     /// Taken (200): the items that hold now and didn't before; dropped ones without body.
-    Taken(Vec<Arc<ConfigItem>>),
+    Applied(Vec<Arc<ConfigItem>>),
     /// Confirmed (200): all of it holds already or was overtaken.
-    Known,
+    AlreadyApplied,
     /// Refused (409): a version has another content already.
     Conflict(ChangeError),
     /// Refused (400): what would stand is invalid.
     Invalid(ChangeError),
     /// Left without a clear answer (503): it may or may not have been confirmed long ago.
-    Forgotten,
+    Indeterminate,
 }
 
 /// Why bytes aren't a state.
@@ -121,22 +121,26 @@
 
 /// The hash of an item's fields as they were spelled.
 fn spelled(item: &ConfigItem) -> u64 {
-    content_hash(item.body.as_ref().map(ItemFields::map).as_ref())
+    verbatim_hash(item.body.as_ref().map(ItemFields::to_map).as_ref())
 }
 
 fn conflict(item: &ConfigItem) -> ChangeOutcome {
-    ChangeOutcome::Conflict(ChangeError::OtherContent(item.kind.list(), item.label.clone(), item.version))
+    ChangeOutcome::Conflict(ChangeError::VersionContentMismatch(
+        item.kind.set_name(),
+        item.label.clone(),
+        item.version,
+    ))
 }
 
 impl Default for ConfigState {
     fn default() -> Self {
-        ConfigState::bounded(HISTORY_MAX)
+        ConfigState::with_history_limit(MAX_SUPERSEDED_VERSIONS)
     }
 }
 
 impl ConfigState {
     /// Nothing yet; remembers so many overtaken versions. The same at each member.
-    pub fn bounded(history_max: usize) -> Self {
+    pub fn with_history_limit(history_max: usize) -> Self {
         ConfigState {
             index: 0,
             records: Default::default(),
@@ -156,7 +160,7 @@
     pub fn apply(&mut self, index: u64, order: &[ConfigItem]) -> ChangeOutcome {
         let mut sorted = Sorted::new();
         for item in order {
-            let hash = meaning_hash(item.body.as_ref().map(ItemFields::map).as_ref());
+            let hash = semantic_hash(item.body.as_ref().map(ItemFields::to_map).as_ref());
             let versions = sorted.entry((item.kind, &item.label)).or_default();
             if versions.insert(item.version, (hash, item)).is_some_and(|(other, _)| other != hash) {
                 return conflict(item);
@@ -183,7 +187,7 @@
             }
         }
         if forgotten {
-            return ChangeOutcome::Forgotten;
+            return ChangeOutcome::Indeterminate;
         }
         let holds = |i: &ConfigItem| {
             higher.get(&(i.kind, i.label.as_str())).is_some_and(|h| h.1.version == i.version)
@@ -200,35 +204,35 @@
         self.forget_history();
         self.forget_tombstones();
         if taken.is_empty() {
-            return ChangeOutcome::Known;
+            return ChangeOutcome::AlreadyApplied;
         }
         self.index = index;
-        ChangeOutcome::Taken(taken)
+        ChangeOutcome::Applied(taken)
     }
 
     /// Index of the last entry that was [`Outcome::Taken`]; 0: none.
-    pub fn index(&self) -> u64 {
+    pub fn last_change_index(&self) -> u64 {
         self.index
     }
 
     /// The items that stand, by kind and name.
-    pub fn standing(&self) -> impl Iterator<Item = &Arc<ConfigItem>> {
+    pub fn active_items(&self) -> impl Iterator<Item = &Arc<ConfigItem>> {
         self.records.iter().flat_map(BTreeMap::values).map(|r| &r.item).filter(|i| i.body.is_some())
     }
 
     /// All items of which something is known, the dropped ones too.
-    pub fn items(&self) -> impl Iterator<Item = &Arc<ConfigItem>> {
+    pub fn all_items(&self) -> impl Iterator<Item = &Arc<ConfigItem>> {
         self.records.iter().flat_map(BTreeMap::values).map(|r| &r.item)
     }
 
     /// The fields of one item, if it stands.
     #[cfg(test)]
     pub fn body(&self, kind: ItemKind, label: &str) -> Option<serde_json::Map<String, Value>> {
-        self.record(kind, label)?.item.body.as_ref().map(ItemFields::map)
+        self.record(kind, label)?.item.body.as_ref().map(ItemFields::to_map)
     }
 
     /// What a standing tenant may have.
-    pub fn quota(&self, tenant: &str) -> Option<TenantRate> {
+    pub fn tenant_rate(&self, tenant: &str) -> Option<TenantRate> {
         self.quotas.get(tenant).copied()
     }
 
@@ -242,8 +246,8 @@
     }
 
     /// All items that stand, laid out as in the first call's set.
-    pub fn render(&self) -> Value {
-        render(self.standing().map(|i| &**i))
+    pub fn to_json(&self) -> Value {
+        render(self.active_items().map(|i| &**i))
     }
 
     fn record(&self, kind: ItemKind, label: &str) -> Option<&Record> {
@@ -279,7 +283,7 @@
         let forgotten = self.floors[ItemKind::Service as usize].is_some();
         let stood = |s: &str| forgotten || self.record(ItemKind::Service, s).is_some();
         let never = |s: &String| !stood(s) && !order.contains_key(&(ItemKind::Service, s.as_str()));
-        let service = body.services().into_iter().find(never)?;
+        let service = body.route_services().into_iter().find(never)?;
         Some(ChangeError::UnknownService(item.label.clone(), service))
     }
 
@@ -294,7 +298,7 @@
         for (&(kind, label), (_, item)) in higher {
             match (kind, &item.body) {
                 (ItemKind::Route, Some(body)) => {
-                    if let Some(service) = body.services().into_iter().find(|s| !stands(s)) {
+                    if let Some(service) = body.route_services().into_iter().find(|s| !stands(s)) {
                         return Some(ChangeError::UnknownService(label.into(), service));
                     }
                 }
@@ -306,13 +310,13 @@
                     }
                 }
                 (ItemKind::Tenant, Some(body)) => {
-                    for key in body.keys() {
+                    for key in body.tenant_credentials() {
                         let owner = self.owners.get(&key).map(|o| o.label.as_str());
                         let owner = owner.filter(|o| !higher.contains_key(&(ItemKind::Tenant, *o)));
                         let other = claims.insert(key, label).or(owner).filter(|o| *o != label);
                         if let Some(other) = other {
                             let (one, two) = (other.min(label), other.max(label));
-                            return Some(ChangeError::SharedKey(one.into(), two.into()));
+                            return Some(ChangeError::SharedCredential(one.into(), two.into()));
                         }
                     }
                 }
@@ -353,12 +357,12 @@
         let mut other = None;
         match (item.kind, &item.body) {
             (ItemKind::Route, Some(body)) => {
-                for service in body.services() {
+                for service in body.route_services() {
                     self.users.entry(service).or_default().insert(item.label.clone());
                 }
             }
             (ItemKind::Tenant, Some(body)) => {
-                let (keys, quota) = body.tenant();
+                let (keys, quota) = body.credentials_and_rate();
                 for key in keys {
                     let owner = self.owners.insert(key, Arc::clone(item));
                     other = other.or(owner.filter(|o| o.label != item.label));
@@ -377,7 +381,7 @@
     fn leave(&mut self, item: &ConfigItem) {
         match (item.kind, &item.body) {
             (ItemKind::Route, Some(body)) => {
-                for service in body.services() {
+                for service in body.route_services() {
                     let Some(users) = self.users.get_mut(&service) else { continue };
                     users.remove(&item.label);
                     if users.is_empty() {
@@ -386,7 +390,7 @@
                 }
             }
             (ItemKind::Tenant, Some(body)) => {
-                for key in body.keys() {
+                for key in body.tenant_credentials() {
                     self.owners.remove(&key);
                 }
                 self.quotas.remove(&item.label);
@@ -424,7 +428,7 @@
     }
 
     fn forget_tombstones(&mut self) {
-        while self.tombstones.len() > TOMBSTONES_MAX {
+        while self.tombstones.len() > MAX_TOMBSTONES {
             let Some((version, kind, label)) = self.tombstones.pop_first() else { return };
             if let Some(record) = self.records[kind as usize].remove(&label) {
                 record.history.iter().for_each(|p| drop(self.overtaken.remove(&p.place)));
--- a/crates/gateway/src/configuration/state/encoding.rs
+++ b/crates/gateway/src/configuration/state/encoding.rs
@@ -2,7 +2,9 @@
 //! encodes or decodes a large one goes on with what else is to be done. Equal states give equal bytes. It must never
 //! take a state that contradicts itself.
 
-use super::{ConfigState, ConfigStateError, ItemKind, Record, HISTORY_MAX, KINDS, TOMBSTONES_MAX};
+use super::{
+    ConfigState, ConfigStateError, ItemKind, Record, KINDS, MAX_SUPERSEDED_VERSIONS, MAX_TOMBSTONES,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -33,7 +35,7 @@
 }
 
 /// A state as it was when this was made, to be told step by step; the state itself may change meanwhile.
-pub struct Encoder {
+pub struct StateEncoder {
     head: Option<Head>,
     records: VecDeque<Arc<Record>>,
 }
@@ -56,9 +58,9 @@
     Some((bytes.get(LENGTH..end)?, end))
 }
 
-impl Encoder {
+impl StateEncoder {
     /// Appends the next frame; false: there was none.
-    pub fn step(&mut self, out: &mut Vec<u8>) -> bool {
+    pub fn encode_frame(&mut self, out: &mut Vec<u8>) -> bool {
         if let Some(head) = self.head.take() {
             out.push(FORMAT);
             frame(out, &head);
@@ -73,28 +75,28 @@
 }
 
 /// Takes an encoded state as it comes.
-pub struct Decoder {
+pub struct StateDecoder {
     state: ConfigState,
     /// Records that are still to come; `None`: the head is.
     left: Option<u64>,
     before: Option<(ItemKind, String)>,
 }
 
-impl Default for Decoder {
+impl Default for StateDecoder {
     fn default() -> Self {
-        Decoder::bounded(HISTORY_MAX)
+        StateDecoder::with_history_limit(MAX_SUPERSEDED_VERSIONS)
     }
 }
 
-impl Decoder {
+impl StateDecoder {
     /// For a state that remembers so many overtaken versions.
-    pub fn bounded(history_max: usize) -> Self {
-        Decoder { state: ConfigState::bounded(history_max), left: None, before: None }
+    pub fn with_history_limit(history_max: usize) -> Self {
+        StateDecoder { state: ConfigState::with_history_limit(history_max), left: None, before: None }
     }
 
     /// Takes the next frame off the front of these bytes; returned: how many it took, 0 if it has not come whole, or no
     /// more is wanted.
-    pub fn step(&mut self, bytes: &[u8]) -> Result<usize, ConfigStateError> {
+    pub fn decode_frame(&mut self, bytes: &[u8]) -> Result<usize, ConfigStateError> {
         let unreadable = |e: rmp_serde::decode::Error| ConfigStateError::Unreadable(e.to_string());
         let Some(left) = self.left else {
             return match bytes.first() {
@@ -121,7 +123,7 @@
         for record in records {
             let name = (record.item.kind, record.item.label.clone());
             if self.before.as_ref() >= Some(&name) || !record.is_sound() || !self.state.restore(record) {
-                return Err(ConfigStateError::Inconsistent(name.0.list(), name.1));
+                return Err(ConfigStateError::Inconsistent(name.0.set_name(), name.1));
             }
             self.before = Some(name);
         }
@@ -138,7 +140,9 @@
         let state = self.state;
         let unknown = state.users.keys().find(|s| !state.stands(ItemKind::Service, s));
         match unknown {
-            Some(service) => Err(ConfigStateError::Inconsistent(ItemKind::Service.list(), service.clone())),
+            Some(service) => {
+                Err(ConfigStateError::Inconsistent(ItemKind::Service.set_name(), service.clone()))
+            }
             None => Ok(state),
         }
     }
@@ -156,33 +160,33 @@
             placed &= other.is_none() && past.place < self.place;
         }
         self.records[kind as usize].insert(record.item.label.clone(), Arc::new(record));
-        let bounded = self.tombstones.len() <= TOMBSTONES_MAX && self.overtaken.len() <= self.history_max;
+        let bounded = self.tombstones.len() <= MAX_TOMBSTONES && self.overtaken.len() <= self.history_max;
         alone && placed && bounded
     }
 
     /// What tells this state, as it is now, step by step.
-    pub fn encoder(&self) -> Encoder {
+    pub fn encoder(&self) -> StateEncoder {
         let records: VecDeque<_> = self.records.iter().flat_map(BTreeMap::values).cloned().collect();
         let (index, place, floors) = (self.index, self.place, self.floors);
-        Encoder { head: Some(Head { index, place, floors, records: records.len() as u64 }), records }
+        StateEncoder { head: Some(Head { index, place, floors, records: records.len() as u64 }), records }
     }
 
     /// The whole state at once.
     #[cfg(test)]
     pub fn encode(&self) -> bytes::Bytes {
         let (mut encoder, mut bytes) = (self.encoder(), Vec::new());
-        while encoder.step(&mut bytes) {}
+        while encoder.encode_frame(&mut bytes) {}
         bytes.into()
     }
 
     /// The state that gave these bytes; an error if they are cut, followed by others, or contradict themselves.
     pub fn decode(bytes: &[u8]) -> Result<ConfigState, ConfigStateError> {
-        ConfigState::decode_bounded(bytes, HISTORY_MAX)
+        ConfigState::decode_bounded(bytes, MAX_SUPERSEDED_VERSIONS)
     }
 
     /// The same for one that remembers so many overtaken versions.
     pub fn decode_bounded(bytes: &[u8], history_max: usize) -> Result<ConfigState, ConfigStateError> {
-        let mut decoder = Decoder::bounded(history_max);
+        let mut decoder = StateDecoder::with_history_limit(history_max);
         let mut rest = bytes;
         if let Some((&FORMAT_WHOLE, mut whole)) = bytes.split_first() {
             let read = rmp_serde::decode::from_read(&mut whole);
@@ -194,7 +198,7 @@
             rest = whole;
         }
         loop {
-            match decoder.step(rest)? {
+            match decoder.decode_frame(rest)? {
                 0 => break,
                 taken => rest = &rest[taken..],
             }
--- a/crates/gateway/src/configuration/state_measure.rs
+++ b/crates/gateway/src/configuration/state_measure.rs
@@ -3,7 +3,7 @@
 //! tenth of that size.
 
 use super::active_config::ActiveItem;
-use super::state::{ChangeOutcome, HISTORY_MAX};
+use super::state::{ChangeOutcome, MAX_SUPERSEDED_VERSIONS};
 use super::{ActiveConfig, ConfigItem, ConfigState, ItemFields, ItemKind};
 use googletest::prelude::*;
 use serde_json::{json, Value};
@@ -71,7 +71,7 @@
     let empty = resident();
     let mut state = ConfigState::default();
     let outcome = timed("apply the first order", 1, || state.apply(1, &first));
-    expect_that!(outcome, matches_pattern!(ChangeOutcome::Taken(len(eq(first.len())))));
+    expect_that!(outcome, matches_pattern!(ChangeOutcome::Applied(len(eq(first.len())))));
     println!("resident: {empty:.0} MiB with the order alone, {:.0} MiB with the state", resident());
     let (mut index, mut n) = (1, 0);
     let mut next = || {
@@ -81,11 +81,14 @@
     };
     timed("apply one tenant's change", 201, || {
         let (index, n) = next();
-        expect_that!(state.apply(index, &[tenant(n, 7 + index)]), matches_pattern!(ChangeOutcome::Taken(_)));
+        expect_that!(
+            state.apply(index, &[tenant(n, 7 + index)]),
+            matches_pattern!(ChangeOutcome::Applied(_))
+        );
     });
     timed("apply one route's change", 201, || {
         let (index, n) = next();
-        expect_that!(state.apply(index, &[route(n, 7 + index)]), matches_pattern!(ChangeOutcome::Taken(_)));
+        expect_that!(state.apply(index, &[route(n, 7 + index)]), matches_pattern!(ChangeOutcome::Applied(_)));
     });
     let in_use = ConfigItem { version: 9, body: None, ..service(3) };
     timed("refuse a service's drop", 201, || {
@@ -94,29 +97,33 @@
             matches_pattern!(ChangeOutcome::Invalid(_))
         );
     });
-    expect_that!(timed("the first order again", 5, || state.apply(9999, &first)), eq(&ChangeOutcome::Known));
+    expect_that!(
+        timed("the first order again", 5, || state.apply(9999, &first)),
+        eq(&ChangeOutcome::AlreadyApplied)
+    );
     println!("encoded before the history is full: {} bytes", state.encode().len());
     let mut overtaken = 0;
-    while overtaken < HISTORY_MAX as u64 {
+    while overtaken < MAX_SUPERSEDED_VERSIONS as u64 {
         for _ in 0..100 {
             let (index, n) = next();
             let order: Vec<ConfigItem> = (n..n + 50).map(|n| tenant(n, 7 + index)).collect();
-            expect_that!(state.apply(index, &order), matches_pattern!(ChangeOutcome::Taken(_)));
+            expect_that!(state.apply(index, &order), matches_pattern!(ChangeOutcome::Applied(_)));
             overtaken += 50;
         }
     }
-    println!("history full: {HISTORY_MAX} overtaken versions; resident {:.0} MiB", resident());
+    println!("history full: {MAX_SUPERSEDED_VERSIONS} overtaken versions; resident {:.0} MiB", resident());
     let bytes = timed("encode", 9, || state.encode());
     println!("encoded: {} bytes", bytes.len());
     expect_that!(timed("decode", 9, || ConfigState::decode(&bytes)), ok(eq(&state)));
     timed("clone", 9, || state.clone());
-    let standing = || state.standing().map(|i| &**i);
-    let view = timed("View::fold_items", 9, || ActiveConfig::fold_items(standing()));
-    let parts: Vec<ActiveItem> = standing().filter_map(ActiveItem::of).collect();
+    let standing = || state.active_items().map(|i| &**i);
+    let view = timed("View::fold_items", 9, || ActiveConfig::from_items(standing()));
+    let parts: Vec<ActiveItem> = standing().filter_map(ActiveItem::from_item).collect();
     for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service] {
         let kinds = BTreeSet::from([kind]);
-        let again = timed(&format!("View::refold of {kind:?}"), 9, || view.refold(parts.iter(), &kinds));
+        let again =
+            timed(&format!("View::refold of {kind:?}"), 9, || view.with_changed_kinds(parts.iter(), &kinds));
         expect_that!(again == view, eq(true));
     }
-    timed("render", 5, || state.render());
+    timed("render", 5, || state.to_json());
 }
--- a/crates/gateway/src/configuration/state_tests.rs
+++ b/crates/gateway/src/configuration/state_tests.rs
@@ -2,9 +2,9 @@
 //! that nothing grows without bound.
 
 use super::active_config::ActiveItem;
-use super::change::{faults, judge, ChangeError};
-use super::content_hash::{content_hash, meaning_hash};
-use super::state::{ChangeOutcome, ConfigStateError, HISTORY_MAX, TOMBSTONES_MAX};
+use super::change::{find_violations, validate_change, ChangeError};
+use super::content_hash::{semantic_hash, verbatim_hash};
+use super::state::{ChangeOutcome, ConfigStateError, MAX_SUPERSEDED_VERSIONS, MAX_TOMBSTONES};
 use super::{ActiveConfig, ConfigItem, ConfigState, ItemFields, ItemKind, ItemSet};
 use googletest::prelude::*;
 use serde_json::{json, Value};
@@ -34,11 +34,11 @@
 /// 200 with an effect, 200 without, 409, 400, 503.
 fn code(outcome: &ChangeOutcome) -> &'static str {
     match outcome {
-        ChangeOutcome::Taken(_) => "taken",
-        ChangeOutcome::Known => "known",
+        ChangeOutcome::Applied(_) => "taken",
+        ChangeOutcome::AlreadyApplied => "known",
         ChangeOutcome::Conflict(_) => "conflict",
         ChangeOutcome::Invalid(_) => "invalid",
-        ChangeOutcome::Forgotten => "forgotten",
+        ChangeOutcome::Indeterminate => "forgotten",
     }
 }
 
@@ -79,7 +79,7 @@
                 if self.rng.bool() {
                     let (one, two) = (some_service(&mut self.rng), some_service(&mut self.rng));
                     let parts = [one, two].map(|s| json!({ "service_ref": s, "gain": 1 }));
-                    let fields = item.body.iter().flat_map(ItemFields::map);
+                    let fields = item.body.iter().flat_map(ItemFields::to_map);
                     item.body =
                         Some(ItemFields::from(&fields.chain([("mixture".into(), json!(parts))]).collect()));
                 }
@@ -123,7 +123,7 @@
     {
         assert_that!(code(&base.apply(index as u64 + 1, order)), eq("taken"));
     }
-    assert_that!(base.index(), eq(5));
+    assert_that!(base.last_change_index(), eq(5));
     let cases = [
         ("lower, confirmed before", vec![tenant("t2", 5, &["k2"])], "known"),
         ("lower, confirmed before, invalid today", vec![tenant("t1", 5, &["k1"])], "known"),
@@ -173,8 +173,8 @@
         let outcome = state.apply(6, &order);
         expect_that!(code(&outcome), eq(told), "{what}: {outcome:?}");
         match outcome {
-            ChangeOutcome::Taken(_) => expect_that!(state.index(), eq(6), "{what}"),
-            ChangeOutcome::Known => expect_that!(state.render(), eq(&base.render()), "{what}"),
+            ChangeOutcome::Applied(_) => expect_that!(state.last_change_index(), eq(6), "{what}"),
+            ChangeOutcome::AlreadyApplied => expect_that!(state.to_json(), eq(&base.to_json()), "{what}"),
             _ => expect_that!(state, eq(&base), "{what}"),
         }
         if matches!(told, "taken" | "known") {
@@ -198,7 +198,8 @@
     let mut again: BTreeMap<&str, u32> = BTreeMap::new();
     for seed in 0..60 {
         let mut draw = Draw { rng: fastrand::Rng::with_seed(seed), clock: 0, bulk: seed % 3 == 0 };
-        let (mut state, mut sent) = (ConfigState::bounded(FEW), Vec::<(Vec<ConfigItem>, bool)>::new());
+        let (mut state, mut sent) =
+            (ConfigState::with_history_limit(FEW), Vec::<(Vec<ConfigItem>, bool)>::new());
         let mut contents: HashMap<(ItemKind, String, u64), u64> = HashMap::new();
         let mut highest: HashMap<(ItemKind, String), ConfigItem> = HashMap::new();
         for index in 1..500 {
@@ -214,22 +215,22 @@
             if *confirmed {
                 *again.entry(code(&outcome)).or_default() += 1;
                 assert_that!(
-                    matches!(outcome, ChangeOutcome::Known | ChangeOutcome::Forgotten),
+                    matches!(outcome, ChangeOutcome::AlreadyApplied | ChangeOutcome::Indeterminate),
                     eq(true),
                     "{outcome:?}"
                 );
             }
             let name = |i: &ConfigItem| (i.kind, i.label.clone());
             let number = |i: &ConfigItem| (i.kind, i.label.clone(), i.version);
-            let hash = |i: &ConfigItem| meaning_hash(i.body.as_ref().map(ItemFields::map).as_ref());
-            if let ChangeOutcome::Taken(items) = &outcome {
+            let hash = |i: &ConfigItem| semantic_hash(i.body.as_ref().map(ItemFields::to_map).as_ref());
+            if let ChangeOutcome::Applied(items) = &outcome {
                 for item in items {
                     let before = highest.insert(name(item), (**item).clone());
                     assert_that!(before.is_none_or(|b| b.version < item.version), eq(true), "{item:?}");
                 }
             }
             match outcome {
-                ChangeOutcome::Taken(_) | ChangeOutcome::Known => {
+                ChangeOutcome::Applied(_) | ChangeOutcome::AlreadyApplied => {
                     *confirmed = true;
                     for item in order.iter() {
                         let held = contents.insert(number(item), hash(item));
@@ -248,7 +249,7 @@
                 _ => {}
             }
         }
-        let standing: BTreeSet<_> = state.standing().map(|i| (i.kind, &i.label, i.version)).collect();
+        let standing: BTreeSet<_> = state.active_items().map(|i| (i.kind, &i.label, i.version)).collect();
         let told = highest.values().filter(|i| i.body.is_some());
         assert_that!(standing, eq(&told.map(|i| (i.kind, &i.label, i.version)).collect::<BTreeSet<_>>()));
     }
@@ -263,7 +264,7 @@
     let mut compared: BTreeMap<&str, u32> = BTreeMap::new();
     for seed in 0..150 {
         let mut draw = Draw { rng: fastrand::Rng::with_seed(1000 + seed), clock: 0, bulk: false };
-        let (mut state, mut items) = (ConfigState::bounded(FEW), ItemSet::default());
+        let (mut state, mut items) = (ConfigState::with_history_limit(FEW), ItemSet::default());
         let mut stood = BTreeSet::new();
         for index in 1..120 {
             let order = draw.order();
@@ -272,42 +273,42 @@
                 !stood.contains(&s) && !order.iter().any(|i| i.kind == ItemKind::Service && i.label == s)
             };
             let routes = order.iter().filter(|i| i.kind == ItemKind::Route).filter_map(|i| i.body.as_ref());
-            let lost = routes.flat_map(ItemFields::services).any(never);
-            let (before, naive) = (state.clone(), judge(&items, &order));
+            let lost = routes.flat_map(ItemFields::route_services).any(never);
+            let (before, naive) = (state.clone(), validate_change(&items, &order));
             let outcome = state.apply(index, &order);
             match (&outcome, naive) {
-                (ChangeOutcome::Taken(_), Ok(news)) => {
+                (ChangeOutcome::Applied(_), Ok(news)) => {
                     assert_that!(news, not(is_empty()));
                     merge(&mut items, &news);
-                    assert_that!(state.render(), eq(&items.render()));
+                    assert_that!(state.to_json(), eq(&items.to_json()));
                 }
-                (ChangeOutcome::Known, Ok(news)) => assert_that!(news, is_empty()),
+                (ChangeOutcome::AlreadyApplied, Ok(news)) => assert_that!(news, is_empty()),
                 (ChangeOutcome::Invalid(fault), Err(_)) => {
                     let mut after = items.clone();
                     merge(&mut after, &order);
                     let named = match fault {
-                        ChangeError::SharedKey(..) => {
-                            faults(&after).iter().any(|f| matches!(f, ChangeError::SharedKey(..)))
-                        }
-                        fault => faults(&after).contains(fault),
+                        ChangeError::SharedCredential(..) => find_violations(&after)
+                            .iter()
+                            .any(|f| matches!(f, ChangeError::SharedCredential(..))),
+                        fault => find_violations(&after).contains(fault),
                     };
                     assert_that!(named, eq(true), "{fault}");
                 }
                 (ChangeOutcome::Invalid(ChangeError::UnknownService(_, service)), Ok(_)) => {
                     assert_that!(never(service.clone()), eq(true), "{order:?}");
                 }
-                (ChangeOutcome::Conflict(_) | ChangeOutcome::Forgotten, _) => {}
+                (ChangeOutcome::Conflict(_) | ChangeOutcome::Indeterminate, _) => {}
                 (outcome, naive) => panic!("{order:?}: {outcome:?}, on clones {naive:?}"),
             }
             match outcome {
-                ChangeOutcome::Taken(_) | ChangeOutcome::Known => {
+                ChangeOutcome::Applied(_) | ChangeOutcome::AlreadyApplied => {
                     assert_that!(lost, eq(false), "{order:?}");
                     let services = order.iter().filter(|i| i.kind == ItemKind::Service);
                     stood.extend(services.map(|i| i.label.clone()));
                 }
                 _ => assert_that!(state, eq(&before)),
             }
-            assert_that!(faults(&items), is_empty());
+            assert_that!(find_violations(&items), is_empty());
             *compared.entry(code(&outcome)).or_default() += 1;
         }
     }
@@ -322,7 +323,8 @@
     for seed in 0..12 {
         let mut draw = Draw { rng: fastrand::Rng::with_seed(2000 + seed), clock: 0, bulk: seed % 4 == 0 };
         let orders: Vec<Vec<ConfigItem>> = (0..400).map(|_| draw.order()).collect();
-        let (mut one, mut other) = (ConfigState::bounded(FEW), ConfigState::bounded(FEW));
+        let (mut one, mut other) =
+            (ConfigState::with_history_limit(FEW), ConfigState::with_history_limit(FEW));
         for (index, order) in (1..).zip(&orders) {
             let outcome = one.apply(index, order);
             assert_that!(other.apply(index, &reread(order)), eq(&outcome));
@@ -332,7 +334,7 @@
                 // Indexes, histories, floors and tombstones too.
                 other = ConfigState::decode_bounded(&bytes, FEW).expect("decoded");
                 assert_that!(other, eq(&one));
-                assert_that!(other.render(), eq(&one.render()));
+                assert_that!(other.to_json(), eq(&one.to_json()));
             }
         }
     }
@@ -372,7 +374,7 @@
 /// Guards contents told apart, or taken for the same, otherwise than by an earlier build or another member.
 #[gtest]
 fn content_is_the_same_whatever_its_layout() {
-    let hash = |text: &str| content_hash(serde_json::from_str::<Value>(text).expect("JSON").as_object());
+    let hash = |text: &str| verbatim_hash(serde_json::from_str::<Value>(text).expect("JSON").as_object());
     let same = hash(r#"{"a":1,"b":[true,"x"],"c":{"d":-2,"e":0.5}}"#);
     for text in [
         r#"{"c":{"e":5e-1,"d":-2.0},"b":[true,"x"],"a":1.0}"#,
@@ -391,7 +393,7 @@
         expect_that!(hash(text), not(eq(same)), "{text}");
     }
     // On disks since the first build: these never change.
-    expect_that!(content_hash(None), eq(whinstall::ground::hash("dropped")));
+    expect_that!(verbatim_hash(None), eq(whinstall::ground::hash("dropped")));
     expect_that!(hash("{}"), eq(whinstall::ground::hash("{0")));
     expect_that!(
         same,
@@ -405,7 +407,7 @@
 fn what_is_forgotten_is_left_open() {
     let mut state = ConfigState::default();
     // One holds; three more than are remembered were overtaken.
-    let newest = HISTORY_MAX as u64 + 1 + 3;
+    let newest = MAX_SUPERSEDED_VERSIONS as u64 + 1 + 3;
     for version in 1..=newest {
         expect_that!(code(&state.apply(version, &[service("s", version, version)])), eq("taken"));
     }
@@ -414,7 +416,7 @@
         expect_that!(code(&state.apply(99, &[service("s", version, version)])), eq(told[0]), "{version}");
         expect_that!(code(&state.apply(99, &[service("s", version, 0)])), eq(told[1]), "{version}");
     }
-    let many = TOMBSTONES_MAX as u64 + 10;
+    let many = MAX_TOMBSTONES as u64 + 10;
     let label = |n: u64| format!("t{n}");
     for n in 1..=many {
         expect_that!(code(&state.apply(100 + n, &[tenant(&label(n), n, &["k"])])), eq("taken"));
@@ -462,7 +464,10 @@
             sizes.push(state.encode().len());
             println!("{index} changes of 300 tenants: {} bytes encoded", sizes[sizes.len() - 1]);
             // An overtaken number takes 3 x 9 bytes and a head at the most, an item here under 120.
-            expect_that!(sizes[sizes.len() - 1], le(HISTORY_MAX * 28 + (300 + TOMBSTONES_MAX) * 120));
+            expect_that!(
+                sizes[sizes.len() - 1],
+                le(MAX_SUPERSEDED_VERSIONS * 28 + (300 + MAX_TOMBSTONES) * 120)
+            );
         }
     }
     // Full at 30,000: from there only the numbers themselves get longer.
@@ -479,15 +484,16 @@
         let (mut state, mut items, mut view) =
             (ConfigState::default(), ItemSet::default(), ActiveConfig::default());
         for index in 1..150 {
-            let ChangeOutcome::Taken(changed) = state.apply(index, &draw.order()) else { continue };
+            let ChangeOutcome::Applied(changed) = state.apply(index, &draw.order()) else { continue };
             merge(&mut items, changed.iter().map(|i| &**i));
             let kinds = changed.iter().map(|i| i.kind).collect();
-            let parts: Vec<ActiveItem> = state.standing().filter_map(|i| ActiveItem::of(i)).collect();
-            view = view.refold(parts.iter(), &kinds);
-            assert_that!(view, eq(&ActiveConfig::fold(&items)));
-            let mut shuffled: Vec<&ConfigItem> = items.all().collect();
+            let parts: Vec<ActiveItem> =
+                state.active_items().filter_map(|i| ActiveItem::from_item(i)).collect();
+            view = view.with_changed_kinds(parts.iter(), &kinds);
+            assert_that!(view, eq(&ActiveConfig::from_item_set(&items)));
+            let mut shuffled: Vec<&ConfigItem> = items.iter().collect();
             draw.rng.shuffle(&mut shuffled);
-            assert_that!(ActiveConfig::fold_items(shuffled.into_iter()), eq(&view));
+            assert_that!(ActiveConfig::from_items(shuffled.into_iter()), eq(&view));
         }
     }
 }
--- a/crates/gateway/src/configuration/tests.rs
+++ b/crates/gateway/src/configuration/tests.rs
@@ -1,14 +1,14 @@
 //! What operators may send, and what must be turned back.
 
 use super::active_config::ActiveItem;
-use super::change::{faults, judge};
+use super::change::{find_violations, validate_change};
 use super::replica::{ConfigReplica, ReplicaUpdate};
-use super::{read_call, ActiveConfig, ConfigItem, ItemKind, ItemSet};
+use super::{parse_change, ActiveConfig, ConfigItem, ItemKind, ItemSet};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 
 fn call(body: &Value) -> Vec<ConfigItem> {
-    read_call(body.to_string().as_bytes()).expect("readable")
+    parse_change(body.to_string().as_bytes()).expect("readable")
 }
 
 fn route(label: &str, host: &str, prefix: &str, service: &str, revision: &str) -> Value {
@@ -36,7 +36,7 @@
 fn held(calls: &[Value]) -> ItemSet {
     let mut items = ItemSet::default();
     for body in calls {
-        for item in judge(&items, &call(body)).expect("valid") {
+        for item in validate_change(&items, &call(body)).expect("valid") {
             items.merge(item);
         }
     }
@@ -72,23 +72,24 @@
     ];
     let items = held(&[first()]);
     for (what, body) in cases {
-        let judged = read_call(body.to_string().as_bytes()).and_then(|call| judge(&items, &call));
+        let judged =
+            parse_change(body.to_string().as_bytes()).and_then(|call| validate_change(&items, &call));
         let error = judged.expect_err(what).to_string();
         expect_that!(error, contains_substring(what), "{body}");
     }
     let whole = first().to_string();
     for end in 1..whole.len() {
-        expect_that!(read_call(&whole.as_bytes()[..end]), err(anything()));
+        expect_that!(parse_change(&whole.as_bytes()[..end]), err(anything()));
     }
     let ragged =
         json!({ "upsert": { "tenant_set": { "columns": ["label", "revision"], "records": [["t9"]] } } });
-    expect_that!(read_call(ragged.to_string().as_bytes()), err(anything()));
+    expect_that!(parse_change(ragged.to_string().as_bytes()), err(anything()));
 }
 
 /// Guards a call of which one part would be dropped unseen and yet acknowledged.
 #[gtest]
 fn what_is_said_twice_is_not_read() {
-    let read = |text: &str| read_call(text.as_bytes()).map(|items| items.len()).map_err(|e| e.to_string());
+    let read = |text: &str| parse_change(text.as_bytes()).map(|items| items.len()).map_err(|e| e.to_string());
     let one = r#""tenant_set":[{"label":"t1","revision":"r1"}]"#;
     let other = r#""tenant_set":[{"label":"t2","revision":"r1"}]"#;
     expect_that!(read(&format!(r#"{{"upsert":{{{one}}}}}"#)), ok(eq(&1)));
@@ -119,18 +120,18 @@
     let both = json!({ "upsert": { "route_set": routes(json!([route("r3", "b.example", "/", "s3", "r9")])),
         "service_set": { "columns": ["label", "revision"], "records": [["s3", "r9"]] } } });
     for body in [&moved, &both] {
-        for item in judge(&items, &call(body)).expect("valid") {
+        for item in validate_change(&items, &call(body)).expect("valid") {
             items.merge(item);
         }
     }
     // The first call again: it has no effect, though t1 and t2 would share a key with what stands now.
-    expect_that!(judge(&items, &call(&first())), ok(is_empty()));
+    expect_that!(validate_change(&items, &call(&first())), ok(is_empty()));
     // A service that a route still names can't go alone, but it can go with its route.
     let alone = json!({ "remove": { "service_set": [{ "label": "s3", "revision": "r10" }] } });
-    expect_that!(judge(&items, &call(&alone)), err(anything()));
+    expect_that!(validate_change(&items, &call(&alone)), err(anything()));
     let with = json!({ "remove": { "service_set": [{ "label": "s3", "revision": "r10" }],
         "route_set": [{ "label": "r3", "revision": "r10" }] } });
-    expect_that!(judge(&items, &call(&with)), ok(len(eq(2))));
+    expect_that!(validate_change(&items, &call(&with)), ok(len(eq(2))));
 }
 
 /// Guards operators whose calls would be refused for ever once two of them gave a key to two tenants at once.
@@ -142,17 +143,20 @@
             "records": [[tenant, ["k9"], revision]] } } })
     };
     let (one, other) = (call(&key("t1", "r11")), call(&key("t2", "r12")));
-    expect_that!(judge(&items, &one), ok(anything()));
-    expect_that!(judge(&items, &other), ok(anything()));
+    expect_that!(validate_change(&items, &one), ok(anything()));
+    expect_that!(validate_change(&items, &other), ok(anything()));
     for item in one.into_iter().chain(other) {
         items.merge(item);
     }
-    expect_that!(faults(&items), len(eq(1)));
+    expect_that!(find_violations(&items), len(eq(1)));
     // The newer version has the key, and other calls go on.
-    expect_that!(&*ActiveConfig::fold(&items).tenant("k9").expect("held").label, eq("t2"));
+    expect_that!(
+        &*ActiveConfig::from_item_set(&items).tenant_by_credential("k9").expect("held").label,
+        eq("t2")
+    );
     let more =
         json!({ "upsert": { "route_set": routes(json!([route("r4", "c.example", "/", "s1", "r13")])) } });
-    expect_that!(judge(&items, &call(&more)), ok(len(eq(1))));
+    expect_that!(validate_change(&items, &call(&more)), ok(len(eq(1))));
 }
 
 #[gtest]
@@ -168,7 +172,7 @@
         for item in order.iter().chain(order) {
             items.merge(item.clone());
         }
-        (items.digest(), items.render())
+        (items.digest(), items.to_json())
     };
     let told = fold(&all);
     for _ in 0..50 {
@@ -180,21 +184,21 @@
 #[gtest]
 fn what_is_read_back_can_be_sent_again_and_differs_in_nothing() {
     let items = held(&[first()]);
-    let read = items.render();
+    let read = items.to_json();
     let again = call(&json!({ "upsert": read }));
     let mut copy = ItemSet::default();
     for item in again {
         copy.merge(item);
     }
     expect_that!(copy.digest(), eq(items.digest()));
-    expect_that!(copy.render(), eq(&read));
+    expect_that!(copy.to_json(), eq(&read));
     expect_that!(copy.body(ItemKind::Saturation, "").expect("held")["idle_cutoff"], eq(&json!("15000ms")));
 }
 
 #[gtest]
 fn the_longest_prefix_of_a_host_has_a_request() {
-    let view = ActiveConfig::fold(&held(&[first()]));
-    let label = |host, path| view.route(host, path).map(|r| r.label.to_string());
+    let view = ActiveConfig::from_item_set(&held(&[first()]));
+    let label = |host, path| view.match_route(host, path).map(|r| r.label.to_string());
     expect_that!(label("a.example", "/x/y/z"), some(eq("r2")));
     expect_that!(label("A.example:8080", "/x/z"), some(eq("r1")));
     expect_that!(label("a.example", "/x"), none());
@@ -206,27 +210,33 @@
 fn a_gatekeepers_copy_serves_by_what_stands() {
     let mut items = held(&[first()]);
     let mut copy = ConfigReplica::default();
-    expect_that!(copy.take(None, 3, items.all().cloned().collect()), eq(ReplicaUpdate::Taken));
-    expect_that!(ActiveConfig::fold_parts(copy.parts()), eq(&ActiveConfig::fold(&items)));
+    expect_that!(copy.apply_update(None, 3, items.iter().cloned().collect()), eq(ReplicaUpdate::Applied));
+    expect_that!(
+        ActiveConfig::from_active_items(copy.active_items()),
+        eq(&ActiveConfig::from_item_set(&items))
+    );
     let change = call(&json!({ "upsert": {
             "route_set": routes(json!([route("r1", "A.example", "/x/", "s2", "r8")])),
             "tenant_set": { "columns": ["label", "credentials", "rank", "revision"], "records": [["t1", ["k2", "k4"], 1, "r8"]] },
             "saturation": { "body_max_bytes": 9, "revision": "r8" } },
         "remove": { "route_set": [{ "label": "r2", "revision": "r9" }], "tenant_set": [{ "label": "t2", "revision": "r9" }] } }));
-    expect_that!(copy.take(Some(3), 5, change.clone()), eq(ReplicaUpdate::Taken));
+    expect_that!(copy.apply_update(Some(3), 5, change.clone()), eq(ReplicaUpdate::Applied));
     for item in change {
         items.merge(item);
     }
-    let view = ActiveConfig::fold_parts(copy.parts());
-    expect_that!(view, eq(&ActiveConfig::fold(&items)));
-    expect_that!(view.tenant("k1"), none());
-    expect_that!(view.tenant("k3"), none());
-    expect_that!(&*view.tenant("k4").expect("held").label, eq("t1"));
-    expect_that!(view.saturation.body_bytes, eq(9));
-    expect_that!(view.route("a.example", "/x/y/").map(|r| &*r.label), some(eq("r1")));
+    let view = ActiveConfig::from_active_items(copy.active_items());
+    expect_that!(view, eq(&ActiveConfig::from_item_set(&items)));
+    expect_that!(view.tenant_by_credential("k1"), none());
+    expect_that!(view.tenant_by_credential("k3"), none());
+    expect_that!(&*view.tenant_by_credential("k4").expect("held").label, eq("t1"));
+    expect_that!(view.client_limits.max_body_bytes, eq(9));
+    expect_that!(view.match_route("a.example", "/x/y/").map(|r| &*r.label), some(eq("r1")));
     // What stands anew as a whole: nothing of before is left.
-    expect_that!(copy.take(None, 7, call(&first())), eq(ReplicaUpdate::Taken));
-    expect_that!(ActiveConfig::fold_parts(copy.parts()), eq(&ActiveConfig::fold(&held(&[first()]))));
+    expect_that!(copy.apply_update(None, 7, call(&first())), eq(ReplicaUpdate::Applied));
+    expect_that!(
+        ActiveConfig::from_active_items(copy.active_items()),
+        eq(&ActiveConfig::from_item_set(&held(&[first()])))
+    );
 }
 
 /// Guards the memory of gatekeepers, which hold tens of thousands of these.
--- a/crates/gateway/src/control_plane/calls_tests.rs
+++ b/crates/gateway/src/control_plane/calls_tests.rs
@@ -28,7 +28,7 @@
     while now < to {
         for effect in std::mem::take(&mut out) {
             if let Effect::Persist(put) = effect {
-                core.handle(now, Event::Disk(put.number), &mut out);
+                core.handle(now, Event::Disk(put.sequence), &mut out);
             }
         }
         core.handle(now, Event::Tick, &mut out);
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -156,7 +156,7 @@
             OperatorResponse::Accepted => (200, json!({})),
             OperatorResponse::Rejected(status, why) => (status, error_body(why)),
             OperatorResponse::Undetermined(why) => (503, error_body(why)),
-            OperatorResponse::Read(index) if self.applied >= index => (200, self.state.render()),
+            OperatorResponse::Read(index) if self.applied >= index => (200, self.state.to_json()),
             OperatorResponse::Read(index) => {
                 // The leader was ahead of this machine: once this has caught up.
                 return self.behind.push((index, call, shared.now + CALL_WITHIN));
@@ -173,17 +173,17 @@
         (raft, shared): (&Raft<LogCommand>, &mut CoreContext),
         out: &mut Vec<Effect>,
     ) -> Option<(Index, Vec<Arc<ConfigItem>>)> {
-        let before = self.state.index();
+        let before = self.state.last_change_index();
         let outcome = self.state.apply(index, order);
         self.applied = index;
         let (answer, changed) = match outcome {
-            ChangeOutcome::Taken(items) => (OperatorResponse::Accepted, items),
-            ChangeOutcome::Known => (OperatorResponse::Accepted, Vec::new()),
+            ChangeOutcome::Applied(items) => (OperatorResponse::Accepted, items),
+            ChangeOutcome::AlreadyApplied => (OperatorResponse::Accepted, Vec::new()),
             ChangeOutcome::Conflict(error) => {
                 (OperatorResponse::Rejected(409, error.to_string()), Vec::new())
             }
             ChangeOutcome::Invalid(error) => (OperatorResponse::Rejected(400, error.to_string()), Vec::new()),
-            ChangeOutcome::Forgotten => {
+            ChangeOutcome::Indeterminate => {
                 (OperatorResponse::Undetermined("too old to tell what was taken".into()), Vec::new())
             }
         };
@@ -239,7 +239,7 @@
             let (ready, rest) = std::mem::take(&mut self.behind).into_iter().partition(|b| b.0 <= applied);
             self.behind = rest;
             let ready: Vec<(Index, CallId, f64)> = ready;
-            out.extend(ready.into_iter().map(|(_, call, _)| Effect::Reply(call, 200, self.state.render())));
+            out.extend(ready.into_iter().map(|(_, call, _)| Effect::Reply(call, 200, self.state.to_json())));
         }
     }
 
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -135,7 +135,7 @@
         (config, workers, heard): (u64, u64, u64),
         out: &mut Vec<Effect>,
     ) {
-        let mine = (self.keeper.state.index(), self.roster.registry.digest());
+        let mine = (self.keeper.state.last_change_index(), self.roster.registry.digest());
         let (leave, last) = (self.leave(now), self.roster.last());
         let settled = leave.whole && self.roster.settled(now);
         let Some(caller) = self.callers.get_mut(&conn) else { return };
@@ -191,7 +191,7 @@
 
     /// What a gatekeeper lacks, as far as its connection takes it.
     fn serve(&mut self, conn: ConnectionId, leave: &SendPermissions, out: &mut Vec<Effect>) {
-        let mine = (self.keeper.state.index(), self.roster.registry.digest(), self.roster.last());
+        let mine = (self.keeper.state.last_change_index(), self.roster.registry.digest(), self.roster.last());
         let (Some(caller), last) = (self.callers.get_mut(&conn), mine.2) else { return };
         let Some((config, workers)) = caller.holds else { return };
         if leave.whole {
@@ -216,8 +216,8 @@
         let mut whole = Vec::new();
         let state = &self.keeper.state;
         if !std::mem::replace(&mut caller.told, true) && !state.is_empty() {
-            let items: Vec<ConfigItem> = state.standing().map(|i| (**i).clone()).collect();
-            whole.push(PeerMessage::ConfigUpdate { previous: None, index: state.index(), items });
+            let items: Vec<ConfigItem> = state.active_items().map(|i| (**i).clone()).collect();
+            whole.push(PeerMessage::ConfigUpdate { previous: None, index: state.last_change_index(), items });
         }
         if caller.workers.is_none() {
             caller.workers = Some(last);
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -35,7 +35,7 @@
 fn a_gatekeeper_hears_of_machines_that_are_heard_after_it_came() {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.seeds, settings.cold_start) = (ip(3), vec![(ip(3), 80).into()], false);
-    let held = LoadedState { disk: 7, fresh: true, ..LoadedState::default() };
+    let held = LoadedState { disk_id: 7, is_new: true, ..LoadedState::default() };
     let mut core = CoreNode::new(1000.0, settings, held).expect("a core");
     let mut out = Vec::new();
     core.start(&mut out);
@@ -125,7 +125,7 @@
     fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Persist(put) => self.event(Event::Disk(put.number)),
+                Effect::Persist(put) => self.event(Event::Disk(put.sequence)),
                 Effect::Return(conn, msg) => {
                     *self.said.entry(kind(&msg)).or_default() += encode(&msg).len();
                     let Some(n) = self.edges.iter().position(|g| g.conn == conn) else { continue };
@@ -202,7 +202,7 @@
             "service_set": { "columns": ["label", "probe_path", "revision"], "records": services },
             "route_set": { "columns": of, "records": routes },
         }});
-        let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
+        let items = crate::configuration::parse_change(body.to_string().as_bytes()).expect("a call");
         self.event(Event::Call(1, ApiCommand::Amend(items)));
     }
 
@@ -210,7 +210,7 @@
         let body = json!({ "upsert": { "service_set": {
             "columns": ["label", "probe_path", "revision"], "records": [["s0", "/health", format!("r{version}")]],
         }}});
-        let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
+        let items = crate::configuration::parse_change(body.to_string().as_bytes()).expect("a call");
         self.event(Event::Call(version, ApiCommand::Amend(items)));
     }
 
@@ -227,7 +227,7 @@
             PeerMessage::Ping { config_index: config, workers_digest: workers, .. } => (config, workers),
             _ => (0, 0),
         };
-        let mine = (self.core.keeper.state.index(), self.core.roster.registry.digest());
+        let mine = (self.core.keeper.state.last_change_index(), self.core.roster.registry.digest());
         self.edges.iter().all(|g| of(&g.edge) == mine)
     }
 }
--- a/crates/gateway/src/control_plane/event_journal.rs
+++ b/crates/gateway/src/control_plane/event_journal.rs
@@ -39,7 +39,7 @@
     fn tell(&self) -> Value {
         match self {
             JournalEvent::Item(i) => {
-                json!({ "item": i.label, "list": i.kind.list(), "revision": format!("r{}", i.version), "dropped": i.body.is_none() })
+                json!({ "item": i.label, "list": i.kind.set_name(), "revision": format!("r{}", i.version), "dropped": i.body.is_none() })
             }
             JournalEvent::Worker(w) => {
                 json!({ "worker": &*w.id, "service_ref": &*w.service, "phase": phase(w.phase), "call_count": w.call_count })
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -161,15 +161,15 @@
     /// Starts with what its disk holds.
     pub fn new(now: f64, settings: Settings, held: LoadedState) -> Result<Self, String> {
         let shared = CoreContext::new(now, settings);
-        let (state, record) = match &held.raft.snapshot {
+        let (state, record) = match &held.raft_state.snapshot {
             Some(held) if !held.data.is_empty() => snapshot::decode(&held.data)?,
             _ => (ConfigState::default(), None),
         };
-        let applied = held.raft.snapshot.as_ref().map_or(0, |s| s.index);
-        let snapshot = held.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
-        let me = NodeId { ip: shared.me.ip, disk: held.disk };
-        let blank = held.raft.log.is_empty() && held.raft.snapshot.is_none();
-        let raft = Raft::new(shared.ms(now), me, held.raft, replicated_log::tuning(&shared.settings));
+        let applied = held.raft_state.snapshot.as_ref().map_or(0, |s| s.index);
+        let snapshot = held.raft_state.snapshot.as_ref().map_or(0, |s| s.data.len());
+        let me = NodeId { ip: shared.me.ip, disk: held.disk_id };
+        let blank = held.raft_state.log.is_empty() && held.raft_state.snapshot.is_none();
+        let raft = Raft::new(shared.ms(now), me, held.raft_state, replicated_log::tuning(&shared.settings));
         let mut core = CoreNode {
             keeper: ConfigurationService::new(state, applied),
             roster: WorkerMembership::new(&shared.settings, now, held.workers),
@@ -193,7 +193,7 @@
         // The whole system starts for the first time: the seeds begin, each with its first disk. One that died before
         // this was synced begins so again, though it isn't told any more that it is the first start.
         let s = &core.shared.settings;
-        if blank && held.disk == 0 && s.is_seed() {
+        if blank && held.disk_id == 0 && s.is_seed() {
             let seeds = s.seeds.iter().map(|s| NodeId { ip: s.ip(), disk: 0 }).collect();
             core.raft.bootstrap(core.shared.ms(now), seeds);
         }
@@ -385,7 +385,7 @@
         if !workers.is_empty() {
             let number = self.shared.number();
             out.push(Effect::Persist(WriteBatch {
-                number,
+                sequence: number,
                 workers: workers.to_vec(),
                 ..WriteBatch::default()
             }));
@@ -445,7 +445,7 @@
         self.ticked = now;
         if now - self.pinged >= PING {
             self.pinged = now;
-            let (config, workers) = (self.keeper.state.index(), self.roster.registry.digest());
+            let (config, workers) = (self.keeper.state.last_change_index(), self.roster.registry.digest());
             let ping = |ip| {
                 Effect::Send(
                     ip,
@@ -491,7 +491,7 @@
 
 /// The limits of a tenant, as configured.
 fn limit(state: &ConfigState, name: &str) -> Option<TenantLimit> {
-    state.quota(name).map(|(rate, burst)| TenantLimit { rate, burst })
+    state.tenant_rate(name).map(|t| TenantLimit { rate: t.requests_per_sec, burst: t.burst })
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -70,7 +70,8 @@
 fn weight(command: &LogCommand) -> usize {
     match command {
         LogCommand::Configure(order) => {
-            let item = |i: &ConfigItem| 60 + i.label.len() + i.body.as_ref().map_or(0, ItemFields::size);
+            let item =
+                |i: &ConfigItem| 60 + i.label.len() + i.body.as_ref().map_or(0, ItemFields::encoded_len);
             order.iter().map(item).sum::<usize>() + 50
         }
         LogCommand::Shares(shares) => shares.edges.iter().map(|g| 40 + 20 * g.2.len()).sum::<usize>() + 50,
@@ -172,8 +173,8 @@
             let number = self.shared.number();
             making.put = Some(number);
             return out.push(Effect::Persist(WriteBatch {
-                number,
-                part: Some(part),
+                sequence: number,
+                snapshot_chunk: Some(part),
                 ..WriteBatch::default()
             }));
         }
@@ -204,7 +205,11 @@
         self.log_side.taking = Some(taking);
         if part.is_some() {
             let number = self.shared.number();
-            out.push(Effect::Persist(WriteBatch { number, part, ..WriteBatch::default() }));
+            out.push(Effect::Persist(WriteBatch {
+                sequence: number,
+                snapshot_chunk: part,
+                ..WriteBatch::default()
+            }));
         }
     }
 
@@ -215,7 +220,11 @@
                 Output::Persist(number, writes) => {
                     let put = self.shared.number();
                     self.log_side.puts.push((put, number));
-                    out.push(Effect::Persist(WriteBatch { number: put, writes, ..WriteBatch::default() }));
+                    out.push(Effect::Persist(WriteBatch {
+                        sequence: put,
+                        log_writes: writes,
+                        ..WriteBatch::default()
+                    }));
                 }
                 Output::Send(to, message) => {
                     let message = PeerMessage::Consensus { from: self.raft.me(), to, message };
--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -2,7 +2,7 @@
 //! to the disk ahead of the write that makes them count, so that neither heartbeats nor entries wait for megabytes. It
 //! must never decide when the log is cut.
 
-use crate::configuration::state::{Decoder, Encoder};
+use crate::configuration::state::{StateDecoder, StateEncoder};
 use crate::configuration::ConfigState;
 use crate::consensus::{Index, Term};
 use crate::protocol::share_ceilings::ShareCeilings;
@@ -25,7 +25,7 @@
 /// This machine's own, as of an entry.
 pub(super) struct SnapshotWriter {
     pub(super) of: (Index, Term),
-    encoder: Encoder,
+    encoder: StateEncoder,
     bytes: Vec<u8>,
     /// So much of it is on its way to the disk.
     ahead: usize,
@@ -53,7 +53,7 @@
     /// Encodes a step more; what is to be put on the disk, or nothing: it is whole.
     pub(super) fn step(&mut self) -> Option<SnapshotChunk> {
         while self.bytes.len() < self.ahead + STEP {
-            if !self.encoder.step(&mut self.bytes) {
+            if !self.encoder.encode_frame(&mut self.bytes) {
                 return None;
             }
         }
@@ -70,13 +70,17 @@
 fn part(of: (Index, Term), ahead: &mut usize, bytes: &[u8]) -> SnapshotChunk {
     let (offset, end) = (*ahead, bytes.len() / SNAPSHOT_CHUNK_BYTES * SNAPSHOT_CHUNK_BYTES);
     *ahead = end;
-    SnapshotChunk { of, offset: offset as u64, data: Bytes::copy_from_slice(&bytes[offset..end]) }
+    SnapshotChunk {
+        snapshot: of.into(),
+        offset: offset as u64,
+        data: Bytes::copy_from_slice(&bytes[offset..end]),
+    }
 }
 
 /// A leader's.
 pub(super) struct SnapshotReceiver {
     of: (Index, Term),
-    decoder: Decoder,
+    decoder: StateDecoder,
     shares: Option<Option<Arc<ShareCeilings>>>,
     /// So much of it is decoded.
     at: usize,
@@ -86,7 +90,7 @@
 
 impl SnapshotReceiver {
     pub(super) fn new(of: (Index, Term)) -> Self {
-        SnapshotReceiver { of, decoder: Decoder::default(), shares: None, at: 0, ahead: 0, wrong: None }
+        SnapshotReceiver { of, decoder: StateDecoder::default(), shares: None, at: 0, ahead: 0, wrong: None }
     }
 
     /// Does it go on from what came before?
@@ -112,7 +116,7 @@
 
     fn step(&mut self, bytes: &[u8]) -> Result<usize, String> {
         if self.shares.is_some() {
-            return self.decoder.step(bytes).map_err(|e| e.to_string());
+            return self.decoder.decode_frame(bytes).map_err(|e| e.to_string());
         }
         match bytes.first() {
             None => return Ok(0),
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -173,20 +173,20 @@
     }
 
     fn persist(&mut self, n: usize, put: WriteBatch) {
-        let cut = put.writes.iter().any(|w| matches!(w, LogWrite::Snapshot { .. }));
-        let what = match (&put.part, cut) {
+        let cut = put.log_writes.iter().any(|w| matches!(w, LogWrite::Snapshot { .. }));
+        let what = match (&put.snapshot_chunk, cut) {
             (Some(_), _) => "write a part of a snapshot",
             (None, true) => "write a snapshot's end and cut the log",
             (None, false) => "write anything else",
         };
-        if let Some(part) = &put.part {
+        if let Some(part) = &put.snapshot_chunk {
             self.parts = (self.parts.0.max(part.data.len()), self.parts.1 + 1);
         }
         let since = Instant::now();
         let store = self.nodes[n].store.as_mut().expect("a disk");
         store.write(std::slice::from_ref(&put)).expect("writes");
         self.cost(what, since);
-        self.queue.push_back((n, Event::Disk(put.number)));
+        self.queue.push_back((n, Event::Disk(put.sequence)));
     }
 
     fn work(&mut self) {
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -178,7 +178,7 @@
             "committed": self.raft.commit(),
             "applied": self.keeper.applied,
             "last": self.raft.last(),
-            "configuration_index": self.keeper.state.index(),
+            "configuration_index": self.keeper.state.last_change_index(),
             "log_entries": entries,
             "snapshot_index": base,
             "snapshot_bytes": self.snapshot_bytes(),
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -157,7 +157,7 @@
         let (terms, budget) = (quota_terms(&settings), budget_terms(&settings));
         let items = ConfigReplica::default();
         EdgeNode {
-            view: Arc::new(ActiveConfig::fold_parts(items.parts())),
+            view: Arc::new(ActiveConfig::from_active_items(items.active_items())),
             items,
             registry: WorkerRegistry::default(),
             quota: QuotaAdmission::new(terms, &settings.node),
@@ -203,15 +203,15 @@
 
     /// Can clients be served? Once the configuration and its workers are known and the counter was met.
     pub fn is_ready(&self, now: f64) -> bool {
-        let limited = self.view.tenants().values().any(|t| t.rate > 0.0);
+        let limited = self.view.tenants_by_label().values().any(|t| t.requests_per_sec > 0.0);
         self.drain.is_none() && self.can_serve() && !(limited && self.quota.is_lapsed(now))
     }
 
     /// The same without regard to an end.
     pub fn can_serve(&self) -> bool {
         let mut routed =
-            self.view.routes().flat_map(|r| r.mixture.iter().filter(|m| m.1 > 0.0).map(|m| &m.0));
-        let limited = self.view.tenants().values().any(|t| t.rate > 0.0);
+            self.view.routes().flat_map(|r| r.service_weights.iter().filter(|m| m.1 > 0.0).map(|m| &m.0));
+        let limited = self.view.tenants_by_label().values().any(|t| t.requests_per_sec > 0.0);
         let has = |service: &Arc<str>| {
             self.registry.all().any(|w| w.service == *service && w.phase == WorkerPhase::Serving)
         };
@@ -368,18 +368,18 @@
                 let count = items.len();
                 let whole = from.is_none();
                 let kinds: BTreeSet<ItemKind> = items.iter().map(|i| i.kind).collect();
-                match self.items.take(from, index, items) {
-                    ReplicaUpdate::Taken => {
+                match self.items.apply_update(from, index, items) {
+                    ReplicaUpdate::Applied => {
                         let view = match whole {
-                            true => ActiveConfig::fold_parts(self.items.parts()),
-                            false => self.view.refold(self.items.parts(), &kinds),
+                            true => ActiveConfig::from_active_items(self.items.active_items()),
+                            false => self.view.with_changed_kinds(self.items.active_items(), &kinds),
                         };
                         self.view = Arc::new(view);
                         tracing::info!(index, items = count, "configuration in force");
                     }
                     // Told again, by whoever speaks for all.
                     ReplicaUpdate::Gap => {}
-                    ReplicaUpdate::Old => return,
+                    ReplicaUpdate::Stale => return,
                 }
                 if whole || self.items.index() < index {
                     // What is large is not to wait for the next ping: the core goes on once it was heard.
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -48,24 +48,24 @@
     /// A request whose route and tenant are known.
     pub fn arrived(&mut self, now: f64, arrival: IncomingRequest, out: &mut Vec<Effect>) {
         let IncomingRequest { id, route, tenant, left } = arrival;
-        let Some(service) = route.service(self.rng.f64()).cloned() else {
+        let Some(service) = route.pick_service(self.rng.f64()).cloned() else {
             return out.push(Effect::Answer(id, FinalResponse::Refused(0.1)));
         };
-        let left = route.cutoff.map_or(left, |c| left.min(c.as_secs_f64())) - MARGIN;
-        let target = route.target.as_secs_f64();
+        let left = route.timeout.map_or(left, |c| left.min(c.as_secs_f64())) - MARGIN;
+        let target = route.latency_target.as_secs_f64();
         if self.drain.is_some_and(|drain| !drain.takes(now, target, left)) {
             return out.push(Effect::Answer(id, FinalResponse::Refused(drain::RETRY_AFTER)));
         }
         let left = self.time_for(now, left);
-        let rank = tenant.as_ref().and_then(|t| t.rank).unwrap_or(route.rank);
+        let rank = tenant.as_ref().and_then(|t| t.priority).unwrap_or(route.priority);
         self.service(&service);
         let request = PendingRequest {
             service,
-            sort: RequestClass { repeatable: route.repeatable, target: route.target, rank },
+            sort: RequestClass { repeatable: route.is_idempotent, target: route.latency_target, rank },
             tenant: tenant.as_ref().map(|t| Arc::clone(&t.label)),
             arrived: now,
             deadline: now + left,
-            progress: RequestState::new(route.repeatable, route.max_attempts),
+            progress: RequestState::new(route.is_idempotent, route.max_attempts),
             waits: None,
         };
         if left <= 0.0 || self.requests.contains_key(&id) {
@@ -78,10 +78,10 @@
     /// The ordinary path: charged against the window's total, refused at once beyond it, else to the module.
     fn admit(&mut self, now: f64, id: &RequestId, asked: GrantState, out: &mut Vec<Effect>) {
         let Some(r) = self.requests.get_mut(id) else { return };
-        let limits = r.tenant.as_ref().and_then(|t| self.view.tenants().get(t).cloned());
+        let limits = r.tenant.as_ref().and_then(|t| self.view.tenants_by_label().get(t).cloned());
         let (verdict, limited) = match (&r.tenant, limits) {
             (Some(name), Some(t)) => {
-                let limit = TenantLimit { rate: t.rate, burst: t.burst };
+                let limit = TenantLimit { rate: t.requests_per_sec, burst: t.burst };
                 (self.quota.admit(now, name, &limit, asked), limit.rate > 0.0)
             }
             _ => (AdmissionDecision::Pass, false),
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -2,7 +2,7 @@
 //! drawn, each request keeps the promises of its one answer.
 
 use super::*;
-use crate::configuration::read_call;
+use crate::configuration::parse_change;
 use crate::data_plane::drain::Unanswered;
 use crate::data_plane::Event;
 use crate::discovery::{Worker, WorkerPhase};
@@ -67,7 +67,7 @@
         };
         let core = "10.0.1.1".parse().expect("an address");
         day.with(|edge, _, out| edge.start(out));
-        let items = read_call(CONFIG.as_bytes()).expect("valid");
+        let items = parse_change(CONFIG.as_bytes()).expect("valid");
         let workers = (0..workers).map(|n| worker(n, WorkerPhase::Serving, 1)).collect();
         for msg in [
             PeerMessage::ConfigUpdate { previous: None, index: 1, items },
@@ -132,10 +132,10 @@
 
     fn arrives(&mut self, n: usize, path: &str, key: &str) {
         let view = Arc::clone(&self.edge.view);
-        let route = view.route("a.example", path).cloned().expect("a route");
-        let tenant = view.tenant(key).cloned();
+        let route = view.match_route("a.example", path).cloned().expect("a route");
+        let tenant = view.tenant_by_credential(key).cloned();
         let id = RequestId(format!("{n}").into());
-        let seen = Seen { once: !route.repeatable, arrived: self.now, ..Default::default() };
+        let seen = Seen { once: !route.is_idempotent, arrived: self.now, ..Default::default() };
         self.seen.insert(n.to_string(), seen);
         let arrival = IncomingRequest { id, route, tenant, left: 1.0 };
         self.with(|edge, now, out| edge.arrived(now, arrival, out));
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -1,7 +1,7 @@
 //! The driver of the core role: sockets, disk and clock around the state machine in `core`. It must never decide
 //! anything.
 
-use crate::configuration::read_call;
+use crate::configuration::parse_change;
 use crate::control_plane::{error_body, ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
 use crate::discovery::{Worker, WorkerPhase};
 use crate::json_path::{JsonNode, JsonPathError};
@@ -152,7 +152,8 @@
 fn command(head: &Request, body: &[u8]) -> Result<Option<ApiCommand>, String> {
     if http_server::is(head, Method::POST, "/whinstall/configuration/amend") {
         // Also a refusal wants most of the core in touch: the log's side decides when it is said.
-        let read = read_call(body).map_or_else(|e| ApiCommand::Unreadable(e.to_string()), ApiCommand::Amend);
+        let read =
+            parse_change(body).map_or_else(|e| ApiCommand::Unreadable(e.to_string()), ApiCommand::Amend);
         return Ok(Some(read));
     }
     if http_server::is(head, Method::GET, "/whinstall/configuration/read") {
@@ -202,7 +203,7 @@
 async fn open(data: &Path, first: bool) -> Result<(ReplicaStore, LoadedState), StorageError> {
     loop {
         match ReplicaStore::open(data, first) {
-            Err(error @ (StorageError::Database(_) | StorageError::Folder(_))) => {
+            Err(error @ (StorageError::Database(_) | StorageError::DataFolder(_))) => {
                 tracing::warn!(%error, "the disk can't be opened; trying again");
                 tokio::time::sleep(OPEN_AGAIN).await;
             }
@@ -231,12 +232,12 @@
     };
     tracing::info!(
         node = settings.node,
-        disk = format!("{:x}", held.disk),
-        fresh = held.fresh,
+        disk = format!("{:x}", held.disk_id),
+        fresh = held.is_new,
         cold_start = settings.cold_start,
-        term = held.raft.term,
-        snapshot = held.raft.snapshot.as_ref().map_or(0, |s| s.index),
-        entries = held.raft.log.len(),
+        term = held.raft_state.term,
+        snapshot = held.raft_state.snapshot.as_ref().map_or(0, |s| s.index),
+        entries = held.raft_state.log.len(),
         workers = held.workers.len(),
         "core role starts"
     );
@@ -255,7 +256,7 @@
         ending: Cell::new(false),
     });
     let (synced, mut syncs) = unbounded_channel();
-    *server.disk.borrow_mut() = Some(store.serve(move |number| {
+    *server.disk.borrow_mut() = Some(store.spawn_writer(move |number| {
         let _ = synced.send(number);
     }));
     let inner = TcpListener::bind((ip, port)).await.map_err(crate::runtime::RunError::Listen)?;
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -186,11 +186,11 @@
 
     fn bounds(&self) -> RequestLimits {
         let edge = self.edge.state.borrow();
-        let s = &edge.view.saturation;
+        let s = &edge.view.client_limits;
         RequestLimits {
-            head_bytes: s.header_bytes,
-            body_bytes: s.body_bytes,
-            head_within: s.header_deadline,
+            head_bytes: s.max_header_bytes,
+            body_bytes: s.max_body_bytes,
+            head_within: s.header_timeout,
             body_within: BODY_WITHIN,
         }
     }
@@ -199,7 +199,7 @@
     async fn converse(self: Rc<Self>, mut connection: Connection) {
         let mut ending = self.ending.subscribe();
         loop {
-            let idle = || self.edge.state.borrow().view.saturation.idle_cutoff;
+            let idle = || self.edge.state.borrow().view.client_limits.idle_timeout;
             if connection.rested(idle, &mut ending).await == IdleOutcome::Over {
                 // Dropped, not drained: a request that comes now must not be read, or its client can't repeat it.
                 return;
@@ -241,15 +241,15 @@
         if !self.edge.state.borrow().is_configured() {
             return Some(plain(FinalResponse::Refused(NOT_YET)));
         }
-        let Some(route) = view.route(host, head.path()).cloned() else {
+        let Some(route) = view.match_route(host, head.path()).cloned() else {
             return Some(http_server::plain(StatusCode::NOT_FOUND, "no route"));
         };
-        let tenant = match view.keyed && !route.unkeyed {
+        let tenant = match view.requires_credentials && !route.allows_anonymous {
             false => None,
             true => {
                 let mut keys = head.headers().get_all("api-key");
                 let key = keys.next().and_then(|k| k.to_str().ok());
-                match key.and_then(|key| view.tenant(key)).filter(|_| keys.next().is_none()) {
+                match key.and_then(|key| view.tenant_by_credential(key)).filter(|_| keys.next().is_none()) {
                     Some(tenant) => Some(Arc::clone(tenant)),
                     None => return Some(http_server::plain(StatusCode::UNAUTHORIZED, "unknown key")),
                 }
@@ -277,7 +277,7 @@
                 headers.remove(name);
             }
         }
-        let time = route.cutoff.map_or(left, |c| left.min(c)).as_secs_f64();
+        let time = route.timeout.map_or(left, |c| left.min(c)).as_secs_f64();
         let time = self.edge.state.borrow().work_time_for(self.edge.clock.now(), time).max(0.0);
         let forward = Rc::new(ForwardedRequest {
             method: head.method().clone(),
@@ -285,7 +285,7 @@
             headers,
             body,
             id: attempt_id,
-            repeatable: route.repeatable,
+            repeatable: route.is_idempotent,
             deadline: Instant::now() + Duration::from_secs_f64(time),
         });
         let id = RequestId(self.next.get().to_string().into());
--- a/crates/gateway/src/storage/bootstrap_marker.rs
+++ b/crates/gateway/src/storage/bootstrap_marker.rs
@@ -12,12 +12,12 @@
 use std::path::Path;
 
 /// The file.
-pub(crate) const NAME: &str = "replica.bootstrap";
+pub(crate) const MARKER_FILE: &str = "replica.bootstrap";
 
 /// Without a database in the folder: does the whole system begin here? So if this start is told so, and then the mark is
 /// synced when this returns; or if the mark of an earlier one is there.
-pub fn begins(folder: &Path, told: bool) -> Result<bool> {
-    let mark = folder.join(NAME);
+pub fn create_if_bootstrapping(folder: &Path, told: bool) -> Result<bool> {
+    let mark = folder.join(MARKER_FILE);
     let begins = told || mark.try_exists()?;
     if begins {
         // Also one that is found: a process that was killed may not have synced it.
@@ -28,8 +28,8 @@
 }
 
 /// The database stands, by name and synced: the mark goes, for good.
-pub fn done(folder: &Path) -> Result<()> {
-    match std::fs::remove_file(folder.join(NAME)) {
+pub fn remove(folder: &Path) -> Result<()> {
+    match std::fs::remove_file(folder.join(MARKER_FILE)) {
         Ok(()) => File::open(folder)?.sync_all(),
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(()),
         Err(e) => Err(e),
--- a/crates/gateway/src/storage/bootstrap_marker_tests.rs
+++ b/crates/gateway/src/storage/bootstrap_marker_tests.rs
@@ -1,7 +1,7 @@
 //! The first start cut at each of its steps: a seed of the whole system's first start comes back as one, and nobody else
 //! does.
 
-use crate::storage::bootstrap_marker::NAME as MARK;
+use crate::storage::bootstrap_marker::MARKER_FILE as MARK;
 use crate::storage::tests::Folder;
 use crate::storage::{LoadedState, ReplicaStore, DATABASE_FILE, LEGACY_DATABASE_FILE, WAL_FILE};
 use googletest::prelude::*;
@@ -45,10 +45,10 @@
                 put(&folder, WAL_FILE, b"");
             }
             let held = open(&folder, false);
-            expect_that!((held.disk, held.fresh), eq((0, true)), "{mark:?} {step:?}");
+            expect_that!((held.disk_id, held.is_new), eq((0, true)), "{mark:?} {step:?}");
             expect_that!(names(&folder), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
             let held = open(&folder, false);
-            expect_that!((held.disk, held.fresh), eq((0, false)), "{mark:?} {step:?}");
+            expect_that!((held.disk_id, held.is_new), eq((0, false)), "{mark:?} {step:?}");
         }
     }
 }
@@ -67,7 +67,7 @@
     expect_that!(ReplicaStore::open(&folder.0, false).is_err(), eq(true));
     expect_that!(names(&folder), elements_are![eq(MARK), eq("replica.making")]);
     std::fs::remove_dir(&obstacle).expect("removed");
-    expect_that!(open(&folder, false).disk, eq(0));
+    expect_that!(open(&folder, false).disk_id, eq(0));
 }
 
 /// Guards against a disk that takes the first identity though it isn't a disk of the first start.
@@ -75,19 +75,19 @@
 fn a_disk_without_the_mark_or_with_a_database_is_never_one_of_the_first_start() {
     // Power went before the mark was synced, or the disk was lost later: nothing is there.
     let folder = Folder::new("lost-later");
-    expect_that!(open(&folder, true).disk, eq(0));
+    expect_that!(open(&folder, true).disk_id, eq(0));
     for name in names(&folder) {
         std::fs::remove_file(folder.0.join(name)).expect("removed");
     }
-    let drawn = open(&folder, false).disk;
+    let drawn = open(&folder, false).disk_id;
     expect_that!(drawn, not(eq(0)));
     // A mark whose removal did not last, or any other beside a database: the database counts, the mark goes.
     put(&folder, MARK, b"");
     let held = open(&folder, false);
-    expect_that!((held.disk, held.fresh), eq((drawn, false)));
+    expect_that!((held.disk_id, held.is_new), eq((drawn, false)));
     expect_that!(names(&folder), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
     let held = open(&folder, true);
-    expect_that!((held.disk, held.fresh), eq((drawn, false)));
+    expect_that!((held.disk_id, held.is_new), eq((drawn, false)));
     expect_that!(names(&folder), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
 }
 
--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -68,13 +68,13 @@
     /// the database: {0}
     Database(rusqlite::Error),
     /// the data folder: {0}
-    Folder(std::io::Error),
+    DataFolder(std::io::Error),
     /// the disk holds what can't be read: {0}
     Row(String),
     /// the disk's format is {0}, of another version of this program
-    Format(i64),
+    UnsupportedFormat(i64),
     /// {0} is of the program before the replicated log; see `whinstall-gateway export` for how its items are taken over
-    Earlier(String),
+    LegacyDatabase(String),
 }
 
 impl std::error::Error for StorageError {}
@@ -87,7 +87,7 @@
 
 impl From<std::io::Error> for StorageError {
     fn from(e: std::io::Error) -> Self {
-        StorageError::Folder(e)
+        StorageError::DataFolder(e)
     }
 }
 
@@ -95,21 +95,36 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadedState {
     /// The disk's identity, for [`NodeId::disk`]; synced.
-    pub disk: u64,
+    pub disk_id: u64,
     /// Was it made just now?
-    pub fresh: bool,
+    pub is_new: bool,
     /// The replicated log.
-    pub raft: crate::consensus::PersistedState<LogCommand>,
+    pub raft_state: crate::consensus::PersistedState<LogCommand>,
     /// Workers as they were last known.
     pub workers: Vec<Worker>,
 }
 
+/// Names a snapshot by the last log entry that it covers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SnapshotId {
+    /// Index of that entry.
+    pub index: Index,
+    /// Term of that entry.
+    pub term: Term,
+}
+
+impl From<(Index, Term)> for SnapshotId {
+    fn from((index, term): (Index, Term)) -> Self {
+        SnapshotId { index, term }
+    }
+}
+
 /// Bytes of a snapshot that is still being made, or is still coming: written ahead, so that the snapshot itself is a
 /// short write. They count for nothing until that is written, and are worth nothing if it never is.
 #[derive(Clone, Debug)]
 pub struct SnapshotChunk {
-    /// The last entry that the snapshot covers, and its term.
-    pub of: (Index, Term),
+    /// The snapshot that the bytes belong to.
+    pub snapshot: SnapshotId,
     /// Where these bytes begin; those before them were put ahead.
     pub offset: u64,
     /// A multiple of [`PART`] of them.
@@ -120,13 +135,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct WriteBatch {
     /// Its number; numbers rise.
-    pub number: u64,
+    pub sequence: u64,
     /// Of the replicated log, in this order.
-    pub writes: Vec<LogWrite<LogCommand>>,
+    pub log_writes: Vec<LogWrite<LogCommand>>,
     /// Workers; those that ended go.
     pub workers: Vec<Worker>,
     /// Ahead of a snapshot.
-    pub part: Option<SnapshotChunk>,
+    pub snapshot_chunk: Option<SnapshotChunk>,
 }
 
 /// As SQLite counts.
@@ -203,7 +218,7 @@
 /// What is there of a snapshot that is not written yet.
 #[derive(Clone, Copy, Debug)]
 struct Ahead {
-    of: (Index, Term),
+    snapshot: SnapshotId,
     bytes: u64,
 }
 
@@ -232,7 +247,7 @@
     pub fn open(folder: &Path, first: bool) -> Result<(Self, LoadedState), StorageError> {
         let earlier = folder.join(LEGACY_DATABASE_FILE);
         if earlier.try_exists()? {
-            return Err(StorageError::Earlier(earlier.display().to_string()));
+            return Err(StorageError::LegacyDatabase(earlier.display().to_string()));
         }
         let bytes = |name: &str| match std::fs::metadata(folder.join(name)) {
             Ok(file) => Ok(Some(file.len())),
@@ -247,7 +262,7 @@
             (Some(_), Some(_)) => false,
         };
         if fresh {
-            let first = bootstrap_marker::begins(folder, first)?;
+            let first = bootstrap_marker::create_if_bootstrapping(folder, first)?;
             make(folder, if first { 0 } else { identity() })?;
         }
         // Also for a process that was killed between the new name and this.
@@ -265,12 +280,12 @@
         if mode != "wal" {
             return Err(StorageError::Row(format!("{DATABASE_FILE} is in journal mode {mode}")));
         }
-        let held = LoadedState { fresh, ..held(&db)? };
+        let held = LoadedState { is_new: fresh, ..held(&db)? };
         // What a process that was killed had written, and not synced, must last before it is spoken of.
         File::open(folder.join(WAL_FILE))?.sync_all()?;
-        bootstrap_marker::done(folder)?;
-        let behind = held.raft.snapshot.as_ref().map_or(0, |s| s.index);
-        let span = Span { behind, last: held.raft.log.last().map_or(behind, |e| e.index) };
+        bootstrap_marker::remove(folder)?;
+        let behind = held.raft_state.snapshot.as_ref().map_or(0, |s| s.index);
+        let span = Span { behind, last: held.raft_state.log.last().map_or(behind, |e| e.index) };
         Ok((ReplicaStore { db, span, ahead: None, tight: false, swept: false }, held))
     }
 
@@ -301,7 +316,7 @@
         if self.swept {
             return Ok(());
         }
-        let (kept, ahead) = (self.kept()?, rows(self.ahead.map_or(0, |a| a.of.0))?);
+        let (kept, ahead) = (self.kept()?, rows(self.ahead.map_or(0, |a| a.snapshot.index))?);
         let mut sweep = self.db.prepare_cached(
             "DELETE FROM snapshot_part WHERE part IN (SELECT part FROM snapshot_part
              WHERE (part < ?1 OR part >= ?2) AND (part < ?3 OR part >= ?4) LIMIT ?5)",
@@ -330,7 +345,7 @@
     }
 
     fn put(&mut self, put: &WriteBatch) -> Result<(), StorageError> {
-        for write in &put.writes {
+        for write in &put.log_writes {
             match write {
                 LogWrite::Hard(term, vote) => {
                     let vote = vote.as_ref().map(blob).transpose()?;
@@ -340,7 +355,7 @@
                 LogWrite::Snapshot { snapshot, whole } => self.snapshot(snapshot, *whole)?,
             }
         }
-        if let Some(part) = put.part.as_ref().filter(|_| !self.tight) {
+        if let Some(part) = put.snapshot_chunk.as_ref().filter(|_| !self.tight) {
             self.part(part)?;
         }
         for worker in &put.workers {
@@ -377,18 +392,18 @@
 
     fn part(&mut self, part: &SnapshotChunk) -> Result<(), StorageError> {
         // The first part begins anew, whatever is there.
-        let goes_on = self.ahead.filter(|a| part.offset > 0 && a.of == part.of);
+        let goes_on = self.ahead.filter(|a| part.offset > 0 && a.snapshot == part.snapshot);
         let there = goes_on.map_or(0, |a| a.bytes);
         // The rows of the snapshot that stands are left alone.
         if part.offset != there
-            || part.of.0 <= self.span.behind
+            || part.snapshot.index <= self.span.behind
             || !part.data.len().is_multiple_of(SNAPSHOT_CHUNK_BYTES)
         {
             return Ok(());
         }
         (self.swept, self.ahead) = (self.swept && goes_on.is_some(), None);
-        self.parts(part.of.0, there, &part.data)?;
-        self.ahead = Some(Ahead { of: part.of, bytes: there + part.data.len() as u64 });
+        self.parts(part.snapshot.index, there, &part.data)?;
+        self.ahead = Some(Ahead { snapshot: part.snapshot, bytes: there + part.data.len() as u64 });
         Ok(())
     }
 
@@ -407,7 +422,10 @@
         }
         let last = if whole { 0 } else { self.span.last };
         self.span = Span { behind: *index, last: last.max(*index) };
-        let ahead = self.ahead.take().filter(|a| a.of == (*index, *term) && a.bytes <= data.len() as u64);
+        let ahead = self
+            .ahead
+            .take()
+            .filter(|a| a.snapshot == (*index, *term).into() && a.bytes <= data.len() as u64);
         // What goes first makes room for what comes.
         let last = if whole { i64::MAX } else { signed(*index)? };
         self.execute("DELETE FROM log WHERE idx <= ?1", params![last])?;
@@ -431,12 +449,12 @@
     }
 
     /// Writes what comes, as much at a time as has come, on a thread of its own; `synced` hears of the last number.
-    pub fn serve(mut self, synced: impl Fn(u64) + Send + 'static) -> mpsc::Sender<WriteBatch> {
+    pub fn spawn_writer(mut self, synced: impl Fn(u64) + Send + 'static) -> mpsc::Sender<WriteBatch> {
         let (sender, puts) = mpsc::channel::<WriteBatch>();
         std::thread::spawn(move || {
             while let Ok(first) = puts.recv() {
                 let batch: Vec<WriteBatch> = std::iter::once(first).chain(puts.try_iter()).collect();
-                let last = batch.last().map_or(0, |p| p.number);
+                let last = batch.last().map_or(0, |p| p.sequence);
                 let mut refused = 0;
                 while let Err(error) = self.write(&batch) {
                     if refused % TOLD == 0 {
@@ -465,14 +483,14 @@
         return Err(StorageError::Row("no identity".into()));
     };
     if format != FORMAT {
-        return Err(StorageError::Format(format));
+        return Err(StorageError::UnsupportedFormat(format));
     }
-    found.disk = disk as u64;
-    found.raft.term = unsigned(term, "term")?;
-    found.raft.vote = vote.map(|vote| read::<NodeId>(&vote, "the vote")).transpose()?;
-    found.raft.snapshot = snapshot(db)?;
-    let behind = found.raft.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
-    found.raft.log = log(db, behind)?;
+    found.disk_id = disk as u64;
+    found.raft_state.term = unsigned(term, "term")?;
+    found.raft_state.vote = vote.map(|vote| read::<NodeId>(&vote, "the vote")).transpose()?;
+    found.raft_state.snapshot = snapshot(db)?;
+    let behind = found.raft_state.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
+    found.raft_state.log = log(db, behind)?;
     let mut workers = db.prepare("SELECT worker FROM workers ORDER BY id")?;
     let mut rows = workers.query([])?;
     while let Some(row) = rows.next()? {
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -2,7 +2,7 @@
 //! may leave its files; and the way of items from an earlier disk.
 
 use crate::cli::export::{call, export, ExportError};
-use crate::configuration::{read_call, ConfigItem, ItemFields, ItemKind, ItemSet};
+use crate::configuration::{parse_change, ConfigItem, ItemFields, ItemKind, ItemSet};
 use crate::consensus::{Entry, EntryPayload, LogWrite, NodeId, Snapshot};
 use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::LogCommand;
@@ -77,7 +77,7 @@
 }
 
 fn put(writes: Vec<LogWrite<LogCommand>>) -> WriteBatch {
-    WriteBatch { writes, ..WriteBatch::default() }
+    WriteBatch { log_writes: writes, ..WriteBatch::default() }
 }
 
 fn open(folder: &Path) -> (ReplicaStore, LoadedState) {
@@ -85,21 +85,21 @@
 }
 
 fn content(folder: &Path) -> LoadedState {
-    LoadedState { fresh: true, ..open(folder).1 }
+    LoadedState { is_new: true, ..open(folder).1 }
 }
 
 /// What a put means, as simply as can be.
 fn apply(held: &mut LoadedState, put: &WriteBatch) {
-    for write in &put.writes {
+    for write in &put.log_writes {
         match write.clone() {
-            LogWrite::Hard(term, vote) => (held.raft.term, held.raft.vote) = (term, vote),
+            LogWrite::Hard(term, vote) => (held.raft_state.term, held.raft_state.vote) = (term, vote),
             LogWrite::Append(entries) => {
-                held.raft.log.retain(|e| e.index < entries[0].index);
-                held.raft.log.extend(entries);
+                held.raft_state.log.retain(|e| e.index < entries[0].index);
+                held.raft_state.log.extend(entries);
             }
             LogWrite::Snapshot { snapshot, whole } => {
-                held.raft.log.retain(|e| !whole && e.index > snapshot.index);
-                held.raft.snapshot = Some(snapshot);
+                held.raft_state.log.retain(|e| !whole && e.index > snapshot.index);
+                held.raft_state.snapshot = Some(snapshot);
             }
         }
     }
@@ -114,10 +114,10 @@
 
 /// A put that a member may write next.
 fn next(rng: &mut fastrand::Rng, held: &LoadedState, most: usize) -> WriteBatch {
-    let behind = held.raft.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
-    let last = held.raft.log.last().map_or(behind, |e| (e.index, e.term));
+    let behind = held.raft_state.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
+    let last = held.raft_state.log.last().map_or(behind, |e| (e.index, e.term));
     let mut put = WriteBatch::default();
-    let term = held.raft.term.max(last.1).max(1);
+    let term = held.raft_state.term.max(last.1).max(1);
     // The bytes by the place: what was written ahead is the same.
     let snapshot = |rng: &mut fastrand::Rng, index, term| Snapshot {
         index,
@@ -127,26 +127,26 @@
     };
     match rng.u8(..10) {
         // A new leader's entries in the place of those that did not last.
-        0 if !held.raft.log.is_empty() => {
-            let from = held.raft.log[rng.usize(..held.raft.log.len())].index;
-            put.writes.push(LogWrite::Hard(term + 1, None));
-            put.writes.push(LogWrite::Append(
+        0 if !held.raft_state.log.is_empty() => {
+            let from = held.raft_state.log[rng.usize(..held.raft_state.log.len())].index;
+            put.log_writes.push(LogWrite::Hard(term + 1, None));
+            put.log_writes.push(LogWrite::Append(
                 (from..from + 2).map(|i| entry(i, term + 1, rng.usize(..most))).collect(),
             ));
         }
-        1 => put.writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4))))),
+        1 => put.log_writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4))))),
         // A snapshot, and the log behind it cut.
-        2 | 3 if !held.raft.log.is_empty() => {
-            let many = held.raft.log.len();
-            let at = &held.raft.log[if rng.bool() { many - 1 } else { rng.usize(..many) }];
+        2 | 3 if !held.raft_state.log.is_empty() => {
+            let many = held.raft_state.log.len();
+            let at = &held.raft_state.log[if rng.bool() { many - 1 } else { rng.usize(..many) }];
             let snapshot = snapshot(rng, at.index, at.term);
-            put.writes.push(LogWrite::Snapshot { snapshot, whole: false });
+            put.log_writes.push(LogWrite::Snapshot { snapshot, whole: false });
         }
         // A leader's snapshot.
         4 => {
             let index = rng.u64(behind.0 + 1..last.0 + 9);
             let snapshot = snapshot(rng, index, term);
-            put.writes.push(LogWrite::Snapshot { snapshot, whole: true });
+            put.log_writes.push(LogWrite::Snapshot { snapshot, whole: true });
         }
         5 => {
             let phase = [WorkerPhase::Serving, WorkerPhase::Draining, WorkerPhase::Departed][rng.usize(..3)];
@@ -156,16 +156,19 @@
         6 | 7 => {
             let (of, parts) = (last, rng.usize(1..3));
             let data = vec![of.0 as u8; parts * SNAPSHOT_CHUNK_BYTES].into();
-            put.part =
-                Some(SnapshotChunk { of, offset: (rng.usize(..3) / 2 * SNAPSHOT_CHUNK_BYTES) as u64, data });
+            put.snapshot_chunk = Some(SnapshotChunk {
+                snapshot: of.into(),
+                offset: (rng.usize(..3) / 2 * SNAPSHOT_CHUNK_BYTES) as u64,
+                data,
+            });
         }
         _ => {
             let entries = (1..2 + rng.u64(..3)).map(|i| entry(last.0 + i, term, rng.usize(..most))).collect();
-            put.writes.push(LogWrite::Append(entries));
+            put.log_writes.push(LogWrite::Append(entries));
         }
     }
     if rng.bool() {
-        put.writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4)))));
+        put.log_writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4)))));
     }
     put
 }
@@ -187,7 +190,7 @@
             if rng.u8(..10) == 0 {
                 drop(store);
                 let (again, held) = open(&folder.0);
-                let held = LoadedState { fresh: !held.fresh, ..held };
+                let held = LoadedState { is_new: !held.is_new, ..held };
                 assert_that!(held == model, eq(true), "seed {seed} step {step}");
                 store = again;
             }
@@ -270,8 +273,8 @@
 fn a_loss_of_power_at_the_making_leaves_a_whole_disk_or_an_empty_one() {
     let whole = Folder::new("made");
     let (_, made) = ReplicaStore::open(&whole.0, false).expect("opens");
-    expect_that!(made.fresh, eq(true));
-    expect_that!(made.disk, not(eq(0)));
+    expect_that!(made.is_new, eq(true));
+    expect_that!(made.disk_id, not(eq(0)));
     let base = whole.file(DATABASE_FILE);
     expect_that!(whole.names(), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
     // Stopped anywhere before the name: rests of any kind, with and without the empty log.
@@ -284,18 +287,18 @@
             std::fs::write(folder.0.join(WAL_FILE), []).expect("a file");
         }
         let (_, held) = ReplicaStore::open(&folder.0, false).expect("opens");
-        expect_that!(held.fresh, eq(true));
-        expect_that!([0, made.disk].contains(&held.disk), eq(false));
+        expect_that!(held.is_new, eq(true));
+        expect_that!([0, made.disk_id].contains(&held.disk_id), eq(false));
         expect_that!(folder.names(), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
-        expect_that!(ReplicaStore::open(&folder.0, true).expect("opens").1.disk, eq(held.disk));
+        expect_that!(ReplicaStore::open(&folder.0, true).expect("opens").1.disk_id, eq(held.disk_id));
     }
     // Killed just after the name.
     let folder = Folder::new("named");
     std::fs::write(folder.0.join(DATABASE_FILE), &base).expect("a file");
     std::fs::write(folder.0.join(WAL_FILE), []).expect("a file");
     let (_, held) = ReplicaStore::open(&folder.0, true).expect("opens");
-    expect_that!((held.disk, held.fresh), eq((made.disk, false)));
-    expect_that!(ReplicaStore::open(&Folder::new("seed").0, true).expect("opens").1.disk, eq(0));
+    expect_that!((held.disk_id, held.is_new), eq((made.disk_id, false)));
+    expect_that!(ReplicaStore::open(&Folder::new("seed").0, true).expect("opens").1.disk_id, eq(0));
 }
 
 /// Guards against taking a disk that can't be read for an empty one, and against changing it.
@@ -405,11 +408,11 @@
     let folder = Folder::new("thread");
     let (store, mut model) = open(&folder.0);
     let (done, synced) = mpsc::channel();
-    let puts = store.serve(move |number| {
+    let puts = store.spawn_writer(move |number| {
         let _ = done.send(number);
     });
     for number in 1..=40 {
-        let put = WriteBatch { number, ..put(vec![LogWrite::Append(vec![entry(number, 1, 100)])]) };
+        let put = WriteBatch { sequence: number, ..put(vec![LogWrite::Append(vec![entry(number, 1, 100)])]) };
         apply(&mut model, &put);
         puts.send(put).expect("taken");
     }
@@ -454,9 +457,9 @@
          CREATE TABLE workers (id TEXT PRIMARY KEY, worker BLOB) WITHOUT ROWID;",
     )
     .expect("tables");
-    for item in items.all() {
+    for item in items.iter() {
         let blob = rmp_serde::to_vec(item).expect("a blob");
-        let row = rusqlite::params![item.kind.list(), item.label, item.version as i64, blob];
+        let row = rusqlite::params![item.kind.set_name(), item.label, item.version as i64, blob];
         db.execute("INSERT INTO items VALUES (?1, ?2, ?3, ?4)", row).expect("a row");
     }
     db
@@ -483,7 +486,7 @@
             "service_set": [{ "label": "s0", "revision": "r5" }] },
     });
     let mut items = ItemSet::default();
-    for item in read_call(sent.to_string().as_bytes()).expect("readable") {
+    for item in parse_change(sent.to_string().as_bytes()).expect("readable") {
         items.merge(item);
     }
     let folder = Folder::new("earlier");
@@ -495,15 +498,15 @@
     let refused = ReplicaStore::open(&folder.0, true).err();
     expect_that!(
         refused,
-        some(matches_pattern!(StorageError::Earlier(contains_substring(LEGACY_DATABASE_FILE))))
+        some(matches_pattern!(StorageError::LegacyDatabase(contains_substring(LEGACY_DATABASE_FILE))))
     );
     expect_that!(files() == was, eq(true), "the disk stays as it was");
     drop(db);
     let mut again = ItemSet::default();
-    for item in read_call(printed.as_bytes()).expect("readable") {
+    for item in parse_change(printed.as_bytes()).expect("readable") {
         again.merge(item);
     }
-    let all = |items: &ItemSet| items.all().cloned().collect::<Vec<_>>();
+    let all = |items: &ItemSet| items.iter().cloned().collect::<Vec<_>>();
     assert_that!(all(&again), eq(&all(&items)));
     expect_that!(all(&again), len(eq(8)));
     expect_that!(call(&again).to_string(), eq(&printed));
--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -256,7 +256,7 @@
             }
         }
         for ((kind, label), item) in newest {
-            let list = &read[kind.list()];
+            let list = &read[kind.set_name()];
             let at = |name: &str| list["columns"].as_array()?.iter().position(|c| c == name);
             let (Some(name), Some(version)) = (at("label"), at("revision")) else { continue };
             let mut rows = list["records"].as_array().into_iter().flatten();
--- a/crates/simulation/src/external_actors.rs
+++ b/crates/simulation/src/external_actors.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use whinstall::{Ending, HostId, RequestId};
-use whinstall_gateway::configuration::{read_call, ItemKind};
+use whinstall_gateway::configuration::{parse_change, ItemKind};
 use whinstall_gateway::control_plane::{self, ApiCommand};
 use whinstall_gateway::data_plane::requests::{FinalResponse, IncomingRequest};
 use whinstall_gateway::discovery::{Worker, WorkerPhase};
@@ -317,9 +317,9 @@
                 route(&added, &format!("/{step}/"), "idempotent", "planer"),
             ]}}, "remove": {"route_set": [{"label": format!("r-{}", step / 2), "revision": rev}]}})
         };
-        let items = read_call(body.to_string().as_bytes()).expect("a valid call");
+        let items = parse_change(body.to_string().as_bytes()).expect("a valid call");
         for item in items.iter().filter(|i| i.kind == ItemKind::Route && i.label == "r-flip") {
-            let service = item.body.as_ref().map(|b| b.services().concat());
+            let service = item.body.as_ref().map(|b| b.route_services().concat());
             self.audit.sent(item.version, &service.unwrap_or_default());
         }
         self.audit.told(&items);
@@ -360,11 +360,11 @@
         let mut turned = false;
         self.edge_call(n, |edge, now, out| {
             let view = Arc::clone(&edge.view);
-            let Some(route) = view.route("shop.example:80", path).cloned() else {
+            let Some(route) = view.match_route("shop.example:80", path).cloned() else {
                 turned = true;
                 return;
             };
-            let Some(tenant) = view.tenant(key).cloned() else {
+            let Some(tenant) = view.tenant_by_credential(key).cloned() else {
                 turned = true;
                 return;
             };
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -4,11 +4,11 @@
 use super::network::Who;
 use super::severe_faults::Severe;
 use super::{SimulationEvent, World};
-use whinstall_gateway::consensus::{Index, LogWrite, Snapshot, Term};
+use whinstall_gateway::consensus::{LogWrite, Snapshot};
 use whinstall_gateway::control_plane::{self, CoreNode};
 use whinstall_gateway::discovery::WorkerPhase;
 use whinstall_gateway::settings::Settings;
-use whinstall_gateway::storage::{LoadedState, WriteBatch};
+use whinstall_gateway::storage::{LoadedState, SnapshotId, WriteBatch};
 
 /// A trouble.
 #[derive(Clone, Debug, PartialEq)]
@@ -82,7 +82,7 @@
     pub held: LoadedState,
     pub writing: Vec<WriteBatch>,
     /// What is there of a snapshot that is not written yet.
-    ahead: Option<((Index, Term), Vec<u8>)>,
+    ahead: Option<(SnapshotId, Vec<u8>)>,
     /// Does the database stand?
     made: bool,
     /// Is it being made?
@@ -97,8 +97,8 @@
 
 /// Bytes of snapshots in a put: what takes longer than a sync.
 pub fn size(put: &WriteBatch) -> usize {
-    let part = put.part.as_ref().map(|p| (p.offset as usize, p.data.len()));
-    let whole = put.writes.iter().map(|w| match w {
+    let part = put.snapshot_chunk.as_ref().map(|p| (p.offset as usize, p.data.len()));
+    let whole = put.log_writes.iter().map(|w| match w {
         LogWrite::Snapshot { snapshot, .. } => snapshot.data.len(),
         _ => 0,
     });
@@ -108,9 +108,9 @@
 impl Disk {
     /// What a process that starts finds; a new disk gets its identity first.
     pub fn open(&mut self, first: bool, rng: &mut fastrand::Rng) -> LoadedState {
-        self.held.fresh = !std::mem::replace(&mut self.made, true);
-        if self.held.fresh {
-            self.held.disk = if first || self.mark.is_some() { 0 } else { rng.u64(1..) };
+        self.held.is_new = !std::mem::replace(&mut self.made, true);
+        if self.held.is_new {
+            self.held.disk_id = if first || self.mark.is_some() { 0 } else { rng.u64(1..) };
         }
         (self.making, self.mark) = (false, None);
         self.held.clone()
@@ -130,7 +130,7 @@
     /// All up to this write is synced.
     pub fn land(&mut self, put: u64) {
         let (done, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.writing).into_iter().partition(|w| w.number <= put);
+            std::mem::take(&mut self.writing).into_iter().partition(|w| w.sequence <= put);
         self.writing = rest;
         for put in done {
             self.take(put);
@@ -142,8 +142,8 @@
             self.held.workers.retain(|w| w.id != worker.id);
             self.held.workers.extend(Some(worker).filter(|w| w.phase <= WorkerPhase::Draining));
         }
-        let raft = &mut self.held.raft;
-        for write in put.writes {
+        let raft = &mut self.held.raft_state;
+        for write in put.log_writes {
             match write {
                 LogWrite::Hard(term, vote) => (raft.term, raft.vote) = (term, vote),
                 LogWrite::Append(entries) => {
@@ -154,7 +154,7 @@
                 LogWrite::Snapshot { snapshot, whole } => {
                     raft.log.retain(|e| !whole && e.index > snapshot.index);
                     // What was put ahead is not written again: it counts as it is.
-                    let of = (snapshot.index, snapshot.term);
+                    let of = SnapshotId { index: snapshot.index, term: snapshot.term };
                     let ahead = self.ahead.take().filter(|a| a.0 == of && a.1.len() <= snapshot.data.len());
                     let mut data = ahead.map(|a| a.1).unwrap_or_default();
                     data.extend_from_slice(&snapshot.data[data.len()..]);
@@ -162,11 +162,11 @@
                 }
             }
         }
-        if let Some(part) = put.part {
-            let goes_on = self.ahead.take().filter(|a| part.offset > 0 && a.0 == part.of);
+        if let Some(part) = put.snapshot_chunk {
+            let goes_on = self.ahead.take().filter(|a| part.offset > 0 && a.0 == part.snapshot);
             let there = goes_on.map(|a| a.1).unwrap_or_default();
             let fits = part.offset == there.len() as u64;
-            self.ahead = fits.then(|| (part.of, [&there[..], &part.data].concat()));
+            self.ahead = fits.then(|| (part.snapshot, [&there[..], &part.data].concat()));
         }
     }
 
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -325,7 +325,7 @@
         let ready = edge.is_ready(clock);
         let routes = edge.view.routes().filter_map(|r| {
             let label = r.label.strip_prefix("x-")?.parse::<usize>().ok()?;
-            Some((label, content(&r.prefix)?))
+            Some((label, content(&r.path_prefix)?))
         });
         let shown: BTreeMap<usize, u64> = routes.collect();
         match steady && self.watch.settled_since.is_some() {
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -365,7 +365,7 @@
                     let (life, sync) = (self.cores[n].life, self.plan.sync);
                     let takes = sync + faults::size(&put) as f64 / self.plan.disk_rate;
                     let disk = &mut self.cores[n].disk;
-                    let number = put.number;
+                    let number = put.sequence;
                     disk.writing.push(put);
                     disk.free_at = disk.free_at.max(self.now).max(disk.stalled_until) + takes;
                     let at = disk.free_at;
--- a/crates/simulation/src/misbehaving_core.rs
+++ b/crates/simulation/src/misbehaving_core.rs
@@ -27,8 +27,8 @@
         let led = core.raft.leads() || !hears && self.watch.held(n);
         let state = &core.keeper.state;
         let answer = match (spoiled, command) {
-            (Spoiled::LeaderReads, ApiCommand::Read) if led => Some((200, state.render())),
-            (Spoiled::FollowerReads, ApiCommand::Read) if !core.raft.leads() => Some((200, state.render())),
+            (Spoiled::LeaderReads, ApiCommand::Read) if led => Some((200, state.to_json())),
+            (Spoiled::FollowerReads, ApiCommand::Read) if !core.raft.leads() => Some((200, state.to_json())),
             (Spoiled::LeaderRefuses, ApiCommand::Amend(items)) if led => {
                 match state.clone().apply(core.keeper.applied + 1, &ConfigChange::new(items.clone())) {
                     ChangeOutcome::Conflict(_) => Some((409, serde_json::json!({}))),
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -4,7 +4,7 @@
 use super::partitions::Party;
 use super::{Call, Caller, SimulationEvent, World};
 use crate::history::{Held, Read};
-use whinstall_gateway::configuration::{read_call, ConfigItem};
+use whinstall_gateway::configuration::{parse_change, ConfigItem};
 
 /// How much operators do.
 #[derive(Clone, Debug)]
@@ -151,7 +151,7 @@
         Sort::SharedKey => serde_json::json!({"upsert": {"tenant_set": [{"label": format!("t-{content}"),
             "credentials": [format!("shared-{key}")], "revision": format!("r{version}")}]}}),
     };
-    read_call(body.to_string().as_bytes()).expect("a readable call")
+    parse_change(body.to_string().as_bytes()).expect("a readable call")
 }
 
 /// The registers that a read tells, by label; contents from the prefixes.
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -186,9 +186,11 @@
 impl World {
     /// Something of a snapshot goes to a disk.
     pub fn snapshot_written(&mut self, n: usize, put: &whinstall_gateway::storage::WriteBatch) {
-        let cut =
-            put.writes.iter().any(|w| matches!(w, whinstall_gateway::consensus::LogWrite::Snapshot { .. }));
-        let moment = match (&put.part, cut) {
+        let cut = put
+            .log_writes
+            .iter()
+            .any(|w| matches!(w, whinstall_gateway::consensus::LogWrite::Snapshot { .. }));
+        let moment = match (&put.snapshot_chunk, cut) {
             (Some(_), _) => Moment::Ahead,
             (None, true) => Moment::Cut,
             (None, false) => return,
