--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -135,7 +135,7 @@
         (config, workers, heard): (u64, u64, u64),
         out: &mut Vec<Effect>,
     ) {
-        let mine = (self.configuration.state.index(), self.membership.registry.digest());
+        let mine = (self.configuration.state.last_change_index(), self.membership.registry.digest());
         let (leave, last) = (self.leave(now), self.membership.last());
         let settled = leave.whole && self.membership.settled(now);
         let Some(caller) = self.sessions.get_mut(&conn) else { return };
@@ -192,7 +192,7 @@
     /// What a gatekeeper lacks, as far as its connection takes it.
     fn serve(&mut self, conn: ConnectionId, leave: &SendPermissions, out: &mut Vec<Effect>) {
         let mine =
-            (self.configuration.state.index(), self.membership.registry.digest(), self.membership.last());
+            (self.configuration.state.last_change_index(), self.membership.registry.digest(), self.membership.last());
         let (Some(caller), last) = (self.sessions.get_mut(&conn), mine.2) else { return };
         let Some((config, workers)) = caller.holds else { return };
         if leave.whole {
@@ -218,8 +218,8 @@
         let mut whole = Vec::new();
         let state = &self.configuration.state;
         if !std::mem::replace(&mut caller.told, true) && !state.is_empty() {
-            let items: Vec<ConfigItem> = state.standing().map(|i| (**i).clone()).collect();
-            whole.push(PeerMessage::ConfigUpdate { previous: None, index: state.index(), items });
+            let items: Vec<ConfigItem> = state.active_items().map(|i| (**i).clone()).collect();
+            whole.push(PeerMessage::ConfigUpdate { previous: None, index: state.last_change_index(), items });
         }
         if caller.workers.is_none() {
             caller.workers = Some(last);
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -36,7 +36,7 @@
     let mut settings =
         Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.seeds, settings.cold_start) = (ip(3), vec![(ip(3), 80).into()], false);
-    let held = LoadedState { disk: 7, fresh: true, ..LoadedState::default() };
+    let held = LoadedState { disk_id: 7, is_new: true, ..LoadedState::default() };
     let mut core = CoreNode::new(1000.0, settings, held).expect("a core");
     let mut out = Vec::new();
     core.start(&mut out);
@@ -131,7 +131,7 @@
     fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Persist(put) => self.event(Event::Persisted(put.number)),
+                Effect::Persist(put) => self.event(Event::Persisted(put.sequence)),
                 Effect::SendToSession(conn, msg) => {
                     *self.said.entry(kind(&msg)).or_default() += encode(&msg).len();
                     let Some(n) = self.edges.iter().position(|g| g.conn == conn) else { continue };
@@ -208,7 +208,7 @@
             "service_set": { "columns": ["label", "probe_path", "revision"], "records": services },
             "route_set": { "columns": of, "records": routes },
         }});
-        let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
+        let items = crate::configuration::parse_change(body.to_string().as_bytes()).expect("a call");
         self.event(Event::ApiCall(1, ApiCommand::Amend(items)));
     }
 
@@ -216,7 +216,7 @@
         let body = json!({ "upsert": { "service_set": {
             "columns": ["label", "probe_path", "revision"], "records": [["s0", "/health", format!("r{version}")]],
         }}});
-        let items = crate::configuration::read_call(body.to_string().as_bytes()).expect("a call");
+        let items = crate::configuration::parse_change(body.to_string().as_bytes()).expect("a call");
         self.event(Event::ApiCall(version, ApiCommand::Amend(items)));
     }
 
@@ -233,7 +233,7 @@
             PeerMessage::Ping { config_index: config, workers_digest: workers, .. } => (config, workers),
             _ => (0, 0),
         };
-        let mine = (self.core.configuration.state.index(), self.core.membership.registry.digest());
+        let mine = (self.core.configuration.state.last_change_index(), self.core.membership.registry.digest());
         self.edges.iter().all(|g| of(&g.edge) == mine)
     }
 }
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -160,16 +160,16 @@
     /// Starts with what its disk holds.
     pub fn new(now: f64, settings: Settings, loaded: LoadedState) -> Result<Self, String> {
         let context = CoreContext::new(now, settings);
-        let (state, recorded_ceilings) = match &loaded.raft.snapshot {
+        let (state, recorded_ceilings) = match &loaded.raft_state.snapshot {
             Some(snapshot) if !snapshot.data.is_empty() => snapshot::decode(&snapshot.data)?,
             _ => (ConfigState::default(), None),
         };
-        let applied = loaded.raft.snapshot.as_ref().map_or(0, |s| s.index);
-        let snapshot_bytes = loaded.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
-        let me = NodeId { ip: context.me.ip, disk: loaded.disk };
-        let is_empty = loaded.raft.entries.is_empty() && loaded.raft.snapshot.is_none();
+        let applied = loaded.raft_state.snapshot.as_ref().map_or(0, |s| s.index);
+        let snapshot_bytes = loaded.raft_state.snapshot.as_ref().map_or(0, |s| s.data.len());
+        let me = NodeId { ip: context.me.ip, disk: loaded.disk_id };
+        let is_empty = loaded.raft_state.entries.is_empty() && loaded.raft_state.snapshot.is_none();
         let raft =
-            Raft::new(context.log_time(now), me, loaded.raft, replicated_log::tuning(&context.settings));
+            Raft::new(context.log_time(now), me, loaded.raft_state, replicated_log::tuning(&context.settings));
         let mut core = CoreNode {
             configuration: ConfigurationService::new(state, applied),
             membership: WorkerMembership::new(&context.settings, now, loaded.workers),
@@ -193,7 +193,7 @@
         // First start of the whole system: each seed bootstraps the log with disk 0 of every seed. A seed that crashed
         // before this was synced does so again, although its settings no longer say that this is the first start.
         let settings = &core.context.settings;
-        if is_empty && loaded.disk == 0 && settings.is_seed() {
+        if is_empty && loaded.disk_id == 0 && settings.is_seed() {
             let seeds = settings.seeds.iter().map(|s| NodeId { ip: s.ip(), disk: 0 }).collect();
             core.raft.bootstrap(core.context.log_time(now), seeds);
         }
@@ -385,7 +385,7 @@
         if !workers.is_empty() {
             let number = self.context.next_id();
             out.push(Effect::Persist(WriteBatch {
-                number,
+                sequence: number,
                 workers: workers.to_vec(),
                 ..WriteBatch::default()
             }));
@@ -451,7 +451,7 @@
         self.last_tick = now;
         if now - self.last_ping >= PING {
             self.last_ping = now;
-            let (config, workers) = (self.configuration.state.index(), self.membership.registry.digest());
+            let (config, workers) = (self.configuration.state.last_change_index(), self.membership.registry.digest());
             let ping = |ip| {
                 Effect::SendToPeer(
                     ip,
@@ -497,7 +497,7 @@
 
 /// The limits of a tenant, as configured.
 fn limit(state: &ConfigState, name: &str) -> Option<TenantLimit> {
-    state.quota(name).map(|(rate, burst)| TenantLimit { rate, burst })
+    state.tenant_rate(name).map(|t| TenantLimit { rate: t.requests_per_sec, burst: t.burst })
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -176,7 +176,7 @@
             "committed": self.raft.commit_index(),
             "applied": self.configuration.applied,
             "last": self.raft.last_index(),
-            "configuration_index": self.configuration.state.index(),
+            "configuration_index": self.configuration.state.last_change_index(),
             "log_entries": self.raft.entry_count(),
             "snapshot_index": self.raft.snapshot_index(),
             "snapshot_bytes": self.snapshot_bytes(),
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -189,11 +189,11 @@
 
     fn bounds(&self) -> RequestLimits {
         let edge = self.edge.state.borrow();
-        let s = &edge.active_config.saturation;
+        let s = &edge.active_config.client_limits;
         RequestLimits {
-            max_head_bytes: s.header_bytes,
-            max_body_bytes: s.body_bytes,
-            head_timeout: s.header_deadline,
+            max_head_bytes: s.max_header_bytes,
+            max_body_bytes: s.max_body_bytes,
+            head_timeout: s.header_timeout,
             body_timeout: BODY_WITHIN,
         }
     }
@@ -202,7 +202,7 @@
     async fn converse(self: Rc<Self>, mut connection: Connection) {
         let mut ending = self.ending.subscribe();
         loop {
-            let idle = || self.edge.state.borrow().active_config.saturation.idle_cutoff;
+            let idle = || self.edge.state.borrow().active_config.client_limits.idle_timeout;
             if connection.wait_idle(idle, &mut ending).await == IdleOutcome::Close {
                 // Dropped, not drained: a request that comes now must not be read, or its client can't repeat it.
                 return;
@@ -244,15 +244,15 @@
         if !self.edge.state.borrow().is_configured() {
             return Some(plain(FinalResponse::NotExecuted(NOT_YET)));
         }
-        let Some(route) = view.route(host, head.path()).cloned() else {
+        let Some(route) = view.match_route(host, head.path()).cloned() else {
             return Some(http_server::text_response(StatusCode::NOT_FOUND, "no route"));
         };
-        let tenant = match view.keyed && !route.unkeyed {
+        let tenant = match view.requires_credentials && !route.allows_anonymous {
             false => None,
             true => {
                 let mut keys = head.headers().get_all("api-key");
                 let key = keys.next().and_then(|k| k.to_str().ok());
-                match key.and_then(|key| view.tenant(key)).filter(|_| keys.next().is_none()) {
+                match key.and_then(|key| view.tenant_by_credential(key)).filter(|_| keys.next().is_none()) {
                     Some(tenant) => Some(Arc::clone(tenant)),
                     None => return Some(http_server::text_response(StatusCode::UNAUTHORIZED, "unknown key")),
                 }
@@ -280,7 +280,7 @@
                 headers.remove(name);
             }
         }
-        let time = route.cutoff.map_or(left, |c| left.min(c)).as_secs_f64();
+        let time = route.timeout.map_or(left, |c| left.min(c)).as_secs_f64();
         let time = self.edge.state.borrow().work_time_for(self.edge.clock.now(), time).max(0.0);
         let forward = Rc::new(ForwardedRequest {
             method: head.method().clone(),
@@ -288,7 +288,7 @@
             headers,
             body,
             id: attempt_id,
-            is_idempotent: route.repeatable,
+            is_idempotent: route.is_idempotent,
             deadline: Instant::now() + Duration::from_secs_f64(time),
         });
         let id = RequestId(self.next.get().to_string().into());
--- a/crates/simulation/src/misbehaving_core.rs
+++ b/crates/simulation/src/misbehaving_core.rs
@@ -27,9 +27,9 @@
         let led = core.raft.is_leader() || !hears && self.watch.held(n);
         let state = &core.configuration.state;
         let answer = match (spoiled, command) {
-            (Misbehaviour::LeaderReads, ApiCommand::Read) if led => Some((200, state.render())),
+            (Misbehaviour::LeaderReads, ApiCommand::Read) if led => Some((200, state.to_json())),
             (Misbehaviour::FollowerReads, ApiCommand::Read) if !core.raft.is_leader() => {
-                Some((200, state.render()))
+                Some((200, state.to_json()))
             }
             (Misbehaviour::LeaderRefuses, ApiCommand::Amend(items)) if led => {
                 match state.clone().apply(core.configuration.applied + 1, &ConfigChange::new(items.clone())) {
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -4,7 +4,7 @@
 use super::partitions::Participant;
 use super::{CallOrigin, ControlCall, SimulationEvent, World};
 use crate::history::{Held, Read};
-use whinstall_gateway::configuration::{read_call, ConfigItem};
+use whinstall_gateway::configuration::{parse_change, ConfigItem};
 
 /// How much operators do.
 #[derive(Clone, Debug)]
@@ -160,7 +160,7 @@
             "credentials": [format!("shared-{key}")], "revision": format!("r{version}")}]}})
         }
     };
-    read_call(body.to_string().as_bytes()).expect("a readable call")
+    parse_change(body.to_string().as_bytes()).expect("a readable call")
 }
 
 /// The registers that a read tells, by label; contents from the prefixes.
--- a/crates/simulation/tests/scenarios/digest_tests.rs
+++ b/crates/simulation/tests/scenarios/digest_tests.rs
@@ -17,7 +17,7 @@
     // By core machine that runs: the term, the entry that is committed, the entry that changed the configuration last.
     let cores = world.cores.iter().filter_map(|c| c.core.as_ref());
     let logs: Vec<_> =
-        cores.map(|c| (c.raft.term(), c.raft.commit_index(), c.configuration.state.index())).collect();
+        cores.map(|c| (c.raft.term(), c.raft.commit_index(), c.configuration.state.last_change_index())).collect();
     format!(
         "events {} messages {} bytes {} replies {:?} requests {:?} runs {runs} acknowledged {acknowledged} \
          orders {orders} reads {} logs {logs:?} time {} hash {:016x}",
