--- a/src/main.rs
+++ b/src/main.rs
@@ -5,9 +5,9 @@
 mod net;
 
 use net::core::{Clock, Core, Input};
-use net::frontend::Stance;
-use net::server_table::{List, ServerTable};
-use net::{counter, dispatch, exchange, frontend, operator, server_table, takeover, Platform};
+use net::downstream::Stance;
+use net::endpoints::{List, ServerTable};
+use net::{attempt, counter, downstream, endpoints, hot_restart, operator, upstream, Platform};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -150,7 +150,7 @@
         let retuned = whole["settings"] != r.in_force["settings"];
         if retuned {
             r.desk.counter.wait(sockets.count_wait);
-            r.desk.frontend.retune(frontend::Terms::of(&decisions), sockets.max_retry_after);
+            r.desk.frontend.retune(downstream::Terms::of(&decisions), sockets.max_retry_after);
             let _ = r.desk.queue.send(Input::Settings(Box::new(decisions)));
         }
         tracing::info!(discovery = %now.discovery, counter = %counter_at, retuned, "SIGHUP: configuration read again");
@@ -187,10 +187,10 @@
         );
     }
     // Processes follow each other only where operators run them so: anywhere else no such socket is made.
-    let place = door.and_then(|_| takeover::place(&c.name));
-    let (predecessor, listener) = match place.as_deref().and_then(|place| takeover::ask(place, c.listen)) {
+    let place = door.and_then(|_| hot_restart::place(&c.name));
+    let (predecessor, listener) = match place.as_deref().and_then(|place| hot_restart::ask(place, c.listen)) {
         Some((predecessor, listener)) => (Some(predecessor), Ok(listener)),
-        None => (None, takeover::listen(c.listen, door.is_some())),
+        None => (None, hot_restart::listen(c.listen, door.is_some())),
     };
     let listener = listener.map_err(|e| format!("{}: {e}", c.listen))?;
     let offered = listener.try_clone().map_err(|e| format!("{}: {e}", c.listen))?;
@@ -206,12 +206,12 @@
     let (_, entries) = table.apply(c.known);
     let _ = queue.send(Input::ServerTable(ListScope::Restored, entries));
 
-    let kept = if door.is_some() { operator::DESCRIPTORS + takeover::DESCRIPTORS } else { 0 };
+    let kept = if door.is_some() { operator::DESCRIPTORS + hot_restart::DESCRIPTORS } else { 0 };
     let kept = kept + if fleet.is_some() { net::fleet::DESCRIPTORS } else { 0 };
     let whole = c.limits.sockets.saturating_sub(kept).max(LEAST_DESCRIPTORS);
     let budget = Budget::of(whole);
     let idle = sockets.conn_idle.saturating_sub(IDLE_MARGIN).max(sockets.conn_idle / 2);
-    let nodes = Rc::new(exchange::Exchanger::new(sockets.dial_timeout, idle, budget.nodes));
+    let nodes = Rc::new(upstream::Exchanger::new(sockets.dial_timeout, idle, budget.nodes));
     let counter_at = c.counter.unwrap_or(c.discovery);
     let counter = counter::Counter::new(
         counter_at,
@@ -223,11 +223,11 @@
     let (discovery, discovery_at) = watch::channel(c.discovery);
     let halls_file = halls.as_ref().map(|h| h.0.clone());
     let platform = Platform {
-        dispatcher: dispatch::Dispatcher::new(Rc::clone(&nodes), Rc::clone(&table), queue.clone()),
+        dispatcher: attempt::Dispatcher::new(Rc::clone(&nodes), Rc::clone(&table), queue.clone()),
         counter: counter.clone(),
     };
-    let terms = frontend::Terms::of(&s);
-    let frontend = frontend::Frontend::new(
+    let terms = downstream::Terms::of(&s);
+    let frontend = downstream::Frontend::new(
         queue.clone(),
         Rc::clone(&table),
         terms,
@@ -235,7 +235,7 @@
         sockets.max_retry_after,
     );
     let dial = sockets.dial_timeout;
-    actix_rt::spawn(server_table::watch(
+    actix_rt::spawn(endpoints::watch(
         discovery_at,
         dial,
         (known, s.replicas, seed),
@@ -282,9 +282,9 @@
         tracing::info!(operator = %at.map_err(|e| format!("operator: {e}"))?, "the operators' door is open");
         actix_rt::spawn(watch_can_serve(Rc::clone(&table), Arc::clone(&told)));
     }
-    let successor = takeover::Successor::default();
+    let successor = hot_restart::Successor::default();
     let begin = desk.clone().begin(listener, predecessor, Arc::clone(&told));
-    let offer = place.map(|place| takeover::offer(place, offered.into(), successor.clone()));
+    let offer = place.map(|place| hot_restart::offer(place, offered.into(), successor.clone()));
     actix_rt::spawn(async move {
         begin.await;
         if let Some(offer) = offer {
@@ -332,8 +332,8 @@
 /// What begins and ends a process's service.
 #[derive(Clone)]
 struct Desk {
-    frontend: Rc<frontend::Frontend>,
-    nodes: Rc<exchange::Exchanger>,
+    frontend: Rc<downstream::Frontend>,
+    nodes: Rc<upstream::Exchanger>,
     counter: counter::Counter,
     queue: net::Inputs,
     /// Descriptors for clients, nodes and the counter, with what is kept for the process itself.
@@ -357,7 +357,7 @@
     async fn begin(
         self,
         listener: tokio::net::TcpListener,
-        predecessor: Option<takeover::Predecessor>,
+        predecessor: Option<hot_restart::Predecessor>,
         told: Arc<operator::Known>,
     ) {
         let Some(mut predecessor) = predecessor else {
@@ -388,14 +388,14 @@
     }
 
     /// Hands on to the successor. Does it accept from now on?
-    async fn hand_on(&self, successor: &takeover::Successor) -> bool {
+    async fn hand_on(&self, successor: &hot_restart::Successor) -> bool {
         let standby = matches!(self.frontend.stance(), Stance::Standby(_));
         self.frontend.stand(Stance::HandedOn(Instant::now()));
         self.nodes.close_unless(|_, _| false);
         let (to, legacy) = tokio::sync::oneshot::channel();
         let _ = self.queue.send(Input::Bequeath(to));
         let Ok(legacy) = legacy.await else { return false };
-        let handed = takeover::Handed { legacy, standby, descriptors: self.held() };
+        let handed = hot_restart::Handed { legacy, standby, descriptors: self.held() };
         let taken = successor.hand_on(&handed).await;
         tracing::info!(taken, customers = handed.legacy.customers.len(), "handed on to the new process");
         if !taken {
--- a/src/net/dispatch.rs
+++ b/src/net/attempt.rs
@@ -3,10 +3,10 @@
 //! server table says drains or is gone.
 
 use super::core::{Dispatch, Input};
-use super::ending::ConnectionEnd;
-use super::exchange::{Bounds, Exchanger, Peer, Reply, Request};
-use super::frontend::Forward;
-use super::server_table::ServerTable;
+use super::downstream::Forward;
+use super::endpoints::ServerTable;
+use super::outcome::ConnectionEnd;
+use super::upstream::{Bounds, Exchanger, Peer, Reply, Request};
 use super::Inputs;
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::StatusCode;
--- a/src/net/core.rs
+++ b/src/net/core/mod.rs
@@ -2,8 +2,8 @@
 //! the only way in, the [`Ports`] are the only way out. It must never touch a socket, wait for one, or know a
 //! header, a path or a shape of JSON: whatever a front speaks, sessions come in and answers go out as here.
 
-use super::ending::{ConnectionEnd, Peer};
 use super::halls::{HallsDesk, Told};
+use super::outcome::{ConnectionEnd, Peer};
 use super::report::CounterLog;
 use std::collections::{BTreeMap, HashMap};
 use std::future::Future;
@@ -558,7 +558,7 @@
 
     /// Starts a core before a node that swallows everything; returns the way in.
     fn start() -> Queue<Silence> {
-        let told = serde_json::from_str(include_str!("../../tests/common/settings.json"));
+        let told = serde_json::from_str(include_str!("../../../tests/common/settings.json"));
         let (settings, _) = settings::read(told.expect("JSON")).expect("settings");
         let node = HostEntry {
             host: HostId("n0".into()),
--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -4,8 +4,8 @@
 //! or report one that may have been added as one that was not.
 
 use super::core::{CounterCall, Input};
-use super::ending::ConnectionEnd;
-use super::exchange::{Bounds, Exchanger, Peer, Request};
+use super::outcome::ConnectionEnd;
+use super::upstream::{Bounds, Exchanger, Peer, Request};
 use super::Inputs;
 use actix_http::uri::PathAndQuery;
 use actix_http::Method;
--- a/src/net/frontend.rs
+++ b/src/net/downstream/mod.rs
@@ -3,8 +3,8 @@
 //! it should be reach the core, or end a connection that a taken request is on.
 
 use super::core::{Answer, Input, NewSession};
-use super::exchange::BODY_MOST;
-use super::server_table::ServerTable;
+use super::endpoints::ServerTable;
+use super::upstream::BODY_MOST;
 use super::{Inputs, Platform};
 use actix_codec::{Decoder, Encoder};
 use actix_http::body::BodySize;
@@ -696,7 +696,7 @@
     /// Guards those who have just come and are about to ask, and taken requests, from being closed for room.
     #[test]
     fn room_is_made_by_the_idle_then_by_the_new_and_never_by_a_taken_request() {
-        let told = serde_json::from_str(include_str!("../../tests/common/settings.json"));
+        let told = serde_json::from_str(include_str!("../../../tests/common/settings.json"));
         let (settings, _) = settings::read(told.expect("JSON")).expect("settings");
         let request = "GET /preview?client=00000000b4d65521 HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nRequest-Class: preview\r\nX-Contract: standard\r\nRequest-Timeout: 4\r\nX-Metering: units=1,spread=1,first=0\r\n\r\n";
         actix_rt::System::new().block_on(async {
@@ -740,7 +740,7 @@
     /// were cut off once, as whoever was silent for longest made way, half a head or not.
     #[test]
     fn half_a_head_stays_where_silent_and_idle_ones_can_make_way() {
-        let told = serde_json::from_str(include_str!("../../tests/common/settings.json"));
+        let told = serde_json::from_str(include_str!("../../../tests/common/settings.json"));
         let (settings, _) = settings::read(told.expect("JSON")).expect("settings");
         actix_rt::System::new().block_on(async {
             let (queue, mut inputs) = tokio::sync::mpsc::unbounded_channel();
--- a/src/net/server_table.rs
+++ b/src/net/endpoints/mod.rs
@@ -3,8 +3,8 @@
 //! starts anew.
 
 use super::core::Input;
-use super::ending::ConnectionEnd;
-use super::exchange::{Bounds, Exchanger, Peer, Request};
+use super::outcome::ConnectionEnd;
+use super::upstream::{Bounds, Exchanger, Peer, Request};
 use super::Inputs;
 use actix_http::uri::PathAndQuery;
 use actix_http::Method;
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -10,8 +10,8 @@
 
 use super::budgets::{Budgets, BUDGET_AT};
 use super::core::Input;
-use super::ending::ConnectionEnd;
-use super::exchange::{Bounds, Exchanger, Peer, Request, BODY_MOST};
+use super::outcome::ConnectionEnd;
+use super::upstream::{Bounds, Exchanger, Peer, Request, BODY_MOST};
 use super::Inputs;
 use actix_http::header::{HeaderName, HeaderValue, CONNECTION};
 use actix_http::uri::PathAndQuery;
--- a/src/net/halls.rs
+++ b/src/net/halls.rs
@@ -3,7 +3,7 @@
 //! the factors that the decision module weighs hosts by. It must never decide a share, a state or a node
 //! (that is `whinstall::halls` and the module), and it touches no socket: the core calls it.
 
-use super::ending::ConnectionEnd;
+use super::outcome::ConnectionEnd;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use whinstall::halls::{HallSettings, HallState, Halls, Plan, Seen, TableNode};
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,19 +1,19 @@
 //! The gatekeeper on real sockets. Sockets and the core meet in [`Platform`] alone: the platform's protocol on
 //! one side of it, the core's ports on the other.
 
+pub mod attempt;
 pub mod budgets;
 pub mod core;
 pub mod counter;
-pub mod dispatch;
-pub mod ending;
-pub mod exchange;
+pub mod downstream;
+pub mod endpoints;
 pub mod fleet;
-pub mod frontend;
 pub mod halls;
+pub mod hot_restart;
 pub mod operator;
+pub mod outcome;
 pub mod report;
-pub mod server_table;
-pub mod takeover;
+pub mod upstream;
 
 #[cfg(test)]
 #[path = "../../tests/common/peer.rs"]
@@ -21,14 +21,14 @@
 mod peer;
 
 use self::core::{CounterCall, Dispatch, Ports, Queue};
-use self::frontend::Forward;
+use self::downstream::Forward;
 use bytes::Bytes;
 use whinstall::HostId;
 
 /// The platform's HTTP as the core's way out.
 pub struct Platform {
     /// Towards the nodes.
-    pub dispatcher: dispatch::Dispatcher,
+    pub dispatcher: attempt::Dispatcher,
     /// Towards the counter.
     pub counter: counter::Counter,
 }
--- a/src/net/exchange.rs
+++ b/src/net/upstream/mod.rs
@@ -3,7 +3,7 @@
 //! send a request a second time, take for an answer what is not the whole answer to that request, keep a
 //! connection on which anything is unread, or decide what an ending means for a session.
 
-use super::ending::ConnectionEnd;
+use super::outcome::ConnectionEnd;
 use actix_codec::{Decoder, Encoder};
 use actix_http::body::BodySize;
 use actix_http::h1::{ClientCodec, Message, MessageType};
