--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -1,13 +1,15 @@
-//! Owns the gatekeeper's side towards the drafting nodes: carries out a dispatch on a connection of its own and
-//! reports how it ended, exactly once. It must never choose a node, try again, or write to a node that the
-//! server table says drains or is gone.
+//! Executes attempts: sends a session's request to the node that the core chose and reports the outcome to the
+//! core, exactly once.
+//!
+//! It neither chooses nodes nor retries, and it writes nothing to a node that the endpoint table lists as draining
+//! or no longer lists.
 
-use super::core::{Dispatch, Input};
-use super::downstream::Forward;
-use super::endpoints::ServerTable;
-use super::outcome::ConnectionEnd;
-use super::upstream::{Bounds, Exchanger, Peer, Reply, Request};
-use super::Inputs;
+use super::core::{Attempt, AttemptReport, CoreMessage};
+use super::downstream::ForwardedRequest;
+use super::endpoints::EndpointTable;
+use super::outcome::ExchangeOutcome;
+use super::upstream::{ExchangeOptions, Peer, Request, Response, UpstreamClient};
+use super::CoreSender;
 use actix_http::header::{HeaderName, HeaderValue};
 use actix_http::StatusCode;
 use bytes::Bytes;
@@ -16,112 +18,138 @@
 use std::time::{Duration, Instant};
 use whinstall::{HostId, RequestId};
 
-/// What sends dispatches on.
-pub struct Dispatcher {
-    exchanger: Rc<Exchanger>,
-    table: Rc<ServerTable>,
-    queue: Inputs,
+/// Sends attempts to nodes.
+pub struct AttemptRunner {
+    client: Rc<UpstreamClient>,
+    endpoints: Rc<EndpointTable>,
+    core: CoreSender,
 }
 
-impl Dispatcher {
-    /// Sends on to the nodes of this table; ends are reported to this queue.
-    pub fn new(exchanger: Rc<Exchanger>, table: Rc<ServerTable>, queue: Inputs) -> Self {
-        Dispatcher { exchanger, table, queue }
+impl AttemptRunner {
+    /// Sends to the nodes of this table and reports outcomes to this core.
+    pub fn new(client: Rc<UpstreamClient>, endpoints: Rc<EndpointTable>, core: CoreSender) -> Self {
+        AttemptRunner { client, endpoints, core }
     }
 
     /// Closes the idle connections to a node.
     pub fn close_idle(&self, node: &HostId) {
-        self.exchanger.close_unless(|name, _| name != &*node.0);
+        close_idle(&self.client, node);
     }
 
-    /// Begins a dispatch.
-    pub fn begin(&self, dispatch: Dispatch<Forward>) {
-        let (exchanger, table) = (Rc::clone(&self.exchanger), Rc::clone(&self.table));
-        let Dispatch { id, number, node, request, within, called_off } = dispatch;
-        let (queue, began) = (self.queue.clone(), Instant::now());
-        let report =
-            Report { queue, id, number, node, began, end: ConnectionEnd::Broken, reply: None, metered: None };
+    /// Starts an attempt in a task of its own.
+    pub fn start(&self, attempt: Attempt<ForwardedRequest>) {
+        let (client, endpoints) = (Rc::clone(&self.client), Rc::clone(&self.endpoints));
+        let Attempt { id, number, node, request, timeout, cancelled } = attempt;
+        let report = ReportOnDrop {
+            core: self.core.clone(),
+            id,
+            number,
+            node,
+            started: Instant::now(),
+            result: AttemptResult::without_response(ExchangeOutcome::ConnectionLost),
+        };
         actix_rt::spawn(async move {
-            let called_off = async {
-                let _ = called_off.await;
+            let cancelled = async {
+                let _ = cancelled.await;
             };
             let mut report = report;
-            let ended = run(&exchanger, &table, &report.node, &request, within, called_off).await;
-            (report.end, report.reply, report.metered) = ended;
+            report.result = run(&client, &endpoints, &report.node, &request, timeout, cancelled).await;
         });
     }
 }
 
-/// Reports a dispatch's end when it is dropped, so exactly once. Guards against a session that waits for ever:
-/// should the task panic, the dispatch has ended as one that may have run.
-struct Report {
-    queue: Inputs,
+/// What an attempt led to.
+struct AttemptResult {
+    outcome: ExchangeOutcome,
+    /// The body for the session's client, only with `Answered`.
+    response: Option<Bytes>,
+    /// The customer's use over all gatekeepers, as a fraction of its rate.
+    usage: Option<f64>,
+}
+
+impl AttemptResult {
+    fn without_response(outcome: ExchangeOutcome) -> Self {
+        AttemptResult { outcome, response: None, usage: None }
+    }
+}
+
+/// Reports an attempt when it is dropped, thus exactly once. Should the task panic, the initial result stands: the
+/// request may have run. Without it the session would wait for ever.
+struct ReportOnDrop {
+    core: CoreSender,
     id: RequestId,
     number: u32,
     node: HostId,
-    began: Instant,
-    end: ConnectionEnd,
-    reply: Option<Bytes>,
-    metered: Option<f64>,
+    started: Instant,
+    result: AttemptResult,
 }
 
-impl Drop for Report {
+impl Drop for ReportOnDrop {
     fn drop(&mut self) {
-        let _ = self.queue.send(Input::DispatchEnded {
+        let _ = self.core.send(CoreMessage::AttemptFinished(AttemptReport {
             id: self.id.clone(),
             number: self.number,
             node: self.node.clone(),
-            end: self.end,
-            reply: self.reply.take(),
-            metered: self.metered,
-            took: self.began.elapsed(),
-        });
+            outcome: self.result.outcome,
+            response: self.result.response.take(),
+            usage: self.result.usage,
+            elapsed: self.started.elapsed(),
+        }));
     }
 }
 
 async fn run(
-    exchanger: &Exchanger,
-    table: &Rc<ServerTable>,
+    client: &UpstreamClient,
+    endpoints: &Rc<EndpointTable>,
     node: &HostId,
-    forward: &Forward,
-    within: Duration,
-    called_off: impl Future<Output = ()>,
-) -> (ConnectionEnd, Option<Bytes>, Option<f64>) {
-    let Some(address) = table.address(node) else { return (ConnectionEnd::Withdrawn, None, None) };
+    forwarded: &ForwardedRequest,
+    timeout: Duration,
+    cancelled: impl Future<Output = ()>,
+) -> AttemptResult {
+    let Some(address) = endpoints.address(node) else {
+        return AttemptResult::without_response(ExchangeOutcome::Withdrawn);
+    };
+    let Ok(timeout_header) = HeaderValue::from_str(&format!("{:.3}", timeout.as_secs_f64())) else {
+        return AttemptResult::without_response(ExchangeOutcome::NotAttempted);
+    };
     let peer = Peer { name: node.0.clone(), address };
-    let timeout = HeaderValue::from_str(&format!("{:.3}", within.as_secs_f64()));
-    let Ok(timeout) = timeout else { return (ConnectionEnd::NotBegun, None, None) };
     let request = Request {
-        method: forward.method.clone(),
-        target: forward.target.clone(),
+        method: forwarded.method.clone(),
+        target: forwarded.target.clone(),
         headers: vec![
-            (HeaderName::from_static("request-id"), forward.id.clone()),
-            (HeaderName::from_static("request-timeout"), timeout),
+            (HeaderName::from_static("request-id"), forwarded.id.clone()),
+            (HeaderName::from_static("request-timeout"), timeout_header),
         ],
-        body: forward.body.clone(),
+        body: forwarded.body.clone(),
     };
-    let may_begin = {
-        let (table, node) = (Rc::clone(table), node.clone());
-        Box::new(move || table.takes_work(&node))
+    let may_send = {
+        let (endpoints, node) = (Rc::clone(endpoints), node.clone());
+        Box::new(move || endpoints.accepts_work(&node))
     };
-    let bounds = Bounds { within, may_begin };
-    let ended = exchanger.exchange(&peer, request, bounds, called_off).await;
-    // Guards a node that comes up at the address of one that went while this was out: nothing is left for it.
-    if table.address(node) != Some(address) {
-        exchanger.close_unless(|name, _| name != &*node.0);
+    let options = ExchangeOptions { timeout, may_send };
+    let (outcome, response) = client.exchange(&peer, request, options, cancelled).await;
+    // The node may have been replaced during the attempt: its connections must not be kept for the address.
+    if endpoints.address(node) != Some(address) {
+        close_idle(client, node);
     }
-    let metered = ended.1.as_ref().and_then(|reply| Some(reply.meter? / 100.0));
-    match ended {
-        (ConnectionEnd::Answered, Some(reply)) => (ConnectionEnd::Answered, Some(reply.body), metered),
-        (ConnectionEnd::Declined, Some(reply)) if never_begun(&reply) => {
-            (ConnectionEnd::TurnedAway, None, metered)
+    let usage = response.as_ref().and_then(|response| Some(response.usage_percent? / 100.0));
+    match (outcome, response) {
+        (ExchangeOutcome::Answered, Some(response)) => {
+            AttemptResult { outcome, response: Some(response.body), usage }
+        }
+        (ExchangeOutcome::UnexpectedStatus, Some(response)) if proves_not_started(&response) => {
+            AttemptResult { outcome: ExchangeOutcome::NotStarted, response: None, usage }
         }
-        (end, _) => (end, None, metered),
+        (outcome, _) => AttemptResult { outcome, response: None, usage },
     }
 }
 
-/// Only these statuses, and only with the node's word for it, prove that a request never ran.
-fn never_begun(reply: &Reply) -> bool {
-    let status = matches!(reply.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
-    status && reply.not_started
+fn close_idle(client: &UpstreamClient, node: &HostId) {
+    client.retain_idle(|name, _| name != &*node.0);
+}
+
+/// Only these statuses, and only with the node's own statement, prove that a request never ran.
+fn proves_not_started(response: &Response) -> bool {
+    let status = matches!(response.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+    status && response.not_started
 }
--- /dev/null
+++ b/src/net/counter/tests.rs
@@ -0,0 +1,69 @@
+use super::*;
+use crate::net::peer::{held, Peer as Scripted, Reply};
+
+/// Totals must come back in call order: on two connections the later call of a name could overtake the earlier one.
+#[test]
+fn calls_of_one_name_wait_for_each_other_and_for_no_other_name() {
+    let (say, first) = held();
+    let first = std::sync::Mutex::new(Some(first));
+    let peer = Scripted::start(move |call| match call.start.contains("/a?by=1&") {
+        true => first.lock().expect("whole").take().unwrap_or(Reply::Hangup),
+        false => Reply::Ok("7"),
+    });
+    actix_rt::System::new().block_on(async {
+        let (core, mut messages) = tokio::sync::mpsc::unbounded_channel();
+        let wait = Duration::from_secs(30);
+        let counter = CounterClient::new(
+            peer.address,
+            wait,
+            CallTimeouts { call: wait, late: Duration::ZERO },
+            MAX_CONNECTIONS,
+            core,
+        );
+        for (name, amount) in [("a", 1.0), ("a", -2.5), ("b", 1.0)] {
+            let name = CountName(name.into());
+            counter.call(CounterCall { name, amount, expiry: Duration::from_secs(4) });
+        }
+        let mut reported = Vec::new();
+        for _ in 0..3 {
+            let Some(CoreMessage::Counted { name, outcome, total, .. }) = messages.recv().await else {
+                panic!("no answer")
+            };
+            if reported.is_empty() {
+                say.send("1".into()).expect("the counter hears");
+            }
+            reported.push(format!("{} {outcome:?} {total}", name.0));
+        }
+        assert_eq!(reported, ["b Answered 7", "a Answered 1", "a Answered 7"]);
+        // Whatever was answered was seen, but on two connections in no order.
+        let mut seen = peer.requests();
+        seen.retain(|call| call.contains("/a?"));
+        let calls = ["1", "-2.5"].map(|by| format!("POST /counters/a?by={by}&expire_ms=4000 []"));
+        assert_eq!(seen, calls);
+    });
+}
+
+/// A late answer still proves something: the call ends at its timeout, once, and the answer that comes after that is
+/// reported as late, once.
+#[test]
+fn a_call_answered_after_its_timeout_is_reported_twice_and_sent_once() {
+    let (say, reply) = held();
+    let peer = Scripted::start(move |_| reply.clone());
+    actix_rt::System::new().block_on(async {
+        let (core, mut messages) = tokio::sync::mpsc::unbounded_channel();
+        let (wait, late) = (Duration::from_millis(50), Duration::from_secs(30));
+        let counter =
+            CounterClient::new(peer.address, late, CallTimeouts { call: wait, late }, MAX_CONNECTIONS, core);
+        let name = CountName("a".into());
+        counter.call(CounterCall { name, amount: 1.0, expiry: Duration::from_secs(4) });
+        let Some(CoreMessage::Counted { outcome, .. }) = messages.recv().await else { panic!("no outcome") };
+        assert_eq!(outcome, ExchangeOutcome::TimedOut { written: true });
+        say.send("9".into()).expect("the counter hears");
+        let Some(CoreMessage::CountedLate { name, total, .. }) = messages.recv().await else {
+            panic!("no answer")
+        };
+        assert_eq!((&*name.0, total), ("a", 9.0));
+        assert!(messages.try_recv().is_err(), "nothing more");
+    });
+    assert_eq!(peer.requests().len(), 1);
+}
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -9,10 +9,10 @@
 //! `POST /fleet/v2/budget`: a request to the one that divides hard ceilings, and its answer ([`super::budgets`]).
 
 use super::budgets::{Budgets, BUDGET_AT};
-use super::core::Input;
-use super::outcome::ConnectionEnd;
-use super::upstream::{Bounds, Exchanger, Peer, Request, BODY_MOST};
-use super::Inputs;
+use super::core::CoreMessage;
+use super::outcome::ExchangeOutcome;
+use super::upstream::{ExchangeOptions, Peer, Request, UpstreamClient, MAX_BODY_BYTES};
+use super::CoreSender;
 use actix_http::header::{HeaderName, HeaderValue, CONNECTION};
 use actix_http::uri::PathAndQuery;
 use actix_http::{HttpService, Method, Response, StatusCode};
@@ -87,8 +87,8 @@
     turn: Cell<usize>,
     swept: Cell<f64>,
     refused: RefCell<HashMap<String, Instant>>,
-    exchanger: Exchanger,
-    queue: Inputs,
+    exchanger: UpstreamClient,
+    queue: CoreSender,
     guests: Cell<usize>,
     clock: super::core::Clock,
     rng: RefCell<fastrand::Rng>,
@@ -119,7 +119,7 @@
         seed: u64,
         clock: super::core::Clock,
         (socket, at): (UdpSocket, SocketAddr),
-        queue: Inputs,
+        queue: CoreSender,
     ) -> Rc<Self> {
         let born = clock.now();
         let me = Origin { name: Arc::from(name), incarnation: born.as_micros() as u64 };
@@ -137,7 +137,7 @@
             budgets: settings.budgets.as_ref().map(|b| Budgets::new(b, &me, clock.now(), replicas)),
             members: RefCell::new(members),
             socket,
-            exchanger: Exchanger::new(dial, IDLE, GUESTS),
+            exchanger: UpstreamClient::new(dial, IDLE, GUESTS),
             pace: RefCell::new(Pace::new(born, settings.bytes)),
             me,
             replicas,
@@ -300,7 +300,7 @@
         }
         let (mut payload, mut body) = (request.take_payload(), BytesMut::new());
         while let Some(Ok(part)) = payload.next().await {
-            if body.len() + part.len() > BODY_MOST {
+            if body.len() + part.len() > MAX_BODY_BYTES {
                 return said(StatusCode::PAYLOAD_TOO_LARGE, "message too long".into());
             }
             body.extend_from_slice(&part);
@@ -386,9 +386,9 @@
     }
 
     async fn exchange(&self, peer: &Peer, request: Request, within: Duration) -> Result<Bytes, String> {
-        let bounds = Bounds { within, may_begin: Box::new(|| true) };
+        let bounds = ExchangeOptions::timeout(within);
         match self.exchanger.exchange(peer, request, bounds, std::future::pending()).await {
-            (ConnectionEnd::Answered, Some(reply)) => Ok(reply.body),
+            (ExchangeOutcome::Answered, Some(reply)) => Ok(reply.body),
             (_, Some(reply)) => Err(String::from_utf8_lossy(&reply.body).into_owned()),
             (end, None) => Err(format!("{end:?}")),
         }
@@ -407,7 +407,7 @@
     /// Asks the divider for parts of ceilings, where these are divided, for as long as the program runs.
     pub async fn budget_rounds(self: Rc<Self>) {
         let Some(budgets) = &self.budgets else { return };
-        let _ = self.queue.send(Input::DivideCeilings(budgets.floor()));
+        let _ = self.queue.send(CoreMessage::DivideCeilings(budgets.floor()));
         loop {
             let jitter = 0.8 + 0.2 * self.rng.borrow_mut().f64();
             tokio::time::sleep(budgets.every().mul_f64(jitter)).await;
@@ -431,7 +431,7 @@
             body.and_then(|body| wire::decode(&body, &self.settings.cluster)).ok()
         };
         if let Some(parts) = answer.and_then(|answer| budgets.answered(self.clock.now(), &answer)) {
-            let _ = self.queue.send(Input::Given(parts));
+            let _ = self.queue.send(CoreMessage::AssignedCeilings(parts));
         }
     }
 
@@ -479,13 +479,13 @@
         let judged = judged.collect();
         let fresh = replica.fresh_part(now, self.replicas);
         let copies = Copies { changed: replica.changed(), judged, fresh };
-        let _ = self.queue.send(Input::Copies(Box::new(copies)));
+        let _ = self.queue.send(CoreMessage::ReplicatedState(Box::new(copies)));
     }
 
     /// Asks the core what it knows; `false` where there is none any more.
     async fn look(&self) -> bool {
         let (to, known) = oneshot::channel();
-        let _ = self.queue.send(Input::Known(to));
+        let _ = self.queue.send(CoreMessage::ReadLocalState(to));
         let Ok(known) = known.await else { return false };
         self.note(self.now(), known);
         true
--- a/src/net/halls.rs
+++ b/src/net/halls.rs
@@ -3,7 +3,7 @@
 //! the factors that the decision module weighs hosts by. It must never decide a share, a state or a node
 //! (that is `whinstall::halls` and the module), and it touches no socket: the core calls it.
 
-use super::outcome::ConnectionEnd;
+use super::outcome::ExchangeOutcome;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use whinstall::halls::{HallSettings, HallState, Halls, Plan, Seen, TableNode};
@@ -127,12 +127,12 @@
     }
 
     /// A dispatch ended so, after so long.
-    pub fn ended(&mut self, now: Duration, node: &HostId, end: ConnectionEnd, took: Duration) {
+    pub fn ended(&mut self, now: Duration, node: &HostId, end: ExchangeOutcome, took: Duration) {
         let now = now.as_secs_f64();
-        if let Some(seen) = end.seen(took, self.silence) {
+        if let Some(seen) = end.zone_signal(took, self.silence) {
             self.halls.seen(now, &node.0, seen);
         }
-        if end == ConnectionEnd::Answered {
+        if end == ExchangeOutcome::Answered {
             self.halls.served(now, &node.0, took.as_secs_f64());
         }
     }
@@ -276,7 +276,7 @@
         // Both nodes of the own hall hang: the load goes to the others, by weight.
         let own_nodes = [HostId(Arc::from("127.0.0.1:80")), HostId(Arc::from("127.0.0.4:80"))];
         for node in &own_nodes {
-            d.ended(secs(1.0), node, ConnectionEnd::TimedOut { written: true }, secs(0.6));
+            d.ended(secs(1.0), node, ExchangeOutcome::TimedOut { written: true }, secs(0.6));
         }
         // Silent nodes are no capacity: the hall is thinned to nothing at once, lost a span later.
         let Told { parts, spill, .. } = d.changed(secs(1.2)).expect("told at once");
@@ -289,7 +289,7 @@
         let mut d = desk();
         d.changed(secs(0.1));
         for node in &own_nodes {
-            d.ended(secs(1.0), node, ConnectionEnd::TimedOut { written: true }, secs(0.2));
+            d.ended(secs(1.0), node, ExchangeOutcome::TimedOut { written: true }, secs(0.2));
         }
         assert!(d.changed(secs(1.0)).is_none());
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,7 @@
-//! The gatekeeper on real sockets. Sockets and the core meet in [`Platform`] alone: the platform's protocol on
-//! one side of it, the core's ports on the other.
+//! The gatekeeper on the network: the process ([`process`]), the core that owns the decision module ([`mod@core`]),
+//! and the connections to clients, nodes, the quota counter, discovery and other gatekeepers.
+//!
+//! The core reaches the network only through [`HttpTransport`].
 
 pub mod attempt;
 pub mod budgets;
@@ -12,6 +14,7 @@
 pub mod hot_restart;
 pub mod operator;
 pub mod outcome;
+pub mod process;
 pub mod report;
 pub mod upstream;
 
@@ -20,35 +23,37 @@
 #[allow(dead_code)]
 mod peer;
 
-use self::core::{CounterCall, Dispatch, Ports, Queue};
-use self::downstream::Forward;
+use self::attempt::AttemptRunner;
+use self::core::{Attempt, CounterCall, Transport};
+use self::counter::CounterClient;
+use self::downstream::ForwardedRequest;
 use bytes::Bytes;
 use whinstall::HostId;
 
-/// The platform's HTTP as the core's way out.
-pub struct Platform {
-    /// Towards the nodes.
-    pub dispatcher: attempt::Dispatcher,
-    /// Towards the counter.
-    pub counter: counter::Counter,
+/// The core's transport over HTTP/1.1.
+pub struct HttpTransport {
+    /// Sends attempts to nodes.
+    pub attempts: AttemptRunner,
+    /// Calls the quota counter.
+    pub counter: CounterClient,
 }
 
-/// The queue into the core.
-pub type Inputs = Queue<Platform>;
+/// Sends messages to the core.
+pub type CoreSender = core::Sender<HttpTransport>;
 
-impl Ports for Platform {
-    type Request = Forward;
-    type Reply = Bytes;
+impl Transport for HttpTransport {
+    type Request = ForwardedRequest;
+    type Response = Bytes;
 
-    fn dispatch(&self, dispatch: Dispatch<Forward>) {
-        self.dispatcher.begin(dispatch);
+    fn start_attempt(&self, attempt: Attempt<ForwardedRequest>) {
+        self.attempts.start(attempt);
     }
 
-    fn count(&self, call: CounterCall) {
+    fn call_counter(&self, call: CounterCall) {
         self.counter.call(call);
     }
 
     fn close_idle(&self, node: &HostId) {
-        self.dispatcher.close_idle(node);
+        self.attempts.close_idle(node);
     }
 }
--- a/src/net/outcome.rs
+++ b/src/net/outcome.rs
@@ -1,126 +1,100 @@
-//! Owns the one type for every way in which a connection to a node or to the counter can end, and the one
-//! function that maps it to the module's outcome. It must never look at a socket itself, and nothing else may
-//! build an [`Ending`]: whether a request ran or never ran is decided here alone.
+//! How an exchange with an upstream ended, and the one mapping of that to the decision module's [`Ending`].
+//!
+//! Whether a request may have run is decided here and nowhere else, so nothing else may build an [`Ending`].
 
+#[cfg(test)]
+mod tests;
+
+use std::time::Duration;
+use whinstall::halls::Seen;
 use whinstall::Ending;
 
-/// Who was at the other end.
+/// The kind of upstream that an exchange was with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Peer {
+pub enum Upstream {
     /// A drafting node.
     Node,
     /// The quota counter.
     Counter,
 }
 
-/// How a connection's one exchange ended.
+/// How an exchange ended. A request certainly did not run after `NotStarted`, `NotSent`, `NotAttempted` and
+/// `Withdrawn`, or after an exchange that ended with `written: false`; after any other outcome it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectionEnd {
-    /// A whole answer of status 200.
+pub enum ExchangeOutcome {
+    /// A complete response with status 200.
     Answered,
-    /// A whole answer that proves that nothing was begun.
-    TurnedAway,
-    /// A whole answer of a status of 400 to 499: the request is at fault, not who answered.
-    Rejected,
-    /// A whole answer of any other status.
-    Declined,
-    /// What came back is no answer that can be read, or one that is too long.
-    Garbled,
-    /// The connection was refused, never came up, or broke before the last byte was written.
-    NeverWritten,
+    /// A complete response that proves that the request was not begun.
+    NotStarted,
+    /// A complete response with a status from 400 to 499: the request is at fault, not the upstream.
+    ClientError,
+    /// A complete response with any other status.
+    UnexpectedStatus,
+    /// The response is malformed or too long.
+    InvalidResponse,
+    /// The connection was refused, not established, or broke before the last byte was written.
+    NotSent,
     /// The connection broke or ended after the last byte was written.
-    Broken,
-    /// Waiting ended; was the last byte written by then?
+    ConnectionLost,
+    /// The timeout expired.
     TimedOut {
-        /// Was it?
+        /// Whether the last byte had been written.
         written: bool,
     },
-    /// The core called it off; was the last byte written by then?
-    CalledOff {
-        /// Was it?
+    /// The core cancelled the exchange.
+    Cancelled {
+        /// Whether the last byte had been written.
         written: bool,
     },
-    /// Never begun: the session was over, its time was up, or it has used up its dispatches.
-    NotBegun,
-    /// Never begun: the server table told meanwhile that the node drains or is gone.
+    /// Not begun: the session was over, out of time or out of attempts.
+    NotAttempted,
+    /// Not begun: the node began to drain or was removed from the endpoint table.
     Withdrawn,
 }
 
-impl ConnectionEnd {
-    /// The module's outcome. A counter's call that may have been added must end as a time-out or a reset: after
-    /// these the module drops the amount instead of adding it again.
-    pub fn ending(self, peer: Peer) -> Ending {
-        match (self, peer) {
-            (ConnectionEnd::Answered, _) => Ending::Ok,
-            (ConnectionEnd::TurnedAway, _) => Ending::Full,
-            // No sign of a host's health: whoever sends what no host can use must not get hosts left out.
-            (ConnectionEnd::Rejected, Peer::Node) => Ending::Cancelled,
-            (ConnectionEnd::Rejected, Peer::Counter) => Ending::Full,
-            (ConnectionEnd::Declined, Peer::Node) => Ending::Error,
-            (ConnectionEnd::Declined, Peer::Counter) => Ending::Full,
-            (ConnectionEnd::Garbled, Peer::Node) => Ending::Error,
-            (ConnectionEnd::NeverWritten, _) => Ending::ConnectFailed,
-            (ConnectionEnd::Broken, Peer::Node) => Ending::Reset,
-            (ConnectionEnd::Garbled | ConnectionEnd::Broken, Peer::Counter) => Ending::Reset,
-            (ConnectionEnd::TimedOut { written: true }, _) => Ending::Timeout,
-            (ConnectionEnd::TimedOut { written: false }, _) => Ending::ConnectFailed,
-            (ConnectionEnd::CalledOff { written: true }, _) => Ending::Cancelled,
-            (ConnectionEnd::CalledOff { written: false }, _) => Ending::Moot,
-            (ConnectionEnd::NotBegun | ConnectionEnd::Withdrawn, _) => Ending::Moot,
+impl ExchangeOutcome {
+    /// The outcome in the decision module's terms. A counter call that may have been added must map to a timeout
+    /// or a reset: only after these the module drops the amount instead of adding it again.
+    pub fn to_ending(self, upstream: Upstream) -> Ending {
+        match (self, upstream) {
+            (ExchangeOutcome::Answered, _) => Ending::Ok,
+            (ExchangeOutcome::NotStarted, _) => Ending::Full,
+            // Says nothing about a node's health: one client's bad requests must not get nodes ejected.
+            (ExchangeOutcome::ClientError, Upstream::Node) => Ending::Cancelled,
+            (ExchangeOutcome::ClientError, Upstream::Counter) => Ending::Full,
+            (ExchangeOutcome::UnexpectedStatus, Upstream::Node) => Ending::Error,
+            (ExchangeOutcome::UnexpectedStatus, Upstream::Counter) => Ending::Full,
+            (ExchangeOutcome::InvalidResponse, Upstream::Node) => Ending::Error,
+            (ExchangeOutcome::NotSent, _) => Ending::ConnectFailed,
+            (ExchangeOutcome::ConnectionLost, Upstream::Node) => Ending::Reset,
+            (ExchangeOutcome::InvalidResponse | ExchangeOutcome::ConnectionLost, Upstream::Counter) => {
+                Ending::Reset
+            }
+            (ExchangeOutcome::TimedOut { written: true }, _) => Ending::Timeout,
+            (ExchangeOutcome::TimedOut { written: false }, _) => Ending::ConnectFailed,
+            (ExchangeOutcome::Cancelled { written: true }, _) => Ending::Cancelled,
+            (ExchangeOutcome::Cancelled { written: false }, _) => Ending::Moot,
+            (ExchangeOutcome::NotAttempted | ExchangeOutcome::Withdrawn, _) => Ending::Moot,
         }
     }
-}
 
-impl ConnectionEnd {
-    /// What an ending after `took` tells of the node's hall: bytes came back, something refused at once, or
-    /// nothing at all for the `silence` span. What was called off, or never begun, tells nothing.
-    pub fn seen(
-        self,
-        took: std::time::Duration,
-        silence: std::time::Duration,
-    ) -> Option<whinstall::halls::Seen> {
-        use whinstall::halls::Seen;
+    /// What an outcome after `elapsed` shows about the node's zone: that it answers, that something there refuses
+    /// at once, or that nothing came for the `silence_timeout`. A cancelled exchange, or one not begun, shows
+    /// nothing.
+    pub fn zone_signal(self, elapsed: Duration, silence_timeout: Duration) -> Option<Seen> {
         match self {
-            ConnectionEnd::Answered
-            | ConnectionEnd::TurnedAway
-            | ConnectionEnd::Rejected
-            | ConnectionEnd::Declined
-            | ConnectionEnd::Garbled => Some(Seen::Answered),
-            ConnectionEnd::NeverWritten | ConnectionEnd::Broken if took < silence => Some(Seen::Refused),
-            ConnectionEnd::NeverWritten | ConnectionEnd::TimedOut { .. } if took >= silence => {
+            ExchangeOutcome::Answered
+            | ExchangeOutcome::NotStarted
+            | ExchangeOutcome::ClientError
+            | ExchangeOutcome::UnexpectedStatus
+            | ExchangeOutcome::InvalidResponse => Some(Seen::Answered),
+            ExchangeOutcome::NotSent | ExchangeOutcome::ConnectionLost if elapsed < silence_timeout => {
+                Some(Seen::Refused)
+            }
+            ExchangeOutcome::NotSent | ExchangeOutcome::TimedOut { .. } if elapsed >= silence_timeout => {
                 Some(Seen::Silent)
             }
             _ => None,
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards hosts from clients whose requests they turn back: such an answer neither harms a host's health nor
-    /// proves that nothing ran.
-    #[test]
-    fn a_rejected_request_says_nothing_of_the_host() {
-        let end = ConnectionEnd::Rejected;
-        assert_eq!(end.ending(Peer::Node), Ending::Cancelled);
-        assert!(!end.ending(Peer::Node).never_ran());
-        assert_eq!(end.ending(Peer::Counter), Ending::Full);
-    }
-
-    /// Guards against taking a slow answer or a quick refusal for a cut hall.
-    #[test]
-    fn only_long_silence_is_silence() {
-        use std::time::Duration;
-        use whinstall::halls::Seen;
-        let (short, long, silence) =
-            (Duration::from_millis(5), Duration::from_secs(1), Duration::from_millis(600));
-        assert_eq!(ConnectionEnd::Declined.seen(long, silence), Some(Seen::Answered));
-        assert_eq!(ConnectionEnd::NeverWritten.seen(short, silence), Some(Seen::Refused));
-        assert_eq!(ConnectionEnd::NeverWritten.seen(long, silence), Some(Seen::Silent));
-        assert_eq!(ConnectionEnd::TimedOut { written: true }.seen(short, silence), None);
-        assert_eq!(ConnectionEnd::TimedOut { written: false }.seen(long, silence), Some(Seen::Silent));
-        assert_eq!(ConnectionEnd::CalledOff { written: true }.seen(long, silence), None);
-    }
-}
--- a/src/net/report.rs
+++ b/src/net/report.rs
@@ -20,7 +20,7 @@
 
 impl CounterLog {
     /// Logs the report where a mode has changed, or a trouble lasts.
-    pub fn look(&mut self, now: Duration, report: Report) {
+    pub fn update(&mut self, now: Duration, report: Report) {
         let modes: Vec<String> = report.parts.iter().map(|p| p.mode.clone()).collect();
         let calm = modes.iter().all(|m| m == Mode::InStep.name());
         let changed = if self.modes.is_empty() { !calm } else { modes != self.modes };
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -175,7 +175,7 @@
     pub fn sighup(&self, configuration: &str, words: &str) {
         std::fs::write(&self.path, configuration).expect("a file");
         self.signal("HUP");
-        while !self.log.recv_timeout(BOUND).expect("it logs").contains(words) {}
+        self.logged(&[words]);
     }
 
     pub fn connect(&self) -> Client {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -143,7 +143,10 @@
         );
         let file = Gatekeeper::settings_file(&settings);
         let (member, before) = Gatekeeper::start_logged(&told, &["--fleet", file.to_str().expect("UTF-8")]);
-        let line = before.iter().find(|l| l.contains("copies are kept")).expect("it says where it listens");
+        let line = before
+            .iter()
+            .find(|l| l.contains("replication among gatekeepers enabled"))
+            .expect("it says where it listens");
         let at = line.split("fleet=").nth(1).and_then(|t| t.split(' ').next()?.parse().ok());
         let at: std::net::SocketAddr = at.expect("an address");
         self.ports.lock().expect("whole").insert(at.port(), n);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -32,7 +32,7 @@
 impl Operated {
     fn start(directory: &Path, configuration: &str) -> Operated {
         let gatekeeper = Gatekeeper::start_in(directory, configuration, &[]);
-        let line = gatekeeper.logged(&["door is open"]);
+        let line = gatekeeper.logged(&["operator endpoint listening"]);
         let door = line.split("operator=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
         Operated { gatekeeper, door }
     }
@@ -106,7 +106,7 @@
         assert_eq!(new.gatekeeper.address, at);
         new.until("status", "200");
         old.gatekeeper.sigterm();
-        old.gatekeeper.logged(&["handed on", "taken=true"]);
+        old.gatekeeper.logged(&["handover to the new process", "taken=true"]);
         new.gatekeeper.logged(&["taking over"]);
         generations.push(std::mem::replace(&mut old, new));
     }
@@ -118,7 +118,7 @@
     for mut ended in generations {
         assert!(ended.gatekeeper.exit().success());
     }
-    old.gatekeeper.logged(&["the old process has ended"]);
+    old.gatekeeper.logged(&["the old process has exited"]);
     assert!(old.ready());
     stop.store(true, Ordering::Relaxed);
     let answered: Vec<_> = clients.into_iter().map(|c| c.join().expect("no panic")).collect();
@@ -168,7 +168,7 @@
     new.until("status", "200");
     old.gatekeeper.signal("KILL");
     old.gatekeeper.exit();
-    new.gatekeeper.logged(&["ended without handing on"]);
+    new.gatekeeper.logged(&["exited without a handover"]);
     assert_eq!(new.gatekeeper.connect().preview("r1").answer().body, "drafted");
     // With its new one dead it drains as at a planned restart.
     let mut stillborn = Operated::start(&directory, &configuration);
@@ -176,7 +176,7 @@
     stillborn.gatekeeper.exit();
     let mut new = new;
     new.gatekeeper.sigterm();
-    new.gatekeeper.logged(&["this one goes on"]);
+    new.gatekeeper.logged(&["this one continues to serve"]);
     assert_eq!(new.gatekeeper.connect().preview("r2").answer().body, "drafted");
     assert!(new.gatekeeper.exit().success());
 }
@@ -264,7 +264,7 @@
     assert_eq!(used.preview("r2").answer().header("connection"), None);
     assert_eq!(quiet.preview("r3").answer().header("connection"), None);
     assert!(operated.call("standby").starts_with("200 "));
-    operated.gatekeeper.logged(&["operators' order"]);
+    operated.gatekeeper.logged(&["operator command"]);
     assert!(!operated.ready());
     assert!(operated.call("standby").starts_with("200 on standby already"));
     // What comes all the same is served, on kept connections and new ones, and its answer ends the connection.
@@ -277,7 +277,7 @@
     say.send("issued".into()).expect("the node hears");
     assert_eq!(taken.answer().header("connection"), Some("close"));
     assert!(operated.call("active").starts_with("200 "));
-    operated.gatekeeper.logged(&["operators' order"]);
+    operated.gatekeeper.logged(&["operator command"]);
     assert!(operated.ready());
     assert_eq!(operated.gatekeeper.connect().preview("r5").answer().header("connection"), None);
 }
@@ -292,13 +292,13 @@
     let new = Operated::start(&directory, &configuration);
     new.until("status", "200");
     assert!(old.call("standby").starts_with("200 "));
-    old.gatekeeper.logged(&["operators' order"]);
+    old.gatekeeper.logged(&["operator command"]);
     old.gatekeeper.sigterm();
     assert!(old.gatekeeper.exit().success());
     new.gatekeeper.logged(&["taking over"]);
     assert!(!new.ready());
     assert!(new.call("active").starts_with("200 active"));
-    new.gatekeeper.logged(&["operators' order"]);
+    new.gatekeeper.logged(&["operator command"]);
     assert!(new.ready());
 }
 
@@ -384,6 +384,6 @@
         assert_eq!(client.preview_for(&format!("r{n}"), n as u32).answer().body, "drafted", "{field}");
     }
     assert!(elsewhere.requests().is_empty());
-    operated.gatekeeper.sighup(&moved, "configuration read again");
+    operated.gatekeeper.sighup(&moved, "configuration reloaded");
     assert!(elsewhere.request().start.starts_with("GET /v1/endpoints"));
 }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -344,8 +344,8 @@
     taken.issue("r1", "contract");
     old.request();
     let usable = configuration(&known, after.address, second.address, 1024);
-    gatekeeper.sighup(&usable[..usable.len() - 1], "the old one stays");
-    gatekeeper.sighup(&usable, "configuration read again");
+    gatekeeper.sighup(&usable[..usable.len() - 1], "keeping the current one");
+    gatekeeper.sighup(&usable, "configuration reloaded");
     assert_eq!(asked(&after), ["GET /v1/endpoints HTTP/1.1".to_owned(), watch(3)]);
     let mut client = gatekeeper.connect();
     for n in 0..8 {
