--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! The shared helper of the socket tests: the gatekeeper as a process and scripted peers round it, all on
-//! loopback and ephemeral ports. Waiting is always for something that happens, with one bound for all of it.
-//! Each test file uses a part of it, so what one leaves unused is no dead code.
+//! Shared by the socket tests: the gatekeeper as a process and scripted peers around it, all on loopback and
+//! ephemeral ports. Tests wait for events, never for a fixed time, and all waits have one bound ([`BOUND`]). Each test
+//! file uses only a part, so unused items here are not dead code.
 #![allow(dead_code)]
 
 #[allow(dead_code)]
@@ -13,29 +13,29 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::mpsc::{channel, Receiver};
 
-/// A counter that adds up for one name as for all others: enough where one customer asks.
+/// A quota counter that answers 1 to every call: enough for tests with one customer.
 pub fn counter() -> Peer {
     Peer::start(|_| Reply::Ok("1"))
 }
 
-/// A node's line on discovery's list.
+/// A node's entry on discovery's list.
 pub fn node(uid: &str, address: SocketAddr, state: &str) -> String {
     node_in(uid, address, state, "hall-a")
 }
 
-/// A node's line on discovery's list, in this hall.
+/// A node's entry on discovery's list, in this zone.
 pub fn node_in(uid: &str, address: SocketAddr, state: &str, hall: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"{hall}","model":"std","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
-/// Discovery's answer.
+/// Discovery's response.
 pub fn list(rev: u32, all: bool, nodes: &[String]) -> String {
     format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, nodes.join(","))
 }
 
-/// A discovery that tells this whole list and then has nothing to add.
+/// A discovery that sends this full list and then no changes.
 pub fn settled_discovery(whole: String) -> Peer {
     Peer::start(move |call| match call.start.contains("after=") {
         true => Reply::Silence,
@@ -61,7 +61,7 @@
 }
 
 impl Gatekeeper {
-    /// Starts it before these nodes, with a counter and with a discovery that has nothing to add.
+    /// Starts it with these nodes, a quota counter and a discovery without changes.
     pub fn before(nodes: &[&Peer]) -> Gatekeeper {
         let lines: Vec<_> =
             nodes.iter().enumerate().map(|(n, p)| node(&format!("n{n}"), p.address, "SERVING")).collect();
@@ -70,12 +70,12 @@
         Gatekeeper::start(&known, discovery.address, counter().address, 1024)
     }
 
-    /// Starts it with all of its surroundings.
+    /// Starts it with these peers.
     pub fn start(known: &str, discovery: SocketAddr, counter: SocketAddr, sockets: u32) -> Gatekeeper {
         Gatekeeper::start_with(known, discovery, counter, sockets, &[])
     }
 
-    /// Starts it with all of its surroundings and these words on its command line.
+    /// Starts it with these peers and command-line arguments.
     pub fn start_with(
         known: &str,
         discovery: SocketAddr,
@@ -86,22 +86,22 @@
         Gatekeeper::start_configured(&configuration(known, discovery, counter, sockets), args)
     }
 
-    /// Starts it with this configuration and these words on its command line.
+    /// Starts it with this configuration and command-line arguments.
     pub fn start_configured(configuration: &str, args: &[&str]) -> Gatekeeper {
         Gatekeeper::start_in(&directory(), configuration, args)
     }
 
-    /// Starts it with this `$TMPDIR`, this configuration and these words on its command line.
+    /// Starts it with this `$TMPDIR`, configuration and command-line arguments.
     pub fn start_in(directory: &Path, configuration: &str, args: &[&str]) -> Gatekeeper {
-        Gatekeeper::start_told(directory, configuration, args).0
+        Gatekeeper::start_and_read(directory, configuration, args).0
     }
 
-    /// Starts it with this configuration and these words; returns what it logged before it served, too.
+    /// Starts it with this configuration and arguments; also returns what it logged before it served.
     pub fn start_logged(configuration: &str, args: &[&str]) -> (Gatekeeper, Vec<String>) {
-        Gatekeeper::start_told(&directory(), configuration, args)
+        Gatekeeper::start_and_read(&directory(), configuration, args)
     }
 
-    fn start_told(directory: &Path, configuration: &str, args: &[&str]) -> (Gatekeeper, Vec<String>) {
+    fn start_and_read(directory: &Path, configuration: &str, args: &[&str]) -> (Gatekeeper, Vec<String>) {
         let path = Gatekeeper::file(configuration);
         let mut child = Gatekeeper::run(directory, &path, args);
         let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines().map_while(Result::ok);
@@ -112,9 +112,9 @@
         });
         let line = line.expect("it says where it serves");
         let address = line.split("listen=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
-        // Its log is read to the end: a full pipe would hold it up.
-        let (tell, log) = channel();
-        std::thread::spawn(move || lines.for_each(|line| drop(tell.send(line))));
+        // The log is read to the end, as a full pipe would block the process.
+        let (sender, log) = channel();
+        std::thread::spawn(move || lines.for_each(|line| drop(sender.send(line))));
         (Gatekeeper { child, address, path, log }, before)
     }
 
@@ -123,24 +123,24 @@
         Gatekeeper::run(&directory(), &Gatekeeper::file(configuration), &[])
     }
 
-    /// Starts the program with this configuration and these words on its command line.
+    /// Starts the program with this configuration and command-line arguments.
     pub fn spawn_with(configuration: &str, args: &[&str]) -> Child {
         Gatekeeper::run(&directory(), &Gatekeeper::file(configuration), args)
     }
 
-    /// A file of this text beside the configurations, for settings of its own.
+    /// Writes an operators' settings file.
     pub fn settings_file(text: &str) -> PathBuf {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("settings-{}.cue", unique()));
         std::fs::write(&path, text).expect("a file");
         path
     }
 
-    /// The lines of its log so far that were not read yet.
+    /// The lines of its log so far that were not returned before.
     pub fn log_so_far(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
-    /// The next line of its log that has all these words.
+    /// Waits for the next line of its log that contains all these texts.
     pub fn logged(&self, words: &[&str]) -> String {
         let until = std::time::Instant::now() + BOUND;
         loop {
@@ -171,7 +171,7 @@
             .expect("the gatekeeper starts")
     }
 
-    /// Writes this as its configuration, sends SIGHUP and waits for a line of its log that has these words.
+    /// Writes this as its configuration, sends SIGHUP and waits for a line of its log that contains this text.
     pub fn sighup(&self, configuration: &str, words: &str) {
         std::fs::write(&self.path, configuration).expect("a file");
         self.signal("HUP");
@@ -188,13 +188,13 @@
         self.signal("TERM");
     }
 
-    /// Ends, stops or wakes it.
+    /// Sends a signal, by its name without SIG.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("/bin/sh").arg("-c").arg(kill).status().expect("kill runs").success());
     }
 
-    /// The process's number.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -228,7 +228,7 @@
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Writes as it stands.
+    /// Writes this text unchanged.
     pub fn write(&mut self, text: &str) -> &mut Self {
         self.0.get_mut().write_all(text.as_bytes()).expect("it takes it");
         self
@@ -242,7 +242,7 @@
         ))
     }
 
-    /// Sends a preview: repeatable.
+    /// Sends a preview, which is idempotent.
     pub fn preview(&mut self, id: &str) -> &mut Self {
         self.write(&format!(
             "GET /preview/a%20b?client=00000000b4d65521&x=1 HTTP/1.1\r\n{}\r\n",
@@ -250,7 +250,7 @@
         ))
     }
 
-    /// Sends an issue: once.
+    /// Sends an issue, which is not idempotent.
     pub fn issue(&mut self, id: &str, body: &str) -> &mut Self {
         let (headers, length) = (headers(id, "issue", "6"), body.len());
         self.write(&format!(
@@ -258,12 +258,12 @@
         ))
     }
 
-    /// The next answer.
+    /// Reads the next response.
     pub fn answer(&mut self) -> Message {
         Message::read(&mut self.0).expect("an answer")
     }
 
-    /// Is the connection closed with nothing more said?
+    /// Whether the connection is closed without a further response.
     pub fn closed(&mut self) -> bool {
         Message::read(&mut self.0).is_none()
     }
--- a/tests/common/peer.rs
+++ b/tests/common/peer.rs
@@ -1,5 +1,4 @@
-//! Scripted peers on loopback and ephemeral ports: what socket tests talk to, in place of nodes, discovery and
-//! the counter.
+//! Scripted peers on loopback and ephemeral ports, in place of nodes, discovery and the quota counter.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,10 +6,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Far more than anything here takes: past it, what is waited for does not happen.
+/// Bound of every wait, far more than anything here takes: past it, the awaited event does not happen.
 pub const BOUND: Duration = Duration::from_secs(30);
 
-/// A message as it stood on the wire.
+/// An HTTP message as received.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub start: String,
@@ -19,7 +18,7 @@
 }
 
 impl Message {
-    /// Reads one, or nothing where the connection ends instead.
+    /// Reads a message; `None` if the connection ends instead.
     pub fn read(from: &mut BufReader<TcpStream>) -> Option<Message> {
         let mut line = || {
             let mut text = String::new();
@@ -44,7 +43,7 @@
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// The status line's code, or what the request line asks for, and the body.
+    /// The status or the request line without the version, and the body.
     pub fn brief(&self) -> String {
         let start = self.start.trim_start_matches("HTTP/1.1 ").trim_end_matches(" HTTP/1.1");
         format!("{start} [{}]", self.body)
@@ -56,39 +55,39 @@
 pub enum Reply {
     /// Writes this body with status 200.
     Ok(&'static str),
-    /// Writes this, whatever it is.
+    /// Writes this text, valid or not.
     Raw(String),
-    /// Writes this body with status 200 when the test lets it.
+    /// Writes this body with status 200 when the test sends it.
     Held(Arc<Mutex<Receiver<String>>>),
-    /// Writes this in two parts, the second as soon as the system lets it, which may wait to be told of the first.
+    /// Writes this in two parts; the kernel may hold the second until the first is acknowledged.
     Parts([String; 2]),
     /// Writes this and closes the connection.
     Torn(&'static str),
     /// Closes the connection.
     Hangup,
-    /// Says nothing until the gatekeeper closes the connection.
+    /// Sends nothing until the gatekeeper closes the connection.
     Silence,
 }
 
-/// One that is said later: by `send` on the returned end.
+/// A reply that is sent later, by `send` on the returned sender.
 pub fn held() -> (Sender<String>, Reply) {
     let (say, hear) = channel();
     (say, Reply::Held(Arc::new(Mutex::new(hear))))
 }
 
-/// An answer of status 200 with this body.
+/// A response with status 200 and this body.
 pub fn ok(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// What a peer saw.
+/// What a peer received.
 #[derive(Debug)]
 pub enum Seen {
     Request(Message),
     Closed,
 }
 
-/// A peer that answers by script and reports what it sees.
+/// A peer that replies by script and records what it receives.
 pub struct Peer {
     pub address: SocketAddr,
     seen: Receiver<Seen>,
@@ -109,12 +108,12 @@
         Peer { address, seen }
     }
 
-    /// The next thing that it sees.
+    /// Waits for the next event.
     pub fn next(&self) -> Seen {
         self.seen.recv_timeout(BOUND).expect("the peer sees something")
     }
 
-    /// The next request that it sees.
+    /// Waits for the next request.
     pub fn request(&self) -> Message {
         loop {
             if let Seen::Request(message) = self.next() {
@@ -123,7 +122,7 @@
         }
     }
 
-    /// All requests that it has seen and that were not asked for yet.
+    /// All requests so far that were not returned before.
     pub fn requests(&self) -> Vec<String> {
         let brief = |seen| match seen {
             Seen::Request(message) => Some(message.brief()),
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What operations staff do with a gatekeeper in service: the door, standby, retuning, a new version under load.
+//! What operators do with a gatekeeper in service: the operator endpoint, standby, reload, hot restart under load.
 //! Processes of the program, real signals and real sockets.
 
 mod common;
@@ -13,32 +13,33 @@
 
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: api.internal\r\n\r\n";
 
-/// A gatekeeper with a door.
+/// A gatekeeper with an operator endpoint.
 struct Operated {
     gatekeeper: Gatekeeper,
-    door: SocketAddr,
+    endpoint: SocketAddr,
 }
 
-/// Its configuration: an upgrade repeats it word for word but for the door's port.
+/// Its configuration: a hot restart repeats it but for the operator endpoint's port.
 fn operated(nodes: &[&Peer], counter: &Peer) -> String {
     let lines: Vec<_> =
         nodes.iter().enumerate().map(|(n, p)| node(&format!("n{n}"), p.address, "SERVING")).collect();
     let whole = list(1, true, &lines);
     let discovery = settled_discovery(whole.clone());
-    let told = configuration(&whole, discovery.address, counter.address, 384);
-    told.replacen('{', "{\"operator\":\"127.0.0.1:0\",", 1)
+    let configuration = configuration(&whole, discovery.address, counter.address, 384);
+    configuration.replacen('{', "{\"operator\":\"127.0.0.1:0\",", 1)
 }
 
 impl Operated {
     fn start(directory: &Path, configuration: &str) -> Operated {
         let gatekeeper = Gatekeeper::start_in(directory, configuration, &[]);
         let line = gatekeeper.logged(&["operator endpoint listening"]);
-        let door = line.split("operator=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
-        Operated { gatekeeper, door }
+        let endpoint =
+            line.split("operator=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
+        Operated { gatekeeper, endpoint }
     }
 
     fn call(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.door).expect("the door is open");
+        let mut stream = TcpStream::connect(self.endpoint).expect("the endpoint listens");
         stream.set_read_timeout(Some(BOUND)).expect("a bound");
         stream.write_all(format!("{line}\n").as_bytes()).expect("it takes it");
         let mut answer = String::new();
@@ -209,7 +210,7 @@
     assert!(first.ready() && second.ready());
 }
 
-/// Nothing of this is there where no door is set.
+/// Without an operator endpoint there is no hot restart.
 #[test]
 fn without_a_door_no_process_can_follow() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
@@ -223,7 +224,7 @@
     assert_eq!(std::fs::read_dir(&directory).expect("a directory").count(), 0);
 }
 
-/// The door answers within a second beside callers that hold their connections and say nothing whole.
+/// The endpoint responds within a second beside connections on which no complete line is sent.
 #[test]
 fn the_door_answers_beside_callers_that_hold_it() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
@@ -232,7 +233,7 @@
     operated.until("status", "200");
     let holding: Vec<_> = (0..40)
         .map(|n| {
-            let mut stream = TcpStream::connect(operated.door).expect("the door is open");
+            let mut stream = TcpStream::connect(operated.endpoint).expect("the endpoint listens");
             // Whoever was let go to make room may find that out here.
             let _ = stream.write_all(if n % 2 == 0 { b"stat" } else { b"" });
             stream
@@ -320,7 +321,7 @@
     let operated = Operated::start(&directory, &before);
     operated.until("status", "200");
     let mut open = operated.gatekeeper.connect();
-    // Held by the node until the settings have changed, then torn: its second attempt is its old class's due.
+    // Held by the node until the settings have changed, then reset: its old class permits a second attempt.
     open.preview("r1");
     node.request();
     let after = but(&before, r#""name": "preview", "aimS": 1.2"#, r#""name": "draft", "aimS": 2.5"#);
@@ -335,7 +336,7 @@
     assert_eq!(draft("r2"), "HTTP/1.1 502 Bad Gateway", "once, and torn");
     drop(say);
     assert_eq!(open.answer().body, "drafted");
-    // What is on its way of the class that went is served for a while; who sends what never was is told so.
+    // Requests of the removed class are served for a while; a class that never existed is rejected.
     assert_eq!(
         operated.gatekeeper.connect().preview("r3").answer().start,
         "HTTP/1.1 503 Service Unavailable"
@@ -345,10 +346,10 @@
     assert_eq!(operated.gatekeeper.connect().write(&unknown).answer().body, "no such Request-Class");
 }
 
-/// A file with a deadline that is none once moved discovery to where nobody listened. What is turned down changes
-/// nothing, and the log names the field.
+/// A file with an invalid deadline once moved discovery to where nobody listened. A rejected file changes nothing, and
+/// the log names the field.
 #[test]
-fn a_file_that_is_not_whole_is_turned_down_whole() {
+fn an_invalid_file_is_rejected_as_a_whole() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let (elsewhere, directory) = (Peer::start(|_| Reply::Silence), directory());
     let before = operated(&[&node], &counter());
