--- /dev/null
+++ b/src/net/core/mod.rs
@@ -0,0 +1,279 @@
+//! The core: the one task that owns the decision module ([`Gateway`]), the sessions and all timers.
+//!
+//! It is an actor. Messages arrive through one queue ([`CoreMessage`]) and decisions leave through the
+//! [`Transport`]; the core itself touches no socket and knows neither HTTP nor JSON.
+
+mod actions;
+mod clock;
+mod message;
+mod sessions;
+#[cfg(test)]
+mod tests;
+mod timers;
+
+pub use clock::Clock;
+pub use message::{
+    Attempt, AttemptReport, CoreMessage, CounterCall, NewSession, Sender, SessionResult, Transport,
+};
+
+use super::zone_failover::ZoneBalancer;
+use super::outcome::Upstream;
+use super::report::CounterLog;
+use sessions::{Session, SessionTable};
+use std::future::Future;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use timers::{Timer, TimerQueue};
+use tokio::sync::mpsc;
+use whinstall::zone_failover::ZoneFailoverSettings;
+use whinstall::{Action, Ending, Event, Gateway, HostEntry, HostId, ListScope, RequestId};
+
+/// Grace after a client's deadline, after which the core itself fails a session that nothing has ended.
+const OVERDUE_GRACE: Duration = Duration::from_millis(5);
+/// Interval at which zones are evaluated for their slow starts and hold-offs.
+const ZONE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the counter's modes are checked, to be logged.
+const COUNTER_LOG_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The state of the task.
+pub struct Core<T: Transport> {
+    gateway: Gateway,
+    clock: Clock,
+    transport: T,
+    /// Leads back to this task.
+    sender: Sender<T>,
+    /// Attempts of a session at the most.
+    max_attempts: usize,
+    sessions: SessionTable<T>,
+    timers: TimerQueue,
+    /// Kept between events for its allocation.
+    actions: Vec<Action>,
+    zones: Option<ZoneBalancer>,
+    counter_log: CounterLog,
+}
+
+impl<T: Transport> Core<T> {
+    /// A core around this module; `sender` leads back to this task.
+    pub fn new(gateway: Gateway, clock: Clock, transport: T, sender: Sender<T>, max_attempts: u32) -> Self {
+        let mut timers = TimerQueue::default();
+        timers.insert(clock.now() + COUNTER_LOG_INTERVAL, Timer::LogCounter);
+        Core {
+            gateway,
+            clock,
+            transport,
+            sender,
+            max_attempts: max_attempts as usize,
+            sessions: SessionTable::new(),
+            timers,
+            actions: Vec::new(),
+            zones: None,
+            counter_log: CounterLog::default(),
+        }
+    }
+
+    /// Weighs nodes by their zones' shares from now on.
+    pub fn with_zones(mut self, zones: ZoneBalancer) -> Self {
+        self.zones = Some(zones);
+        self.timers.insert(self.clock.now() + ZONE_INTERVAL, Timer::EvaluateZones);
+        self
+    }
+
+    /// Serves messages and timers for as long as the program runs.
+    pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<CoreMessage<T>>) {
+        loop {
+            let next_timer = self.next_timer();
+            tokio::select! {
+                biased;
+                message = messages.recv() => {
+                    let Some(message) = message else { return };
+                    self.handle_message(message);
+                    // All messages that are ready are handled in one wake-up.
+                    while let Ok(message) = messages.try_recv() {
+                        self.handle_message(message);
+                    }
+                }
+                () = next_timer => {}
+            }
+            self.fire_timers();
+        }
+    }
+
+    fn next_timer(&self) -> impl Future<Output = ()> {
+        let delay = self.timers.next_due().map(|at| at.saturating_sub(self.clock.now()));
+        async move {
+            match delay {
+                Some(delay) => tokio::time::sleep(delay).await,
+                None => std::future::pending().await,
+            }
+        }
+    }
+
+    fn fire_timers(&mut self) {
+        let now = self.clock.now();
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
+                Timer::Module(token) => self.handle_event(Event::Timer { token }),
+                Timer::SessionOverdue(id) => self.fail_overdue(&id),
+                Timer::AttemptSilent { id, number, node } => self.attempt_silent(now, &id, number, &node),
+                Timer::LogCounter => {
+                    self.counter_log.update(now, self.gateway.counter_report());
+                    self.timers.insert(now + COUNTER_LOG_INTERVAL, Timer::LogCounter);
+                }
+                Timer::EvaluateZones => {
+                    self.update_zone_shares();
+                    self.timers.insert(now + ZONE_INTERVAL, Timer::EvaluateZones);
+                }
+            }
+        }
+    }
+
+    fn handle_message(&mut self, message: CoreMessage<T>) {
+        match message {
+            CoreMessage::NewSession(session) => self.start_session(*session),
+            CoreMessage::ClientDisconnected(id) => self.client_disconnected(&id),
+            CoreMessage::AttemptFinished(report) => self.attempt_finished(report),
+            CoreMessage::Counted { name, outcome, total, elapsed } => {
+                let ending = outcome.to_ending(Upstream::Counter);
+                self.handle_event(Event::Counted { name, ending, total, delay: elapsed });
+            }
+            CoreMessage::CountedLate { name, total, elapsed } => {
+                self.handle_event(Event::CountedLate { name, total, delay: elapsed });
+            }
+            CoreMessage::Endpoints { scope, entries } => self.update_endpoints(scope, entries),
+            CoreMessage::ZoneSettings(settings) => self.update_zone_settings(*settings),
+            CoreMessage::ReadLocalState(to) => {
+                let _ = to.send(self.gateway.known());
+            }
+            CoreMessage::ReplicatedState(copies) => self.gateway.elsewhere(*copies),
+            CoreMessage::DivideCeilings(floor) => self.gateway.divide_ceilings(floor),
+            CoreMessage::AssignedCeilings(parts) => {
+                self.gateway.given(self.clock.now().as_secs_f64(), parts);
+            }
+            CoreMessage::Settings(settings) => {
+                self.max_attempts = settings.max_attempts.max(1) as usize;
+                self.gateway.retune(*settings);
+            }
+            CoreMessage::ExportState(to) => {
+                let _ = to.send(self.gateway.bequeath());
+            }
+            CoreMessage::ResumeState(legacy) => self.gateway.resume(&legacy),
+            CoreMessage::ImportState(legacy) => self.gateway.inherit(*legacy),
+        }
+    }
+
+    fn start_session(&mut self, new: NewSession<T>) {
+        // The module ignores a second session of an id in use, so its client would never get a result.
+        if self.sessions.contains(&new.id) {
+            let _ = new.result.send(SessionResult::DuplicateId);
+            return;
+        }
+        let budget = new.deadline.saturating_duration_since(Instant::now());
+        let deadline = self.clock.now() + budget;
+        let overdue = Timer::SessionOverdue(new.id.clone());
+        let session = Session {
+            request: Rc::new(new.request),
+            result: Some(new.result),
+            deadline,
+            overdue_timer: self.timers.insert(deadline + OVERDUE_GRACE, overdue),
+            max_attempts: self.max_attempts,
+            attempts: Vec::new(),
+        };
+        self.sessions.insert(new.id.clone(), session);
+        let (id, class, plan, customer) = (new.id, new.class, new.plan, new.customer);
+        self.handle_event(Event::Request {
+            id,
+            class,
+            plan,
+            customer,
+            budget,
+            units: new.units,
+            width: new.width,
+        });
+    }
+
+    fn client_disconnected(&mut self, id: &RequestId) {
+        // If the result crossed the disconnect, the session has ended and there is nothing to do. If its receiver
+        // is still there, the session is another client's that uses the same id.
+        let Some(session) = self.sessions.get_mut(id) else { return };
+        if session.result.take_if(|result| result.is_closed()).is_some() {
+            self.handle_event(Event::Departed { id: id.clone() });
+            self.remove_if_finished(id);
+        }
+    }
+
+    /// Fails a session that nothing has ended, so that its client gets a result at all.
+    fn fail_overdue(&mut self, id: &RequestId) {
+        if self.sessions.awaits_result(id) {
+            tracing::warn!(session = %id.0, "session overdue: failed by the core");
+            self.sessions.finish(id, SessionResult::Failed);
+            self.handle_event(Event::Departed { id: id.clone() });
+            self.remove_if_finished(id);
+        }
+    }
+
+    fn attempt_finished(&mut self, report: AttemptReport<T::Response>) {
+        let AttemptReport { id, number, node, outcome, response, usage, elapsed } = report;
+        let ending = outcome.to_ending(Upstream::Node);
+        tracing::debug!(session = %id.0, number, node = %node.0, ?outcome, ?elapsed, "attempt finished");
+        self.sessions.attempt_finished(&id, number);
+        if let Some(zones) = self.zones.as_mut() {
+            zones.dispatch_ended(self.clock.now(), &node, outcome, elapsed);
+        }
+        if let (Ending::Ok, Some(response)) = (ending, response) {
+            self.sessions.finish(&id, SessionResult::Response(response));
+        }
+        self.handle_event(Event::Outcome {
+            id: id.clone(),
+            attempt: number,
+            host: node,
+            ending,
+            done: !self.sessions.awaits_result(&id),
+            delay: elapsed,
+            cost: 0.0,
+            metered: usage,
+        });
+        self.update_zone_shares();
+        self.remove_if_finished(&id);
+    }
+
+    fn attempt_silent(&mut self, now: Duration, id: &RequestId, number: u32, node: &HostId) {
+        if !self.sessions.is_in_flight(id, number) {
+            return;
+        }
+        if let Some(zones) = self.zones.as_mut() {
+            zones.dispatch_timed_out(now, node);
+            self.update_zone_shares();
+        }
+    }
+
+    fn update_endpoints(&mut self, scope: ListScope, entries: Vec<HostEntry>) {
+        if let Some(zones) = self.zones.as_mut() {
+            zones.update_endpoints(self.clock.now(), scope, &entries);
+        }
+        self.handle_event(Event::Hosts { scope, entries });
+        self.update_zone_shares();
+    }
+
+    fn update_zone_settings(&mut self, settings: ZoneFailoverSettings) {
+        if let Some(zones) = self.zones.take() {
+            self.zones = Some(zones.with_settings(settings, self.clock.now()));
+            self.update_zone_shares();
+        }
+    }
+
+    /// Passes the zones' shares to the module where they changed.
+    fn update_zone_shares(&mut self) {
+        let now = self.clock.now();
+        let Some(zones) = self.zones.as_mut() else { return };
+        zones.record_rejected(now, self.gateway.turned_out());
+        if let Some(weights) = zones.poll_weights(now) {
+            self.handle_event(Event::Halls { parts, spill, unplaced });
+        }
+    }
+
+    fn remove_if_finished(&mut self, id: &RequestId) {
+        if let Some(overdue_timer) = self.sessions.remove_if_finished(id) {
+            self.timers.remove(&overdue_timer);
+        }
+    }
+}
--- a/src/net/zone_failover.rs
+++ b/src/net/zone_failover.rs
@@ -4,7 +4,7 @@
 //! timeouts, the offered rate) and turns its plan into the host weights that the decision module applies. States
 //! and shares are decided in [`whinstall::zone_failover`], hosts in the decision module; nothing here does I/O.
 
-use super::ending::ConnectionEnd;
+use super::outcome::ExchangeOutcome;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use whinstall::zone_failover::{
@@ -171,12 +171,12 @@
     }
 
     /// Records the outcome of a dispatch.
-    pub fn dispatch_ended(&mut self, now: Duration, host: &HostId, end: ConnectionEnd, took: Duration) {
+    pub fn dispatch_ended(&mut self, now: Duration, host: &HostId, end: ExchangeOutcome, took: Duration) {
         let now_secs = now.as_secs_f64();
-        if let Some(observation) = end.seen(took, self.detection_timeout) {
+        if let Some(observation) = end.zone_signal(took, self.detection_timeout) {
             self.failover.record(now_secs, &host.0, observation);
         }
-        if end == ConnectionEnd::Answered {
+        if end == ExchangeOutcome::Answered {
             self.failover.record_latency(now_secs, &host.0, took.as_secs_f64());
         }
     }
--- a/src/net/zone_failover_tests.rs
+++ b/src/net/zone_failover_tests.rs
@@ -44,7 +44,7 @@
     assert!(b.poll_weights(secs(0.2)).is_none(), "no change");
     // Both local hosts hang: the load goes to the other zones, by weight.
     for host in &local {
-        b.dispatch_ended(secs(1.0), host, ConnectionEnd::TimedOut { written: true }, secs(0.6));
+        b.dispatch_ended(secs(1.0), host, ExchangeOutcome::TimedOut { written: true }, secs(0.6));
     }
     // Unresponsive hosts are no capacity: the zone degrades to nothing at once, and is ejected one detection
     // timeout later.
@@ -58,7 +58,7 @@
     let mut b = balancer(text);
     b.poll_weights(secs(0.1));
     for host in &local {
-        b.dispatch_ended(secs(1.0), host, ConnectionEnd::TimedOut { written: true }, secs(0.2));
+        b.dispatch_ended(secs(1.0), host, ExchangeOutcome::TimedOut { written: true }, secs(0.2));
     }
     assert!(b.poll_weights(secs(1.0)).is_none());
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What operations staff do with a gatekeeper in service: the door, standby, retuning, a new version under load.
+//! What operators do with a gatekeeper in service: the operator endpoint, standby, reload, hot restart under load.
 //! Processes of the program, real signals and real sockets.
 
 mod common;
@@ -13,32 +13,33 @@
 
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: api.internal\r\n\r\n";
 
-/// A gatekeeper with a door.
+/// A gatekeeper with an operator endpoint.
 struct Operated {
     gatekeeper: Gatekeeper,
-    door: SocketAddr,
+    endpoint: SocketAddr,
 }
 
-/// Its configuration: an upgrade repeats it word for word but for the door's port.
+/// Its configuration: a hot restart repeats it but for the operator endpoint's port.
 fn operated(nodes: &[&Peer], counter: &Peer) -> String {
     let lines: Vec<_> =
         nodes.iter().enumerate().map(|(n, p)| node(&format!("n{n}"), p.address, "SERVING")).collect();
     let whole = list(1, true, &lines);
     let discovery = settled_discovery(whole.clone());
-    let told = configuration(&whole, discovery.address, counter.address, 384);
-    told.replacen('{', "{\"operator\":\"127.0.0.1:0\",", 1)
+    let configuration = configuration(&whole, discovery.address, counter.address, 384);
+    configuration.replacen('{', "{\"operator\":\"127.0.0.1:0\",", 1)
 }
 
 impl Operated {
     fn start(directory: &Path, configuration: &str) -> Operated {
         let gatekeeper = Gatekeeper::start_in(directory, configuration, &[]);
-        let line = gatekeeper.logged(&["door is open"]);
-        let door = line.split("operator=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
-        Operated { gatekeeper, door }
+        let line = gatekeeper.logged(&["operator endpoint listening"]);
+        let endpoint =
+            line.split("operator=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
+        Operated { gatekeeper, endpoint }
     }
 
     fn call(&self, line: &str) -> String {
-        let mut stream = TcpStream::connect(self.door).expect("the door is open");
+        let mut stream = TcpStream::connect(self.endpoint).expect("the endpoint listens");
         stream.set_read_timeout(Some(BOUND)).expect("a bound");
         stream.write_all(format!("{line}\n").as_bytes()).expect("it takes it");
         let mut answer = String::new();
@@ -106,7 +107,7 @@
         assert_eq!(new.gatekeeper.address, at);
         new.until("status", "200");
         old.gatekeeper.sigterm();
-        old.gatekeeper.logged(&["handed on", "taken=true"]);
+        old.gatekeeper.logged(&["handover to the new process", "taken=true"]);
         new.gatekeeper.logged(&["taking over"]);
         generations.push(std::mem::replace(&mut old, new));
     }
@@ -118,7 +119,7 @@
     for mut ended in generations {
         assert!(ended.gatekeeper.exit().success());
     }
-    old.gatekeeper.logged(&["the old process has ended"]);
+    old.gatekeeper.logged(&["the old process has exited"]);
     assert!(old.ready());
     stop.store(true, Ordering::Relaxed);
     let answered: Vec<_> = clients.into_iter().map(|c| c.join().expect("no panic")).collect();
@@ -168,7 +169,7 @@
     new.until("status", "200");
     old.gatekeeper.signal("KILL");
     old.gatekeeper.exit();
-    new.gatekeeper.logged(&["ended without handing on"]);
+    new.gatekeeper.logged(&["exited without a handover"]);
     assert_eq!(new.gatekeeper.connect().preview("r1").answer().body, "drafted");
     // With its new one dead it drains as at a planned restart.
     let mut stillborn = Operated::start(&directory, &configuration);
@@ -176,7 +177,7 @@
     stillborn.gatekeeper.exit();
     let mut new = new;
     new.gatekeeper.sigterm();
-    new.gatekeeper.logged(&["this one goes on"]);
+    new.gatekeeper.logged(&["this one continues to serve"]);
     assert_eq!(new.gatekeeper.connect().preview("r2").answer().body, "drafted");
     assert!(new.gatekeeper.exit().success());
 }
@@ -209,7 +210,7 @@
     assert!(first.ready() && second.ready());
 }
 
-/// Nothing of this is there where no door is set.
+/// Without an operator endpoint there is no hot restart.
 #[test]
 fn without_a_door_no_process_can_follow() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
@@ -223,7 +224,7 @@
     assert_eq!(std::fs::read_dir(&directory).expect("a directory").count(), 0);
 }
 
-/// The door answers within a second beside callers that hold their connections and say nothing whole.
+/// The endpoint responds within a second beside connections on which no complete line is sent.
 #[test]
 fn the_door_answers_beside_callers_that_hold_it() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
@@ -232,7 +233,7 @@
     operated.until("status", "200");
     let holding: Vec<_> = (0..40)
         .map(|n| {
-            let mut stream = TcpStream::connect(operated.door).expect("the door is open");
+            let mut stream = TcpStream::connect(operated.endpoint).expect("the endpoint listens");
             // Whoever was let go to make room may find that out here.
             let _ = stream.write_all(if n % 2 == 0 { b"stat" } else { b"" });
             stream
@@ -264,7 +265,7 @@
     assert_eq!(used.preview("r2").answer().header("connection"), None);
     assert_eq!(quiet.preview("r3").answer().header("connection"), None);
     assert!(operated.call("standby").starts_with("200 "));
-    operated.gatekeeper.logged(&["operators' order"]);
+    operated.gatekeeper.logged(&["operator command"]);
     assert!(!operated.ready());
     assert!(operated.call("standby").starts_with("200 on standby already"));
     // What comes all the same is served, on kept connections and new ones, and its answer ends the connection.
@@ -277,7 +278,7 @@
     say.send("issued".into()).expect("the node hears");
     assert_eq!(taken.answer().header("connection"), Some("close"));
     assert!(operated.call("active").starts_with("200 "));
-    operated.gatekeeper.logged(&["operators' order"]);
+    operated.gatekeeper.logged(&["operator command"]);
     assert!(operated.ready());
     assert_eq!(operated.gatekeeper.connect().preview("r5").answer().header("connection"), None);
 }
@@ -292,13 +293,13 @@
     let new = Operated::start(&directory, &configuration);
     new.until("status", "200");
     assert!(old.call("standby").starts_with("200 "));
-    old.gatekeeper.logged(&["operators' order"]);
+    old.gatekeeper.logged(&["operator command"]);
     old.gatekeeper.sigterm();
     assert!(old.gatekeeper.exit().success());
     new.gatekeeper.logged(&["taking over"]);
     assert!(!new.ready());
     assert!(new.call("active").starts_with("200 active"));
-    new.gatekeeper.logged(&["operators' order"]);
+    new.gatekeeper.logged(&["operator command"]);
     assert!(new.ready());
 }
 
@@ -320,7 +321,7 @@
     let operated = Operated::start(&directory, &before);
     operated.until("status", "200");
     let mut open = operated.gatekeeper.connect();
-    // Held by the node until the settings have changed, then torn: its second attempt is its old class's due.
+    // Held by the node until the settings have changed, then reset: its old class permits a second attempt.
     open.preview("r1");
     node.request();
     let after = but(&before, r#""name": "preview", "aimS": 1.2"#, r#""name": "draft", "aimS": 2.5"#);
@@ -335,7 +336,7 @@
     assert_eq!(draft("r2"), "HTTP/1.1 502 Bad Gateway", "once, and torn");
     drop(say);
     assert_eq!(open.answer().body, "drafted");
-    // What is on its way of the class that went is served for a while; who sends what never was is told so.
+    // Requests of the removed class are served for a while; a class that never existed is rejected.
     assert_eq!(
         operated.gatekeeper.connect().preview("r3").answer().start,
         "HTTP/1.1 503 Service Unavailable"
@@ -345,10 +346,10 @@
     assert_eq!(operated.gatekeeper.connect().write(&unknown).answer().body, "no such Request-Class");
 }
 
-/// A file with a deadline that is none once moved discovery to where nobody listened. What is turned down changes
-/// nothing, and the log names the field.
+/// A file with an invalid deadline once moved discovery to where nobody listened. A rejected file changes nothing, and
+/// the log names the field.
 #[test]
-fn a_file_that_is_not_whole_is_turned_down_whole() {
+fn an_invalid_file_is_rejected_as_a_whole() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let (elsewhere, directory) = (Peer::start(|_| Reply::Silence), directory());
     let before = operated(&[&node], &counter());
@@ -384,6 +385,6 @@
         assert_eq!(client.preview_for(&format!("r{n}"), n as u32).answer().body, "drafted", "{field}");
     }
     assert!(elsewhere.requests().is_empty());
-    operated.gatekeeper.sighup(&moved, "configuration read again");
+    operated.gatekeeper.sighup(&moved, "configuration reloaded");
     assert!(elsewhere.request().start.starts_with("GET /v1/endpoints"));
 }
