--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! The gatekeeper as a process, over loopback sockets against scripted peers: a story for each failure met.
+//! The gatekeeper as a process, over loopback sockets against scripted peers: a scenario for each failure met.
 
 mod common;
 
@@ -29,8 +29,8 @@
     "#);
 }
 
-/// What is not as it should be gets an error and a close before the module hears of it, whoever it names, and
-/// whatever follows it on the connection is not served.
+/// A malformed request gets an error and a close before the decision module sees it, whichever customer it names, and
+/// pipelined requests after it are not served.
 #[test]
 fn malformed_requests_never_reach_the_module() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
@@ -103,9 +103,9 @@
     assert_eq!(node.requests().len(), 1);
 }
 
-/// Whether a `once` request ran hangs on what came back, and on how much was written.
+/// Whether a `once` request may have run depends on the response and on how much was written.
 #[test]
-fn a_once_request_goes_on_only_where_it_never_ran() {
+fn a_once_request_is_retried_only_if_it_never_ran() {
     let garbled = [
         "HTTP/1.1 two hundred\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\nissued",
@@ -156,10 +156,11 @@
     }
 }
 
-/// A second copy must not be out beside the first: its connection ends while the second is still unanswered. Before
-/// the module has learnt what a preview takes, it leaves the first dispatch its whole aim, so some are answered first.
+/// Two attempts of a request must not be in flight together: the connection of the first ends while the second is
+/// still unanswered. Before the module has learnt how long a preview takes, it leaves the first attempt the full latency
+/// target, so some are answered first.
 #[test]
-fn a_silent_node_sees_the_end_of_a_dispatch_before_the_next_is_answered() {
+fn a_silent_node_sees_the_end_of_an_attempt_before_the_next_is_answered() {
     let (say, second) = held();
     let mut replies = vec![second, Reply::Silence];
     replies.extend(vec![Reply::Ok("known"); 6]);
@@ -182,9 +183,9 @@
     assert_eq!(client.answer().body, "drafted");
 }
 
-/// Clients that ask once and keep their connection once filled the table, and no one else got in.
+/// Clients that sent one request and kept their connections once filled the table, and no other client was accepted.
 #[test]
-fn silent_and_idle_connections_are_closed_but_never_one_with_a_taken_request() {
+fn silent_and_idle_connections_are_closed_but_never_one_with_an_accepted_request() {
     let (say, reply) = held();
     let node = Peer::start(move |call| match call.start.starts_with("POST") {
         true => reply.clone(),
@@ -203,9 +204,9 @@
     assert_eq!(taken.answer().body, "issued");
 }
 
-/// A head may take its client 2 s and a body comes at 64 kB a second; both together were cut off after 2 s.
+/// A head may take its client 2 s and a body arrives at 64 kB/s; a limit of 2 s on both together once cut them off.
 #[test]
-fn a_request_that_comes_slowly_is_served() {
+fn a_request_that_arrives_slowly_is_served() {
     let node = Peer::start(|_| Reply::Ok("issued"));
     let gatekeeper = Gatekeeper::before(&[&node]);
     let mut client = gatekeeper.connect();
@@ -226,7 +227,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_dispatch() {
+fn a_disconnect_cancels_the_attempt() {
     let node = Peer::start(|_| Reply::Silence);
     let gatekeeper = Gatekeeper::before(&[&node]);
     let mut client = gatekeeper.connect();
@@ -236,9 +237,9 @@
     assert!(matches!(node.next(), Seen::Closed));
 }
 
-/// The module takes no notice of a second session of the same id, which once would have waited for ever.
+/// The module ignores a second session of the same id, which once would have waited for ever.
 #[test]
-fn a_second_session_of_one_id_is_turned_back() {
+fn a_second_session_of_one_id_is_rejected() {
     let (say, reply) = held();
     let node = Peer::start(move |_| reply.clone());
     let gatekeeper = Gatekeeper::before(&[&node]);
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn what_the_module_gives_up_is_denied_at_once_with_advice() {
+fn a_session_that_the_module_refuses_is_denied_at_once_with_retry_after() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let gatekeeper = Gatekeeper::before(&[&node]);
     let mut client = gatekeeper.connect();
@@ -263,7 +264,7 @@
 }
 
 #[test]
-fn a_silent_counter_holds_nothing_up_for_long() {
+fn a_silent_counter_delays_nothing_for_long() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let known = list(1, true, &[common::node("n0", node.address, "SERVING")]);
     let silent = Peer::start(|_| Reply::Silence);
@@ -320,9 +321,9 @@
     assert_eq!((a.requests().len(), b.requests().len()), (1, 1));
 }
 
-/// SIGHUP once ended the program. Discovery and counter are elsewhere afterwards; what is under way goes on.
+/// SIGHUP once ended the program. Discovery and counter are at other addresses afterwards; sessions in progress go on.
 #[test]
-fn sighup_moves_discovery_and_counter_and_harms_nothing_under_way() {
+fn sighup_moves_discovery_and_counter_and_affects_no_session_in_progress() {
     let (say, reply) = held();
     let (old, new) = (Peer::start(move |_| reply.clone()), Peer::start(|_| Reply::Ok("new")));
     // Each counts its versions its own way, and a watch is answered by nothing.
@@ -357,7 +358,7 @@
 }
 
 #[test]
-fn sigterm_finishes_what_was_taken() {
+fn sigterm_finishes_accepted_requests() {
     let (say, reply) = held();
     let reply = std::sync::Mutex::new(Some(reply));
     let node = Peer::start(move |_| reply.lock().expect("whole").take().unwrap_or(Reply::Ok("late")));
