--- a/src/net/endpoints/mod.rs
+++ b/src/net/endpoints/mod.rs
@@ -1,5 +1,5 @@
 //! Endpoint discovery: the table of nodes as discovery last reported it ([`EndpointTable`]), the watch that keeps
-//! it up to date ([`watch`]) and the schedule of its requests ([`schedule`]).
+//! it up to date ([`mod@watch`]) and the schedule of its requests ([`schedule`]).
 //!
 //! The table survives every failure of discovery: nothing is dropped because discovery is silent, fails or
 //! restarts.
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// Clients that ask without pause, each request on a new connection; returns how many were answered, and the first
+/// Clients that send without pause, each request on a new connection; each returns how many were answered, or the first
 /// that was not.
 fn crowd(at: SocketAddr, stop: &Arc<AtomicBool>) -> Vec<std::thread::JoinHandle<Result<usize, String>>> {
     let client = |who: usize| {
@@ -85,7 +85,7 @@
 
 /// The second process once ended with "Address already in use", and a listener that closes resets its queue.
 #[test]
-fn a_new_version_takes_over_under_load_and_nothing_is_lost() {
+fn a_hot_restart_under_load_loses_nothing() {
     let (say, reply) = held();
     let node = Peer::start(move |call| match call.start.starts_with("POST") {
         true => reply.clone(),
@@ -126,10 +126,10 @@
     assert!(answered.iter().all(|a| a.as_ref().is_ok_and(|n| *n > 0)), "{answered:?}");
 }
 
-/// What the old process admitted counts at the new one, also where no counter tells: a second window once cost as
-/// much again.
+/// What the old process admitted counts at the new one, even without a quota counter: a window was once granted
+/// twice.
 #[test]
-fn what_the_old_process_spent_counts_at_the_new_one() {
+fn usage_of_the_old_process_counts_at_the_new_one() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let (directory, silent) = (directory(), Peer::start(|_| Reply::Silence));
     let configuration = operated(&[&node], &silent);
@@ -152,9 +152,9 @@
     assert!(first + second <= most, "{first} and {second}, of {most}");
 }
 
-/// Whichever of the two dies, the other serves.
+/// Whichever of the two processes dies, the other serves.
 #[test]
-fn a_death_on_either_side_leaves_the_other_serving() {
+fn the_death_of_either_process_leaves_the_other_serving() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let (directory, counter) = (directory(), counter());
     let configuration = operated(&[&node], &counter);
@@ -182,9 +182,9 @@
     assert!(new.gatekeeper.exit().success());
 }
 
-/// A process that is stopped gives nothing: the new one serves beside it.
+/// A stopped process sends no listening socket: the new one listens alongside it.
 #[test]
-fn a_stopped_process_does_not_hold_its_successor_up() {
+fn a_stopped_process_does_not_delay_its_successor() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let (directory, counter) = (directory(), counter());
     let configuration = operated(&[&node], &counter);
@@ -196,7 +196,7 @@
     new.until("status", "200");
 }
 
-/// One of the same name that serves elsewhere is no predecessor: its clients stay its own.
+/// A process of the same name at another address is no predecessor: it keeps its clients.
 #[test]
 fn a_process_at_another_address_takes_nothing_over() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
@@ -212,7 +212,7 @@
 
 /// Without an operator endpoint there is no hot restart.
 #[test]
-fn without_a_door_no_process_can_follow() {
+fn without_an_operator_endpoint_there_is_no_hot_restart() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let directory = directory();
     let configuration = operated(&[&node], &counter()).replace("\"operator\":\"127.0.0.1:0\",", "");
@@ -226,7 +226,7 @@
 
 /// The endpoint responds within a second beside connections on which no complete line is sent.
 #[test]
-fn the_door_answers_beside_callers_that_hold_it() {
+fn the_operator_endpoint_responds_beside_idle_connections() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let directory = directory();
     let operated = Operated::start(&directory, &operated(&[&node], &counter()));
@@ -247,9 +247,9 @@
     drop(holding);
 }
 
-/// On standby nothing is lost, and no client's connection is left after a while; then clients are taken again.
+/// On standby no request is lost and all client connections are closed after a while; then clients are served again.
 #[test]
-fn standby_sends_clients_away_and_active_takes_them_again() {
+fn standby_closes_client_connections_and_active_serves_again() {
     let (say, reply) = held();
     let node = Peer::start(move |call| match call.start.starts_with("POST") {
         true => reply.clone(),
@@ -283,9 +283,9 @@
     assert_eq!(operated.gatekeeper.connect().preview("r5").answer().header("connection"), None);
 }
 
-/// A standby during an upgrade holds for the new process, and SIGTERM during standby ends the old one.
+/// A standby during a hot restart holds for the new process, and SIGTERM during standby ends the old one.
 #[test]
-fn standby_goes_over_to_the_new_process() {
+fn standby_is_handed_over_to_the_new_process() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
     let directory = directory();
     let configuration = operated(&[&node], &counter());
