--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -240,7 +240,9 @@
             let (ready, rest) = std::mem::take(&mut self.behind).into_iter().partition(|b| b.0 <= applied);
             self.behind = rest;
             let ready: Vec<(Index, CallId, f64)> = ready;
-            out.extend(ready.into_iter().map(|(_, call, _)| Effect::Respond(call, 200, self.state.to_json())));
+            out.extend(
+                ready.into_iter().map(|(_, call, _)| Effect::Respond(call, 200, self.state.to_json())),
+            );
         }
     }
 
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -191,8 +191,11 @@
 
     /// What a gatekeeper lacks, as far as its connection takes it.
     fn serve(&mut self, conn: ConnectionId, leave: &SendPermissions, out: &mut Vec<Effect>) {
-        let mine =
-            (self.configuration.state.last_change_index(), self.membership.registry.digest(), self.membership.last());
+        let mine = (
+            self.configuration.state.last_change_index(),
+            self.membership.registry.digest(),
+            self.membership.last(),
+        );
         let (Some(caller), last) = (self.sessions.get_mut(&conn), mine.2) else { return };
         let Some((config, workers)) = caller.holds else { return };
         if leave.whole {
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -233,7 +233,8 @@
             PeerMessage::Ping { config_index: config, workers_digest: workers, .. } => (config, workers),
             _ => (0, 0),
         };
-        let mine = (self.core.configuration.state.last_change_index(), self.core.membership.registry.digest());
+        let mine =
+            (self.core.configuration.state.last_change_index(), self.core.membership.registry.digest());
         self.edges.iter().all(|g| of(&g.edge) == mine)
     }
 }
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -168,8 +168,12 @@
         let snapshot_bytes = loaded.raft_state.snapshot.as_ref().map_or(0, |s| s.data.len());
         let me = NodeId { ip: context.me.ip, disk: loaded.disk_id };
         let is_empty = loaded.raft_state.entries.is_empty() && loaded.raft_state.snapshot.is_none();
-        let raft =
-            Raft::new(context.log_time(now), me, loaded.raft_state, replicated_log::tuning(&context.settings));
+        let raft = Raft::new(
+            context.log_time(now),
+            me,
+            loaded.raft_state,
+            replicated_log::tuning(&context.settings),
+        );
         let mut core = CoreNode {
             configuration: ConfigurationService::new(state, applied),
             membership: WorkerMembership::new(&context.settings, now, loaded.workers),
@@ -451,7 +455,8 @@
         self.last_tick = now;
         if now - self.last_ping >= PING {
             self.last_ping = now;
-            let (config, workers) = (self.configuration.state.last_change_index(), self.membership.registry.digest());
+            let (config, workers) =
+                (self.configuration.state.last_change_index(), self.membership.registry.digest());
             let ping = |ip| {
                 Effect::SendToPeer(
                     ip,
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -211,8 +211,10 @@
 
     /// The same without regard to an end.
     pub fn can_serve(&self) -> bool {
-        let mut routed =
-            self.active_config.routes().flat_map(|r| r.service_weights.iter().filter(|m| m.1 > 0.0).map(|m| &m.0));
+        let mut routed = self
+            .active_config
+            .routes()
+            .flat_map(|r| r.service_weights.iter().filter(|m| m.1 > 0.0).map(|m| &m.0));
         let limited = self.active_config.tenants_by_label().values().any(|t| t.requests_per_sec > 0.0);
         let has = |service: &Arc<str>| {
             self.registry.all().any(|w| w.service == *service && w.phase == WorkerPhase::Serving)
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -88,7 +88,8 @@
 
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = LinkEventMapper { up: Event::LinkUp, received: Event::PeerMessage, down: Event::LinkDown };
+        let events =
+            LinkEventMapper { up: Event::LinkUp, received: Event::PeerMessage, down: Event::LinkDown };
         self.links.open(ip, events.for_peer(ip, move |event| this.handle(event)));
     }
 
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -129,7 +129,8 @@
 
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = LinkEventMapper { up: Event::LinkUp, received: Event::CoreMessage, down: Event::LinkDown };
+        let events =
+            LinkEventMapper { up: Event::LinkUp, received: Event::CoreMessage, down: Event::LinkDown };
         self.links.open(ip, events.for_peer(ip, move |event| this.handle(event)));
     }
 
--- a/crates/simulation/tests/scenarios/digest_tests.rs
+++ b/crates/simulation/tests/scenarios/digest_tests.rs
@@ -16,8 +16,9 @@
     let orders = world.desk.orders.iter().filter(|o| o.confirmed.is_some()).count();
     // By core machine that runs: the term, the entry that is committed, the entry that changed the configuration last.
     let cores = world.cores.iter().filter_map(|c| c.core.as_ref());
-    let logs: Vec<_> =
-        cores.map(|c| (c.raft.term(), c.raft.commit_index(), c.configuration.state.last_change_index())).collect();
+    let logs: Vec<_> = cores
+        .map(|c| (c.raft.term(), c.raft.commit_index(), c.configuration.state.last_change_index()))
+        .collect();
     format!(
         "events {} messages {} bytes {} replies {:?} requests {:?} runs {runs} acknowledged {acknowledged} \
          orders {orders} reads {} logs {logs:?} time {} hash {:016x}",
--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -16,9 +16,9 @@
     Attempt, AttemptReport, CoreMessage, CounterCall, NewSession, Sender, SessionResult, Transport,
 };
 
-use super::zone_failover::ZoneBalancer;
 use super::outcome::Upstream;
 use super::report::CounterLog;
+use super::zone_failover::ZoneBalancer;
 use sessions::{Session, SessionTable};
 use std::future::Future;
 use std::rc::Rc;
@@ -267,7 +267,7 @@
         let Some(zones) = self.zones.as_mut() else { return };
         zones.record_rejected(now, self.gateway.turned_out());
         if let Some(weights) = zones.poll_weights(now) {
-            self.handle_event(Event::Halls { parts, spill, unplaced });
+            self.handle_event(weights.into_event());
         }
     }
 
--- a/src/net/outcome/tests.rs
+++ b/src/net/outcome/tests.rs
@@ -19,6 +19,9 @@
     assert_eq!(ExchangeOutcome::NotSent.zone_signal(short, silence), Some(Observation::Refused));
     assert_eq!(ExchangeOutcome::NotSent.zone_signal(long, silence), Some(Observation::TimedOut));
     assert_eq!(ExchangeOutcome::TimedOut { written: true }.zone_signal(short, silence), None);
-    assert_eq!(ExchangeOutcome::TimedOut { written: false }.zone_signal(long, silence), Some(Observation::TimedOut));
+    assert_eq!(
+        ExchangeOutcome::TimedOut { written: false }.zone_signal(long, silence),
+        Some(Observation::TimedOut)
+    );
     assert_eq!(ExchangeOutcome::Cancelled { written: true }.zone_signal(long, silence), None);
 }
--- a/src/net/process/configuration.rs
+++ b/src/net/process/configuration.rs
@@ -110,7 +110,8 @@
     pub(super) fn read_replacement(path: &Path, in_force: &Value) -> Result<Self, ConfigurationError> {
         let text = std::fs::read(path)?;
         let document: Value = serde_json::from_slice(&text)?;
-        settings::check_replacement(&document, in_force).map_err(|e| ConfigurationError::Settings(e.to_string()))?;
+        settings::check_replacement(&document, in_force)
+            .map_err(|e| ConfigurationError::Settings(e.to_string()))?;
         Self::validate(&text, document)
     }
 
--- a/src/net/process/startup.rs
+++ b/src/net/process/startup.rs
@@ -12,9 +12,9 @@
 use crate::net::downstream::{Listener, RequestRules, ServingState};
 use crate::net::endpoints::{self, EndpointTable, WatchOptions};
 use crate::net::fleet::{self, Fleet};
-use crate::net::zone_failover::{Gatekeeper, ZoneBalancer};
 use crate::net::hot_restart::{self, Predecessor, Successor};
 use crate::net::upstream::UpstreamClient;
+use crate::net::zone_failover::{Gatekeeper, ZoneBalancer};
 use crate::net::{operator, CoreSender, HttpTransport};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,9 +26,9 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 use whinstall::fleet::FleetSettings;
-use whinstall::zone_failover::ZoneFailoverSettings;
 use whinstall::quota::QuotaSettings;
 use whinstall::settings::SocketSettings;
+use whinstall::zone_failover::ZoneFailoverSettings;
 use whinstall::{Gateway, ListScope, Settings};
 
 /// Discovery sends a new process its changes within this, if there are any.
