--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -141,7 +141,7 @@
     let (mut store, _) = ReplicaStore::open(to, true).expect("opens");
     let snapshot =
         held.raft.snapshot.clone().map(|snapshot| LogWrite::Snapshot { snapshot, replaces_log: true });
-    let mut writes = vec![LogWrite::HardState(held.raft.term, held.raft.vote)];
+    let mut writes = vec![LogWrite::HardState { term: held.raft.term, vote: held.raft.vote }];
     writes.extend(snapshot);
     writes.push(LogWrite::Append(held.raft.entries.clone()));
     store
--- a/crates/gateway/src/consensus/election.rs
+++ b/crates/gateway/src/consensus/election.rs
@@ -65,18 +65,19 @@
         self.reset_election_deadline(now);
         self.leader_id = None;
         let votes = BTreeSet::from([self.id]);
-        self.role = Role::Candidate { is_pre_vote: true, votes, is_leader_transfer: false };
+        self.role = Role::Candidate { is_pre_vote: true, votes };
         self.request_votes(true, false);
         self.count_votes(now);
     }
 
-    /// Starts an election in a new term. Its own vote counts once it is durable ([`Raft::on_persisted`]).
-    pub(super) fn campaign(&mut self, now: Millis, is_leader_transfer: bool) {
+    /// Starts an election in a new term; `leader_transfer`: the leader asked for it. The candidate's own vote counts once it
+    /// is durable ([`Raft::on_persisted`]).
+    pub(super) fn campaign(&mut self, now: Millis, leader_transfer: bool) {
         self.reset_election_deadline(now);
         self.forget_leader();
         self.set_hard_state(self.term + 1, Some(self.id));
-        self.role = Role::Candidate { is_pre_vote: false, votes: BTreeSet::new(), is_leader_transfer };
-        self.request_votes(false, is_leader_transfer);
+        self.role = Role::Candidate { is_pre_vote: false, votes: BTreeSet::new() };
+        self.request_votes(false, leader_transfer);
         if self.has_fault(InjectedFault::SendBeforeHardStateSync)
             || self.has_fault(InjectedFault::HardStateNotWritten)
         {
@@ -87,15 +88,22 @@
     fn request_votes(&mut self, pre_vote: bool, leader_transfer: bool) {
         let term = if pre_vote { self.term + 1 } else { self.term };
         let last_log = self.log.last_position();
-        let own_id = self.id;
-        for to in self.voters().into_iter().filter(|id| *id != own_id) {
+        let candidate = self.id;
+        for to in self.voters().into_iter().filter(|id| *id != candidate) {
             self.send(to, Message::RequestVote { term, last_log, pre_vote, leader_transfer });
         }
     }
 
+    /// The leader hands its leadership over to this member.
+    pub(super) fn handle_timeout_now(&mut self, now: Millis, term: Term) {
+        if term == self.term && !self.is_leader() && self.voters().contains(&self.id) {
+            self.campaign(now, true);
+        }
+    }
+
     /// Counts the candidate's own vote, which is durable.
     pub(super) fn vote_for_self(&mut self, now: Millis) {
-        if let Role::Candidate { is_pre_vote: false, votes, .. } = &mut self.role {
+        if let Role::Candidate { is_pre_vote: false, votes } = &mut self.role {
             votes.insert(self.id);
         }
         self.count_votes(now);
@@ -165,7 +173,7 @@
             return;
         }
         match &mut self.role {
-            Role::Candidate { is_pre_vote, votes, .. } if *is_pre_vote == pre_vote => {
+            Role::Candidate { is_pre_vote, votes } if *is_pre_vote == pre_vote => {
                 votes.insert(from);
             }
             _ => return,
@@ -175,14 +183,15 @@
 
     /// With the votes of a majority: a PreVote leads to the election, an election to the leadership.
     fn count_votes(&mut self, now: Millis) {
-        let Role::Candidate { is_pre_vote, votes, .. } = &self.role else { return };
+        let Role::Candidate { is_pre_vote, votes } = &self.role else { return };
         let (is_pre_vote, voters) = (*is_pre_vote, self.voters());
         if !is_majority(voters.intersection(votes).count(), voters.len()) {
             return;
         }
-        match is_pre_vote {
-            true => self.campaign(now, false),
-            false => self.become_leader(now),
+        if is_pre_vote {
+            self.campaign(now, false);
+        } else {
+            self.become_leader(now);
         }
     }
 }
--- a/crates/gateway/src/consensus/follower.rs
+++ b/crates/gateway/src/consensus/follower.rs
@@ -1,10 +1,10 @@
 //! The follower: appending the leader's entries and installing its snapshots.
 
+use super::raft::Role;
 use super::{
     Entry, Index, InjectedFault, LogPosition, LogWrite, Message, Millis, NodeId, Output, Raft, Snapshot,
     Term, VoterSet,
 };
-use crate::consensus::raft::Role;
 use bytes::Bytes;
 
 /// Upper bound for the memory that is reserved at once for an incoming snapshot, in bytes. A larger one grows as it comes.
@@ -29,7 +29,8 @@
 }
 
 impl<C: Clone> Raft<C> {
-    /// Whether a message of a leader is to be followed: its term is not over.
+    /// Follows the sender of a leader's message, unless its term is over: then it learns the newer one. Whether the message
+    /// is to be handled.
     pub(super) fn accept_leader(
         &mut self,
         now: Millis,
--- a/crates/gateway/src/consensus/injected_fault_tests.rs
+++ b/crates/gateway/src/consensus/injected_fault_tests.rs
@@ -72,8 +72,8 @@
             }
             for (n, output) in outputs {
                 match output {
-                    Output::Persist(write, _) => self.rafts[n].on_persisted(self.now, write),
-                    Output::Send(to, message) => self.deliver(n, to, message),
+                    Output::Persist { id: write, .. } => self.rafts[n].on_persisted(self.now, write),
+                    Output::Send { to, message } => self.deliver(n, to, message),
                     _ => {}
                 }
             }
--- a/crates/gateway/src/consensus/leader.rs
+++ b/crates/gateway/src/consensus/leader.rs
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Whether a response is one to this leader in this term. If so it is a sign of life, and confirms the leadership as of
-    /// the sending of the broadcast that it names.
+    /// Notes the contact that a response proves: it confirms the leadership as of the sending of the broadcast that it
+    /// names. Whether the response is to be handled: it is one to this leader, in this term.
     pub(super) fn accept_response(
         &mut self,
         now: Millis,
--- a/crates/gateway/src/consensus/mod.rs
+++ b/crates/gateway/src/consensus/mod.rs
@@ -53,7 +53,7 @@
 
 pub use config::RaftConfig;
 pub use follower::IncomingSnapshot;
-pub use injected_fault::InjectedFault;
+use injected_fault::InjectedFault;
 pub use message::Message;
 pub use output::{LogWrite, Output, ReadId, WriteId};
 pub use progress::PeerStatus;
--- a/crates/gateway/src/consensus/model/actions.rs
+++ b/crates/gateway/src/consensus/model/actions.rs
@@ -11,6 +11,15 @@
     }
 }
 
+/// Makes a leader have heard these members just now, and the others never. `None` if it is not the leader.
+fn set_heard_members(raft: &mut Raft<u8>, is_heard: impl Fn(NodeId) -> bool) -> Option<()> {
+    let Role::Leader(leader) = &mut raft.role else { return None };
+    for (id, progress) in &mut leader.peers {
+        progress.heard_at = if is_heard(*id) { NOW } else { 0 };
+    }
+    Some(())
+}
+
 impl Action {
     /// The machine that acts; `None` for actions of the network and of the clocks.
     fn machine(&self) -> Option<usize> {
@@ -97,6 +106,7 @@
     fn call_raft(&self, state: &mut ClusterState, m: usize, action: &Action) -> Option<()> {
         let budget = &mut state.budget;
         let highest_committed = state.committed.keys().last().copied().unwrap_or(0);
+        // Members whose disk is lost are not among these.
         let live: Vec<NodeId> = state.machines.iter().map(|machine| machine.raft.id).collect();
         let machine = Arc::make_mut(&mut state.machines[m]);
         let raft = &mut machine.raft;
@@ -132,12 +142,7 @@
             }
             Action::ChangeConfiguration { silent, .. } => {
                 spend(&mut budget.conf_changes);
-                let Role::Leader(leader) = &mut raft.role else { return None };
-                for (id, progress) in &mut leader.peers {
-                    // A member whose disk is lost is silent, too.
-                    let is_heard = live.contains(id) && Some(machine_of(*id)) != *silent;
-                    progress.heard_at = if is_heard { NOW } else { 0 };
-                }
+                set_heard_members(raft, |id| live.contains(&id) && Some(machine_of(id)) != *silent)?;
                 raft.change_configuration(NOW);
                 raft.issue_writes(NOW);
             }
@@ -147,8 +152,9 @@
             }
             Action::Transfer(_) => {
                 spend(&mut budget.transfers);
-                if let (Role::Leader(leader), true) = (&mut raft.role, self.slow_clock.is_none()) {
-                    leader.peers.values_mut().for_each(|progress| progress.heard_at = NOW);
+                if self.slow_clock.is_none() {
+                    // Without effect on a member that is not the leader.
+                    let _ = set_heard_members(raft, |_| true);
                 }
                 raft.transfer_leadership(NOW);
             }
--- a/crates/gateway/src/consensus/model/outputs.rs
+++ b/crates/gateway/src/consensus/model/outputs.rs
@@ -12,8 +12,8 @@
         let own = Arc::make_mut(&mut machine);
         for output in own.raft.take_outputs() {
             match output {
-                Output::Persist(id, writes) => own.disk_queue.push_back(DiskWrite { id, writes }),
-                Output::Send(to, message) => self.send(state, own, to, message),
+                Output::Persist { id, writes } => own.disk_queue.push_back(DiskWrite { id, writes }),
+                Output::Send { to, message } => self.send(state, own, to, message),
                 Output::Apply(entry) => check_applied(state, own, entry),
                 Output::InstallSnapshot(snapshot) => {
                     check_snapshot(state, own, &snapshot);
--- a/crates/gateway/src/consensus/model/script.rs
+++ b/crates/gateway/src/consensus/model/script.rs
@@ -4,24 +4,24 @@
 
 impl ClusterModel {
     /// These actions, one after the other.
-    pub fn after(&self, state: ClusterState, actions: &[Action]) -> ClusterState {
+    pub(super) fn after(&self, state: ClusterState, actions: &[Action]) -> ClusterState {
         actions.iter().fold(state, |state, action| {
             self.step(&ClusterState { budget: Budget::SCRIPT, ..state }, action).expect("possible")
         })
     }
 
     /// All writes of these machines finish and all messages between them arrive, until nothing more happens.
-    pub fn settle(&self, state: ClusterState, machines: &[usize]) -> ClusterState {
+    pub(super) fn settle(&self, state: ClusterState, machines: &[usize]) -> ClusterState {
         self.settle_matching(state, machines, |_| true)
     }
 
     /// As [`ClusterModel::settle`]; all other messages are lost.
-    pub fn settle_and_drop_rest(&self, state: ClusterState, machines: &[usize]) -> ClusterState {
+    pub(super) fn settle_and_drop_rest(&self, state: ClusterState, machines: &[usize]) -> ClusterState {
         drop_messages(self.settle(state, machines))
     }
 
     /// As [`ClusterModel::settle`], but only such messages arrive.
-    pub fn settle_matching(
+    pub(super) fn settle_matching(
         &self,
         mut state: ClusterState,
         machines: &[usize],
@@ -46,7 +46,7 @@
     }
 
     /// A machine campaigns, is elected by these machines and replicates its log to them.
-    pub fn elect(&self, state: ClusterState, candidate: usize, machines: &[usize]) -> ClusterState {
+    pub(super) fn elect(&self, state: ClusterState, candidate: usize, machines: &[usize]) -> ClusterState {
         self.settle_and_drop_rest(self.after(state, &[Action::Campaign(candidate)]), machines)
     }
 }
--- a/crates/gateway/src/consensus/model/starts.rs
+++ b/crates/gateway/src/consensus/model/starts.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl ClusterModel {
-    pub fn starting_from(self, state: ClusterState) -> ClusterModel {
+    pub(super) fn starting_from(self, state: ClusterState) -> ClusterModel {
         ClusterModel { start: Some(state), ..self }
     }
 
--- a/crates/gateway/src/consensus/output.rs
+++ b/crates/gateway/src/consensus/output.rs
@@ -11,11 +11,21 @@
 /// An action for the driver, which performs them in the order in which they come out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output<C> {
-    /// Write all of these atomically and in this order, sync, then call [`super::Raft::on_persisted`] with the number.
-    /// Later outputs need not wait for that: messages that depend on a write are held back until it is durable.
-    Persist(WriteId, Vec<LogWrite<C>>),
+    /// Write all of these atomically and in this order, sync, then call [`super::Raft::on_persisted`] with `id`. Later
+    /// outputs need not wait for that: messages that depend on a write are held back until it is durable.
+    Persist {
+        /// Number of the batch.
+        id: WriteId,
+        /// The writes, in order.
+        writes: Vec<LogWrite<C>>,
+    },
     /// Send this message. It may be lost.
-    Send(NodeId, Message<C>),
+    Send {
+        /// The receiver.
+        to: NodeId,
+        /// What to send.
+        message: Message<C>,
+    },
     /// This entry is committed: apply it. Entries come in log order, each once in the life of a process.
     Apply(Entry<C>),
     /// Replace the state machine's state by this one, which is newer than all that was applied.
@@ -28,7 +38,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LogWrite<C> {
     /// The current term and the vote in it.
-    HardState(Term, Option<NodeId>),
+    HardState {
+        /// The term.
+        term: Term,
+        /// The candidate or leader that has this member's vote in the term.
+        vote: Option<NodeId>,
+    },
     /// Entries. Whatever the stored log has from the first one's index on is dropped.
     Append(Vec<Entry<C>>),
     /// A snapshot. Stored entries up to its index are dropped.
--- a/crates/gateway/src/consensus/persistence.rs
+++ b/crates/gateway/src/consensus/persistence.rs
@@ -25,6 +25,12 @@
     pub message: Message<C>,
 }
 
+impl<C> HeldMessage<C> {
+    pub fn into_output(self) -> Output<C> {
+        Output::Send { to: self.to, message: self.message }
+    }
+}
+
 /// The writes of a member, from their making until they are durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct WriteQueue<C> {
@@ -72,7 +78,7 @@
     }
 
     fn has_unissued_hard_state(&self) -> bool {
-        self.unissued.iter().any(|write| matches!(write, LogWrite::HardState(..)))
+        self.unissued.iter().any(|write| matches!(write, LogWrite::HardState { .. }))
     }
 }
 
@@ -86,7 +92,7 @@
     pub(super) fn set_hard_state(&mut self, term: Term, vote: Option<NodeId>) {
         (self.term, self.vote) = (term, vote);
         if !self.has_fault(InjectedFault::HardStateNotWritten) {
-            self.write_queue.add(LogWrite::HardState(term, vote));
+            self.write_queue.add(LogWrite::HardState { term, vote });
         }
     }
 
@@ -109,10 +115,10 @@
             }
         }
         queue.pending.push_back(PendingWrite { id, first_index, issued_at: now });
-        self.outputs.push(Output::Persist(id, writes));
+        self.outputs.push(Output::Persist { id, writes });
         if self.has_fault(InjectedFault::SendBeforeHardStateSync) {
             let held = std::mem::take(&mut self.write_queue.held_messages);
-            self.outputs.extend(held.into_iter().map(|held| Output::Send(held.to, held.message)));
+            self.outputs.extend(held.into_iter().map(HeldMessage::into_output));
         }
     }
 
@@ -127,7 +133,7 @@
             let after = Some(queue.hard_state_write);
             queue.held_messages.push_back(HeldMessage { after, to, message });
         } else {
-            self.outputs.push(Output::Send(to, message));
+            self.outputs.push(Output::Send { to, message });
         }
     }
 
--- a/crates/gateway/src/consensus/raft.rs
+++ b/crates/gateway/src/consensus/raft.rs
@@ -1,20 +1,22 @@
 //! A member of the replicated log: its state, its inputs, and what others may ask of it. The rules of the protocol are in
 //! the sibling modules, one concern each.
 
+use super::election::VoteRequest;
 use super::follower::{IncomingSnapshot, SnapshotChunk};
 use super::leader::LeaderState;
 use super::log::Log;
-use super::persistence::WriteQueue;
+use super::persistence::{HeldMessage, WriteQueue};
+use super::progress::Progress;
 use super::{
     Entry, EntryPayload, Index, InjectedFault, LogPosition, LogWrite, Message, Millis, NodeId, Output,
     PeerStatus, PersistedState, RaftConfig, ReadId, Snapshot, Term, VoterSet, WriteId,
 };
-use crate::consensus::election::VoteRequest;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The role of a member in its current term (Raft paper, 5.1).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Role {
+    /// Follows the leader of the term, or waits for one.
     Follower,
     /// Collects votes.
     Candidate {
@@ -22,9 +24,8 @@
         is_pre_vote: bool,
         /// The voters that granted their vote; includes this member once its own vote is durable.
         votes: BTreeSet<NodeId>,
-        /// The leader asked for this election.
-        is_leader_transfer: bool,
     },
+    /// Replicates its log to the other members.
     Leader(LeaderState),
 }
 
@@ -189,7 +190,7 @@
     pub fn peer_statuses(&self, now: Millis) -> Vec<PeerStatus> {
         let Role::Leader(leader) = &self.role else { return Vec::new() };
         let voters = self.voters();
-        let status = |(id, progress): (&NodeId, &super::progress::Progress)| PeerStatus {
+        let status = |(id, progress): (&NodeId, &Progress)| PeerStatus {
             id: *id,
             is_voter: voters.contains(id),
             match_index: progress.match_index,
@@ -292,11 +293,7 @@
                     self.handle_snapshot_response(now, from, last_included_index, next_offset);
                 }
             }
-            Message::TimeoutNow { term } => {
-                if term == self.term && !self.is_leader() && self.voters().contains(&self.id) {
-                    self.campaign(now, true);
-                }
-            }
+            Message::TimeoutNow { term } => self.handle_timeout_now(now, term),
         }
         self.issue_writes(now);
     }
@@ -304,7 +301,7 @@
     /// All write batches up to this one are durable.
     pub fn on_persisted(&mut self, now: Millis, write: WriteId) {
         let released = self.write_queue.complete(write);
-        self.outputs.extend(released.into_iter().map(|held| Output::Send(held.to, held.message)));
+        self.outputs.extend(released.into_iter().map(HeldMessage::into_output));
         match &self.role {
             Role::Leader(_) => self.advance(now),
             Role::Candidate { is_pre_vote: false, .. } if self.write_queue.is_hard_state_durable() => {
--- a/crates/gateway/src/consensus/tests.rs
+++ b/crates/gateway/src/consensus/tests/cluster.rs
@@ -1,12 +1,13 @@
-//! Randomised runs of a small cluster, by seed: messages that are delayed, lost and reordered, disks that stall, processes
-//! that are killed, disks that are lost, machines that are cut off. Checked throughout: what is committed is the same
-//! everywhere and for good, reads are linearizable, and nobody holds a lease beside another.
+//! A simulated cluster: machines with disks, and a network that delays, loses and reorders messages. Each observation is
+//! checked against those before it.
 
-use super::*;
+use super::apply_writes;
+use crate::consensus::*;
+use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr};
 
-const CONFIG: RaftConfig = RaftConfig {
+pub(super) const CONFIG: RaftConfig = RaftConfig {
     heartbeat_interval: 100,
     election_timeout: 600,
     lease_duration: 500,
@@ -18,6 +19,8 @@
     disk_stall_timeout: 400,
 };
 
+/// Upper bound for the initial voters.
+const MAX_SEEDS: usize = 3;
 /// Milliseconds of a simulation step.
 const STEP: Millis = 5;
 /// Milliseconds between two calls of [`Raft::tick`].
@@ -35,7 +38,7 @@
 /// The log is compacted above this many entries in any case.
 const COMPACT_ALWAYS_ABOVE: usize = 80;
 
-fn ip(n: usize) -> IpAddr {
+pub(super) fn ip(n: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(10, 0, 0, n as u8 + 1))
 }
 
@@ -47,9 +50,21 @@
 }
 
 /// A command that the state machine applied.
-type AppliedCommand = (Index, u64);
+#[derive(Clone, Serialize, Deserialize)]
+struct AppliedCommand {
+    index: Index,
+    value: u64,
+}
+
+/// The entry that the first machine to apply an index has applied there.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct CommittedEntry {
+    term: Term,
+    /// `None` for an entry that is not a command.
+    value: Option<u64>,
+}
 
-struct Machine {
+pub(super) struct Machine {
     /// `None` while the process is down.
     raft: Option<Raft<u64>>,
     disk: u64,
@@ -61,25 +76,8 @@
     applied_values: HashSet<u64>,
     /// So many of the confirmed values were found by an earlier read of this process.
     checked: usize,
-    disk_stalled_until: Millis,
-    cut_off_until: Millis,
-}
-
-/// Performs writes as a disk does.
-pub(super) fn apply_writes<C: Clone>(persisted: &mut PersistedState<C>, writes: Vec<LogWrite<C>>) {
-    for write in writes {
-        match write {
-            LogWrite::HardState(term, vote) => (persisted.term, persisted.vote) = (term, vote),
-            LogWrite::Append(entries) => {
-                persisted.entries.retain(|e| e.index < entries[0].index);
-                persisted.entries.extend(entries);
-            }
-            LogWrite::Snapshot { snapshot, replaces_log } => {
-                persisted.entries.retain(|e| !replaces_log && e.index > snapshot.index);
-                persisted.snapshot = Some(snapshot);
-            }
-        }
-    }
+    pub disk_stalled_until: Millis,
+    pub cut_off_until: Millis,
 }
 
 struct InFlightMessage {
@@ -103,13 +101,13 @@
     read: ReadId,
 }
 
-struct Cluster {
-    now: Millis,
-    rng: fastrand::Rng,
-    machines: Vec<Machine>,
+/// The machines, the network between them, and what was observed.
+pub(super) struct Cluster {
+    pub now: Millis,
+    pub rng: fastrand::Rng,
+    pub machines: Vec<Machine>,
     network: Vec<InFlightMessage>,
-    /// The entry at each index that any machine applied: its term, and its value if it is a command.
-    committed: HashMap<Index, (Term, Option<u64>)>,
+    committed: HashMap<Index, CommittedEntry>,
     proposed: u64,
     /// Values whose commitment was confirmed to the client, oldest first.
     confirmed: Vec<u64>,
@@ -124,8 +122,8 @@
 }
 
 impl Cluster {
-    /// `machine_count` machines, of which the first three at most are the initial voters.
-    fn new(seed: u64, machine_count: usize) -> Self {
+    /// `machine_count` machines, of which the first [`MAX_SEEDS`] are the initial voters.
+    pub fn new(seed: u64, machine_count: usize) -> Self {
         let machine = || Machine {
             raft: None,
             disk: 0,
@@ -151,7 +149,7 @@
             leaders: HashMap::new(),
         };
         for m in 0..machine_count {
-            cluster.start(m, m < 3.min(machine_count));
+            cluster.start(m, m < MAX_SEEDS.min(machine_count));
         }
         cluster
     }
@@ -170,10 +168,10 @@
             Some(s) => rmp_serde::from_slice(&s.data).expect("decodes"),
             None => vec![],
         };
-        machine.applied_values = machine.applied.iter().map(|a| a.1).collect();
+        machine.applied_values = machine.applied.iter().map(|a| a.value).collect();
         machine.checked = 0;
         if bootstraps {
-            let voters = (0..3.min(machine_count)).map(|m| NodeId { ip: ip(m), disk: 0 }).collect();
+            let voters = (0..MAX_SEEDS.min(machine_count)).map(|m| NodeId { ip: ip(m), disk: 0 }).collect();
             raft.bootstrap(self.now, voters);
         }
         machine.raft = Some(raft);
@@ -204,8 +202,8 @@
         }
         for output in raft.take_outputs() {
             match output {
-                Output::Persist(id, writes) => self.enqueue_write(m, id, writes),
-                Output::Send(to, message) => self.send(m, to, message),
+                Output::Persist { id, writes } => self.enqueue_write(m, id, writes),
+                Output::Send { to, message } => self.send(m, to, message),
                 Output::Apply(entry) => self.apply(m, entry),
                 Output::InstallSnapshot(snapshot) => self.install_snapshot(m, &snapshot),
                 Output::ReadReady(read) => self.finish_read(m, read),
@@ -234,13 +232,13 @@
             EntryPayload::Command(value) => Some(value),
             _ => None,
         };
-        let applied = (entry.term, value);
+        let applied = CommittedEntry { term: entry.term, value };
         let first = *self.committed.entry(entry.index).or_insert(applied);
         assert_eq!(first, applied, "two entries at {}", entry.index);
         if let Some(value) = value {
             let machine = &mut self.machines[m];
-            assert!(machine.applied.last().is_none_or(|a| a.0 < entry.index), "applied out of order");
-            machine.applied.push((entry.index, value));
+            assert!(machine.applied.last().is_none_or(|a| a.index < entry.index), "applied out of order");
+            machine.applied.push(AppliedCommand { index: entry.index, value });
             machine.applied_values.insert(value);
             let position = LogPosition { index: entry.index, term: entry.term };
             let proposal = self.proposals.iter().position(|p| p.position == position && p.machine == m);
@@ -252,13 +250,13 @@
 
     fn install_snapshot(&mut self, m: usize, snapshot: &Snapshot) {
         let commands: Vec<AppliedCommand> = rmp_serde::from_slice(&snapshot.data).expect("decodes");
-        for (index, value) in &commands {
-            if let Some((_, Some(committed))) = self.committed.get(index) {
+        for AppliedCommand { index, value } in &commands {
+            if let Some(CommittedEntry { value: Some(committed), .. }) = self.committed.get(index) {
                 assert_eq!(committed, value, "snapshot differs at {index}");
             }
         }
         assert!(commands.len() >= self.machines[m].applied.len(), "goes back by a snapshot");
-        self.machines[m].applied_values = commands.iter().map(|a| a.1).collect();
+        self.machines[m].applied_values = commands.iter().map(|a| a.value).collect();
         self.machines[m].applied = commands;
     }
 
@@ -380,13 +378,13 @@
         }
     }
 
-    fn run_for(&mut self, span: Millis) {
+    pub fn run_for(&mut self, span: Millis) {
         self.run_until(self.now + span);
     }
 
     /// Without new faults the cluster recovers: it commits, all machines vote, members that are gone don't, and nothing
     /// that was confirmed is lost.
-    fn assert_recovers(&mut self, context: &str) {
+    pub fn assert_recovers(&mut self, context: &str) {
         let (at, confirmed) = (self.now, self.confirmed.len());
         self.proposed = 0;
         self.run_until(at + RECOVERY_SPAN);
@@ -400,7 +398,7 @@
         let gone = voters.iter().filter(|id| !live.contains(id)).count();
         assert!(live.iter().all(|id| voters.contains(id)), "not all vote {context}: {}", state());
         assert!(gone == 0 || voters.len() <= CONFIG.min_voters, "lost members vote {context}: {}", state());
-        let applied: HashSet<u64> = leader.applied.iter().map(|a| a.1).collect();
+        let applied: HashSet<u64> = leader.applied.iter().map(|a| a.value).collect();
         assert!(self.confirmed.iter().all(|v| applied.contains(v)), "confirmed and lost {context}");
     }
 
@@ -424,7 +422,7 @@
     // Faults. Each ends with all processes running.
 
     /// A machine loses power, and perhaps its disk.
-    fn lose_power(&mut self, m: usize, span: Millis) {
+    pub fn lose_power(&mut self, m: usize, span: Millis) {
         let loses_disk = self.machines.len() > 1 && self.rng.bool();
         self.kill(m, true, loses_disk);
         self.run_for(span);
@@ -432,7 +430,7 @@
     }
 
     /// All machines lose power, and one of them, if any, its disk.
-    fn lose_power_everywhere(&mut self, lost_disk: Option<usize>, span: Millis) {
+    pub fn lose_power_everywhere(&mut self, lost_disk: Option<usize>, span: Millis) {
         for m in 0..self.machines.len() {
             self.kill(m, true, lost_disk == Some(m));
         }
@@ -442,7 +440,7 @@
         }
     }
 
-    fn transfer_leadership(&mut self, span: Millis) {
+    pub fn transfer_leadership(&mut self, span: Millis) {
         let now = self.now;
         let mut running = self.machines.iter_mut().filter_map(|m| m.raft.as_mut());
         if let Some(leader) = running.find(|raft| raft.is_leader()) {
@@ -452,7 +450,7 @@
     }
 
     /// A machine is cut off, and a process is killed meanwhile.
-    fn cut_off_and_kill(&mut self, m: usize, span: Millis) {
+    pub fn cut_off_and_kill(&mut self, m: usize, span: Millis) {
         self.machines[m].cut_off_until = self.now + span;
         self.run_for(span / 2);
         let killed = self.rng.usize(0..self.machines.len());
@@ -461,94 +459,3 @@
         self.start(killed, false);
     }
 }
-
-/// Eight faults in a row, with time to recover after each.
-fn run_with_faults(seed: u64, machine_count: usize) {
-    let mut cluster = Cluster::new(seed, machine_count);
-    cluster.assert_recovers("at first");
-    for round in 0..8 {
-        let m = cluster.rng.usize(0..machine_count);
-        let fault = cluster.rng.usize(0..7);
-        let span = cluster.rng.u64(100..4000);
-        match fault {
-            0 => cluster.lose_power(m, span),
-            1 => {
-                cluster.machines[m].cut_off_until = cluster.now + 2 * span;
-                cluster.run_for(2 * span);
-            }
-            2 => {
-                cluster.machines[m].disk_stalled_until = cluster.now + span;
-                cluster.run_for(span);
-            }
-            3 => cluster.lose_power_everywhere(None, span / 4),
-            4 => cluster.transfer_leadership(span / 4),
-            5 => cluster.lose_power_everywhere(Some(m).filter(|_| machine_count > 1), span / 4),
-            _ => cluster.cut_off_and_kill(m, span),
-        }
-        cluster.assert_recovers(&format!("after round {round} of seed {seed}, fault {fault} of {m}"));
-    }
-}
-
-#[test]
-fn committed_entries_survive_random_faults_and_are_the_same_everywhere() {
-    for seed in 0..16 {
-        run_with_faults(seed, 3);
-    }
-    for seed in 100..108 {
-        run_with_faults(seed, 4);
-    }
-    for seed in 200..208 {
-        run_with_faults(seed, 5);
-    }
-    for seed in 300..306 {
-        run_with_faults(seed, 1 + (seed % 2) as usize * 2);
-    }
-}
-
-/// Guards leases across restarts: the leader that may rely on a member is on that member's disk before the leader hears
-/// that it is followed. So after a restart the member is bound to that leader only, and not for longer than the leader
-/// may rely on it.
-#[test]
-fn after_a_restart_a_follower_votes_for_nobody_but_its_last_leader_within_the_election_timeout() {
-    let id = |n| NodeId { ip: ip(n), disk: 0 };
-    let voters: VoterSet = (0..3).map(id).collect();
-    let first = Entry { term: 0, index: 1, payload: EntryPayload::ConfChange(voters) };
-    // Member 1 was a candidate in term 5, and lost to member 0.
-    let mut persisted = PersistedState { term: 5, vote: Some(id(1)), snapshot: None, entries: vec![first] };
-    let mut follower = Raft::<u64>::new(10_000, id(1), persisted.clone(), CONFIG);
-    let heartbeat = Message::AppendEntries {
-        term: 5,
-        prev_log: LogPosition { index: 1, term: 0 },
-        entries: vec![],
-        leader_commit: 1,
-        echoed_clock: None,
-        heartbeat_seq: 1,
-    };
-    follower.receive(10_100, id(0), heartbeat);
-    for output in follower.take_outputs() {
-        match output {
-            Output::Persist(_, writes) => apply_writes(&mut persisted, writes),
-            Output::Send(..) => panic!("it responds before its vote is on disk"),
-            _ => {}
-        }
-    }
-    assert_eq!(persisted.vote, Some(id(0)));
-    let accepts_candidate = |now: Millis, candidate: NodeId| {
-        let mut raft = Raft::<u64>::new(20_000, id(1), persisted.clone(), CONFIG);
-        let last_log = LastLogPosition { term: 5, index: 9 };
-        let request = Message::RequestVote { term: 6, last_log, pre_vote: false, leader_transfer: false };
-        raft.receive(now, candidate, request);
-        raft.term() == 6
-    };
-    assert!(!accepts_candidate(20_100, id(2)), "the leader may still rely on this member");
-    assert!(accepts_candidate(20_100, id(0)), "a leader that stands again relies on nothing");
-    assert!(accepts_candidate(20_000 + CONFIG.election_timeout, id(2)), "nobody relies on it for longer");
-    // Nor does it stand itself before that, unless its vote is its own.
-    let mut bound = Raft::<u64>::new(20_000, id(1), persisted.clone(), CONFIG);
-    bound.tick(20_100);
-    assert!(bound.take_outputs().is_empty());
-    persisted.vote = Some(id(1));
-    let mut unbound = Raft::<u64>::new(20_000, id(1), persisted, CONFIG);
-    unbound.tick(20_100);
-    assert_eq!(unbound.take_outputs().len(), 2, "it asks both others at once");
-}
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -213,12 +213,12 @@
     pub(super) fn log_out(&mut self, now: f64, out: &mut Vec<Effect>) {
         for output in self.raft.take_outputs() {
             match output {
-                Output::Persist(number, writes) => {
+                Output::Persist { id: number, writes } => {
                     let put = self.shared.number();
                     self.log_side.puts.push((put, number));
                     out.push(Effect::Persist(WriteBatch { number: put, writes, ..WriteBatch::default() }));
                 }
-                Output::Send(to, message) => {
+                Output::Send { to, message } => {
                     let message = PeerMessage::Consensus { from: self.raft.id(), to, message };
                     out.push(Effect::Send(to.ip, message));
                 }
--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -332,7 +332,7 @@
     fn put(&mut self, put: &WriteBatch) -> Result<(), StorageError> {
         for write in &put.writes {
             match write {
-                LogWrite::HardState(term, vote) => {
+                LogWrite::HardState { term, vote } => {
                     let vote = vote.as_ref().map(blob).transpose()?;
                     self.execute("UPDATE meta SET term = ?1, vote = ?2", params![signed(*term)?, vote])?;
                 }
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -92,7 +92,7 @@
 fn apply(held: &mut LoadedState, put: &WriteBatch) {
     for write in &put.writes {
         match write.clone() {
-            LogWrite::HardState(term, vote) => (held.raft.term, held.raft.vote) = (term, vote),
+            LogWrite::HardState { term, vote } => (held.raft.term, held.raft.vote) = (term, vote),
             LogWrite::Append(entries) => {
                 held.raft.entries.retain(|e| e.index < entries[0].index);
                 held.raft.entries.extend(entries);
@@ -129,12 +129,12 @@
         // A new leader's entries in the place of those that did not last.
         0 if !held.raft.entries.is_empty() => {
             let from = held.raft.entries[rng.usize(..held.raft.entries.len())].index;
-            put.writes.push(LogWrite::HardState(term + 1, None));
+            put.writes.push(LogWrite::HardState { term: term + 1, vote: None });
             put.writes.push(LogWrite::Append(
                 (from..from + 2).map(|i| entry(i, term + 1, rng.usize(..most))).collect(),
             ));
         }
-        1 => put.writes.push(LogWrite::HardState(term + 1, Some(node(rng.u64(..4))))),
+        1 => put.writes.push(LogWrite::HardState { term: term + 1, vote: Some(node(rng.u64(..4))) }),
         // A snapshot, and the log behind it cut.
         2 | 3 if !held.raft.entries.is_empty() => {
             let many = held.raft.entries.len();
@@ -165,7 +165,7 @@
         }
     }
     if rng.bool() {
-        put.writes.push(LogWrite::HardState(term + 1, Some(node(rng.u64(..4)))));
+        put.writes.push(LogWrite::HardState { term: term + 1, vote: Some(node(rng.u64(..4))) });
     }
     put
 }
@@ -377,7 +377,7 @@
     // Too high a number is refused by itself, and so is what could not be read again.
     let snapshot = |index| Snapshot { index, term: 1, voters: [node(1)].into(), data: vec![1].into() };
     for wrong in [
-        vec![LogWrite::HardState(u64::MAX, None)],
+        vec![LogWrite::HardState { term: u64::MAX, vote: None }],
         vec![LogWrite::Append(vec![entry(4, 1, 50)])],
         vec![LogWrite::Append(vec![entry(3, 1, 50), entry(5, 1, 50)])],
         vec![LogWrite::Append(vec![entry(3, 1, 50)]), LogWrite::Append(vec![entry(5, 1, 50)])],
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -145,7 +145,7 @@
         let raft = &mut self.held.raft;
         for write in put.writes {
             match write {
-                LogWrite::HardState(term, vote) => (raft.term, raft.vote) = (term, vote),
+                LogWrite::HardState { term, vote } => (raft.term, raft.vote) = (term, vote),
                 LogWrite::Append(entries) => {
                     let Some(first) = entries.first().map(|e| e.index) else { continue };
                     raft.entries.retain(|e| e.index < first);
