--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -141,7 +141,7 @@
     let (mut store, _) = ReplicaStore::open(to, true).expect("opens");
     let snapshot =
         held.raft_state.snapshot.clone().map(|snapshot| LogWrite::Snapshot { snapshot, replaces_log: true });
-    let mut writes = vec![LogWrite::HardState(held.raft_state.term, held.raft_state.vote)];
+    let mut writes = vec![LogWrite::HardState { term: held.raft_state.term, vote: held.raft_state.vote }];
     writes.extend(snapshot);
     writes.push(LogWrite::Append(held.raft_state.entries.clone()));
     store
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -230,7 +230,7 @@
     pub(super) fn log_out(&mut self, now: f64, out: &mut Vec<Effect>) {
         for output in self.raft.take_outputs() {
             match output {
-                Output::Persist(number, writes) => {
+                Output::Persist { id: number, writes } => {
                     let put = self.context.next_id();
                     self.log_driver.puts.push((put, number));
                     out.push(Effect::Persist(WriteBatch {
@@ -239,7 +239,7 @@
                         ..WriteBatch::default()
                     }));
                 }
-                Output::Send(to, message) => {
+                Output::Send { to, message } => {
                     let message = PeerMessage::Consensus { from: self.raft.id(), to, message };
                     out.push(Effect::SendToPeer(to.ip, message));
                 }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -145,7 +145,7 @@
         let raft = &mut self.held.raft_state;
         for write in put.log_writes {
             match write {
-                LogWrite::HardState(term, vote) => (raft.term, raft.vote) = (term, vote),
+                LogWrite::HardState { term, vote } => (raft.term, raft.vote) = (term, vote),
                 LogWrite::Append(entries) => {
                     let Some(first) = entries.first().map(|e| e.index) else { continue };
                     raft.entries.retain(|e| e.index < first);
