--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -99,7 +99,9 @@
     sound(&Connection::open(scratch.0.join(DATABASE_FILE))?)?;
     let snapshot = held.raft.snapshot.as_ref();
     let mut state = match snapshot {
-        Some(snapshot) => decode_snapshot_config(&snapshot.data).map_err(ExportError::Row)?,
+        Some(snapshot) => {
+            decode_snapshot_config(&snapshot.data).map_err(|e| ExportError::Row(e.to_string()))?
+        }
         None => ConfigState::default(),
     };
     let behind = snapshot.map_or((0, 0), |s| (s.index, s.term));
--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::export::{export, ExportError};
 use crate::configuration::read_call;
-use crate::control_plane::{ApiCommand, CoreNode, Effect, Event, TICK};
+use crate::control_plane::{ApiCommand, CoreNode, Effect, Event, TICK_SECS};
 use crate::settings::Settings;
 use crate::storage::tests::Folder;
 use crate::storage::{ReplicaStore, WriteBatch, DATABASE_FILE, WAL_FILE};
@@ -32,7 +32,7 @@
         one.core.start(&mut out);
         one.carry_out(out);
         for _ in 0..60 {
-            one.now += TICK;
+            one.now += TICK_SECS;
             one.event(Event::Tick);
         }
         assert!(one.core.raft.leads());
@@ -68,7 +68,7 @@
     pub(crate) fn call(&mut self, command: ApiCommand) -> (u16, Value) {
         self.replies.clear();
         self.event(Event::ApiCall(1, command));
-        self.now += TICK;
+        self.now += TICK_SECS;
         self.event(Event::Tick);
         self.replies.pop().unwrap_or((0, Value::Null))
     }
--- /dev/null
+++ b/crates/gateway/src/control_plane/api_calls.rs
@@ -0,0 +1,86 @@
+//! HTTP calls of workers and operators, by kind: configuration calls go through the replicated log, worker calls
+//! through the worker membership, and the journal and status are answered from this node's own state.
+
+use super::{CallId, CoreNode, Effect};
+use crate::configuration::ConfigChange;
+use crate::control_plane::events::ApiCommand;
+use crate::discovery::{Worker, WorkerPhase};
+use crate::protocol::OperatorRequest;
+use serde_json::{json, Value};
+
+/// JSON body of a response that reports a failure.
+pub fn error_body(text: impl ToString) -> Value {
+    json!({ "fault": text.to_string() })
+}
+
+impl CoreNode {
+    pub(super) fn handle_api_call(
+        &mut self,
+        now: f64,
+        call: CallId,
+        command: ApiCommand,
+        out: &mut Vec<Effect>,
+    ) {
+        match command {
+            ApiCommand::Amend(items) => {
+                let request = OperatorRequest::Amend(ConfigChange::new(items));
+                self.handle_operator_request(now, call, request, out);
+            }
+            ApiCommand::InvalidChange(reason) => {
+                self.handle_operator_request(now, call, OperatorRequest::Reject(reason), out);
+            }
+            ApiCommand::Read => self.handle_operator_request(now, call, OperatorRequest::Read, out),
+            ApiCommand::Journal => out.push(Effect::Respond(call, 200, self.context.journal.render(now))),
+            ApiCommand::Status => out.push(Effect::Respond(call, 200, self.status(now))),
+            // Without a quorum the other nodes may know better: the caller is sent on to one of them.
+            ApiCommand::Heartbeat(_) | ApiCommand::Departure(_) | ApiCommand::Malformed(_)
+                if !self.context.has_majority(now) =>
+            {
+                out.push(Effect::Respond(call, 503, error_body("out of touch with most of the core")));
+            }
+            ApiCommand::Malformed(reason) => out.push(Effect::Respond(call, 400, error_body(reason))),
+            ApiCommand::Heartbeat(worker) => self.handle_heartbeat(now, call, worker, out),
+            ApiCommand::Departure(id) => self.handle_departure(now, call, &id, out),
+        }
+    }
+
+    fn handle_operator_request(
+        &mut self,
+        now: f64,
+        call: CallId,
+        request: OperatorRequest,
+        out: &mut Vec<Effect>,
+    ) {
+        self.configuration.handle_call(call, request, &mut self.raft, &mut self.context, out);
+        self.process_raft_outputs(now, out);
+    }
+
+    /// A draining worker is answered only once enough core nodes know of it; any other at once.
+    fn handle_heartbeat(&mut self, now: f64, call: CallId, worker: Worker, out: &mut Vec<Effect>) {
+        let is_leaving = worker.phase != WorkerPhase::Serving;
+        self.merge_reported_worker(now, worker.clone(), out);
+        self.membership.refreshed(&worker);
+        if is_leaving {
+            self.membership.hold(now, call, worker, &mut self.context, out);
+        } else {
+            out.push(Effect::Respond(call, 200, json!({})));
+        }
+    }
+
+    fn handle_departure(&mut self, now: f64, call: CallId, id: &str, out: &mut Vec<Effect>) {
+        let Some(worker) = self.membership.departed(id) else {
+            return out.push(self.respond_to_unknown_departure(now, call));
+        };
+        self.merge_reported_worker(now, worker.clone(), out);
+        self.membership.hold(now, call, worker, &mut self.context, out);
+    }
+
+    /// The worker is not in the registry here. Acknowledged only by a node that would know every live worker by now:
+    /// another one may hold it as live.
+    fn respond_to_unknown_departure(&self, now: f64, call: CallId) -> Effect {
+        if self.context.voters.len() > 1 && !self.membership.settled(now) {
+            return Effect::Respond(call, 503, error_body("not every worker is known here yet"));
+        }
+        Effect::Respond(call, 200, json!({}))
+    }
+}
--- a/crates/gateway/src/control_plane/calls_tests.rs
+++ b/crates/gateway/src/control_plane/calls_tests.rs
@@ -1,43 +1,59 @@
-//! What callers hear of a machine that is out of touch, or has just started.
+//! Calls at a core node that is out of contact with a majority, or has just started.
 
-use super::{ApiCommand, CoreNode, Effect, Event};
+use super::{ApiCommand, CoreNode, Effect, Event, TICK_SECS};
+use crate::protocol::PeerMessage;
 use crate::settings::Settings;
 use crate::storage::LoadedState;
 use googletest::prelude::*;
 use std::net::IpAddr;
 
+/// Seconds between two pings that reach the node under test.
+const PING_INTERVAL_SECS: f64 = 0.3;
+
 fn ip(n: u8) -> IpAddr {
     IpAddr::from([10, 0, 1, n])
 }
 
-/// The first of these seeds, five seconds after the first start of all; its disk is quick, the others are not there.
-fn started(seeds: &[u8]) -> CoreNode {
+/// The first of these seeds, five seconds after the first start of the system. Its disk syncs at once; no other node answers.
+fn started_node(seeds: &[u8]) -> CoreNode {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.cold_start) = (ip(1), true);
     settings.seeds = seeds.iter().map(|n| (ip(*n), 80).into()).collect();
-    let mut core = CoreNode::new(1000.0, settings, LoadedState::default()).expect("a core");
+    let mut core = CoreNode::new(1000.0, settings, LoadedState::default()).expect("a core node");
     let mut out = Vec::new();
     core.start(&mut out);
-    pass(&mut core, 1000.0, 1005.0, out);
+    run(&mut core, 1000.0, 1005.0, out);
     core
 }
 
-/// Lets time pass; what is to be persisted is at once.
-fn pass(core: &mut CoreNode, from: f64, to: f64, mut out: Vec<Effect>) {
+/// Ticks from `from` to `to`; write batches are synced by the next tick.
+fn run(core: &mut CoreNode, from: f64, to: f64, mut out: Vec<Effect>) {
     let mut now = from;
     while now < to {
         for effect in std::mem::take(&mut out) {
-            if let Effect::Persist(put) = effect {
-                core.handle(now, Event::Persisted(put.number), &mut out);
+            if let Effect::Persist(batch) = effect {
+                core.handle(now, Event::Persisted(batch.number), &mut out);
             }
         }
         core.handle(now, Event::Tick, &mut out);
-        now += super::TICK;
+        now += TICK_SECS;
     }
 }
 
-/// The answers to a call.
-fn replies(core: &mut CoreNode, now: f64, command: ApiCommand) -> Vec<u16> {
+/// As [`run`], with pings of the second seed.
+fn run_with_peer(core: &mut CoreNode, from: f64, to: f64) {
+    let mut now = from;
+    while now < to {
+        let ping = PeerMessage::Ping { config_index: 0, workers_digest: 0, received: 0 };
+        let mut out = Vec::new();
+        core.handle(now, Event::PeerMessage(ip(2), ping), &mut out);
+        run(core, now, now + PING_INTERVAL_SECS, out);
+        now += PING_INTERVAL_SECS;
+    }
+}
+
+/// Statuses of the immediate responses to a call.
+fn call(core: &mut CoreNode, now: f64, command: ApiCommand) -> Vec<u16> {
     let mut out = Vec::new();
     core.handle(now, Event::ApiCall(7, command), &mut out);
     out.iter()
@@ -45,37 +61,26 @@
         .collect()
 }
 
-/// Guards "a machine that is cut off refuses nothing": what it can't read may be read elsewhere.
+/// A node without a majority rejects nothing: what it can't decode, a node of a newer release may.
 #[gtest]
-fn a_machine_out_of_touch_leaves_also_malformed_calls_open() {
+fn malformed_call_is_left_undetermined_without_a_majority() {
     for (seeds, status) in [(&[1][..], 400), (&[1, 2, 3][..], 503)] {
-        let mut core = started(seeds);
-        let replies = replies(&mut core, 1006.0, ApiCommand::Malformed("no address".into()));
-        expect_that!(replies, elements_are![eq(&status)]);
+        let mut core = started_node(seeds);
+        let statuses = call(&mut core, 1006.0, ApiCommand::Malformed("no address".into()));
+        expect_that!(statuses, elements_are![eq(&status)]);
     }
 }
 
-/// Guards "an acknowledged departure binds": a machine that has just started may not have heard yet of a worker that the
-/// others know.
+/// An acknowledged departure is binding: a node that has just started may lack a worker that the others know.
 #[gtest]
-fn a_departure_is_acknowledged_only_by_who_knows_every_worker() {
+fn unknown_departure_is_acknowledged_only_once_every_worker_is_known() {
     let departure = || ApiCommand::Departure("i-unknown".into());
-    let mut alone = started(&[1]);
-    expect_that!(replies(&mut alone, 1006.0, departure()), elements_are![eq(&200)]);
-    // Two of three are in touch from now on.
-    let mut core = started(&[1, 2, 3]);
-    let touch = |core: &mut CoreNode, from: f64, to: f64| {
-        let mut now = from;
-        while now < to {
-            let ping = crate::protocol::PeerMessage::Ping { config_index: 0, workers_digest: 0, received: 0 };
-            let mut out = Vec::new();
-            core.handle(now, Event::PeerMessage(ip(2), ping), &mut out);
-            pass(core, now, now + 0.3, out);
-            now += 0.3;
-        }
-    };
-    touch(&mut core, 1005.0, 1006.0);
-    expect_that!(replies(&mut core, 1006.0, departure()), elements_are![eq(&503)]);
-    touch(&mut core, 1006.0, 1013.0);
-    expect_that!(replies(&mut core, 1013.0, departure()), elements_are![eq(&200)]);
+    let mut single = started_node(&[1]);
+    expect_that!(call(&mut single, 1006.0, departure()), elements_are![eq(&200)]);
+    let mut core = started_node(&[1, 2, 3]);
+    // Two of three are in contact from now on.
+    run_with_peer(&mut core, 1005.0, 1006.0);
+    expect_that!(call(&mut core, 1006.0, departure()), elements_are![eq(&503)]);
+    run_with_peer(&mut core, 1006.0, 1013.0);
+    expect_that!(call(&mut core, 1013.0, departure()), elements_are![eq(&200)]);
 }
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -1,183 +1,256 @@
-//! Owns the configuration on the core: operators' calls on their way through the log, what is applied, reads. A call is
-//! judged once, at its place in the log, the same at each member. It must never answer what is not committed, nor
-//! refuse or read before most of the core was in touch in the present term.
+//! Operators' calls on their way through the replicated log, and the configuration that is applied at this node.
+//!
+//! A call at a follower is forwarded to the leader. The leader proposes a change as a log entry; every member judges the
+//! committed entry alike, so a change is accepted or rejected by its position in the log and by nothing else. The leader
+//! acknowledges an accepted change only once enough disks hold it to survive the tolerated losses, which may be more
+//! than a majority. Reads and rejections need no entry, but a majority that confirms the leader after the call came (the
+//! Raft paper, section 8): a deposed leader would answer from stale state.
+//!
+//! A call that is not decided within [`CALL_TIMEOUT_SECS`] gets 503: it may or may not take effect.
 
 use super::{error_body, CallId, ConnectionId, CoreContext, Effect};
 use crate::configuration::state::ChangeOutcome;
 use crate::configuration::{ConfigChange, ConfigItem, ConfigState};
 use crate::consensus::{Index, NodeId, Raft, Term};
 use crate::control_plane::event_journal::JournalEvent;
+use crate::control_plane::replicated_log::LogPosition;
 use crate::protocol::{LogCommand, OperatorRequest, OperatorResponse, PeerMessage};
 use serde_json::json;
 use std::collections::BTreeMap;
+use std::fmt::{Display, Formatter};
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// A call that finds no leader, or too few others, is answered by then, so that its caller moves on: seconds.
-const CALL_WITHIN: f64 = 0.85;
+/// Seconds after which an undecided call is answered with 503, so that its caller can try another node in time.
+const CALL_TIMEOUT_SECS: f64 = 0.85;
 
-/// Who hears the answer.
+/// What a call waits for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WaitStage {
+    /// A majority to commit its entry.
+    Commit,
+    /// Enough synced copies of its entry to survive the tolerated losses.
+    SyncedCopies,
+    /// A majority to confirm the leader.
+    QuorumContact,
+    /// The response of the leader that it was forwarded to.
+    LeaderResponse,
+    /// This node to apply what the leader had committed at the time of the read.
+    LocalApply,
+}
+
+impl Display for WaitStage {
+    fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            WaitStage::Commit => "commit",
+            WaitStage::SyncedCopies => "synced copies",
+            WaitStage::QuorumContact => "contact with most",
+            WaitStage::LeaderResponse => "the leader",
+            WaitStage::LocalApply => "catching up",
+        })
+    }
+}
+
+/// Where a call came from, and so where its response goes.
 #[derive(Clone, Copy, Debug)]
-enum Waiter {
-    /// A call here.
-    Own(CallId),
-    /// Another core machine, for a call there.
-    Remote(ConnectionId, u64),
+enum CallOrigin {
+    /// A call at this node.
+    Local(CallId),
+    /// A call that another core node forwarded here.
+    Forwarded { conn: ConnectionId, request_id: u64 },
 }
 
-/// A call whose place in the log is known.
-struct Placed {
+/// A change whose entry is in the log but not committed.
+struct ProposedChange {
+    /// The term of its entry; another term at the same index means that the entry was overwritten.
     term: Term,
-    waiter: Waiter,
-    until: f64,
+    origin: CallOrigin,
+    deadline: f64,
 }
 
-/// Wanted: that enough disks hold the log up to here.
-struct Copying {
+/// An accepted change that too few disks are known to hold.
+struct UnreplicatedChange {
     index: Index,
-    waiter: Waiter,
-    until: f64,
+    origin: CallOrigin,
+    deadline: f64,
+}
+
+/// A read or a rejection that waits for a majority to confirm the leader.
+struct PendingRead {
+    origin: CallOrigin,
+    /// The reason, if the call is to be rejected.
+    rejection: Option<String>,
+    deadline: f64,
 }
 
-/// The configuration on this machine.
+/// A call at this node that was forwarded to the leader.
+struct ForwardedCall {
+    call: CallId,
+    deadline: f64,
+}
+
+/// A read at this node that waits until the entry at `index` is applied here.
+struct LaggingRead {
+    index: Index,
+    call: CallId,
+    deadline: f64,
+}
+
+/// The configuration at this node, and the calls that wait for the log. Times are seconds of the event clock.
 #[derive(Default)]
 pub struct ConfigurationService {
-    /// All that is applied here.
+    /// The applied configuration.
     pub state: ConfigState,
-    placed: BTreeMap<Index, Placed>,
-    copying: Vec<Copying>,
-    /// Reads and refusals that wait for most to be in touch, by the log's number of the read.
-    reads: BTreeMap<u64, (Waiter, Option<String>, f64)>,
-    /// Calls that the leader was told of.
-    passed: BTreeMap<u64, (CallId, f64)>,
-    /// Reads that wait until this much is applied here.
-    behind: Vec<(Index, CallId, f64)>,
-    /// Applied up to here.
+    /// By the index of their entries.
+    proposed: BTreeMap<Index, ProposedChange>,
+    unreplicated: Vec<UnreplicatedChange>,
+    /// By the log's number of the read.
+    pending_reads: BTreeMap<u64, PendingRead>,
+    /// By request id.
+    forwarded: BTreeMap<u64, ForwardedCall>,
+    lagging_reads: Vec<LaggingRead>,
+    /// Index of the last applied entry.
     pub applied: Index,
 }
 
 impl ConfigurationService {
-    /// With the state as of an entry.
+    /// Starts with the configuration as of the entry `applied`.
     pub fn new(state: ConfigState, applied: Index) -> Self {
         ConfigurationService { state, applied, ..ConfigurationService::default() }
     }
 
-    /// A call of an operator.
-    pub fn call(
+    /// An operator's call at this node: submitted here if this node leads, else forwarded to a reachable leader. Without
+    /// one the caller gets 503 at once.
+    pub fn handle_call(
         &mut self,
-        now: f64,
         call: CallId,
-        wish: OperatorRequest,
-        (raft, shared): (&mut Raft<LogCommand>, &mut CoreContext),
+        request: OperatorRequest,
+        raft: &mut Raft<LogCommand>,
+        context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
         if raft.leads() {
-            return self.lead(now, Waiter::Own(call), wish, (raft, shared), out);
+            return self.submit(CallOrigin::Local(call), request, raft, context, out);
         }
-        let leader =
-            raft.leader(shared.log_time(now)).map(|id| id.ip).filter(|ip| shared.is_reachable(now, ip));
-        let Some(ip) = leader else {
-            // Cut off, or between two leaders: the caller goes on to another machine.
+        let now = context.now;
+        let leader = raft.leader(context.log_time(now)).map(|id| id.ip);
+        let Some(leader) = leader.filter(|ip| context.is_reachable(now, ip)) else {
+            // Partitioned off, or between two leaders: the caller tries another node.
             return out.push(Effect::Respond(call, 503, error_body("no leader is in touch")));
         };
-        let ask = shared.next_id();
-        self.passed.insert(ask, (call, now + CALL_WITHIN));
-        out.push(Effect::SendToPeer(ip, PeerMessage::ForwardRequest { request_id: ask, request: wish }));
+        let request_id = context.next_id();
+        self.forwarded.insert(request_id, ForwardedCall { call, deadline: now + CALL_TIMEOUT_SECS });
+        out.push(Effect::SendToPeer(leader, PeerMessage::ForwardRequest { request_id, request }));
     }
 
-    /// Another core machine passes a call on.
-    pub fn forwarded(
+    /// A call that another core node forwards to this one as the leader.
+    pub fn handle_forwarded(
         &mut self,
-        now: f64,
-        (conn, ask): (ConnectionId, u64),
-        wish: OperatorRequest,
-        parts: (&mut Raft<LogCommand>, &mut CoreContext),
+        conn: ConnectionId,
+        request_id: u64,
+        request: OperatorRequest,
+        raft: &mut Raft<LogCommand>,
+        context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
-        self.lead(now, Waiter::Remote(conn, ask), wish, parts, out);
+        self.submit(CallOrigin::Forwarded { conn, request_id }, request, raft, context, out);
     }
 
-    fn lead(
+    /// Hands a call to the log. If this node doesn't lead (any more) the call is left undetermined.
+    fn submit(
         &mut self,
-        now: f64,
-        waiter: Waiter,
-        wish: OperatorRequest,
-        (raft, shared): (&mut Raft<LogCommand>, &mut CoreContext),
+        origin: CallOrigin,
+        request: OperatorRequest,
+        raft: &mut Raft<LogCommand>,
+        context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
-        let (ms, until) = (shared.log_time(now), now + CALL_WITHIN);
-        let place = match wish {
-            OperatorRequest::Amend(order) => {
-                raft.propose(ms, LogCommand::Configure(order)).map(|(index, term)| {
-                    self.placed.insert(index, Placed { term, waiter, until });
-                })
+        let log_time = context.log_time(context.now);
+        let deadline = context.now + CALL_TIMEOUT_SECS;
+        let is_submitted = match request {
+            OperatorRequest::Amend(change) => {
+                let position = raft.propose(log_time, LogCommand::Configure(change));
+                if let Some((index, term)) = position {
+                    self.proposed.insert(index, ProposedChange { term, origin, deadline });
+                }
+                position.is_some()
+            }
+            OperatorRequest::Read => {
+                self.await_quorum(raft.read(log_time), PendingRead { origin, rejection: None, deadline })
+            }
+            OperatorRequest::Reject(reason) => {
+                let rejection = Some(reason);
+                self.await_quorum(raft.read(log_time), PendingRead { origin, rejection, deadline })
             }
-            OperatorRequest::Read => raft.read(ms).map(|read| {
-                self.reads.insert(read, (waiter, None, until));
-            }),
-            OperatorRequest::Reject(why) => raft.read(ms).map(|read| {
-                self.reads.insert(read, (waiter, Some(why), until));
-            }),
         };
-        if place.is_none() {
-            self.answer(waiter, OperatorResponse::Undetermined("no leader here".into()), shared, out);
+        if !is_submitted {
+            let response = OperatorResponse::Undetermined("no leader here".into());
+            self.respond(origin, response, context, out);
+        }
+    }
+
+    fn await_quorum(&mut self, read: Option<u64>, pending: PendingRead) -> bool {
+        if let Some(read) = read {
+            self.pending_reads.insert(read, pending);
         }
+        read.is_some()
     }
 
-    /// The leader's answer to a call that was passed on.
-    pub fn told(
+    /// The leader's response to a call that was forwarded to it.
+    pub fn handle_forward_response(
         &mut self,
-        ask: u64,
-        answer: OperatorResponse,
-        shared: &mut CoreContext,
+        request_id: u64,
+        response: OperatorResponse,
+        context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
-        if let Some((call, _)) = self.passed.remove(&ask) {
-            self.answer(Waiter::Own(call), answer, shared, out);
+        if let Some(forwarded) = self.forwarded.remove(&request_id) {
+            self.respond(CallOrigin::Local(forwarded.call), response, context, out);
         }
     }
 
-    fn answer(
+    fn respond(
         &mut self,
-        waiter: Waiter,
-        answer: OperatorResponse,
-        shared: &mut CoreContext,
+        origin: CallOrigin,
+        response: OperatorResponse,
+        context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
-        let call = match waiter {
-            Waiter::Remote(conn, ask) => {
-                return out.push(Effect::SendToSession(
-                    conn,
-                    PeerMessage::ForwardResponse { request_id: ask, response: answer },
-                ))
+        let call = match origin {
+            CallOrigin::Local(call) => call,
+            CallOrigin::Forwarded { conn, request_id } => {
+                let message = PeerMessage::ForwardResponse { request_id, response };
+                return out.push(Effect::SendToSession(conn, message));
             }
-            Waiter::Own(call) => call,
         };
-        let (status, body) = match answer {
+        let (status, body) = match response {
             OperatorResponse::Accepted => (200, json!({})),
-            OperatorResponse::Rejected(status, why) => (status, error_body(why)),
-            OperatorResponse::Undetermined(why) => (503, error_body(why)),
+            OperatorResponse::Rejected(status, reason) => (status, error_body(reason)),
+            OperatorResponse::Undetermined(reason) => (503, error_body(reason)),
             OperatorResponse::Read(index) if self.applied >= index => (200, self.state.render()),
             OperatorResponse::Read(index) => {
-                // The leader was ahead of this machine: once this has caught up.
-                return self.behind.push((index, call, shared.now + CALL_WITHIN));
+                // The leader was ahead of this node.
+                let deadline = context.now + CALL_TIMEOUT_SECS;
+                return self.lagging_reads.push(LaggingRead { index, call, deadline });
             }
         };
         out.push(Effect::Respond(call, status, body));
     }
 
-    /// An order is committed: it is judged, and what it changes is returned, with the index of the last change before.
+    /// Applies a committed change, and responds if the call waits here. Returns the items that changed, with the index
+    /// of the change before, or `None` if none did.
     pub fn apply(
         &mut self,
-        (index, term): (Index, Term),
-        order: &ConfigChange,
-        (raft, shared): (&Raft<LogCommand>, &mut CoreContext),
+        position: LogPosition,
+        change: &ConfigChange,
+        raft: &Raft<LogCommand>,
+        context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) -> Option<(Index, Vec<Arc<ConfigItem>>)> {
-        let before = self.state.index();
-        let outcome = self.state.apply(index, order);
-        self.applied = index;
-        let (answer, changed) = match outcome {
+        let previous = self.state.index();
+        let outcome = self.state.apply(position.index, change);
+        self.applied = position.index;
+        let (response, changed) = match outcome {
             ChangeOutcome::Taken(items) => (OperatorResponse::Accepted, items),
             ChangeOutcome::Known => (OperatorResponse::Accepted, Vec::new()),
             ChangeOutcome::Conflict(error) => {
@@ -188,105 +261,144 @@
                 (OperatorResponse::Undetermined("too old to tell what was taken".into()), Vec::new())
             }
         };
-        match &answer {
-            OperatorResponse::Rejected(status, error) => {
-                tracing::warn!(index, status, error, "refused a configuration");
-                shared.journal.append(shared.now, JournalEvent::Refused(error.clone()));
-            }
-            OperatorResponse::Accepted => {
-                let versions = changed.iter().map(|i| format!("{}=r{}", i.label, i.version));
-                let items = versions.collect::<Vec<_>>().join(" ");
-                tracing::info!(index, items, "takes a configuration");
-                for item in &changed {
-                    shared.journal.append(shared.now, JournalEvent::Item((**item).clone()));
-                }
-            }
-            _ => {}
+        record_outcome(position.index, &response, &changed, context);
+        if let Some(proposed) = self.proposed.remove(&position.index) {
+            self.resolve_proposed(position, proposed, response, raft, context, out);
         }
-        if let Some(placed) = self.placed.remove(&index) {
-            match answer {
-                // Another leader's entry stands where this call was to be: what became of it is not known here.
-                _ if placed.term != term => {
-                    let unclear = OperatorResponse::Undetermined("the lead changed".into());
-                    self.answer(placed.waiter, unclear, shared, out);
-                }
-                OperatorResponse::Accepted => {
-                    self.copying.push(Copying { index, waiter: placed.waiter, until: placed.until });
-                    self.copied(raft, shared, out);
-                }
-                answer => self.answer(placed.waiter, answer, shared, out),
+        (!changed.is_empty()).then_some((previous, changed))
+    }
+
+    /// The entry at a proposed change's index is committed.
+    fn resolve_proposed(
+        &mut self,
+        position: LogPosition,
+        proposed: ProposedChange,
+        response: OperatorResponse,
+        raft: &Raft<LogCommand>,
+        context: &mut CoreContext,
+        out: &mut Vec<Effect>,
+    ) {
+        let ProposedChange { term, origin, deadline } = proposed;
+        if term != position.term {
+            // Another leader's entry took the place of this one, whose fate is unknown here.
+            let response = OperatorResponse::Undetermined("the lead changed".into());
+            return self.respond(origin, response, context, out);
+        }
+        match response {
+            OperatorResponse::Accepted => {
+                self.unreplicated.push(UnreplicatedChange { index: position.index, origin, deadline });
+                self.complete_ready(raft, context, out);
             }
+            response => self.respond(origin, response, context, out),
         }
-        (!changed.is_empty()).then_some((before, changed))
     }
 
-    /// Something may have been copied, or applied: whoever waits for it hears.
-    pub fn copied(&mut self, raft: &Raft<LogCommand>, shared: &mut CoreContext, out: &mut Vec<Effect>) {
-        if !self.copying.is_empty() && raft.leads() {
-            for waiting in std::mem::take(&mut self.copying) {
-                let holders = raft.holders(waiting.index);
-                let ips: Vec<IpAddr> = holders.iter().map(|id: &NodeId| id.ip).collect();
-                if shared.survives_tolerated_losses(ips.iter()) {
-                    tracing::info!(index = waiting.index, copies = ips.len(), "acknowledges a configuration");
-                    shared.journal.append(shared.now, JournalEvent::Acknowledged(ips.len()));
-                    self.answer(waiting.waiter, OperatorResponse::Accepted, shared, out);
-                } else {
-                    self.copying.push(waiting);
-                }
-            }
+    /// Responds to calls whose wait is over. To be called whenever entries may have been replicated or applied.
+    pub fn complete_ready(
+        &mut self,
+        raft: &Raft<LogCommand>,
+        context: &mut CoreContext,
+        out: &mut Vec<Effect>,
+    ) {
+        if !self.unreplicated.is_empty() && raft.leads() {
+            self.acknowledge_replicated(raft, context, out);
         }
         let applied = self.applied;
-        if self.behind.iter().any(|b| b.0 <= applied) {
-            let (ready, rest) = std::mem::take(&mut self.behind).into_iter().partition(|b| b.0 <= applied);
-            self.behind = rest;
-            let ready: Vec<(Index, CallId, f64)> = ready;
-            out.extend(ready.into_iter().map(|(_, call, _)| Effect::Respond(call, 200, self.state.render())));
+        if self.lagging_reads.iter().any(|read| read.index <= applied) {
+            let reads = std::mem::take(&mut self.lagging_reads);
+            let (ready, lagging): (Vec<_>, Vec<_>) =
+                reads.into_iter().partition(|read| read.index <= applied);
+            self.lagging_reads = lagging;
+            let responses =
+                ready.into_iter().map(|read| Effect::Respond(read.call, 200, self.state.render()));
+            out.extend(responses);
+        }
+    }
+
+    fn acknowledge_replicated(
+        &mut self,
+        raft: &Raft<LogCommand>,
+        context: &mut CoreContext,
+        out: &mut Vec<Effect>,
+    ) {
+        for change in std::mem::take(&mut self.unreplicated) {
+            let holders: Vec<IpAddr> = raft.holders(change.index).iter().map(|id: &NodeId| id.ip).collect();
+            if !context.survives_tolerated_losses(holders.iter()) {
+                self.unreplicated.push(change);
+                continue;
+            }
+            let copies = holders.len();
+            tracing::info!(index = change.index, copies, "configuration acknowledged");
+            context.journal.append(context.now, JournalEvent::Acknowledged { copies });
+            self.respond(change.origin, OperatorResponse::Accepted, context, out);
         }
     }
 
-    /// Most of the core was in touch since a read was asked for.
-    pub fn ready(&mut self, read: u64, shared: &mut CoreContext, out: &mut Vec<Effect>) {
-        let Some((waiter, refusal, _)) = self.reads.remove(&read) else { return };
-        let answer = match refusal {
-            Some(why) => {
-                tracing::warn!(why, "refused a call that can't be read");
-                shared.journal.append(shared.now, JournalEvent::Refused(why.clone()));
-                OperatorResponse::Rejected(400, why)
+    /// A majority has confirmed the leader since this read was started.
+    pub fn complete_read(&mut self, read: u64, context: &mut CoreContext, out: &mut Vec<Effect>) {
+        let Some(pending) = self.pending_reads.remove(&read) else { return };
+        let response = match pending.rejection {
+            Some(reason) => {
+                tracing::warn!(why = reason, "invalid configuration call rejected");
+                context.journal.append(context.now, JournalEvent::Rejected(reason.clone()));
+                OperatorResponse::Rejected(400, reason)
             }
             None => OperatorResponse::Read(self.applied),
         };
-        self.answer(waiter, answer, shared, out);
+        self.respond(pending.origin, response, context, out);
     }
 
-    /// Calls that were not decided in time are left without a clear answer.
-    pub fn tick(&mut self, now: f64, shared: &mut CoreContext, out: &mut Vec<Effect>) {
-        let mut late: Vec<(Waiter, &'static str)> = Vec::new();
-        self.placed.retain(|_, p| keep(p.until > now, p.waiter, "commit", &mut late));
-        self.copying.retain(|c| keep(c.until > now, c.waiter, "synced copies", &mut late));
-        self.reads.retain(|_, r| keep(r.2 > now, r.0, "contact with most", &mut late));
-        self.passed.retain(|_, p| keep(p.1 > now, Waiter::Own(p.0), "the leader", &mut late));
-        self.behind.retain(|b| keep(b.2 > now, Waiter::Own(b.1), "catching up", &mut late));
-        for (waiter, step) in late {
-            tracing::warn!(step, "a call waited too long");
-            shared.journal.append(now, JournalEvent::Unanswered(step));
-            self.answer(
-                waiter,
-                OperatorResponse::Undetermined(format!("waited too long for {step}")),
-                shared,
-                out,
-            );
+    /// Responds to calls whose deadline has passed: undetermined, since they may still take effect.
+    pub fn tick(&mut self, context: &mut CoreContext, out: &mut Vec<Effect>) {
+        let now = context.now;
+        let mut expired: Vec<(CallOrigin, WaitStage)> = Vec::new();
+        let mut is_in_time = |deadline: f64, origin: CallOrigin, stage: WaitStage| {
+            if deadline <= now {
+                expired.push((origin, stage));
+            }
+            deadline > now
+        };
+        self.proposed.retain(|_, c| is_in_time(c.deadline, c.origin, WaitStage::Commit));
+        self.unreplicated.retain(|c| is_in_time(c.deadline, c.origin, WaitStage::SyncedCopies));
+        self.pending_reads.retain(|_, r| is_in_time(r.deadline, r.origin, WaitStage::QuorumContact));
+        self.forwarded
+            .retain(|_, c| is_in_time(c.deadline, CallOrigin::Local(c.call), WaitStage::LeaderResponse));
+        self.lagging_reads
+            .retain(|r| is_in_time(r.deadline, CallOrigin::Local(r.call), WaitStage::LocalApply));
+        for (origin, stage) in expired {
+            tracing::warn!(step = %stage, "call timed out");
+            context.journal.append(now, JournalEvent::TimedOut(stage));
+            let response = OperatorResponse::Undetermined(format!("waited too long for {stage}"));
+            self.respond(origin, response, context, out);
         }
     }
 
-    /// Calls that wait for the log here.
-    pub fn waiting(&self) -> usize {
-        self.placed.len() + self.copying.len() + self.reads.len()
+    /// How many calls wait for the log at this node.
+    pub fn waiting_calls(&self) -> usize {
+        self.proposed.len() + self.unreplicated.len() + self.pending_reads.len()
     }
 }
 
-fn keep(in_time: bool, waiter: Waiter, step: &'static str, late: &mut Vec<(Waiter, &'static str)>) -> bool {
-    if !in_time {
-        late.push((waiter, step));
+/// Logs and journals what became of a committed change. Every member does, also while it catches up.
+fn record_outcome(
+    index: Index,
+    response: &OperatorResponse,
+    changed: &[Arc<ConfigItem>],
+    context: &mut CoreContext,
+) {
+    match response {
+        OperatorResponse::Rejected(status, error) => {
+            tracing::warn!(index, status, error, "configuration rejected");
+            context.journal.append(context.now, JournalEvent::Rejected(error.clone()));
+        }
+        OperatorResponse::Accepted => {
+            let versions = changed.iter().map(|i| format!("{}=r{}", i.label, i.version));
+            let items = versions.collect::<Vec<_>>().join(" ");
+            tracing::info!(index, items, "configuration applied");
+            for item in changed {
+                context.journal.append(context.now, JournalEvent::Item((**item).clone()));
+            }
+        }
+        OperatorResponse::Undetermined(_) | OperatorResponse::Read(_) => {}
     }
-    in_time
 }
--- a/crates/gateway/src/control_plane/context.rs
+++ b/crates/gateway/src/control_plane/context.rs
@@ -1,5 +1,8 @@
-//! Owns what the parts of the core share: who this machine is, which core machines it knows, who of them is in touch. It
-//! must never count a machine that is not a member of the log towards most of the core.
+//! State that all parts of the core role share: this node's identity and settings, the core nodes that it knows, and which
+//! of them it is in contact with.
+//!
+//! Only voters count towards a majority. Nodes known by hearsay, seeds among them, never do: otherwise a wiped node beside a
+//! partitioned one could act as the core.
 
 use crate::consensus::Millis;
 use crate::control_plane::event_journal::EventJournal;
@@ -8,45 +11,48 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
-/// A core machine that said nothing for so long is out of touch: seconds.
-const TOUCH: f64 = 1.2;
-/// Others are told of a machine that was heard within this: seconds.
-const LATELY: f64 = 10.0;
-/// One that does not vote and was not heard for so long is forgotten: seconds.
-const FORGET: f64 = 60.0;
+/// A core node is reachable if it was heard within this many seconds.
+const REACHABLE_WITHIN_SECS: f64 = 1.2;
+/// A core node that does not vote is advertised to others if it was heard within this many seconds.
+const ADVERTISED_WITHIN_SECS: f64 = 10.0;
+/// A core node that neither votes nor is a seed is forgotten after this many seconds of silence.
+const FORGET_AFTER_SECS: f64 = 60.0;
+/// The log's clock starts at a random number of milliseconds below this, in steps of [`EPOCH_STEP_MS`].
+const EPOCH_LIMIT_MS: Millis = 1 << 40;
+/// Over four hours, so that clocks of two incarnations of a process hardly ever overlap.
+const EPOCH_STEP_MS: Millis = 1 << 24;
 
-/// What the parts of the core share.
+/// What the parts of the core role share.
 pub struct CoreContext {
-    /// Settings in force.
+    /// The settings in force.
     pub settings: Settings,
-    /// This machine.
+    /// This node.
     pub me: NodeLocation,
-    /// Core machines that are known, this one included, by address: those that vote, seeds, those that were met lately.
+    /// Core nodes that are known, by address: this one, voters, seeds, and those heard of lately.
     pub known_nodes: BTreeMap<IpAddr, NodeLocation>,
-    /// Machines that vote in the log.
+    /// Addresses of the log's voters.
     pub voters: BTreeSet<IpAddr>,
-    /// When each was last heard of.
+    /// When each core node was last heard, in seconds of the event clock.
     pub last_heard: HashMap<IpAddr, f64>,
-    /// When those that were never heard of became known.
-    met: HashMap<IpAddr, f64>,
-    /// When this process started.
+    /// When each core node became known; counts until it is heard for the first time.
+    learned_at: HashMap<IpAddr, f64>,
+    /// When this process started, in seconds of the event clock.
     pub started: f64,
-    /// The time of the event at hand.
+    /// The time of the event at hand, in seconds of the event clock.
     pub now: f64,
-    /// What happened here.
+    /// The latest events at this node, for diagnosis.
     pub journal: EventJournal,
-    next: u64,
+    last_id: u64,
     epoch: Millis,
 }
 
 impl CoreContext {
-    /// Knows itself and the seeds.
+    /// Starts with this node and the seeds as the known core nodes.
     pub fn new(now: f64, settings: Settings) -> Self {
         let me =
             NodeLocation { ip: settings.ip, zone: settings.zone.clone(), region: settings.region.clone() };
-        let blank = |ip| NodeLocation { ip, zone: String::new(), region: String::new() };
         let mut known_nodes: BTreeMap<IpAddr, NodeLocation> =
-            settings.seeds.iter().map(|s| (s.ip(), blank(s.ip()))).collect();
+            settings.seeds.iter().map(|seed| (seed.ip(), NodeLocation::unplaced(seed.ip()))).collect();
         known_nodes.insert(me.ip, me.clone());
         CoreContext {
             settings,
@@ -54,94 +60,105 @@
             known_nodes,
             voters: BTreeSet::new(),
             last_heard: HashMap::new(),
-            met: HashMap::new(),
+            learned_at: HashMap::new(),
             started: now,
             now,
             journal: EventJournal::default(),
-            next: 0,
-            epoch: fastrand::u64(..1 << 40) & !0xff_ffff,
+            last_id: 0,
+            epoch: fastrand::u64(..EPOCH_LIMIT_MS) & !(EPOCH_STEP_MS - 1),
         }
     }
 
-    /// A number that was not used before in this life.
+    /// An id for a request or a write batch: rising, and unique within this incarnation of the process.
     pub fn next_id(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+        self.last_id += 1;
+        self.last_id
     }
 
-    /// The log's time: of its own for every life, so that a stamp of an earlier one is known.
+    /// The log's clock, in milliseconds. Each incarnation of the process has a random epoch, so that a timestamp of an
+    /// earlier one is recognised as foreign.
     pub fn log_time(&self, now: f64) -> Millis {
         self.epoch + (now * 1e3) as Millis
     }
 
-    /// What tells this life of the process from others.
+    /// Tells this incarnation of the process from earlier and later ones.
     pub fn incarnation(&self) -> u64 {
         (self.started * 1e6) as u64
     }
 
-    /// The other core machines that are known.
+    /// Addresses of the other known core nodes.
     pub fn peers(&self) -> Vec<IpAddr> {
         self.known_nodes.keys().copied().filter(|ip| *ip != self.me.ip).collect()
     }
 
-    /// Is this one in touch?
+    /// Whether this node has heard the one at `ip` lately. Always true of itself.
     pub fn is_reachable(&self, now: f64, ip: &IpAddr) -> bool {
-        *ip == self.me.ip || self.last_heard.get(ip).is_some_and(|at| now - at <= TOUCH)
+        let last_heard = self.last_heard.get(ip);
+        *ip == self.me.ip || last_heard.is_some_and(|at| now - at <= REACHABLE_WITHIN_SECS)
     }
 
-    /// Is most of the core in touch?
+    /// Whether a majority of the voters is reachable.
     pub fn has_majority(&self, now: f64) -> bool {
-        let there = self.voters.iter().filter(|ip| self.is_reachable(now, ip)).count();
-        2 * there > self.voters.len()
+        let reachable = self.voters.iter().filter(|ip| self.is_reachable(now, ip)).count();
+        2 * reachable > self.voters.len()
     }
 
-    /// Would all that hold something be among these, if they were lost? By the tolerance of the settings.
-    pub fn survives_tolerated_losses<'a>(&self, of: impl Iterator<Item = &'a IpAddr>) -> bool {
-        let (mut machines, mut zones, mut regions) = (0, BTreeSet::new(), BTreeSet::new());
-        for ip in of {
-            machines += 1;
-            let Some(m) = self.known_nodes.get(ip) else { continue };
-            zones.insert(&m.zone);
-            regions.insert(&m.region);
+    /// Whether data on these nodes outlives every loss that the settings tolerate: they are more nodes, in more zones and
+    /// more regions, than may be lost at once.
+    pub fn survives_tolerated_losses<'a>(&self, holders: impl Iterator<Item = &'a IpAddr>) -> bool {
+        let (mut nodes, mut zones, mut regions) = (0, BTreeSet::new(), BTreeSet::new());
+        for ip in holders {
+            nodes += 1;
+            let Some(node) = self.known_nodes.get(ip) else { continue };
+            zones.insert(&node.zone);
+            regions.insert(&node.region);
         }
-        let t = self.settings.tolerance;
-        machines > t.machines && zones.len() > t.zones && regions.len() > t.regions
+        let tolerance = self.settings.tolerance;
+        nodes > tolerance.machines && zones.len() > tolerance.zones && regions.len() > tolerance.regions
     }
 
-    /// A machine is known, or more of it than before. `Some(true)`: it is new.
-    pub fn learn_node(&mut self, m: NodeLocation) -> Option<bool> {
-        let held = self.known_nodes.get(&m.ip);
-        if m.ip == self.me.ip || held.is_some_and(|h| !h.zone.is_empty() || m.zone.is_empty()) {
+    /// Takes note of a core node or of its location. `None`: nothing new; `Some(true)`: the node was unknown.
+    pub fn learn_node(&mut self, node: NodeLocation) -> Option<bool> {
+        let known = self.known_nodes.get(&node.ip);
+        let adds_nothing = known.is_some_and(|known| !known.zone.is_empty() || node.zone.is_empty());
+        if node.ip == self.me.ip || adds_nothing {
             return None;
         }
-        let new = held.is_none();
-        self.met.insert(m.ip, self.now);
-        self.known_nodes.insert(m.ip, m);
-        Some(new)
+        let is_new = known.is_none();
+        self.learned_at.insert(node.ip, self.now);
+        self.known_nodes.insert(node.ip, node);
+        Some(is_new)
     }
 
-    /// Machines that others may hear of from this one.
+    /// The core nodes that this one tells others about: itself, the voters, and those that it has heard itself lately.
     pub fn advertised_nodes(&self) -> Vec<NodeLocation> {
-        let lately = |ip: &IpAddr| self.last_heard.get(ip).is_some_and(|at| self.now - at < LATELY);
-        let tell = |m: &&NodeLocation| m.ip == self.me.ip || self.voters.contains(&m.ip) || lately(&m.ip);
-        self.known_nodes.values().filter(tell).cloned().collect()
+        let was_heard_lately =
+            |ip: &IpAddr| self.last_heard.get(ip).is_some_and(|at| self.now - at < ADVERTISED_WITHIN_SECS);
+        let is_advertised = |node: &&NodeLocation| {
+            node.ip == self.me.ip || self.voters.contains(&node.ip) || was_heard_lately(&node.ip)
+        };
+        self.known_nodes.values().filter(is_advertised).cloned().collect()
     }
 
-    /// Forgets machines that neither vote nor were heard for long, nor are seeds; returned: their addresses.
+    /// Forgets nodes that neither vote nor are seeds and were not heard for long; returns their addresses.
     pub fn forget_stale_nodes(&mut self) -> Vec<IpAddr> {
-        let seeds: BTreeSet<IpAddr> = self.settings.seeds.iter().map(|s| s.ip()).collect();
-        let since =
-            |ip: &IpAddr| self.last_heard.get(ip).or(self.met.get(ip)).copied().unwrap_or(self.started);
+        let seeds: BTreeSet<IpAddr> = self.settings.seeds.iter().map(|seed| seed.ip()).collect();
+        let silent_since = |ip: &IpAddr| {
+            self.last_heard.get(ip).or(self.learned_at.get(ip)).copied().unwrap_or(self.started)
+        };
         let (now, me) = (self.now, self.me.ip);
-        let gone = |ip: &&IpAddr| {
-            **ip != me && !self.voters.contains(ip) && !seeds.contains(ip) && now - since(ip) > FORGET
+        let is_stale = |ip: &&IpAddr| {
+            **ip != me
+                && !self.voters.contains(ip)
+                && !seeds.contains(ip)
+                && now - silent_since(ip) > FORGET_AFTER_SECS
         };
-        let gone: Vec<IpAddr> = self.known_nodes.keys().filter(gone).copied().collect();
-        for ip in &gone {
+        let stale: Vec<IpAddr> = self.known_nodes.keys().filter(is_stale).copied().collect();
+        for ip in &stale {
             self.known_nodes.remove(ip);
             self.last_heard.remove(ip);
-            self.met.remove(ip);
+            self.learned_at.remove(ip);
         }
-        gone
+        stale
     }
 }
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -4,7 +4,7 @@
 //! core: whoever has just started would take it for the newest.
 
 use super::in_flight_window::{weight, InFlightWindow};
-use super::{ConnectionId, CoreNode, Effect, TICK};
+use super::{ConnectionId, CoreNode, Effect, TICK_SECS};
 use crate::configuration::ConfigItem;
 use crate::consensus::Index;
 use crate::discovery::Worker;
@@ -289,7 +289,8 @@
     /// Upkeep.
     pub(super) fn tick_gates(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.edges.sweep(now);
-        self.transfer_pacing.wholes = (self.transfer_pacing.wholes + WHOLES * TICK).min(WHOLES * TICK);
+        self.transfer_pacing.wholes =
+            (self.transfer_pacing.wholes + WHOLES * TICK_SECS).min(WHOLES * TICK_SECS);
         self.transfer_pacing.under_way = self.sessions.values().map(|c| c.link.bytes()).sum();
         // Those that came while this machine could not speak for all, or whose connections lagged.
         self.serve_all(now, out);
@@ -298,7 +299,7 @@
 
     /// The list of gatekeepers: each is told what is news to it, in turn.
     fn tell_list(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.transfer_pacing.lists = (self.transfer_pacing.lists + LISTS * TICK).min(LISTS * TICK);
+        self.transfer_pacing.lists = (self.transfer_pacing.lists + LISTS * TICK_SECS).min(LISTS * TICK_SECS);
         let (most, last, from) = (self.leave(now).most, self.edges.last(), self.transfer_pacing.listed);
         let behind = |c: &PeerSession| c.member.is_none() && c.gates != Some(last) && c.link.has_room(most);
         let turn = self.sessions.range(from + 1..).chain(self.sessions.range(..=from));
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -1,6 +1,6 @@
 //! What gatekeepers are told of core machines.
 
-use super::super::{ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
+use super::super::{ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK_SECS};
 use crate::data_plane::{self, EdgeNode};
 use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::{encode, NodeLocation, PeerMessage};
@@ -53,7 +53,7 @@
             &mut out,
         );
     }
-    let ticks = |from: f64| (1..=10).map(move |n| from + f64::from(n) * TICK);
+    let ticks = |from: f64| (1..=10).map(move |n| from + f64::from(n) * TICK_SECS);
     for now in ticks(1000.2) {
         core.handle(now, Event::Tick, &mut out);
     }
@@ -186,7 +186,7 @@
     fn play(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
-            self.now += TICK;
+            self.now += TICK_SECS;
             self.event(Event::Tick);
             for n in 0..self.edges.len() {
                 if !self.edges[n].lags {
@@ -255,7 +255,7 @@
         let mut cell = Cell::new();
         for _ in 0..many {
             cell.joins(None);
-            cell.play(TICK);
+            cell.play(TICK_SECS);
         }
         cell.play(2.0);
         expect_that!(cell.core.edges.count(), eq(many));
@@ -307,7 +307,7 @@
     for round in 0..200 {
         (0..20).for_each(|n| cell.beats(20 * round + n, 1));
         cell.change(round as u64 + 2);
-        cell.play(TICK);
+        cell.play(TICK_SECS);
         most = most.max(cell.edges[n].waits.iter().map(|m| encode(m).len()).sum::<usize>());
     }
     // 131 KB by the memory, and what one message may go beyond it.
@@ -339,7 +339,7 @@
         for n in 0..5 {
             cell.tell(n, data_plane::Event::Core(ip(2), news.clone()));
         }
-        cell.play(TICK);
+        cell.play(TICK_SECS);
         cell.event(Event::ApiCall(1 << 20, ApiCommand::Heartbeat(worker(300 + round, 1))));
         (0..300).for_each(|n| cell.beats(n, 2 + round as u64));
     }
--- a/crates/gateway/src/control_plane/event_journal.rs
+++ b/crates/gateway/src/control_plane/event_journal.rs
@@ -1,62 +1,77 @@
-//! Owns the journal of the core role: what was taken, refused, acknowledged and lost, appended in memory in the order
-//! it happened. The lists of items and workers are views folded from it; of what was folded the newest part is kept,
-//! for whoever asks what this process did. It must never decide anything, nor grow without bound.
+//! The core node's event journal: the latest events in memory, in the order in which they happened, for `GET
+//! /whinstall/journal`. It is for diagnosis only; nothing is decided by it, and it is bounded by [`MAX_EVENTS`].
 
+use super::configuration_service::WaitStage;
 use crate::configuration::ConfigItem;
 use crate::discovery::{MergeOutcome, Worker, WorkerPhase, WorkerRegistry};
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
-/// Entries that are kept.
+/// How many events are kept; older ones are dropped.
 pub(crate) const MAX_EVENTS: usize = 2000;
 
-/// Something that happened.
+/// An event at this node.
 #[derive(Clone, Debug)]
 pub enum JournalEvent {
-    /// An item was heard of, by a call or from another core machine.
+    /// A configuration item was applied.
     Item(ConfigItem),
-    /// A worker was heard of.
+    /// A worker is new or has changed, as reported by itself or by another core node.
     Worker(Worker),
-    /// A call was judged invalid.
-    Refused(String),
-    /// Enough disks hold a call.
-    Acknowledged(usize),
-    /// Too few core machines answered a call in time.
-    Unanswered(&'static str),
-    /// This machine holds the counter from now on, or no longer.
-    Holds(bool),
-    /// This machine took a snapshot of the others' state.
-    CaughtUp,
-    /// This machine leads the log from now on, or no longer; in which term.
-    Leads(bool, u64),
-    /// Who votes in the log.
+    /// An operator's call was rejected, with the reason.
+    Rejected(String),
+    /// A configuration change was acknowledged.
+    Acknowledged {
+        /// Core nodes that had it on their disks.
+        copies: usize,
+    },
+    /// A call timed out while it waited for this.
+    TimedOut(WaitStage),
+    /// This node took the quota lease, or lost it.
+    QuotaLease {
+        /// Whether it holds the lease from now on.
+        is_held: bool,
+    },
+    /// This node installed a leader's snapshot.
+    SnapshotInstalled,
+    /// This node became the leader of the log, or lost leadership.
+    Leadership {
+        /// Whether it leads from now on.
+        is_leader: bool,
+        /// The present term.
+        term: u64,
+    },
+    /// The log's voters changed to these, as address/disk.
     Voters(Vec<String>),
-    /// This process did not run for so many seconds.
-    Away(f64),
+    /// The process did not run for a while.
+    Suspended {
+        /// Seconds between the two ticks around the gap.
+        secs: f64,
+    },
 }
 
 impl JournalEvent {
-    fn tell(&self) -> Value {
+    fn render(&self) -> Value {
         match self {
             JournalEvent::Item(i) => {
                 json!({ "item": i.label, "list": i.kind.list(), "revision": format!("r{}", i.version), "dropped": i.body.is_none() })
             }
             JournalEvent::Worker(w) => {
-                json!({ "worker": &*w.id, "service_ref": &*w.service, "phase": phase(w.phase), "call_count": w.call_count })
+                json!({ "worker": &*w.id, "service_ref": &*w.service, "phase": phase_name(w.phase), "call_count": w.call_count })
             }
-            JournalEvent::Refused(why) => json!({ "refused": why }),
-            JournalEvent::Acknowledged(copies) => json!({ "acknowledged": true, "copies": copies }),
-            JournalEvent::Unanswered(what) => json!({ "too_few_in_time": what }),
-            JournalEvent::Holds(holds) => json!({ "holds_counter": holds }),
-            JournalEvent::CaughtUp => json!({ "caught_up": true }),
-            JournalEvent::Leads(leads, term) => json!({ "leads": leads, "term": term }),
-            JournalEvent::Voters(who) => json!({ "voters": who }),
-            JournalEvent::Away(seconds) => json!({ "was_away_s": seconds }),
+            JournalEvent::Rejected(reason) => json!({ "refused": reason }),
+            JournalEvent::Acknowledged { copies } => json!({ "acknowledged": true, "copies": copies }),
+            JournalEvent::TimedOut(stage) => json!({ "too_few_in_time": stage.to_string() }),
+            JournalEvent::QuotaLease { is_held } => json!({ "holds_counter": is_held }),
+            JournalEvent::SnapshotInstalled => json!({ "caught_up": true }),
+            JournalEvent::Leadership { is_leader, term } => json!({ "leads": is_leader, "term": term }),
+            JournalEvent::Voters(voters) => json!({ "voters": voters }),
+            JournalEvent::Suspended { secs } => json!({ "was_away_s": secs }),
         }
     }
 }
 
-fn phase(phase: WorkerPhase) -> &'static str {
+/// The phase as the operators' interface spells it.
+fn phase_name(phase: WorkerPhase) -> &'static str {
     match phase {
         WorkerPhase::Serving => "settled",
         WorkerPhase::Draining => "decaying",
@@ -65,39 +80,56 @@
     }
 }
 
-/// What happened, the newest last.
+struct JournalEntry {
+    /// Numbered from 1 in the order of appending.
+    number: u64,
+    /// When it was appended, in seconds of the event clock.
+    at: f64,
+    event: JournalEvent,
+}
+
+/// The latest events, the newest last.
 #[derive(Default)]
 pub struct EventJournal {
-    facts: VecDeque<(u64, f64, JournalEvent)>,
+    entries: VecDeque<JournalEntry>,
+    /// Events ever appended, the dropped ones too.
     appended: u64,
 }
 
 impl EventJournal {
-    /// Something happened at `now`.
-    pub fn append(&mut self, now: f64, fact: JournalEvent) {
+    /// Appends an event that happened at `now`, and drops the oldest beyond [`MAX_EVENTS`].
+    pub fn append(&mut self, now: f64, event: JournalEvent) {
         self.appended += 1;
-        self.facts.push_back((self.appended, now, fact));
-        while self.facts.len() > MAX_EVENTS {
-            self.facts.pop_front();
+        self.entries.push_back(JournalEntry { number: self.appended, at: now, event });
+        while self.entries.len() > MAX_EVENTS {
+            self.entries.pop_front();
         }
     }
 
-    /// Appends a worker and folds it. What only says that it lives is not kept.
-    pub fn worker(&mut self, now: f64, worker: Worker, view: &mut WorkerRegistry, keep: f64) -> MergeOutcome {
-        let merged = view.merge(now, worker.clone(), keep);
-        if merged == MergeOutcome::Changed {
+    /// Merges a worker into the registry, and appends it if that changed the registry: mere signs of life are not
+    /// recorded. `keep` is how long the registry remembers an ended worker, in seconds.
+    pub fn merge_worker(
+        &mut self,
+        now: f64,
+        worker: Worker,
+        registry: &mut WorkerRegistry,
+        keep: f64,
+    ) -> MergeOutcome {
+        let outcome = registry.merge(now, worker.clone(), keep);
+        if outcome == MergeOutcome::Changed {
             self.append(now, JournalEvent::Worker(worker));
         }
-        merged
+        outcome
     }
 
-    /// What is kept, with ages in seconds.
-    pub fn tell(&self, now: f64) -> Value {
-        let entry = |(number, at, fact): &(u64, f64, JournalEvent)| {
-            let mut told = fact.tell();
-            (told["number"], told["age_s"]) = (json!(number), json!(((now - at) * 1e3).round() / 1e3));
-            told
+    /// The journal as JSON, with each event's age in seconds, rounded to milliseconds.
+    pub fn render(&self, now: f64) -> Value {
+        let render_entry = |entry: &JournalEntry| {
+            let mut rendered = entry.event.render();
+            rendered["number"] = json!(entry.number);
+            rendered["age_s"] = json!(((now - entry.at) * 1e3).round() / 1e3);
+            rendered
         };
-        json!({ "appended": self.appended, "facts": self.facts.iter().map(entry).collect::<Vec<_>>() })
+        json!({ "appended": self.appended, "facts": self.entries.iter().map(render_entry).collect::<Vec<_>>() })
     }
 }
--- /dev/null
+++ b/crates/gateway/src/control_plane/peer_messages.rs
@@ -0,0 +1,217 @@
+//! Messages of other nodes: from core nodes on the connections that this process opened, and from edges and core nodes
+//! on the connections that they opened. Consensus messages are passed on to [`replicated_log`](super::replicated_log),
+//! an edge's state to [`edge_sessions`](super::edge_sessions).
+
+use super::{tenant_limit, ConnectionId, CoreNode, Effect};
+use crate::consensus::Term;
+use crate::discovery::Worker;
+use crate::protocol::{NodeLocation, PeerMessage, TenantUsage};
+use crate::storage::WriteBatch;
+use std::net::IpAddr;
+
+/// Usage that an edge reports to the quota leader.
+struct QuotaReport<'a> {
+    edge: &'a str,
+    incarnation: u64,
+    /// The highest term that the edge knows.
+    known_term: Term,
+    usage: &'a [TenantUsage],
+}
+
+impl CoreNode {
+    /// The outbound connection to a core node is up: introduce this node, then send the core nodes and workers known here.
+    pub(super) fn handle_link_up(&mut self, ip: IpAddr, out: &mut Vec<Effect>) {
+        self.connected_peers.insert(ip);
+        let hello = PeerMessage::Hello {
+            node: self.context.settings.node.clone(),
+            incarnation: self.context.incarnation(),
+            location: self.context.me.clone(),
+            is_core: true,
+        };
+        out.push(Effect::SendToPeer(ip, hello));
+        out.push(Effect::SendToPeer(ip, PeerMessage::CoreNodes(self.context.advertised_nodes())));
+        let workers: Vec<Worker> = self.membership.registry.all().cloned().collect();
+        if !workers.is_empty() {
+            out.push(Effect::SendToPeer(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
+        }
+    }
+
+    pub(super) fn handle_link_down(&mut self, ip: IpAddr) {
+        self.context.last_heard.remove(&ip);
+        self.connected_peers.remove(&ip);
+    }
+
+    /// A core node's message on the connection that this process opened to it.
+    pub(super) fn handle_peer_message(
+        &mut self,
+        now: f64,
+        ip: IpAddr,
+        message: PeerMessage,
+        out: &mut Vec<Effect>,
+    ) {
+        self.context.last_heard.insert(ip, now);
+        match message {
+            PeerMessage::CoreNodes(nodes) => self.learn_core_nodes(nodes, out),
+            PeerMessage::WorkersReplicated { request_id } => {
+                self.membership.held(ip, request_id, &self.context, out)
+            }
+            PeerMessage::Ping { workers_digest, .. } => self.compare_workers(now, ip, workers_digest, out),
+            PeerMessage::ForwardResponse { request_id, response } => {
+                self.configuration.handle_forward_response(request_id, response, &mut self.context, out)
+            }
+            _ => {}
+        }
+    }
+
+    /// Anti-entropy between core nodes: a peer whose registry keeps differing is sent all workers.
+    fn compare_workers(&mut self, now: f64, ip: IpAddr, peer_digest: u64, out: &mut Vec<Effect>) {
+        if self.membership.differs(now, ip, peer_digest) {
+            let workers = self.membership.registry.all().cloned().collect();
+            out.push(Effect::SendToPeer(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
+        }
+    }
+
+    /// A message on a connection that an edge or another core node opened. Everything before its `Hello` is dropped.
+    pub(super) fn handle_session_message(
+        &mut self,
+        now: f64,
+        conn: ConnectionId,
+        message: PeerMessage,
+        out: &mut Vec<Effect>,
+    ) {
+        if let PeerMessage::Hello { node, incarnation, location, is_core } = message {
+            return self.hello(now, conn, (node, incarnation, is_core), location, out);
+        }
+        let Some(session) = self.sessions.get(&conn).cloned() else { return };
+        if session.member.is_none() {
+            self.edges.heard(now, &session.node);
+        }
+        match message {
+            PeerMessage::CoreNodes(nodes) => self.learn_core_nodes(nodes, out),
+            PeerMessage::Consensus { from, to, message } => {
+                self.handle_consensus_message(now, from, to, message, out)
+            }
+            PeerMessage::Join { id, forwarded } => self.handle_join(now, id, forwarded, out),
+            PeerMessage::Leave { id } => {
+                let log_time = self.context.log_time(now);
+                self.raft.leave(log_time, id);
+                self.process_raft_outputs(now, out);
+            }
+            PeerMessage::ForwardRequest { request_id, request } => {
+                let (raft, context) = (&mut self.raft, &mut self.context);
+                self.configuration.handle_forwarded(conn, request_id, request, raft, context, out);
+                self.process_raft_outputs(now, out);
+            }
+            PeerMessage::WorkerUpdates(workers) | PeerMessage::WorkerSnapshot { workers, .. } => {
+                self.merge_relayed_workers(now, workers, out)
+            }
+            PeerMessage::ReplicateWorkers { request_id, workers } => {
+                self.merge_relayed_workers(now, workers, out);
+                out.push(Effect::SendToSession(conn, PeerMessage::WorkersReplicated { request_id }));
+            }
+            // A worker that is unknown here is skipped: the digests then differ, and anti-entropy brings it.
+            PeerMessage::Heartbeats(heartbeats) => self.membership.alive(now, &heartbeats),
+            PeerMessage::Ping { config_index, workers_digest, received } => {
+                self.pinged(now, conn, (config_index, workers_digest, received), out)
+            }
+            PeerMessage::QuotaSync { request_id, term, usage } => {
+                let (edge, incarnation) = (session.node.as_str(), session.life);
+                let report = QuotaReport { edge, incarnation, known_term: term, usage: &usage };
+                let grants = self.sync_quota(now, request_id, &report);
+                out.push(Effect::SendToSession(conn, grants));
+            }
+            _ => {}
+        }
+    }
+
+    /// Counts an edge's usage; the response grants nothing unless this node holds the quota lease.
+    fn sync_quota(&mut self, now: f64, request_id: u64, report: &QuotaReport) -> PeerMessage {
+        let lease = self.leased_term(now);
+        let limits = |tenant: &str| tenant_limit(&self.configuration.state, tenant);
+        let edge = (report.edge, report.incarnation);
+        let grants = self.quota_lease.sync(now, lease, edge, report.known_term, report.usage, &limits);
+        PeerMessage::QuotaGrants {
+            request_id,
+            term: self.raft.term(),
+            is_leader: grants.is_some(),
+            grants: grants.unwrap_or_default(),
+        }
+    }
+
+    /// Takes note of core nodes; connects to new ones, and passes on what sessions have not been told yet.
+    pub(super) fn learn_core_nodes(&mut self, nodes: Vec<NodeLocation>, out: &mut Vec<Effect>) {
+        let mut has_changed = false;
+        for node in nodes {
+            let (ip, zone) = (node.ip, node.zone.clone());
+            let Some(is_new) = self.context.learn_node(node) else { continue };
+            has_changed = true;
+            if is_new {
+                tracing::info!(member = %ip, zone, "core node discovered");
+                out.push(Effect::Connect(ip));
+            }
+        }
+        if has_changed {
+            self.advertise_core_nodes(out);
+        }
+    }
+
+    /// Sends the core nodes to every session if they differ from those sent last. A node that is only known by hearsay
+    /// is not among them, so that an address without a core node doesn't spread.
+    pub(super) fn advertise_core_nodes(&mut self, out: &mut Vec<Effect>) {
+        let nodes = self.context.advertised_nodes();
+        if nodes != self.advertised {
+            for conn in self.sessions.keys() {
+                out.push(Effect::SendToSession(*conn, PeerMessage::CoreNodes(nodes.clone())));
+            }
+            self.advertised = nodes;
+        }
+    }
+
+    /// A worker that called this node: edges and the other core nodes learn what changed.
+    pub(super) fn merge_reported_worker(&mut self, now: f64, worker: Worker, out: &mut Vec<Effect>) {
+        let (changed, _) = self.merge_workers(now, vec![worker], out);
+        self.send_worker_updates_to_peers(&changed, out);
+    }
+
+    /// Workers that another core node sent: edges learn what changed. The core nodes learn only of workers that the sender
+    /// holds as unresponsive although this node has heard of them since.
+    fn merge_relayed_workers(&mut self, now: f64, workers: Vec<Worker>, out: &mut Vec<Effect>) {
+        let (_, contested) = self.merge_workers(now, workers, out);
+        self.send_worker_updates_to_peers(&contested, out);
+    }
+
+    /// Merges workers into the registry, persists what changed and sends it to the edges. Returns what changed, and what
+    /// the sender wrongly holds as unresponsive.
+    fn merge_workers(
+        &mut self,
+        now: f64,
+        workers: Vec<Worker>,
+        out: &mut Vec<Effect>,
+    ) -> (Vec<Worker>, Vec<Worker>) {
+        let (changed, contested) = self.membership.merge(now, workers, &mut self.context.journal);
+        self.persist_workers(&changed, out);
+        if !changed.is_empty() {
+            self.tell_workers(now, out);
+        }
+        (changed, contested)
+    }
+
+    fn send_worker_updates_to_peers(&self, workers: &[Worker], out: &mut Vec<Effect>) {
+        if workers.is_empty() {
+            return;
+        }
+        for ip in self.context.peers() {
+            out.push(Effect::SendToPeer(ip, PeerMessage::WorkerUpdates(workers.to_vec())));
+        }
+    }
+
+    /// Persists workers without waiting for the sync: after a power loss the node starts with as many as were synced, and
+    /// heartbeats and peers bring the rest.
+    pub(super) fn persist_workers(&mut self, workers: &[Worker], out: &mut Vec<Effect>) {
+        if !workers.is_empty() {
+            let number = self.context.next_id();
+            let workers = workers.to_vec();
+            out.push(Effect::Persist(WriteBatch { number, workers, ..WriteBatch::default() }));
+        }
+    }
+}
--- a/crates/gateway/src/control_plane/quota_lease.rs
+++ b/crates/gateway/src/control_plane/quota_lease.rs
@@ -84,13 +84,13 @@
         let lease = lease.filter(|_| !self.ended);
         if self.counter.as_ref().is_some_and(|c| lease != Some(c.term())) {
             tracing::warn!("no longer holds the counter");
-            shared.journal.append(now, JournalEvent::Holds(false));
+            shared.journal.append(now, JournalEvent::QuotaLease { is_held: false });
             self.counter = None;
         }
         let term = lease?;
         if self.counter.is_none() {
             tracing::info!(term, record = record.is_some(), "holds the counter");
-            shared.journal.append(now, JournalEvent::Holds(true));
+            shared.journal.append(now, JournalEvent::QuotaLease { is_held: true });
             // Shares rise only by records that are committed, so where the log has none there are no shares.
             let none = ShareCeilings::default();
             let predecessors = match (term, record) {
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -1,10 +1,13 @@
-//! Owns the core's side of the replicated log: what it puts out is written, said and applied; machines that want to join
-//! are named to the leader; the log is cut behind a snapshot; who votes is told. It must never decide what the log says.
+//! Drives the replicated log of a core node: passes its messages on, writes what it wants persisted, applies what it
+//! commits, compacts it behind snapshots, and notices changes of leadership and voters. What the log decides is
+//! [`consensus`](crate::consensus)'s alone.
 
 use super::snapshot::{self, SnapshotReceiver, SnapshotWriter};
 use super::{CoreNode, Effect};
 use crate::configuration::{ConfigItem, ItemFields};
-use crate::consensus::{Entry, EntryPayload, Index, Message, NodeId, Output, RaftConfig, Snapshot, Term};
+use crate::consensus::{
+    Entry, EntryPayload, Index, Message, Millis, NodeId, Output, RaftConfig, Snapshot, Term,
+};
 use crate::control_plane::event_journal::JournalEvent;
 use crate::protocol::share_ceilings::ShareCeilings;
 use crate::protocol::{LogCommand, NodeLocation, PeerMessage};
@@ -13,320 +16,376 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// A leader says that it is there this often: milliseconds.
-const HEARTBEAT: u64 = 100;
-/// An election begins after so long without a leader, and up to twice that: milliseconds. Above what a small machine
-/// stands still for now and then.
-pub(super) const ELECTION: u64 = 700;
-/// A leader relies on most having heard it for so long: milliseconds. The rest is for clocks that differ in speed.
-const LEASE: u64 = 600;
-/// A disk that takes longer for a write hangs: milliseconds.
-const HANG: u64 = 500;
-/// Machines that hear no leader say so this often: seconds.
-const JOIN: f64 = 0.3;
-/// The log is cut once it is longer than this, in bytes and in entries, and than the last snapshot.
-const CUT_BYTES: usize = 256 * 1024;
-const CUT_ENTRIES: usize = 512;
-/// While a snapshot is on its way to another machine the log may grow to so many times that.
-const CUT_PATIENCE: usize = 8;
+/// A leader sends heartbeats this often.
+const HEARTBEAT_MS: Millis = 100;
+/// An election starts after this long without a leader, and after up to twice that at random. Above the pauses that a
+/// small machine has now and then.
+pub(super) const ELECTION_TIMEOUT_MS: Millis = 700;
+/// A leader relies on its lease for this long after a majority has heard it. The rest of the election timeout covers
+/// clocks that differ in speed.
+const LEASE_MS: Millis = 600;
+/// A write that takes longer than this counts as a hanging disk.
+const DISK_HANG_MS: Millis = 500;
+/// A node that hears no leader asks to join this often, in seconds.
+const JOIN_INTERVAL_SECS: f64 = 0.3;
+/// The log is compacted once its commands take more bytes than this, and than the last snapshot...
+const COMPACTION_MIN_BYTES: usize = 256 * 1024;
+/// ...or once it has more entries than this.
+const COMPACTION_MIN_ENTRIES: usize = 512;
+/// While a snapshot is being sent to another node, the log may grow to this multiple of both bounds.
+const COMPACTION_DELAY_FACTOR: usize = 8;
+/// The capacity of a new snapshot is that of the last one plus one part in this many.
+const SNAPSHOT_GROWTH_DIVISOR: usize = 8;
 
-/// Spans for the log, by the deployment's bounds.
-pub fn tuning(settings: &Settings) -> RaftConfig {
-    let t = settings.tolerance;
-    // A lost zone or region may hold several: at least one more than twice the losses must be left in any case.
-    let losses = t.machines.max(t.zones).max(t.regions);
+/// Estimated bytes in the log of a command, and of an item in it, besides their variable parts.
+const COMMAND_OVERHEAD_BYTES: usize = 50;
+const ITEM_OVERHEAD_BYTES: usize = 60;
+/// The same of an edge and of a tenant in recorded ceilings.
+const EDGE_CEILINGS_BYTES: usize = 40;
+const TENANT_CEILING_BYTES: usize = 20;
+
+/// Index and term of an entry, which identify it: two logs that hold an entry with the same position hold the same entry
+/// (the Raft paper's log matching property, section 5.3).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LogPosition {
+    /// Its index.
+    pub index: Index,
+    /// The term of the leader that appended it.
+    pub term: Term,
+}
+
+impl From<(Index, Term)> for LogPosition {
+    fn from((index, term): (Index, Term)) -> Self {
+        LogPosition { index, term }
+    }
+}
+
+/// The log's parameters, by the deployment's settings.
+pub fn raft_config(settings: &Settings) -> RaftConfig {
+    let tolerance = settings.tolerance;
+    // A zone or region that is lost may take several voters with it; never fewer voters are kept than a majority of
+    // which outlives as many single losses.
+    let losses = tolerance.machines.max(tolerance.zones).max(tolerance.regions);
     RaftConfig {
-        heartbeat: HEARTBEAT,
-        election: ELECTION,
-        lease: LEASE,
+        heartbeat: HEARTBEAT_MS,
+        election: ELECTION_TIMEOUT_MS,
+        lease: LEASE_MS,
         out_after: settings.envelope.resync.as_millis() as u64 / 2,
         least: (2 * losses + 1).max(3),
         batch: 64,
         piece: 128 * 1024,
         window: 8,
-        hang: HANG,
+        hang: DISK_HANG_MS,
     }
 }
 
-/// What of the log and its machinery this core goes by.
+/// A write batch that carries writes of the log.
+struct PendingWrite {
+    /// Number of the batch.
+    batch: u64,
+    /// The log's own number of the writes.
+    raft_write: u64,
+}
+
+/// What this node keeps about the log besides the log itself.
 #[derive(Default)]
 pub(super) struct LogDriver {
-    /// Puts that carry writes of the log: the put's number, the log's.
-    puts: Vec<(u64, u64)>,
-    joined: f64,
-    /// Bytes of the commands that were applied since the last snapshot, and the snapshot's own.
-    bytes: usize,
-    snapshot: usize,
-    /// The next snapshot, while it is made; one of a leader, while it comes.
-    making: Option<SnapshotWriter>,
-    taking: Option<SnapshotReceiver>,
-    /// Number of the record of shares that is on its way.
-    pub(super) recording: Option<(Index, Term)>,
-    leading: bool,
+    pending_writes: Vec<PendingWrite>,
+    last_join_request: f64,
+    /// Estimated bytes of the commands that were applied since the last snapshot.
+    applied_bytes: usize,
+    /// Size of the last snapshot.
+    snapshot_bytes: usize,
+    /// The next snapshot, while it is encoded.
+    writer: Option<SnapshotWriter>,
+    /// A leader's snapshot, while it arrives.
+    receiver: Option<SnapshotReceiver>,
+    /// The entry of the quota ceilings that were proposed last, until it is applied or leadership changes.
+    proposed_ceilings: Option<LogPosition>,
+    was_leader: bool,
     voters: Vec<NodeId>,
 }
 
-/// About how many bytes a command takes in the log.
-fn weight(command: &LogCommand) -> usize {
-    match command {
-        LogCommand::Configure(order) => {
-            let item = |i: &ConfigItem| 60 + i.label.len() + i.body.as_ref().map_or(0, ItemFields::size);
-            order.iter().map(item).sum::<usize>() + 50
-        }
-        LogCommand::Shares(shares) => shares.edges.iter().map(|g| 40 + 20 * g.2.len()).sum::<usize>() + 50,
+impl LogDriver {
+    /// `snapshot_bytes`: size of the snapshot on the disk.
+    pub(super) fn new(snapshot_bytes: usize) -> Self {
+        LogDriver { snapshot_bytes, ..LogDriver::default() }
     }
-}
 
-impl LogDriver {
-    /// The size of the snapshot that the disk held.
-    pub(super) fn started(&mut self, snapshot: usize) {
-        self.snapshot = snapshot;
+    /// Size of the last snapshot.
+    pub(super) fn snapshot_bytes(&self) -> usize {
+        self.snapshot_bytes
+    }
+
+    /// Whether quota ceilings are on their way through the log.
+    pub(super) fn is_proposing_ceilings(&self) -> bool {
+        self.proposed_ceilings.is_some()
     }
 }
 
+/// Estimated bytes of a command in the log.
+fn command_bytes(command: &LogCommand) -> usize {
+    let variable_bytes: usize = match command {
+        LogCommand::Configure(change) => {
+            let item_bytes = |item: &ConfigItem| {
+                ITEM_OVERHEAD_BYTES + item.label.len() + item.body.as_ref().map_or(0, ItemFields::size)
+            };
+            change.iter().map(item_bytes).sum()
+        }
+        LogCommand::Shares(ceilings) => {
+            let edge_bytes = |tenants: usize| EDGE_CEILINGS_BYTES + TENANT_CEILING_BYTES * tenants;
+            ceilings.edges.iter().map(|edge| edge_bytes(edge.2.len())).sum()
+        }
+    };
+    variable_bytes + COMMAND_OVERHEAD_BYTES
+}
+
 impl CoreNode {
-    /// A message of the log, for this member or one that had this address before.
-    pub(super) fn log_says(
+    /// A consensus message. One to another member is dropped: this address had another disk before.
+    pub(super) fn handle_consensus_message(
         &mut self,
         now: f64,
-        (from, to): (NodeId, NodeId),
+        from: NodeId,
+        to: NodeId,
         message: Message<LogCommand>,
         out: &mut Vec<Effect>,
     ) {
         if to != self.raft.me() {
             return;
         }
-        // Its answers go by a connection of this process.
-        self.learn_core_nodes(
-            vec![NodeLocation { ip: from.ip, zone: String::new(), region: String::new() }],
-            out,
-        );
-        let ms = self.context.log_time(now);
-        self.raft.receive(ms, from, message);
-        self.log_out(now, out);
+        // Responses go by a connection that this process opens.
+        self.learn_core_nodes(vec![NodeLocation::unplaced(from.ip)], out);
+        let log_time = self.context.log_time(now);
+        self.raft.receive(log_time, from, message);
+        self.process_raft_outputs(now, out);
     }
 
-    /// A machine wants to join; passed on to the leader, once.
-    pub(super) fn wants_to_join(&mut self, now: f64, id: NodeId, passed: bool, out: &mut Vec<Effect>) {
-        let ms = self.context.log_time(now);
+    /// A node asks to join the core. A follower forwards this to the leader, unless it was forwarded already.
+    pub(super) fn handle_join(&mut self, now: f64, id: NodeId, is_forwarded: bool, out: &mut Vec<Effect>) {
+        let log_time = self.context.log_time(now);
         if self.raft.leads() {
-            self.learn_core_nodes(
-                vec![NodeLocation { ip: id.ip, zone: String::new(), region: String::new() }],
-                out,
-            );
-            self.raft.join(ms, id);
-            return self.log_out(now, out);
+            self.learn_core_nodes(vec![NodeLocation::unplaced(id.ip)], out);
+            self.raft.join(log_time, id);
+            return self.process_raft_outputs(now, out);
         }
-        let leader = self.raft.leader(ms).filter(|leader| !passed && leader.ip != id.ip);
+        let leader = self.raft.leader(log_time).filter(|leader| !is_forwarded && leader.ip != id.ip);
         if let Some(leader) = leader {
             out.push(Effect::SendToPeer(leader.ip, PeerMessage::Join { id, forwarded: true }));
         }
     }
 
-    /// This process ends: the others may do without its vote.
-    pub(super) fn tell_end(&mut self, out: &mut Vec<Effect>) {
+    /// Tells the other core nodes that this process ends, so that the leader may take it out of the voters.
+    pub(super) fn announce_leave(&self, out: &mut Vec<Effect>) {
         let id = self.raft.me();
-        out.extend(
-            self.context.peers().into_iter().map(|ip| Effect::SendToPeer(ip, PeerMessage::Leave { id })),
-        );
+        let leave = |ip| Effect::SendToPeer(ip, PeerMessage::Leave { id });
+        out.extend(self.context.peers().into_iter().map(leave));
     }
 
-    /// Something is on the disk.
-    pub(super) fn log_synced(&mut self, now: f64, put: u64, out: &mut Vec<Effect>) {
-        let side = &mut self.log_driver;
-        if let Some(making) = side.making.as_mut().filter(|m| m.put.is_some_and(|n| n <= put)) {
-            making.put = None;
+    /// The write batch with this number is synced, and so are all before it.
+    pub(super) fn handle_persisted(&mut self, now: f64, batch: u64, out: &mut Vec<Effect>) {
+        let driver = &mut self.log_driver;
+        if let Some(writer) = driver.writer.as_mut().filter(|w| w.pending_batch.is_some_and(|n| n <= batch)) {
+            writer.pending_batch = None;
         }
-        let done = side.puts.iter().filter(|p| p.0 <= put).map(|p| p.1).max();
-        side.puts.retain(|p| p.0 > put);
-        if let Some(number) = done {
-            let ms = self.context.log_time(now);
-            self.raft.persisted(ms, number);
-            self.log_out(now, out);
+        let synced = driver.pending_writes.iter().filter(|w| w.batch <= batch).map(|w| w.raft_write).max();
+        driver.pending_writes.retain(|w| w.batch > batch);
+        if let Some(raft_write) = synced {
+            let log_time = self.context.log_time(now);
+            self.raft.persisted(log_time, raft_write);
+            self.process_raft_outputs(now, out);
         }
     }
 
-    /// Upkeep.
-    pub(super) fn log_tick(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let ms = self.context.log_time(now);
-        self.raft.tick(ms);
-        if self.raft.leader(ms).is_none() && now - self.log_driver.joined >= JOIN {
-            self.log_driver.joined = now;
+    pub(super) fn tick_log(&mut self, now: f64, out: &mut Vec<Effect>) {
+        let log_time = self.context.log_time(now);
+        self.raft.tick(log_time);
+        let may_ask_to_join = now - self.log_driver.last_join_request >= JOIN_INTERVAL_SECS;
+        if self.raft.leader(log_time).is_none() && may_ask_to_join {
+            self.log_driver.last_join_request = now;
             let id = self.raft.me();
             let join = |ip| Effect::SendToPeer(ip, PeerMessage::Join { id, forwarded: false });
             out.extend(self.context.peers().into_iter().map(join));
         }
-        self.log_out(now, out);
-        self.cut(now, out);
+        self.process_raft_outputs(now, out);
+        self.compact_log(now, out);
     }
 
-    /// Cuts the log behind a snapshot of what is applied, once it is long; the snapshot is made over several ticks.
-    fn cut(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let side = &mut self.log_driver;
-        if side.making.is_none() {
-            let patience = if self.raft.is_sending() { CUT_PATIENCE } else { 1 };
-            let long = side.bytes > patience * CUT_BYTES.max(side.snapshot)
-                || self.raft.held().0 > patience * CUT_ENTRIES;
-            let index = self.configuration.applied;
-            let Some(term) = self.raft.term_at(index).filter(|_| long) else { return };
-            let about = side.snapshot + side.snapshot / 8;
-            side.making = Some(SnapshotWriter::new(
-                (index, term),
-                &self.configuration.state,
-                self.recorded_ceilings.as_ref(),
-                about,
-            ));
-            side.bytes = 0;
+    /// Compacts the log behind a snapshot of what is applied, once it is long. The snapshot is encoded over several ticks,
+    /// one chunk at a time on its way to the disk.
+    fn compact_log(&mut self, now: f64, out: &mut Vec<Effect>) {
+        if self.log_driver.writer.is_none() {
+            self.start_snapshot();
         }
-        // One step of it at a time is on its way to the disk.
-        let Some(making) = side.making.as_mut().filter(|m| m.put.is_none()) else { return };
-        if let Some(part) = making.step() {
+        let driver = &mut self.log_driver;
+        let Some(writer) = driver.writer.as_mut().filter(|w| w.pending_batch.is_none()) else { return };
+        if let Some(chunk) = writer.next_chunk() {
             let number = self.context.next_id();
-            making.put = Some(number);
+            writer.pending_batch = Some(number);
             return out.push(Effect::Persist(WriteBatch {
                 number,
-                part: Some(part),
+                part: Some(chunk),
                 ..WriteBatch::default()
             }));
         }
-        let Some(making) = side.making.take() else { return };
-        let ((index, _), data) = (making.of, making.finish());
-        tracing::info!(
-            index,
-            bytes = data.len(),
-            entries = self.raft.held().0,
-            "cuts the log behind a snapshot"
-        );
-        side.snapshot = data.len();
-        let ms = self.context.log_time(now);
-        self.raft.compact_to(ms, index, data);
-        self.log_out(now, out);
+        let Some(writer) = driver.writer.take() else { return };
+        let (index, data) = (writer.position.index, writer.into_bytes());
+        let (entries, _) = self.raft.held();
+        tracing::info!(index, bytes = data.len(), entries, "log compacted");
+        driver.snapshot_bytes = data.len();
+        let log_time = self.context.log_time(now);
+        self.raft.compact_to(log_time, index, data);
+        self.process_raft_outputs(now, out);
     }
 
-    /// What has come of a leader's snapshot is decoded, and put on the disk.
-    fn snapshot_comes(&mut self, out: &mut Vec<Effect>) {
+    /// Starts a snapshot as of the last applied entry if the log is long enough.
+    fn start_snapshot(&mut self) {
+        let driver = &mut self.log_driver;
+        let factor = if self.raft.is_sending() { COMPACTION_DELAY_FACTOR } else { 1 };
+        let (entries, _) = self.raft.held();
+        let is_long = driver.applied_bytes > factor * COMPACTION_MIN_BYTES.max(driver.snapshot_bytes)
+            || entries > factor * COMPACTION_MIN_ENTRIES;
+        let index = self.configuration.applied;
+        let Some(term) = self.raft.term_at(index).filter(|_| is_long) else { return };
+        let capacity = driver.snapshot_bytes + driver.snapshot_bytes / SNAPSHOT_GROWTH_DIVISOR;
+        let (state, ceilings) = (&self.configuration.state, self.recorded_ceilings.as_ref());
+        driver.writer = Some(SnapshotWriter::new(LogPosition { index, term }, state, ceilings, capacity));
+        driver.applied_bytes = 0;
+    }
+
+    /// Decodes what has arrived of a leader's snapshot, and writes it ahead in chunks.
+    fn receive_snapshot(&mut self, out: &mut Vec<Effect>) {
         let Some((index, term, bytes)) = self.raft.incoming() else {
-            self.log_driver.taking = None;
+            self.log_driver.receiver = None;
             return;
         };
-        let of = (index, term);
-        let taking = self.log_driver.taking.take().filter(|t| t.goes_on(of, bytes));
-        let mut taking = taking.unwrap_or_else(|| SnapshotReceiver::new(of));
-        let part = taking.come(bytes);
-        self.log_driver.taking = Some(taking);
-        if part.is_some() {
+        let position = LogPosition { index, term };
+        let receiver = self.log_driver.receiver.take().filter(|r| r.is_continued_by(position, bytes));
+        let mut receiver = receiver.unwrap_or_else(|| SnapshotReceiver::new(position));
+        let chunk = receiver.receive(bytes);
+        self.log_driver.receiver = Some(receiver);
+        if chunk.is_some() {
             let number = self.context.next_id();
-            out.push(Effect::Persist(WriteBatch { number, part, ..WriteBatch::default() }));
+            out.push(Effect::Persist(WriteBatch { number, part: chunk, ..WriteBatch::default() }));
         }
     }
 
-    /// Carries out what the log wants.
-    pub(super) fn log_out(&mut self, now: f64, out: &mut Vec<Effect>) {
+    /// Carries out what the log has put out. To be called after every call that may have changed the log.
+    pub(super) fn process_raft_outputs(&mut self, now: f64, out: &mut Vec<Effect>) {
         for output in self.raft.take() {
             match output {
-                Output::Persist(number, writes) => {
-                    let put = self.context.next_id();
-                    self.log_driver.puts.push((put, number));
-                    out.push(Effect::Persist(WriteBatch { number: put, writes, ..WriteBatch::default() }));
+                Output::Persist(raft_write, writes) => {
+                    let number = self.context.next_id();
+                    self.log_driver.pending_writes.push(PendingWrite { batch: number, raft_write });
+                    out.push(Effect::Persist(WriteBatch { number, writes, ..WriteBatch::default() }));
                 }
                 Output::Send(to, message) => {
                     let message = PeerMessage::Consensus { from: self.raft.me(), to, message };
                     out.push(Effect::SendToPeer(to.ip, message));
                 }
-                Output::Apply(entry) => self.apply(entry, out),
-                Output::Install(snapshot) => self.install(now, &snapshot, out),
-                Output::ReadReady(number) => self.configuration.ready(number, &mut self.context, out),
+                Output::Apply(entry) => self.apply_entry(entry, out),
+                Output::Install(snapshot) => self.install_snapshot(now, &snapshot, out),
+                Output::ReadReady(read) => self.configuration.complete_read(read, &mut self.context, out),
             }
         }
-        self.snapshot_comes(out);
-        self.configuration.copied(&self.raft, &mut self.context, out);
-        self.log_news(now, out);
+        self.receive_snapshot(out);
+        self.configuration.complete_ready(&self.raft, &mut self.context, out);
+        self.track_leadership(now);
+        self.track_voters(now, out);
     }
 
-    /// Notices who leads and who votes.
-    fn log_news(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leads, term) = (self.raft.leads(), self.raft.term());
-        if std::mem::replace(&mut self.log_driver.leading, leads) != leads {
-            match leads {
-                true => tracing::info!(term, "leads"),
-                false => tracing::info!(term, "leads no more"),
-            }
-            self.context.journal.append(now, JournalEvent::Leads(leads, term));
-            self.log_driver.recording = None;
+    fn track_leadership(&mut self, now: f64) {
+        let (is_leader, term) = (self.raft.leads(), self.raft.term());
+        if std::mem::replace(&mut self.log_driver.was_leader, is_leader) == is_leader {
+            return;
+        }
+        if is_leader {
+            tracing::info!(term, "gained leadership");
+        } else {
+            tracing::info!(term, "lost leadership");
         }
+        self.context.journal.append(now, JournalEvent::Leadership { is_leader, term });
+        self.log_driver.proposed_ceilings = None;
+    }
+
+    fn track_voters(&mut self, now: f64, out: &mut Vec<Effect>) {
         let voters: Vec<NodeId> = self.raft.members().into_iter().collect();
-        if voters != self.log_driver.voters {
-            let told: Vec<String> = voters.iter().map(|v| format!("{}/{:x}", v.ip, v.disk)).collect();
-            tracing::info!(voters = told.join(" "), "votes in the log");
-            self.context.journal.append(now, JournalEvent::Voters(told));
-            self.context.voters = voters.iter().map(|v| v.ip).collect();
-            self.log_driver.voters = voters;
-            let blank = |ip: &IpAddr| NodeLocation { ip: *ip, zone: String::new(), region: String::new() };
-            let unknown: Vec<NodeLocation> = self.context.voters.iter().map(blank).collect();
-            self.learn_core_nodes(unknown, out);
+        if voters == self.log_driver.voters {
+            return;
         }
+        let names: Vec<String> = voters.iter().map(member_name).collect();
+        tracing::info!(voters = names.join(" "), "voters changed");
+        self.context.journal.append(now, JournalEvent::Voters(names));
+        self.context.voters = voters.iter().map(|v| v.ip).collect();
+        self.log_driver.voters = voters;
+        let unplaced = |ip: &IpAddr| NodeLocation::unplaced(*ip);
+        let nodes: Vec<NodeLocation> = self.context.voters.iter().map(unplaced).collect();
+        self.learn_core_nodes(nodes, out);
     }
 
-    fn apply(&mut self, entry: Entry<LogCommand>, out: &mut Vec<Effect>) {
-        let place = (entry.index, entry.term);
-        self.configuration.applied = entry.index;
+    fn apply_entry(&mut self, entry: Entry<LogCommand>, out: &mut Vec<Effect>) {
+        let position = LogPosition { index: entry.index, term: entry.term };
+        self.configuration.applied = position.index;
         let EntryPayload::Command(command) = entry.body else { return };
-        self.log_driver.bytes += weight(&command);
+        self.log_driver.applied_bytes += command_bytes(&command);
         match command {
-            LogCommand::Configure(order) => {
-                let parts = (&self.raft, &mut self.context);
-                let changed = self.configuration.apply(place, &order, parts, out);
-                if let Some((before, items)) = changed {
+            LogCommand::Configure(change) => {
+                let changed = self.configuration.apply(position, &change, &self.raft, &mut self.context, out);
+                if let Some((previous, items)) = changed {
                     let items: Vec<ConfigItem> = items.iter().map(|i| (**i).clone()).collect();
-                    self.push_items(before, entry.index, items, out);
-                }
-            }
-            LogCommand::Shares(shares) => {
-                if self.log_driver.recording == Some(place) {
-                    self.log_driver.recording = None;
-                    self.quota_lease.recorded(&shares);
-                }
-                match &mut self.recorded_ceilings {
-                    Some(record) => Arc::make_mut(record).amend(&shares),
-                    None => self.recorded_ceilings = Some(shares),
+                    self.push_items(previous, position.index, items, out);
                 }
             }
+            LogCommand::Shares(ceilings) => self.apply_ceilings(position, ceilings),
         }
     }
 
-    fn install(&mut self, now: f64, snapshot: &Snapshot, out: &mut Vec<Effect>) {
-        let of = (snapshot.index, snapshot.term);
-        let taking = self.log_driver.taking.take().filter(|t| t.goes_on(of, &snapshot.data));
-        let read = match taking {
-            Some(taking) => taking.finish(&snapshot.data),
+    fn apply_ceilings(&mut self, position: LogPosition, ceilings: Arc<ShareCeilings>) {
+        if self.log_driver.proposed_ceilings == Some(position) {
+            self.log_driver.proposed_ceilings = None;
+            self.quota_lease.recorded(&ceilings);
+        }
+        match &mut self.recorded_ceilings {
+            Some(recorded) => Arc::make_mut(recorded).amend(&ceilings),
+            None => self.recorded_ceilings = Some(ceilings),
+        }
+    }
+
+    /// Replaces the state by a leader's snapshot. If that can't be decoded it is of another release: this node can't go on.
+    fn install_snapshot(&mut self, now: f64, snapshot: &Snapshot, out: &mut Vec<Effect>) {
+        let position = LogPosition { index: snapshot.index, term: snapshot.term };
+        let receiver = self.log_driver.receiver.take();
+        let decoded = match receiver.filter(|r| r.is_continued_by(position, &snapshot.data)) {
+            Some(receiver) => receiver.finish(&snapshot.data),
             None => snapshot::decode(&snapshot.data),
         };
-        self.log_driver.making = None;
-        match read {
-            Ok((state, shares)) => {
-                tracing::info!(index = snapshot.index, bytes = snapshot.data.len(), "takes a snapshot");
-                self.context.journal.append(now, JournalEvent::CaughtUp);
-                (self.configuration.state, self.configuration.applied, self.recorded_ceilings) =
-                    (state, snapshot.index, shares);
-                (self.log_driver.bytes, self.log_driver.snapshot) = (0, snapshot.data.len());
+        self.log_driver.writer = None;
+        match decoded {
+            Ok(decoded) => {
+                tracing::info!(index = snapshot.index, bytes = snapshot.data.len(), "snapshot installed");
+                self.context.journal.append(now, JournalEvent::SnapshotInstalled);
+                self.configuration.state = decoded.config;
+                self.configuration.applied = snapshot.index;
+                self.recorded_ceilings = decoded.ceilings;
+                self.log_driver.applied_bytes = 0;
+                self.log_driver.snapshot_bytes = snapshot.data.len();
                 self.tell_anew(now, out);
             }
-            // Of another release: this machine can't go on with the others.
             Err(error) => {
-                tracing::error!(error, "a snapshot that can't be read");
+                tracing::error!(%error, "snapshot can't be decoded");
                 self.fatal_error = Some(error);
             }
         }
     }
 
-    /// Proposes to record the shares, if they changed: they rise once most keep them.
-    pub(super) fn record_shares(&mut self, now: f64, shares: ShareCeilings) {
-        let ms = self.context.log_time(now);
-        self.log_driver.recording = self.raft.propose(ms, LogCommand::Shares(Arc::new(shares)));
+    /// Proposes to record the quota ceilings: they rise only once a majority holds the record.
+    pub(super) fn propose_ceilings(&mut self, now: f64, ceilings: ShareCeilings) {
+        let log_time = self.context.log_time(now);
+        let position = self.raft.propose(log_time, LogCommand::Shares(Arc::new(ceilings)));
+        self.log_driver.proposed_ceilings = position.map(LogPosition::from);
     }
+}
 
-    /// Bytes of the last snapshot.
-    pub(super) fn snapshot_bytes(&self) -> usize {
-        self.log_driver.snapshot
-    }
+/// A member as the log lines and the journal spell it: address/disk.
+pub(super) fn member_name(id: &NodeId) -> String {
+    format!("{}/{:x}", id.ip, id.disk)
 }
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -1,86 +1,131 @@
-//! Owns what operators are told of the core: who is of it, who leads, how far each is, who is out and why, what is being
-//! repaired and since when. It must never decide anything.
+//! The cluster as this node sees it, for `GET /whinstall/core`: members, leader, each member's progress, which of them are
+//! out of contact and why, and what is being repaired. Also the log lines when a member's state changes. For operators
+//! only; nothing is decided by it.
 
-use super::replicated_log::{tuning, ELECTION};
+use super::replicated_log::{member_name, raft_config, ELECTION_TIMEOUT_MS};
 use super::CoreNode;
 use crate::consensus::{Index, Millis, NodeId};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
+use std::fmt::{Display, Formatter};
 use std::net::IpAddr;
 
-/// How the leader sees another machine.
+/// How the leader sees another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MemberState {
-    /// Takes part.
-    Votes,
-    /// Votes, but was not heard.
-    Out,
-    /// Copies, and does not vote yet.
+    /// A voter that responds.
+    Voting,
+    /// A voter that was silent for longer than the election timeout.
+    Unreachable,
+    /// A learner: receives the log, and is not a voter yet.
     CatchingUp,
-    /// Was a member, or wanted to be one.
+    /// No voter and silent: it was a member, or asked to be one.
     Gone,
 }
 
 impl MemberState {
-    fn of(votes: bool, silent: Millis) -> Self {
-        match (votes, silent > ELECTION) {
-            (true, false) => MemberState::Votes,
-            (true, true) => MemberState::Out,
+    fn of(peer: &PeerProgress) -> Self {
+        match (peer.is_voter, peer.is_silent()) {
+            (true, false) => MemberState::Voting,
+            (true, true) => MemberState::Unreachable,
             (false, false) => MemberState::CatchingUp,
             (false, true) => MemberState::Gone,
         }
     }
+}
 
-    fn word(self) -> &'static str {
-        match self {
-            MemberState::Votes => "votes",
-            MemberState::Out => "out",
+impl Display for MemberState {
+    /// As the operators' interface spells it.
+    fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            MemberState::Voting => "votes",
+            MemberState::Unreachable => "out",
             MemberState::CatchingUp => "catching up",
             MemberState::Gone => "gone",
-        }
+        })
     }
 }
 
-/// Since when each other machine stands as it does, as this leader saw it.
+/// A member's state, and since when, in seconds of the event clock.
+struct ObservedState {
+    state: MemberState,
+    since: f64,
+}
+
+/// The other members' states as this node, being the leader, last observed them.
 #[derive(Default)]
-pub(super) struct MemberStates(BTreeMap<NodeId, (MemberState, f64)>);
+pub(super) struct MemberStates(BTreeMap<NodeId, ObservedState>);
+
+/// The leader's knowledge of another member.
+struct PeerProgress {
+    id: NodeId,
+    is_voter: bool,
+    /// The highest entry that its disk is known to hold.
+    matched: Index,
+    /// How long ago it was heard.
+    silent_ms: Millis,
+}
 
-type Peer = (NodeId, bool, Index, Millis);
+impl PeerProgress {
+    fn is_silent(&self) -> bool {
+        self.silent_ms > ELECTION_TIMEOUT_MS
+    }
+}
 
 impl CoreNode {
-    /// Notices how the others stand; the log is told what has changed.
-    pub(super) fn note_standings(&mut self, now: f64) {
+    /// The other members, if this node leads; else none.
+    fn peer_progress(&self, now: f64) -> Vec<PeerProgress> {
         let peers = self.raft.peers(self.context.log_time(now));
-        self.member_states.0.retain(|id, _| peers.iter().any(|p| p.0 == *id));
+        let progress = |(id, is_voter, matched, silent_ms)| PeerProgress { id, is_voter, matched, silent_ms };
+        peers.into_iter().map(progress).collect()
+    }
+
+    /// Observes the other members' states, and logs what has changed.
+    pub(super) fn track_member_states(&mut self, now: f64) {
+        let peers = self.peer_progress(now);
+        self.member_states.0.retain(|id, _| peers.iter().any(|peer| peer.id == *id));
         for peer in &peers {
-            let (id, votes, _, silent) = *peer;
-            let standing = MemberState::of(votes, silent);
-            let was = self.member_states.0.get(&id).map(|s| s.0);
-            if was == Some(standing) {
+            let state = MemberState::of(peer);
+            let previous = self.member_states.0.get(&peer.id).map(|observed| observed.state);
+            if previous == Some(state) {
                 continue;
             }
-            let since = if standing == MemberState::Out { now - silent as f64 / 1e3 } else { now };
-            self.member_states.0.insert(id, (standing, since));
-            let member = format!("{}/{:x}", id.ip, id.disk);
-            match (was, standing) {
-                (_, MemberState::Out) => {
-                    tracing::warn!(member, why = self.why_out(&id, &peers), "a member is out");
-                }
-                (Some(MemberState::Out), MemberState::Votes) => tracing::info!(member, "a member is back"),
-                (Some(MemberState::CatchingUp), MemberState::Votes) => {
-                    tracing::info!(member, "a machine has caught up and votes");
-                }
-                (_, MemberState::CatchingUp) => tracing::info!(member, "a machine catches up"),
-                _ => {}
+            let is_unreachable = state == MemberState::Unreachable;
+            let since = if is_unreachable { now - peer.silent_ms as f64 / 1e3 } else { now };
+            self.member_states.0.insert(peer.id, ObservedState { state, since });
+            self.log_state_change(peer, previous, state, &peers);
+        }
+    }
+
+    fn log_state_change(
+        &self,
+        peer: &PeerProgress,
+        previous: Option<MemberState>,
+        state: MemberState,
+        peers: &[PeerProgress],
+    ) {
+        let member = member_name(&peer.id);
+        match (previous, state) {
+            (_, MemberState::Unreachable) => {
+                tracing::warn!(member, why = self.unreachable_reason(&peer.id, peers), "member unreachable");
             }
+            (Some(MemberState::Unreachable), MemberState::Voting) => {
+                tracing::info!(member, "member reachable again");
+            }
+            (Some(MemberState::CatchingUp), MemberState::Voting) => {
+                tracing::info!(member, "learner became a voter");
+            }
+            (_, MemberState::CatchingUp) => tracing::info!(member, "learner is catching up"),
+            _ => {}
         }
     }
 
-    /// Why a member is not heard, as far as this machine can tell.
-    fn why_out(&self, id: &NodeId, peers: &[Peer]) -> String {
-        let other = peers.iter().find(|p| p.0.ip == id.ip && p.0.disk != id.disk && p.3 <= ELECTION);
-        match other {
-            Some((now, ..)) => format!("its machine is there with another disk, {:x}", now.disk),
+    /// Why a member is silent, as far as this node can tell.
+    fn unreachable_reason(&self, id: &NodeId, peers: &[PeerProgress]) -> String {
+        let successor =
+            peers.iter().find(|peer| peer.id.ip == id.ip && peer.id.disk != id.disk && !peer.is_silent());
+        match successor {
+            Some(peer) => format!("its machine is there with another disk, {:x}", peer.id.disk),
             None if self.connected_peers.contains(&id.ip) => {
                 "its machine is connected, but says nothing of the log: it has another disk, or stands still"
                     .into()
@@ -89,101 +134,110 @@
         }
     }
 
-    /// What goes on for a machine that does not take part.
-    fn repair(&self, standing: MemberState) -> Option<String> {
-        let tuning = tuning(&self.context.settings);
-        match standing {
-            MemberState::Out if self.raft.members().len() > tuning.least => {
-                Some(format!("is taken out of the members once it is silent for {} ms", tuning.out_after))
+    /// What the leader does about a member that does not take part.
+    fn repair_text(&self, state: MemberState) -> Option<String> {
+        let config = raft_config(&self.context.settings);
+        match state {
+            MemberState::Unreachable if self.raft.members().len() > config.least => {
+                Some(format!("is taken out of the members once it is silent for {} ms", config.out_after))
             }
-            MemberState::Out => Some(
+            MemberState::Unreachable => Some(
                 "stays a member until it is back, or its machine with an empty disk or a successor has caught up"
                     .into(),
             ),
             MemberState::CatchingUp => Some("copies the log, then votes".into()),
-            MemberState::Votes | MemberState::Gone => None,
+            MemberState::Voting | MemberState::Gone => None,
         }
     }
 
-    fn name(&self, id: &NodeId) -> Value {
-        let ip = id.ip;
-        let zone = self.context.known_nodes.get(&ip).map(|m| m.zone.clone()).unwrap_or_default();
+    fn identity_json(&self, id: &NodeId) -> Value {
+        let zone = self.context.known_nodes.get(&id.ip).map(|node| node.zone.clone()).unwrap_or_default();
         json!({
-            "node_name": self.node_name(ip),
-            "address": ip.to_string(),
+            "node_name": self.node_name(id.ip),
+            "address": id.ip.to_string(),
             "disk": format!("{:x}", id.disk),
             "zone_name": zone,
         })
     }
 
-    /// The name of a core machine, if it has said so here.
+    /// The name of a core node, if it has introduced itself here: by the newest connection from its address.
     fn node_name(&self, ip: IpAddr) -> Option<&str> {
         if ip == self.context.me.ip {
             return Some(&self.context.settings.node);
         }
-        // The newest connection from there.
-        let callers = self.sessions.values().rev().find(|c| c.member == Some(ip));
-        callers.map(|c| c.node.as_str())
+        let newest = self.sessions.values().rev().find(|session| session.member == Some(ip));
+        newest.map(|session| session.node.as_str())
     }
 
-    /// Members, leader, term, applied, lag, who is out, what is repaired: for operators.
-    pub fn status(&self, now: f64) -> Value {
-        let ms = self.context.log_time(now);
-        let (members, leader, me) = (self.raft.members(), self.raft.leader(ms), self.raft.me());
-        let peers = self.raft.peers(ms);
-        let member = |id: &NodeId| {
-            let mut told = self.name(id);
-            let heard = self.context.last_heard.get(&id.ip).map(|at| ((now - at) * 1e3) as u64);
-            told["heard_ms"] = json!(if *id == me { Some(0) } else { heard });
-            told["connected"] = json!(*id == me || self.connected_peers.contains(&id.ip));
-            told["leads"] = json!(Some(*id) == leader);
-            told
+    /// A member as this node is connected to it.
+    fn member_json(&self, now: f64, id: &NodeId, leader: Option<NodeId>) -> Value {
+        let is_me = *id == self.raft.me();
+        let heard_ms = match is_me {
+            true => Some(0),
+            false => self.context.last_heard.get(&id.ip).map(|at| ((now - at) * 1e3) as u64),
         };
-        let other = |peer: &Peer| {
-            let (id, votes, matched, silent) = *peer;
-            let (standing, mut told) = (MemberState::of(votes, silent), self.name(&id));
-            let seen = self.member_states.0.get(&id).filter(|s| s.0 == standing);
-            told["votes"] = json!(votes);
-            told["lag_entries"] = json!(self.raft.last().saturating_sub(matched));
-            told["silent_ms"] = json!(silent);
-            told["state"] = json!(standing.word());
-            told["since_s"] = json!(seen.map(|s| ((now - s.1) * 10.0).round() / 10.0));
-            if standing == MemberState::Out {
-                told["why"] = json!(self.why_out(&id, &peers));
-            }
-            if let Some(repair) = self.repair(standing) {
-                told["repair"] = json!(repair);
-            }
-            told
-        };
-        let whole = peers.iter().all(|p| MemberState::of(p.1, p.3) != MemberState::Out)
-            && !peers.iter().any(|p| MemberState::of(p.1, p.3) == MemberState::CatchingUp);
+        let mut rendered = self.identity_json(id);
+        rendered["heard_ms"] = json!(heard_ms);
+        rendered["connected"] = json!(is_me || self.connected_peers.contains(&id.ip));
+        rendered["leads"] = json!(Some(*id) == leader);
+        rendered
+    }
+
+    /// A member's progress as the leader knows it.
+    fn progress_json(&self, now: f64, peer: &PeerProgress, peers: &[PeerProgress]) -> Value {
+        let state = MemberState::of(peer);
+        let observed = self.member_states.0.get(&peer.id).filter(|observed| observed.state == state);
+        let mut rendered = self.identity_json(&peer.id);
+        rendered["votes"] = json!(peer.is_voter);
+        rendered["lag_entries"] = json!(self.raft.last().saturating_sub(peer.matched));
+        rendered["silent_ms"] = json!(peer.silent_ms);
+        rendered["state"] = json!(state.to_string());
+        // Tenths of a second.
+        rendered["since_s"] = json!(observed.map(|o| ((now - o.since) * 10.0).round() / 10.0));
+        if state == MemberState::Unreachable {
+            rendered["why"] = json!(self.unreachable_reason(&peer.id, peers));
+        }
+        if let Some(repair) = self.repair_text(state) {
+            rendered["repair"] = json!(repair);
+        }
+        rendered
+    }
+
+    /// The body of `GET /whinstall/core`: docs/system-operators.md describes its fields.
+    pub fn status(&self, now: f64) -> Value {
+        let log_time = self.context.log_time(now);
+        let (members, leader, me) = (self.raft.members(), self.raft.leader(log_time), self.raft.me());
+        let peers = self.peer_progress(now);
+        let is_complete = peers
+            .iter()
+            .map(MemberState::of)
+            .all(|state| !matches!(state, MemberState::Unreachable | MemberState::CatchingUp));
         let role = match (self.raft.leads(), members.contains(&me)) {
             (true, _) => "leader",
             (false, true) => "follower",
             (false, false) => "learner",
         };
-        let (entries, base) = self.raft.held();
+        let (log_entries, snapshot_index) = self.raft.held();
         json!({
-            "me": self.name(&me),
+            "me": self.identity_json(&me),
             "role": role,
             "term": self.raft.term(),
-            "leader": leader.map(|id| self.name(&id)),
-            "attached": self.raft.is_attached(ms),
-            "holds_counter": self.raft.holds_lease(ms),
-            "members": members.iter().map(member).collect::<Vec<_>>(),
-            "others": peers.iter().map(other).collect::<Vec<_>>(),
+            "leader": leader.map(|id| self.identity_json(&id)),
+            "attached": self.raft.is_attached(log_time),
+            "holds_counter": self.raft.holds_lease(log_time),
+            "members": members.iter().map(|id| self.member_json(now, id, leader)).collect::<Vec<_>>(),
+            "others": peers.iter().map(|peer| self.progress_json(now, peer, &peers)).collect::<Vec<_>>(),
             // Only the leader knows.
-            "whole": self.raft.leads().then_some(whole),
+            "whole": self.raft.leads().then_some(is_complete),
             "committed": self.raft.commit(),
             "applied": self.configuration.applied,
             "last": self.raft.last(),
             "configuration_index": self.configuration.state.index(),
-            "log_entries": entries,
-            "snapshot_index": base,
-            "snapshot_bytes": self.snapshot_bytes(),
-            "calls_waiting": self.configuration.waiting(),
-            "disk_hangs": self.raft.hangs(ms),
+            "log_entries": log_entries,
+            "snapshot_index": snapshot_index,
+            "snapshot_bytes": self.log_driver.snapshot_bytes(),
+            "calls_waiting": self.configuration.waiting_calls(),
+            "disk_hangs": self.raft.hangs(log_time),
             "gatekeepers": self.edges.count(),
             "workers_settled": self.membership.settled(now),
         })
--- /dev/null
+++ b/crates/gateway/src/control_plane/upkeep.rs
@@ -0,0 +1,84 @@
+//! Periodic work of the core role, and reloaded settings.
+
+use super::{replicated_log, tenant_limit, CoreNode, Effect};
+use crate::control_plane::event_journal::JournalEvent;
+use crate::protocol::{NodeLocation, PeerMessage};
+use crate::settings::Settings;
+
+/// Seconds between two pings to each core node.
+const PING_INTERVAL_SECS: f64 = 0.3;
+/// A gap between two ticks from which on the process counts as suspended, in seconds.
+const SUSPENSION_SECS: f64 = 0.5;
+/// Seconds between two searches for core nodes to forget.
+const CLEANUP_INTERVAL_SECS: f64 = 5.0;
+
+impl CoreNode {
+    pub(super) fn tick(&mut self, now: f64, out: &mut Vec<Effect>) {
+        self.detect_suspension(now);
+        self.last_tick = now;
+        if now - self.last_ping >= PING_INTERVAL_SECS {
+            self.last_ping = now;
+            self.ping_peers(out);
+            self.advertise_core_nodes(out);
+            self.track_member_states(now);
+        }
+        if now - self.last_cleanup >= CLEANUP_INTERVAL_SECS {
+            self.last_cleanup = now;
+            self.forget_stale_nodes(out);
+        }
+        self.tick_log(now, out);
+        self.configuration.tick(&mut self.context, out);
+        let silent = self.membership.tick(now, &mut self.context, out);
+        self.persist_workers(&silent, out);
+        self.tick_gates(now, out);
+        self.tick_quota_lease(now, out);
+    }
+
+    /// After a suspension, heartbeats that were missed meanwhile say nothing about the workers.
+    fn detect_suspension(&mut self, now: f64) {
+        let gap_secs = now - self.last_tick;
+        if gap_secs > SUSPENSION_SECS {
+            tracing::warn!(seconds = gap_secs, "process was suspended");
+            self.context.journal.append(now, JournalEvent::Suspended { secs: gap_secs });
+            self.membership.excuse(now);
+        }
+    }
+
+    fn ping_peers(&self, out: &mut Vec<Effect>) {
+        let (config_index, workers_digest) =
+            (self.configuration.state.index(), self.membership.registry.digest());
+        for ip in self.context.peers() {
+            let ping = PeerMessage::Ping { config_index, workers_digest, received: 0 };
+            out.push(Effect::SendToPeer(ip, ping));
+        }
+    }
+
+    fn forget_stale_nodes(&mut self, out: &mut Vec<Effect>) {
+        let forgotten = self.context.forget_stale_nodes();
+        self.connected_peers.retain(|ip| !forgotten.contains(ip));
+        out.extend(forgotten.into_iter().map(Effect::Disconnect));
+    }
+
+    /// Takes or gives up the quota lease, and proposes the standing ceilings to the log if they changed.
+    fn tick_quota_lease(&mut self, now: f64, out: &mut Vec<Effect>) {
+        let lease = self.leased_term(now);
+        let limits = |tenant: &str| tenant_limit(&self.configuration.state, tenant);
+        let may_propose = !self.log_driver.is_proposing_ceilings();
+        let recorded = self.recorded_ceilings.as_deref();
+        let ceilings = self.quota_lease.tick(now, lease, (recorded, may_propose), &mut self.context, &limits);
+        if let Some(ceilings) = ceilings {
+            self.propose_ceilings(now, ceilings);
+            self.process_raft_outputs(now, out);
+        }
+    }
+
+    /// Puts reloaded settings in force.
+    pub fn retune(&mut self, settings: Settings, out: &mut Vec<Effect>) {
+        let seeds = settings.seeds.iter().map(|seed| NodeLocation::unplaced(seed.ip())).collect();
+        self.raft.retune(replicated_log::raft_config(&settings));
+        self.context.settings = settings;
+        let first = out.len();
+        self.learn_core_nodes(seeds, out);
+        self.count(&out[first..]);
+    }
+}
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -76,7 +76,7 @@
         let (mut changed, mut contested) = (Vec::new(), Vec::new());
         for worker in workers {
             let (id, phase) = (worker.id.clone(), worker.phase);
-            match journal.worker(now, worker, &mut self.registry, KEEP) {
+            match journal.merge_worker(now, worker, &mut self.registry, KEEP) {
                 MergeOutcome::Changed => {
                     let Some(held) = self.registry.get(&id) else { continue };
                     tracing::info!(worker = %held.id, service = %held.service, phase = ?held.phase, "worker");
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -2,7 +2,7 @@
 //! anything.
 
 use crate::configuration::read_call;
-use crate::control_plane::{error_body, ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
+use crate::control_plane::{error_body, ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK_SECS};
 use crate::discovery::{Worker, WorkerPhase};
 use crate::json_path::{JsonNode, JsonPathError};
 use crate::protocol::PeerMessage;
@@ -245,7 +245,8 @@
     );
     let (port, ip) = (settings.inner_port, settings.ip);
     let room = BodyBudget::new(settings.memory as usize / BODIES_PART);
-    let core = CoreNode::new(clock.now(), settings, held).map_err(crate::runtime::RunError::State)?;
+    let core = CoreNode::new(clock.now(), settings, held)
+        .map_err(|e| crate::runtime::RunError::State(e.to_string()))?;
     let server = Rc::new(CoreServer {
         core: RefCell::new(core),
         clock,
@@ -291,7 +292,7 @@
             tokio::task::spawn_local(Rc::clone(&serving).converse(connection));
         }
     });
-    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK));
+    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK_SECS));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -306,7 +307,7 @@
                 crate::runtime::ProcessSignal::End => break,
             },
         }
-        if let Some(error) = server.core.borrow().fatal_error.clone() {
+        if let Some(error) = server.core.borrow().fatal_error.as_ref().map(ToString::to_string) {
             return Err(crate::runtime::RunError::State(error));
         }
     }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -202,7 +202,7 @@
         node.core = Some(core);
         self.repair_begins(n);
         self.core_effects(n, out);
-        self.after(control_plane::TICK, SimulationEvent::CoreTick(n, life));
+        self.after(control_plane::TICK_SECS, SimulationEvent::CoreTick(n, life));
     }
 
     /// A step in the making of a new disk is done: the mark is there, is synced, the database stands.
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -454,7 +454,7 @@
                     if self.cores[n].life == life && self.cores[n].core.is_some() {
                         self.core_event(n, control_plane::Event::Tick);
                         self.watch_repair(n);
-                        self.after(control_plane::TICK, SimulationEvent::CoreTick(n, life));
+                        self.after(control_plane::TICK_SECS, SimulationEvent::CoreTick(n, life));
                     }
                 }
                 SimulationEvent::EdgeTick(n, life) => self.tick_edge(n, life),
