--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -2,7 +2,7 @@
 //! anything.
 
 use crate::configuration::parse_change;
-use crate::control_plane::{error_body, ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
+use crate::control_plane::{error_body, ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK_SECS};
 use crate::discovery::{Worker, WorkerPhase};
 use crate::json_path::{JsonNode, JsonPathError};
 use crate::protocol::PeerMessage;
@@ -253,7 +253,8 @@
     );
     let (port, ip) = (settings.internal_port, settings.ip);
     let room = BodyBudget::new(settings.memory_bytes as usize / BODIES_PART);
-    let core = CoreNode::new(clock.now(), settings, held).map_err(crate::runtime::RunError::State)?;
+    let core = CoreNode::new(clock.now(), settings, held)
+        .map_err(|e| crate::runtime::RunError::State(e.to_string()))?;
     let server = Rc::new(CoreServer {
         core: RefCell::new(core),
         clock,
@@ -299,7 +300,7 @@
             tokio::task::spawn_local(Rc::clone(&serving).converse(connection));
         }
     });
-    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK));
+    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK_SECS));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -314,7 +315,7 @@
                 crate::runtime::ProcessSignal::Shutdown => break,
             },
         }
-        if let Some(error) = server.core.borrow().fatal_error.clone() {
+        if let Some(error) = server.core.borrow().fatal_error.as_ref().map(ToString::to_string) {
             return Err(crate::runtime::RunError::State(error));
         }
     }
