--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -11,9 +11,8 @@
 use super::{error_body, CallId, ConnectionId, CoreContext, Effect};
 use crate::configuration::state::ChangeOutcome;
 use crate::configuration::{ConfigChange, ConfigItem, ConfigState};
-use crate::consensus::{Index, NodeId, Raft, Term};
+use crate::consensus::{Index, LogPosition, NodeId, Raft, Term};
 use crate::control_plane::event_journal::JournalEvent;
-use crate::control_plane::replicated_log::LogPosition;
 use crate::protocol::{LogCommand, OperatorRequest, OperatorResponse, PeerMessage};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -129,7 +128,7 @@
         context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
-        if raft.leads() {
+        if raft.is_leader() {
             return self.submit(CallOrigin::Local(call), request, raft, context, out);
         }
         let now = context.now;
@@ -170,17 +169,16 @@
         let is_submitted = match request {
             OperatorRequest::Amend(change) => {
                 let position = raft.propose(log_time, LogCommand::Configure(change));
-                if let Some((index, term)) = position {
+                if let Some(LogPosition { index, term }) = position {
                     self.proposed.insert(index, ProposedChange { term, origin, deadline });
                 }
                 position.is_some()
             }
-            OperatorRequest::Read => {
-                self.await_quorum(raft.read(log_time), PendingRead { origin, rejection: None, deadline })
-            }
+            OperatorRequest::Read => self
+                .await_quorum(raft.read_index(log_time), PendingRead { origin, rejection: None, deadline }),
             OperatorRequest::Reject(reason) => {
                 let rejection = Some(reason);
-                self.await_quorum(raft.read(log_time), PendingRead { origin, rejection, deadline })
+                self.await_quorum(raft.read_index(log_time), PendingRead { origin, rejection, deadline })
             }
         };
         if !is_submitted {
@@ -227,7 +225,7 @@
             OperatorResponse::Accepted => (200, json!({})),
             OperatorResponse::Rejected(status, reason) => (status, error_body(reason)),
             OperatorResponse::Undetermined(reason) => (503, error_body(reason)),
-            OperatorResponse::Read(index) if self.applied >= index => (200, self.state.render()),
+            OperatorResponse::Read(index) if self.applied >= index => (200, self.state.to_json()),
             OperatorResponse::Read(index) => {
                 // The leader was ahead of this node.
                 let deadline = context.now + CALL_TIMEOUT_SECS;
@@ -247,17 +245,17 @@
         context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) -> Option<(Index, Vec<Arc<ConfigItem>>)> {
-        let previous = self.state.index();
+        let previous = self.state.last_change_index();
         let outcome = self.state.apply(position.index, change);
         self.applied = position.index;
         let (response, changed) = match outcome {
-            ChangeOutcome::Taken(items) => (OperatorResponse::Accepted, items),
-            ChangeOutcome::Known => (OperatorResponse::Accepted, Vec::new()),
+            ChangeOutcome::Applied(items) => (OperatorResponse::Accepted, items),
+            ChangeOutcome::AlreadyApplied => (OperatorResponse::Accepted, Vec::new()),
             ChangeOutcome::Conflict(error) => {
                 (OperatorResponse::Rejected(409, error.to_string()), Vec::new())
             }
             ChangeOutcome::Invalid(error) => (OperatorResponse::Rejected(400, error.to_string()), Vec::new()),
-            ChangeOutcome::Forgotten => {
+            ChangeOutcome::Indeterminate => {
                 (OperatorResponse::Undetermined("too old to tell what was taken".into()), Vec::new())
             }
         };
@@ -300,7 +298,7 @@
         context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
-        if !self.unreplicated.is_empty() && raft.leads() {
+        if !self.unreplicated.is_empty() && raft.is_leader() {
             self.acknowledge_replicated(raft, context, out);
         }
         let applied = self.applied;
@@ -310,7 +308,7 @@
                 reads.into_iter().partition(|read| read.index <= applied);
             self.lagging_reads = lagging;
             let responses =
-                ready.into_iter().map(|read| Effect::Respond(read.call, 200, self.state.render()));
+                ready.into_iter().map(|read| Effect::Respond(read.call, 200, self.state.to_json()));
             out.extend(responses);
         }
     }
@@ -322,7 +320,8 @@
         out: &mut Vec<Effect>,
     ) {
         for change in std::mem::take(&mut self.unreplicated) {
-            let holders: Vec<IpAddr> = raft.holders(change.index).iter().map(|id: &NodeId| id.ip).collect();
+            let holders: Vec<IpAddr> =
+                raft.voters_with(change.index).iter().map(|id: &NodeId| id.ip).collect();
             if !context.survives_tolerated_losses(holders.iter()) {
                 self.unreplicated.push(change);
                 continue;
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -32,9 +32,8 @@
 
 use crate::configuration::ConfigState;
 use crate::consensus::{NodeId, Raft, Term};
-use crate::control_plane::quota_counter::TenantLimit;
 use crate::protocol::share_ceilings::ShareCeilings;
-use crate::protocol::{LogCommand, NodeLocation};
+use crate::protocol::{LogCommand, NodeLocation, TenantLimit};
 use crate::settings::Settings;
 use crate::storage::LoadedState;
 pub use api_calls::error_body;
@@ -102,16 +101,20 @@
     /// The snapshot on the disk can't be decoded.
     pub fn new(now: f64, settings: Settings, loaded: LoadedState) -> Result<Self, SnapshotError> {
         let context = CoreContext::new(now, settings);
-        let decoded = match &loaded.raft.snapshot {
+        let decoded = match &loaded.raft_state.snapshot {
             Some(snapshot) if !snapshot.data.is_empty() => snapshot::decode(&snapshot.data)?,
             _ => DecodedSnapshot::default(),
         };
-        let applied = loaded.raft.snapshot.as_ref().map_or(0, |s| s.index);
-        let snapshot_bytes = loaded.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
-        let me = NodeId { ip: context.me.ip, disk: loaded.disk };
-        let is_empty = loaded.raft.log.is_empty() && loaded.raft.snapshot.is_none();
-        let raft =
-            Raft::new(context.log_time(now), me, loaded.raft, replicated_log::raft_config(&context.settings));
+        let applied = loaded.raft_state.snapshot.as_ref().map_or(0, |s| s.index);
+        let snapshot_bytes = loaded.raft_state.snapshot.as_ref().map_or(0, |s| s.data.len());
+        let me = NodeId { ip: context.me.ip, disk: loaded.disk_id };
+        let is_empty = loaded.raft_state.entries.is_empty() && loaded.raft_state.snapshot.is_none();
+        let raft = Raft::new(
+            context.log_time(now),
+            me,
+            loaded.raft_state,
+            replicated_log::raft_config(&context.settings),
+        );
         let mut core = CoreNode {
             configuration: ConfigurationService::new(decoded.config, applied),
             membership: WorkerMembership::new(&context.settings, now, loaded.workers),
@@ -134,7 +137,7 @@
         // First start of the whole system: each seed bootstraps the log with disk 0 of every seed. A seed that crashed
         // before this was synced does so again, although its settings no longer say that this is the first start.
         let settings = &core.context.settings;
-        if is_empty && loaded.disk == 0 && settings.is_seed() {
+        if is_empty && loaded.disk_id == 0 && settings.is_seed() {
             let seeds = settings.seeds.iter().map(|s| NodeId { ip: s.ip(), disk: 0 }).collect();
             core.raft.bootstrap(core.context.log_time(now), seeds);
         }
@@ -175,14 +178,14 @@
     fn shut_down(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.quota_lease.end();
         let log_time = self.context.log_time(now);
-        self.raft.transfer(log_time);
+        self.raft.transfer_leadership(log_time);
         self.process_raft_outputs(now, out);
         self.announce_leave(out);
     }
 
     /// Whether this node leads and there is another voter that could take over.
     pub fn has_leadership_to_transfer(&self) -> bool {
-        self.raft.leads() && self.context.voters.len() > 1
+        self.raft.is_leader() && self.context.voters.len() > 1
     }
 
     /// The term of the leader's lease that this node holds, if it holds one.
@@ -193,7 +196,8 @@
 
 /// The configured limit of a tenant.
 fn tenant_limit(state: &ConfigState, tenant: &str) -> Option<TenantLimit> {
-    state.quota(tenant).map(|(rate, burst)| TenantLimit { rate, burst })
+    let configured = state.tenant_rate(tenant)?;
+    Some(TenantLimit { rate: configured.requests_per_sec, burst: configured.burst })
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/control_plane/peer_messages.rs
+++ b/crates/gateway/src/control_plane/peer_messages.rs
@@ -211,7 +211,7 @@
         if !workers.is_empty() {
             let number = self.context.next_id();
             let workers = workers.to_vec();
-            out.push(Effect::Persist(WriteBatch { number, workers, ..WriteBatch::default() }));
+            out.push(Effect::Persist(WriteBatch { sequence: number, workers, ..WriteBatch::default() }));
         }
     }
 }
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -6,7 +6,7 @@
 use super::{CoreNode, Effect};
 use crate::configuration::{ConfigItem, ItemFields};
 use crate::consensus::{
-    Entry, EntryPayload, Index, Message, Millis, NodeId, Output, RaftConfig, Snapshot, Term,
+    Entry, EntryPayload, LogPosition, Message, Millis, NodeId, Output, RaftConfig, Snapshot,
 };
 use crate::control_plane::event_journal::JournalEvent;
 use crate::protocol::share_ceilings::ShareCeilings;
@@ -44,22 +44,6 @@
 const EDGE_CEILINGS_BYTES: usize = 40;
 const TENANT_CEILING_BYTES: usize = 20;
 
-/// Index and term of an entry, which identify it: two logs that hold an entry with the same position hold the same entry
-/// (the Raft paper's log matching property, section 5.3).
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct LogPosition {
-    /// Its index.
-    pub index: Index,
-    /// The term of the leader that appended it.
-    pub term: Term,
-}
-
-impl From<(Index, Term)> for LogPosition {
-    fn from((index, term): (Index, Term)) -> Self {
-        LogPosition { index, term }
-    }
-}
-
 /// The log's parameters, by the deployment's settings.
 pub fn raft_config(settings: &Settings) -> RaftConfig {
     let tolerance = settings.tolerance;
@@ -67,15 +51,15 @@
     // which outlives as many single losses.
     let losses = tolerance.machines.max(tolerance.zones).max(tolerance.regions);
     RaftConfig {
-        heartbeat: HEARTBEAT_MS,
-        election: ELECTION_TIMEOUT_MS,
-        lease: LEASE_MS,
-        out_after: settings.envelope.resync.as_millis() as u64 / 2,
-        least: (2 * losses + 1).max(3),
-        batch: 64,
-        piece: 128 * 1024,
-        window: 8,
-        hang: DISK_HANG_MS,
+        heartbeat_interval: HEARTBEAT_MS,
+        election_timeout: ELECTION_TIMEOUT_MS,
+        lease_duration: LEASE_MS,
+        voter_removal_timeout: settings.envelope.resync_bound.as_millis() as u64 / 2,
+        min_voters: (2 * losses + 1).max(3),
+        max_entries_per_append: 64,
+        snapshot_chunk_bytes: 128 * 1024,
+        max_chunks_in_flight: 8,
+        disk_stall_timeout: DISK_HANG_MS,
     }
 }
 
@@ -128,7 +112,7 @@
     let variable_bytes: usize = match command {
         LogCommand::Configure(change) => {
             let item_bytes = |item: &ConfigItem| {
-                ITEM_OVERHEAD_BYTES + item.label.len() + item.body.as_ref().map_or(0, ItemFields::size)
+                ITEM_OVERHEAD_BYTES + item.label.len() + item.body.as_ref().map_or(0, ItemFields::encoded_len)
             };
             change.iter().map(item_bytes).sum()
         }
@@ -150,7 +134,7 @@
         message: Message<LogCommand>,
         out: &mut Vec<Effect>,
     ) {
-        if to != self.raft.me() {
+        if to != self.raft.id() {
             return;
         }
         // Responses go by a connection that this process opens.
@@ -163,7 +147,7 @@
     /// A node asks to join the core. A follower forwards this to the leader, unless it was forwarded already.
     pub(super) fn handle_join(&mut self, now: f64, id: NodeId, is_forwarded: bool, out: &mut Vec<Effect>) {
         let log_time = self.context.log_time(now);
-        if self.raft.leads() {
+        if self.raft.is_leader() {
             self.learn_core_nodes(vec![NodeLocation::unplaced(id.ip)], out);
             self.raft.join(log_time, id);
             return self.process_raft_outputs(now, out);
@@ -176,7 +160,7 @@
 
     /// Tells the other core nodes that this process ends, so that the leader may take it out of the voters.
     pub(super) fn announce_leave(&self, out: &mut Vec<Effect>) {
-        let id = self.raft.me();
+        let id = self.raft.id();
         let leave = |ip| Effect::SendToPeer(ip, PeerMessage::Leave { id });
         out.extend(self.context.peers().into_iter().map(leave));
     }
@@ -191,7 +175,7 @@
         driver.pending_writes.retain(|w| w.batch > batch);
         if let Some(raft_write) = synced {
             let log_time = self.context.log_time(now);
-            self.raft.persisted(log_time, raft_write);
+            self.raft.on_persisted(log_time, raft_write);
             self.process_raft_outputs(now, out);
         }
     }
@@ -202,7 +186,7 @@
         let may_ask_to_join = now - self.log_driver.last_join_request >= JOIN_INTERVAL_SECS;
         if self.raft.leader(log_time).is_none() && may_ask_to_join {
             self.log_driver.last_join_request = now;
-            let id = self.raft.me();
+            let id = self.raft.id();
             let join = |ip| Effect::SendToPeer(ip, PeerMessage::Join { id, forwarded: false });
             out.extend(self.context.peers().into_iter().map(join));
         }
@@ -222,26 +206,26 @@
             let number = self.context.next_id();
             writer.pending_batch = Some(number);
             return out.push(Effect::Persist(WriteBatch {
-                number,
-                part: Some(chunk),
+                sequence: number,
+                snapshot_chunk: Some(chunk),
                 ..WriteBatch::default()
             }));
         }
         let Some(writer) = driver.writer.take() else { return };
         let (index, data) = (writer.position.index, writer.into_bytes());
-        let (entries, _) = self.raft.held();
+        let entries = self.raft.entry_count();
         tracing::info!(index, bytes = data.len(), entries, "log compacted");
         driver.snapshot_bytes = data.len();
         let log_time = self.context.log_time(now);
-        self.raft.compact_to(log_time, index, data);
+        self.raft.compact(log_time, index, data);
         self.process_raft_outputs(now, out);
     }
 
     /// Starts a snapshot as of the last applied entry if the log is long enough.
     fn start_snapshot(&mut self) {
         let driver = &mut self.log_driver;
-        let factor = if self.raft.is_sending() { COMPACTION_DELAY_FACTOR } else { 1 };
-        let (entries, _) = self.raft.held();
+        let factor = if self.raft.is_sending_snapshot() { COMPACTION_DELAY_FACTOR } else { 1 };
+        let entries = self.raft.entry_count();
         let is_long = driver.applied_bytes > factor * COMPACTION_MIN_BYTES.max(driver.snapshot_bytes)
             || entries > factor * COMPACTION_MIN_ENTRIES;
         let index = self.configuration.applied;
@@ -254,36 +238,44 @@
 
     /// Decodes what has arrived of a leader's snapshot, and writes it ahead in chunks.
     fn receive_snapshot(&mut self, out: &mut Vec<Effect>) {
-        let Some((index, term, bytes)) = self.raft.incoming() else {
+        let Some(incoming) = self.raft.incoming_snapshot() else {
             self.log_driver.receiver = None;
             return;
         };
-        let position = LogPosition { index, term };
+        let (position, bytes) = (incoming.last_included, incoming.data.as_slice());
         let receiver = self.log_driver.receiver.take().filter(|r| r.is_continued_by(position, bytes));
         let mut receiver = receiver.unwrap_or_else(|| SnapshotReceiver::new(position));
         let chunk = receiver.receive(bytes);
         self.log_driver.receiver = Some(receiver);
         if chunk.is_some() {
             let number = self.context.next_id();
-            out.push(Effect::Persist(WriteBatch { number, part: chunk, ..WriteBatch::default() }));
+            out.push(Effect::Persist(WriteBatch {
+                sequence: number,
+                snapshot_chunk: chunk,
+                ..WriteBatch::default()
+            }));
         }
     }
 
     /// Carries out what the log has put out. To be called after every call that may have changed the log.
     pub(super) fn process_raft_outputs(&mut self, now: f64, out: &mut Vec<Effect>) {
-        for output in self.raft.take() {
+        for output in self.raft.take_outputs() {
             match output {
-                Output::Persist(raft_write, writes) => {
+                Output::Persist { id: raft_write, writes } => {
                     let number = self.context.next_id();
                     self.log_driver.pending_writes.push(PendingWrite { batch: number, raft_write });
-                    out.push(Effect::Persist(WriteBatch { number, writes, ..WriteBatch::default() }));
+                    out.push(Effect::Persist(WriteBatch {
+                        sequence: number,
+                        log_writes: writes,
+                        ..WriteBatch::default()
+                    }));
                 }
-                Output::Send(to, message) => {
-                    let message = PeerMessage::Consensus { from: self.raft.me(), to, message };
+                Output::Send { to, message } => {
+                    let message = PeerMessage::Consensus { from: self.raft.id(), to, message };
                     out.push(Effect::SendToPeer(to.ip, message));
                 }
                 Output::Apply(entry) => self.apply_entry(entry, out),
-                Output::Install(snapshot) => self.install_snapshot(now, &snapshot, out),
+                Output::InstallSnapshot(snapshot) => self.install_snapshot(now, &snapshot, out),
                 Output::ReadReady(read) => self.configuration.complete_read(read, &mut self.context, out),
             }
         }
@@ -294,7 +286,7 @@
     }
 
     fn track_leadership(&mut self, now: f64) {
-        let (is_leader, term) = (self.raft.leads(), self.raft.term());
+        let (is_leader, term) = (self.raft.is_leader(), self.raft.term());
         if std::mem::replace(&mut self.log_driver.was_leader, is_leader) == is_leader {
             return;
         }
@@ -308,7 +300,7 @@
     }
 
     fn track_voters(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let voters: Vec<NodeId> = self.raft.members().into_iter().collect();
+        let voters: Vec<NodeId> = self.raft.voters().into_iter().collect();
         if voters == self.log_driver.voters {
             return;
         }
@@ -325,7 +317,7 @@
     fn apply_entry(&mut self, entry: Entry<LogCommand>, out: &mut Vec<Effect>) {
         let position = LogPosition { index: entry.index, term: entry.term };
         self.configuration.applied = position.index;
-        let EntryPayload::Command(command) = entry.body else { return };
+        let EntryPayload::Command(command) = entry.payload else { return };
         self.log_driver.applied_bytes += command_bytes(&command);
         match command {
             LogCommand::Configure(change) => {
@@ -381,7 +373,7 @@
     pub(super) fn propose_ceilings(&mut self, now: f64, ceilings: ShareCeilings) {
         let log_time = self.context.log_time(now);
         let position = self.raft.propose(log_time, LogCommand::Shares(Arc::new(ceilings)));
-        self.log_driver.proposed_ceilings = position.map(LogPosition::from);
+        self.log_driver.proposed_ceilings = position;
     }
 }
 
--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -8,9 +8,9 @@
 //! Format: [`FORMAT_CHUNKED`], the length of the ceilings in [`LENGTH_BYTES`] big-endian bytes, the ceilings as
 //! MessagePack, then the configuration as its [`Encoder`] writes it.
 
-use super::replicated_log::LogPosition;
-use crate::configuration::state::{ConfigStateError, Decoder, Encoder};
+use crate::configuration::state::{ConfigStateError, StateDecoder, StateEncoder};
 use crate::configuration::ConfigState;
+use crate::consensus::LogPosition;
 use crate::protocol::share_ceilings::ShareCeilings;
 use crate::storage::{SnapshotChunk, SNAPSHOT_CHUNK_BYTES};
 use bytes::Bytes;
@@ -74,7 +74,7 @@
 pub(super) struct SnapshotWriter {
     /// The last entry that the snapshot covers.
     pub(super) position: LogPosition,
-    encoder: Encoder,
+    encoder: StateEncoder,
     bytes: Vec<u8>,
     /// Bytes that were handed out as chunks.
     chunked: usize,
@@ -103,7 +103,7 @@
     /// last chunk is written with the batch that puts the snapshot in force.
     pub(super) fn next_chunk(&mut self) -> Option<SnapshotChunk> {
         while self.bytes.len() < self.chunked + STEP_BYTES {
-            if !self.encoder.step(&mut self.bytes) {
+            if !self.encoder.encode_frame(&mut self.bytes) {
                 return None;
             }
         }
@@ -121,13 +121,13 @@
     let (offset, end) = (*chunked, bytes.len() / SNAPSHOT_CHUNK_BYTES * SNAPSHOT_CHUNK_BYTES);
     *chunked = end;
     let data = Bytes::copy_from_slice(&bytes[offset..end]);
-    SnapshotChunk { of: (position.index, position.term), offset: offset as u64, data }
+    SnapshotChunk { snapshot: (position.index, position.term).into(), offset: offset as u64, data }
 }
 
 /// A leader's snapshot while it arrives.
 pub(super) struct SnapshotReceiver {
     position: LogPosition,
-    decoder: Decoder,
+    decoder: StateDecoder,
     /// `None` until the ceilings are decoded; they may themselves be absent.
     ceilings: Option<Option<Arc<ShareCeilings>>>,
     /// Bytes that are decoded.
@@ -142,7 +142,7 @@
     pub(super) fn new(position: LogPosition) -> Self {
         SnapshotReceiver {
             position,
-            decoder: Decoder::default(),
+            decoder: StateDecoder::default(),
             ceilings: None,
             decoded: 0,
             chunked: 0,
@@ -175,7 +175,7 @@
     /// Decodes one element; returns its length, or zero if it is not complete yet.
     fn decode_step(&mut self, bytes: &[u8]) -> Result<usize, SnapshotError> {
         if self.ceilings.is_some() {
-            return Ok(self.decoder.step(bytes)?);
+            return Ok(self.decoder.decode_frame(bytes)?);
         }
         match bytes.first() {
             None => return Ok(0),
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -4,8 +4,8 @@
 use super::super::{CoreNode, Effect, Event, TICK_SECS};
 use super::{decode, SnapshotReceiver, SnapshotWriter, STEP_BYTES};
 use crate::configuration::{ConfigItem, ConfigState, ItemFields, ItemKind};
+use crate::consensus::LogPosition;
 use crate::consensus::LogWrite;
-use crate::control_plane::replicated_log::LogPosition;
 use crate::protocol::PeerMessage;
 use crate::settings::Settings;
 use crate::storage::{ReplicaStore, WriteBatch, SNAPSHOT_CHUNK_BYTES};
@@ -137,7 +137,7 @@
     /// Starts a node with the disk that it had, or with a new empty one.
     fn start(&mut self, n: usize, has_new_disk: bool) {
         let mut settings =
-            Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
+            Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
         (settings.ip, settings.cold_start) = (ip(n), self.now == 1000.0);
         settings.seeds = (0..3).map(|n| (ip(n), 80).into()).collect();
         (self.nodes[n].core, self.nodes[n].store) = (None, None);
@@ -184,13 +184,13 @@
     }
 
     fn persist(&mut self, n: usize, batch: WriteBatch) {
-        let is_compaction = batch.writes.iter().any(|w| matches!(w, LogWrite::Snapshot { .. }));
-        let kind = match (&batch.part, is_compaction) {
+        let is_compaction = batch.log_writes.iter().any(|w| matches!(w, LogWrite::Snapshot { .. }));
+        let kind = match (&batch.snapshot_chunk, is_compaction) {
             (Some(_), _) => "write a snapshot chunk",
             (None, true) => "write a snapshot's end and compact the log",
             (None, false) => "write anything else",
         };
-        if let Some(chunk) = &batch.part {
+        if let Some(chunk) = &batch.snapshot_chunk {
             self.largest_chunk = self.largest_chunk.max(chunk.data.len());
             self.chunk_count += 1;
         }
@@ -198,7 +198,7 @@
         let store = self.nodes[n].store.as_mut().expect("a disk");
         store.write(std::slice::from_ref(&batch)).expect("writes");
         self.record_cost(kind, since);
-        self.queue.push_back((n, Event::Persisted(batch.number)));
+        self.queue.push_back((n, Event::Persisted(batch.sequence)));
     }
 
     /// Handles events until there are none.
@@ -209,11 +209,16 @@
                 Event::Persisted(_) => "batch synced",
                 Event::SessionMessage(
                     _,
-                    PeerMessage::Consensus { message: crate::consensus::Message::Piece { .. }, .. },
+                    PeerMessage::Consensus {
+                        message: crate::consensus::Message::InstallSnapshot { .. }, ..
+                    },
                 ) => "receive a snapshot piece",
                 Event::SessionMessage(
                     _,
-                    PeerMessage::Consensus { message: crate::consensus::Message::PieceReply { .. }, .. },
+                    PeerMessage::Consensus {
+                        message: crate::consensus::Message::InstallSnapshotResponse { .. },
+                        ..
+                    },
                 ) => "send snapshot pieces",
                 Event::ApiCall(..) => "API call",
                 _ => "anything else",
@@ -257,7 +262,7 @@
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..3).find(|n| self.nodes[*n].core.as_ref().is_some_and(|c| c.raft.leads()))
+        (0..3).find(|n| self.nodes[*n].core.as_ref().is_some_and(|c| c.raft.is_leader()))
     }
 
     fn amend(&mut self, items: Vec<ConfigItem>) {
@@ -288,7 +293,7 @@
         self.print_costs("start");
         self.amend(configuration(tenants));
         self.print_costs("the first call");
-        let have_compacted = |t: &ThreeNodeCluster| (0..3).all(|n| t.core(n).raft.held().1 > 0);
+        let have_compacted = |t: &ThreeNodeCluster| (0..3).all(|n| t.core(n).raft.snapshot_index() > 0);
         let took = self.run_until(have_compacted);
         self.print_costs(&format!("compact the log: {took:.2} s"));
         let lost = (self.leader().expect("a leader") + 1) % 3;
@@ -300,7 +305,7 @@
         self.start(lost, true);
         let took = self.run_until(|t| {
             let core = t.core(lost);
-            core.raft.members().contains(&core.raft.me())
+            core.raft.voters().contains(&core.raft.id())
                 && core.configuration.state == t.core((lost + 1) % 3).configuration.state
         });
         self.print_costs(&format!("repair of a lost disk: {took:.2} s of simulated time"));
@@ -371,7 +376,7 @@
         let disk: u64 = folder.map(|f| f.expect("a file").metadata().expect("a file").len()).sum();
         let leader = cluster.leader().unwrap_or(1);
         let state = cluster.core(leader).configuration.state.encode().len();
-        let (entries, base) = cluster.core(0).raft.held();
+        let (entries, base) = (cluster.core(0).raft.entry_count(), cluster.core(0).raft.snapshot_index());
         cluster.print_costs(&format!(
             "{made} changes: {disk} bytes of disk, state of {state} bytes, {entries} entries behind {base}"
         ));
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -4,7 +4,7 @@
 
 use super::replicated_log::{member_name, raft_config, ELECTION_TIMEOUT_MS};
 use super::CoreNode;
-use crate::consensus::{Index, Millis, NodeId};
+use crate::consensus::{NodeId, PeerStatus};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fmt::{Display, Formatter};
@@ -24,8 +24,8 @@
 }
 
 impl MemberState {
-    fn of(peer: &PeerProgress) -> Self {
-        match (peer.is_voter, peer.is_silent()) {
+    fn of(peer: &PeerStatus) -> Self {
+        match (peer.is_voter, is_silent(peer)) {
             (true, false) => MemberState::Voting,
             (true, true) => MemberState::Unreachable,
             (false, false) => MemberState::CatchingUp,
@@ -56,33 +56,20 @@
 #[derive(Default)]
 pub(super) struct MemberStates(BTreeMap<NodeId, ObservedState>);
 
-/// The leader's knowledge of another member.
-struct PeerProgress {
-    id: NodeId,
-    is_voter: bool,
-    /// The highest entry that its disk is known to hold.
-    matched: Index,
-    /// How long ago it was heard.
-    silent_ms: Millis,
-}
-
-impl PeerProgress {
-    fn is_silent(&self) -> bool {
-        self.silent_ms > ELECTION_TIMEOUT_MS
-    }
+/// Whether the leader has not heard from this member for longer than the election timeout.
+fn is_silent(peer: &PeerStatus) -> bool {
+    peer.silent_for > ELECTION_TIMEOUT_MS
 }
 
 impl CoreNode {
     /// The other members, if this node leads; else none.
-    fn peer_progress(&self, now: f64) -> Vec<PeerProgress> {
-        let peers = self.raft.peers(self.context.log_time(now));
-        let progress = |(id, is_voter, matched, silent_ms)| PeerProgress { id, is_voter, matched, silent_ms };
-        peers.into_iter().map(progress).collect()
+    fn peers(&self, now: f64) -> Vec<PeerStatus> {
+        self.raft.peer_statuses(self.context.log_time(now))
     }
 
     /// Observes the other members' states, and logs what has changed.
     pub(super) fn track_member_states(&mut self, now: f64) {
-        let peers = self.peer_progress(now);
+        let peers = self.peers(now);
         self.member_states.0.retain(|id, _| peers.iter().any(|peer| peer.id == *id));
         for peer in &peers {
             let state = MemberState::of(peer);
@@ -91,7 +78,7 @@
                 continue;
             }
             let is_unreachable = state == MemberState::Unreachable;
-            let since = if is_unreachable { now - peer.silent_ms as f64 / 1e3 } else { now };
+            let since = if is_unreachable { now - peer.silent_for as f64 / 1e3 } else { now };
             self.member_states.0.insert(peer.id, ObservedState { state, since });
             self.log_state_change(peer, previous, state, &peers);
         }
@@ -99,10 +86,10 @@
 
     fn log_state_change(
         &self,
-        peer: &PeerProgress,
+        peer: &PeerStatus,
         previous: Option<MemberState>,
         state: MemberState,
-        peers: &[PeerProgress],
+        peers: &[PeerStatus],
     ) {
         let member = member_name(&peer.id);
         match (previous, state) {
@@ -121,9 +108,9 @@
     }
 
     /// Why a member is silent, as far as this node can tell.
-    fn unreachable_reason(&self, id: &NodeId, peers: &[PeerProgress]) -> String {
+    fn unreachable_reason(&self, id: &NodeId, peers: &[PeerStatus]) -> String {
         let successor =
-            peers.iter().find(|peer| peer.id.ip == id.ip && peer.id.disk != id.disk && !peer.is_silent());
+            peers.iter().find(|peer| peer.id.ip == id.ip && peer.id.disk != id.disk && !is_silent(peer));
         match successor {
             Some(peer) => format!("its machine is there with another disk, {:x}", peer.id.disk),
             None if self.connected_peers.contains(&id.ip) => {
@@ -138,8 +125,8 @@
     fn repair_text(&self, state: MemberState) -> Option<String> {
         let config = raft_config(&self.context.settings);
         match state {
-            MemberState::Unreachable if self.raft.members().len() > config.least => {
-                Some(format!("is taken out of the members once it is silent for {} ms", config.out_after))
+            MemberState::Unreachable if self.raft.voters().len() > config.min_voters => {
+                Some(format!("is taken out of the members once it is silent for {} ms", config.voter_removal_timeout))
             }
             MemberState::Unreachable => Some(
                 "stays a member until it is back, or its machine with an empty disk or a successor has caught up"
@@ -171,7 +158,7 @@
 
     /// A member as this node is connected to it.
     fn member_json(&self, now: f64, id: &NodeId, leader: Option<NodeId>) -> Value {
-        let is_me = *id == self.raft.me();
+        let is_me = *id == self.raft.id();
         let heard_ms = match is_me {
             true => Some(0),
             false => self.context.last_heard.get(&id.ip).map(|at| ((now - at) * 1e3) as u64),
@@ -184,13 +171,13 @@
     }
 
     /// A member's progress as the leader knows it.
-    fn progress_json(&self, now: f64, peer: &PeerProgress, peers: &[PeerProgress]) -> Value {
+    fn progress_json(&self, now: f64, peer: &PeerStatus, peers: &[PeerStatus]) -> Value {
         let state = MemberState::of(peer);
         let observed = self.member_states.0.get(&peer.id).filter(|observed| observed.state == state);
         let mut rendered = self.identity_json(&peer.id);
         rendered["votes"] = json!(peer.is_voter);
-        rendered["lag_entries"] = json!(self.raft.last().saturating_sub(peer.matched));
-        rendered["silent_ms"] = json!(peer.silent_ms);
+        rendered["lag_entries"] = json!(self.raft.last_index().saturating_sub(peer.match_index));
+        rendered["silent_ms"] = json!(peer.silent_for);
         rendered["state"] = json!(state.to_string());
         // Tenths of a second.
         rendered["since_s"] = json!(observed.map(|o| ((now - o.since) * 10.0).round() / 10.0));
@@ -206,18 +193,18 @@
     /// The body of `GET /whinstall/core`: docs/system-operators.md describes its fields.
     pub fn status(&self, now: f64) -> Value {
         let log_time = self.context.log_time(now);
-        let (members, leader, me) = (self.raft.members(), self.raft.leader(log_time), self.raft.me());
-        let peers = self.peer_progress(now);
+        let (members, leader, me) = (self.raft.voters(), self.raft.leader(log_time), self.raft.id());
+        let peers = self.peers(now);
         let is_complete = peers
             .iter()
             .map(MemberState::of)
             .all(|state| !matches!(state, MemberState::Unreachable | MemberState::CatchingUp));
-        let role = match (self.raft.leads(), members.contains(&me)) {
+        let role = match (self.raft.is_leader(), members.contains(&me)) {
             (true, _) => "leader",
             (false, true) => "follower",
             (false, false) => "learner",
         };
-        let (log_entries, snapshot_index) = self.raft.held();
+        let (log_entries, snapshot_index) = (self.raft.entry_count(), self.raft.snapshot_index());
         json!({
             "me": self.identity_json(&me),
             "role": role,
@@ -228,16 +215,16 @@
             "members": members.iter().map(|id| self.member_json(now, id, leader)).collect::<Vec<_>>(),
             "others": peers.iter().map(|peer| self.progress_json(now, peer, &peers)).collect::<Vec<_>>(),
             // Only the leader knows.
-            "whole": self.raft.leads().then_some(is_complete),
-            "committed": self.raft.commit(),
+            "whole": self.raft.is_leader().then_some(is_complete),
+            "committed": self.raft.commit_index(),
             "applied": self.configuration.applied,
-            "last": self.raft.last(),
-            "configuration_index": self.configuration.state.index(),
+            "last": self.raft.last_index(),
+            "configuration_index": self.configuration.state.last_change_index(),
             "log_entries": log_entries,
             "snapshot_index": snapshot_index,
             "snapshot_bytes": self.log_driver.snapshot_bytes(),
             "calls_waiting": self.configuration.waiting_calls(),
-            "disk_hangs": self.raft.hangs(log_time),
+            "disk_hangs": self.raft.is_disk_stalled(log_time),
             "gatekeepers": self.edges.count(),
             "workers_settled": self.membership.settled(now),
         })
--- a/crates/gateway/src/control_plane/upkeep.rs
+++ b/crates/gateway/src/control_plane/upkeep.rs
@@ -46,7 +46,7 @@
 
     fn ping_peers(&self, out: &mut Vec<Effect>) {
         let (config_index, workers_digest) =
-            (self.configuration.state.index(), self.membership.registry.digest());
+            (self.configuration.state.last_change_index(), self.membership.registry.digest());
         for ip in self.context.peers() {
             let ping = PeerMessage::Ping { config_index, workers_digest, received: 0 };
             out.push(Effect::SendToPeer(ip, ping));
@@ -75,7 +75,7 @@
     /// Puts reloaded settings in force.
     pub fn retune(&mut self, settings: Settings, out: &mut Vec<Effect>) {
         let seeds = settings.seeds.iter().map(|seed| NodeLocation::unplaced(seed.ip())).collect();
-        self.raft.retune(replicated_log::raft_config(&settings));
+        self.raft.set_config(replicated_log::raft_config(&settings));
         self.context.settings = settings;
         let first = out.len();
         self.learn_core_nodes(seeds, out);
