--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -8,8 +8,8 @@
 use crate::consensus::{Entry, EntryPayload, LogWrite, NodeId};
 use crate::control_plane::{snapshot_state, ApiCommand};
 use crate::discovery::{Worker, WorkerPhase};
-use crate::protocol::share_ceilings::ShareCeilings;
 use crate::protocol::LogCommand;
+use crate::protocol::{EdgeCeilings, ShareCeilings, TenantCeiling};
 use crate::storage::bootstrap_marker;
 use crate::storage::tests::Folder;
 use crate::storage::{LoadedState, ReplicaStore, WriteBatch, DATABASE_FILE, LEGACY_DATABASE_FILE, WAL_FILE};
@@ -63,25 +63,30 @@
     }
 }
 
+fn edge_ceilings(node: &str, incarnation: u64, ceilings: &[(&str, f32)]) -> EdgeCeilings {
+    let ceilings = ceilings.iter().map(|(t, c)| TenantCeiling { tenant: (*t).into(), ceiling: *c }).collect();
+    EdgeCeilings { node: node.into(), incarnation, ceilings }
+}
+
 /// All, of one gatekeeper and of another.
 fn whole_shares() -> ShareCeilings {
     let gates = vec![
-        ("edge-1".into(), 11, vec![("t1".into(), 2.5), ("t2".into(), 0.75)]),
-        ("edge-2".into(), 22, vec![("t1".into(), 5.0)]),
+        edge_ceilings("edge-1", 11, &[("t1", 2.5), ("t2", 0.75)]),
+        edge_ceilings("edge-2", 22, &[("t1", 5.0)]),
     ];
-    ShareCeilings { term: 1, number: 3, edges: gates, whole: true, ended: vec![] }
+    ShareCeilings { term: 1, sequence: 3, edges: gates, is_full: true, ended_edges: vec![] }
 }
 
 /// What changed since.
 fn changed_shares() -> ShareCeilings {
-    let gates = vec![("edge-1".into(), 11, vec![("t1".into(), 3.5), ("t2".into(), 0.0)])];
-    ShareCeilings { term: 1, number: 4, edges: gates, whole: false, ended: vec!["edge-2".into()] }
+    let gates = vec![edge_ceilings("edge-1", 11, &[("t1", 3.5), ("t2", 0.0)])];
+    ShareCeilings { term: 1, sequence: 4, edges: gates, is_full: false, ended_edges: vec!["edge-2".into()] }
 }
 
 /// Both together, as the next holder of the counter took them over.
 fn kept_shares() -> ShareCeilings {
-    let gates = vec![("edge-1".into(), 11, vec![("t1".into(), 3.5)])];
-    ShareCeilings { term: 2, number: 1, edges: gates, whole: true, ended: vec![] }
+    let gates = vec![edge_ceilings("edge-1", 11, &[("t1", 3.5)])];
+    ShareCeilings { term: 2, sequence: 1, edges: gates, is_full: true, ended_edges: vec![] }
 }
 
 fn shares(shares: ShareCeilings) -> EntryPayload<LogCommand> {
@@ -272,7 +277,7 @@
     expect_that!(bodies[0], eq(&EntryPayload::Members([me()].into())));
     expect_that!(bodies[1], eq(&EntryPayload::TermStart));
     // The first of a holder of the counter: nobody has a share.
-    let none = ShareCeilings { term: 1, number: 1, edges: vec![], whole: true, ended: vec![] };
+    let none = ShareCeilings { term: 1, sequence: 1, edges: vec![], is_full: true, ended_edges: vec![] };
     expect_that!(bodies[2], eq(&shares(none)));
     let named = |item: &ConfigItem| (item.kind, item.label.clone(), item.version);
     match &bodies[3] {
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -165,7 +165,7 @@
         if lasts && settled && now - at > every && caller.link.takes_whole(leave.most) {
             tracing::info!(gate = caller.node, "tells all workers to a gatekeeper that differs");
             caller.whole = (now, (2.0 * every).min(WHOLE_LAST));
-            let workers = self.roster.registry.all().cloned().collect();
+            let workers = self.roster.registry.workers().cloned().collect();
             out.push(Effect::Return(conn, PeerMessage::WorkerSnapshot { workers, complete: settled }));
         }
         self.serve(conn, &leave, out);
@@ -222,7 +222,7 @@
         if caller.workers.is_none() {
             caller.workers = Some(last);
             // Who lives and is not among them may be known elsewhere: none is taken away by this.
-            let workers = self.roster.registry.all().cloned().collect();
+            let workers = self.roster.registry.workers().cloned().collect();
             whole.push(PeerMessage::WorkerSnapshot { workers, complete: false });
         }
         let bytes: usize = whole.iter().map(weight).sum();
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -23,7 +23,7 @@
 use crate::consensus::{NodeId, Raft};
 use crate::control_plane::event_journal::JournalEvent;
 use crate::discovery::{Worker, WorkerPhase};
-use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::ShareCeilings;
 use crate::protocol::{LogCommand, NodeLocation, OperatorRequest, PeerMessage, TenantLimit};
 use crate::settings::Settings;
 use crate::storage::{LoadedState, WriteBatch};
@@ -253,7 +253,7 @@
         };
         out.push(Effect::Send(ip, hello));
         out.push(Effect::Send(ip, PeerMessage::CoreNodes(self.shared.told())));
-        let workers: Vec<Worker> = self.roster.registry.all().cloned().collect();
+        let workers: Vec<Worker> = self.roster.registry.workers().cloned().collect();
         if !workers.is_empty() {
             out.push(Effect::Send(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
@@ -306,7 +306,7 @@
     /// A core machine's digest of the workers: if they go on to differ it is told all.
     fn digest(&mut self, now: f64, ip: IpAddr, workers: u64, out: &mut Vec<Effect>) {
         if self.roster.differs(now, ip, workers) {
-            let workers = self.roster.registry.all().cloned().collect();
+            let workers = self.roster.registry.workers().cloned().collect();
             out.push(Effect::Send(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
     }
--- a/crates/gateway/src/control_plane/quota_counter/mod.rs
+++ b/crates/gateway/src/control_plane/quota_counter/mod.rs
@@ -17,7 +17,7 @@
 #[cfg(test)]
 mod totals_tests;
 
-use crate::protocol::share_ceilings::{EdgeCeilings, ShareCeilings};
+use crate::protocol::{EdgeCeilings, ShareCeilings, TenantCeiling};
 use crate::protocol::{TenantGrant, TenantLimit, TenantUsage};
 use allocation::{coarse, Allocation, AllocationTotals};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -152,9 +152,11 @@
             news: Places::new(),
             ended: BTreeSet::new(),
         };
-        for (node, life, listed) in known.into_iter().flat_map(|k| &k.edges) {
+        for EdgeCeilings { node, incarnation: life, ceilings: listed } in
+            known.into_iter().flat_map(|k| &k.edges)
+        {
             let mut parts = BTreeMap::new();
-            for (name, share) in listed {
+            for TenantCeiling { tenant: name, ceiling: share } in listed {
                 let ceiling = f64::from(*share);
                 let part = Allocation { held: ceiling, ceiling, kept: ceiling, ..Allocation::default() };
                 let tenant = counter.tenant(name);
@@ -213,17 +215,27 @@
                 p.written = p.ceiling;
                 rounded_up(p.ceiling)
             });
-            if gates.last().is_none_or(|g| g.0 != **node) {
-                gates.push((node.to_string(), gate.life, Vec::new()));
+            if gates.last().is_none_or(|g| *g.node != **node) {
+                gates.push(EdgeCeilings {
+                    node: node.to_string(),
+                    incarnation: gate.life,
+                    ceilings: Vec::new(),
+                });
             }
-            if let Some((_, _, parts)) = gates.last_mut() {
-                parts.push((self.tenants[*tenant].name.to_string(), ceiling));
+            if let Some(edge) = gates.last_mut() {
+                edge.ceilings.push(TenantCeiling { tenant: self.tenants[*tenant].name.to_string(), ceiling });
             }
         }
-        gates.iter_mut().for_each(|g| g.2.sort_by(|a, b| a.0.cmp(&b.0)));
+        gates.iter_mut().for_each(|g| g.ceilings.sort_by(|a, b| a.tenant.cmp(&b.tenant)));
         self.writing = news;
         let ended = std::mem::take(&mut self.ended).iter().map(|node| node.to_string()).collect();
-        ShareCeilings { term: self.term, number: self.number, edges: gates, whole, ended }
+        ShareCeilings {
+            term: self.term,
+            sequence: self.number,
+            edges: gates,
+            is_full: whole,
+            ended_edges: ended,
+        }
     }
 
     /// Most of the core keeps this record on their disks: shares may rise to what it says, if it is the last.
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -3,7 +3,7 @@
 
 use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig};
 use crate::data_plane::quota_admission::{self, AdmissionDecision, GrantState, QuotaAdmission};
-use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::ShareCeilings;
 use crate::protocol::{TenantGrant, TenantLimit, TenantUsage};
 use googletest::prelude::*;
 use std::collections::VecDeque;
@@ -122,7 +122,7 @@
         // Whether its last record got through or not.
         let last = self.writing.take().map(|w| w.1);
         if let Some(last) = last.filter(|_| self.rng.bool()) {
-            self.kept.amend(&last);
+            self.kept.apply(&last);
         }
         (self.holder, self.next_holder) = (None, self.now + gap);
     }
@@ -182,8 +182,8 @@
         let limits = |_: &str| Some(limit);
         let Some(holder) = &mut self.holder else { return };
         if let Some((_, record)) = self.writing.take_if(|w| w.0 <= now) {
-            holder.recorded(record.number);
-            self.kept.amend(&record);
+            holder.recorded(record.sequence);
+            self.kept.apply(&record);
         }
         holder.tick(now, &limits);
         if self.writing.is_none() && now - self.told_at >= if holder.changed() { 0.3 } else { 5.0 } {
@@ -368,8 +368,8 @@
             last.extend(told.expect("held"));
         }
         let told = counter.shares();
-        counter.recorded(told.number);
-        record.amend(&told);
+        counter.recorded(told.sequence);
+        record.apply(&told);
     }
     (last, record)
 }
@@ -433,10 +433,10 @@
     expect_that!(share(&mut counter, 1.0, 1), eq(0.0));
     let record = counter.shares();
     expect_that!(share(&mut counter, 1.2, 1), eq(0.0));
-    counter.recorded(record.number);
+    counter.recorded(record.sequence);
     let told = share(&mut counter, 1.4, 1);
     expect_that!(told, gt(50.0));
-    expect_that!(record.edges[0].2[0].1, ge(told));
+    expect_that!(record.edges[0].ceilings[0].ceiling, ge(told));
     // Another life starts without.
     expect_that!(share(&mut counter, 1.6, 2), eq(0.0));
 }
--- a/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
@@ -2,7 +2,7 @@
 //! the core folds from changes; by seeds, over lives that end, silences, changes of holder and lost answers.
 
 use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig};
-use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::ShareCeilings;
 use crate::protocol::{TenantLimit, TenantUsage};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
@@ -90,7 +90,7 @@
             0 => {
                 // The next holder goes by what is kept; the last record got through or not.
                 let last = self.writing.take().filter(|_| self.rng.bool());
-                last.iter().for_each(|record| self.kept.amend(record));
+                last.iter().for_each(|record| self.kept.apply(record));
                 let known = match self.rng.u8(..) < 200 {
                     true => PreviousLeaders::Recorded(&self.kept),
                     false => PreviousLeaders::Unrecorded,
@@ -105,8 +105,8 @@
             }
             81..=160 => {
                 if let Some(record) = self.writing.take() {
-                    self.counter.recorded(record.number);
-                    self.kept.amend(&record);
+                    self.counter.recorded(record.sequence);
+                    self.kept.apply(&record);
                 }
             }
             _ => self.sync(n),
@@ -137,10 +137,10 @@
             if course.writing.is_none() && step % 7 == 0 {
                 let mut folded = course.kept.clone();
                 let mut changed = course.counter.clone();
-                folded.amend(&changed.shares());
+                folded.apply(&changed.shares());
                 let whole = course.counter.whole();
                 let filled = |s: &ShareCeilings| {
-                    s.edges.iter().filter(|g| !g.2.is_empty()).cloned().collect::<Vec<_>>()
+                    s.edges.iter().filter(|g| !g.ceilings.is_empty()).cloned().collect::<Vec<_>>()
                 };
                 assert_eq!(filled(&folded), filled(&whole), "seed {seed}, step {step}");
                 told += usize::from(!filled(&whole).is_empty());
--- a/crates/gateway/src/control_plane/quota_lease.rs
+++ b/crates/gateway/src/control_plane/quota_lease.rs
@@ -6,7 +6,7 @@
 use crate::consensus::Term;
 use crate::control_plane::event_journal::JournalEvent;
 use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig};
-use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::ShareCeilings;
 use crate::protocol::{
     standing_share_expiry_secs, TenantGrant, TenantLimit, TenantUsage, QUOTA_CONTACT_TIMEOUT_SECS,
     QUOTA_SYNC_INTERVAL_SECS,
@@ -56,7 +56,7 @@
     /// Most of the core keeps this record.
     pub fn recorded(&mut self, shares: &ShareCeilings) {
         if let Some(counter) = self.counter.as_mut().filter(|c| c.term() == shares.term) {
-            counter.recorded(shares.number);
+            counter.recorded(shares.sequence);
         }
     }
 
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -6,7 +6,7 @@
 use crate::configuration::{ConfigItem, ItemFields};
 use crate::consensus::{Entry, EntryPayload, Index, Message, NodeId, Output, RaftConfig, Snapshot, Term};
 use crate::control_plane::event_journal::JournalEvent;
-use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::ShareCeilings;
 use crate::protocol::{LogCommand, NodeLocation, PeerMessage};
 use crate::settings::Settings;
 use crate::storage::WriteBatch;
@@ -73,7 +73,9 @@
             let item = |i: &ConfigItem| 60 + i.label.len() + i.body.as_ref().map_or(0, ItemFields::size);
             order.iter().map(item).sum::<usize>() + 50
         }
-        LogCommand::Shares(shares) => shares.edges.iter().map(|g| 40 + 20 * g.2.len()).sum::<usize>() + 50,
+        LogCommand::Shares(shares) => {
+            shares.edges.iter().map(|g| 40 + 20 * g.ceilings.len()).sum::<usize>() + 50
+        }
     }
 }
 
@@ -275,7 +277,7 @@
                     self.seat.recorded(&shares);
                 }
                 match &mut self.record {
-                    Some(record) => Arc::make_mut(record).amend(&shares),
+                    Some(record) => Arc::make_mut(record).apply(&shares),
                     None => self.record = Some(shares),
                 }
             }
--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::configuration::state::{Decoder, Encoder};
 use crate::configuration::ConfigState;
 use crate::consensus::{Index, Term};
-use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::ShareCeilings;
 use crate::storage::{SnapshotChunk, SNAPSHOT_CHUNK_BYTES};
 use bytes::Bytes;
 use std::sync::Arc;
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -83,11 +83,11 @@
                     self.changes.touch(&held.id);
                     changed.push(held.clone());
                 }
-                MergeOutcome::Old if phase == WorkerPhase::Unresponsive => {
+                MergeOutcome::Stale if phase == WorkerPhase::Unresponsive => {
                     contested
                         .extend(self.registry.get(&id).filter(|w| w.phase <= WorkerPhase::Draining).cloned());
                 }
-                MergeOutcome::Old | MergeOutcome::Refreshed => {}
+                MergeOutcome::Stale | MergeOutcome::Refreshed => {}
             }
         }
         (changed, contested)
@@ -101,7 +101,7 @@
     /// Others heard of these.
     pub fn alive(&mut self, now: f64, heard: &[(String, u64)]) {
         for (id, calls) in heard {
-            self.registry.alive(now, id, *calls);
+            self.registry.record_heartbeat(now, id, *calls);
         }
     }
 
@@ -186,7 +186,7 @@
     /// Nobody's silence counts: this process was away.
     pub fn excuse(&mut self, now: f64) {
         self.touch_since = None;
-        self.registry.excuse(now);
+        self.registry.reset_timeouts(now);
     }
 
     /// Upkeep; returned: workers that are silent from now on.
@@ -208,7 +208,7 @@
             true => self.touch_since.or(Some(now)),
             false => None,
         };
-        for id in self.registry.sweep(now) {
+        for id in self.registry.remove_ended(now) {
             self.changes.forget(&id);
         }
         if self.known.len() > 10_000 {
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -215,7 +215,7 @@
             self.view.routes().flat_map(|r| r.mixture.iter().filter(|m| m.1 > 0.0).map(|m| &m.0));
         let limited = self.view.tenants().values().any(|t| t.rate > 0.0);
         let has = |service: &Arc<str>| {
-            self.registry.all().any(|w| w.service == *service && w.phase == WorkerPhase::Serving)
+            self.registry.workers().any(|w| w.service == *service && w.phase == WorkerPhase::Serving)
         };
         !self.items.is_empty() && (self.workers_known || routed.all(has)) && (self.synced || !limited)
     }
@@ -415,7 +415,7 @@
     fn missing(&mut self, now: f64, told: &[Worker], out: &mut Vec<Effect>) {
         let known: std::collections::HashSet<&str> = told.iter().map(|w| &*w.id).collect();
         let gone =
-            self.registry.all().filter(|w| w.phase <= WorkerPhase::Draining && !known.contains(&*w.id));
+            self.registry.workers().filter(|w| w.phase <= WorkerPhase::Draining && !known.contains(&*w.id));
         let gone: Vec<Worker> =
             gone.map(|w| Worker { phase: WorkerPhase::Unresponsive, ..w.clone() }).collect();
         if !gone.is_empty() {
@@ -450,7 +450,7 @@
         self.service(name);
         if let Some(service) = self.services.get_mut(name) {
             service.workers(now, &self.registry, &mut actions);
-            for worker in self.registry.all().filter(|w| w.service == *name) {
+            for worker in self.registry.workers().filter(|w| w.service == *name) {
                 service.elsewhere(&worker.id, self.loads.elsewhere(&worker.id));
             }
         }
@@ -529,10 +529,10 @@
             let up = self.links.iter().filter(|(_, l)| l.up).map(|(ip, _)| *ip);
             out.extend(up.map(|ip| Effect::Send(ip, self.ping(ip))));
             self.forget(now, out);
-            self.registry.sweep(now);
+            self.registry.remove_ended(now);
             let news = self.loads.sweep(now);
             self.heard_loads(news);
-            if self.names.len() > 4 * self.registry.all().count() + 64 {
+            if self.names.len() > 4 * self.registry.workers().count() + 64 {
                 let registry = &self.registry;
                 self.names.retain(|_, id| registry.get(id).is_some());
             }
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -122,7 +122,7 @@
 
     /// The workers that may be sent to.
     pub fn workers(&mut self, now: f64, registry: &WorkerRegistry, out: &mut Vec<Action>) {
-        let mine = registry.all().filter(|w| w.service == self.name && w.phase == WorkerPhase::Serving);
+        let mine = registry.workers().filter(|w| w.service == self.name && w.phase == WorkerPhase::Serving);
         let entry = |w: &crate::discovery::Worker| HostEntry {
             host: HostId(Arc::clone(&w.id)),
             zone: w.zone.to_string(),
@@ -130,7 +130,9 @@
             kind: Arc::from(""),
             availability: Availability::Ready,
             nominal: f64::from(w.capacity.max(1)),
-            last_start: Some(registry.warm_at(&w.id) - WARM_AFTER).filter(|at| *at > 0.0).map(span),
+            last_start: Some(registry.slow_start_ends_secs(&w.id) - WARM_AFTER)
+                .filter(|at| *at > 0.0)
+                .map(span),
         };
         let mut entries: Vec<HostEntry> = mine.map(entry).collect();
         entries.sort_by(|a, b| a.host.cmp(&b.host));
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! The workers behind the gateway: what each reports of itself, and the registry that merges these reports.
 
-pub mod registry;
+mod registry;
 mod worker;
 
 pub use registry::{MergeOutcome, WorkerRegistry};
--- a/crates/gateway/src/discovery/registry.rs
+++ b/crates/gateway/src/discovery/registry.rs
@@ -1,148 +1,152 @@
-//! Owns the list of workers: lives by id, what each said last, who left, who fell silent. Merging is by call count, so
-//! copies that heard the same calls in any order agree. Pure; time is passed in. It must never call a worker dead on
-//! the word of a machine that was itself out of touch.
+//! The worker registry: the latest report of every worker incarnation.
+//!
+//! A report replaces an older one by [`Worker::supersedes`], a total order that does not depend on when reports arrive;
+//! so replicas that received the same reports agree, in whatever order they came. Pure: the caller passes the time, in
+//! seconds of its own clock.
 
 use super::worker::{Worker, WorkerPhase};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A worker and when it was last heard of.
+/// A worker and when it was last heard from.
 #[derive(Clone, Debug)]
-struct Entry {
+struct RegisteredWorker {
     worker: Worker,
-    heard: f64,
-    /// When it was taken to be warm.
-    warm_at: f64,
+    last_heard_secs: f64,
+    slow_start_ends_secs: f64,
 }
 
-/// What a merge did.
+/// What [`WorkerRegistry::merge`] did with a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// Nothing new.
-    Old,
-    /// Only heard of again.
+    /// The registry holds the same or a later report.
+    Stale,
+    /// Another heartbeat of an unchanged worker.
     Refreshed,
-    /// Its phase, address or life is news to those who use it.
+    /// A new worker, or its phase, address or capacity changed.
     Changed,
 }
 
 /// The workers that are known.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerRegistry {
-    map: BTreeMap<Arc<str>, Entry>,
-    /// Those that fell silent or left, kept so that late calls don't revive them: ids by when to forget.
-    ended: BTreeMap<u64, Vec<Arc<str>>>,
+    workers: BTreeMap<Arc<str>, RegisteredWorker>,
+    /// When entries of unresponsive and departed workers are removed: ids by time in milliseconds. They are kept until
+    /// then so that a delayed heartbeat does not revive them.
+    removals: BTreeMap<u64, Vec<Arc<str>>>,
     digest: u64,
 }
 
 impl WorkerRegistry {
-    /// The same where the same workers stand alike; those that ended don't count.
+    /// A digest of the live workers (serving or draining) and their phases, for anti-entropy: equal where they are equal.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// One of them.
+    /// The worker of this id.
     pub fn get(&self, id: &str) -> Option<&Worker> {
-        self.map.get(id).map(|e| &e.worker)
+        self.workers.get(id).map(|w| &w.worker)
     }
 
-    /// All of them.
-    pub fn all(&self) -> impl Iterator<Item = &Worker> {
-        self.map.values().map(|e| &e.worker)
+    /// All workers, by id; with those that are unresponsive or departed until their entries are removed.
+    pub fn workers(&self) -> impl Iterator<Item = &Worker> {
+        self.workers.values().map(|w| &w.worker)
     }
 
-    /// When it is warm, in the time that was passed in.
-    pub fn warm_at(&self, id: &str) -> f64 {
-        self.map.get(id).map_or(0.0, |e| e.warm_at)
+    /// When a worker's slow start ends, in seconds of the caller's clock; 0 for an unknown one.
+    pub fn slow_start_ends_secs(&self, id: &str) -> f64 {
+        self.workers.get(id).map_or(0.0, |w| w.slow_start_ends_secs)
     }
 
-    fn counts(worker: &Worker) -> u64 {
-        if worker.phase <= WorkerPhase::Draining {
-            worker.hash()
-        } else {
-            0
-        }
-    }
-
-    /// Takes what was heard of a worker at `now` (seconds); entries of ended ones are kept for `keep`.
-    pub fn merge(&mut self, now: f64, worker: Worker, keep: f64) -> MergeOutcome {
-        let warm_at = now + f64::from(worker.warmup_ms) / 1e3;
+    /// Merges a report that arrived at `now`; the entry of an unresponsive or departed worker is kept for `keep_secs`.
+    pub fn merge(&mut self, now: f64, worker: Worker, keep_secs: f64) -> MergeOutcome {
+        let slow_start_ends_secs = now + f64::from(worker.warmup_ms) / 1e3;
         let id = Arc::clone(&worker.id);
-        let Some(entry) = self.map.get_mut(&id) else {
-            self.digest ^= Self::counts(&worker);
-            let ended = worker.phase > WorkerPhase::Draining;
-            self.map.insert(Arc::clone(&id), Entry { worker, heard: now, warm_at });
+        let ended = !worker.is_live();
+        let Some(known) = self.workers.get_mut(&id) else {
+            self.digest ^= Self::digest_of(&worker);
+            let entry = RegisteredWorker { worker, last_heard_secs: now, slow_start_ends_secs };
+            self.workers.insert(Arc::clone(&id), entry);
             if ended {
-                self.forget_later(now + keep, id);
+                self.schedule_removal(now + keep_secs, id);
             }
             return MergeOutcome::Changed;
         };
-        if !worker.is_after(&entry.worker) {
-            return MergeOutcome::Old;
+        if !worker.supersedes(&known.worker) {
+            return MergeOutcome::Stale;
         }
-        entry.heard = now;
-        let same = (worker.phase, worker.address, worker.capacity)
-            == (entry.worker.phase, entry.worker.address, entry.worker.capacity);
-        if same {
-            entry.worker.call_count = worker.call_count;
+        known.last_heard_secs = now;
+        let unchanged = (worker.phase, worker.address, worker.capacity)
+            == (known.worker.phase, known.worker.address, known.worker.capacity);
+        if unchanged {
+            known.worker.call_count = worker.call_count;
             return MergeOutcome::Refreshed;
         }
-        self.digest ^= Self::counts(&entry.worker) ^ Self::counts(&worker);
-        let ended = worker.phase > WorkerPhase::Draining;
-        entry.worker = worker;
-        entry.warm_at = entry.warm_at.max(warm_at);
+        self.digest ^= Self::digest_of(&known.worker) ^ Self::digest_of(&worker);
+        known.worker = worker;
+        known.slow_start_ends_secs = known.slow_start_ends_secs.max(slow_start_ends_secs);
         if ended {
-            self.forget_later(now + keep, id);
+            self.schedule_removal(now + keep_secs, id);
         }
         MergeOutcome::Changed
     }
 
-    fn forget_later(&mut self, at: f64, id: Arc<str>) {
-        self.ended.entry((at * 1e3) as u64).or_default().push(id);
-    }
-
-    /// Heard of, by another core machine, up to this call. One that is unknown here, or was taken for silent, is
-    /// told whole by whoever knows it.
-    pub fn alive(&mut self, now: f64, id: &str, calls: u64) {
-        let Some(entry) = self.map.get_mut(id) else { return };
-        if entry.worker.phase <= WorkerPhase::Draining && calls > entry.worker.call_count {
-            (entry.worker.call_count, entry.heard) = (calls, now);
+    /// Another core node received heartbeats of this worker up to `call_count`. Ignored for a worker that is unknown here
+    /// or no longer live: its full report follows from a node that has it.
+    pub fn record_heartbeat(&mut self, now: f64, id: &str, call_count: u64) {
+        let Some(known) = self.workers.get_mut(id) else { return };
+        if known.worker.is_live() && call_count > known.worker.call_count {
+            (known.worker.call_count, known.last_heard_secs) = (call_count, now);
         }
     }
 
-    /// All were heard of just now: the machine itself was away, and nobody's silence counts.
-    pub fn excuse(&mut self, now: f64) {
-        self.map.values_mut().for_each(|e| e.heard = now);
+    /// Counts every worker as heard from now: this process was paused, so its own silence proves nothing about them.
+    pub fn reset_timeouts(&mut self, now: f64) {
+        self.workers.values_mut().for_each(|w| w.last_heard_secs = now);
     }
 
-    /// Workers that were silent for longer than `most`: they are held as silent from now on, and returned.
-    pub fn expire(&mut self, now: f64, most: f64, keep: f64) -> Vec<Worker> {
-        let late =
-            self.map.values().filter(|e| e.worker.phase <= WorkerPhase::Draining && now - e.heard > most);
-        let late: Vec<Worker> =
-            late.map(|e| Worker { phase: WorkerPhase::Unresponsive, ..e.worker.clone() }).collect();
-        for worker in &late {
-            if let Some(entry) = self.map.get_mut(&worker.id) {
-                self.digest ^= Self::counts(&entry.worker);
-                entry.worker.phase = WorkerPhase::Unresponsive;
+    /// Marks live workers that were not heard from for more than `timeout_secs` as unresponsive, and returns them; their
+    /// entries are kept for `keep_secs`.
+    pub fn expire(&mut self, now: f64, timeout_secs: f64, keep_secs: f64) -> Vec<Worker> {
+        let timed_out =
+            self.workers.values().filter(|w| w.worker.is_live() && now - w.last_heard_secs > timeout_secs);
+        let timed_out: Vec<Worker> =
+            timed_out.map(|w| Worker { phase: WorkerPhase::Unresponsive, ..w.worker.clone() }).collect();
+        for worker in &timed_out {
+            if let Some(known) = self.workers.get_mut(&worker.id) {
+                self.digest ^= Self::digest_of(&known.worker);
+                known.worker.phase = WorkerPhase::Unresponsive;
             }
-            self.forget_later(now + keep, Arc::clone(&worker.id));
+            self.schedule_removal(now + keep_secs, Arc::clone(&worker.id));
         }
-        late
+        timed_out
     }
 
-    /// Forgets those that ended long ago; returned: their ids.
-    pub fn sweep(&mut self, now: f64) -> Vec<Arc<str>> {
-        let mut forgotten = Vec::new();
-        while let Some(first) = self.ended.first_entry().filter(|e| (*e.key() as f64) < now * 1e3) {
-            for id in first.remove() {
-                let ended = self.map.get(&id).is_some_and(|e| e.worker.phase > WorkerPhase::Draining);
-                if ended {
-                    self.map.remove(&id);
-                    forgotten.push(id);
+    /// Removes the entries of unresponsive and departed workers whose time is over, and returns their ids.
+    pub fn remove_ended(&mut self, now: f64) -> Vec<Arc<str>> {
+        let mut removed = Vec::new();
+        while let Some(due) = self.removals.first_entry().filter(|e| (*e.key() as f64) < now * 1e3) {
+            for id in due.remove() {
+                // One that was revived since stays.
+                if self.workers.get(&id).is_some_and(|w| !w.worker.is_live()) {
+                    self.workers.remove(&id);
+                    removed.push(id);
                 }
             }
         }
-        forgotten
+        removed
+    }
+
+    /// A worker's part in the digest: none once it is no longer live.
+    fn digest_of(worker: &Worker) -> u64 {
+        if worker.is_live() {
+            worker.phase_hash()
+        } else {
+            0
+        }
+    }
+
+    fn schedule_removal(&mut self, at_secs: f64, id: Arc<str>) {
+        self.removals.entry((at_secs * 1e3) as u64).or_default().push(id);
     }
 }
--- a/crates/gateway/src/discovery/worker.rs
+++ b/crates/gateway/src/discovery/worker.rs
@@ -45,19 +45,26 @@
 }
 
 impl Worker {
-    /// Is this later than that? Of the same call, the further phase counts.
-    pub(super) fn is_after(&self, other: &Worker) -> bool {
+    /// Whether it serves or drains: neither unresponsive nor departed.
+    pub(super) fn is_live(&self) -> bool {
+        self.phase <= WorkerPhase::Draining
+    }
+
+    /// Whether this report is later than `other`, of the same incarnation. Within an incarnation `Departed` is final and
+    /// draining is never taken back, whichever report arrives last; otherwise the later heartbeat counts, and of the same
+    /// heartbeat the later phase.
+    pub(super) fn supersedes(&self, other: &Worker) -> bool {
         match (other.phase, self.phase) {
             (WorkerPhase::Departed, _) => false,
             (_, WorkerPhase::Departed) => true,
-            // Leaving is never taken back within a life, whatever comes late.
             (WorkerPhase::Draining, WorkerPhase::Serving) => false,
             (WorkerPhase::Serving | WorkerPhase::Unresponsive, WorkerPhase::Draining) => true,
             _ => (self.call_count, self.phase) > (other.call_count, other.phase),
         }
     }
 
-    pub(super) fn hash(&self) -> u64 {
+    /// A hash of id and phase.
+    pub(super) fn phase_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (&self.id, self.phase).hash(&mut hasher);
         hasher.finish()
--- a/crates/gateway/src/protocol/log_command.rs
+++ b/crates/gateway/src/protocol/log_command.rs
@@ -1,6 +1,6 @@
 //! The commands of the replicated log.
 
-use super::share_ceilings::ShareCeilings;
+use super::ShareCeilings;
 use crate::configuration::ConfigChange;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
--- a/crates/gateway/src/protocol/mod.rs
+++ b/crates/gateway/src/protocol/mod.rs
@@ -14,7 +14,7 @@
 mod node_location;
 mod operator;
 mod quota;
-pub mod share_ceilings;
+mod share_ceilings;
 #[cfg(test)]
 mod wire_fixture_tests;
 
@@ -28,3 +28,4 @@
     standing_share_expiry_secs, TenantGrant, TenantLimit, TenantUsage, QUOTA_CONTACT_TIMEOUT_SECS,
     QUOTA_SYNC_INTERVAL_SECS,
 };
+pub use share_ceilings::{EdgeCeilings, ShareCeilings, TenantCeiling};
--- a/crates/gateway/src/protocol/wire_fixture_tests.rs
+++ b/crates/gateway/src/protocol/wire_fixture_tests.rs
@@ -5,12 +5,12 @@
 use crate::configuration::{ConfigItem, ItemFields, ItemKind};
 use crate::consensus::{Entry, EntryPayload, Message, NodeId};
 use crate::discovery::{Worker, WorkerPhase};
-use crate::protocol::share_ceilings::ShareCeilings;
 use crate::protocol::LogCommand;
 use crate::protocol::{
     decode, encode, LoadReport, NodeLocation, OperatorRequest, OperatorResponse, PeerMessage, TenantGrant,
     TenantUsage,
 };
+use crate::protocol::{EdgeCeilings, ShareCeilings, TenantCeiling};
 use bytes::BytesMut;
 use googletest::prelude::*;
 use serde_json::json;
@@ -72,10 +72,18 @@
 }
 
 fn entries() -> Vec<Entry<LogCommand>> {
-    let gates = vec![("edge-1".into(), u64::MAX, vec![("t1".into(), 2.5), ("t2".into(), 0.0)])];
-    let whole = ShareCeilings { term: 3, number: 9, edges: gates.clone(), whole: true, ended: vec![] };
-    let part =
-        ShareCeilings { term: 3, number: 10, edges: gates, whole: false, ended: vec!["edge-2".into()] };
+    let ceiling = |tenant: &str, ceiling| TenantCeiling { tenant: tenant.into(), ceiling };
+    let ceilings = vec![ceiling("t1", 2.5), ceiling("t2", 0.0)];
+    let gates = vec![EdgeCeilings { node: "edge-1".into(), incarnation: u64::MAX, ceilings }];
+    let whole =
+        ShareCeilings { term: 3, sequence: 9, edges: gates.clone(), is_full: true, ended_edges: vec![] };
+    let part = ShareCeilings {
+        term: 3,
+        sequence: 10,
+        edges: gates,
+        is_full: false,
+        ended_edges: vec!["edge-2".into()],
+    };
     let bodies = [
         EntryPayload::TermStart,
         EntryPayload::Members([id(v4(), 0), id(v6(), u64::MAX)].into()),
