--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -11,7 +11,7 @@
 use crate::configuration::state::{ConfigStateError, StateDecoder, StateEncoder};
 use crate::configuration::ConfigState;
 use crate::consensus::LogPosition;
-use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::ShareCeilings;
 use crate::storage::{SnapshotChunk, SNAPSHOT_CHUNK_BYTES};
 use bytes::Bytes;
 use std::sync::Arc;
