--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -32,7 +32,7 @@
 
 use crate::configuration::ConfigState;
 use crate::consensus::{NodeId, Raft, Term};
-use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::ShareCeilings;
 use crate::protocol::{LogCommand, NodeLocation, TenantLimit};
 use crate::settings::Settings;
 use crate::storage::LoadedState;
--- a/crates/gateway/src/control_plane/peer_messages.rs
+++ b/crates/gateway/src/control_plane/peer_messages.rs
@@ -30,7 +30,7 @@
         };
         out.push(Effect::SendToPeer(ip, hello));
         out.push(Effect::SendToPeer(ip, PeerMessage::CoreNodes(self.context.advertised_nodes())));
-        let workers: Vec<Worker> = self.membership.registry.all().cloned().collect();
+        let workers: Vec<Worker> = self.membership.registry.workers().cloned().collect();
         if !workers.is_empty() {
             out.push(Effect::SendToPeer(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
@@ -66,7 +66,7 @@
     /// Anti-entropy between core nodes: a peer whose registry keeps differing is sent all workers.
     fn compare_workers(&mut self, now: f64, ip: IpAddr, peer_digest: u64, out: &mut Vec<Effect>) {
         if self.membership.differs(now, ip, peer_digest) {
-            let workers = self.membership.registry.all().cloned().collect();
+            let workers = self.membership.registry.workers().cloned().collect();
             out.push(Effect::SendToPeer(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
     }
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -9,7 +9,7 @@
     Entry, EntryPayload, LogPosition, Message, Millis, NodeId, Output, RaftConfig, Snapshot,
 };
 use crate::control_plane::event_journal::JournalEvent;
-use crate::protocol::share_ceilings::ShareCeilings;
+use crate::protocol::ShareCeilings;
 use crate::protocol::{LogCommand, NodeLocation, PeerMessage};
 use crate::settings::Settings;
 use crate::storage::WriteBatch;
@@ -118,7 +118,7 @@
         }
         LogCommand::Shares(ceilings) => {
             let edge_bytes = |tenants: usize| EDGE_CEILINGS_BYTES + TENANT_CEILING_BYTES * tenants;
-            ceilings.edges.iter().map(|edge| edge_bytes(edge.2.len())).sum()
+            ceilings.edges.iter().map(|edge| edge_bytes(edge.ceilings.len())).sum()
         }
     };
     variable_bytes + COMMAND_OVERHEAD_BYTES
@@ -337,7 +337,7 @@
             self.quota_lease.recorded(&ceilings);
         }
         match &mut self.recorded_ceilings {
-            Some(recorded) => Arc::make_mut(recorded).amend(&ceilings),
+            Some(recorded) => Arc::make_mut(recorded).apply(&ceilings),
             None => self.recorded_ceilings = Some(ceilings),
         }
     }
