--- a/crates/gateway/src/data_plane/load_table.rs
+++ b/crates/gateway/src/data_plane/load_table.rs
@@ -1,180 +1,207 @@
-//! Owns what this gatekeeper has out at each worker and what the others tell of theirs. Those of its own zone hear at
-//! once, as bytes within a zone cost nothing; those of other zones a few times a second. Pure; time is passed in. It
-//! must never be relied on for more than a choice: datagrams get lost.
+//! Attempts in flight at each worker: those of this edge node, and those that the other edge nodes report.
+//!
+//! Nodes report over UDP. Nodes of the own zone hear of a change within milliseconds, as traffic within a zone is free;
+//! nodes of other zones a few times a second. Reports get lost, so the numbers only help to choose a worker; nothing
+//! that must hold may depend on them.
 
 use crate::protocol::{LoadReport, NodeLocation};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use whinstall::ground;
 
-/// A change is told to the own zone after so long for each of its gatekeepers: seconds.
-const NEAR_EACH: f64 = 0.001;
-/// And to other zones after this.
-const FAR: f64 = 0.2;
-/// All is told again after this, as datagrams get lost.
-const AGAIN: f64 = 0.25;
-/// What was told counts for so long: seconds.
-const KEPT: f64 = 0.8;
-
-struct Other {
-    life: u64,
-    number: u64,
-    heard: f64,
-    out: Vec<(u32, u16)>,
+/// Least time between two reports to the own zone, for each of its other edge nodes, in seconds.
+const ZONE_INTERVAL_PER_NODE_SECS: f64 = 0.001;
+/// Least time between two reports to other zones, in seconds.
+const CROSS_ZONE_INTERVAL_SECS: f64 = 0.2;
+/// A report is repeated after this without a change, as datagrams get lost; in seconds.
+const REPEAT_INTERVAL_SECS: f64 = 0.25;
+/// A report expires after this, in seconds.
+const REPORT_LIFETIME_SECS: f64 = 0.8;
+
+/// A worker's key in load reports.
+pub type WorkerKey = u32;
+
+/// The key of the worker with this id. Two workers may share one; then each counts the other's attempts, too.
+pub fn worker_key(worker: &str) -> WorkerKey {
+    ground::hash(worker) as u32
 }
 
-/// Attempts that are out, here and elsewhere.
-pub struct LoadTable {
-    me: NodeLocation,
-    life: u64,
-    number: u64,
-    mine: BTreeMap<u32, u16>,
-    others: BTreeMap<IpAddr, Other>,
-    sums: BTreeMap<u32, u32>,
-    near: Vec<IpAddr>,
-    far: Vec<IpAddr>,
-    /// When the own zone and the others are to be told.
-    near_at: f64,
-    far_at: f64,
-    told_at: (f64, f64),
+/// A worker whose attempts in flight from other edge nodes have changed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LoadChange {
+    /// The worker.
+    pub worker: WorkerKey,
+    /// Attempts in flight from all other edge nodes now.
+    pub in_flight: u32,
 }
 
-/// A worker's short name.
-pub fn key(worker: &str) -> u32 {
-    ground::hash(worker) as u32
+/// The last report of another edge node.
+struct PeerLoad {
+    incarnation: u64,
+    sequence: u64,
+    received_at: f64,
+    in_flight: Vec<(WorkerKey, u16)>,
+}
+
+/// Edge nodes that are reported to at the same times.
+struct ReportGroup {
+    nodes: Vec<IpAddr>,
+    /// When the next report is due; infinite: none.
+    due_at: f64,
+    last_sent_at: f64,
+}
+
+impl ReportGroup {
+    fn new() -> Self {
+        ReportGroup { nodes: Vec::new(), due_at: f64::INFINITY, last_sent_at: 0.0 }
+    }
+
+    /// A change is to be reported, but no earlier than `interval_secs` after the last report.
+    fn schedule(&mut self, now: f64, interval_secs: f64) {
+        self.due_at = self.due_at.min((self.last_sent_at + interval_secs).max(now));
+    }
+
+    /// Adds the nodes to `receivers` if a report is due. It is repeated as long as there is anything to report.
+    fn take_due(&mut self, now: f64, is_idle: bool, receivers: &mut Vec<IpAddr>) {
+        if now >= self.due_at {
+            self.last_sent_at = now;
+            self.due_at = if is_idle { f64::INFINITY } else { now + REPEAT_INTERVAL_SECS };
+            receivers.extend(&self.nodes);
+        }
+    }
+}
+
+/// Attempts in flight by worker, from here and from the other edge nodes.
+pub struct LoadTable {
+    location: NodeLocation,
+    incarnation: u64,
+    /// Sequence number of the last report.
+    sequence: u64,
+    own: BTreeMap<WorkerKey, u16>,
+    peers: BTreeMap<IpAddr, PeerLoad>,
+    /// Sums over `peers`.
+    peer_totals: BTreeMap<WorkerKey, u32>,
+    own_zone: ReportGroup,
+    other_zones: ReportGroup,
 }
 
 impl LoadTable {
-    /// Nothing is out.
-    pub fn new(me: NodeLocation, life: u64) -> Self {
+    /// A table without any attempts, of the edge node at this location.
+    pub fn new(location: NodeLocation, incarnation: u64) -> Self {
         LoadTable {
-            me,
-            life,
-            number: 0,
-            mine: BTreeMap::new(),
-            others: BTreeMap::new(),
-            sums: BTreeMap::new(),
-            near: Vec::new(),
-            far: Vec::new(),
-            near_at: f64::INFINITY,
-            far_at: f64::INFINITY,
-            told_at: (0.0, 0.0),
+            location,
+            incarnation,
+            sequence: 0,
+            own: BTreeMap::new(),
+            peers: BTreeMap::new(),
+            peer_totals: BTreeMap::new(),
+            own_zone: ReportGroup::new(),
+            other_zones: ReportGroup::new(),
         }
     }
 
-    /// The gatekeepers that there are, with their zones.
-    pub fn gates(&mut self, gates: BTreeMap<IpAddr, &str>) {
-        let others = gates.into_iter().filter(|(ip, _)| *ip != self.me.ip);
-        let (near, far): (Vec<_>, Vec<_>) = others.partition(|(_, zone)| *zone == self.me.zone);
-        self.near = near.into_iter().map(|(ip, _)| ip).collect();
-        self.far = far.into_iter().map(|(ip, _)| ip).collect();
+    /// Sets the edge nodes that are to be reported to, with their zones. This node may be among them.
+    pub fn set_edge_nodes(&mut self, nodes: BTreeMap<IpAddr, &str>) {
+        let peers = nodes.into_iter().filter(|(ip, _)| *ip != self.location.ip);
+        let (near, far): (Vec<_>, Vec<_>) = peers.partition(|(_, zone)| *zone == self.location.zone);
+        self.own_zone.nodes = near.into_iter().map(|(ip, _)| ip).collect();
+        self.other_zones.nodes = far.into_iter().map(|(ip, _)| ip).collect();
     }
 
-    /// How many others there are.
+    /// Number of other edge nodes.
     #[cfg(test)]
-    pub fn others(&self) -> usize {
-        self.near.len() + self.far.len()
+    pub fn peer_count(&self) -> usize {
+        self.own_zone.nodes.len() + self.other_zones.nodes.len()
     }
 
-    fn changed(&mut self, now: f64) {
-        let near = self.told_at.0 + NEAR_EACH * self.near.len() as f64;
-        self.near_at = self.near_at.min(near.max(now));
-        self.far_at = self.far_at.min((self.told_at.1 + FAR).max(now));
+    fn schedule_reports(&mut self, now: f64) {
+        self.own_zone.schedule(now, ZONE_INTERVAL_PER_NODE_SECS * self.own_zone.nodes.len() as f64);
+        self.other_zones.schedule(now, CROSS_ZONE_INTERVAL_SECS);
     }
 
-    /// An attempt goes out to a worker.
-    pub fn begins(&mut self, now: f64, worker: &str) {
-        *self.mine.entry(key(worker)).or_default() += 1;
-        self.changed(now);
+    /// Records that an attempt is dispatched to a worker.
+    pub fn begin_attempt(&mut self, now: f64, worker: &str) {
+        *self.own.entry(worker_key(worker)).or_default() += 1;
+        self.schedule_reports(now);
     }
 
-    /// It has ended.
-    pub fn ends(&mut self, now: f64, worker: &str) {
-        let key = key(worker);
-        if let Some(out) = self.mine.get_mut(&key) {
-            *out = out.saturating_sub(1);
-            if *out == 0 {
-                self.mine.remove(&key);
+    /// Records that an attempt has ended.
+    pub fn end_attempt(&mut self, now: f64, worker: &str) {
+        let key = worker_key(worker);
+        if let Some(in_flight) = self.own.get_mut(&key) {
+            *in_flight = in_flight.saturating_sub(1);
+            if *in_flight == 0 {
+                self.own.remove(&key);
             }
         }
-        self.changed(now);
+        self.schedule_reports(now);
     }
 
-    /// When something is to be told next.
-    pub fn next(&self) -> f64 {
-        self.near_at.min(self.far_at)
+    /// When the next report is due; infinite if none is.
+    pub fn next_report_at(&self) -> f64 {
+        self.own_zone.due_at.min(self.other_zones.due_at)
     }
 
-    /// What is to be told now, and to whom.
-    pub fn tell(&mut self, now: f64) -> Option<(Vec<IpAddr>, LoadReport)> {
-        let mut to = Vec::new();
-        if now >= self.near_at {
-            (self.told_at.0, self.near_at) =
-                (now, if self.mine.is_empty() { f64::INFINITY } else { now + AGAIN });
-            to.extend(&self.near);
-        }
-        if now >= self.far_at {
-            (self.told_at.1, self.far_at) =
-                (now, if self.mine.is_empty() { f64::INFINITY } else { now + AGAIN });
-            to.extend(&self.far);
-        }
-        if to.is_empty() {
+    /// The report that is due now, with its receivers.
+    pub fn take_report(&mut self, now: f64) -> Option<(Vec<IpAddr>, LoadReport)> {
+        let (mut receivers, is_idle) = (Vec::new(), self.own.is_empty());
+        self.own_zone.take_due(now, is_idle, &mut receivers);
+        self.other_zones.take_due(now, is_idle, &mut receivers);
+        if receivers.is_empty() {
             return None;
         }
-        self.number += 1;
-        let out = self.mine.iter().map(|(key, out)| (*key, *out)).collect();
-        Some((to, LoadReport { incarnation: self.life, sequence: self.number, in_flight: out }))
+        self.sequence += 1;
+        let in_flight = self.own.iter().map(|(key, attempts)| (*key, *attempts)).collect();
+        Some((receivers, LoadReport { incarnation: self.incarnation, sequence: self.sequence, in_flight }))
     }
 
-    /// What another one has out. Returned: workers of which the sum is another now, with it.
-    pub fn told(&mut self, now: f64, from: IpAddr, load: LoadReport) -> Vec<(u32, u32)> {
-        let held = self.others.get(&from);
-        if held.is_some_and(|h| h.life == load.incarnation && h.number >= load.sequence) {
+    /// Takes the report of another edge node, unless it is older than one already taken. Returns what changed.
+    pub fn on_report(&mut self, now: f64, from: IpAddr, report: LoadReport) -> Vec<LoadChange> {
+        let LoadReport { incarnation, sequence, in_flight } = report;
+        let known = self.peers.get(&from);
+        if known.is_some_and(|p| p.incarnation == incarnation && p.sequence >= sequence) {
             return Vec::new();
         }
-        let LoadReport { incarnation: life, sequence: number, in_flight: out } = load;
-        let old = self.others.insert(from, Other { life, number, heard: now, out });
-        let new = self.others[&from].out.clone();
-        self.shift(old.map(|o| o.out).unwrap_or_default(), new)
+        let new = in_flight.clone();
+        let old = self.peers.insert(from, PeerLoad { incarnation, sequence, received_at: now, in_flight });
+        self.replace(old.map(|p| p.in_flight).unwrap_or_default(), new)
     }
 
-    fn shift(&mut self, old: Vec<(u32, u16)>, new: Vec<(u32, u16)>) -> Vec<(u32, u32)> {
-        let mut moved: BTreeMap<u32, i64> = BTreeMap::new();
-        for (key, out) in old {
-            *moved.entry(key).or_default() -= i64::from(out);
+    /// Replaces one node's attempts in the totals.
+    fn replace(&mut self, old: Vec<(WorkerKey, u16)>, new: Vec<(WorkerKey, u16)>) -> Vec<LoadChange> {
+        let mut differences: BTreeMap<WorkerKey, i64> = BTreeMap::new();
+        for (key, attempts) in old {
+            *differences.entry(key).or_default() -= i64::from(attempts);
         }
-        for (key, out) in new {
-            *moved.entry(key).or_default() += i64::from(out);
+        for (key, attempts) in new {
+            *differences.entry(key).or_default() += i64::from(attempts);
         }
-        let mut news = Vec::new();
-        for (key, by) in moved.into_iter().filter(|(_, by)| *by != 0) {
-            let sum = self.sums.entry(key).or_default();
-            *sum = (i64::from(*sum) + by).max(0) as u32;
-            news.push((key, *sum));
+        let mut changes = Vec::new();
+        for (worker, difference) in differences.into_iter().filter(|(_, d)| *d != 0) {
+            let total = self.peer_totals.entry(worker).or_default();
+            *total = (i64::from(*total) + difference).max(0) as u32;
+            changes.push(LoadChange { worker, in_flight: *total });
         }
-        news
+        changes
     }
 
-    /// Those that have said nothing for long count no more. Returned as by [`Loads::told`].
-    pub fn sweep(&mut self, now: f64) -> Vec<(u32, u32)> {
-        let late: Vec<IpAddr> = self
-            .others
-            .iter()
-            .filter(|(_, o)| now - o.heard > KEPT && !o.out.is_empty())
-            .map(|(ip, _)| *ip)
-            .collect();
-        let mut news = Vec::new();
-        for ip in late {
-            let Some(other) = self.others.get_mut(&ip) else { continue };
-            let old = std::mem::take(&mut other.out);
-            news.extend(self.shift(old, Vec::new()));
+    /// Drops expired reports. Returns what changed.
+    pub fn expire_reports(&mut self, now: f64) -> Vec<LoadChange> {
+        let is_expired = |p: &PeerLoad| now - p.received_at > REPORT_LIFETIME_SECS && !p.in_flight.is_empty();
+        let expired: Vec<IpAddr> =
+            self.peers.iter().filter(|(_, p)| is_expired(p)).map(|(ip, _)| *ip).collect();
+        let mut changes = Vec::new();
+        for ip in expired {
+            let Some(peer) = self.peers.get_mut(&ip) else { continue };
+            let old = std::mem::take(&mut peer.in_flight);
+            changes.extend(self.replace(old, Vec::new()));
         }
-        self.sums.retain(|_, sum| *sum > 0);
-        news
+        self.peer_totals.retain(|_, total| *total > 0);
+        changes
     }
 
-    /// Attempts that others have out at a worker.
-    pub fn elsewhere(&self, worker: &str) -> u32 {
-        self.sums.get(&key(worker)).copied().unwrap_or(0)
+    /// Attempts in flight at a worker from the other edge nodes.
+    pub fn in_flight_elsewhere(&self, worker: &str) -> u32 {
+        self.peer_totals.get(&worker_key(worker)).copied().unwrap_or(0)
     }
 }
--- a/crates/gateway/src/data_plane/request_state_tests.rs
+++ b/crates/gateway/src/data_plane/request_state_tests.rs
@@ -154,10 +154,10 @@
     /// All that can happen next.
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.machine.held {
+        if self.machine.awaits_admission {
             steps.extend([Step::Admitted(true), Step::Admitted(false), Step::Limited]);
         } else {
-            if self.asked < self.machine.most + 1 {
+            if self.asked < self.machine.max_dispatches + 1 {
                 steps.push(Step::Dispatch);
             }
             steps.push(Step::GiveUp);
@@ -175,7 +175,7 @@
             if !wire.out {
                 continue;
             }
-            if self.machine.repeatable {
+            if self.machine.is_idempotent {
                 steps.push(Step::Ends(n, Ending::Cancelled));
             }
             match wire.written {
@@ -211,10 +211,10 @@
             return fail!("attempt {} is believed not to have run", wire.attempt);
         }
         let attempt = wire.attempt;
-        let ended = self.machine.ended(attempt, ending, whole);
+        let ended = self.machine.end_attempt(attempt, ending, whole);
         verify_that!(ended, some(anything()))?;
         self.turn = true;
-        self.told(ended.and_then(|e| e.answer), fault)
+        self.told(ended.and_then(|e| e.response), fault)
     }
 
     fn told(&mut self, answer: Option<FinalResponse>, fault: Option<Fault>) -> Result<()> {
@@ -237,10 +237,10 @@
 
     /// What is true in every world.
     fn invariant(&self) -> Result<()> {
-        if !self.machine.repeatable {
+        if !self.machine.is_idempotent {
             verify_that!(self.runs, le(1))?;
         }
-        verify_that!(self.wires.len(), le(self.machine.most as usize))?;
+        verify_that!(self.wires.len(), le(self.machine.max_dispatches as usize))?;
         let may_run = |w: &Wire| w.fate == Fate::Ran || w.fate == Fate::Open && w.written != Written::Nothing;
         if matches!(self.answer, Some(FinalResponse::RateLimited(_) | FinalResponse::NotExecuted(_))) {
             verify_that!(self.wires.iter().any(|w| may_run(w) || w.out), eq(false))?;
@@ -252,41 +252,41 @@
         } else {
             // Something goes on by itself: an attempt is out, and attempts end in time; the counter is waited for, in
             // time; or a decision is being carried out.
-            let goes_on = self.machine.held || self.turn || self.wires.iter().any(|w| w.out);
+            let goes_on = self.machine.awaits_admission || self.turn || self.wires.iter().any(|w| w.out);
             verify_that!(goes_on, eq(true))?;
         }
         verify_that!(self.unit, ge(0))
     }
 
     fn over(&self) -> bool {
-        self.machine.answered && self.machine.out.is_empty()
+        self.machine.is_answered && self.machine.in_flight.is_empty()
     }
 
     fn take(&self, step: Step, fault: Option<Fault>) -> Result<World> {
         let mut w = self.clone();
         match step {
             Step::Admitted(charged) => {
-                w.machine.admitted(charged);
+                w.machine.admit(charged);
                 (w.charged, w.unit, w.turn) = (charged, i8::from(charged), true);
             }
             Step::Limited => {
-                let answer = w.machine.limited(1.0);
+                let answer = w.machine.rate_limit(1.0);
                 w.told(answer, fault)?;
             }
             Step::Dispatch => {
                 w.asked += 1;
                 match fault {
-                    Some(Fault::SentAgainThoughOut) => w.machine.repeatable = true,
-                    Some(Fault::SentTooOften) => w.machine.most += 1,
-                    Some(Fault::ResentAfterClientLeft) => w.machine.answered = false,
+                    Some(Fault::SentAgainThoughOut) => w.machine.is_idempotent = true,
+                    Some(Fault::SentTooOften) => w.machine.max_dispatches += 1,
+                    Some(Fault::ResentAfterClientLeft) => w.machine.is_answered = false,
                     _ => {}
                 }
-                let sending = w.machine.dispatch(0.0);
+                let sending = w.machine.begin_attempt(0.0);
                 let m = &self.machine;
-                (w.machine.repeatable, w.machine.most) = (m.repeatable, m.most);
-                w.machine.answered = m.answered;
+                (w.machine.is_idempotent, w.machine.max_dispatches) = (m.is_idempotent, m.max_dispatches);
+                w.machine.is_answered = m.is_answered;
                 match sending {
-                    DispatchDecision::Send(attempt) if m.answered => {
+                    DispatchDecision::Send(attempt) if m.is_answered => {
                         fail!("{attempt} goes out after the answer")?
                     }
                     DispatchDecision::Send(attempt) => w.wires.push(Wire {
@@ -297,45 +297,46 @@
                         unrun: false,
                     }),
                     DispatchDecision::Withhold(attempt) => {
-                        let answer = w.machine.ended(attempt, Ending::Moot, None).and_then(|e| e.answer);
+                        let answer =
+                            w.machine.end_attempt(attempt, Ending::Moot, None).and_then(|e| e.response);
                         w.turn = true;
                         w.told(answer, fault)?;
                     }
                 }
             }
             Step::GiveUp => {
-                let out = w.machine.out.clone();
+                let out = w.machine.in_flight.clone();
                 if fault == Some(Fault::PromisedWhileOut) {
-                    w.machine.out.clear();
+                    w.machine.in_flight.clear();
                 }
                 let answer = w.machine.give_up(0.1);
-                w.machine.out = out;
+                w.machine.in_flight = out;
                 w.told(answer, fault)?;
             }
             Step::Abandon => {
-                let out = w.machine.out.clone();
+                let out = w.machine.in_flight.clone();
                 if fault == Some(Fault::AbandonedAsUnsent) {
-                    w.machine.out.clear();
+                    w.machine.in_flight.clear();
                 }
-                let answer = w.machine.abandon(0.1);
-                w.machine.out = out;
+                let answer = w.machine.respond_now(0.1);
+                w.machine.in_flight = out;
                 verify_that!(answer, some(anything()))?;
                 w.told(answer, fault)?;
             }
             Step::TurnOver => {
                 w.turn = false;
                 if fault == Some(Fault::AnsweredTwice) {
-                    w.machine.answered = false;
+                    w.machine.is_answered = false;
                 }
                 if fault != Some(Fault::NothingAfterGivingUp) {
-                    let answer = w.machine.turn_over(0.1);
+                    let answer = w.machine.give_up_if_stalled(0.1);
                     w.told(answer, fault)?;
                 }
             }
             Step::Leave => {
                 w.gone = true;
-                let may_call_off = w.machine.leave();
-                verify_that!(may_call_off || !w.machine.repeatable, eq(true))?;
+                let may_call_off = w.machine.client_disconnected();
+                verify_that!(may_call_off || !w.machine.is_idempotent, eq(true))?;
             }
             Step::Write(n, written) => w.wires[n].written = written,
             Step::Runs(n) => (w.wires[n].fate, w.runs) = (Fate::Ran, w.runs + 1),
@@ -345,10 +346,10 @@
         }
         let due = w.machine.settle();
         let take_back = match fault {
-            Some(Fault::TakenBackTwice) => due.over && w.charged && w.wires.iter().all(|w| w.unrun),
-            Some(Fault::TakenBackThoughRun) => due.take_back || due.over && w.charged && w.unit == 1,
+            Some(Fault::TakenBackTwice) => due.is_finished && w.charged && w.wires.iter().all(|w| w.unrun),
+            Some(Fault::TakenBackThoughRun) => due.refund || due.is_finished && w.charged && w.unit == 1,
             Some(Fault::NeverTakenBack) => false,
-            _ => due.take_back,
+            _ => due.refund,
         };
         w.unit -= i8::from(take_back);
         w.invariant()?;
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -1,46 +1,59 @@
-//! Owns requests from when they are read to their one final answer: tenant and route, quota, the module's decisions
-//! carried out, and what a client hears. It must never answer 429 or 503 to what may have run and must not run twice,
-//! nor hold an answer back.
+//! Requests at an edge node, from receipt to final response: admission by quota, the actions of the service's decision
+//! module, and the response to the client.
+//!
+//! A final response is passed on as soon as it is known. What it may promise is decided in
+//! [`request_state`](super::request_state).
 
 pub use super::request_state::FinalResponse;
 use super::request_state::{DispatchDecision, RequestState};
-use super::upstream_service::RequestClass;
+use super::time_limits::{TimeLimits, DISPATCH_MARGIN_SECS};
+use super::upstream_service::{AttemptResult, RequestClass};
 use super::{drain, EdgeNode, Effect};
-use crate::configuration::active_config::Route;
+use crate::configuration::active_config::{Route, Tenant};
 use crate::control_plane::quota_counter::TenantLimit;
 use crate::data_plane::quota_admission::{AdmissionDecision, GrantState};
 use std::sync::Arc;
+use std::time::Duration;
 use whinstall::{Action, Ending, HostId, RequestId};
 
-/// A request waits so long for the counter at the most: seconds.
-const ASK_WITHIN: f64 = 0.06;
-/// Nothing is begun any more so shortly before the client leaves: seconds. What is out by then ends with its time and
-/// not sooner, as its worker may still answer.
-const MARGIN: f64 = 0.008;
+/// A request waits so long for a quota grant at most, in seconds.
+const GRANT_TIMEOUT_SECS: f64 = 0.06;
+/// Retry delay for a request that was not executed, unless the decision module sets one; in seconds.
+const RETRY_AFTER_SECS: f64 = 0.1;
+/// Retry delay for a request that comes without time left, in seconds.
+const NO_TIME_RETRY_AFTER_SECS: f64 = 0.05;
 
-/// A request, as far as it has come.
+/// The wait of a request for a quota grant.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct GrantWait {
+    /// When it is over, in seconds of the clock that is passed in.
+    pub(super) until: f64,
+    /// The quota sync whose answer decides.
+    pub(super) request_id: u64,
+}
+
+/// A request that is not answered or has an attempt in flight.
 pub struct PendingRequest {
-    pub(super) service: Arc<str>,
-    sort: RequestClass,
-    tenant: Option<Arc<str>>,
-    /// When it was read.
-    pub(super) arrived: f64,
-    /// Shortly before its client leaves or its route's time is up.
-    deadline: f64,
-    pub(super) progress: RequestState,
-    /// Waits for the counter until then, or until the sync of this number is answered.
-    waits: Option<(f64, u64)>,
+    service: Arc<str>,
+    class: RequestClass,
+    pub(super) tenant: Option<Arc<str>>,
+    /// When it was received.
+    pub(super) received_at: f64,
+    /// No attempt is dispatched after this: shortly before its client disconnects or its route's cutoff.
+    dispatch_deadline: f64,
+    pub(super) state: RequestState,
+    pub(super) grant_wait: Option<GrantWait>,
 }
 
-/// What is known of a request as it is read.
+/// A request as it is received.
 pub struct IncomingRequest {
-    /// What it goes by here.
+    /// Identifies it at this node.
     pub id: RequestId,
     /// Its route.
     pub route: Arc<Route>,
     /// Its tenant, where the configuration has any.
-    pub tenant: Option<Arc<crate::configuration::active_config::Tenant>>,
-    /// Seconds that its client waits from now on.
+    pub tenant: Option<Arc<Tenant>>,
+    /// How long its client waits from now on, in seconds.
     pub remaining_secs: f64,
 }
 
@@ -67,219 +80,209 @@
 }
 
 impl EdgeNode {
-    /// A request whose route and tenant are known.
-    pub fn on_request(&mut self, now: f64, arrival: IncomingRequest, out: &mut Vec<Effect>) {
-        let IncomingRequest { id, route, tenant, remaining_secs: left } = arrival;
+    /// Handles a request whose route and tenant are known.
+    pub fn on_request(&mut self, now: f64, incoming: IncomingRequest, out: &mut Vec<Effect>) {
+        let IncomingRequest { id, route, tenant, remaining_secs } = incoming;
         let Some(service) = route.service(self.rng.f64()).cloned() else {
-            return out.push(Effect::Respond(id, FinalResponse::NotExecuted(0.1)));
+            return out.push(Effect::Respond(id, FinalResponse::NotExecuted(RETRY_AFTER_SECS)));
         };
-        let left = route.cutoff.map_or(left, |c| left.min(c.as_secs_f64())) - MARGIN;
-        let target = route.target.as_secs_f64();
-        if self.drain.is_some_and(|drain| !drain.takes(now, target, left)) {
-            return out.push(Effect::Respond(id, FinalResponse::NotExecuted(drain::RETRY_AFTER)));
+        let TimeLimits { dispatch_secs, .. } = self.time_limits(now, &route, remaining_secs);
+        let latency_target_secs = route.target.as_secs_f64();
+        if self.drain.is_some_and(|drain| !drain.accepts(now, latency_target_secs, dispatch_secs)) {
+            return out.push(Effect::Respond(id, FinalResponse::NotExecuted(drain::RETRY_AFTER_SECS)));
+        }
+        self.ensure_service(&service);
+        if dispatch_secs <= 0.0 || self.requests.contains_key(&id) {
+            return out.push(Effect::Respond(id, FinalResponse::NotExecuted(NO_TIME_RETRY_AFTER_SECS)));
         }
-        let left = self.time_for(now, left);
-        let rank = tenant.as_ref().and_then(|t| t.rank).unwrap_or(route.rank);
-        self.service(&service);
+        let priority = tenant.as_ref().and_then(|t| t.rank).unwrap_or(route.rank);
+        let (is_idempotent, latency_target) = (route.repeatable, route.target);
         let request = PendingRequest {
             service,
-            sort: RequestClass { repeatable: route.repeatable, target: route.target, rank },
+            class: RequestClass { is_idempotent, latency_target, priority },
             tenant: tenant.as_ref().map(|t| Arc::clone(&t.label)),
-            arrived: now,
-            deadline: now + left,
-            progress: RequestState::new(route.repeatable, route.max_attempts),
-            waits: None,
+            received_at: now,
+            dispatch_deadline: now + dispatch_secs,
+            state: RequestState::new(is_idempotent, route.max_attempts),
+            grant_wait: None,
         };
-        if left <= 0.0 || self.requests.contains_key(&id) {
-            return out.push(Effect::Respond(id, FinalResponse::NotExecuted(0.05)));
-        }
         self.requests.insert(id.clone(), request);
         self.admit(now, &id, GrantState::NotRequested, out);
     }
 
-    /// The ordinary path: charged against the window's total, refused at once beyond it, else to the module.
-    fn admit(&mut self, now: f64, id: &RequestId, asked: GrantState, out: &mut Vec<Effect>) {
-        let Some(r) = self.requests.get_mut(id) else { return };
-        let limits = r.tenant.as_ref().and_then(|t| self.active_config.tenants().get(t).cloned());
-        let (verdict, limited) = match (&r.tenant, limits) {
-            (Some(name), Some(t)) => {
-                let limit = TenantLimit { rate: t.rate, burst: t.burst };
-                (self.quota.admit(now, name, &limit, asked), limit.rate > 0.0)
+    /// Charges a request to its tenant's quota and passes it to its service, rejects it, or lets it wait for a grant.
+    pub(super) fn admit(&mut self, now: f64, id: &RequestId, grant: GrantState, out: &mut Vec<Effect>) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let tenants = self.active_config.tenants();
+        let tenant = request.tenant.as_ref().and_then(|name| Some((name, tenants.get(name)?)));
+        let (decision, has_quota) = match tenant {
+            Some((name, tenant)) => {
+                let limit = TenantLimit { rate: tenant.rate, burst: tenant.burst };
+                (self.quota.admit(now, name, &limit, grant), limit.rate > 0.0)
             }
-            _ => (AdmissionDecision::Admit, false),
+            None => (AdmissionDecision::Admit, false),
         };
-        match verdict {
+        match decision {
             AdmissionDecision::Admit => {
-                r.progress.admitted(limited);
+                request.state.admit(has_quota);
                 self.begin(now, id, out);
             }
-            AdmissionDecision::Reject(after) => {
-                let answer = r.progress.limited(after);
-                self.settle(id, answer, out);
+            AdmissionDecision::Reject(retry_after_secs) => {
+                let response = request.state.rate_limit(retry_after_secs);
+                self.settle(id, response, out);
             }
             AdmissionDecision::WaitForGrant => {
-                r.waits = Some((now + ASK_WITHIN, self.quota.next_request_id()));
-                self.waiting.push(id.clone());
-                self.sync(now, out);
-            }
-        }
-    }
-
-    /// The counter has answered the sync of this number, or (0) the wait may be over.
-    pub(super) fn decide_waiting(&mut self, now: f64, answered: u64, out: &mut Vec<Effect>) {
-        if self.waiting.is_empty() {
-            return;
-        }
-        for id in std::mem::take(&mut self.waiting) {
-            let Some(r) = self.requests.get_mut(&id) else { continue };
-            let Some((until, number)) = r.waits else { continue };
-            if now < until && number > answered {
-                self.waiting.push(id);
-                continue;
+                let (until, request_id) = (now + GRANT_TIMEOUT_SECS, self.quota.next_request_id());
+                request.grant_wait = Some(GrantWait { until, request_id });
+                self.awaiting_grant.push(id.clone());
+                self.sync_quota(now, out);
             }
-            r.waits = None;
-            if let Some(tenant) = &r.tenant {
-                self.quota.grant_wait_ended(tenant);
-            }
-            let asked = if number <= answered { GrantState::Answered } else { GrantState::TimedOut };
-            self.admit(now, &id, asked, out);
         }
     }
 
+    /// Passes an admitted request to its service.
     fn begin(&mut self, now: f64, id: &RequestId, out: &mut Vec<Effect>) {
-        let Some(r) = self.requests.get(id) else { return };
-        let (name, sort, left) = (Arc::clone(&r.service), r.sort.clone(), r.deadline - now);
+        let Some(request) = self.requests.get(id) else { return };
+        let (name, class) = (Arc::clone(&request.service), request.class.clone());
+        let remaining_secs = request.dispatch_deadline - now;
         let mut actions = Vec::new();
         if let Some(service) = self.services.get_mut(&name) {
-            service.request(now, id, &sort, left, &mut actions);
+            service.on_request(now, id, &class, remaining_secs, &mut actions);
         }
-        self.carry_out(now, &name, actions, out);
-        self.turn_over(id, out);
+        self.apply_actions(now, &name, actions, out);
+        self.give_up_if_stalled(id, out);
     }
 
-    /// Carries out what a service's module decided.
-    pub(super) fn carry_out(
+    /// Carries out the actions of a service's decision module, in their order.
+    pub(super) fn apply_actions(
         &mut self,
         now: f64,
-        name: &Arc<str>,
+        service: &Arc<str>,
         actions: Vec<Action>,
         out: &mut Vec<Effect>,
     ) {
         for action in actions {
             match action {
-                Action::Send { id, host, timeout } => {
-                    let Some(r) = self.requests.get_mut(&id) else { continue };
-                    let sending = r.progress.dispatch(now);
-                    self.loads.begins(now, &host.0);
-                    let attempt = match sending {
-                        DispatchDecision::Send(attempt) => attempt,
-                        DispatchDecision::Withhold(attempt) => {
-                            self.on_attempt_end(now, AttemptReport::not_sent(&id, attempt, &host), out);
-                            continue;
-                        }
-                    };
-                    let left = (r.deadline + MARGIN - now).max(0.0);
-                    let within = timeout.map_or(left, |t| t.as_secs_f64().min(left));
-                    if let Some(service) = self.services.get_mut(name) {
-                        service.sent(now, attempt == 0, &self.budget);
-                    }
-                    let Some(worker) = self.registry.get(&host.0) else {
-                        self.on_attempt_end(now, AttemptReport::not_sent(&id, attempt, &host), out);
-                        continue;
-                    };
-                    let address = worker.address;
-                    out.push(Effect::Dispatch { id, attempt, worker: host, address, timeout_secs: within });
-                }
+                Action::Send { id, host, timeout } => self.dispatch(now, service, id, host, timeout, out),
                 Action::Cancel { id, attempt } => {
-                    // What may run only once is never broken off.
-                    if self.requests.get(&id).is_some_and(|r| r.progress.is_repeatable()) {
+                    // The worker may have run it: one that may run only once is never cancelled.
+                    if self.requests.get(&id).is_some_and(|r| r.state.is_idempotent()) {
                         out.push(Effect::CancelAttempt(id, attempt));
                     }
                 }
                 Action::Refuse { id, stay_away } => {
-                    let after = stay_away.map_or(0.1, |s| s.as_secs_f64());
-                    self.gave_up(&id, after, out);
+                    let retry_after_secs = stay_away.map_or(RETRY_AFTER_SECS, |s| s.as_secs_f64());
+                    self.give_up(&id, retry_after_secs, out);
                 }
-                Action::Fail { id } => self.gave_up(&id, 0.1, out),
+                Action::Fail { id } => self.give_up(&id, RETRY_AFTER_SECS, out),
                 Action::Close { host } => out.push(Effect::CloseIdleConnections(host)),
                 Action::Count { .. } | Action::Probe { .. } | Action::Timer { .. } | Action::Subscribe => {}
             }
         }
     }
 
-    /// The module has given a request up: its client hears what is true of it.
-    fn gave_up(&mut self, id: &RequestId, after: f64, out: &mut Vec<Effect>) {
-        let Some(r) = self.requests.get_mut(id) else { return };
-        let answer = r.progress.give_up(after * (0.75 + 0.5 * self.rng.f64()));
-        self.settle(id, answer, out);
+    /// Dispatches an attempt, or ends it at once if the request's state or the registry does not allow it.
+    fn dispatch(
+        &mut self,
+        now: f64,
+        service: &Arc<str>,
+        id: RequestId,
+        worker: HostId,
+        timeout: Option<Duration>,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let decision = request.state.begin_attempt(now);
+        self.loads.begin_attempt(now, &worker.0);
+        let attempt = match decision {
+            DispatchDecision::Send(attempt) => attempt,
+            DispatchDecision::Withhold(attempt) => {
+                return self.on_attempt_end(now, AttemptReport::not_sent(&id, attempt, &worker), out);
+            }
+        };
+        let remaining_secs = (request.dispatch_deadline + DISPATCH_MARGIN_SECS - now).max(0.0);
+        let timeout_secs = timeout.map_or(remaining_secs, |t| t.as_secs_f64().min(remaining_secs));
+        if let Some(service) = self.services.get_mut(service) {
+            service.record_attempt(now, attempt == 0, &self.retry_budget);
+        }
+        let Some(address) = self.registry.get(&worker.0).map(|w| w.address) else {
+            return self.on_attempt_end(now, AttemptReport::not_sent(&id, attempt, &worker), out);
+        };
+        out.push(Effect::Dispatch { id, attempt, worker, address, timeout_secs });
+    }
+
+    /// The decision module has given a request up. Retry delays are spread by a quarter either way, so that clients do
+    /// not come back all at once.
+    fn give_up(&mut self, id: &RequestId, retry_after_secs: f64, out: &mut Vec<Effect>) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let response = request.state.give_up(retry_after_secs * (0.75 + 0.5 * self.rng.f64()));
+        self.settle(id, response, out);
     }
 
-    /// All that the module decided at once is carried out.
-    fn turn_over(&mut self, id: &RequestId, out: &mut Vec<Effect>) {
-        let Some(r) = self.requests.get_mut(id) else { return };
-        let answer = r.progress.turn_over(0.1);
-        self.settle(id, answer, out);
+    /// All actions are carried out: a request that nothing would move forward is given up.
+    fn give_up_if_stalled(&mut self, id: &RequestId, out: &mut Vec<Effect>) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let response = request.state.give_up_if_stalled(RETRY_AFTER_SECS);
+        self.settle(id, response, out);
     }
 
-    pub(super) fn settle(&mut self, id: &RequestId, answer: Option<FinalResponse>, out: &mut Vec<Effect>) {
-        let Some(r) = self.requests.get_mut(id) else { return };
-        out.extend(answer.map(|answer| Effect::Respond(id.clone(), answer)));
-        let due = r.progress.settle();
-        if let Some(tenant) = r.tenant.as_ref().filter(|_| due.take_back) {
+    /// Sends the response, if there is one, refunds the quota, if that is due, and drops a finished request.
+    pub(super) fn settle(&mut self, id: &RequestId, response: Option<FinalResponse>, out: &mut Vec<Effect>) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        out.extend(response.map(|response| Effect::Respond(id.clone(), response)));
+        let settlement = request.state.settle();
+        if let Some(tenant) = request.tenant.as_ref().filter(|_| settlement.refund) {
             self.quota.refund(tenant);
         }
-        if due.over {
+        if settlement.is_finished {
             self.requests.remove(id);
         }
     }
 
-    /// An attempt has ended.
-    pub fn on_attempt_end(&mut self, now: f64, ended: AttemptReport<'_>, out: &mut Vec<Effect>) {
-        let AttemptReport { id, attempt, worker, ending, response_ok } = ended;
-        let Some(r) = self.requests.get_mut(id) else { return };
-        let Some(ended) = r.progress.ended(attempt, ending, response_ok) else { return };
-        self.loads.ends(now, &worker.0);
-        let (name, done, sent) = (Arc::clone(&r.service), r.progress.is_answered(), ended.sent);
-        let may = r.progress.may_go_again() && now < r.deadline;
-        self.settle(id, ended.answer, out);
+    /// Handles the end of an attempt. One that is not in flight any more is ignored.
+    pub fn on_attempt_end(&mut self, now: f64, report: AttemptReport<'_>, out: &mut Vec<Effect>) {
+        let AttemptReport { id, attempt, worker, ending, response_ok } = report;
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(ended) = request.state.end_attempt(attempt, ending, response_ok) else { return };
+        self.loads.end_attempt(now, &worker.0);
+        let (name, is_answered) = (Arc::clone(&request.service), request.state.is_answered());
+        let may_retry = request.state.can_dispatch() && now < request.dispatch_deadline;
+        self.settle(id, ended.response, out);
         let mut actions = Vec::new();
         if let Some(service) = self.services.get_mut(&name) {
-            let further = if may { service.further(now, &self.budget, self.gates) } else { 0.0 };
-            service.ended(now, (id, attempt, worker), ending, (done, now - sent), further, &mut actions);
+            let retries = match may_retry {
+                true => service.available_retries(now, &self.retry_budget, self.edge_count),
+                false => 0.0,
+            };
+            let elapsed_secs = now - ended.dispatched_at;
+            let result = AttemptResult { id, attempt, worker, ending, is_answered, elapsed_secs };
+            service.on_attempt_end(now, result, retries, &mut actions);
         }
-        self.carry_out(now, &name, actions, out);
-        self.turn_over(id, out);
+        self.apply_actions(now, &name, actions, out);
+        self.give_up_if_stalled(id, out);
     }
 
-    /// The client has left. What may run only once is left to end by itself.
+    /// Handles the disconnect of a request's client. Attempts in flight are cancelled if the request is idempotent;
+    /// otherwise they end by themselves.
     pub fn on_client_disconnect(&mut self, now: f64, id: &RequestId, out: &mut Vec<Effect>) {
-        let Some(r) = self.requests.get_mut(id) else { return };
-        let may_call_off = r.progress.leave();
-        if r.waits.take().is_some() {
-            if let Some(tenant) = &r.tenant {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        let may_cancel = request.state.client_disconnected();
+        if request.grant_wait.take().is_some() {
+            if let Some(tenant) = &request.tenant {
                 self.quota.grant_wait_ended(tenant);
             }
         }
-        if !may_call_off {
+        if !may_cancel {
             return;
         }
-        let name = Arc::clone(&r.service);
+        let name = Arc::clone(&request.service);
         let mut actions = Vec::new();
         if let Some(service) = self.services.get_mut(&name) {
-            service.left(now, id, &mut actions);
+            service.on_client_disconnect(now, id, &mut actions);
         }
-        self.carry_out(now, &name, actions, out);
+        self.apply_actions(now, &name, actions, out);
         self.settle(id, None, out);
     }
-
-    /// A worker that is not there any more: another one answered in its place.
-    pub fn on_misdirected(&mut self, now: f64, worker: &HostId, out: &mut Vec<Effect>) {
-        let Some(held) = self.registry.get(&worker.0) else { return };
-        let gone =
-            crate::discovery::Worker { phase: crate::discovery::WorkerPhase::Unresponsive, ..held.clone() };
-        tracing::warn!(worker = %worker.0, "another worker has its address");
-        self.workers(now, vec![gone], out);
-    }
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -309,8 +309,9 @@
         expect_that!(seen.out.len(), eq(usize::from(taken)), "{n}");
         expect_that!(matches!(seen.answer, Some(FinalResponse::NotExecuted(_))), eq(!taken), "{n}");
         // Its worker is to be done before the drain is.
-        let left = day.edge.work_time_for(day.now, 1.0);
-        expect_that!(at + left, le(drain.ends_at - 0.1));
+        let route = day.edge.active_config.route("a.example", "/once/x").cloned().expect("a route");
+        let limits = day.edge.time_limits(day.now, &route, 1.0);
+        expect_that!(at + limits.upstream_secs, le(drain.ends_at - 0.1));
         if let Some((id, attempt)) = day.any() {
             day.ended(&id, attempt, Ending::Ok, Some(true));
         }
--- a/crates/gateway/src/data_plane/retry_budget.rs
+++ b/crates/gateway/src/data_plane/retry_budget.rs
@@ -1,68 +1,71 @@
-//! Owns the budget of further tries at one gatekeeper: in every window, over all gatekeepers together, a service gets
-//! no more arrivals beyond the first of each request than a ratio of its requests and a slack. Pure; time is passed
-//! in. It must never spend slack before it was told how many gatekeepers there are, nor what a former life of this one may
-//! have spent.
+//! The retry budget of one upstream service at this edge node.
+//!
+//! Invariant: in every window, over all edge nodes together, a service receives no more retries and hedged requests
+//! than `ratio` of its first attempts, plus `slack`. To keep it, a node spends no slack before it knows how many edge
+//! nodes there are, nor before an earlier incarnation's share of a window has expired.
 
 use std::collections::VecDeque;
 
-/// What it goes by, from the settings.
+/// Limits of the retry budget, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Further tries per request.
+    /// Retries for each first attempt in the window.
     pub ratio: f64,
-    /// Over so many seconds.
-    pub window: f64,
-    /// Further tries beyond, over all gatekeepers.
+    /// Length of the sliding window, in seconds.
+    pub window_secs: f64,
+    /// Retries in each window beyond the ratio, over all edge nodes.
     pub slack: f64,
-    /// Not before then: a former life of this gatekeeper may have spent its part of a window.
-    pub slack_from: f64,
+    /// Time from which slack may be spent: an earlier incarnation of this node may have spent its share before.
+    pub slack_available_at: f64,
 }
 
-/// Part of what is allowed that is used: requests of a gatekeeper that dies count for nobody.
-const USED: f64 = 0.8;
+/// Part of the allowance that is used. The rest covers first attempts of edge nodes that crash: they count nowhere.
+const USED_FRACTION: f64 = 0.8;
 
-/// Fewer gatekeepers than before count only after so long: core machines that have just started know of few, and those
-/// that can't be heard go on with their part. Seconds.
-const GATES_KEPT: f64 = 60.0;
+/// A lower number of edge nodes counts only after so long, in seconds: core nodes that have just started know of few,
+/// while those that can't be heard keep spending their share.
+const EDGE_COUNT_HOLD_SECS: f64 = 60.0;
 
-/// Further tries for one service at this gatekeeper.
+/// Retries of one service at this edge node.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    firsts: VecDeque<f64>,
-    further: VecDeque<f64>,
-    /// The most gatekeepers that there were lately, and when that was said last.
-    gates: (u32, f64),
+    /// When first attempts were sent, within the window.
+    first_attempts: VecDeque<f64>,
+    /// When retries were sent, within the window.
+    retries: VecDeque<f64>,
+    /// The highest number of edge nodes lately, and when it was last reported.
+    edge_count: (u32, f64),
 }
 
 impl RetryBudget {
-    fn turn(queue: &mut VecDeque<f64>, now: f64, window: f64) {
-        while queue.front().is_some_and(|at| now - at > window) {
-            queue.pop_front();
+    fn drop_expired(times: &mut VecDeque<f64>, now: f64, window_secs: f64) {
+        while times.front().is_some_and(|at| now - at > window_secs) {
+            times.pop_front();
         }
     }
 
-    /// A first try went out.
-    pub fn first(&mut self, now: f64, terms: &RetryBudgetConfig) {
-        Self::turn(&mut self.firsts, now, terms.window);
-        self.firsts.push_back(now);
+    /// Records a first attempt.
+    pub fn record_first_attempt(&mut self, now: f64, config: &RetryBudgetConfig) {
+        Self::drop_expired(&mut self.first_attempts, now, config.window_secs);
+        self.first_attempts.push_back(now);
     }
 
-    /// Further ones that may go out now, with so many gatekeepers at the most (0: not known).
-    pub fn room(&mut self, now: f64, terms: &RetryBudgetConfig, gates: u32) -> f64 {
-        Self::turn(&mut self.firsts, now, terms.window);
-        Self::turn(&mut self.further, now, terms.window);
-        if gates >= self.gates.0 || now - self.gates.1 > GATES_KEPT {
-            self.gates = (gates, now);
+    /// Number of retries that may be sent now, given the number of edge nodes (0: not known).
+    pub fn available(&mut self, now: f64, config: &RetryBudgetConfig, edge_count: u32) -> f64 {
+        Self::drop_expired(&mut self.first_attempts, now, config.window_secs);
+        Self::drop_expired(&mut self.retries, now, config.window_secs);
+        if edge_count >= self.edge_count.0 || now - self.edge_count.1 > EDGE_COUNT_HOLD_SECS {
+            self.edge_count = (edge_count, now);
         }
-        let told = gates > 0 && now >= terms.slack_from;
-        let slack = if told { terms.slack / f64::from(self.gates.0) } else { 0.0 };
-        let most = USED * (terms.ratio * self.firsts.len() as f64 + slack);
-        (most - self.further.len() as f64).max(0.0).floor()
+        let may_spend_slack = edge_count > 0 && now >= config.slack_available_at;
+        let slack = if may_spend_slack { config.slack / f64::from(self.edge_count.0) } else { 0.0 };
+        let allowance = USED_FRACTION * (config.ratio * self.first_attempts.len() as f64 + slack);
+        (allowance - self.retries.len() as f64).max(0.0).floor()
     }
 
-    /// A further one went out.
-    pub fn spent(&mut self, now: f64) {
-        self.further.push_back(now);
+    /// Records a retry.
+    pub fn record_retry(&mut self, now: f64) {
+        self.retries.push_back(now);
     }
 }
 
--- a/crates/gateway/src/data_plane/retry_budget_tests.rs
+++ b/crates/gateway/src/data_plane/retry_budget_tests.rs
@@ -1,97 +1,103 @@
-//! What all gatekeepers together spend, whoever of them starts anew, and whatever they are told of each other.
+//! Retries of all edge nodes together, across restarts and wrong numbers of edge nodes.
 
 use super::*;
 use googletest::prelude::*;
 
-const TERMS: RetryBudgetConfig = RetryBudgetConfig { ratio: 0.2, window: 10.0, slack: 60.0, slack_from: 0.0 };
+const CONFIG: RetryBudgetConfig =
+    RetryBudgetConfig { ratio: 0.2, window_secs: 10.0, slack: 60.0, slack_available_at: 0.0 };
 
-/// A gatekeeper that spends all that it may.
+/// An edge node that spends its whole budget.
 #[derive(Default)]
-struct Gate {
+struct EdgeBudget {
     budget: RetryBudget,
-    slack_from: f64,
+    slack_available_at: f64,
 }
 
-/// Everybody's first and further tries, with their times.
+/// When all edge nodes sent first attempts and retries.
 #[derive(Default)]
-struct Seen {
-    firsts: Vec<f64>,
-    further: Vec<f64>,
+struct Observed {
+    first_attempts: Vec<f64>,
+    retries: Vec<f64>,
 }
 
-impl Seen {
-    /// The most that a window held, over what the rule allows there.
+impl Observed {
+    /// The largest excess over the allowance in any window.
     fn excess(&self) -> f64 {
         let within = |all: &[f64], from: f64| {
-            all.partition_point(|t| *t < from + TERMS.window) - all.partition_point(|t| *t < from)
+            all.partition_point(|t| *t < from + CONFIG.window_secs) - all.partition_point(|t| *t < from)
         };
         let over = |at: &f64| {
-            let windows = [0.0, 0.5, 1.0].map(|back| within(&self.firsts, at - back * TERMS.window));
-            let firsts = windows.into_iter().max().unwrap_or(0) as f64;
-            within(&self.further, *at) as f64 - (TERMS.ratio * firsts + TERMS.slack)
+            let windows =
+                [0.0, 0.5, 1.0].map(|back| within(&self.first_attempts, at - back * CONFIG.window_secs));
+            let first_attempts = windows.into_iter().max().unwrap_or(0) as f64;
+            within(&self.retries, *at) as f64 - (CONFIG.ratio * first_attempts + CONFIG.slack)
         };
-        self.further.iter().map(over).fold(f64::NEG_INFINITY, f64::max)
+        self.retries.iter().map(over).fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
-/// Plays a minute and a half: each gatekeeper gets requests, and as many of them fail as may be tried again.
-/// `told`: how many gatekeepers a gatekeeper is told of at a time.
-fn play(gates: usize, rate: f64, restarts: &[(f64, usize)], told: impl Fn(usize, f64) -> u32) -> Seen {
-    let (mut all, mut seen) = (Vec::new(), Seen::default());
-    all.resize_with(gates, Gate::default);
+/// Simulates 90 s in which each edge node retries as often as its budget allows. `reported`: the number of edge nodes
+/// that a node is told at a time.
+fn simulate(
+    edge_count: usize,
+    rate: f64,
+    restarts: &[(f64, usize)],
+    reported: impl Fn(usize, f64) -> u32,
+) -> Observed {
+    let (mut all, mut observed) = (Vec::new(), Observed::default());
+    all.resize_with(edge_count, EdgeBudget::default);
     for step in 0..9000 {
         let now = f64::from(step) * 0.01;
-        for (_, gate) in restarts.iter().filter(|(at, _)| (*at * 100.0) as i32 == step) {
-            all[*gate] = Gate { slack_from: now + TERMS.window, ..Gate::default() };
+        for (_, node) in restarts.iter().filter(|(at, _)| (*at * 100.0) as i32 == step) {
+            all[*node] = EdgeBudget { slack_available_at: now + CONFIG.window_secs, ..EdgeBudget::default() };
         }
-        for (n, gate) in all.iter_mut().enumerate() {
-            let terms = RetryBudgetConfig { slack_from: gate.slack_from, ..TERMS };
+        for (n, node) in all.iter_mut().enumerate() {
+            let config = RetryBudgetConfig { slack_available_at: node.slack_available_at, ..CONFIG };
             let due = (now * rate) as usize > ((now - 0.01) * rate) as usize;
-            if due && (now * rate) as usize % gates == n {
-                gate.budget.first(now, &terms);
-                seen.firsts.push(now);
+            if due && (now * rate) as usize % edge_count == n {
+                node.budget.record_first_attempt(now, &config);
+                observed.first_attempts.push(now);
             }
-            for _ in 0..gate.budget.room(now, &terms, told(n, now)) as usize {
-                gate.budget.spent(now);
-                seen.further.push(now);
+            for _ in 0..node.budget.available(now, &config, reported(n, now)) as usize {
+                node.budget.record_retry(now);
+                observed.retries.push(now);
             }
         }
     }
-    seen
+    observed
 }
 
 #[gtest]
-fn all_together_stay_within_the_budget_however_often_they_start_anew() {
+fn all_edge_nodes_together_stay_within_the_budget_across_restarts() {
     for seed in 0..60 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (gates, rate) = (rng.usize(1..9), [0.0, 5.0, 60.0][rng.usize(0..3)]);
+        let (edge_count, rate) = (rng.usize(1..9), [0.0, 5.0, 60.0][rng.usize(0..3)]);
         let mut restarts = Vec::new();
         for _ in 0..rng.usize(0..4) {
-            // Most of them together, as after a loss of power.
+            // Most of them at once, as after a power failure.
             let at = 80.0 * rng.f64();
-            restarts.extend((0..gates).filter(|_| rng.u32(0..5) > 0).map(|n| (at, n)));
+            restarts.extend((0..edge_count).filter(|_| rng.u32(0..5) > 0).map(|n| (at, n)));
         }
-        let seen = play(gates, rate, &restarts, |_, _| gates as u32);
+        let observed = simulate(edge_count, rate, &restarts, |_, _| edge_count as u32);
         assert_that!(
-            seen.excess(),
+            observed.excess(),
             le(0.0),
-            "seed {seed}: {gates} gatekeepers, {rate} a second, {restarts:?}"
+            "seed {seed}: {edge_count} edge nodes, {rate} requests/s, {restarts:?}"
         );
-        // And most of it is used: what is held back is held back for a reason.
+        // Most of the allowance is used.
         if restarts.is_empty() {
-            assert_that!(seen.further.len() as f64, ge(0.7 * (0.2 * 90.0 * rate + 6.0 * TERMS.slack)));
+            assert_that!(observed.retries.len() as f64, ge(0.7 * (0.2 * 90.0 * rate + 6.0 * CONFIG.slack)));
         }
     }
 }
 
 #[gtest]
-fn a_core_that_has_just_started_and_knows_of_few_raises_nobodys_part() {
-    // The core was started anew at 20, and two of eight reach it for half a minute; the others go on by what they
-    // were told before.
-    let told = |n: usize, now: f64| match now {
+fn a_restarted_core_that_knows_few_edge_nodes_raises_no_share() {
+    // The core restarts at 20 s, and only two of eight edge nodes reach it for 30 s; the others keep the old number.
+    let reported = |n: usize, now: f64| match now {
         now if n >= 2 || !(20.0..50.0).contains(&now) => 8,
         now if now < 22.0 => 0,
         _ => 2,
     };
-    expect_that!(play(8, 5.0, &[], told).excess(), le(0.0));
+    expect_that!(simulate(8, 5.0, &[], reported).excess(), le(0.0));
 }
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -1,9 +1,11 @@
-//! Owns one service at a gatekeeper: its decision module (`whinstall::Gateway`), fed with the workers that are known
-//! and with what becomes of requests, and its budget of further tries. It must never know a socket, and never let the
-//! module send a further try that the budget over all gatekeepers does not allow.
+//! One upstream service at an edge node: its decision module ([`whinstall::Gateway`]), fed with the known workers and
+//! with the progress of requests, and its retry budget.
+//!
+//! The service knows no sockets. It passes the budget's allowance to the module with each event, so that the module
+//! never asks for a retry that the budget over all edge nodes does not cover.
 
 use crate::data_plane::retry_budget::{RetryBudget, RetryBudgetConfig};
-use crate::discovery::{WorkerPhase, WorkerRegistry};
+use crate::discovery::{Worker, WorkerPhase, WorkerRegistry};
 use std::sync::Arc;
 use std::time::Duration;
 use whinstall::{
@@ -11,50 +13,81 @@
     ListScope, LoadReports, Plan, RequestId, Settings,
 };
 
-/// A cold worker's part of its capacity.
-const COLD_SHARE: f64 = 0.5;
-/// Workers are cold for about so long; what each says of itself goes before this.
-const WARM_AFTER: f64 = 3.0;
+/// Part of its capacity that a worker has while it warms up (slow start).
+const WARMUP_CAPACITY_SHARE: f64 = 0.5;
+/// Duration of slow start, in seconds. A worker's own word on when it is warm takes precedence.
+const WARMUP_SECS: f64 = 3.0;
 
-/// Candidates that are compared for an attempt: what other gatekeepers have out is known, so the best of many is good.
-const COMPARED: usize = 6;
+/// Candidates that are compared for an attempt. As the attempts of other edge nodes are known, the best of many is good.
+const CANDIDATES_COMPARED: usize = 6;
 
-/// Each route has its own bound below this.
-const ATTEMPTS_MOST: u32 = 4;
+/// Upper bound on the attempts of a request; each route has its own bound below this.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// A class of requests: what the module tells apart.
+/// The single plan and customer that the module knows: quotas are decided before it.
+const ONLY_PLAN: &str = "all";
+
+/// What the decision module distinguishes requests by.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// May they run more than once?
-    pub repeatable: bool,
-    /// Full worth within this.
-    pub target: Duration,
-    /// 0 is the highest.
-    pub rank: u32,
+    /// Whether they may run more than once.
+    pub is_idempotent: bool,
+    /// Latency target: a response within it has its full value.
+    pub latency_target: Duration,
+    /// Priority; 0 is the highest.
+    pub priority: u32,
 }
 
 impl RequestClass {
     fn name(&self) -> String {
-        format!("{}-{}-{}", if self.repeatable { 'r' } else { 'o' }, self.target.as_millis(), self.rank)
+        let kind = if self.is_idempotent { 'r' } else { 'o' };
+        format!("{kind}-{}-{}", self.latency_target.as_millis(), self.priority)
+    }
+
+    fn to_module_class(&self) -> Class {
+        Class {
+            name: self.name(),
+            aim: self.latency_target,
+            gain: 1.0 / f64::from(self.priority + 1),
+            late_worth: 0.1,
+            idempotency: if self.is_idempotent { Idempotency::Repeatable } else { Idempotency::Once },
+            key_window: Duration::ZERO,
+        }
     }
 }
 
-/// A service.
+/// An attempt that has ended, for the decision module.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptResult<'a> {
+    /// The request.
+    pub id: &'a RequestId,
+    /// Number of the attempt.
+    pub attempt: u32,
+    /// The worker.
+    pub worker: &'a HostId,
+    /// How it ended.
+    pub ending: Ending,
+    /// Whether the request is answered.
+    pub is_answered: bool,
+    /// Seconds since it was dispatched.
+    pub elapsed_secs: f64,
+}
+
+/// A service, as this edge node sees it.
 pub struct UpstreamService {
     name: Arc<str>,
     module: Gateway,
     settings: Settings,
-    sorts: Vec<RequestClass>,
-    budget: RetryBudget,
-    /// When the module's timer is due.
-    pub due: f64,
+    classes: Vec<RequestClass>,
+    retry_budget: RetryBudget,
+    /// When the module's timer is due, in seconds of the clock that is passed in; infinite: not set.
+    pub timer_at: f64,
 }
 
-const ALL: &str = "all";
-
-fn settings(zone: &str, ordinal: u32, gates: u32) -> Settings {
+/// The module's settings; request classes are added as they occur.
+fn module_settings(zone: &str, ordinal: u32, edge_count: u32) -> Settings {
     let plan = Plan {
-        name: ALL.into(),
+        name: ONLY_PLAN.into(),
         rate: 0.0,
         burst: 1.0,
         at_once: 0,
@@ -66,7 +99,7 @@
         beyond_costs: 1.0,
     };
     Settings {
-        replicas: gates.max(1),
+        replicas: edge_count.max(1),
         ordinal,
         zone: zone.into(),
         classes: Vec::new(),
@@ -78,157 +111,152 @@
         may_cancel: true,
         may_duplicate: true,
         may_probe: false,
-        max_attempts: ATTEMPTS_MOST,
+        max_attempts: MAX_ATTEMPTS,
         retry_after: true,
         max_retry_after: Duration::from_secs(1),
         on_request: false,
         load_reports: LoadReports::Off,
-        cold_share: COLD_SHARE,
+        cold_share: WARMUP_CAPACITY_SHARE,
         tip_multiple: 2.0,
         fall: Duration::from_secs(1),
-        warm_after: Duration::from_secs_f64(WARM_AFTER),
+        warm_after: Duration::from_secs_f64(WARMUP_SECS),
         cross_zone_price: 1.0,
         probe_price: 0.0,
     }
 }
 
-fn span(seconds: f64) -> Duration {
-    Duration::try_from_secs_f64(seconds).unwrap_or_default()
+/// The duration of so many seconds; zero if it is negative, infinite or not a number.
+fn duration(secs: f64) -> Duration {
+    Duration::try_from_secs_f64(secs).unwrap_or_default()
 }
 
 impl UpstreamService {
-    /// One of which no worker is known.
-    pub fn new(name: Arc<str>, zone: &str, ordinal: u32, gates: u32, seed: u64) -> Self {
-        let settings = settings(zone, ordinal, gates);
+    /// A service of which no worker is known.
+    pub fn new(name: Arc<str>, zone: &str, ordinal: u32, edge_count: u32, seed: u64) -> Self {
+        let settings = module_settings(zone, ordinal, edge_count);
         let mut module = Gateway::new(settings.clone(), seed);
-        module.compare(COMPARED);
+        module.compare(CANDIDATES_COMPARED);
         UpstreamService {
             name,
             module,
             settings,
-            sorts: Vec::new(),
-            budget: RetryBudget::default(),
-            due: f64::INFINITY,
+            classes: Vec::new(),
+            retry_budget: RetryBudget::default(),
+            timer_at: f64::INFINITY,
         }
     }
 
-    /// How many gatekeepers there are.
-    pub fn set_edge_count(&mut self, gates: u32) {
-        if self.settings.replicas != gates.max(1) {
-            self.settings.replicas = gates.max(1);
+    /// Sets the number of edge nodes; 0: not known.
+    pub fn set_edge_count(&mut self, edge_count: u32) {
+        if self.settings.replicas != edge_count.max(1) {
+            self.settings.replicas = edge_count.max(1);
             self.module.retune(self.settings.clone());
         }
     }
 
-    /// The workers that may be sent to.
-    pub fn workers(&mut self, now: f64, registry: &WorkerRegistry, out: &mut Vec<Action>) {
-        let mine = registry.all().filter(|w| w.service == self.name && w.phase == WorkerPhase::Serving);
-        let entry = |w: &crate::discovery::Worker| HostEntry {
+    /// Sets the workers that may receive requests: those in the registry that serve this service.
+    pub fn set_workers(&mut self, now: f64, registry: &WorkerRegistry, out: &mut Vec<Action>) {
+        let serving = registry.all().filter(|w| w.service == self.name && w.phase == WorkerPhase::Serving);
+        let entry = |w: &Worker| HostEntry {
             host: HostId(Arc::clone(&w.id)),
             zone: w.zone.to_string(),
             group: 0,
             kind: Arc::from(""),
             availability: Availability::Ready,
             nominal: f64::from(w.capacity.max(1)),
-            last_start: Some(registry.warm_at(&w.id) - WARM_AFTER).filter(|at| *at > 0.0).map(span),
+            last_start: Some(registry.warm_at(&w.id) - WARMUP_SECS).filter(|at| *at > 0.0).map(duration),
         };
-        let mut entries: Vec<HostEntry> = mine.map(entry).collect();
+        let mut entries: Vec<HostEntry> = serving.map(entry).collect();
         entries.sort_by(|a, b| a.host.cmp(&b.host));
         self.handle(now, Event::Hosts { scope: ListScope::Replace, entries }, 0.0, out);
     }
 
-    /// A request that passed its quota.
-    pub fn request(
+    /// Passes on a request that was admitted and has `remaining_secs` left.
+    pub fn on_request(
         &mut self,
         now: f64,
         id: &RequestId,
-        sort: &RequestClass,
-        left: f64,
+        class: &RequestClass,
+        remaining_secs: f64,
         out: &mut Vec<Action>,
     ) {
-        if !self.sorts.contains(sort) {
-            self.sorts.push(sort.clone());
-            self.settings.classes.push(Class {
-                name: sort.name(),
-                aim: sort.target,
-                gain: 1.0 / f64::from(sort.rank + 1),
-                late_worth: 0.1,
-                idempotency: if sort.repeatable { Idempotency::Repeatable } else { Idempotency::Once },
-                key_window: Duration::ZERO,
-            });
+        if !self.classes.contains(class) {
+            self.classes.push(class.clone());
+            self.settings.classes.push(class.to_module_class());
             self.module.retune(self.settings.clone());
         }
         let request = Event::Request {
             id: id.clone(),
-            class: sort.name(),
-            plan: ALL.into(),
-            customer: CustomerId(ALL.into()),
-            budget: span(left),
+            class: class.name(),
+            plan: ONLY_PLAN.into(),
+            customer: CustomerId(ONLY_PLAN.into()),
+            budget: duration(remaining_secs),
             units: 1.0,
             width: 1,
         };
         self.handle(now, request, 0.0, out);
     }
 
-    /// An attempt has ended; `further`: may the request have another one by its own rules?
-    pub fn ended(
+    /// Passes on the end of an attempt. `retries`: how many retries the budget and the request's own state allow.
+    pub fn on_attempt_end(
         &mut self,
         now: f64,
-        (id, attempt, host): (&RequestId, u32, &HostId),
-        ending: Ending,
-        (done, delay): (bool, f64),
-        further: f64,
+        result: AttemptResult<'_>,
+        retries: f64,
         out: &mut Vec<Action>,
     ) {
-        let (delay, cost, metered) = (span(delay), 0.0, None);
-        let (id, host) = (id.clone(), host.clone());
-        self.handle(
-            now,
-            Event::Outcome { id, attempt, host, ending, done, delay, cost, metered },
-            further,
-            out,
-        );
+        let outcome = Event::Outcome {
+            id: result.id.clone(),
+            attempt: result.attempt,
+            host: result.worker.clone(),
+            ending: result.ending,
+            done: result.is_answered,
+            delay: duration(result.elapsed_secs),
+            cost: 0.0,
+            metered: None,
+        };
+        self.handle(now, outcome, retries, out);
     }
 
-    /// Attempts that other gatekeepers have out at a worker.
-    pub fn elsewhere(&mut self, worker: &Arc<str>, attempts: u32) {
+    /// Sets the attempts that other edge nodes have in flight at a worker.
+    pub fn set_in_flight_elsewhere(&mut self, worker: &Arc<str>, attempts: u32) {
         self.module.out_elsewhere(&HostId(Arc::clone(worker)), attempts);
     }
 
-    /// The client has left.
-    pub fn left(&mut self, now: f64, id: &RequestId, out: &mut Vec<Action>) {
+    /// Passes on that a request's client has disconnected.
+    pub fn on_client_disconnect(&mut self, now: f64, id: &RequestId, out: &mut Vec<Action>) {
         self.handle(now, Event::Departed { id: id.clone() }, 0.0, out);
     }
 
-    /// What is due.
-    pub fn tick(&mut self, now: f64, further: f64, out: &mut Vec<Action>) {
-        if now >= self.due {
-            self.due = f64::INFINITY;
-            self.handle(now, Event::Timer { token: "tick".into() }, further, out);
+    /// Runs the module's timer if it is due.
+    pub fn tick(&mut self, now: f64, retries: f64, out: &mut Vec<Action>) {
+        if now >= self.timer_at {
+            self.timer_at = f64::INFINITY;
+            self.handle(now, Event::Timer { token: "tick".into() }, retries, out);
         }
     }
 
-    fn handle(&mut self, now: f64, event: Event, further: f64, out: &mut Vec<Action>) {
-        self.module.allow_further(further);
-        let from = out.len();
-        self.module.handle(span(now), event, out);
-        for action in &out[from..] {
+    fn handle(&mut self, now: f64, event: Event, retries: f64, out: &mut Vec<Action>) {
+        self.module.allow_further(retries);
+        let before = out.len();
+        self.module.handle(duration(now), event, out);
+        for action in &out[before..] {
             if let Action::Timer { after, .. } = action {
-                self.due = self.due.min(now + after.as_secs_f64());
+                self.timer_at = self.timer_at.min(now + after.as_secs_f64());
             }
         }
     }
 
-    /// Further tries that the budget has left.
-    pub fn further(&mut self, now: f64, terms: &RetryBudgetConfig, gates: u32) -> f64 {
-        self.budget.room(now, terms, gates)
+    /// Number of retries that the budget allows now.
+    pub fn available_retries(&mut self, now: f64, config: &RetryBudgetConfig, edge_count: u32) -> f64 {
+        self.retry_budget.available(now, config, edge_count)
     }
 
-    /// An attempt goes out: the first of its request or a further one.
-    pub fn sent(&mut self, now: f64, first: bool, terms: &RetryBudgetConfig) {
-        match first {
-            true => self.budget.first(now, terms),
-            false => self.budget.spent(now),
+    /// Records that an attempt is sent; `is_first`: it is its request's first one.
+    pub fn record_attempt(&mut self, now: f64, is_first: bool, config: &RetryBudgetConfig) {
+        match is_first {
+            true => self.retry_budget.record_first_attempt(now, config),
+            false => self.retry_budget.record_retry(now),
         }
     }
 }
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -278,8 +278,8 @@
                 headers.remove(name);
             }
         }
-        let time = route.cutoff.map_or(left, |c| left.min(c)).as_secs_f64();
-        let time = self.edge.state.borrow().work_time_for(self.edge.clock.now(), time).max(0.0);
+        let now = self.edge.clock.now();
+        let limits = self.edge.state.borrow().time_limits(now, &route, left.as_secs_f64());
         let forward = Rc::new(ForwardedRequest {
             method: head.method().clone(),
             uri: head.uri().clone(),
@@ -287,7 +287,7 @@
             body,
             id: attempt_id,
             repeatable: route.repeatable,
-            deadline: Instant::now() + Duration::from_secs_f64(time),
+            deadline: Instant::now() + Duration::from_secs_f64(limits.upstream_secs.max(0.0)),
         });
         let id = RequestId(self.next.get().to_string().into());
         self.next.set(self.next.get() + 1);
