--- a/crates/gateway/src/data_plane/core_links.rs
+++ b/crates/gateway/src/data_plane/core_links.rs
@@ -17,9 +17,9 @@
     pub(super) is_up: bool,
     /// When the last message came on the present connection.
     pub(super) last_heard_at: f64,
-    /// The quota leader, by this node's last word.
+    /// The quota leader, as this core node last reported it.
     pub(super) quota_leader: Option<IpAddr>,
-    /// The number of edge nodes, by this node's last word.
+    /// The number of edge nodes, as this core node last reported it.
     edge_count: u32,
     /// Core nodes that it named.
     core_nodes: Vec<IpAddr>,
--- a/crates/gateway/src/data_plane/links_tests.rs
+++ b/crates/gateway/src/data_plane/core_links_tests.rs
@@ -1,4 +1,4 @@
-//! Which core machines a gatekeeper reaches for.
+//! Which core nodes an edge node connects to.
 
 use super::{EdgeNode, Effect, Event, TICK_SECS};
 use crate::protocol::{NodeLocation, PeerMessage};
@@ -10,33 +10,34 @@
     [10, 0, 1, n].into()
 }
 
-fn members(of: &[u8]) -> PeerMessage {
+fn core_nodes(of: &[u8]) -> PeerMessage {
     PeerMessage::CoreNodes(
         of.iter().map(|n| NodeLocation { ip: ip(*n), zone: "a".into(), region: "r".into() }).collect(),
     )
 }
 
-/// Guards a gatekeeper whose core machine was replaced, and its address given to something that takes connections and
-/// talks of something else: that address is not reached for any more; seeds and machines that are named always are.
+/// A core node was replaced, and its address now belongs to a program that accepts connections but is no core node: that
+/// address is given up. Seeds and core nodes that others name are kept.
 #[gtest]
-fn an_address_that_belongs_to_somebody_else_is_forgotten() {
+fn an_address_reused_by_another_program_is_disconnected() {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     settings.seeds = vec![(ip(1), 80).into(), (ip(4), 80).into()];
     let mut edge = EdgeNode::new(settings, 1);
     let (mut now, mut out) = (1000.0, Vec::new());
     edge.start(&mut out);
     edge.handle(now, Event::LinkUp(ip(1)), &mut out);
-    edge.handle(now, Event::CoreMessage(ip(1), members(&[1, 2, 3])), &mut out);
-    let reached = |out: &[Effect], n| out.iter().any(|e| matches!(e, Effect::Connect(to) if *to == ip(n)));
-    expect_that!([1, 2, 3, 4].map(|n| reached(&out, n)), eq([true; 4]));
-    edge.handle(now, Event::CoreMessage(ip(1), members(&[1, 3])), &mut out);
+    edge.handle(now, Event::CoreMessage(ip(1), core_nodes(&[1, 2, 3])), &mut out);
+    let is_connected =
+        |out: &[Effect], n| out.iter().any(|e| matches!(e, Effect::Connect(to) if *to == ip(n)));
+    expect_that!([1, 2, 3, 4].map(|n| is_connected(&out, n)), eq([true; 4]));
+    edge.handle(now, Event::CoreMessage(ip(1), core_nodes(&[1, 3])), &mut out);
     out.clear();
     let mut up = false;
     for tick in 0..1400 {
         now += TICK_SECS;
         edge.handle(now, Event::Tick, &mut out);
-        // The one that is no core machine any more, a seed that is none, and one that is named and down: connections that
-        // are taken, and end after a silence.
+        // Connections to the replaced core node and to a seed that is none are accepted, and end after a silence; core
+        // node 3 is named and down.
         if tick % 33 == 0 {
             up = !up;
             for n in [2, 4] {
@@ -53,10 +54,11 @@
             edge.handle(now, Event::CoreMessage(ip(1), pong), &mut out);
         }
     }
-    let left = |n| out.iter().filter(|e| matches!(e, Effect::Disconnect(from) if *from == ip(n))).count();
-    expect_that!([1, 2, 3, 4].map(left), eq([0, 1, 0, 0]));
-    // Named again, it is reached for again.
+    let disconnects =
+        |n| out.iter().filter(|e| matches!(e, Effect::Disconnect(from) if *from == ip(n))).count();
+    expect_that!([1, 2, 3, 4].map(disconnects), eq([0, 1, 0, 0]));
+    // Named again, it is connected to again.
     out.clear();
-    edge.handle(now, Event::CoreMessage(ip(1), members(&[1, 2, 3])), &mut out);
-    expect_that!(reached(&out, 2), eq(true));
+    edge.handle(now, Event::CoreMessage(ip(1), core_nodes(&[1, 2, 3])), &mut out);
+    expect_that!(is_connected(&out, 2), eq(true));
 }
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -14,13 +14,13 @@
 //! may run only once (see [`request_state`]).
 
 mod core_links;
+#[cfg(test)]
+mod core_links_tests;
 pub mod drain;
 mod events;
 mod load_sharing;
 pub mod load_table;
 pub mod quota_admission;
-#[cfg(test)]
-mod quota_slack_tests;
 mod quota_sync;
 pub mod request_state;
 pub mod requests;
@@ -213,7 +213,3 @@
         self.requests.len()
     }
 }
-
-#[cfg(test)]
-#[path = "links_tests.rs"]
-mod links_tests;
--- /dev/null
+++ b/crates/gateway/src/data_plane/quota_admission/sync.rs
@@ -0,0 +1,185 @@
+//! Syncs with the quota leader: usage is reported, grants and standing shares come back.
+//!
+//! One sync is in flight at a time. Regular ones report every tenant with news; one on demand, only tenants with a
+//! waiting request.
+
+use super::tenant_account::{ReportedUsage, TenantAccount};
+use super::QuotaAdmission;
+use crate::protocol::{TenantGrant, TenantUsage};
+use std::sync::Arc;
+
+/// After the leader was lost, the next sync is due within so many seconds.
+const RETRY_DELAY_SECS: f64 = 0.1;
+
+/// A sync that is not answered.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PendingSync {
+    request_id: u64,
+    sent_at: f64,
+}
+
+impl QuotaAdmission {
+    /// The id of the sync whose answer decides on a request that waits from now on.
+    pub fn next_request_id(&self) -> u64 {
+        self.last_request_id + 1
+    }
+
+    /// Another node leads the quota counter: the next sync reports everything.
+    pub fn resync_all(&mut self) {
+        self.needs_full_sync = true;
+    }
+
+    /// When a sync is next due, in seconds of the clock that is passed in.
+    pub fn next_sync_at(&self, now: f64) -> f64 {
+        match self.pending_sync {
+            Some(PendingSync { sent_at, .. }) if now - sent_at < self.config.sync_timeout_secs => {
+                sent_at + self.config.sync_timeout_secs
+            }
+            _ if self.is_sync_wanted => now,
+            _ => self.next_regular_sync_at,
+        }
+    }
+
+    /// Begins a sync if one is due: its id, which the answer must carry, and the usage to report.
+    pub fn begin_sync(&mut self, now: f64) -> Option<(u64, Vec<TenantUsage>)> {
+        let timeout_secs = self.config.sync_timeout_secs;
+        let is_pending = self.pending_sync.is_some_and(|p| now - p.sent_at < timeout_secs);
+        // One on demand shortly before the regular one is due serves as that, too.
+        let lead_secs = if self.is_sync_wanted { self.config.sync_interval_secs / 2.0 } else { 0.0 };
+        let is_regular_due = now >= self.next_regular_sync_at - lead_secs;
+        if is_pending || !(self.is_sync_wanted || is_regular_due) {
+            return None;
+        }
+        let is_disconnected = self.is_disconnected(now);
+        // After a timeout the leader may be another one.
+        let is_full = self.needs_full_sync || is_disconnected;
+        (self.is_sync_wanted, self.needs_full_sync) = (false, false);
+        if is_full {
+            self.forget_reports(now, is_disconnected);
+        }
+        let mut names = std::mem::take(&mut self.reported);
+        names.clear();
+        if is_regular_due || is_full {
+            self.next_regular_sync_at = now + self.config.sync_interval_secs;
+            names.extend(self.tracked.iter().cloned());
+        } else {
+            names.extend(self.waiting.iter().cloned());
+        }
+        self.last_request_id += 1;
+        self.pending_sync = Some(PendingSync { request_id: self.last_request_id, sent_at: now });
+        let mut usage = Vec::new();
+        names.retain(|name| match self.report(now, name) {
+            Some(tenant_usage) => {
+                usage.push(tenant_usage);
+                true
+            }
+            None => false,
+        });
+        self.reported = names;
+        Some((self.last_request_id, usage))
+    }
+
+    /// The usage of a tenant, if it is to be reported. Stops tracking a tenant that is quiet.
+    fn report(&mut self, now: f64, name: &Arc<str>) -> Option<TenantUsage> {
+        let account = self.tenants.get_mut(name)?;
+        let demand = account.reported_demand(now);
+        if !account.needs_report(now, demand) {
+            if account.is_quiet(demand) {
+                account.is_tracked = false;
+                self.tracked.remove(name);
+            }
+            return None;
+        }
+        let TenantAccount { charged, waiting, .. } = *account;
+        account.must_report = false;
+        account.unacknowledged = Some(ReportedUsage { at: now, charged, waiting, demand });
+        Some(TenantUsage {
+            tenant: name.to_string(),
+            charged,
+            demand: demand as f32,
+            standing_share: account.standing_share as f32,
+            unused_grant: account.unused_grant(),
+            waiting,
+        })
+    }
+
+    /// Discards what was reported, so that it is reported again. While disconnected, unused grants expire, and shares lapse
+    /// in time.
+    fn forget_reports(&mut self, now: f64, is_disconnected: bool) {
+        let are_shares_lapsed = self.are_shares_lapsed(now);
+        for (name, account) in &mut self.tenants {
+            if is_disconnected && account.charge_limit > account.charged {
+                (account.charge_limit, account.must_report) = (account.charged, true);
+            }
+            if are_shares_lapsed {
+                account.standing_share = 0.0;
+            }
+            account.must_report |= account.unacknowledged.is_some()
+                || account.acknowledged.is_some_and(|last| last.charged != account.charged);
+            (account.acknowledged, account.unacknowledged) = (None, None);
+            if account.needs_report(now, account.reported_demand(now)) {
+                account.track(name, &mut self.tracked);
+            }
+        }
+    }
+
+    /// Takes the answer of the quota leader of this term. Returns false, and takes nothing, if it does not answer the
+    /// pending sync or comes from an earlier leader than one that has answered.
+    pub fn on_grants(&mut self, now: f64, request_id: u64, term: u64, grants: &[TenantGrant]) -> bool {
+        if term < self.term {
+            return false;
+        }
+        let Some(PendingSync { sent_at, .. }) = self.pending_sync.filter(|p| p.request_id == request_id)
+        else {
+            return false;
+        };
+        (self.pending_sync, self.last_sync_at) = (None, sent_at);
+        self.first_sync_at.get_or_insert(sent_at);
+        if term > self.term {
+            self.begin_term(term);
+        }
+        for grant in grants {
+            self.apply_grant(now, grant);
+        }
+        // The remaining ones are tenants whose limits the leader does not know.
+        for name in &self.reported {
+            if let Some(account) = self.tenants.get_mut(name).filter(|a| a.unacknowledged.is_some()) {
+                (account.acknowledged, account.unacknowledged) = (None, None);
+            }
+        }
+        true
+    }
+
+    /// A new leader has answered: what earlier ones granted is void, and it knows only what this sync reported.
+    fn begin_term(&mut self, term: u64) {
+        self.term = term;
+        for account in self.tenants.values_mut() {
+            account.charge_limit = account.charge_limit.min(account.charged);
+            (account.standing_share, account.acknowledged) = (0.0, None);
+        }
+    }
+
+    fn apply_grant(&mut self, now: f64, grant: &TenantGrant) {
+        let Some(account) = self.tenants.get_mut(grant.tenant.as_str()) else { return };
+        account.acknowledged = account.unacknowledged.take();
+        // The leader can use withdrawn units only once it hears that they are not charged here.
+        let is_withdrawn = grant.charge_limit < account.charge_limit;
+        if is_withdrawn {
+            account.track(&grant.tenant, &mut self.tracked);
+        }
+        account.charge_limit = grant.charge_limit;
+        account.standing_share = f64::from(grant.standing_share.max(0.0));
+        account.must_report |= is_withdrawn;
+        account.exhausted_until = match grant.retry_after_ms {
+            0 => 0.0,
+            retry_after_ms => now + f64::from(retry_after_ms) / 1e3,
+        };
+    }
+
+    /// The node that was asked does not lead the quota counter, or the link to it is lost.
+    pub fn on_leader_lost(&mut self, now: f64) {
+        if self.pending_sync.take().is_some() {
+            self.next_regular_sync_at = self.next_regular_sync_at.min(now + RETRY_DELAY_SECS);
+        }
+    }
+}
--- a/crates/gateway/src/data_plane/quota_sync.rs
+++ b/crates/gateway/src/data_plane/quota_sync.rs
@@ -7,7 +7,7 @@
 use crate::settings::Settings;
 use std::net::IpAddr;
 
-/// A core node's word on who leads the quota counter counts for so long, in seconds.
+/// A core node's report of the quota leader is used for so long, in seconds.
 const LEADER_HINT_LIFETIME_SECS: f64 = 1.6;
 
 pub(super) fn quota_config(settings: &Settings) -> QuotaAdmissionConfig {
--- a/crates/gateway/src/data_plane/request_state_tests.rs
+++ b/crates/gateway/src/data_plane/request_state_tests.rs
@@ -1,6 +1,6 @@
-//! Every course that one request can take, whatever its decision module asks for, its workers do and its
-//! connections suffer: breadth first, to the end. The worlds' truth (what a worker has run or still may) is kept
-//! beside the machine, and what workers say is judged by the program's own code.
+//! Exhaustive exploration of one request, breadth first: every sequence of decisions, worker behaviour and connection
+//! faults. Each world keeps the truth (what a worker has run or still may run) beside the state under test. Responses of
+//! workers are judged by the production code.
 
 use super::*;
 use crate::transport::upstream_pool::exchange::{is_sound, judge, whose, ResponseOwner};
@@ -10,121 +10,121 @@
 use googletest::prelude::*;
 use std::collections::{HashSet, VecDeque};
 
-/// Faults put into the machine or round it; each must be found.
+/// Faults injected into the state or around it; the exploration must find each.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    SilenceTakenForUnrun,
-    CutTakenForUnrun,
-    SentAgainThoughOut,
-    SentTooOften,
-    PromisedThoughSent,
-    PromisedWhileOut,
-    AbandonedAsUnsent,
+    TimeoutTakenAsNotRun,
+    ResetTakenAsNotRun,
+    DispatchedWhileInFlight,
+    TooManyDispatches,
+    NotExecutedAfterDispatch,
+    NotExecutedWhileInFlight,
+    ShutdownTakenAsNotDispatched,
     AnsweredTwice,
-    TakenBackTwice,
-    TakenBackThoughRun,
-    NeverTakenBack,
-    NothingAfterGivingUp,
-    IdNotLookedAt,
-    StampNotLookedAt,
-    PromiseWithoutWord,
-    ResentAfterClientLeft,
+    RefundedTwice,
+    RefundedThoughRun,
+    NeverRefunded,
+    StalledRequestIgnored,
+    AttemptIdIgnored,
+    SealIgnored,
+    NotExecutedHeaderAssumed,
+    DispatchedAfterDisconnect,
 }
 
 const FAULTS: [Fault; 16] = [
-    Fault::SilenceTakenForUnrun,
-    Fault::CutTakenForUnrun,
-    Fault::SentAgainThoughOut,
-    Fault::SentTooOften,
-    Fault::PromisedThoughSent,
-    Fault::PromisedWhileOut,
-    Fault::AbandonedAsUnsent,
+    Fault::TimeoutTakenAsNotRun,
+    Fault::ResetTakenAsNotRun,
+    Fault::DispatchedWhileInFlight,
+    Fault::TooManyDispatches,
+    Fault::NotExecutedAfterDispatch,
+    Fault::NotExecutedWhileInFlight,
+    Fault::ShutdownTakenAsNotDispatched,
     Fault::AnsweredTwice,
-    Fault::TakenBackTwice,
-    Fault::TakenBackThoughRun,
-    Fault::NeverTakenBack,
-    Fault::NothingAfterGivingUp,
-    Fault::IdNotLookedAt,
-    Fault::StampNotLookedAt,
-    Fault::PromiseWithoutWord,
-    Fault::ResentAfterClientLeft,
+    Fault::RefundedTwice,
+    Fault::RefundedThoughRun,
+    Fault::NeverRefunded,
+    Fault::StalledRequestIgnored,
+    Fault::AttemptIdIgnored,
+    Fault::SealIgnored,
+    Fault::NotExecutedHeaderAssumed,
+    Fault::DispatchedAfterDisconnect,
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Written {
     Nothing,
-    Part,
-    Whole,
+    Partial,
+    Complete,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fate {
-    /// Whatever reached the worker, it has made nothing of it yet.
+    /// The worker has not decided yet, whatever has reached it.
     Open,
     Ran,
-    TurnedAway,
+    Rejected,
 }
 
-/// An attempt in truth.
+/// What truly became of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Wire {
+struct AttemptTruth {
     attempt: u32,
-    out: bool,
+    is_in_flight: bool,
     written: Written,
     fate: Fate,
-    /// Did it end so that it can't have run?
-    unrun: bool,
+    /// Whether it ended in a way that says it has not run.
+    is_reported_not_run: bool,
 }
 
 #[derive(Clone, Debug)]
 struct World {
-    machine: RequestState,
-    wires: Vec<Wire>,
+    state: RequestState,
+    attempts: Vec<AttemptTruth>,
     runs: u32,
     asked: u32,
-    turn: bool,
-    charged: bool,
-    unit: i8,
+    has_actions_pending: bool,
+    is_charged: bool,
+    units_charged: i8,
     answer: Option<FinalResponse>,
-    gone: bool,
+    is_client_gone: bool,
 }
 
-/// What a worker may say; the first three only of what ran, the next two only of what it turned away.
-const SAID: [(u16, &[(&str, &str)]); 12] = [
+/// Responses of a worker; the first three only to what ran, the next two only to what it rejected.
+const RESPONSES: [(u16, &[(&str, &str)]); 12] = [
     (200, &[("x-attempt-id", "id-1"), ("x-server-seal", "s")]),
     (500, &[("x-attempt-id", "id-1"), ("x-server-seal", "s")]),
     (504, &[("x-attempt-id", "id-1")]),
     (503, &[("x-attempt-id", "id-1"), ("x-not-executed", "1")]),
     (421, &[("x-attempt-id", "id-1")]),
-    // Of what was sent before on this connection, or of nobody.
+    // To an earlier request on this connection, or to none.
     (200, &[("x-attempt-id", "id-0"), ("x-server-seal", "s")]),
     (503, &[("x-attempt-id", "id-0"), ("x-not-executed", "1")]),
     (421, &[("x-attempt-id", "id-0")]),
     (503, &[("x-not-executed", "1")]),
     (200, &[("x-server-seal", "s")]),
-    // In trouble.
+    // From a faulty worker.
     (200, &[("x-attempt-id", "id-1")]),
     (503, &[("x-attempt-id", "id-1")]),
 ];
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Admitted(bool),
-    Limited,
+    Admit(bool),
+    RateLimit,
     Dispatch,
     GiveUp,
-    Abandon,
-    TurnOver,
-    Leave,
+    Shutdown,
+    ActionsDone,
+    Disconnect,
     Write(usize, Written),
     Runs(usize),
-    TurnsAway(usize),
-    Ends(usize, Ending),
-    Says(usize, usize),
+    Rejects(usize),
+    AttemptEnds(usize, Ending),
+    Responds(usize, usize),
 }
 
-fn head(said: usize) -> ResponseHead {
-    let (status, headers) = SAID[said];
+fn head(response: usize) -> ResponseHead {
+    let (status, headers) = RESPONSES[response];
     let mut head = ResponseHead::new(StatusCode::from_u16(status).expect("a status"));
     for (name, value) in headers {
         head.headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
@@ -133,17 +133,17 @@
 }
 
 impl World {
-    fn new(repeatable: bool, most: u32) -> Self {
+    fn new(is_idempotent: bool, max_dispatches: u32) -> Self {
         World {
-            machine: RequestState::new(repeatable, most),
-            wires: Vec::new(),
+            state: RequestState::new(is_idempotent, max_dispatches),
+            attempts: Vec::new(),
             runs: 0,
             asked: 0,
-            turn: false,
-            charged: false,
-            unit: 0,
+            has_actions_pending: false,
+            is_charged: false,
+            units_charged: 0,
             answer: None,
-            gone: false,
+            is_client_gone: false,
         }
     }
 
@@ -151,268 +151,292 @@
         format!("{self:?}")
     }
 
-    /// All that can happen next.
+    /// Everything that can happen next.
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.machine.awaits_admission {
-            steps.extend([Step::Admitted(true), Step::Admitted(false), Step::Limited]);
+        if self.state.awaits_admission {
+            steps.extend([Step::Admit(true), Step::Admit(false), Step::RateLimit]);
         } else {
-            if self.asked < self.machine.max_dispatches + 1 {
+            if self.asked < self.state.max_dispatches + 1 {
                 steps.push(Step::Dispatch);
             }
             steps.push(Step::GiveUp);
         }
-        steps.extend(self.turn.then_some(Step::TurnOver));
-        if !self.gone && self.answer.is_none() {
-            steps.extend([Step::Leave, Step::Abandon]);
+        steps.extend(self.has_actions_pending.then_some(Step::ActionsDone));
+        if !self.is_client_gone && self.answer.is_none() {
+            steps.extend([Step::Disconnect, Step::Shutdown]);
         }
-        for (n, wire) in self.wires.iter().enumerate() {
-            let reached = wire.written != Written::Nothing;
-            if reached && wire.fate == Fate::Open {
-                // Also long after everybody has given it up.
-                steps.extend([Step::Runs(n), Step::TurnsAway(n)]);
+        for (n, attempt_truth) in self.attempts.iter().enumerate() {
+            let reached = attempt_truth.written != Written::Nothing;
+            if reached && attempt_truth.fate == Fate::Open {
+                // Also long after the attempt has ended here.
+                steps.extend([Step::Runs(n), Step::Rejects(n)]);
             }
-            if !wire.out {
+            if !attempt_truth.is_in_flight {
                 continue;
             }
-            if self.machine.is_idempotent {
-                steps.push(Step::Ends(n, Ending::Cancelled));
+            if self.state.is_idempotent {
+                steps.push(Step::AttemptEnds(n, Ending::Cancelled));
             }
-            match wire.written {
+            match attempt_truth.written {
                 Written::Nothing => {
-                    steps.extend([Written::Part, Written::Whole].map(|written| Step::Write(n, written)));
-                    steps.extend([Ending::ConnectFailed, Ending::Moot].map(|e| Step::Ends(n, e)));
+                    steps
+                        .extend([Written::Partial, Written::Complete].map(|written| Step::Write(n, written)));
+                    steps.extend([Ending::ConnectFailed, Ending::Moot].map(|e| Step::AttemptEnds(n, e)));
                 }
                 written => {
-                    steps.extend((written == Written::Part).then_some(Step::Write(n, Written::Whole)));
-                    steps.extend([Ending::Reset, Ending::Timeout, Ending::Error].map(|e| Step::Ends(n, e)));
-                    steps.extend((0..SAID.len()).filter(|s| wire.may_say(*s)).map(|s| Step::Says(n, s)));
+                    steps.extend((written == Written::Partial).then_some(Step::Write(n, Written::Complete)));
+                    steps.extend(
+                        [Ending::Reset, Ending::Timeout, Ending::Error].map(|e| Step::AttemptEnds(n, e)),
+                    );
+                    steps.extend(
+                        (0..RESPONSES.len())
+                            .filter(|s| attempt_truth.can_send(*s))
+                            .map(|s| Step::Responds(n, s)),
+                    );
                 }
             }
         }
         steps
     }
 
-    fn ends(
+    fn end_attempt(
         &mut self,
         n: usize,
         mut ending: Ending,
-        whole: Option<bool>,
+        response_ok: Option<bool>,
         fault: Option<Fault>,
     ) -> Result<()> {
-        if fault == Some(Fault::SilenceTakenForUnrun) && ending == Ending::Timeout
-            || fault == Some(Fault::CutTakenForUnrun) && ending == Ending::Reset
+        if fault == Some(Fault::TimeoutTakenAsNotRun) && ending == Ending::Timeout
+            || fault == Some(Fault::ResetTakenAsNotRun) && ending == Ending::Reset
         {
             ending = Ending::ConnectFailed;
         }
-        let wire = &mut self.wires[n];
-        (wire.out, wire.unrun) = (false, ending.never_ran());
-        if wire.unrun && wire.written != Written::Nothing && wire.fate != Fate::TurnedAway {
-            return fail!("attempt {} is believed not to have run", wire.attempt);
+        let attempt_truth = &mut self.attempts[n];
+        (attempt_truth.is_in_flight, attempt_truth.is_reported_not_run) = (false, ending.never_ran());
+        if attempt_truth.is_reported_not_run
+            && attempt_truth.written != Written::Nothing
+            && attempt_truth.fate != Fate::Rejected
+        {
+            return fail!("attempt {} is reported as not run though it may run", attempt_truth.attempt);
         }
-        let attempt = wire.attempt;
-        let ended = self.machine.end_attempt(attempt, ending, whole);
+        let attempt = attempt_truth.attempt;
+        let ended = self.state.end_attempt(attempt, ending, response_ok);
         verify_that!(ended, some(anything()))?;
-        self.turn = true;
-        self.told(ended.and_then(|e| e.response), fault)
+        self.has_actions_pending = true;
+        self.record_response(ended.and_then(|e| e.response), fault)
     }
 
-    fn told(&mut self, answer: Option<FinalResponse>, fault: Option<Fault>) -> Result<()> {
+    fn record_response(&mut self, answer: Option<FinalResponse>, fault: Option<Fault>) -> Result<()> {
         let Some(mut answer) = answer else { return Ok(()) };
-        if fault == Some(Fault::PromisedThoughSent)
+        if fault == Some(Fault::NotExecutedAfterDispatch)
             && matches!(answer, FinalResponse::UpstreamFailed | FinalResponse::TimedOut)
         {
             answer = FinalResponse::NotExecuted(0.1);
         }
-        if self.gone || self.answer.is_some() {
-            return fail!("{answer:?} after {:?}, client gone: {}", self.answer, self.gone);
+        if self.is_client_gone || self.answer.is_some() {
+            return fail!(
+                "{answer:?} after {:?}, client is_client_gone: {}",
+                self.answer,
+                self.is_client_gone
+            );
         }
         if let FinalResponse::Upstream(attempt) = answer {
-            let ran = self.wires.iter().any(|w| w.attempt == attempt && w.fate == Fate::Ran && !w.out);
+            let ran =
+                self.attempts.iter().any(|w| w.attempt == attempt && w.fate == Fate::Ran && !w.is_in_flight);
             verify_that!(ran, eq(true))?;
         }
         self.answer = Some(answer);
         Ok(())
     }
 
-    /// What is true in every world.
+    /// Holds in every world.
     fn invariant(&self) -> Result<()> {
-        if !self.machine.is_idempotent {
+        if !self.state.is_idempotent {
             verify_that!(self.runs, le(1))?;
         }
-        verify_that!(self.wires.len(), le(self.machine.max_dispatches as usize))?;
-        let may_run = |w: &Wire| w.fate == Fate::Ran || w.fate == Fate::Open && w.written != Written::Nothing;
+        verify_that!(self.attempts.len(), le(self.state.max_dispatches as usize))?;
+        let may_run =
+            |w: &AttemptTruth| w.fate == Fate::Ran || w.fate == Fate::Open && w.written != Written::Nothing;
         if matches!(self.answer, Some(FinalResponse::RateLimited(_) | FinalResponse::NotExecuted(_))) {
-            verify_that!(self.wires.iter().any(|w| may_run(w) || w.out), eq(false))?;
+            verify_that!(self.attempts.iter().any(|w| may_run(w) || w.is_in_flight), eq(false))?;
         }
-        if self.over() {
-            let kept = self.charged && self.wires.iter().any(|w| !w.unrun);
-            verify_that!(self.unit, eq(i8::from(kept)))?;
-            verify_that!(self.answer.is_some() || self.gone, eq(true))?;
+        if self.is_finished() {
+            let is_kept = self.is_charged && self.attempts.iter().any(|w| !w.is_reported_not_run);
+            verify_that!(self.units_charged, eq(i8::from(is_kept)))?;
+            verify_that!(self.answer.is_some() || self.is_client_gone, eq(true))?;
         } else {
-            // Something goes on by itself: an attempt is out, and attempts end in time; the counter is waited for, in
-            // time; or a decision is being carried out.
-            let goes_on = self.machine.awaits_admission || self.turn || self.wires.iter().any(|w| w.out);
-            verify_that!(goes_on, eq(true))?;
+            // Something moves the request forward: an attempt in flight or a wait for the quota leader, which both time out,
+            // or actions that are being carried out.
+            let is_moving = self.state.awaits_admission
+                || self.has_actions_pending
+                || self.attempts.iter().any(|w| w.is_in_flight);
+            verify_that!(is_moving, eq(true))?;
         }
-        verify_that!(self.unit, ge(0))
+        verify_that!(self.units_charged, ge(0))
     }
 
-    fn over(&self) -> bool {
-        self.machine.is_answered && self.machine.in_flight.is_empty()
+    fn is_finished(&self) -> bool {
+        self.state.is_answered && self.state.in_flight.is_empty()
     }
 
-    fn take(&self, step: Step, fault: Option<Fault>) -> Result<World> {
+    fn apply(&self, step: Step, fault: Option<Fault>) -> Result<World> {
         let mut w = self.clone();
         match step {
-            Step::Admitted(charged) => {
-                w.machine.admit(charged);
-                (w.charged, w.unit, w.turn) = (charged, i8::from(charged), true);
+            Step::Admit(charged) => {
+                w.state.admit(charged);
+                (w.is_charged, w.units_charged, w.has_actions_pending) = (charged, i8::from(charged), true);
             }
-            Step::Limited => {
-                let answer = w.machine.rate_limit(1.0);
-                w.told(answer, fault)?;
+            Step::RateLimit => {
+                let answer = w.state.rate_limit(1.0);
+                w.record_response(answer, fault)?;
             }
             Step::Dispatch => {
                 w.asked += 1;
                 match fault {
-                    Some(Fault::SentAgainThoughOut) => w.machine.is_idempotent = true,
-                    Some(Fault::SentTooOften) => w.machine.max_dispatches += 1,
-                    Some(Fault::ResentAfterClientLeft) => w.machine.is_answered = false,
+                    Some(Fault::DispatchedWhileInFlight) => w.state.is_idempotent = true,
+                    Some(Fault::TooManyDispatches) => w.state.max_dispatches += 1,
+                    Some(Fault::DispatchedAfterDisconnect) => w.state.is_answered = false,
                     _ => {}
                 }
-                let sending = w.machine.begin_attempt(0.0);
-                let m = &self.machine;
-                (w.machine.is_idempotent, w.machine.max_dispatches) = (m.is_idempotent, m.max_dispatches);
-                w.machine.is_answered = m.is_answered;
-                match sending {
+                let decision = w.state.begin_attempt(0.0);
+                let m = &self.state;
+                (w.state.is_idempotent, w.state.max_dispatches) = (m.is_idempotent, m.max_dispatches);
+                w.state.is_answered = m.is_answered;
+                match decision {
                     DispatchDecision::Send(attempt) if m.is_answered => {
-                        fail!("{attempt} goes out after the answer")?
+                        fail!("attempt {attempt} is sent after the response")?
                     }
-                    DispatchDecision::Send(attempt) => w.wires.push(Wire {
+                    DispatchDecision::Send(attempt) => w.attempts.push(AttemptTruth {
                         attempt,
-                        out: true,
+                        is_in_flight: true,
                         written: Written::Nothing,
                         fate: Fate::Open,
-                        unrun: false,
+                        is_reported_not_run: false,
                     }),
                     DispatchDecision::Withhold(attempt) => {
                         let answer =
-                            w.machine.end_attempt(attempt, Ending::Moot, None).and_then(|e| e.response);
-                        w.turn = true;
-                        w.told(answer, fault)?;
+                            w.state.end_attempt(attempt, Ending::Moot, None).and_then(|e| e.response);
+                        w.has_actions_pending = true;
+                        w.record_response(answer, fault)?;
                     }
                 }
             }
             Step::GiveUp => {
-                let out = w.machine.in_flight.clone();
-                if fault == Some(Fault::PromisedWhileOut) {
-                    w.machine.in_flight.clear();
+                let out = w.state.in_flight.clone();
+                if fault == Some(Fault::NotExecutedWhileInFlight) {
+                    w.state.in_flight.clear();
                 }
-                let answer = w.machine.give_up(0.1);
-                w.machine.in_flight = out;
-                w.told(answer, fault)?;
+                let answer = w.state.give_up(0.1);
+                w.state.in_flight = out;
+                w.record_response(answer, fault)?;
             }
-            Step::Abandon => {
-                let out = w.machine.in_flight.clone();
-                if fault == Some(Fault::AbandonedAsUnsent) {
-                    w.machine.in_flight.clear();
+            Step::Shutdown => {
+                let out = w.state.in_flight.clone();
+                if fault == Some(Fault::ShutdownTakenAsNotDispatched) {
+                    w.state.in_flight.clear();
                 }
-                let answer = w.machine.respond_now(0.1);
-                w.machine.in_flight = out;
+                let answer = w.state.respond_now(0.1);
+                w.state.in_flight = out;
                 verify_that!(answer, some(anything()))?;
-                w.told(answer, fault)?;
+                w.record_response(answer, fault)?;
             }
-            Step::TurnOver => {
-                w.turn = false;
+            Step::ActionsDone => {
+                w.has_actions_pending = false;
                 if fault == Some(Fault::AnsweredTwice) {
-                    w.machine.is_answered = false;
+                    w.state.is_answered = false;
                 }
-                if fault != Some(Fault::NothingAfterGivingUp) {
-                    let answer = w.machine.give_up_if_stalled(0.1);
-                    w.told(answer, fault)?;
+                if fault != Some(Fault::StalledRequestIgnored) {
+                    let answer = w.state.give_up_if_stalled(0.1);
+                    w.record_response(answer, fault)?;
                 }
             }
-            Step::Leave => {
-                w.gone = true;
-                let may_call_off = w.machine.client_disconnected();
-                verify_that!(may_call_off || !w.machine.is_idempotent, eq(true))?;
+            Step::Disconnect => {
+                w.is_client_gone = true;
+                let may_cancel = w.state.client_disconnected();
+                verify_that!(may_cancel || !w.state.is_idempotent, eq(true))?;
             }
-            Step::Write(n, written) => w.wires[n].written = written,
-            Step::Runs(n) => (w.wires[n].fate, w.runs) = (Fate::Ran, w.runs + 1),
-            Step::TurnsAway(n) => w.wires[n].fate = Fate::TurnedAway,
-            Step::Ends(n, ending) => w.ends(n, ending, None, fault)?,
-            Step::Says(n, said) => w.says(n, said, fault)?,
+            Step::Write(n, written) => w.attempts[n].written = written,
+            Step::Runs(n) => (w.attempts[n].fate, w.runs) = (Fate::Ran, w.runs + 1),
+            Step::Rejects(n) => w.attempts[n].fate = Fate::Rejected,
+            Step::AttemptEnds(n, ending) => w.end_attempt(n, ending, None, fault)?,
+            Step::Responds(n, response) => w.receive_response(n, response, fault)?,
         }
-        let due = w.machine.settle();
-        let take_back = match fault {
-            Some(Fault::TakenBackTwice) => due.is_finished && w.charged && w.wires.iter().all(|w| w.unrun),
-            Some(Fault::TakenBackThoughRun) => due.refund || due.is_finished && w.charged && w.unit == 1,
-            Some(Fault::NeverTakenBack) => false,
-            _ => due.refund,
+        let settlement = w.state.settle();
+        let refund = match fault {
+            Some(Fault::RefundedTwice) => {
+                settlement.is_finished && w.is_charged && w.attempts.iter().all(|w| w.is_reported_not_run)
+            }
+            Some(Fault::RefundedThoughRun) => {
+                settlement.refund || settlement.is_finished && w.is_charged && w.units_charged == 1
+            }
+            Some(Fault::NeverRefunded) => false,
+            _ => settlement.refund,
         };
-        w.unit -= i8::from(take_back);
+        w.units_charged -= i8::from(refund);
         w.invariant()?;
         Ok(w)
     }
 
-    /// An answer comes on an attempt's connection.
-    fn says(&mut self, n: usize, said: usize, fault: Option<Fault>) -> Result<()> {
-        let mut head = head(said);
+    /// A response arrives on an attempt's connection.
+    fn receive_response(&mut self, n: usize, response: usize, fault: Option<Fault>) -> Result<()> {
+        let mut head = head(response);
         let id = HeaderValue::from_static("id-1");
         match fault {
-            Some(Fault::IdNotLookedAt) => {
+            Some(Fault::AttemptIdIgnored) => {
                 head.headers.insert(HeaderName::from_static("x-attempt-id"), id.clone());
             }
-            Some(Fault::StampNotLookedAt) => {
+            Some(Fault::SealIgnored) => {
                 head.headers.insert(HeaderName::from_static("x-server-seal"), id.clone());
             }
-            Some(Fault::PromiseWithoutWord) if head.status == StatusCode::SERVICE_UNAVAILABLE => {
+            Some(Fault::NotExecutedHeaderAssumed) if head.status == StatusCode::SERVICE_UNAVAILABLE => {
                 head.headers.insert(HeaderName::from_static("x-not-executed"), id.clone());
             }
             _ => {}
         }
         match whose(&head, &id) {
-            // Passed over; the answer is still waited for.
+            // Skipped; the response is still waited for.
             ResponseOwner::Others => return Ok(()),
-            ResponseOwner::Nobodys => return self.ends(n, Ending::Error, None, fault),
-            ResponseOwner::Ours if !is_sound(&head) => return self.ends(n, Ending::Error, None, fault),
+            ResponseOwner::Nobodys => return self.end_attempt(n, Ending::Error, None, fault),
+            ResponseOwner::Ours if !is_sound(&head) => {
+                return self.end_attempt(n, Ending::Error, None, fault)
+            }
             ResponseOwner::Ours => {}
         }
         let reply =
             UpstreamResponse { status: head.status, headers: head.headers.clone(), body: Default::default() };
         let ended = judge(reply);
-        let whole = ended.reply.is_some().then_some(ended.ending == Ending::Ok);
-        if whole == Some(true) {
-            // What a client takes for its success: this worker's, with its stamp and its id.
-            let names = |name: &str| SAID[said].1.iter().any(|(n, _)| *n == name);
+        let response_ok = ended.reply.is_some().then_some(ended.ending == Ending::Ok);
+        if response_ok == Some(true) {
+            // What a client takes as success carries the worker's seal and this attempt's id.
+            let names = |name: &str| RESPONSES[response].1.iter().any(|(n, _)| *n == name);
             verify_that!(names("x-attempt-id") && names("x-server-seal"), eq(true))?;
-            verify_that!(SAID[said].1[0].1, eq("id-1"))?;
+            verify_that!(RESPONSES[response].1[0].1, eq("id-1"))?;
         }
-        self.ends(n, ended.ending, whole, fault)
+        self.end_attempt(n, ended.ending, response_ok, fault)
     }
 }
 
-impl Wire {
-    fn may_say(&self, said: usize) -> bool {
-        match said {
+impl AttemptTruth {
+    fn can_send(&self, response: usize) -> bool {
+        match response {
             0..=2 => self.fate == Fate::Ran,
-            3 | 4 => self.fate == Fate::TurnedAway,
+            3 | 4 => self.fate == Fate::Rejected,
             _ => true,
         }
     }
 }
 
-/// Every world that can be reached, and the first in which something does not hold.
-fn explore(repeatable: bool, most: u32, fault: Option<Fault>) -> (usize, usize, Option<String>) {
-    let first = World::new(repeatable, most);
+/// Numbers of worlds and steps reachable, and the first violation.
+fn explore(is_idempotent: bool, max_dispatches: u32, fault: Option<Fault>) -> (usize, usize, Option<String>) {
+    let first = World::new(is_idempotent, max_dispatches);
     let mut seen = HashSet::from([first.key()]);
     let mut next = VecDeque::from([first]);
     let mut steps = 0;
     while let Some(world) = next.pop_front() {
         for step in world.steps() {
             steps += 1;
-            match world.take(step, fault) {
+            match world.apply(step, fault) {
                 Ok(then) => {
                     if seen.insert(then.key()) {
                         next.push_back(then);
@@ -426,17 +450,17 @@
 }
 
 #[gtest]
-fn no_course_of_a_request_breaks_a_promise_or_ends_without_an_answer() {
-    for (repeatable, most) in [(false, 1), (false, 2), (false, 3), (true, 1), (true, 2)] {
-        let (worlds, steps, broken) = explore(repeatable, most, None);
-        println!("repeatable {repeatable}, most {most}: {worlds} worlds, {steps} steps");
+fn no_sequence_of_steps_violates_an_invariant_or_ends_without_a_response() {
+    for (is_idempotent, max_dispatches) in [(false, 1), (false, 2), (false, 3), (true, 1), (true, 2)] {
+        let (worlds, steps, broken) = explore(is_idempotent, max_dispatches, None);
+        println!("idempotent: {is_idempotent}, dispatches: {max_dispatches} at most: {worlds} worlds, {steps} steps");
         expect_that!(broken, none());
         expect_that!(worlds, gt(100));
     }
 }
 
 #[gtest]
-fn each_fault_put_in_is_found() {
+fn each_injected_fault_is_found() {
     for fault in FAULTS {
         let found = [(false, 2), (true, 2)].into_iter().find_map(|(r, m)| explore(r, m, Some(fault)).2);
         println!("{fault:?}: {}", found.as_deref().unwrap_or("not found"));
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -1,5 +1,5 @@
-//! Requests at a gatekeeper with its real decision modules, under workers, clients and an end as they come: whatever is
-//! drawn, each request keeps the promises of its one answer.
+//! Random sequences of requests, worker responses, disconnects and a shutdown at an edge node with real decision modules:
+//! every request gets exactly one response, which is true of it.
 
 use super::*;
 use crate::configuration::read_call;
@@ -29,53 +29,53 @@
     }
 }
 
-/// One request as those around it saw it.
+/// One request as its client and workers see it.
 #[derive(Default)]
-struct Seen {
-    once: bool,
-    arrived: f64,
-    out: BTreeMap<u32, HostId>,
+struct Observed {
+    runs_once: bool,
+    received_at: f64,
+    in_flight: BTreeMap<u32, HostId>,
     sent: usize,
     may_have_run: bool,
-    whole: Vec<u32>,
-    left: bool,
-    answer: Option<FinalResponse>,
+    complete_responses: Vec<u32>,
+    has_disconnected: bool,
+    response: Option<FinalResponse>,
 }
 
-struct Day {
+struct Scenario {
     edge: EdgeNode,
     now: f64,
-    seen: BTreeMap<String, Seen>,
+    observed: BTreeMap<String, Observed>,
     rng: fastrand::Rng,
     calls: u64,
     abandoned: bool,
     ends_at: f64,
 }
 
-impl Day {
+impl Scenario {
     fn new(seed: u64, workers: usize) -> Self {
         let settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
         let rng = fastrand::Rng::with_seed(seed);
-        let mut day = Day {
+        let mut scenario = Scenario {
             edge: EdgeNode::new(settings, seed),
             now: 1000.0,
-            seen: BTreeMap::new(),
+            observed: BTreeMap::new(),
             rng,
             calls: 1,
             abandoned: false,
             ends_at: f64::INFINITY,
         };
         let core = "10.0.1.1".parse().expect("an address");
-        day.with(|edge, _, out| edge.start(out));
+        scenario.with(|edge, _, out| edge.start(out));
         let items = read_call(CONFIG.as_bytes()).expect("valid");
         let workers = (0..workers).map(|n| worker(n, WorkerPhase::Serving, 1)).collect();
         for msg in [
             PeerMessage::ConfigUpdate { previous: None, index: 1, items },
             PeerMessage::WorkerUpdates(workers),
         ] {
-            day.with(|edge, now, out| edge.handle(now, Event::CoreMessage(core, msg), out));
+            scenario.with(|edge, now, out| edge.handle(now, Event::CoreMessage(core, msg), out));
         }
-        day
+        scenario
     }
 
     fn with(&mut self, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>)) -> Vec<(RequestId, u32, f64)> {
@@ -85,24 +85,27 @@
         for effect in out {
             match effect {
                 Effect::Dispatch { id, attempt, worker, timeout_secs: within, .. } => {
-                    let seen = self.seen.get_mut(&*id.0).expect("known");
+                    let observed = self.observed.get_mut(&*id.0).expect("known");
                     assert_that!(
-                        seen.once && (seen.may_have_run || !seen.out.is_empty()),
+                        observed.runs_once && (observed.may_have_run || !observed.in_flight.is_empty()),
                         eq(false),
                         "{id:?}"
                     );
-                    assert_that!(seen.answer, none(), "{id:?} is answered and goes out");
-                    seen.sent += 1;
-                    assert_that!(seen.sent, le(if seen.once { 2 } else { 3 }));
-                    // No silence ends it sooner than its client, its route or this process does.
-                    assert_that!(within, ge((seen.arrived + 1.0).min(self.ends_at) - self.now - 1e-9));
-                    seen.out.insert(attempt, worker);
+                    assert_that!(observed.response, none(), "{id:?} is dispatched after its response");
+                    observed.sent += 1;
+                    assert_that!(observed.sent, le(if observed.runs_once { 2 } else { 3 }));
+                    // No timeout ends it before its client, its route or this process does.
+                    assert_that!(
+                        within,
+                        ge((observed.received_at + 1.0).min(self.ends_at) - self.now - 1e-9)
+                    );
+                    observed.in_flight.insert(attempt, worker);
                     dispatched.push((id, attempt, within));
                 }
                 Effect::CancelAttempt(id, attempt) => {
-                    let seen = self.seen.get_mut(&*id.0).expect("known");
-                    assert_that!(seen.once, eq(false), "{id:?} is broken off");
-                    if seen.out.contains_key(&attempt) {
+                    let observed = self.observed.get_mut(&*id.0).expect("known");
+                    assert_that!(observed.runs_once, eq(false), "{id:?} is cancelled");
+                    if observed.in_flight.contains_key(&attempt) {
                         dispatched.extend(self.ended(&id, attempt, Ending::Cancelled, None));
                     }
                 }
@@ -114,31 +117,41 @@
     }
 
     fn answered(&mut self, id: &RequestId, answer: FinalResponse) {
-        let seen = self.seen.get_mut(&*id.0).expect("known");
-        assert_that!((&seen.answer, seen.left), eq((&None, false)), "{id:?}: {answer:?}");
+        let observed = self.observed.get_mut(&*id.0).expect("known");
+        assert_that!(
+            (&observed.response, observed.has_disconnected),
+            eq((&None, false)),
+            "{id:?}: {answer:?}"
+        );
         match &answer {
             FinalResponse::RateLimited(_) | FinalResponse::NotExecuted(_) => {
-                assert_that!(seen.may_have_run || !seen.out.is_empty(), eq(false), "{id:?}: {answer:?}");
+                assert_that!(
+                    observed.may_have_run || !observed.in_flight.is_empty(),
+                    eq(false),
+                    "{id:?}: {answer:?}"
+                );
+            }
+            FinalResponse::Upstream(attempt) => {
+                assert_that!(observed.complete_responses, contains(eq(attempt)))
             }
-            FinalResponse::Upstream(attempt) => assert_that!(seen.whole, contains(eq(attempt))),
-            // With an attempt out only where the process ends.
+            // With an attempt in flight only where the process exits.
             FinalResponse::TimedOut if self.abandoned => {
-                assert_that!(seen.may_have_run || !seen.out.is_empty(), eq(true));
+                assert_that!(observed.may_have_run || !observed.in_flight.is_empty(), eq(true));
             }
             FinalResponse::UpstreamFailed | FinalResponse::TimedOut => {
-                assert_that!(seen.may_have_run, eq(true))
+                assert_that!(observed.may_have_run, eq(true))
             }
         }
-        seen.answer = Some(answer);
+        observed.response = Some(answer);
     }
 
-    fn arrives(&mut self, n: usize, path: &str, key: &str) {
+    fn receive(&mut self, n: usize, path: &str, key: &str) {
         let view = Arc::clone(&self.edge.active_config);
         let route = view.route("a.example", path).cloned().expect("a route");
         let tenant = view.tenant(key).cloned();
         let id = RequestId(format!("{n}").into());
-        let seen = Seen { once: !route.repeatable, arrived: self.now, ..Default::default() };
-        self.seen.insert(n.to_string(), seen);
+        let observed = Observed { runs_once: !route.repeatable, received_at: self.now, ..Default::default() };
+        self.observed.insert(n.to_string(), observed);
         let arrival = IncomingRequest { id, route, tenant, remaining_secs: 1.0 };
         self.with(|edge, now, out| edge.on_request(now, arrival, out));
     }
@@ -148,52 +161,53 @@
         id: &RequestId,
         attempt: u32,
         ending: Ending,
-        whole: Option<bool>,
+        response_ok: Option<bool>,
     ) -> Vec<(RequestId, u32, f64)> {
-        let seen = self.seen.get_mut(&*id.0).expect("known");
-        let host = seen.out.remove(&attempt).expect("out");
-        seen.may_have_run |= !ending.never_ran();
-        seen.whole.extend(whole.map(|_| attempt));
-        let report = AttemptReport { id, attempt, worker: &host, ending, response_ok: whole };
+        let observed = self.observed.get_mut(&*id.0).expect("known");
+        let host = observed.in_flight.remove(&attempt).expect("out");
+        observed.may_have_run |= !ending.never_ran();
+        observed.complete_responses.extend(response_ok.map(|_| attempt));
+        let report = AttemptReport { id, attempt, worker: &host, ending, response_ok };
         self.with(|edge, now, out| edge.on_attempt_end(now, report, out))
     }
 
-    fn leaves(&mut self, n: usize) {
+    fn disconnect(&mut self, n: usize) {
         let id = RequestId(n.to_string().into());
-        self.seen.get_mut(&n.to_string()).expect("known").left = true;
+        self.observed.get_mut(&n.to_string()).expect("known").has_disconnected = true;
         self.with(|edge, now, out| edge.on_client_disconnect(now, &id, out));
     }
 
-    /// One of the attempts that are out, if there is any.
+    /// A random attempt in flight, if there is any.
     fn any(&mut self) -> Option<(RequestId, u32)> {
-        let all = self.seen.iter().flat_map(|(id, s)| s.out.keys().map(move |a| (id.clone(), *a)));
+        let all = self.observed.iter().flat_map(|(id, s)| s.in_flight.keys().map(move |a| (id.clone(), *a)));
         let all: Vec<_> = all.collect();
         self.rng.choice(all).map(|(id, attempt)| (RequestId(id.into()), attempt))
     }
 
-    /// Lets time pass; what is out then is out of time.
-    fn passes(&mut self, seconds: f64) {
+    /// Advances the clock; attempts whose time is up end with a timeout.
+    fn advance(&mut self, seconds: f64) {
         self.now += seconds;
         self.with(|edge, now, out| edge.handle(now, Event::Tick, out));
-        let late = self.seen.iter().filter(|(_, s)| self.now >= s.arrived + 1.0);
-        let late: Vec<_> = late.flat_map(|(id, s)| s.out.keys().map(move |a| (id.clone(), *a))).collect();
+        let late = self.observed.iter().filter(|(_, s)| self.now >= s.received_at + 1.0);
+        let late: Vec<_> =
+            late.flat_map(|(id, s)| s.in_flight.keys().map(move |a| (id.clone(), *a))).collect();
         for (id, attempt) in late {
-            if self.seen[&id].out.contains_key(&attempt) {
+            if self.observed[&id].in_flight.contains_key(&attempt) {
                 self.ended(&RequestId(id.into()), attempt, Ending::Timeout, None);
             }
         }
     }
 
-    fn drawn(&mut self, n: usize, workers: usize) {
+    fn random_step(&mut self, n: usize, workers: usize) {
         match self.rng.u32(0..20) {
             0..=6 => {
                 let path = ["/once/x", "/any/x"][self.rng.usize(0..2)];
                 let key = if self.rng.u32(0..8) == 0 { "key-held" } else { "key-free" };
-                self.arrives(n, path, key);
+                self.receive(n, path, key);
             }
             7..=14 => {
                 let Some((id, attempt)) = self.any() else { return };
-                let (ending, whole) = [
+                let (ending, response_ok) = [
                     (Ending::Ok, Some(true)),
                     (Ending::Error, Some(false)),
                     (Ending::Error, None),
@@ -202,13 +216,13 @@
                     (Ending::ConnectFailed, None),
                     (Ending::Moot, None),
                 ][self.rng.usize(0..7)];
-                self.ended(&id, attempt, ending, whole);
+                self.ended(&id, attempt, ending, response_ok);
             }
             15 => {
-                let here = self.seen.iter().filter(|(_, s)| s.answer.is_none() && !s.left);
+                let here = self.observed.iter().filter(|(_, s)| s.response.is_none() && !s.has_disconnected);
                 let here: Vec<usize> = here.filter_map(|(id, _)| id.parse().ok()).collect();
                 if let Some(n) = self.rng.choice(here) {
-                    self.leaves(n);
+                    self.disconnect(n);
                 }
             }
             16 => {
@@ -218,7 +232,7 @@
                     1..=3 => WorkerPhase::Unresponsive,
                     _ => WorkerPhase::Serving,
                 };
-                // One in four is a new life.
+                // One in four is a new worker.
                 let n = self.rng.usize(0..workers) + 16 * self.rng.usize(0..4) * (self.calls as usize / 8);
                 let news = vec![worker(n % 250, phase, self.calls)];
                 let core = "10.0.1.1".parse().expect("an address");
@@ -230,37 +244,41 @@
                 let host = HostId(format!("i-{}", self.rng.usize(0..workers)).into());
                 self.with(|edge, now, out| edge.on_misdirected(now, &host, out));
             }
-            _ => self.passes(0.07),
+            _ => self.advance(0.07),
         }
     }
 }
 
 #[gtest]
-fn drawn_courses_of_many_requests_break_no_promise_and_leave_nothing_open() {
+fn random_sequences_keep_every_invariant_and_leave_no_request_pending() {
     let (mut requests, mut answers) = (0, BTreeMap::<&str, usize>::new());
     for seed in 0..400 {
         let workers = 2 + seed as usize % 6;
-        let mut day = Day::new(seed, workers);
+        let mut scenario = Scenario::new(seed, workers);
         for n in 0..300 {
             if n == 200 {
-                // SIGTERM: what waits goes on as before.
-                day.edge.begin_drain(day.now);
+                // SIGTERM: waiting requests go on as before.
+                scenario.edge.begin_drain(scenario.now);
             }
-            day.drawn(n, workers);
+            scenario.random_step(n, workers);
         }
         if seed % 2 == 0 {
-            // The process ends: all is answered at once, whatever is out.
-            day.abandoned = true;
-            day.with(|edge, _, out| edge.respond_to_all(out));
-            assert_that!(day.edge.unanswered(), eq(Unanswered::default()), "seed {seed}");
+            // The process exits: everything is answered at once, also with attempts in flight.
+            scenario.abandoned = true;
+            scenario.with(|edge, _, out| edge.respond_to_all(out));
+            assert_that!(scenario.edge.unanswered(), eq(Unanswered::default()), "seed {seed}");
         }
         for _ in 0..30 {
-            day.passes(0.1);
+            scenario.advance(0.1);
         }
-        assert_that!(day.edge.pending_count(), eq(0), "seed {seed}");
-        for (id, seen) in &day.seen {
-            assert_that!(seen.left || seen.answer.is_some(), eq(true), "seed {seed}: {id}");
-            let kind = match &seen.answer {
+        assert_that!(scenario.edge.pending_count(), eq(0), "seed {seed}");
+        for (id, observed) in &scenario.observed {
+            assert_that!(
+                observed.has_disconnected || observed.response.is_some(),
+                eq(true),
+                "seed {seed}: {id}"
+            );
+            let kind = match &observed.response {
                 None => "left",
                 Some(FinalResponse::Upstream(_)) => "worker",
                 Some(FinalResponse::RateLimited(_)) => "limited",
@@ -277,49 +295,49 @@
 }
 
 #[gtest]
-fn what_may_run_only_once_goes_on_when_its_client_leaves_or_this_process_is_to_end() {
+fn non_idempotent_attempts_are_not_cancelled_on_disconnect_or_drain() {
     for path in ["/once/x", "/any/x"] {
-        let mut day = Day::new(1, 3);
-        day.arrives(1, path, "key-free");
-        day.edge.begin_drain(day.now);
-        expect_that!(day.seen["1"].out.len(), eq(1));
-        day.leaves(1);
-        // The one is left alone, the other called off; neither is sent again or answered.
-        expect_that!(day.seen["1"].out.len(), eq(usize::from(path == "/once/x")));
-        if let Some((id, attempt)) = day.any() {
-            day.ended(&id, attempt, Ending::Full, None);
+        let mut scenario = Scenario::new(1, 3);
+        scenario.receive(1, path, "key-free");
+        scenario.edge.begin_drain(scenario.now);
+        expect_that!(scenario.observed["1"].in_flight.len(), eq(1));
+        scenario.disconnect(1);
+        // The idempotent one is cancelled, the other is not; neither is dispatched again or answered.
+        expect_that!(scenario.observed["1"].in_flight.len(), eq(usize::from(path == "/once/x")));
+        if let Some((id, attempt)) = scenario.any() {
+            scenario.ended(&id, attempt, Ending::Full, None);
         }
-        expect_that!((day.seen["1"].sent, day.edge.pending_count()), eq((1, 0)));
+        expect_that!((scenario.observed["1"].sent, scenario.edge.pending_count()), eq((1, 0)));
     }
 }
 
 #[gtest]
-fn a_drain_takes_what_it_can_end_and_refuses_the_rest_unsent() {
-    let mut day = Day::new(1, 3);
-    let drain = day.edge.begin_drain(day.now);
-    day.ends_at = drain.ends_at;
-    // Their target is 0.4 s, and they are waited for for a second. Until the platform may have noticed, all are taken.
+fn a_drain_accepts_requests_that_can_end_in_time_and_rejects_the_rest() {
+    let mut scenario = Scenario::new(1, 3);
+    let drain = scenario.edge.begin_drain(scenario.now);
+    scenario.ends_at = drain.ends_at;
+    // Their latency target is 0.4 s, their clients wait 1 s. Until the platform may have noticed, all are accepted.
     let latest = drain.ends_at - 0.15 - 0.8 - 1e-6;
     let times =
-        [day.now, drain.closes_at - 0.01, drain.closes_at, latest, latest + 0.01, drain.ends_at + 0.1];
+        [scenario.now, drain.closes_at - 0.01, drain.closes_at, latest, latest + 0.01, drain.ends_at + 0.1];
     for (n, (at, taken)) in times.into_iter().zip([true, true, true, true, false, false]).enumerate() {
-        day.now = at;
-        day.arrives(n, "/once/x", "key-free");
-        let seen = &day.seen[&n.to_string()];
-        expect_that!(seen.out.len(), eq(usize::from(taken)), "{n}");
-        expect_that!(matches!(seen.answer, Some(FinalResponse::NotExecuted(_))), eq(!taken), "{n}");
-        // Its worker is to be done before the drain is.
-        let route = day.edge.active_config.route("a.example", "/once/x").cloned().expect("a route");
-        let limits = day.edge.time_limits(day.now, &route, 1.0);
+        scenario.now = at;
+        scenario.receive(n, "/once/x", "key-free");
+        let observed = &scenario.observed[&n.to_string()];
+        expect_that!(observed.in_flight.len(), eq(usize::from(taken)), "{n}");
+        expect_that!(matches!(observed.response, Some(FinalResponse::NotExecuted(_))), eq(!taken), "{n}");
+        // Its worker is to respond before the drain ends.
+        let route = scenario.edge.active_config.route("a.example", "/once/x").cloned().expect("a route");
+        let limits = scenario.edge.time_limits(scenario.now, &route, 1.0);
         expect_that!(at + limits.upstream_secs, le(drain.ends_at - 0.1));
-        if let Some((id, attempt)) = day.any() {
-            day.ended(&id, attempt, Ending::Ok, Some(true));
+        if let Some((id, attempt)) = scenario.any() {
+            scenario.ended(&id, attempt, Ending::Ok, Some(true));
         }
     }
 }
 
 #[gtest]
-fn the_times_of_a_drain_fit_every_grace_period() {
+fn drain_times_fit_every_grace_period() {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     for grace_ms in [0, 1, 200, 1000, 2000, 3000, 6000, 30_000] {
         settings.envelope.grace = std::time::Duration::from_millis(grace_ms);
@@ -327,7 +345,7 @@
         let drain = crate::data_plane::drain::Drain::new(1000.0, &settings);
         expect_that!((drain.closes_at, drain.ends_at), (ge(1000.0), ge(drain.closes_at)), "{grace_ms}");
         expect_that!(drain.ends_at, le(1000.0 + grace), "{grace_ms}");
-        // Whoever is broken off was at work in the last sixth.
+        // Only attempts in flight in the last sixth of the grace period are cut off.
         expect_that!(drain.ends_at, ge(1000.0 + grace * 5.0 / 6.0 - 1e-9), "{grace_ms}");
     }
 }
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -15,7 +15,7 @@
 
 /// Part of its capacity that a worker has while it warms up (slow start).
 const WARMUP_CAPACITY_SHARE: f64 = 0.5;
-/// Duration of slow start, in seconds. A worker's own word on when it is warm takes precedence.
+/// Duration of slow start, in seconds. A warm-up time that a worker reports takes precedence.
 const WARMUP_SECS: f64 = 3.0;
 
 /// Candidates that are compared for an attempt. As the attempts of other edge nodes are known, the best of many is good.
