--- a/crates/gateway/src/control_plane/quota_lease.rs
+++ b/crates/gateway/src/control_plane/quota_lease.rs
@@ -32,7 +32,7 @@
     pub fn new(settings: &Settings) -> Self {
         let terms = QuotaCounterConfig {
             overdue: QUOTA_CONTACT_TIMEOUT_SECS,
-            lapse: standing_share_expiry_secs(settings),
+            lapse: standing_share_expiry_secs(settings.envelope.quota_horizon),
             every: QUOTA_SYNC_INTERVAL_SECS,
         };
         QuotaLease { terms, counter: None, recorded_at: f64::NEG_INFINITY, ended: false }
--- a/crates/gateway/src/data_plane/core_links.rs
+++ b/crates/gateway/src/data_plane/core_links.rs
@@ -159,18 +159,18 @@
     fn on_config_update(&mut self, previous: Option<u64>, index: u64, items: Vec<ConfigItem>) -> bool {
         let (is_full, count) = (previous.is_none(), items.len());
         let kinds: BTreeSet<ItemKind> = items.iter().map(|i| i.kind).collect();
-        match self.replica.take(previous, index, items) {
-            ReplicaUpdate::Taken => {
+        match self.replica.apply_update(previous, index, items) {
+            ReplicaUpdate::Applied => {
                 let config = match is_full {
-                    true => ActiveConfig::fold_parts(self.replica.parts()),
-                    false => self.active_config.refold(self.replica.parts(), &kinds),
+                    true => ActiveConfig::from_active_items(self.replica.active_items()),
+                    false => self.active_config.with_changed_kinds(self.replica.active_items(), &kinds),
                 };
                 self.active_config = Arc::new(config);
                 tracing::info!(index, items = count, "configuration applied");
             }
             // An update before it is missing; the core sends it again after the next ping.
             ReplicaUpdate::Gap => {}
-            ReplicaUpdate::Old => return false,
+            ReplicaUpdate::Stale => return false,
         }
         is_full || self.replica.index() < index
     }
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -103,7 +103,7 @@
     pub fn new(settings: Settings, incarnation: u64) -> Self {
         let replica = ConfigReplica::default();
         EdgeNode {
-            active_config: Arc::new(ActiveConfig::fold_parts(replica.parts())),
+            active_config: Arc::new(ActiveConfig::from_active_items(replica.active_items())),
             replica,
             registry: WorkerRegistry::default(),
             quota: QuotaAdmission::new(quota_config(&settings), &settings.node),
@@ -176,12 +176,11 @@
     /// Whether the configuration, workers of all routed services and, if any tenant has a quota, a first answer of the
     /// quota leader are known.
     pub fn can_serve(&self) -> bool {
-        let mut routed = self
-            .active_config
-            .routes()
-            .flat_map(|r| r.mixture.iter().filter(|(_, weight)| *weight > 0.0).map(|(service, _)| service));
+        let mut routed = self.active_config.routes().flat_map(|r| {
+            r.service_weights.iter().filter(|(_, weight)| *weight > 0.0).map(|(service, _)| service)
+        });
         let has_worker = |service: &Arc<str>| {
-            self.registry.all().any(|w| w.service == *service && w.phase == WorkerPhase::Serving)
+            self.registry.workers().any(|w| w.service == *service && w.phase == WorkerPhase::Serving)
         };
         self.is_configured()
             && (self.has_complete_workers || routed.all(has_worker))
@@ -189,7 +188,7 @@
     }
 
     fn has_quotas(&self) -> bool {
-        self.active_config.tenants().values().any(|t| t.rate > 0.0)
+        self.active_config.tenants_by_label().values().any(|t| t.requests_per_sec > 0.0)
     }
 
     /// Whether any configuration is known.
--- a/crates/gateway/src/data_plane/quota_admission/mod.rs
+++ b/crates/gateway/src/data_plane/quota_admission/mod.rs
@@ -14,7 +14,7 @@
 mod sync;
 mod tenant_account;
 
-use crate::control_plane::quota_counter::TenantLimit;
+use crate::protocol::TenantLimit;
 use standing_share::ShareContext;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/gateway/src/data_plane/quota_admission/overshoot_tests.rs
+++ b/crates/gateway/src/data_plane/quota_admission/overshoot_tests.rs
@@ -2,10 +2,10 @@
 //! standing shares, and the allowance of tenants without a share. Overshoot through messages in flight is tested in
 //! `control_plane/quota_counter/tests.rs`.
 
-use crate::control_plane::quota_counter::TenantLimit;
 use crate::data_plane::quota_admission::{
     AdmissionDecision, GrantState, QuotaAdmission, QuotaAdmissionConfig,
 };
+use crate::protocol::TenantLimit;
 use crate::protocol::{TenantGrant, TenantUsage};
 use googletest::prelude::*;
 use std::sync::Arc;
--- a/crates/gateway/src/data_plane/quota_admission/standing_share.rs
+++ b/crates/gateway/src/data_plane/quota_admission/standing_share.rs
@@ -7,7 +7,7 @@
 
 use super::tenant_account::TenantAccount;
 use super::{AdmissionDecision, QuotaAdmissionConfig};
-use crate::control_plane::quota_counter::TenantLimit;
+use crate::protocol::TenantLimit;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Part of the allowed overshoot that standing shares may save up, over all edge nodes, in the time after which they
--- a/crates/gateway/src/data_plane/quota_sync.rs
+++ b/crates/gateway/src/data_plane/quota_sync.rs
@@ -2,8 +2,9 @@
 
 use super::quota_admission::{GrantState, QuotaAdmissionConfig};
 use super::{EdgeNode, Effect};
-use crate::control_plane::quota_lease;
-use crate::protocol::PeerMessage;
+use crate::protocol::{
+    standing_share_expiry_secs, PeerMessage, QUOTA_CONTACT_TIMEOUT_SECS, QUOTA_SYNC_INTERVAL_SECS,
+};
 use crate::settings::Settings;
 use std::net::IpAddr;
 
@@ -13,9 +14,9 @@
 pub(super) fn quota_config(settings: &Settings) -> QuotaAdmissionConfig {
     let envelope = &settings.envelope;
     QuotaAdmissionConfig {
-        sync_interval_secs: quota_lease::SYNC_EVERY,
-        sync_timeout_secs: quota_lease::OVERDUE,
-        share_lifetime_secs: quota_lease::lapse(settings),
+        sync_interval_secs: QUOTA_SYNC_INTERVAL_SECS,
+        sync_timeout_secs: QUOTA_CONTACT_TIMEOUT_SECS,
+        share_lifetime_secs: standing_share_expiry_secs(envelope.quota_horizon),
         overshoot_ratio: envelope.quota_overshoot,
         overshoot_requests: envelope.quota_margin,
         horizon_secs: envelope.quota_horizon.as_secs_f64(),
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -10,8 +10,8 @@
 use super::upstream_service::{AttemptResult, RequestClass};
 use super::{drain, EdgeNode, Effect};
 use crate::configuration::active_config::{Route, Tenant};
-use crate::control_plane::quota_counter::TenantLimit;
 use crate::data_plane::quota_admission::{AdmissionDecision, GrantState};
+use crate::protocol::TenantLimit;
 use std::sync::Arc;
 use std::time::Duration;
 use whinstall::{Action, Ending, HostId, RequestId};
@@ -83,11 +83,11 @@
     /// Handles a request whose route and tenant are known.
     pub fn on_request(&mut self, now: f64, incoming: IncomingRequest, out: &mut Vec<Effect>) {
         let IncomingRequest { id, route, tenant, remaining_secs } = incoming;
-        let Some(service) = route.service(self.rng.f64()).cloned() else {
+        let Some(service) = route.pick_service(self.rng.f64()).cloned() else {
             return out.push(Effect::Respond(id, FinalResponse::NotExecuted(RETRY_AFTER_SECS)));
         };
         let TimeLimits { dispatch_secs, .. } = self.time_limits(now, &route, remaining_secs);
-        let latency_target_secs = route.target.as_secs_f64();
+        let latency_target_secs = route.latency_target.as_secs_f64();
         if self.drain.is_some_and(|drain| !drain.accepts(now, latency_target_secs, dispatch_secs)) {
             return out.push(Effect::Respond(id, FinalResponse::NotExecuted(drain::RETRY_AFTER_SECS)));
         }
@@ -95,8 +95,8 @@
         if dispatch_secs <= 0.0 || self.requests.contains_key(&id) {
             return out.push(Effect::Respond(id, FinalResponse::NotExecuted(NO_TIME_RETRY_AFTER_SECS)));
         }
-        let priority = tenant.as_ref().and_then(|t| t.rank).unwrap_or(route.rank);
-        let (is_idempotent, latency_target) = (route.repeatable, route.target);
+        let priority = tenant.as_ref().and_then(|t| t.priority).unwrap_or(route.priority);
+        let (is_idempotent, latency_target) = (route.is_idempotent, route.latency_target);
         let request = PendingRequest {
             service,
             class: RequestClass { is_idempotent, latency_target, priority },
@@ -113,11 +113,11 @@
     /// Charges a request to its tenant's quota and passes it to its service, rejects it, or lets it wait for a grant.
     pub(super) fn admit(&mut self, now: f64, id: &RequestId, grant: GrantState, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(id) else { return };
-        let tenants = self.active_config.tenants();
+        let tenants = self.active_config.tenants_by_label();
         let tenant = request.tenant.as_ref().and_then(|name| Some((name, tenants.get(name)?)));
         let (decision, has_quota) = match tenant {
             Some((name, tenant)) => {
-                let limit = TenantLimit { rate: tenant.rate, burst: tenant.burst };
+                let limit = TenantLimit { rate: tenant.requests_per_sec, burst: tenant.burst };
                 (self.quota.admit(now, name, &limit, grant), limit.rate > 0.0)
             }
             None => (AdmissionDecision::Admit, false),
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -151,7 +151,8 @@
         let route = view.match_route("a.example", path).cloned().expect("a route");
         let tenant = view.tenant_by_credential(key).cloned();
         let id = RequestId(format!("{n}").into());
-        let observed = Observed { runs_once: !route.is_idempotent, received_at: self.now, ..Default::default() };
+        let observed =
+            Observed { runs_once: !route.is_idempotent, received_at: self.now, ..Default::default() };
         self.observed.insert(n.to_string(), observed);
         let arrival = IncomingRequest { id, route, tenant, remaining_secs: 1.0 };
         self.with(|edge, now, out| edge.on_request(now, arrival, out));
@@ -328,7 +329,8 @@
         expect_that!(observed.in_flight.len(), eq(usize::from(taken)), "{n}");
         expect_that!(matches!(observed.response, Some(FinalResponse::NotExecuted(_))), eq(!taken), "{n}");
         // Its worker is to respond before the drain ends.
-        let route = scenario.edge.active_config.route("a.example", "/once/x").cloned().expect("a route");
+        let route =
+            scenario.edge.active_config.match_route("a.example", "/once/x").cloned().expect("a route");
         let limits = scenario.edge.time_limits(scenario.now, &route, 1.0);
         expect_that!(at + limits.upstream_secs, le(drain.ends_at - 0.1));
         if let Some((id, attempt)) = scenario.any() {
--- a/crates/gateway/src/data_plane/time_limits.rs
+++ b/crates/gateway/src/data_plane/time_limits.rs
@@ -21,7 +21,7 @@
     /// Limits of a request whose client waits for another `remaining_secs`: the least of that, of the route's cutoff and
     /// of the time that a drain leaves.
     pub fn time_limits(&self, now: f64, route: &Route, remaining_secs: f64) -> TimeLimits {
-        let request_secs = route.cutoff.map_or(remaining_secs, |c| remaining_secs.min(c.as_secs_f64()));
+        let request_secs = route.timeout.map_or(remaining_secs, |c| remaining_secs.min(c.as_secs_f64()));
         let dispatch_secs = request_secs - DISPATCH_MARGIN_SECS;
         match self.drain {
             None => TimeLimits { dispatch_secs, upstream_secs: request_secs },
--- a/crates/gateway/src/data_plane/upkeep.rs
+++ b/crates/gateway/src/data_plane/upkeep.rs
@@ -43,11 +43,11 @@
     /// Drops what is out of date: links, workers, load reports.
     fn expire_state(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.close_obsolete_links(now, out);
-        self.registry.sweep(now);
+        self.registry.remove_ended(now);
         let changes = self.loads.expire_reports(now);
         self.apply_load_changes(changes);
         // Ids of workers that are gone, once they are most of the map.
-        if self.worker_ids.len() > 4 * self.registry.all().count() + 64 {
+        if self.worker_ids.len() > 4 * self.registry.workers().count() + 64 {
             let registry = &self.registry;
             self.worker_ids.retain(|_, id| registry.get(id).is_some());
         }
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -156,7 +156,8 @@
 
     /// Sets the workers that may receive requests: those in the registry that serve this service.
     pub fn set_workers(&mut self, now: f64, registry: &WorkerRegistry, out: &mut Vec<Action>) {
-        let serving = registry.workers().filter(|w| w.service == self.name && w.phase == WorkerPhase::Serving);
+        let serving =
+            registry.workers().filter(|w| w.service == self.name && w.phase == WorkerPhase::Serving);
         let entry = |w: &Worker| HostEntry {
             host: HostId(Arc::clone(&w.id)),
             zone: w.zone.to_string(),
--- a/crates/gateway/src/data_plane/worker_updates.rs
+++ b/crates/gateway/src/data_plane/worker_updates.rs
@@ -43,7 +43,7 @@
     fn mark_unlisted_workers(&mut self, now: f64, listed: &[Worker], out: &mut Vec<Effect>) {
         let listed: HashSet<&str> = listed.iter().map(|w| &*w.id).collect();
         let is_lost = |w: &&Worker| w.phase <= WorkerPhase::Draining && !listed.contains(&*w.id);
-        let lost = self.registry.all().filter(is_lost);
+        let lost = self.registry.workers().filter(is_lost);
         let lost: Vec<Worker> =
             lost.map(|w| Worker { phase: WorkerPhase::Unresponsive, ..w.clone() }).collect();
         if !lost.is_empty() {
@@ -79,7 +79,7 @@
         self.ensure_service(name);
         if let Some(service) = self.services.get_mut(name) {
             service.set_workers(now, &self.registry, &mut actions);
-            for worker in self.registry.all().filter(|w| w.service == *name) {
+            for worker in self.registry.workers().filter(|w| w.service == *name) {
                 service.set_in_flight_elsewhere(&worker.id, self.loads.in_flight_elsewhere(&worker.id));
             }
         }
--- a/crates/gateway/src/protocol/quota.rs
+++ b/crates/gateway/src/protocol/quota.rs
@@ -1,8 +1,8 @@
 //! What an edge node and the quota leader exchange for each tenant, and the terms that both go by: a tenant's limit, and
 //! when an edge node may spend its standing share.
 
-use crate::settings::Settings;
 use serde::{Deserialize, Serialize};
+use std::time::Duration;
 
 /// An edge node reports its usage at least this often, in seconds.
 pub const QUOTA_SYNC_INTERVAL_SECS: f64 = 0.25;
@@ -14,8 +14,8 @@
 const SHARE_EXPIRY_HORIZONS: f64 = 3.0;
 
 /// How long an edge node's standing shares stay valid after its last sync, in seconds.
-pub fn standing_share_expiry_secs(settings: &Settings) -> f64 {
-    SHARE_EXPIRY_HORIZONS * settings.envelope.quota_horizon.as_secs_f64()
+pub fn standing_share_expiry_secs(quota_horizon: Duration) -> f64 {
+    SHARE_EXPIRY_HORIZONS * quota_horizon.as_secs_f64()
 }
 
 /// A tenant's limit: a token bucket.
