--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -7,16 +7,16 @@
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
-use std::net::{IpAddr, SocketAddr};
+use std::net::IpAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::net::UdpSocket;
 use whinstall::{Ending, HostId, RequestId};
 use whinstall_gateway::data_plane::requests::{FinalResponse, IncomingRequest};
 use whinstall_gateway::data_plane::{EdgeNode, Effect, Event};
-use whinstall_gateway::protocol::{self, LoadReport, PeerMessage};
-use whinstall_gateway::runtime::edge_loop::EdgeLoop;
+use whinstall_gateway::protocol::{self, PeerMessage};
+use whinstall_gateway::runtime::edge_loop::{run_ticks, EdgeDriver, EdgeLoop};
+use whinstall_gateway::runtime::load_reports::LoadReportSocket;
 use whinstall_gateway::settings::Settings;
 use whinstall_gateway::transport::peer_link::{LinkEvent, PeerLinks};
 
@@ -85,8 +85,7 @@
 struct Gate {
     edge: EdgeLoop,
     links: PeerLinks,
-    hints: UdpSocket,
-    port: u16,
+    load_reports: LoadReportSocket,
     counts: bool,
     next: Cell<u64>,
     counted_at: Cell<f64>,
@@ -103,42 +102,9 @@
     bytes.get(at + 1..at + 1 + length).and_then(|name| std::str::from_utf8(name).ok()).unwrap_or("?")
 }
 
-impl Gate {
-    fn count(&self, way: &str, msg: &PeerMessage, to: IpAddr) {
-        if !self.counts {
-            return;
-        }
-        if matches!(msg, PeerMessage::QuotaGrants { is_leader: true, .. }) {
-            let now = self.run.clock.now();
-            let mut report = self.run.report.borrow_mut();
-            report.uncounted_s = report.uncounted_s.max(now - self.counted_at.replace(now));
-        }
-        let bytes = protocol::encode(msg);
-        let name = kind(&bytes);
-        let mut report = self.run.report.borrow_mut();
-        if name == "Sync" && way == "said" {
-            *report.syncs.entry(to.to_string()).or_default() += 1;
-        }
-        let tally = report.kinds.entry(format!("{way} {name}")).or_default();
-        (tally.messages, tally.bytes) = (tally.messages + 1, tally.bytes + bytes.len() as u64);
-    }
-
-    fn count_datagram(&self, way: &str, bytes: usize) {
-        if self.counts {
-            let mut report = self.run.report.borrow_mut();
-            let tally = report.kinds.entry(format!("{way} Load (datagram)")).or_default();
-            (tally.messages, tally.bytes) = (tally.messages + 1, tally.bytes + bytes as u64);
-        }
-    }
-
-    fn handle(self: &Rc<Self>, event: Event) {
-        self.with(|edge, now, out| edge.handle(now, event, out));
-    }
-
-    fn with(self: &Rc<Self>, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>)) {
-        for effect in self.edge.with(f) {
-            self.carry_out(effect);
-        }
+impl EdgeDriver for Gate {
+    fn edge(&self) -> &EdgeLoop {
+        &self.edge
     }
 
     fn carry_out(self: &Rc<Self>, effect: Effect) {
@@ -165,15 +131,41 @@
                 self.run.report.borrow_mut().requests[place] += 1;
             }
             Effect::Tell(to, load) if self.run.job.tell => {
-                let Ok(bytes) = rmp_serde::to_vec(&load) else { return };
-                for ip in to {
-                    self.count_datagram("said", bytes.len());
-                    let _ = self.hints.try_send_to(&bytes, SocketAddr::new(ip, self.port));
-                }
+                let Some(bytes) = self.load_reports.send(&to, &load) else { return };
+                to.iter().for_each(|_| self.count_datagram("said", bytes));
             }
             Effect::Tell(..) | Effect::CloseIdle(_) => {}
         }
     }
+}
+
+impl Gate {
+    fn count(&self, way: &str, msg: &PeerMessage, to: IpAddr) {
+        if !self.counts {
+            return;
+        }
+        if matches!(msg, PeerMessage::QuotaGrants { is_leader: true, .. }) {
+            let now = self.run.clock.now();
+            let mut report = self.run.report.borrow_mut();
+            report.uncounted_s = report.uncounted_s.max(now - self.counted_at.replace(now));
+        }
+        let bytes = protocol::encode(msg);
+        let name = kind(&bytes);
+        let mut report = self.run.report.borrow_mut();
+        if name == "Sync" && way == "said" {
+            *report.syncs.entry(to.to_string()).or_default() += 1;
+        }
+        let tally = report.kinds.entry(format!("{way} {name}")).or_default();
+        (tally.messages, tally.bytes) = (tally.messages + 1, tally.bytes + bytes.len() as u64);
+    }
+
+    fn count_datagram(&self, way: &str, bytes: usize) {
+        if self.counts {
+            let mut report = self.run.report.borrow_mut();
+            let tally = report.kinds.entry(format!("{way} Load (datagram)")).or_default();
+            (tally.messages, tally.bytes) = (tally.messages + 1, tally.bytes + bytes as u64);
+        }
+    }
 
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
@@ -192,9 +184,9 @@
 
     /// Takes what the core said, and looks whether another configuration is in force.
     fn heard(self: &Rc<Self>, event: Event) {
-        let before = Arc::clone(&self.edge.state.borrow().view);
+        let before = Arc::clone(&self.edge.node.borrow().view);
         self.handle(event);
-        let view = Arc::clone(&self.edge.state.borrow().view);
+        let view = Arc::clone(&self.edge.node.borrow().view);
         if Arc::ptr_eq(&before, &view) {
             return;
         }
@@ -217,7 +209,7 @@
         let begun = tokio::task::spawn_local(async move {
             tokio::time::sleep(work).await;
             this.out.borrow_mut().remove(&(id.clone(), attempt));
-            this.with(|edge, now, out| {
+            this.update(|edge, now, out| {
                 edge.ended(now, &id, attempt, &worker, Ending::Ok, Some(true), out);
             });
         });
@@ -227,7 +219,7 @@
     /// One request, of a tenant and to a route that are drawn.
     fn ask(self: &Rc<Self>) {
         let job = &self.run.job;
-        let view = Arc::clone(&self.edge.state.borrow().view);
+        let view = Arc::clone(&self.edge.node.borrow().view);
         let number = fastrand::u32(..job.routes.max(1));
         let host = format!("h{}.example", number / ROUTES_A_HOST);
         let Some(route) = view.route(&host, &format!("/p{number}/x")).cloned() else { return };
@@ -236,31 +228,26 @@
         self.next.set(self.next.get() + 1);
         self.run.report.borrow_mut().requests[0] += 1;
         let arrival = IncomingRequest { id, route, tenant, left: 2.0 };
-        self.with(|edge, now, out| edge.arrived(now, arrival, out));
+        self.update(|edge, now, out| edge.arrived(now, arrival, out));
     }
 
     async fn hear_others(self: Rc<Self>) {
-        let mut bytes = vec![0; 65536];
-        loop {
-            match self.hints.recv_from(&mut bytes).await {
-                Ok((length, from)) => {
-                    self.count_datagram("heard", length);
-                    if let Ok(load) = rmp_serde::from_slice::<LoadReport>(&bytes[..length]) {
-                        self.handle(Event::Told(from.ip(), load));
-                    }
+        self.load_reports
+            .receive(|received| {
+                self.count_datagram("heard", received.length);
+                if let Some(load) = received.report {
+                    self.handle(Event::Told(received.from, load));
                 }
-                Err(_) => tokio::time::sleep(Duration::from_millis(5)).await,
-            }
-        }
+            })
+            .await;
     }
 
     async fn tick(self: Rc<Self>) {
-        loop {
-            self.handle(Event::Tick);
-            let late = self.edge.due().await;
-            let mut report = self.run.report.borrow_mut();
+        run_ticks(self, |gate, late| {
+            let mut report = gate.run.report.borrow_mut();
             report.late_s = report.late_s.max(late);
-        }
+        })
+        .await;
     }
 
     async fn ask_on(self: Rc<Self>) {
@@ -274,7 +261,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        self.edge.state.borrow().is_ready(self.run.clock.now())
+        self.edge.is_ready()
     }
 }
 
@@ -286,19 +273,18 @@
     for (number, text) in run.job.settings.iter().enumerate() {
         let settings = Settings::from_toml(text).map_err(|e| CapacityError::Child(e.to_string()))?;
         let port = settings.internal_port;
-        let hints = UdpSocket::bind((settings.ip, port)).await.map_err(CapacityError::Socket)?;
+        let load_reports = LoadReportSocket::bind(settings.ip, port).await.map_err(CapacityError::Socket)?;
         let gate = Rc::new(Gate {
             edge: EdgeLoop::new(EdgeNode::new(settings, fastrand::u64(..)), run.clock),
             links: PeerLinks::new(port),
-            hints,
-            port,
+            load_reports,
             counts: number < run.job.counted,
             next: Cell::new(1),
             counted_at: Cell::new(f64::INFINITY),
             out: RefCell::default(),
             run: Rc::clone(&run),
         });
-        gate.with(|edge, _, out| edge.start(out));
+        gate.update(|edge, _, out| edge.start(out));
         tokio::task::spawn_local(Rc::clone(&gate).hear_others());
         tokio::task::spawn_local(Rc::clone(&gate).tick());
         gates.push(gate);
--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -1,7 +1,8 @@
-//! Owns the way of items from a disk into a new system: as the body of one operator's call. The disk is of a member of the
-//! replicated log whose core is lost for good, or of the program before that log. It must never change that disk, nor
-//! leave an item out.
+//! `export`: the items on a disk as the body of one configuration call, for a new system to import. The disk is of a
+//! member of a core that is lost for good, or of the program before the replicated log. It is copied and never changed,
+//! and every item on it is exported, removed ones too.
 
+use super::CommandError;
 use crate::configuration::{ConfigItem, ConfigState, ItemKind, ItemSet};
 use crate::consensus::EntryPayload;
 use crate::control_plane::snapshot_state;
@@ -11,7 +12,7 @@
 use serde_json::{json, Map, Value};
 use std::path::{Path, PathBuf};
 
-/// Why there is nothing to print.
+/// Why a disk can't be exported.
 #[derive(Debug, displaydoc::Display)]
 pub enum ExportError {
     /// the data folder: {0}
@@ -26,50 +27,59 @@
     NoDisk(String),
 }
 
-impl std::error::Error for ExportError {}
+impl std::error::Error for ExportError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ExportError::Io(error) => Some(error),
+            ExportError::Database(error) => Some(error),
+            ExportError::Replica(error) => Some(error),
+            ExportError::Corrupt(_) | ExportError::NoDisk(_) => None,
+        }
+    }
+}
 
 impl From<std::io::Error> for ExportError {
-    fn from(e: std::io::Error) -> Self {
-        ExportError::Io(e)
+    fn from(error: std::io::Error) -> Self {
+        ExportError::Io(error)
     }
 }
 
 impl From<rusqlite::Error> for ExportError {
-    fn from(e: rusqlite::Error) -> Self {
-        ExportError::Database(e)
+    fn from(error: rusqlite::Error) -> Self {
+        ExportError::Database(error)
     }
 }
 
-/// A folder that goes with it.
-struct Scratch(PathBuf);
+/// A temporary folder, removed when this is dropped.
+struct TemporaryCopy(PathBuf);
 
-impl Scratch {
-    /// With copies of these files, as far as they are there.
+impl TemporaryCopy {
+    /// Copies those of the files that exist.
     fn of(folder: &Path, names: &[&str]) -> Result<Self, ExportError> {
         let name = format!("whinstall-export-{}-{:x}", std::process::id(), fastrand::u64(..));
-        let scratch = Scratch(std::env::temp_dir().join(name));
-        std::fs::create_dir(&scratch.0)?;
+        let copy = TemporaryCopy(std::env::temp_dir().join(name));
+        std::fs::create_dir(&copy.0)?;
         for name in names {
             if folder.join(name).try_exists()? {
-                std::fs::copy(folder.join(name), scratch.0.join(name))?;
+                std::fs::copy(folder.join(name), copy.0.join(name))?;
             }
         }
-        Ok(scratch)
+        Ok(copy)
     }
 }
 
-impl Drop for Scratch {
+impl Drop for TemporaryCopy {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// What a disk holds: its items, the dropped ones too, as a call's body.
+/// The items of a disk, as the body of a call.
 #[derive(Debug)]
 pub struct Export {
-    /// The body.
+    /// The body of the configuration call.
     pub call: Value,
-    /// What the disk is, and how far what it holds is surely committed.
+    /// What the disk is, and up to which index its entries are known to be committed.
     pub origin: Value,
 }
 
@@ -79,77 +89,96 @@
     }
 }
 
-/// Reads a copy of a disk; the program must not be running on it.
+/// Runs the command: prints the call, or writes it to the file `out`; the origin goes to standard error.
+pub(super) fn run(data: Option<String>, out: Option<String>) -> Result<(), CommandError> {
+    let data = data.ok_or(CommandError::MissingDataFolder)?;
+    let export = match export(data.as_ref()) {
+        Ok(export) => export,
+        Err(error) => return Err(CommandError::Export(data, error)),
+    };
+    eprintln!("{}", export.origin);
+    match out {
+        None => println!("{export}"),
+        Some(out) => {
+            if let Err(error) = std::fs::write(&out, export.to_string()) {
+                return Err(CommandError::File(out, error));
+            }
+        }
+    }
+    Ok(())
+}
+
+/// Reads a copy of the disk in `folder`. No process may be running on it: the copy could be torn.
 pub fn export(folder: &Path) -> Result<Export, ExportError> {
     if folder.join(LEGACY_DATABASE_FILE).try_exists()? {
-        return earlier(folder);
+        return export_legacy(folder);
     }
     if folder.join(DATABASE_FILE).try_exists()? {
-        return member(folder);
+        return export_member(folder);
     }
     Err(ExportError::NoDisk(folder.display().to_string()))
 }
 
-/// The disk of a member: its snapshot and all of its log. A disk alone can't tell what is committed behind the snapshot:
-/// whatever was acknowledged is in the log that is furthest of most of the members.
-fn member(folder: &Path) -> Result<Export, ExportError> {
-    let scratch = Scratch::of(folder, &[DATABASE_FILE, WAL_FILE])?;
-    let (store, held) = ReplicaStore::open(&scratch.0, false).map_err(ExportError::Replica)?;
+/// The disk of a member: its snapshot and its whole log. A disk alone can't tell which entries after the snapshot are
+/// committed: whatever was acknowledged is in the longest log of any majority of the members.
+fn export_member(folder: &Path) -> Result<Export, ExportError> {
+    let copy = TemporaryCopy::of(folder, &[DATABASE_FILE, WAL_FILE])?;
+    let (store, stored) = ReplicaStore::open(&copy.0, false).map_err(ExportError::Replica)?;
     drop(store);
-    sound(&Connection::open(scratch.0.join(DATABASE_FILE))?)?;
-    let snapshot = held.raft.snapshot.as_ref();
+    check_integrity(&Connection::open(copy.0.join(DATABASE_FILE))?)?;
+    let snapshot = stored.raft.snapshot.as_ref();
     let mut state = match snapshot {
         Some(snapshot) => snapshot_state(&snapshot.data).map_err(ExportError::Corrupt)?,
         None => ConfigState::default(),
     };
-    let behind = snapshot.map_or((0, 0), |s| (s.index, s.term));
+    let (snapshot_index, snapshot_term) = snapshot.map_or((0, 0), |s| (s.index, s.term));
     let mut members = snapshot.map(|s| s.members.clone()).unwrap_or_default();
-    let mut calls = 0;
-    for entry in &held.raft.log {
+    let mut calls_after_snapshot = 0;
+    for entry in &stored.raft.log {
         match &entry.body {
-            EntryPayload::Command(LogCommand::Configure(order)) => {
-                calls += 1;
-                state.apply(entry.index, order);
+            EntryPayload::Command(LogCommand::Configure(change)) => {
+                calls_after_snapshot += 1;
+                state.apply(entry.index, change);
             }
             EntryPayload::Members(changed) => members.clone_from(changed),
             EntryPayload::Command(LogCommand::Shares(_)) | EntryPayload::TermStart => {}
         }
     }
-    let last = held.raft.log.last().map_or(behind, |e| (e.index, e.term));
+    let last = stored.raft.log.last();
     let mut items = ItemSet::default();
     for item in state.items() {
         items.merge((**item).clone());
     }
     let names: Vec<String> = members.iter().map(|m| format!("{}/{:x}", m.ip, m.disk)).collect();
     let origin = json!({
-        "disk": format!("{:x}", held.disk),
+        "disk": format!("{:x}", stored.disk),
         "members": names,
-        "last_term": last.1,
-        "last_index": last.0,
-        "committed_up_to_at_least": behind.0,
-        "calls_behind_that": calls,
+        "last_term": last.map_or(snapshot_term, |entry| entry.term),
+        "last_index": last.map_or(snapshot_index, |entry| entry.index),
+        "committed_up_to_at_least": snapshot_index,
+        "calls_behind_that": calls_after_snapshot,
         "items": state.standing().count(),
         "dropped": state.items().count() - state.standing().count(),
     });
     Ok(Export { call: import_call(&items), origin })
 }
 
-fn sound(db: &Connection) -> Result<(), ExportError> {
-    let sound: String = db.query_row("PRAGMA quick_check(1)", [], |row| row.get(0))?;
-    match sound.as_str() {
+fn check_integrity(database: &Connection) -> Result<(), ExportError> {
+    let result: String = database.query_row("PRAGMA quick_check(1)", [], |row| row.get(0))?;
+    match result.as_str() {
         "ok" => Ok(()),
-        _ => Err(ExportError::Corrupt(sound)),
+        _ => Err(ExportError::Corrupt(result)),
     }
 }
 
 /// The disk of the program before the replicated log.
-fn earlier(folder: &Path) -> Result<Export, ExportError> {
+fn export_legacy(folder: &Path) -> Result<Export, ExportError> {
     let (wal, journal) = (format!("{LEGACY_DATABASE_FILE}-wal"), format!("{LEGACY_DATABASE_FILE}-journal"));
-    let scratch = Scratch::of(folder, &[LEGACY_DATABASE_FILE, &wal, &journal])?;
-    let db = Connection::open(scratch.0.join(LEGACY_DATABASE_FILE))?;
-    sound(&db)?;
+    let copy = TemporaryCopy::of(folder, &[LEGACY_DATABASE_FILE, &wal, &journal])?;
+    let database = Connection::open(copy.0.join(LEGACY_DATABASE_FILE))?;
+    check_integrity(&database)?;
     let mut items = ItemSet::default();
-    let mut query = db.prepare("SELECT item FROM items")?;
+    let mut query = database.prepare("SELECT item FROM items")?;
     let mut rows = query.query([])?;
     while let Some(row) = rows.next()? {
         let blob = row.get_ref(0)?.as_blob().map_err(rusqlite::Error::from)?;
@@ -161,7 +190,7 @@
     Ok(Export { call: import_call(&items), origin })
 }
 
-/// The call that sets what stands and drops what was dropped, in the versions held.
+/// The body of the call that sets the present items and removes the removed ones, each in its stored version.
 pub fn import_call(items: &ItemSet) -> Value {
     let mut upsert = items.render();
     let mut remove: Map<String, Value> = Map::new();
@@ -172,8 +201,8 @@
         {
             upsert[kind.list()] = items.standing(kind).map(|(_, body)| Value::Object(body.map())).collect();
         }
-        let dropped = items.all().filter(|i| i.kind == kind && i.body.is_none());
-        let records: Vec<Value> = dropped.map(|i| json!([i.label, format!("r{}", i.version)])).collect();
+        let removed = items.all().filter(|i| i.kind == kind && i.body.is_none());
+        let records: Vec<Value> = removed.map(|i| json!([i.label, format!("r{}", i.version)])).collect();
         if !records.is_empty() {
             let columns = ["label", "revision"];
             remove.insert(kind.list().into(), json!({ "columns": columns, "records": records }));
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -1,16 +1,22 @@
-//! The command line: the roles, and the commands `check`, `status` and `export`.
+//! The command line: runs a role, or one of the commands `check`, `status` and `export`. Results go to standard output,
+//! everything else to standard error. Exit codes: 0 done, 1 failed, 2 called wrongly.
 
+mod check;
 pub mod export;
 #[cfg(test)]
 mod export_tests;
+mod status;
 #[cfg(test)]
 mod stored_data_tests;
 
-use crate::configuration;
+use crate::configuration::change::ChangeError;
 use crate::runtime::{self, Role};
-use crate::settings::Settings;
+use crate::settings::SettingsError;
+use export::ExportError;
+use getopts::{Matches, Options};
+use status::StatusError;
+use std::net::SocketAddr;
 use std::process::ExitCode;
-use std::time::Duration;
 
 const USAGE: &str = "whinstall-gateway ROLE
 
@@ -27,9 +33,52 @@
 
 The settings file is named by WHINSTALL_NODE_FILE. RUST_LOG sets how much is logged (info).";
 
-/// Runs the program with the arguments of this process.
-pub fn run() -> ExitCode {
-    let mut options = getopts::Options::new();
+/// The exit code of a command line that can't be understood.
+const EXIT_USAGE: u8 = 2;
+
+/// Why a command failed. The text goes to standard error as it is.
+#[derive(Debug, displaydoc::Display)]
+pub enum CommandError {
+    /// whinstall-gateway: status needs --at ADDRESS, such as 10.0.0.4:8080
+    MissingAddress,
+    /// whinstall-gateway: export needs --data DIR
+    MissingDataFolder,
+    /// {0}
+    Settings(SettingsError),
+    /// {0}: {1}
+    File(String, std::io::Error),
+    /// {0}: {1}
+    Configuration(String, ChangeError),
+    /// {0}: {1}
+    Export(String, ExportError),
+    /// {0}: {1}
+    Status(SocketAddr, StatusError),
+}
+
+impl std::error::Error for CommandError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            CommandError::MissingAddress | CommandError::MissingDataFolder => None,
+            CommandError::Settings(error) => Some(error),
+            CommandError::File(_, error) => Some(error),
+            CommandError::Configuration(_, error) => Some(error),
+            CommandError::Export(_, error) => Some(error),
+            CommandError::Status(_, error) => Some(error),
+        }
+    }
+}
+
+impl CommandError {
+    fn exit_code(&self) -> ExitCode {
+        match self {
+            CommandError::MissingAddress | CommandError::MissingDataFolder => ExitCode::from(EXIT_USAGE),
+            _ => ExitCode::FAILURE,
+        }
+    }
+}
+
+fn options() -> Options {
+    let mut options = Options::new();
     options.optflag("h", "help", "print this");
     options.optflag("V", "version", "print the version");
     options.optopt("", "settings", "check: a settings file", "FILE");
@@ -37,141 +86,54 @@
     options.optopt("", "at", "status: the control address of a core machine", "ADDRESS");
     options.optopt("", "data", "export: the folder of the disk (data_path)", "DIR");
     options.optopt("", "out", "export: written here instead of printed", "FILE");
-    let told = match options.parse(std::env::args().skip(1)) {
-        Ok(told) => told,
-        Err(error) => {
-            eprintln!("whinstall-gateway: {error}\n\n{}", options.usage(USAGE));
-            return ExitCode::from(2);
-        }
+    options
+}
+
+/// Runs the program with the arguments of this process.
+pub fn run() -> ExitCode {
+    let options = options();
+    let usage_error = |error: &str| {
+        eprintln!("whinstall-gateway: {error}\n\n{}", options.usage(USAGE));
+        ExitCode::from(EXIT_USAGE)
     };
-    if told.opt_present("help") {
+    let arguments = match options.parse(std::env::args().skip(1)) {
+        Ok(arguments) => arguments,
+        Err(error) => return usage_error(&error.to_string()),
+    };
+    if arguments.opt_present("help") {
         println!("{}", options.usage(USAGE));
         return ExitCode::SUCCESS;
     }
-    if told.opt_present("version") {
+    if arguments.opt_present("version") {
         println!("whinstall-gateway {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    let role = match &told.free[..] {
-        [role] => role.as_str(),
-        _ => {
-            eprintln!("{}", options.usage(USAGE));
-            return ExitCode::from(2);
-        }
+    let [name] = &arguments.free[..] else {
+        eprintln!("{}", options.usage(USAGE));
+        return ExitCode::from(EXIT_USAGE);
     };
-    match role {
-        "check" => check(told.opt_str("settings"), told.opt_str("config")),
-        "status" => status(told.opt_str("at")),
-        "export" => export(told.opt_str("data"), told.opt_str("out")),
-        name => run_role(name).unwrap_or_else(|| {
-            eprintln!("whinstall-gateway: no role {name}\n\n{}", options.usage(USAGE));
-            ExitCode::from(2)
-        }),
-    }
-}
-
-/// Runs the role of this name, if there is one.
-pub fn run_role(name: &str) -> Option<ExitCode> {
-    Role::from_name(name).map(runtime::run)
-}
-
-/// Tells what a settings file or a configuration call would put in force, or what is wrong with it.
-fn check(settings: Option<String>, config: Option<String>) -> ExitCode {
-    if let Some(path) = config {
-        let body = match std::fs::read(&path) {
-            Ok(body) => body,
-            Err(error) => {
-                eprintln!("{path}: {error}");
-                return ExitCode::FAILURE;
-            }
-        };
-        let judged = configuration::read_call(&body)
-            .and_then(|items| configuration::change::judge(&Default::default(), &items));
-        return match judged {
-            Ok(items) => {
-                println!("{path}: {} items, valid on their own", items.len());
-                ExitCode::SUCCESS
-            }
-            Err(error) => {
-                eprintln!("{path}: {error}");
-                ExitCode::FAILURE
-            }
-        };
-    }
-    let read = settings.map_or_else(Settings::load, |path| Settings::load_from(path.as_ref()));
-    match read {
-        Ok(settings) => {
-            println!("{settings:#?}");
-            ExitCode::SUCCESS
-        }
-        Err(error) => {
+    match run_command(name, &arguments) {
+        Some(Ok(())) => ExitCode::SUCCESS,
+        Some(Err(error)) => {
             eprintln!("{error}");
-            ExitCode::FAILURE
-        }
-    }
-}
-
-/// Prints, or writes to a file, the call that takes over the items of a disk.
-fn export(data: Option<String>, out: Option<String>) -> ExitCode {
-    let Some(data) = data else {
-        eprintln!("whinstall-gateway: export needs --data DIR");
-        return ExitCode::from(2);
-    };
-    let call = match export::export(data.as_ref()) {
-        Ok(export) => {
-            eprintln!("{}", export.origin);
-            export.to_string()
-        }
-        Err(error) => {
-            eprintln!("{data}: {error}");
-            return ExitCode::FAILURE;
-        }
-    };
-    let Some(out) = out else {
-        println!("{call}");
-        return ExitCode::SUCCESS;
-    };
-    match std::fs::write(&out, call) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(error) => {
-            eprintln!("{out}: {error}");
-            ExitCode::FAILURE
+            error.exit_code()
         }
+        None => run_role(name).unwrap_or_else(|| usage_error(&format!("no role {name}"))),
     }
 }
 
-/// Asks a core machine how the core stands, and prints it.
-fn status(at: Option<String>) -> ExitCode {
-    let Some(address) = at.as_deref().and_then(|at| at.parse().ok()) else {
-        eprintln!("whinstall-gateway: status needs --at ADDRESS, such as 10.0.0.4:8080");
-        return ExitCode::from(2);
-    };
-    match ask(address) {
-        Ok(told) => {
-            println!("{told}");
-            ExitCode::SUCCESS
-        }
-        Err(error) => {
-            eprintln!("{address}: {error}");
-            ExitCode::FAILURE
-        }
+/// Runs the command of this name, if there is one.
+fn run_command(name: &str, arguments: &Matches) -> Option<Result<(), CommandError>> {
+    let option = |name| arguments.opt_str(name);
+    match name {
+        "check" => Some(check::run(option("settings"), option("config"))),
+        "status" => Some(status::run(option("at"))),
+        "export" => Some(export::run(option("data"), option("out"))),
+        _ => None,
     }
 }
 
-/// The answer of a core machine at `address` to how the core stands: JSON, indented.
-fn ask(address: std::net::SocketAddr) -> std::io::Result<String> {
-    use std::io::{Error, Read, Write};
-    const WITHIN: Duration = Duration::from_secs(2);
-    let mut stream = std::net::TcpStream::connect_timeout(&address, WITHIN)?;
-    stream.set_read_timeout(Some(WITHIN))?;
-    let request = format!("GET /whinstall/core HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
-    stream.write_all(request.as_bytes())?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or_else(|| Error::other("no answer"))?;
-    if !head.starts_with("HTTP/1.1 200") {
-        return Err(Error::other(head.lines().next().unwrap_or_default().to_owned()));
-    }
-    let value: serde_json::Value = serde_json::from_str(body).map_err(Error::other)?;
-    serde_json::to_string_pretty(&value).map_err(Error::other)
+/// Runs the role of this name, if there is one, until the process is asked to end.
+pub fn run_role(name: &str) -> Option<ExitCode> {
+    Role::from_name(name).map(runtime::run)
 }
--- a/crates/gateway/src/json_path.rs
+++ b/crates/gateway/src/json_path.rs
@@ -1,5 +1,5 @@
-//! Owns the small reader of paths over JSON: where in an operator's body something stands, and what is wrong there.
-//! It must never know what a configuration means.
+//! Typed reading of JSON bodies. Each error names the path of the value that is at fault, such as
+//! `$.upsert.route_set[3].cutoff`.
 
 use serde::de::{Error, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What is wrong at a place of a body.
+/// What is wrong with a body, and at which path.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
 pub enum JsonPathError {
     /// not JSON: {0}
@@ -18,7 +18,9 @@
     Invalid(String, &'static str),
 }
 
-/// A value and the path that leads to it.
+impl std::error::Error for JsonPathError {}
+
+/// A value in a body, with its path.
 #[derive(Clone)]
 pub struct JsonNode<'a> {
     value: &'a Value,
@@ -43,7 +45,7 @@
 }
 
 impl<'a> JsonNode<'a> {
-    /// The root of a body.
+    /// The whole body, at path `$`.
     pub fn root(value: &'a Value) -> Self {
         JsonNode { value, path: Path::Root }
     }
@@ -53,44 +55,45 @@
         self.value
     }
 
-    /// Its path, for messages.
+    /// The path of the value, for messages.
     pub fn path(&self) -> String {
         self.path.to_string()
     }
 
-    fn invalid<T>(&self, what: &'static str) -> Result<T, JsonPathError> {
-        Err(JsonPathError::Invalid(self.path(), what))
+    /// The error that this value is not what it should be, such as `a list`.
+    fn invalid<T>(&self, expected: &'static str) -> Result<T, JsonPathError> {
+        Err(JsonPathError::Invalid(self.path(), expected))
     }
 
-    /// A field that may be missing or null.
+    /// The field of this name; `None` if it is missing or null, or this is no object.
     pub fn optional(&self, name: &'a str) -> Option<JsonNode<'a>> {
         let value = self.value.get(name).filter(|v| !v.is_null())?;
         Some(JsonNode { value, path: Path::Field(Box::new(self.path.clone()), name) })
     }
 
-    /// A field that must be there.
+    /// The field of this name; an error if it is missing or null.
     pub fn required(&self, name: &'a str) -> Result<JsonNode<'a>, JsonPathError> {
         self.optional(name).ok_or_else(|| JsonPathError::Missing(format!("{}.{name}", self.path)))
     }
 
-    /// The elements of a list.
+    /// The elements, if this is a list.
     pub fn elements(&self) -> Result<Vec<JsonNode<'a>>, JsonPathError> {
         let Some(list) = self.value.as_array() else { return self.invalid("a list") };
-        let at = |(n, value)| JsonNode { value, path: Path::Index(Box::new(self.path.clone()), n) };
-        Ok(list.iter().enumerate().map(at).collect())
+        let element = |(n, value)| JsonNode { value, path: Path::Index(Box::new(self.path.clone()), n) };
+        Ok(list.iter().enumerate().map(element).collect())
     }
 
-    /// The fields of an object.
+    /// The fields, if this is an object.
     pub fn object(&self) -> Result<&'a Map<String, Value>, JsonPathError> {
         self.value.as_object().map_or_else(|| self.invalid("an object"), Ok)
     }
 
-    /// A text.
+    /// The text, if this is one.
     pub fn as_str(&self) -> Result<&'a str, JsonPathError> {
         self.value.as_str().map_or_else(|| self.invalid("a text"), Ok)
     }
 
-    /// A text that says something.
+    /// The text, if it holds more than white space.
     pub fn as_non_empty_str(&self) -> Result<&'a str, JsonPathError> {
         let text = self.as_str()?;
         if text.trim().is_empty() {
@@ -99,52 +102,53 @@
         Ok(text)
     }
 
-    /// A number that is finite and not below nought.
+    /// The number, if it is finite and not negative.
     pub fn as_non_negative(&self) -> Result<f64, JsonPathError> {
-        let amount = self.value.as_f64().filter(|x| x.is_finite() && *x >= 0.0);
-        amount.map_or_else(|| self.invalid("a number of at least 0"), Ok)
+        let number = self.value.as_f64().filter(|x| x.is_finite() && *x >= 0.0);
+        number.map_or_else(|| self.invalid("a number of at least 0"), Ok)
     }
 
-    /// True or false.
+    /// The truth value, if this is one.
     pub fn as_bool(&self) -> Result<bool, JsonPathError> {
         self.value.as_bool().map_or_else(|| self.invalid("true or false"), Ok)
     }
 
-    /// A time, as `2500ms` or `2.5s`.
+    /// The duration, if this is a text such as `2500ms` or `2.5s`.
     pub fn as_duration(&self) -> Result<Duration, JsonPathError> {
-        let told = self.value.as_str().and_then(parse_duration);
-        told.map_or_else(|| self.invalid("a time such as 2500ms or 2.5s"), Ok)
+        let duration = self.value.as_str().and_then(parse_duration);
+        duration.map_or_else(|| self.invalid("a time such as 2500ms or 2.5s"), Ok)
     }
 
-    /// A version, as `r12`.
+    /// The version, if this is a text such as `r12`.
     pub fn as_version(&self) -> Result<u64, JsonPathError> {
-        let told = self.value.as_str().and_then(parse_version);
-        told.map_or_else(|| self.invalid("a version such as r12"), Ok)
+        let version = self.value.as_str().and_then(parse_version);
+        version.map_or_else(|| self.invalid("a version such as r12"), Ok)
     }
 }
 
-/// A body as JSON. A field given twice is an error: one of the two would be dropped unseen.
+/// Parses a body. A field that an object has twice is an error: `serde_json` alone would silently drop one of the two.
 pub fn parse(body: &[u8]) -> Result<Value, JsonPathError> {
-    let once: Once = serde_json::from_slice(body).map_err(|e| JsonPathError::NotJson(e.to_string()))?;
-    Ok(once.0)
+    let body: UniqueFields =
+        serde_json::from_slice(body).map_err(|e| JsonPathError::NotJson(e.to_string()))?;
+    Ok(body.0)
 }
 
 /// A value whose objects have each field once.
-struct Once(Value);
+struct UniqueFields(Value);
 
-impl<'de> Deserialize<'de> for Once {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(OnceVisitor).map(Once)
+impl<'de> Deserialize<'de> for UniqueFields {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        deserializer.deserialize_any(UniqueFieldsVisitor).map(UniqueFields)
     }
 }
 
-struct OnceVisitor;
+struct UniqueFieldsVisitor;
 
-impl<'de> Visitor<'de> for OnceVisitor {
+impl<'de> Visitor<'de> for UniqueFieldsVisitor {
     type Value = Value;
 
-    fn expecting(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(to, "JSON")
+    fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "JSON")
     }
 
     fn visit_unit<E>(self) -> Result<Value, E> {
@@ -177,7 +181,7 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<Value, A::Error> {
         let mut values = Vec::new();
-        while let Some(Once(value)) = list.next_element()? {
+        while let Some(UniqueFields(value)) = list.next_element()? {
             values.push(value);
         }
         Ok(values.into())
@@ -185,7 +189,7 @@
 
     fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<Value, A::Error> {
         let mut object = Map::new();
-        while let Some((name, Once(value))) = fields.next_entry::<String, Once>()? {
+        while let Some((name, UniqueFields(value))) = fields.next_entry::<String, UniqueFields>()? {
             if object.contains_key(&name) {
                 return Err(A::Error::custom(format!("{name:?} comes twice")));
             }
@@ -195,18 +199,18 @@
     }
 }
 
-/// A time in text: a number and `ms` or `s`.
+/// Parses a duration: a number and `ms` or `s`. `None` if it is neither, negative, or too long for a [`Duration`].
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let text = text.trim();
-    let (number, unit) = match text.strip_suffix("ms") {
+    let (number, unit_s) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e-3),
         None => (text.strip_suffix('s')?, 1.0),
     };
     let number: f64 = number.trim().parse().ok()?;
-    Duration::try_from_secs_f64(number * unit).ok()
+    Duration::try_from_secs_f64(number * unit_s).ok()
 }
 
-/// A version in text: `r` and a number.
+/// Parses a version: `r` and a number.
 pub fn parse_version(text: &str) -> Option<u64> {
     text.strip_prefix('r')?.parse().ok()
 }
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -1,17 +1,18 @@
-//! The driver of the core role: sockets, disk and clock around the state machine in `core`. It must never decide
-//! anything.
+//! The driver of the core role: the sockets, the disk and the clock around the state machine in
+//! [`crate::control_plane`], which decides everything.
 
-use crate::configuration::read_call;
-use crate::control_plane::{error_body, ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
-use crate::discovery::{Worker, WorkerPhase};
-use crate::json_path::{JsonNode, JsonPathError};
+mod control_api;
+#[cfg(test)]
+mod control_api_tests;
+
+use crate::control_plane::{ConnectionId, CoreNode, Effect, Event, TICK};
 use crate::protocol::PeerMessage;
+use crate::runtime::{Clock, ProcessSignal, RunError, SignalListener};
 use crate::settings::Settings;
 use crate::storage::{LoadedState, ReplicaStore, StorageError, WriteBatch};
-use crate::transport::http_server::{self, BodyBudget, Connection, HttpError, RequestLimits};
+use crate::transport::http_server::BodyBudget;
 use crate::transport::peer_link::{self, LinkEvent, LinkEventMapper, PeerLinks};
-use actix_http::{Method, Request, StatusCode};
-use serde_json::Value;
+use control_api::ApiResponse;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -20,319 +21,249 @@
 use std::sync::mpsc as blocking;
 use std::time::Duration;
 use tokio::net::TcpListener;
-use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
+use tokio::time::{Interval, MissedTickBehavior};
 
-/// Bounds on calls of workers and operators.
-const BOUNDS: RequestLimits = RequestLimits {
-    max_head_bytes: 16 * 1024,
-    max_body_bytes: 16 * 1024 * 1024,
-    head_timeout: Duration::from_secs(3),
-    body_timeout: Duration::from_secs(10),
-};
-/// Bodies may take this part of the memory: one over so many.
-const BODIES_PART: usize = 8;
-/// A caller's connection may be idle for this long.
-const IDLE: Duration = Duration::from_secs(30);
-/// A disk that can't be opened is tried again this often.
-const OPEN_AGAIN: Duration = Duration::from_millis(200);
-/// After SIGTERM calls under way are answered, for so long at the most.
-const END_WITHIN: Duration = Duration::from_millis(900);
-
-type Queue = UnboundedSender<PeerMessage>;
+/// Bodies of calls in flight may take the process's memory divided by this.
+const BODY_MEMORY_DIVISOR: usize = 8;
+/// Time between two attempts to open a disk in trouble.
+const DISK_RETRY: Duration = Duration::from_millis(200);
+/// After SIGTERM calls in flight are answered and the lead is handed over for so long at the most.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(900);
+/// What was just sent gets so long to leave before the process ends.
+const FLUSH_TIME: Duration = Duration::from_millis(30);
 
+/// A running core machine: the state machine, and what carries out its effects.
 struct CoreServer {
     core: RefCell<CoreNode>,
-    clock: crate::runtime::Clock,
+    clock: Clock,
+    /// Links that this process opened to other core machines.
     links: PeerLinks,
-    conns: RefCell<HashMap<ConnectionId, Queue>>,
-    calls: RefCell<HashMap<u64, oneshot::Sender<(u16, Value)>>>,
-    disk: RefCell<Option<blocking::Sender<WriteBatch>>>,
-    next: Cell<u64>,
-    room: Rc<BodyBudget>,
-    /// Was this process asked to end?
-    ending: Cell<bool>,
+    /// Outgoing messages on the connections that others opened.
+    inbound: RefCell<HashMap<ConnectionId, UnboundedSender<PeerMessage>>>,
+    /// Calls that wait for the state machine's response.
+    calls: RefCell<HashMap<u64, oneshot::Sender<ApiResponse>>>,
+    /// Batches for the thread that writes the disk.
+    disk: blocking::Sender<WriteBatch>,
+    next_call: Cell<u64>,
+    body_budget: Rc<BodyBudget>,
+    is_shutting_down: Cell<bool>,
 }
 
 impl CoreServer {
+    /// Feeds an event into the state machine, and carries out the effects.
     fn handle(self: &Rc<Self>, event: Event) {
-        let mut out = Vec::new();
-        self.core.borrow_mut().handle(self.clock.now(), event, &mut out);
-        self.carry_out(out);
+        self.update(|core, now, effects| core.handle(now, event, effects));
     }
 
-    fn carry_out(self: &Rc<Self>, effects: Vec<Effect>) {
+    /// Changes the state machine, and carries out the effects.
+    fn update(self: &Rc<Self>, change: impl FnOnce(&mut CoreNode, f64, &mut Vec<Effect>)) {
+        let mut effects = Vec::new();
+        change(&mut self.core.borrow_mut(), self.clock.now(), &mut effects);
         for effect in effects {
-            match effect {
-                Effect::Connect(ip) => self.connect(ip),
-                Effect::Disconnect(ip) => self.links.close(ip),
-                Effect::Send(ip, msg) => self.links.send(ip, msg),
-                Effect::Return(conn, msg) => {
-                    if let Some(queue) = self.conns.borrow().get(&conn) {
-                        let _ = queue.send(msg);
-                    }
-                }
-                Effect::Reply(call, status, body) => {
-                    if let Some(reply) = self.calls.borrow_mut().remove(&call) {
-                        let _ = reply.send((status, body));
-                    }
+            self.carry_out(effect);
+        }
+    }
+
+    fn carry_out(self: &Rc<Self>, effect: Effect) {
+        match effect {
+            Effect::Connect(ip) => self.connect(ip),
+            Effect::Disconnect(ip) => self.links.close(ip),
+            Effect::Send(ip, message) => self.links.send(ip, message),
+            Effect::Return(connection, message) => {
+                if let Some(outgoing) = self.inbound.borrow().get(&connection) {
+                    let _ = outgoing.send(message);
                 }
-                Effect::Persist(put) => {
-                    if let Some(disk) = &*self.disk.borrow() {
-                        let _ = disk.send(put);
-                    }
+            }
+            Effect::Reply(call, status, body) => {
+                if let Some(respond) = self.calls.borrow_mut().remove(&call) {
+                    let _ = respond.send(ApiResponse { status, body });
                 }
             }
+            Effect::Persist(batch) => {
+                let _ = self.disk.send(batch);
+            }
         }
     }
 
+    /// Opens a link to another core machine, whose messages become events.
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
         let events = LinkEventMapper { up: Event::LinkUp, received: Event::Peer, down: Event::LinkDown };
         self.links.open(ip, events.for_peer(ip, move |event| this.handle(event)));
     }
 
-    /// Serves a caller's connection.
-    async fn converse(self: Rc<Self>, mut connection: Connection) {
-        loop {
-            match tokio::time::timeout(IDLE, connection.wait_readable()).await {
-                Ok(Ok(())) => {}
-                _ => return,
-            }
-            let (response, body) = match connection.read_request(&BOUNDS, &self.room).await {
-                Ok(whole) => self.answer(&whole.head, whole.body.unwrap_or_default()).await,
-                Err(HttpError::ConnectionClosed) => return,
-                Err(HttpError::Rejected(status, why)) => {
-                    let (mut response, body) = http_server::text_response(status, why);
-                    response.force_close();
-                    (response, body)
-                }
-            };
-            // A process that ends takes no more on this connection: its caller is to know.
-            let mut response = response;
-            if self.ending.get() {
-                response.force_close();
-            }
-            if !matches!(connection.respond(response, body).await, Ok(true)) || self.ending.get() {
-                return;
+    /// Accepts connections of edges and other core machines, for ever.
+    async fn accept_peers(self: Rc<Self>, listener: TcpListener) {
+        let (opening, server) = (Rc::clone(&self), self);
+        let opened = move |connection| {
+            let (sender, outgoing) = unbounded_channel();
+            opening.inbound.borrow_mut().insert(connection, sender);
+            outgoing
+        };
+        let on_event = move |connection, event| match event {
+            LinkEvent::Received(message) => server.handle(Event::Inbound(connection, message)),
+            LinkEvent::Down => {
+                server.inbound.borrow_mut().remove(&connection);
+                server.handle(Event::Closed(connection));
             }
-        }
+            LinkEvent::Up => {}
+        };
+        peer_link::listen(listener, opened, on_event).await;
     }
 
-    async fn answer(
-        self: &Rc<Self>,
-        head: &Request,
-        body: bytes::Bytes,
-    ) -> (actix_http::ResponseBuilder, bytes::Bytes) {
-        if self.ending.get() {
-            // It may take longer than this process lives: its caller goes on to another machine.
-            return http_server::json_response(503, &error_body("ending"));
-        }
-        let command = match command(head, &body) {
-            Ok(Some(command)) => command,
-            Ok(None) => return http_server::text_response(StatusCode::NOT_FOUND, "no such call"),
-            Err(error) => {
-                tracing::warn!(error, path = head.path(), "refused a call");
-                ApiCommand::Malformed(error)
-            }
-        };
-        let call = self.next.get();
-        self.next.set(call + 1);
-        let (reply, answer) = oneshot::channel();
-        self.calls.borrow_mut().insert(call, reply);
-        self.handle(Event::Call(call, command));
-        match answer.await {
-            Ok((status, body)) => http_server::json_response(status, &body),
-            Err(_) => http_server::json_response(503, &error_body("ending")),
-        }
+    fn leads(&self) -> bool {
+        self.core.borrow().leads()
     }
 }
 
-/// The command that a call stands for; `None`: there is no such call.
-fn command(head: &Request, body: &[u8]) -> Result<Option<ApiCommand>, String> {
-    if http_server::matches_endpoint(head, Method::POST, "/whinstall/configuration/amend") {
-        // Also a refusal wants most of the core in touch: the log's side decides when it is said.
-        let read = read_call(body).map_or_else(|e| ApiCommand::Unreadable(e.to_string()), ApiCommand::Amend);
-        return Ok(Some(read));
-    }
-    if http_server::matches_endpoint(head, Method::GET, "/whinstall/configuration/read") {
-        return Ok(Some(ApiCommand::Read));
-    }
-    if http_server::matches_endpoint(head, Method::GET, "/whinstall/core") {
-        return Ok(Some(ApiCommand::Status));
-    }
-    if http_server::matches_endpoint(head, Method::GET, "/whinstall/journal") {
-        return Ok(Some(ApiCommand::Journal));
+/// What happens in time: ticks, and finished writes.
+struct Timeline {
+    ticks: Interval,
+    /// Numbers of the batches that are on the disk.
+    synced: UnboundedReceiver<u64>,
+}
+
+impl Timeline {
+    fn new(synced: UnboundedReceiver<u64>) -> Self {
+        let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK));
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        Timeline { ticks, synced }
     }
-    let Some(rest) = head.path().strip_prefix("/whinstall/instances/") else { return Ok(None) };
-    match rest.split_once('/') {
-        Some(("", _)) => Err("an instance without an id".into()),
-        Some((id, "heartbeat")) if head.method() == Method::POST => {
-            let value = crate::json_path::parse(body).map_err(|e| e.to_string())?;
-            beat(id, &JsonNode::root(&value)).map(|w| Some(ApiCommand::Beat(w))).map_err(|e| e.to_string())
-        }
-        Some((id, "departure")) if head.method() == Method::POST => {
-            Ok(Some(ApiCommand::Departure(id.into())))
+
+    /// The next event. May be dropped while it waits: nothing is lost.
+    async fn next(&mut self) -> Event {
+        tokio::select! {
+            _ = self.ticks.tick() => Event::Tick,
+            Some(number) = self.synced.recv() => Event::Disk(number),
         }
-        _ => Ok(None),
     }
 }
 
-fn beat(id: &str, at: &JsonNode) -> Result<Worker, JsonPathError> {
-    let address = at.required("address")?;
-    let socket = address.as_str()?.parse();
-    let phase = at.required("phase")?;
-    Ok(Worker {
-        id: id.into(),
-        service: at.required("service_ref")?.as_non_empty_str()?.into(),
-        address: socket
-            .map_err(|_| JsonPathError::Invalid(address.path(), "an address such as 10.0.0.1:80"))?,
-        zone: at.required("zone_name")?.as_str()?.into(),
-        capacity: at.optional("capacity").map(|c| c.as_non_negative()).transpose()?.map_or(1, |c| c as u32),
-        phase: match phase.as_str()? {
-            "settled" => WorkerPhase::Serving,
-            "decaying" => WorkerPhase::Draining,
-            _ => return Err(JsonPathError::Invalid(phase.path(), "settled or decaying")),
-        },
-        warmup_ms: at
-            .optional("warmup_left")
-            .map(|t| t.as_duration())
-            .transpose()?
-            .map_or(0, |t| t.as_millis() as u32),
-        call_count: at.required("call_count")?.as_non_negative()? as u64,
-    })
-}
-
-/// Opens the disk; one that is in trouble is tried again, one that holds what can't be used is not.
-async fn open(data: &Path, first: bool) -> Result<(ReplicaStore, LoadedState), StorageError> {
+/// Opens the disk. One that is in trouble is retried for ever; one whose content can't be used is not.
+async fn open_disk(data: &Path, is_first_seed: bool) -> Result<(ReplicaStore, LoadedState), StorageError> {
     loop {
-        match ReplicaStore::open(data, first) {
+        match ReplicaStore::open(data, is_first_seed) {
             Err(error @ (StorageError::Database(_) | StorageError::Folder(_))) => {
-                tracing::warn!(%error, "the disk can't be opened; trying again");
-                tokio::time::sleep(OPEN_AGAIN).await;
+                tracing::warn!(%error, "failed to open the disk, retrying");
+                tokio::time::sleep(DISK_RETRY).await;
             }
             opened => return opened,
         }
     }
 }
 
-/// Runs the core role until it is asked to end.
-pub async fn run(mut settings: Settings) -> Result<(), crate::runtime::RunError> {
+/// Runs the core role until the process is asked to end.
+///
+/// Fails if a setting is missing, a signal handler can't be installed, an address can't be bound, or the disk holds
+/// what can't be read. A disk in trouble is no failure: it is retried until it can be opened or the process is to end.
+pub async fn run(mut settings: Settings) -> Result<(), RunError> {
     // Before anything else: an unhandled signal would end the process with all that it has begun.
-    let mut signals = crate::runtime::SignalListener::new().map_err(crate::runtime::RunError::Signals)?;
-    let clock = crate::runtime::Clock::start();
-    let control = settings
-        .control_address
-        .ok_or(crate::runtime::RunError::MissingSetting("network.endpoints.control_port"))?;
-    let data =
-        settings.data_path.clone().ok_or(crate::runtime::RunError::MissingSetting("self.data_path"))?;
-    let mut opening = std::pin::pin!(open(&data, settings.is_first_seed()));
-    let (store, held) = loop {
+    let mut signals = SignalListener::new().map_err(RunError::Signals)?;
+    let clock = Clock::start();
+    let missing = RunError::MissingSetting;
+    let control_address = settings.control_address.ok_or(missing("network.endpoints.control_port"))?;
+    let data = settings.data_path.clone().ok_or(missing("self.data_path"))?;
+    let mut opening = std::pin::pin!(open_disk(&data, settings.is_first_seed()));
+    let (store, stored) = loop {
         tokio::select! {
-            opened = &mut opening => break opened.map_err(crate::runtime::RunError::Storage)?,
+            opened = &mut opening => break opened.map_err(RunError::Storage)?,
             signal = signals.next() => match signal {
-                crate::runtime::ProcessSignal::Reload(reread) => settings = *reread,
-                crate::runtime::ProcessSignal::Shutdown => return Ok(()),
+                ProcessSignal::Reload(reloaded) => settings = *reloaded,
+                ProcessSignal::Shutdown => return Ok(()),
             },
         }
     };
+    log_start(&settings, &stored);
+    let peer_address = (settings.ip, settings.internal_port);
+    let (server, mut timeline) = start(clock, settings, store, stored)?;
+    let peer_listener = TcpListener::bind(peer_address).await.map_err(RunError::Listen)?;
+    let control_listener = TcpListener::bind(control_address).await.map_err(RunError::Listen)?;
+    server.update(|core, _, effects| core.start(effects));
+    tokio::task::spawn_local(Rc::clone(&server).accept_peers(peer_listener));
+    tokio::task::spawn_local(control_api::serve(Rc::clone(&server), control_listener));
+    run_until_shutdown(&server, &mut timeline, &mut signals).await?;
+    shut_down(&server, &mut timeline).await;
+    Ok(())
+}
+
+fn log_start(settings: &Settings, stored: &LoadedState) {
     tracing::info!(
         node = settings.node,
-        disk = format!("{:x}", held.disk),
-        fresh = held.fresh,
+        disk = format!("{:x}", stored.disk),
+        fresh = stored.fresh,
         cold_start = settings.cold_start,
-        term = held.raft.term,
-        snapshot = held.raft.snapshot.as_ref().map_or(0, |s| s.index),
-        entries = held.raft.log.len(),
-        workers = held.workers.len(),
-        "core role starts"
+        term = stored.raft.term,
+        snapshot = stored.raft.snapshot.as_ref().map_or(0, |s| s.index),
+        entries = stored.raft.log.len(),
+        workers = stored.workers.len(),
+        "core role starting"
     );
-    let (port, ip) = (settings.internal_port, settings.ip);
-    let room = BodyBudget::new(settings.memory_bytes as usize / BODIES_PART);
-    let core = CoreNode::new(clock.now(), settings, held).map_err(crate::runtime::RunError::State)?;
+}
+
+/// Makes the server from what the disk holds, and starts the thread that writes to it.
+fn start(
+    clock: Clock,
+    settings: Settings,
+    store: ReplicaStore,
+    stored: LoadedState,
+) -> Result<(Rc<CoreServer>, Timeline), RunError> {
+    let links = PeerLinks::new(settings.internal_port);
+    let body_budget = BodyBudget::new(settings.memory_bytes as usize / BODY_MEMORY_DIVISOR);
+    let core = CoreNode::new(clock.now(), settings, stored).map_err(RunError::Snapshot)?;
+    let (sender, synced) = unbounded_channel();
+    let disk = store.serve(move |number| {
+        let _ = sender.send(number);
+    });
     let server = Rc::new(CoreServer {
         core: RefCell::new(core),
         clock,
-        links: PeerLinks::new(port),
-        conns: RefCell::default(),
+        links,
+        inbound: RefCell::default(),
         calls: RefCell::default(),
-        disk: RefCell::default(),
-        next: Cell::new(1),
-        room,
-        ending: Cell::new(false),
-    });
-    let (synced, mut syncs) = unbounded_channel();
-    *server.disk.borrow_mut() = Some(store.serve(move |number| {
-        let _ = synced.send(number);
-    }));
-    let inner = TcpListener::bind((ip, port)).await.map_err(crate::runtime::RunError::Listen)?;
-    let control = TcpListener::bind(control).await.map_err(crate::runtime::RunError::Listen)?;
-    let mut out = Vec::new();
-    server.core.borrow_mut().start(&mut out);
-    server.carry_out(out);
-    let (opening, closing) = (Rc::clone(&server), Rc::clone(&server));
-    tokio::task::spawn_local(peer_link::listen(
-        inner,
-        move |conn| {
-            let (queue, outgoing) = unbounded_channel();
-            opening.conns.borrow_mut().insert(conn, queue);
-            outgoing
-        },
-        move |conn, happens| match happens {
-            LinkEvent::Received(msg) => closing.handle(Event::Inbound(conn, msg)),
-            LinkEvent::Down => {
-                closing.conns.borrow_mut().remove(&conn);
-                closing.handle(Event::Closed(conn));
-            }
-            LinkEvent::Up => {}
-        },
-    ));
-    let serving = Rc::clone(&server);
-    tokio::task::spawn_local(async move {
-        let config = http_server::service_config();
-        loop {
-            let connection = Connection::new(peer_link::accept_connection(&control).await, &config);
-            tokio::task::spawn_local(Rc::clone(&serving).converse(connection));
-        }
+        disk,
+        next_call: Cell::new(1),
+        body_budget,
+        is_shutting_down: Cell::new(false),
     });
-    let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK));
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    Ok((server, Timeline::new(synced)))
+}
+
+/// The run loop. Fails once the state machine says that it can't go on.
+async fn run_until_shutdown(
+    server: &Rc<CoreServer>,
+    timeline: &mut Timeline,
+    signals: &mut SignalListener,
+) -> Result<(), RunError> {
     loop {
         tokio::select! {
-            _ = ticks.tick() => server.handle(Event::Tick),
-            Some(number) = syncs.recv() => server.handle(Event::Disk(number)),
+            event = timeline.next() => server.handle(event),
             signal = signals.next() => match signal {
-                crate::runtime::ProcessSignal::Reload(settings) => {
-                    let mut out = Vec::new();
-                    server.core.borrow_mut().retune(*settings, &mut out);
-                    server.carry_out(out);
+                ProcessSignal::Reload(settings) => {
+                    server.update(|core, _, effects| core.retune(*settings, effects));
                 }
-                crate::runtime::ProcessSignal::Shutdown => break,
+                ProcessSignal::Shutdown => return Ok(()),
             },
         }
         if let Some(error) = server.core.borrow().broken.clone() {
-            return Err(crate::runtime::RunError::State(error));
+            return Err(RunError::Snapshot(error));
         }
     }
-    tracing::info!(
-        calls = server.calls.borrow().len(),
-        leads = server.core.borrow().leads(),
-        "core role drains"
-    );
-    server.ending.set(true);
+}
+
+/// The graceful shutdown: hands the lead over and answers the calls in flight, for [`SHUTDOWN_TIMEOUT`] at the most.
+async fn shut_down(server: &Rc<CoreServer>, timeline: &mut Timeline) {
+    tracing::info!(calls = server.calls.borrow().len(), leads = server.leads(), "core role draining");
+    server.is_shutting_down.set(true);
     server.handle(Event::Ending);
-    let _ = tokio::time::timeout(END_WITHIN, async {
-        while !server.calls.borrow().is_empty() || server.core.borrow().leads() {
-            tokio::select! {
-                _ = ticks.tick() => server.handle(Event::Tick),
-                Some(number) = syncs.recv() => server.handle(Event::Disk(number)),
-            }
+    let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, async {
+        while !server.calls.borrow().is_empty() || server.leads() {
+            let event = timeline.next().await;
+            server.handle(event);
         }
-        // What was just said goes out.
-        tokio::time::sleep(Duration::from_millis(30)).await;
+        tokio::time::sleep(FLUSH_TIME).await;
     })
     .await;
-    let (calls, leads) = (server.calls.borrow().len(), server.core.borrow().leads());
-    tracing::info!(calls, leads, "core role ends");
-    Ok(())
+    tracing::info!(calls = server.calls.borrow().len(), leads = server.leads(), "core role stopping");
 }
--- /dev/null
+++ b/crates/gateway/src/runtime/edge_server/client_connections.rs
@@ -0,0 +1,105 @@
+//! Clients' connections: the accept loop, and the life of one connection from request to request.
+
+use super::EdgeServer;
+use crate::data_plane::requests::FinalResponse;
+use crate::transport::http_server::{
+    self, text_response, Connection, HttpError, IdleOutcome, OutgoingResponse, RequestLimits,
+};
+use crate::transport::peer_link;
+use actix_http::StatusCode;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+
+/// A request's body must be complete within this.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// `Retry-After`, in seconds, of a request that this edge can't take yet: its configuration may be here by then, or
+/// memory for the body free.
+const RETRY_AFTER_S: f64 = 0.25;
+
+/// One of the connections counted in [`EdgeServer::client_connections`].
+struct CountedConnection(Rc<EdgeServer>);
+
+impl CountedConnection {
+    fn new(server: &Rc<EdgeServer>) -> Self {
+        server.client_connections.set(server.client_connections.get() + 1);
+        CountedConnection(Rc::clone(server))
+    }
+}
+
+impl Drop for CountedConnection {
+    fn drop(&mut self) {
+        self.0.client_connections.set(self.0.client_connections.get() - 1);
+    }
+}
+
+/// Accepts clients' connections for ever. Beyond the limit one is closed unread: its client may safely retry elsewhere.
+pub(super) async fn accept(server: Rc<EdgeServer>, listener: TcpListener) {
+    let config = http_server::service_config();
+    loop {
+        let stream = peer_link::accept_connection(&listener).await;
+        if server.client_connections.get() >= server.max_client_connections {
+            continue;
+        }
+        let counted = CountedConnection::new(&server);
+        let connection = Connection::new(stream, &config);
+        tokio::task::spawn_local(async move {
+            Rc::clone(&counted.0).serve_connection(connection).await;
+            drop(counted);
+        });
+    }
+}
+
+impl EdgeServer {
+    /// The limits on a request, by the configuration in force.
+    fn request_limits(&self) -> RequestLimits {
+        let node = self.edge.node.borrow();
+        let saturation = &node.view.saturation;
+        RequestLimits {
+            max_head_bytes: saturation.header_bytes,
+            max_body_bytes: saturation.body_bytes,
+            head_timeout: saturation.header_deadline,
+            body_timeout: BODY_TIMEOUT,
+        }
+    }
+
+    /// Serves one request after the other, until the connection ends, is idle for too long, or this process drains.
+    async fn serve_connection(self: Rc<Self>, mut connection: Connection) {
+        let mut closes_idle_at = self.closes_idle_at.subscribe();
+        loop {
+            let idle_timeout = || self.edge.node.borrow().view.saturation.idle_cutoff;
+            if connection.wait_idle(idle_timeout, &mut closes_idle_at).await == IdleOutcome::Close {
+                // Dropped, not drained: a request that comes now must not be read, or its client can't repeat it.
+                return;
+            }
+            let limits = self.request_limits();
+            let mut response = match connection.read_request(&limits, &self.body_budget).await {
+                Ok(received) => match self.serve_request(received, &mut connection).await {
+                    Some(response) => response,
+                    None => return,
+                },
+                Err(HttpError::ConnectionClosed) => return,
+                Err(HttpError::Rejected(status, why)) => rejection(status, why),
+            };
+            if closes_idle_at.borrow().is_some() {
+                response.head.force_close();
+            }
+            if !matches!(connection.respond(response).await, Ok(true)) {
+                return;
+            }
+        }
+    }
+}
+
+/// The response to what is no acceptable request; the connection ends with it.
+fn rejection(status: StatusCode, why: &'static str) -> OutgoingResponse {
+    let mut response = text_response(status, why);
+    if status == StatusCode::SERVICE_UNAVAILABLE {
+        response.head.insert_header(("retry-after", RETRY_AFTER_S.to_string()));
+    }
+    response.head.force_close();
+    response
+}
+
+/// The final response while this edge has no configuration yet.
+pub(super) const NOT_CONFIGURED: FinalResponse = FinalResponse::Refused(RETRY_AFTER_S);
--- a/crates/gateway/src/runtime/edge_server/drain.rs
+++ b/crates/gateway/src/runtime/edge_server/drain.rs
@@ -1,42 +1,45 @@
-//! The driver of a gatekeeper's drain: waits as the state machine's [`Drain`](crate::data_plane::drain::Drain) says, and lets
-//! answers go out before the process ends.
+//! The graceful shutdown of the edge: follows the schedule of the state machine's
+//! [`Drain`](crate::data_plane::drain::Drain), and lets final responses go out before the process ends.
 
 use super::EdgeServer;
+use crate::runtime::edge_loop::EdgeDriver;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Connections are looked at this often.
-const LOOK: Duration = Duration::from_millis(50);
-/// After the final answers, connections have so long to take them.
-const FLUSH: Duration = Duration::from_millis(300);
+/// How often open connections and attempts are looked at.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// After the last responses are decided, clients get so long to take them.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Serves on until nothing is open or the time is over; nobody waits for an answer when this returns.
+/// Serves on until no connection or attempt is open or the time is over. When this returns every client that waited has
+/// its response, or had [`FLUSH_TIMEOUT`] to take it.
 pub(super) async fn drain(server: &Rc<EdgeServer>) {
     let begun = server.edge.clock.now();
-    let drain = server.edge.state.borrow_mut().end(begun);
-    let after = |at: f64| Instant::now() + Duration::from_secs_f64((at - begun).max(0.0));
-    let (closes_at, ends_at) = (after(drain.closes_at), after(drain.ends_at));
-    tracing::info!(open = server.open.get(), "edge role drains");
-    // Connections that rest are closed well before this process ends, or their clients lose what they send then.
-    server.ending.send_replace(Some(closes_at));
+    let schedule = server.edge.node.borrow_mut().end(begun);
+    let instant_of = |at: f64| Instant::now() + Duration::from_secs_f64((at - begun).max(0.0));
+    let (closes_at, ends_at) = (instant_of(schedule.closes_at), instant_of(schedule.ends_at));
+    tracing::info!(open = server.client_connections.get(), "edge role draining");
+    // Idle connections are closed well before this process ends, or their clients lose what they send then.
+    server.closes_idle_at.send_replace(Some(closes_at));
     tokio::time::sleep_until(closes_at.into()).await;
-    idle_by(server, ends_at).await;
-    let owed = server.edge.state.borrow().unanswered();
+    wait_until_idle(server, ends_at).await;
+    let owed = server.edge.node.borrow().unanswered();
     tracing::info!(
-        open = server.open.get(),
-        opened = server.courier.connections_opened.get(),
+        open = server.client_connections.get(),
+        opened = server.upstreams.connections_opened.get(),
         waiting = owed.waiting,
         at_workers = owed.at_workers,
         newest_read_s = owed.newest.map_or(0.0, |at| at - begun),
-        "edge role ends"
+        "edge role stopping"
     );
-    server.with(|edge, _, out| edge.abandon(out));
-    idle_by(server, Instant::now() + FLUSH).await;
+    server.update(|node, _, effects| node.abandon(effects));
+    wait_until_idle(server, Instant::now() + FLUSH_TIMEOUT).await;
 }
 
-/// Waits until no client is connected and no attempt is out, but no longer than `latest`.
-async fn idle_by(server: &Rc<EdgeServer>, latest: Instant) {
-    while Instant::now() < latest && (server.open.get() > 0 || server.edge.state.borrow().open() > 0) {
-        tokio::time::sleep(LOOK).await;
+/// Waits until no client is connected and no attempt is in flight, but no longer than until `deadline`.
+async fn wait_until_idle(server: &Rc<EdgeServer>, deadline: Instant) {
+    let is_busy = || server.client_connections.get() > 0 || server.edge.node.borrow().open() > 0;
+    while Instant::now() < deadline && is_busy() {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/gateway/src/runtime/signals.rs
+++ b/crates/gateway/src/runtime/signals.rs
@@ -1,98 +1,101 @@
-//! Owns what a process is asked to do while it runs: signals, and a settings file that changes without any. It must never
-//! hand on settings that can't be used, nor those of a file that somebody is still writing.
+//! What a process is asked to do while it runs: signals, and a settings file that changes without one. Settings that
+//! can't be used, or that somebody is still writing, change nothing.
 
 use crate::settings::Settings;
 use std::time::{Duration, SystemTime};
-use tokio::signal::unix::{signal, Signal as Stream, SignalKind};
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::time::{Interval, MissedTickBehavior};
 
-/// The settings file is looked at this often.
-const LOOK: Duration = Duration::from_millis(500);
+/// How often the settings file is looked at.
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a process is asked to do.
 pub enum ProcessSignal {
-    /// Its settings have changed.
+    /// Use these settings from now on.
     Reload(Box<Settings>),
-    /// It is to end.
+    /// End, gracefully.
     Shutdown,
 }
 
-/// When a file was changed, and its length; none: it is not there.
+/// When a file was changed, and its length; `None`: there is no such file.
 pub type FileStamp = Option<(SystemTime, u64)>;
 
-/// A file that is looked at now and then. It counts as changed once it looks alike twice: it may be written in steps, and
-/// half of a settings file can be read as one that lacks the rest.
+/// Tells when a polled file has changed. It has once two polls in a row see the same stamp: a file may be written in
+/// steps, and the first half of a settings file can be valid on its own.
 pub struct FileWatch {
-    read: FileStamp,
+    /// The stamp as the file was loaded last.
+    loaded: FileStamp,
+    /// The stamp at the last poll.
     last: FileStamp,
 }
 
 impl FileWatch {
-    /// Of a file that was just read.
+    /// Watches a file that was just loaded.
     pub fn new(stamp: FileStamp) -> Self {
-        FileWatch { read: stamp, last: stamp }
+        FileWatch { loaded: stamp, last: stamp }
     }
 
-    /// A look; returned: is it to be read?
+    /// Notes the stamp of a poll. Returns whether the file is to be loaded now; it then counts as loaded.
     pub fn observe(&mut self, stamp: FileStamp) -> bool {
-        let steady = std::mem::replace(&mut self.last, stamp) == stamp;
-        let changed = steady && stamp != self.read;
-        if changed {
-            self.read = stamp;
+        let is_stable = std::mem::replace(&mut self.last, stamp) == stamp;
+        let has_changed = is_stable && stamp != self.loaded;
+        if has_changed {
+            self.loaded = stamp;
         }
-        changed
+        has_changed
     }
 
-    /// It is read now in any case.
+    /// Notes that the file is loaded now, whatever was observed.
     pub fn mark_loaded(&mut self, stamp: FileStamp) {
         *self = FileWatch::new(stamp);
     }
 }
 
-/// SIGTERM, SIGHUP, and a settings file that changes without any signal.
+/// Listens for SIGTERM, SIGINT and SIGHUP, and watches the settings file.
 pub struct SignalListener {
-    term: Stream,
-    int: Stream,
-    hup: Stream,
-    look: tokio::time::Interval,
-    watch: FileWatch,
+    terminate: Signal,
+    interrupt: Signal,
+    hang_up: Signal,
+    polls: Interval,
+    settings_file: FileWatch,
 }
 
 impl SignalListener {
-    /// From now on.
+    /// Listens from now on. Fails if a signal handler can't be installed.
     pub fn new() -> std::io::Result<Self> {
-        let mut look = tokio::time::interval(LOOK);
-        look.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let (term, int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+        let mut polls = tokio::time::interval(WATCH_INTERVAL);
+        polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
         Ok(SignalListener {
-            term,
-            int,
-            hup: signal(SignalKind::hangup())?,
-            look,
-            watch: FileWatch::new(stamp()),
+            terminate: signal(SignalKind::terminate())?,
+            interrupt: signal(SignalKind::interrupt())?,
+            hang_up: signal(SignalKind::hangup())?,
+            polls,
+            settings_file: FileWatch::new(settings_file_stamp()),
         })
     }
 
-    /// The next one. Settings that can't be used change nothing.
+    /// Waits for the next request to this process. Settings that can't be used are logged and passed over. May be
+    /// dropped while it waits: no signal is lost.
     pub async fn next(&mut self) -> ProcessSignal {
         loop {
             tokio::select! {
-                _ = self.term.recv() => return ProcessSignal::Shutdown,
-                _ = self.int.recv() => return ProcessSignal::Shutdown,
-                _ = self.hup.recv() => self.watch.mark_loaded(stamp()),
-                _ = self.look.tick() => if !self.watch.observe(stamp()) { continue },
+                _ = self.terminate.recv() => return ProcessSignal::Shutdown,
+                _ = self.interrupt.recv() => return ProcessSignal::Shutdown,
+                _ = self.hang_up.recv() => self.settings_file.mark_loaded(settings_file_stamp()),
+                _ = self.polls.tick() => if !self.settings_file.observe(settings_file_stamp()) { continue },
             }
             match Settings::load() {
                 Ok(settings) => {
-                    tracing::info!("settings read again");
+                    tracing::info!("settings reloaded");
                     return ProcessSignal::Reload(Box::new(settings));
                 }
-                Err(error) => tracing::error!(%error, "settings can't be used; the old ones stay"),
+                Err(error) => tracing::error!(%error, "settings rejected, keeping the previous ones"),
             }
         }
     }
 }
 
-fn stamp() -> FileStamp {
+fn settings_file_stamp() -> FileStamp {
     let file = std::fs::metadata(Settings::file_path().ok()?).ok()?;
     Some((file.modified().ok()?, file.len()))
 }
--- a/crates/gateway/src/transport/http_server.rs
+++ b/crates/gateway/src/transport/http_server.rs
@@ -309,9 +309,10 @@
     }
 
     /// Writes an answer. `Ok(true)`: the connection lives on.
-    pub async fn respond(&mut self, mut response: ResponseBuilder, body: Bytes) -> Result<bool, HttpError> {
+    pub async fn respond(&mut self, response: OutgoingResponse) -> Result<bool, HttpError> {
+        let OutgoingResponse { mut head, body } = response;
         let mut out = BytesMut::with_capacity(384 + body.len());
-        let head = response.message_body(()).map_err(|_| HttpError::ConnectionClosed)?;
+        let head = head.message_body(()).map_err(|_| HttpError::ConnectionClosed)?;
         // What follows such a head would be taken for the next answer.
         let bare = matches!(head.status(), StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let (size, body) = match self.head_only || bare {
@@ -364,17 +365,25 @@
     request.method() == Method::CONNECT || uri.scheme().is_some() || uri.authority().is_none()
 }
 
-/// An answer with a text.
-pub fn text_response(status: StatusCode, text: &'static str) -> (ResponseBuilder, Bytes) {
-    (Response::build(status), Bytes::from_static(text.as_bytes()))
+/// A response to be written.
+pub struct OutgoingResponse {
+    /// Status and headers.
+    pub head: ResponseBuilder,
+    /// The complete body.
+    pub body: Bytes,
 }
 
-/// An answer in JSON.
-pub fn json_response(status: u16, body: &serde_json::Value) -> (ResponseBuilder, Bytes) {
+/// A response with a text.
+pub fn text_response(status: StatusCode, text: &'static str) -> OutgoingResponse {
+    OutgoingResponse { head: Response::build(status), body: Bytes::from_static(text.as_bytes()) }
+}
+
+/// A response in JSON. A number that is no HTTP status becomes 500.
+pub fn json_response(status: u16, body: &serde_json::Value) -> OutgoingResponse {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut response = Response::build(status);
-    response.insert_header(("content-type", "application/json"));
-    (response, Bytes::from(body.to_string()))
+    let mut head = Response::build(status);
+    head.insert_header(("content-type", "application/json"));
+    OutgoingResponse { head, body: Bytes::from(body.to_string()) }
 }
 
 /// Is this method and path the one?
--- a/crates/gateway/src/transport/http_server/tests.rs
+++ b/crates/gateway/src/transport/http_server/tests.rs
@@ -220,9 +220,9 @@
 
 #[gtest]
 fn an_answer_without_a_body_leaves_nothing_that_could_be_taken_for_the_next() {
-    let good = |status: StatusCode| {
-        let mut response = Response::build(status);
-        response.append_header(("x-server-seal", "s"));
+    let good = |status: StatusCode, body: &'static str| {
+        let mut response = text_response(status, body);
+        response.head.append_header(("x-server-seal", "s"));
         response
     };
     let cases = [
@@ -238,7 +238,7 @@
             client.write_all(text.as_bytes()).await.expect("taken");
             for (status, body) in [(status, "body"), (StatusCode::OK, "next")] {
                 next(&mut connection).await.expect("whole");
-                let answered = connection.respond(good(status), Bytes::from_static(body.as_bytes())).await;
+                let answered = connection.respond(good(status, body)).await;
                 expect_that!(answered, ok(eq(&true)));
             }
             drop(connection);
@@ -260,7 +260,8 @@
         let serve = async {
             next(&mut connection).await.expect("whole");
             let body = Bytes::from(vec![b'x'; 40]);
-            let answered = connection.respond(Response::build(StatusCode::OK), body).await;
+            let answered =
+                connection.respond(OutgoingResponse { head: Response::build(StatusCode::OK), body }).await;
             expect_that!(answered, ok(eq(&true)));
             drop(connection);
         };
@@ -294,7 +295,7 @@
             let left = timeout(Duration::from_secs(1), connection.client_disconnected()).await;
             expect_that!(left, err(anything()));
         }
-        let answered = connection.respond(Response::build(StatusCode::OK), Bytes::new()).await;
+        let answered = connection.respond(text_response(StatusCode::OK, "")).await;
         expect_that!(answered, ok(eq(&true)));
         let read = next(&mut connection).await;
         expect_that!(
@@ -313,7 +314,7 @@
         if used {
             client.write_all(WHOLE[0].0.as_bytes()).await.expect("taken");
             next(&mut connection).await.expect("whole");
-            let answered = connection.respond(Response::build(StatusCode::OK), Bytes::new()).await;
+            let answered = connection.respond(text_response(StatusCode::OK, "")).await;
             expect_that!(answered, ok(eq(&true)));
         }
         let begun = Instant::now();
--- a/crates/gateway/src/transport/mod.rs
+++ b/crates/gateway/src/transport/mod.rs
@@ -1,5 +1,8 @@
-//! Sockets: HTTP connections of clients and callers, connections to workers, links to peers.
+//! Sockets: HTTP connections of clients and API callers, connections to workers, links to peers.
 
+mod hop_by_hop;
 pub mod http_server;
 pub mod peer_link;
 pub mod upstream_pool;
+
+pub use hop_by_hop::remove_hop_by_hop;
--- a/crates/gateway/src/transport/upstream_pool/exchange.rs
+++ b/crates/gateway/src/transport/upstream_pool/exchange.rs
@@ -2,12 +2,11 @@
 //! means. It must never take for the answer what does not name the request, is not whole, or is no answer at all.
 
 use super::{AttemptOutcome, ForwardedRequest, UpstreamResponse};
+use crate::transport::remove_hop_by_hop;
 use actix_codec::{Decoder, Encoder};
 use actix_http::body::BodySize;
 use actix_http::h1::{ClientCodec, Message, MessageType};
-use actix_http::header::{
-    HeaderName, HeaderValue, CONNECTION, CONTENT_ENCODING, CONTENT_LENGTH, TRANSFER_ENCODING,
-};
+use actix_http::header::{HeaderName, HeaderValue, CONTENT_ENCODING, CONTENT_LENGTH, TRANSFER_ENCODING};
 use actix_http::{RequestHead, ResponseHead, StatusCode, Version};
 use bytes::{Bytes, BytesMut};
 use std::cell::Cell;
@@ -18,19 +17,10 @@
 
 /// The longest body of an answer.
 const BODY_MOST: usize = 16 * 1024 * 1024;
-/// Headers of an answer that concern one connection, or are set anew.
-const OWN: [&str; 10] = [
-    "connection",
-    "keep-alive",
-    "proxy-connection",
-    "transfer-encoding",
-    "te",
-    "content-length",
-    "date",
-    "trailer",
-    "upgrade",
-    "proxy-authenticate",
-];
+/// Headers of a response that are not passed on, besides those of its connection: the client gets this edge's own date.
+const NOT_FORWARDED: [&str; 1] = ["date"];
+/// Headers that are passed on even if `Connection` names them.
+const ALWAYS_FORWARDED: [&str; 3] = ["x-attempt-id", "x-server-seal", "x-not-executed"];
 
 /// Why there is no answer.
 #[derive(Debug, PartialEq)]
@@ -191,17 +181,7 @@
         reusable &= codec.keep_alive() && head.version == Version::HTTP_11 && clean && read.is_empty();
         let keeps = head.headers.get("keep-alive").and_then(|v| keep_alive(v.to_str().ok()?));
         let (status, mut headers) = (head.status, head.headers);
-        let named: Vec<String> = headers
-            .get_all(CONNECTION)
-            .filter_map(|v| v.to_str().ok())
-            .flat_map(|v| v.split(','))
-            .map(|name| name.trim().to_ascii_lowercase())
-            .collect();
-        for name in OWN.into_iter().chain(named.iter().map(String::as_str)) {
-            if !matches!(name, "x-attempt-id" | "x-server-seal" | "x-not-executed") {
-                headers.remove(name);
-            }
-        }
+        remove_hop_by_hop(&mut headers, &NOT_FORWARDED, &ALWAYS_FORWARDED);
         return Ok(ExchangeResult { reply: UpstreamResponse { status, headers, body }, keeps, reusable });
     }
 }
--- a/crates/gateway/tests/cluster.rs
+++ b/crates/gateway/tests/cluster.rs
@@ -252,7 +252,10 @@
     for word in ["edge", "core", "check", "WHINSTALL_NODE_FILE"] {
         expect_that!(text(&help.stdout), contains_substring(word));
     }
-    expect_that!(run(&["hammer"]).status.code(), some(eq(2)));
+    // No role, nor one that deploy files named before.
+    for name in ["hammer", "jig", "anvil"] {
+        expect_that!(run(&[name]).status.code(), some(eq(2)), "{name}");
+    }
     expect_that!(run(&["--odd"]).status.code(), some(eq(2)));
     let place = std::env::temp_dir().join(format!("whinstall-check-{}", std::process::id()));
     let check = |option: &str, body: &str| {
--- a/crates/gateway/tests/seed_list.rs
+++ b/crates/gateway/tests/seed_list.rs
@@ -189,11 +189,11 @@
     let whole = site.settings(2, "edge", &[9, 1], false);
     let cut = whole.find("seed_list").expect("a list") + 14;
     std::fs::write(site.file(2), &whole[..cut]).expect("written");
-    until("half of it is refused", || site.logged(2, "settings can't be used; the old ones stay"));
+    until("half of it is refused", || site.logged(2, "settings rejected, keeping the previous ones"));
     expect_that!(site.readiness(2), eq(503));
     std::fs::write(site.file(2), &whole).expect("written");
     until("ready", || site.is_ready(2));
-    expect_that!(site.logged(2, "settings read again"), eq(true));
+    expect_that!(site.logged(2, "settings reloaded"), eq(true));
 }
 
 #[gtest]
