--- a/crates/gateway/src/transport/http_server.rs
+++ b/crates/gateway/src/transport/http_server.rs
@@ -1,5 +1,5 @@
-//! Owns the server's side of an HTTP connection, on actix-http's codec: whole requests in, whole answers out. It must
-//! never know what a request is for.
+//! The server's side of an HTTP/1.1 connection, on actix-http's codec: complete requests in, complete responses out, one
+//! at a time. A request that is cut, late, too long or ambiguous is never handed on.
 
 use actix_codec::{Decoder, Encoder};
 use actix_http::body::BodySize;
@@ -19,78 +19,87 @@
 use tokio::sync::watch;
 use tokio::time::{timeout, Instant};
 
-/// After an answer that ends a connection, so much is read and dropped for so long: a connection that is closed over
-/// unread bytes is reset, which can cost its client the answer.
-const LINGER: (Duration, usize) = (Duration::from_millis(300), 1024 * 1024);
-/// A client takes something of an answer within this, again and again until it has all.
-const TAKEN_WITHIN: Duration = Duration::from_secs(10);
-/// A connection is held open for so much longer than it may rest: its client reckons from when it had the last
-/// answer.
-const REST_SLACK: Duration = Duration::from_millis(500);
-/// A connection that was just opened gets so much time for its first request, also while this process ends.
-const FIRST_WITHIN: Duration = Duration::from_secs(1);
-
-/// Bounds on a request.
+/// After a response that ends a connection, what the client still sends is read and dropped for so long...
+const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
+/// ...and up to so many bytes. A connection that is closed over unread bytes is reset, which can cost its client the
+/// response.
+const LINGER_MAX_BYTES: usize = 1024 * 1024;
+/// Each write of a response must make progress within this.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// An idle connection is held open for so much longer than its idle timeout: its client counts from when it had the
+/// last response.
+const IDLE_SLACK: Duration = Duration::from_millis(500);
+/// A connection that was just opened gets so much time for its first request, also while this process drains.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_secs(1);
+/// While a request is served, so many bytes of the next ones are read ahead: bytes.
+const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
+/// Room made in the buffer before each read: bytes.
+const READ_BYTES: usize = 2048;
+/// Room for a response's head: bytes. A longer one makes the buffer grow.
+const RESPONSE_HEAD_BYTES: usize = 384;
+
+/// Limits on a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
-    /// The longest head.
+    /// The longest head: bytes.
     pub max_head_bytes: usize,
-    /// The longest body.
+    /// The longest body: bytes.
     pub max_body_bytes: usize,
-    /// A head is whole within this from its first byte.
+    /// A head must be complete within this.
     pub head_timeout: Duration,
-    /// A body is whole within this.
+    /// A body must be complete within this after its head.
     pub body_timeout: Duration,
 }
 
-/// A whole request.
+/// A complete request.
 pub struct ReceivedRequest {
     /// Its head.
     pub head: Request,
-    /// Its body; `None`: it has none, which is not the same as an empty one.
+    /// Its body; `None` if it has none, which is not the same as an empty one.
     pub body: Option<Bytes>,
-    /// Its part of what bodies may take.
+    /// Its part of the [`BodyBudget`], to be kept for as long as the body.
     pub reservation: BodyReservation,
 }
 
-/// What bodies may take together.
+/// The memory that the bodies of all requests in flight may take together.
 pub struct BodyBudget {
-    most: usize,
-    used: Cell<usize>,
+    max_bytes: usize,
+    used_bytes: Cell<usize>,
 }
 
 impl BodyBudget {
-    /// So many bytes.
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(BodyBudget { most, used: Cell::new(0) })
+    /// A budget of so many bytes.
+    pub fn new(max_bytes: usize) -> Rc<Self> {
+        Rc::new(BodyBudget { max_bytes, used_bytes: Cell::new(0) })
     }
 
+    /// Reserves so many bytes; 503 if they are not free.
     fn reserve(self: &Rc<Self>, bytes: usize) -> Result<BodyReservation, HttpError> {
-        let used = self.used.get().saturating_add(bytes);
-        if used > self.most {
+        let used_bytes = self.used_bytes.get().saturating_add(bytes);
+        if used_bytes > self.max_bytes {
             return Err(HttpError::Rejected(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no room for the body: not run",
             ));
         }
-        self.used.set(used);
-        Ok(BodyReservation { room: Rc::clone(self), bytes })
+        self.used_bytes.set(used_bytes);
+        Ok(BodyReservation { budget: Rc::clone(self), bytes })
     }
 }
 
-/// A part of it, free again when this is dropped.
+/// A part of a [`BodyBudget`], freed when this is dropped.
 pub struct BodyReservation {
-    room: Rc<BodyBudget>,
+    budget: Rc<BodyBudget>,
     bytes: usize,
 }
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.room.used.set(self.room.used.get() - self.bytes);
+        self.budget.used_bytes.set(self.budget.used_bytes.get() - self.bytes);
     }
 }
 
-/// Why there is no request.
+/// Why there is no request, or why a response was not taken.
 #[derive(Debug, PartialEq, displaydoc::Display)]
 pub enum HttpError {
     /// the connection has ended
@@ -99,21 +108,23 @@
     Rejected(StatusCode, &'static str),
 }
 
-/// How connections are served: the same for all.
+impl std::error::Error for HttpError {}
+
+/// The configuration of all connections.
 pub fn service_config() -> ServiceConfig {
     ServiceConfigBuilder::new().keep_alive(KeepAlive::Os).build()
 }
 
-/// Is a connection open, with nothing on it to be read? The system itself is asked, as the runtime may not have heard
-/// yet of what has just come.
+/// Whether a connection is open and nothing can be read on it. Asks the operating system: the runtime may not know yet
+/// of what has just come.
 pub fn is_idle(stream: &TcpStream) -> bool {
-    let seen = socket2::SockRef::from(stream).peek(&mut [std::mem::MaybeUninit::uninit()]);
-    seen.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
+    let peeked = socket2::SockRef::from(stream).peek(&mut [std::mem::MaybeUninit::uninit()]);
+    peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// A stream that can be looked at without reading.
+/// A stream that can tell, without reading, whether anything could be read.
 pub trait IdleProbe {
-    /// Is it open, with nothing on it to be read?
+    /// Whether the stream is open and nothing can be read on it.
     fn is_idle(&self) -> bool;
 }
 
@@ -123,28 +134,29 @@
     }
 }
 
-/// How a connection's rest ended.
+/// Why a wait for the next request ended.
 #[derive(Debug, PartialEq, Eq)]
 pub enum IdleOutcome {
-    /// A request begins.
+    /// A request has begun.
     RequestStarted,
-    /// The connection has ended, or is to be closed now, with nothing of it unanswered.
+    /// The connection has ended or is to be closed now. No request on it is unanswered.
     Close,
 }
 
-/// A connection that somebody opened.
+/// A connection that a client opened.
 pub struct Connection<S = TcpStream> {
     stream: S,
     codec: Codec,
-    read: BytesMut,
-    /// Has any request come on it?
-    used: bool,
-    /// Does the request that is to be answered want a head only?
-    head_only: bool,
+    /// What was read and not decoded yet.
+    buffer: BytesMut,
+    /// Whether any request was read on it.
+    has_served: bool,
+    /// Whether the request to be answered is a `HEAD`.
+    is_head_request: bool,
 }
 
 impl Connection {
-    /// Serves this stream.
+    /// A connection on a TCP stream.
     pub fn new(stream: TcpStream, config: &ServiceConfig) -> Self {
         let _ = stream.set_nodelay(true);
         Connection::from_stream(stream, config)
@@ -152,28 +164,31 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + IdleProbe + Unpin> Connection<S> {
-    /// Waits for the next request, as long as the connection may rest: `idle` tells how long that is now, and the
-    /// longest that it told since the rest began counts. From the moment in `ending` on, none rests that was ever
-    /// used.
+    /// Waits for the next request. `idle_timeout` tells how long the connection may be idle by the configuration in
+    /// force; the longest value since the wait began counts. Once `closes_at` holds a moment, a connection that was
+    /// ever used is closed then, if it is idle.
     pub async fn wait_idle(
         &mut self,
-        idle: impl Fn() -> Duration,
-        ending: &mut watch::Receiver<Option<std::time::Instant>>,
+        idle_timeout: impl Fn() -> Duration,
+        closes_at: &mut watch::Receiver<Option<std::time::Instant>>,
     ) -> IdleOutcome {
         let since = Instant::now();
-        let mut most = idle();
+        let mut longest = idle_timeout();
         loop {
-            most = most.max(idle());
-            let until = since + most + REST_SLACK;
-            let last = ending.borrow_and_update().map(Instant::from_std);
-            let last = last.map(|end| if self.used { end } else { end.max(since + FIRST_WITHIN) });
-            let until = last.map_or(until, |last| until.min(last));
+            longest = longest.max(idle_timeout());
+            let deadline = since + longest + IDLE_SLACK;
+            let closes = closes_at.borrow_and_update().map(Instant::from_std);
+            let closes =
+                closes.map(|at| if self.has_served { at } else { at.max(since + FIRST_REQUEST_GRACE) });
+            let deadline = closes.map_or(deadline, |closes| deadline.min(closes));
             tokio::select! {
                 biased;
-                first = self.wait_readable() => return if first.is_ok() { IdleOutcome::RequestStarted } else { IdleOutcome::Close },
-                Ok(()) = ending.changed() => {}
-                () = tokio::time::sleep_until(until) => {
-                    if most < idle() {
+                readable = self.wait_readable() => {
+                    return if readable.is_ok() { IdleOutcome::RequestStarted } else { IdleOutcome::Close };
+                }
+                Ok(()) = closes_at.changed() => {}
+                () = tokio::time::sleep_until(deadline) => {
+                    if longest < idle_timeout() {
                         continue;
                     }
                     if self.is_idle() {
@@ -185,87 +200,89 @@
         }
     }
 
-    /// Has anything been read, or is there anything to be read, that is not answered yet?
+    /// Whether no byte of a further request has come.
     fn is_idle(&self) -> bool {
-        self.read.is_empty() && self.stream.is_idle()
+        self.buffer.is_empty() && self.stream.is_idle()
     }
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Connection<S> {
-    /// Serves this stream.
+    /// A connection on any stream.
     pub fn from_stream(stream: S, config: &ServiceConfig) -> Self {
         let codec = Codec::new(config.clone());
-        Connection { stream, codec, read: BytesMut::new(), used: false, head_only: false }
+        Connection { stream, codec, buffer: BytesMut::new(), has_served: false, is_head_request: false }
     }
 
-    /// Waits for the first byte of a request.
+    /// Waits for the first byte of a request. Fails if the connection ends.
     pub async fn wait_readable(&mut self) -> Result<(), HttpError> {
-        while self.read.is_empty() {
-            self.more().await?;
+        while self.buffer.is_empty() {
+            self.read_more().await?;
         }
         Ok(())
     }
 
-    async fn more(&mut self) -> Result<(), HttpError> {
-        self.read.reserve(2048);
-        match self.stream.read_buf(&mut self.read).await {
+    /// Reads some bytes into the buffer. Fails if the connection ends.
+    async fn read_more(&mut self) -> Result<(), HttpError> {
+        self.buffer.reserve(READ_BYTES);
+        match self.stream.read_buf(&mut self.buffer).await {
             Ok(0) | Err(_) => Err(HttpError::ConnectionClosed),
             Ok(_) => Ok(()),
         }
     }
 
-    /// The next request, whole.
+    /// Reads the next request. The memory of its body is reserved from `budget`: all of it at once if the client states
+    /// a length, or else chunk by chunk.
+    ///
+    /// Fails if the connection ends first, or the request is malformed or beyond `limits` or the budget. After a
+    /// failure nothing more can be read on the connection; a rejected request was not run.
     pub async fn read_request(
         &mut self,
-        bounds: &RequestLimits,
-        room: &Rc<BodyBudget>,
+        limits: &RequestLimits,
+        budget: &Rc<BodyBudget>,
     ) -> Result<ReceivedRequest, HttpError> {
-        (self.used, self.head_only) = (true, false);
+        (self.has_served, self.is_head_request) = (true, false);
         let late = HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, "not whole in time");
-        let head = timeout(bounds.head_timeout, self.head(bounds)).await.map_err(|_| late)??;
-        self.head_only = head.method() == Method::HEAD;
+        let head = timeout(limits.head_timeout, self.read_head(limits)).await.map_err(|_| late)??;
+        self.is_head_request = head.method() == Method::HEAD;
         if self.codec.message_type() == MessageType::Stream {
-            // A tunnel, whose end nothing tells.
+            // A tunnel, whose end can't be told.
             return Err(HttpError::Rejected(StatusCode::BAD_REQUEST, "no tunnels"));
         }
-        let too_long = || HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
-        let claimed = head.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.trim().parse().ok());
-        if claimed.is_some_and(|length: u64| length > bounds.max_body_bytes as u64) {
-            return Err(too_long());
+        let stated_length: Option<u64> =
+            head.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.trim().parse().ok());
+        if stated_length.is_some_and(|length| length > limits.max_body_bytes as u64) {
+            return Err(BODY_TOO_LONG);
         }
         if self.codec.message_type() == MessageType::None {
-            return Ok(ReceivedRequest {
-                body: claimed.map(|_| Bytes::new()),
-                head,
-                reservation: room.reserve(0)?,
-            });
+            let body = stated_length.map(|_| Bytes::new());
+            return Ok(ReceivedRequest { body, head, reservation: budget.reserve(0)? });
         }
-        let mut held = vec![room.reserve(claimed.unwrap_or(0) as usize)?];
+        let mut reservations = vec![budget.reserve(stated_length.unwrap_or(0) as usize)?];
         if head.head().expect() {
             let _ = self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
         }
-        let late = HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, "body not whole in time");
-        let told = claimed.is_some();
-        let reading = self.body(bounds, |bytes| match told {
-            true => Ok(()),
-            false => room.reserve(bytes).map(|part| held.push(part)),
+        let reading = self.read_body(limits, |bytes| match stated_length {
+            Some(_) => Ok(()),
+            None => budget.reserve(bytes).map(|reservation| reservations.push(reservation)),
         });
-        let body = timeout(bounds.body_timeout, reading).await.map_err(|_| late)??;
-        drop(held);
-        Ok(ReceivedRequest { reservation: room.reserve(body.len())?, head, body: Some(body) })
+        let late = HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, "body not whole in time");
+        let body = timeout(limits.body_timeout, reading).await.map_err(|_| late)??;
+        drop(reservations);
+        Ok(ReceivedRequest { reservation: budget.reserve(body.len())?, head, body: Some(body) })
     }
 
-    async fn head(&mut self, bounds: &RequestLimits) -> Result<Request, HttpError> {
+    /// Reads the head of a request: 431 if it is too long, 400 if it is not HTTP or its target is ambiguous.
+    async fn read_head(&mut self, limits: &RequestLimits) -> Result<Request, HttpError> {
         let too_long = HttpError::Rejected(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head too long");
-        let odd = || HttpError::Rejected(StatusCode::BAD_REQUEST, "no such target");
+        let bad_target = || HttpError::Rejected(StatusCode::BAD_REQUEST, "no such target");
         loop {
-            if has_fragment(&self.read) {
-                return Err(odd());
+            if has_fragment(&self.buffer) {
+                return Err(bad_target());
             }
-            match self.codec.decode(&mut self.read) {
-                Ok(Some(Message::Item(request))) if !is_whole_target(&request) => return Err(odd()),
+            match self.codec.decode(&mut self.buffer) {
+                Ok(Some(Message::Item(request))) if !has_target(&request) => return Err(bad_target()),
                 Ok(Some(Message::Item(request))) => return Ok(request),
-                Ok(None) if self.read.len() <= bounds.max_head_bytes => self.more().await?,
+                Ok(None) if self.buffer.len() <= limits.max_head_bytes => self.read_more().await?,
                 Ok(None) | Err(ParseError::TooLarge) => return Err(too_long),
                 Ok(Some(Message::Chunk(_))) | Err(_) => {
                     return Err(HttpError::Rejected(StatusCode::BAD_REQUEST, "not HTTP"))
@@ -274,23 +291,24 @@
         }
     }
 
-    async fn body(
+    /// Reads the body of a request; `reserve` is called with the length of each chunk before it is kept.
+    async fn read_body(
         &mut self,
-        bounds: &RequestLimits,
-        mut hold: impl FnMut(usize) -> Result<(), HttpError>,
+        limits: &RequestLimits,
+        mut reserve: impl FnMut(usize) -> Result<(), HttpError>,
     ) -> Result<Bytes, HttpError> {
         let mut body = BytesMut::new();
         loop {
-            match self.codec.decode(&mut self.read) {
+            match self.codec.decode(&mut self.buffer) {
                 Ok(Some(Message::Chunk(None))) => return Ok(body.freeze()),
-                Ok(Some(Message::Chunk(Some(chunk)))) if body.len() + chunk.len() > bounds.max_body_bytes => {
-                    return Err(HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long"))
+                Ok(Some(Message::Chunk(Some(chunk)))) if body.len() + chunk.len() > limits.max_body_bytes => {
+                    return Err(BODY_TOO_LONG)
                 }
                 Ok(Some(Message::Chunk(Some(chunk)))) => {
-                    hold(chunk.len())?;
+                    reserve(chunk.len())?;
                     body.extend_from_slice(&chunk);
                 }
-                Ok(None) => self.more().await?,
+                Ok(None) => self.read_more().await?,
                 Ok(Some(Message::Item(_))) | Err(_) => {
                     return Err(HttpError::Rejected(StatusCode::BAD_REQUEST, "body not whole"))
                 }
@@ -298,69 +316,74 @@
         }
     }
 
-    /// Resolves when the other side closes. What else it sends meanwhile is kept for later, up to a bound.
+    /// Resolves when the client closes the connection. Requests that it sends ahead are kept, up to
+    /// [`MAX_READ_AHEAD_BYTES`]; beyond that its leaving is not noticed.
     pub async fn client_disconnected(&mut self) {
-        while self.read.len() < 65536 {
-            if self.more().await.is_err() {
+        while self.buffer.len() < MAX_READ_AHEAD_BYTES {
+            if self.read_more().await.is_err() {
                 return;
             }
         }
         std::future::pending().await
     }
 
-    /// Writes an answer. `Ok(true)`: the connection lives on.
+    /// Writes the response to the request that was read last. Returns whether another request may be read on the
+    /// connection. Fails if the client does not take it; how much of it the client got is unknown.
     pub async fn respond(&mut self, response: OutgoingResponse) -> Result<bool, HttpError> {
         let OutgoingResponse { mut head, body } = response;
-        let mut out = BytesMut::with_capacity(384 + body.len());
+        let mut out = BytesMut::with_capacity(RESPONSE_HEAD_BYTES + body.len());
         let head = head.message_body(()).map_err(|_| HttpError::ConnectionClosed)?;
-        // What follows such a head would be taken for the next answer.
-        let bare = matches!(head.status(), StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-        let (size, body) = match self.head_only || bare {
+        // A body after such a head would be taken for the next response.
+        let has_no_body = matches!(head.status(), StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+        let (size, body) = match self.is_head_request || has_no_body {
             true => (BodySize::None, Bytes::new()),
             false => (BodySize::Sized(body.len() as u64), body),
         };
         self.codec.encode(Message::Item((head, size)), &mut out).map_err(|_| HttpError::ConnectionClosed)?;
         out.extend_from_slice(&body);
         while out.has_remaining() {
-            match timeout(TAKEN_WITHIN, self.stream.write_buf(&mut out)).await {
+            match timeout(WRITE_TIMEOUT, self.stream.write_buf(&mut out)).await {
                 Ok(Ok(n)) if n > 0 => {}
                 _ => return Err(HttpError::ConnectionClosed),
             }
         }
         if !self.codec.keep_alive() {
-            self.linger().await;
+            self.close_gracefully().await;
             return Ok(false);
         }
         Ok(true)
     }
 
-    /// Ends the connection in order.
-    pub async fn linger(&mut self) {
+    /// Closes the connection so that the client gets all that was written: reads on for a while, and drops it.
+    pub async fn close_gracefully(&mut self) {
         let _ = self.stream.shutdown().await;
-        let _ = timeout(LINGER.0, async {
+        let _ = timeout(LINGER_TIMEOUT, async {
             let mut dropped = 0;
-            while dropped < LINGER.1 {
-                self.read.clear();
-                if self.more().await.is_err() {
+            while dropped < LINGER_MAX_BYTES {
+                self.buffer.clear();
+                if self.read_more().await.is_err() {
                     break;
                 }
-                dropped += self.read.len();
+                dropped += self.buffer.len();
             }
         })
         .await;
     }
 }
 
-/// Does the first line name a part of what it asks for? Such a name stays with clients; the parser drops it, and another
-/// target than the one that was sent would go on.
-fn has_fragment(read: &[u8]) -> bool {
-    let from = read.iter().position(|b| !matches!(b, b'\r' | b'\n')).unwrap_or(read.len());
-    let mut line = read[from..].iter().take_while(|b| **b != b'\n');
-    line.any(|b| *b == b'#')
+/// A body beyond [`RequestLimits::max_body_bytes`].
+const BODY_TOO_LONG: HttpError = HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
+
+/// Whether the request line has a fragment, such as `/a#b`. Clients keep fragments to themselves; the parser drops them,
+/// and a worker would get another target than the client sent.
+fn has_fragment(bytes: &[u8]) -> bool {
+    let start = bytes.iter().position(|b| !matches!(b, b'\r' | b'\n')).unwrap_or(bytes.len());
+    let mut request_line = bytes[start..].iter().take_while(|b| **b != b'\n');
+    request_line.any(|b| *b == b'#')
 }
 
-/// Is there a path, or the asterisk that stands for none? A host alone is for tunnels only.
-fn is_whole_target(request: &Request) -> bool {
+/// Whether the request line has a path, or the `*` that stands for none. A host alone is for `CONNECT` only.
+fn has_target(request: &Request) -> bool {
     let uri = request.uri();
     request.method() == Method::CONNECT || uri.scheme().is_some() || uri.authority().is_none()
 }
@@ -373,12 +396,12 @@
     pub body: Bytes,
 }
 
-/// A response with a text.
+/// A response whose body is a text.
 pub fn text_response(status: StatusCode, text: &'static str) -> OutgoingResponse {
     OutgoingResponse { head: Response::build(status), body: Bytes::from_static(text.as_bytes()) }
 }
 
-/// A response in JSON. A number that is no HTTP status becomes 500.
+/// A response whose body is JSON. A `status` that is no HTTP status becomes 500.
 pub fn json_response(status: u16, body: &serde_json::Value) -> OutgoingResponse {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut head = Response::build(status);
@@ -386,7 +409,7 @@
     OutgoingResponse { head, body: Bytes::from(body.to_string()) }
 }
 
-/// Is this method and path the one?
+/// Whether a request has this method and path.
 pub fn matches_endpoint(request: &Request, method: Method, path: &str) -> bool {
     request.method() == method && request.path() == path
 }
--- a/crates/gateway/src/transport/http_server/tests.rs
+++ b/crates/gateway/src/transport/http_server/tests.rs
@@ -347,7 +347,7 @@
 
 #[gtest]
 fn a_connection_rests_as_long_as_its_client_may_think() {
-    let slack = REST_SLACK.as_millis();
+    let slack = IDLE_SLACK.as_millis();
     // Taken up at four fifths, and up to the whole.
     for at in [0, 1, 12_000, 14_999, 15_000] {
         expect_that!(
@@ -375,7 +375,7 @@
     expect_that!(rest(false, &[(0, 15_000)], Some(0), Some(900)), eq(&(IdleOutcome::RequestStarted, 900)));
     expect_that!(
         rest(false, &[(0, 15_000)], Some(0), None),
-        eq(&(IdleOutcome::Close, FIRST_WITHIN.as_millis()))
+        eq(&(IdleOutcome::Close, FIRST_REQUEST_GRACE.as_millis()))
     );
 }
 
--- a/crates/gateway/src/transport/upstream_pool/pool_tests.rs
+++ b/crates/gateway/src/transport/upstream_pool/pool_tests.rs
@@ -5,6 +5,7 @@
 use super::*;
 use bytes::BytesMut;
 use googletest::prelude::*;
+use std::future::Future;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
@@ -12,7 +13,7 @@
 /// A worker on loopback: what it does with each connection, in turn.
 struct Worker {
     listener: TcpListener,
-    courier: UpstreamPool,
+    pool: UpstreamPool,
     /// The number of the next request, which is its id.
     asked: Cell<u32>,
 }
@@ -20,7 +21,7 @@
 impl Worker {
     async fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        Worker { listener, courier: UpstreamPool::new(8), asked: Cell::new(1) }
+        Worker { listener, pool: UpstreamPool::new(8), asked: Cell::new(1) }
     }
 
     async fn accept(&self) -> TcpStream {
@@ -40,7 +41,7 @@
         forward.headers.insert("x-attempt-id".parse().expect("a name"), id);
         let name = Arc::from(name);
         let address = self.listener.local_addr().expect("an address");
-        self.courier.attempt(&name, address, &forward, None, Duration::from_secs(20), || true).await
+        self.pool.attempt(&name, address, &forward, None, Duration::from_secs(20), || true).await
     }
 }
 
@@ -55,14 +56,28 @@
     id.expect("an id").to_owned()
 }
 
+/// Hears a request and gives it a good answer.
+async fn answer_next(stream: &mut TcpStream) {
+    let id = hear(stream).await;
+    stream.write_all(named(&id).as_bytes()).await.expect("taken");
+}
+
+/// What `client` comes to while the worker serves, which does not end by itself.
+async fn while_serving<T>(worker: impl Future<Output = ()>, client: impl Future<Output = T>) -> T {
+    tokio::select! {
+        result = client => result,
+        () = worker => unreachable!(),
+    }
+}
+
 /// A good answer to the request of this id.
 fn named(id: &str) -> String {
     good().replace("id-1", id)
 }
 
 fn body(ended: &AttemptOutcome) -> String {
-    let reply = ended.response.as_ref().map(|r| String::from_utf8_lossy(&r.body).into_owned());
-    reply.unwrap_or_else(|| format!("{:?}", ended.ending))
+    let response = ended.response.as_ref().map(|r| String::from_utf8_lossy(&r.body).into_owned());
+    response.unwrap_or_else(|| format!("{:?}", ended.ending))
 }
 
 #[gtest]
@@ -80,8 +95,7 @@
             let turn = Notify::new();
             let serve = async {
                 let mut first = worker.accept().await;
-                let id = hear(&mut first).await;
-                first.write_all(named(&id).as_bytes()).await.expect("taken");
+                answer_next(&mut first).await;
                 turn.notified().await;
                 first.write_all(behind.as_bytes()).await.expect("taken");
                 let mut first = match ends {
@@ -100,13 +114,11 @@
                 let other = async {
                     match first.as_mut().filter(|_| again) {
                         Some(first) => {
-                            let id = hear(first).await;
-                            first.write_all(named(&id).as_bytes()).await.expect("taken");
+                            answer_next(first).await;
                         }
                         None => {
                             let mut second = worker.accept().await;
-                            let id = hear(&mut second).await;
-                            second.write_all(named(&id).as_bytes()).await.expect("taken");
+                            answer_next(&mut second).await;
                         }
                     }
                 };
@@ -119,12 +131,9 @@
                 tokio::task::yield_now().await;
                 turn.notified().await;
                 expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"), "after {behind:?}, {ends:?}");
-                worker.courier.connections_opened.get()
+                worker.pool.connections_opened.get()
             };
-            tokio::select! {
-                opened = ask => opened,
-                () = serve => unreachable!(),
-            }
+            while_serving(serve, ask).await
         });
         expect_that!(opened, eq(if again { 1 } else { 2 }), "after {behind:?}, {ends:?}");
     }
@@ -136,26 +145,21 @@
         let worker = Worker::new().await;
         let serve = async {
             let mut first = worker.accept().await;
-            let id = hear(&mut first).await;
-            first.write_all(named(&id).as_bytes()).await.expect("taken");
+            answer_next(&mut first).await;
             let id = hear(&mut first).await;
             first.write_all((surplus() + &named(&id)).as_bytes()).await.expect("taken");
             let mut second = worker.accept().await;
-            let id = hear(&mut second).await;
-            second.write_all(named(&id).as_bytes()).await.expect("taken");
+            answer_next(&mut second).await;
             drop(first);
             std::future::pending::<()>().await;
         };
         let ask = async {
             for opened in [1, 1, 2] {
                 expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"));
-                expect_that!(worker.courier.connections_opened.get(), eq(opened));
+                expect_that!(worker.pool.connections_opened.get(), eq(opened));
             }
         };
-        tokio::select! {
-            () = ask => {}
-            () = serve => unreachable!(),
-        }
+        while_serving(serve, ask).await;
     });
 }
 
@@ -173,8 +177,7 @@
             expect_that!(first.read_to_end(&mut rest).await, ok(eq(&0)));
             let _ = first.write_all(surplus().as_bytes()).await;
             let mut second = worker.accept().await;
-            let id = hear(&mut second).await;
-            second.write_all(named(&id).as_bytes()).await.expect("taken");
+            answer_next(&mut second).await;
             std::future::pending::<()>().await;
         };
         let ask = async {
@@ -185,11 +188,8 @@
             }
             expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"));
         };
-        tokio::select! {
-            () = ask => {}
-            () = serve => unreachable!(),
-        }
-        expect_that!(worker.courier.connections_opened.get(), eq(2));
+        while_serving(serve, ask).await;
+        expect_that!(worker.pool.connections_opened.get(), eq(2));
     });
 }
 
@@ -199,8 +199,7 @@
         let worker = Worker::new().await;
         let serve = async {
             let mut first = worker.accept().await;
-            let id = hear(&mut first).await;
-            first.write_all(named(&id).as_bytes()).await.expect("taken");
+            answer_next(&mut first).await;
             let mut second = worker.accept().await;
             let id = hear(&mut second).await;
             let misdirected = format!("HTTP/1.1 421 No\r\nX-Attempt-Id: {id}\r\nContent-Length: 0\r\n\r\n");
@@ -214,10 +213,7 @@
             expect_that!((ended.ending, ended.misdirected), eq((Ending::Full, true)));
             expect_that!(ended.response.is_none(), eq(true));
         };
-        tokio::select! {
-            () = ask => {}
-            () = serve => unreachable!(),
-        }
+        while_serving(serve, ask).await;
     });
 }
 
@@ -235,10 +231,8 @@
             // It stays open and reads no more.
             std::future::pending::<()>().await;
         };
-        tokio::select! {
-            ended = worker.ask("i-1", 32 << 20) => expect_that!(ended.ending, eq(Ending::Full)),
-            () = serve => unreachable!(),
-        }
+        let ended = while_serving(serve, worker.ask("i-1", 32 << 20)).await;
+        expect_that!(ended.ending, eq(Ending::Full));
     });
 }
 
@@ -258,8 +252,7 @@
                 let id = hear(&mut first).await;
                 first.write_all(full(&id).as_bytes()).await.expect("taken");
                 for _ in 0..between {
-                    let id = hear(&mut first).await;
-                    first.write_all(named(&id).as_bytes()).await.expect("taken");
+                    answer_next(&mut first).await;
                 }
                 let on_first = async {
                     let _ = hear(&mut first).await;
@@ -267,8 +260,7 @@
                 };
                 let on_second = async {
                     let mut second = worker.accept().await;
-                    let id = hear(&mut second).await;
-                    second.write_all(named(&id).as_bytes()).await.expect("taken");
+                    answer_next(&mut second).await;
                     std::future::pending::<()>().await;
                 };
                 tokio::select! {
@@ -283,12 +275,9 @@
                     expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"));
                 }
                 expect_that!(body(&worker.ask_as("again", "i-1", 0).await), eq("papers"), "{between}");
-                expect_that!(worker.courier.connections_opened.get(), eq(2), "{between}");
+                expect_that!(worker.pool.connections_opened.get(), eq(2), "{between}");
             };
-            tokio::select! {
-                () = ask => {}
-                () = serve => unreachable!(),
-            }
+            while_serving(serve, ask).await;
         });
     }
 }
@@ -309,8 +298,7 @@
                     let answer = named(&id).replace("OK\r\n", &format!("OK\r\nKeep-Alive: {keeps}\r\n"));
                     stream.write_all(answer.as_bytes()).await.expect("taken");
                     if again {
-                        let id = hear(&mut stream).await;
-                        stream.write_all(named(&id).as_bytes()).await.expect("taken");
+                        answer_next(&mut stream).await;
                     }
                 }
                 std::future::pending::<()>().await;
@@ -319,16 +307,9 @@
                 for _ in 0..2 {
                     expect_that!(body(&worker.ask("i-1", 0).await), eq("papers"));
                 }
-                expect_that!(
-                    worker.courier.connections_opened.get(),
-                    eq(if again { 1 } else { 2 }),
-                    "{keeps}"
-                );
+                expect_that!(worker.pool.connections_opened.get(), eq(if again { 1 } else { 2 }), "{keeps}");
             };
-            tokio::select! {
-                () = ask => {}
-                () = serve => unreachable!(),
-            }
+            while_serving(serve, ask).await;
         });
     }
 }
--- a/crates/gateway/src/transport/upstream_pool/tests.rs
+++ b/crates/gateway/src/transport/upstream_pool/tests.rs
@@ -128,9 +128,9 @@
         let told = match told {
             Poll::Pending => Ok(None),
             Poll::Ready(Err(broken)) => Err(broken),
-            Poll::Ready(Ok(ExchangeResult { reply, reusable, .. })) => {
-                let body = String::from_utf8_lossy(&reply.body).into_owned();
-                Ok(Some((reply.status.as_u16(), body, reusable)))
+            Poll::Ready(Ok(ExchangeResult { response, is_reusable, .. })) => {
+                let body = String::from_utf8_lossy(&response.body).into_owned();
+                Ok(Some((response.status.as_u16(), body, is_reusable)))
             }
         };
         (told, written.get())
