--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -1,4 +1,4 @@
-//! The way back when most of the core is lost for good: from a disk that is left, by a call, to a new core.
+//! Recovery when most of the core is lost for good: the export of a remaining disk, imported by a new core.
 
 use crate::cli::export::{export, ExportError};
 use crate::configuration::read_call;
@@ -10,15 +10,15 @@
 use serde_json::{json, Value};
 use std::path::Path;
 
-/// A core of one machine, on a real disk, by a clock of its own.
-pub(crate) struct One {
+/// A core of one machine on a real disk, with a simulated clock.
+pub(crate) struct SingleCore {
     pub(crate) core: CoreNode,
     store: ReplicaStore,
     now: f64,
     replies: Vec<(u16, Value)>,
 }
 
-impl One {
+impl SingleCore {
     pub(crate) fn start(data: &Path) -> Self {
         let mut settings =
             Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
@@ -27,16 +27,16 @@
         settings.tolerance.machines = 0;
         let (store, held) = ReplicaStore::open(data, settings.is_first_seed()).expect("a disk");
         let core = CoreNode::new(1000.0, settings, held).expect("a core");
-        let mut one = One { core, store, now: 1000.0, replies: Vec::new() };
+        let mut machine = SingleCore { core, store, now: 1000.0, replies: Vec::new() };
         let mut out = Vec::new();
-        one.core.start(&mut out);
-        one.carry_out(out);
+        machine.core.start(&mut out);
+        machine.carry_out(out);
         for _ in 0..60 {
-            one.now += TICK;
-            one.event(Event::Tick);
+            machine.now += TICK;
+            machine.event(Event::Tick);
         }
-        assert!(one.core.raft.leads());
-        one
+        assert!(machine.core.raft.leads());
+        machine
     }
 
     fn event(&mut self, event: Event) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The answer to a call; cuts of the log come with ticks.
+    /// The response to a call, after one more tick, in which the log may be compacted.
     pub(crate) fn call(&mut self, command: ApiCommand) -> (u16, Value) {
         self.replies.clear();
         self.event(Event::Call(1, command));
@@ -86,11 +86,11 @@
     json!({ "upsert": { "service_set": all } })
 }
 
-/// A disk with a snapshot, a log behind it, changed and dropped items; the last answer to a read.
-fn worn(data: &Path) -> Value {
-    let mut one = One::start(data);
+/// Fills a disk: a snapshot, a log after it, changed and removed items. Returns the last response to a read.
+fn fill_disk(data: &Path) -> Value {
+    let mut machine = SingleCore::start(data);
     for round in 0..600 {
-        expect_that!(one.amend(&services(&[service(round % 40, round + 1)])), eq(200));
+        expect_that!(machine.amend(&services(&[service(round % 40, round + 1)])), eq(200));
     }
     let route = |label: &str| {
         json!({ "label": label, "hostname": "a", "path_prefix": format!("/{label}/"),
@@ -98,20 +98,20 @@
     };
     let tenant = json!({ "label": "t1", "credentials": ["k1", "k2"], "rate_per_s": 10.5, "revision": "r3" });
     let more = json!({ "upsert": { "route_set": [route("a"), route("b")], "tenant_set": [tenant] } });
-    expect_that!(one.amend(&more), eq(200));
+    expect_that!(machine.amend(&more), eq(200));
     let drop = json!({ "remove": {
         "route_set": [{ "label": "b", "revision": "r8" }], "service_set": [{ "label": "s9", "revision": "r1000" }],
     }});
-    expect_that!(one.amend(&drop), eq(200));
-    let (entries, behind) = one.core.raft.held();
-    expect_that!((entries, behind), (gt(10), gt(100)), "a snapshot, and a log behind it");
-    one.call(ApiCommand::Read).1
+    expect_that!(machine.amend(&drop), eq(200));
+    let (entries, behind) = machine.core.raft.held();
+    expect_that!((entries, behind), (gt(10), gt(100)), "a snapshot, and a log after it");
+    machine.call(ApiCommand::Read).1
 }
 
 #[gtest]
-fn what_a_disk_holds_goes_on_in_a_new_core() {
+fn an_export_restores_all_items_in_a_new_core() {
     let (old, new) = (Folder::new("old"), Folder::new("new"));
-    let stood = worn(&old.0);
+    let exported_state = fill_disk(&old.0);
     let files = || [DATABASE_FILE, WAL_FILE].map(|n| std::fs::read(old.0.join(n)).expect("a file"));
     let was = files();
     let exported = export(&old.0).expect("exported");
@@ -123,34 +123,34 @@
     expect_that!((origin["items"].as_u64(), origin["dropped"].as_u64()), (some(eq(41)), some(eq(2))));
     expect_that!(origin["members"][0].as_str(), some(eq("10.0.1.1/0")));
 
-    let mut one = One::start(&new.0);
+    let mut machine = SingleCore::start(&new.0);
     let call = read_call(exported.to_string().as_bytes()).expect("a call");
-    expect_that!(one.call(ApiCommand::Amend(call.clone())).0, eq(200));
-    let (status, stands) = one.call(ApiCommand::Read);
+    expect_that!(machine.call(ApiCommand::Amend(call.clone())).0, eq(200));
+    let (status, state) = machine.call(ApiCommand::Read);
     expect_that!(status, eq(200));
-    expect_that!(stands, eq(&stood));
-    // Again, as after an answer that was lost.
-    expect_that!(one.call(ApiCommand::Amend(call)).0, eq(200));
-    // What comes late changes nothing, and revives nothing.
-    expect_that!(one.amend(&services(&[service(9, 410), service(3, 4)])), eq(200));
+    expect_that!(state, eq(&exported_state));
+    // Again, as after a lost response.
+    expect_that!(machine.call(ApiCommand::Amend(call)).0, eq(200));
+    // Late calls of older versions change nothing, and restore no removed item.
+    expect_that!(machine.amend(&services(&[service(9, 410), service(3, 4)])), eq(200));
     let route = json!({ "label": "b", "hostname": "a", "path_prefix": "/b/", "route_class": "effectful",
         "service_ref": "s0", "cutoff": "900ms", "revision": "r7" });
-    expect_that!(one.amend(&json!({ "upsert": { "route_set": [route] } })), eq(200));
-    expect_that!(one.call(ApiCommand::Read).1, eq(&stood));
-    // A version that is held stays one content.
+    expect_that!(machine.amend(&json!({ "upsert": { "route_set": [route] } })), eq(200));
+    expect_that!(machine.call(ApiCommand::Read).1, eq(&exported_state));
+    // A stored version can't get another content.
     let other = json!({ "label": "s3", "probe_path": "/other", "revision": "r564" });
-    expect_that!(one.amend(&services(&[other])), eq(409));
-    // And what is new is taken.
-    expect_that!(one.amend(&services(&[service(9, 1001)])), eq(200));
+    expect_that!(machine.amend(&services(&[other])), eq(409));
+    // New versions are accepted.
+    expect_that!(machine.amend(&services(&[service(9, 1001)])), eq(200));
 }
 
 #[gtest]
-fn a_torn_or_foreign_disk_is_refused() {
+fn a_torn_or_foreign_disk_is_rejected() {
     let old = Folder::new("torn");
-    worn(&old.0);
+    fill_disk(&old.0);
     let (database, log) = (old.0.join(DATABASE_FILE), old.0.join(WAL_FILE));
     let whole = [std::fs::read(&database).expect("a file"), std::fs::read(&log).expect("a file")];
-    let refused = |what: &str, why: &str| {
+    let expect_rejected = |what: &str, why: &str| {
         let error = export(&old.0).err().map(|e| e.to_string()).unwrap_or_default();
         expect_that!(error, contains_substring(why), "{what}");
     };
@@ -159,14 +159,14 @@
         std::fs::write(&log, log_bytes).expect("written");
     };
     std::fs::remove_file(&log).expect("removed");
-    refused("no write-ahead log", "without");
+    expect_rejected("no write-ahead log", "without");
     put(&[], &whole[1]);
-    refused("cut to nothing", "cut to nothing");
+    expect_rejected("cut to nothing", "cut to nothing");
     put(&whole[0][..whole[0].len() / 2], &[]);
     expect_that!(export(&old.0).is_err(), eq(true), "cut in half");
-    put(b"some other file, long enough to have a head of one hundred bytes, which a database begins with, and more", &[]);
-    refused("no database", "not a database");
-    // A page holds something else: refused, but for pages that nothing lies in.
+    put(b"some other file, long enough to have a head of machine hundred bytes, which a database begins with, and more", &[]);
+    expect_rejected("no database", "not a database");
+    // A page is overwritten: rejected, except for pages that hold nothing.
     put(&whole[0], &[]);
     let unharmed = export(&old.0).expect("exported").to_string();
     let mut refusals = 0;
--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -2,7 +2,7 @@
 //! written on; their records are also encoded again, to the same bytes, so that an earlier build can read what this one
 //! writes. A change of name in the code must not be seen here. How the disks were made: `write_the_disks` below.
 
-use super::export_tests::One;
+use super::export_tests::SingleCore;
 use crate::cli::export::export;
 use crate::configuration::{ConfigItem, ItemFields, ItemKind};
 use crate::consensus::{Entry, EntryPayload, LogWrite, NodeId};
@@ -126,9 +126,9 @@
         .expect("written");
 }
 
-fn called(one: &mut One, bodies: &[Value]) {
+fn called(machine: &mut SingleCore, bodies: &[Value]) {
     for body in bodies {
-        assert_eq!(one.amend(body), 200, "{body}");
+        assert_eq!(machine.amend(body), 200, "{body}");
     }
 }
 
@@ -148,15 +148,15 @@
     held
 }
 
-fn worked(one: &mut One) {
+fn worked(machine: &mut SingleCore) {
     for worker in [
         worker("w-settled", "s1", 1, WorkerPhase::Serving, 7),
         worker("w-decaying", "s2", 2, WorkerPhase::Draining, 9),
         worker("w-left", "s2", 3, WorkerPhase::Serving, 1),
     ] {
-        assert_eq!(one.call(ApiCommand::Beat(worker)).0, 200);
+        assert_eq!(machine.call(ApiCommand::Beat(worker)).0, 200);
     }
-    assert_eq!(one.call(ApiCommand::Departure("w-left".into())).0, 200);
+    assert_eq!(machine.call(ApiCommand::Departure("w-left".into())).0, 200);
 }
 
 /// Not a check, and not one that is left out: this made the committed disks, by the program of commit 884c06e, before its
@@ -168,11 +168,11 @@
 fn write_the_disks() {
     let Some(to) = std::env::var_os("STORED_DATA_TO").map(PathBuf::from) else { return };
     let folder = Folder::new("write-log-only");
-    let mut one = One::start(&folder.0);
-    called(&mut one, &[first_call(), service("s3", 4), service("s3", 5), drop_all()]);
-    worked(&mut one);
-    let stood = one.call(ApiCommand::Read).1;
-    drop(one);
+    let mut machine = SingleCore::start(&folder.0);
+    called(&mut machine, &[first_call(), service("s3", 4), service("s3", 5), drop_all()]);
+    worked(&mut machine);
+    let stood = machine.call(ApiCommand::Read).1;
+    drop(machine);
     let bodies = vec![
         EntryPayload::Members([me(), other()].into()),
         shares(whole_shares()),
@@ -184,30 +184,30 @@
     tell(&to.join(LOG_ONLY), &stood);
 
     let folder = Folder::new("write-snapshot");
-    let mut one = One::start(&folder.0);
-    called(&mut one, &[first_call(), service("s3", 4), drop_all()]);
+    let mut machine = SingleCore::start(&folder.0);
+    called(&mut machine, &[first_call(), service("s3", 4), drop_all()]);
     // Nearly up to a snapshot: several versions of a few items.
     let mut version = 1;
-    let mut next = |one: &mut One| {
+    let mut next = |machine: &mut SingleCore| {
         version += 1;
         assert!(version < 5000, "no snapshot");
-        called(one, &[service(["s4", "s5"][version as usize % 2], version)]);
+        called(machine, &[service(["s4", "s5"][version as usize % 2], version)]);
     };
-    while one.core.raft.held().0 < 500 {
-        next(&mut one);
+    while machine.core.raft.held().0 < 500 {
+        next(&mut machine);
     }
-    drop(one);
+    drop(machine);
     written_on(&folder.0, vec![shares(whole_shares()), shares(changed_shares())]);
     // The next holder of the counter takes the ceilings over, and a snapshot is written before they lapse.
-    let mut one = One::start(&folder.0);
-    while one.core.raft.held().1 == 0 {
-        next(&mut one);
+    let mut machine = SingleCore::start(&folder.0);
+    while machine.core.raft.held().1 == 0 {
+        next(&mut machine);
     }
     let remove = json!({ "remove": { "service_set": [{ "label": "s4", "revision": "r9000" }] } });
-    called(&mut one, &[service("s5", 9000), remove, service("s6", 1)]);
-    worked(&mut one);
-    let stood = one.call(ApiCommand::Read).1;
-    drop(one);
+    called(&mut machine, &[service("s5", 9000), remove, service("s6", 1)]);
+    worked(&mut machine);
+    let stood = machine.call(ApiCommand::Read).1;
+    drop(machine);
     put_down(&folder.0, &to.join(SNAPSHOT));
     tell(&to.join(SNAPSHOT), &stood);
 }
@@ -374,30 +374,30 @@
 fn a_core_goes_on_from_a_stored_disk() {
     for (name, changed, past) in [(LOG_ONLY, "s1", ("s3", 5)), (SNAPSHOT, "s5", ("s5", 5))] {
         let folder = copy(name, "lead");
-        let mut one = One::start(&folder.0);
+        let mut machine = SingleCore::start(&folder.0);
         let stood = committed(name, "expected.json");
-        expect_that!(one.call(ApiCommand::Read), eq(&(200, stood.clone())), "{name}");
+        expect_that!(machine.call(ApiCommand::Read), eq(&(200, stood.clone())), "{name}");
         // What is dropped stays so; a version that is held stays one content.
         let old = json!({ "upsert": { "service_set": [{ "label": "s3", "probe_path": "/h4", "revision": "r4" }] } });
-        expect_that!(one.amend(&old), eq(200), "{name}");
+        expect_that!(machine.amend(&old), eq(200), "{name}");
         let twin = json!({ "upsert": { "tenant_set": [{ "label": "t1", "credentials": ["k9"], "rate_per_s": 1, "revision": "r3" }] } });
-        expect_that!(one.amend(&twin), eq(409), "{name}");
-        expect_that!(one.call(ApiCommand::Read), eq(&(200, stood.clone())), "{name}");
+        expect_that!(machine.amend(&twin), eq(409), "{name}");
+        expect_that!(machine.call(ApiCommand::Read), eq(&(200, stood.clone())), "{name}");
         // That of a version that was overtaken, too.
         let other = json!({ "label": past.0, "probe_path": "/other", "revision": format!("r{}", past.1) });
-        expect_that!(one.amend(&json!({ "upsert": { "service_set": [other] } })), eq(409), "{name}");
-        expect_that!(one.amend(&service(past.0, past.1)), eq(200), "{name}");
-        expect_that!(one.call(ApiCommand::Read), eq(&(200, stood.clone())), "{name}");
+        expect_that!(machine.amend(&json!({ "upsert": { "service_set": [other] } })), eq(409), "{name}");
+        expect_that!(machine.amend(&service(past.0, past.1)), eq(200), "{name}");
+        expect_that!(machine.call(ApiCommand::Read), eq(&(200, stood.clone())), "{name}");
         // A further order is taken, and is there after a start.
-        expect_that!(one.amend(&service(changed, 9999)), eq(200), "{name}");
-        let now = one.call(ApiCommand::Read);
+        expect_that!(machine.amend(&service(changed, 9999)), eq(200), "{name}");
+        let now = machine.call(ApiCommand::Read);
         expect_that!(now.0, eq(200));
         expect_that!(now.1, not(eq(&stood)), "{name}");
-        let fields = one.core.keeper.state.body(ItemKind::Service, changed);
+        let fields = machine.core.keeper.state.body(ItemKind::Service, changed);
         let read = |field: &str| fields.as_ref().and_then(|f| f[field].as_str().map(str::to_owned));
         expect_that!(read("probe_path"), some(eq("/h9999")), "{name}");
-        drop(one);
-        expect_that!(One::start(&folder.0).call(ApiCommand::Read), eq(&now), "{name}: after a start");
+        drop(machine);
+        expect_that!(SingleCore::start(&folder.0).call(ApiCommand::Read), eq(&now), "{name}: after a start");
     }
 }
 
--- a/crates/gateway/src/runtime/signals_tests.rs
+++ b/crates/gateway/src/runtime/signals_tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[gtest]
-fn a_file_is_read_once_it_stands_still() {
+fn a_changed_file_is_loaded_once_it_is_stable() {
     let mut watch = FileWatch::new(at(0, 100));
     expect_that!(watch.observe(at(0, 100)), eq(false), "it did not change");
     // Written in steps: also two within the same moment of the disk's clock.
--- a/crates/gateway/src/transport/http_server/tests.rs
+++ b/crates/gateway/src/transport/http_server/tests.rs
@@ -1,5 +1,5 @@
-//! Requests cut at every byte, sent close together, smuggled; answers that must leave nothing behind them; connections
-//! that rest. In memory, on a clock that goes on only when nothing else does.
+//! Requests cut at every byte, pipelined and smuggled; responses that must leave no bytes behind; idle connections. In
+//! memory, on tokio's paused clock.
 
 use super::*;
 use googletest::prelude::*;
@@ -12,34 +12,34 @@
     }
 }
 
-const BOUNDS: RequestLimits = RequestLimits {
+const LIMITS: RequestLimits = RequestLimits {
     max_head_bytes: 2048,
     max_body_bytes: 64,
     head_timeout: Duration::from_secs(3),
     body_timeout: Duration::from_secs(3),
 };
 
-fn run<T>(future: impl Future<Output = T>) -> T {
+fn run_paused<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), future)
 }
 
-fn pair() -> (DuplexStream, Connection<DuplexStream>) {
+fn connected() -> (DuplexStream, Connection<DuplexStream>) {
     let (client, server) = tokio::io::duplex(1 << 20);
     (client, Connection::from_stream(server, &service_config()))
 }
 
-/// A request as far as anything goes by it.
-type Read = (String, String, Option<Bytes>);
+/// What is compared of a request: method, target, body.
+type Summary = (String, String, Option<Bytes>);
 
-async fn next(connection: &mut Connection<DuplexStream>) -> Result<Read, HttpError> {
-    let whole = connection.read_request(&BOUNDS, &BodyBudget::new(1 << 20)).await?;
-    Ok((whole.head.method().to_string(), whole.head.uri().to_string(), whole.body))
+async fn read_next(connection: &mut Connection<DuplexStream>) -> Result<Summary, HttpError> {
+    let request = connection.read_request(&LIMITS, &BodyBudget::new(1 << 20)).await?;
+    Ok((request.head.method().to_string(), request.head.uri().to_string(), request.body))
 }
 
-/// What is read of these pieces, one after the other, up to the first that is none.
-async fn read(pieces: &[&[u8]]) -> (Vec<Read>, HttpError) {
-    let (mut client, mut connection) = pair();
+/// The requests that are read from these pieces, up to the first error.
+async fn read_all(pieces: &[&[u8]]) -> (Vec<Summary>, HttpError) {
+    let (mut client, mut connection) = connected();
     let send = async move {
         for piece in pieces {
             client.write_all(piece).await.expect("taken");
@@ -48,19 +48,20 @@
         client.shutdown().await.expect("taken");
         client
     };
-    let hear = async {
+    let read = async {
         let mut all = Vec::new();
         loop {
-            match next(&mut connection).await {
+            match read_next(&mut connection).await {
                 Ok(one) => all.push(one),
                 Err(error) => return (all, error),
             }
         }
     };
-    tokio::join!(send, hear).1
+    tokio::join!(send, read).1
 }
 
-const WHOLE: [(&str, &str, Option<&str>); 8] = [
+/// Valid requests, with the target and the body that are read of each.
+const REQUESTS: [(&str, &str, Option<&str>); 8] = [
     ("GET /a?b=%20c HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: id-1\r\n\r\n", "/a?b=%20c", None),
     ("POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello", "/b", Some("hello")),
     ("POST /c HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", "/c", Some("")),
@@ -72,10 +73,10 @@
 ];
 
 #[gtest]
-fn a_request_is_whole_or_none_wherever_its_bytes_are_cut() {
+fn a_request_cut_at_any_byte_is_read_completely_or_not_at_all() {
     let mut cuts = 0;
-    let two = WHOLE.iter().flat_map(|a| WHOLE.iter().map(move |b| vec![a, b]));
-    for requests in WHOLE.iter().map(|a| vec![a]).chain(two) {
+    let two = REQUESTS.iter().flat_map(|a| REQUESTS.iter().map(move |b| vec![a, b]));
+    for requests in REQUESTS.iter().map(|a| vec![a]).chain(two) {
         let bytes = requests.iter().map(|r| r.0).collect::<String>().into_bytes();
         let expected: Vec<_> = requests
             .iter()
@@ -88,48 +89,48 @@
                 Some(*at)
             })
             .collect();
-        let seen = |all: Vec<Read>| all.into_iter().map(|(_, uri, body)| (uri, body)).collect::<Vec<_>>();
+        let seen = |all: Vec<Summary>| all.into_iter().map(|(_, uri, body)| (uri, body)).collect::<Vec<_>>();
         for cut in 0..=bytes.len() {
             cuts += 1;
             // In two pieces...
-            let (all, error) = run(read(&[&bytes[..cut], &bytes[cut..]]));
+            let (all, error) = run_paused(read_all(&[&bytes[..cut], &bytes[cut..]]));
             assert_that!(
                 (seen(all), error),
                 eq(&(expected.clone(), HttpError::ConnectionClosed)),
                 "cut at {cut}"
             );
-            // ...and ended in the middle: what is not whole is not served.
-            let (all, error) = run(read(&[&bytes[..cut]]));
-            let whole = ends.iter().filter(|end| **end <= cut).count();
+            // ...and ended in the middle: what is incomplete is not served.
+            let (all, error) = run_paused(read_all(&[&bytes[..cut]]));
+            let complete = ends.iter().filter(|end| **end <= cut).count();
             assert_that!(
                 (seen(all), error),
-                eq(&(expected[..whole].to_vec(), HttpError::ConnectionClosed)),
+                eq(&(expected[..complete].to_vec(), HttpError::ConnectionClosed)),
                 "ends at {cut}"
             );
         }
         let single: Vec<&[u8]> = bytes.chunks(1).collect();
-        assert_that!(seen(run(read(&single)).0), eq(&expected));
+        assert_that!(seen(run_paused(read_all(&single)).0), eq(&expected));
     }
     println!("{cuts} cuts");
 }
 
 #[gtest]
-fn a_request_that_stays_silent_at_any_byte_is_turned_away_in_time() {
-    for (text, ..) in WHOLE {
+fn a_request_that_stalls_at_any_byte_times_out() {
+    for (text, ..) in REQUESTS {
         for cut in 1..text.len() {
-            let told = run(async {
-                let (mut client, mut connection) = pair();
+            let result = run_paused(async {
+                let (mut client, mut connection) = connected();
                 client.write_all(&text.as_bytes()[..cut]).await.expect("taken");
-                (next(&mut connection).await, Instant::now())
+                (read_next(&mut connection).await, Instant::now())
             });
-            let late = matches!(told.0, Err(HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, _)));
-            assert_that!(late, eq(true), "{:?} at {cut}", told.0);
+            let late = matches!(result.0, Err(HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, _)));
+            assert_that!(late, eq(true), "{:?} at {cut}", result.0);
         }
     }
 }
 
 #[gtest]
-fn nothing_is_smuggled_in_another_request() {
+fn request_smuggling_is_rejected() {
     let inner = "GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n";
     let post = "POST /a HTTP/1.1\r\nHost: h\r\n";
     let length = inner.len();
@@ -161,7 +162,7 @@
         format!("GET /a HTTP/2.0\r\nHost: h\r\n\r\n{inner}"),
     ];
     for case in &cases {
-        let (all, error) = run(read(&[case.as_bytes()]));
+        let (all, error) = run_paused(read_all(&[case.as_bytes()]));
         expect_that!(all, is_empty(), "{case}");
         let bad = matches!(error, HttpError::Rejected(StatusCode::BAD_REQUEST, _));
         expect_that!(bad, eq(true), "{error:?}: {case}");
@@ -181,45 +182,45 @@
         ";\r\n",
     ] {
         let text = format!("{chunked}{chunks}{inner}");
-        let (all, error) = run(read(&[text.as_bytes()]));
+        let (all, error) = run_paused(read_all(&[text.as_bytes()]));
         expect_that!(all, is_empty(), "{chunks:?}");
         let bad = matches!(error, HttpError::Rejected(StatusCode::BAD_REQUEST, _));
         expect_that!(bad, eq(true), "{error:?}: {chunks:?}");
     }
     // What stands where trailers may stand is dropped with them.
-    let (all, error) = run(read(&[format!("{chunked}0\r\nX: {inner}").as_bytes()]));
+    let (all, error) = run_paused(read_all(&[format!("{chunked}0\r\nX: {inner}").as_bytes()]));
     expect_that!(all, elements_are![eq(&("POST".to_owned(), "/a".to_owned(), Some(Bytes::new())))]);
     expect_that!(error, eq(&HttpError::ConnectionClosed));
     println!("{} heads, 12 chunkings", cases.len());
 }
 
 #[gtest]
-fn a_tunnel_is_refused_at_once() {
+fn tunnels_are_rejected_immediately() {
     for head in [
         "CONNECT h:80 HTTP/1.1\r\nHost: h\r\n\r\n",
         "GET /a HTTP/1.1\r\nHost: h\r\nUpgrade: websocket\r\n\r\n",
     ] {
-        let waited = run(async {
-            let (mut client, mut connection) = pair();
+        let waited = run_paused(async {
+            let (mut client, mut connection) = connected();
             let begun = Instant::now();
             client.write_all(head.as_bytes()).await.expect("taken");
-            let told = next(&mut connection).await;
-            expect_that!(matches!(told, Err(HttpError::Rejected(StatusCode::BAD_REQUEST, _))), eq(true));
+            let result = read_next(&mut connection).await;
+            expect_that!(matches!(result, Err(HttpError::Rejected(StatusCode::BAD_REQUEST, _))), eq(true));
             begun.elapsed()
         });
         expect_that!(waited, eq(Duration::ZERO));
     }
 }
 
-/// All that a client hears until its connection ends.
-async fn hear(mut client: DuplexStream) -> String {
+/// All that a client receives until its connection ends.
+async fn receive_all(mut client: DuplexStream) -> String {
     let mut all = Vec::new();
     let _ = client.read_to_end(&mut all).await;
     String::from_utf8_lossy(&all).into_owned()
 }
 
 #[gtest]
-fn an_answer_without_a_body_leaves_nothing_that_could_be_taken_for_the_next() {
+fn a_response_without_a_body_leaves_no_bytes_for_the_next() {
     let good = |status: StatusCode, body: &'static str| {
         let mut response = text_response(status, body);
         response.head.append_header(("x-server-seal", "s"));
@@ -232,19 +233,19 @@
         ("GET", StatusCode::NOT_MODIFIED),
     ];
     for (method, status) in cases {
-        let heard = run(async {
-            let (mut client, mut connection) = pair();
+        let received = run_paused(async {
+            let (mut client, mut connection) = connected();
             let text = format!("{method} /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n");
             client.write_all(text.as_bytes()).await.expect("taken");
             for (status, body) in [(status, "body"), (StatusCode::OK, "next")] {
-                next(&mut connection).await.expect("whole");
-                let answered = connection.respond(good(status, body)).await;
-                expect_that!(answered, ok(eq(&true)));
+                read_next(&mut connection).await.expect("a complete request");
+                let keeps_open = connection.respond(good(status, body)).await;
+                expect_that!(keeps_open, ok(eq(&true)));
             }
             drop(connection);
-            hear(client).await
+            receive_all(client).await
         });
-        let (first, rest) = heard.split_once("\r\n\r\n").expect("a head");
+        let (first, rest) = received.split_once("\r\n\r\n").expect("a head");
         expect_that!(first, starts_with(&*format!("HTTP/1.1 {}", status.as_u16())));
         expect_that!(rest, starts_with("HTTP/1.1 200 OK\r\n"), "{method} {status}");
         expect_that!(rest, ends_with("\r\n\r\nnext"));
@@ -252,23 +253,23 @@
 }
 
 #[gtest]
-fn an_answer_goes_out_whole_to_a_client_that_takes_it_slowly() {
-    let heard = run(async {
+fn a_slow_client_gets_the_complete_response() {
+    let received = run_paused(async {
         let (mut client, server) = tokio::io::duplex(16);
         let mut connection = Connection::from_stream(server, &service_config());
         client.write_all(b"GET /a HT").await.expect("taken");
         let serve = async {
-            next(&mut connection).await.expect("whole");
+            read_next(&mut connection).await.expect("a complete request");
             let body = Bytes::from(vec![b'x'; 40]);
-            let answered =
+            let keeps_open =
                 connection.respond(OutgoingResponse { head: Response::build(StatusCode::OK), body }).await;
-            expect_that!(answered, ok(eq(&true)));
+            expect_that!(keeps_open, ok(eq(&true)));
             drop(connection);
         };
         let take = async {
             client.write_all(b"TP/1.1\r\nHost: h\r\n\r\n").await.expect("taken");
             let mut all = Vec::new();
-            // Something every four seconds: over half a minute for the whole.
+            // Something every four seconds: over half a minute for the response.
             loop {
                 tokio::time::sleep(Duration::from_secs(4)).await;
                 if !client.read_buf(&mut all).await.is_ok_and(|n| n > 0) {
@@ -279,25 +280,25 @@
         };
         tokio::join!(serve, take).1
     });
-    expect_that!(heard, ends_with(&*"x".repeat(40)));
+    expect_that!(received, ends_with(&*"x".repeat(40)));
 }
 
 #[gtest]
-fn a_client_that_goes_is_noticed_and_what_it_sent_ahead_is_kept_for_its_turn() {
-    run(async {
-        let (mut client, mut connection) = pair();
-        client.write_all(WHOLE[1].0.as_bytes()).await.expect("taken");
-        expect_that!(next(&mut connection).await.map(|r| r.1), ok(eq("/b")));
+fn a_disconnect_is_noticed_and_pipelined_requests_are_kept() {
+    run_paused(async {
+        let (mut client, mut connection) = connected();
+        client.write_all(REQUESTS[1].0.as_bytes()).await.expect("taken");
+        expect_that!(read_next(&mut connection).await.map(|r| r.1), ok(eq("/b")));
         // It sends its next request, in two pieces, while it waits: that is no leaving.
-        let (first, second) = WHOLE[3].0.as_bytes().split_at(70);
+        let (first, second) = REQUESTS[3].0.as_bytes().split_at(70);
         for piece in [first, second] {
             client.write_all(piece).await.expect("taken");
             let left = timeout(Duration::from_secs(1), connection.client_disconnected()).await;
             expect_that!(left, err(anything()));
         }
-        let answered = connection.respond(text_response(StatusCode::OK, "")).await;
-        expect_that!(answered, ok(eq(&true)));
-        let read = next(&mut connection).await;
+        let keeps_open = connection.respond(text_response(StatusCode::OK, "")).await;
+        expect_that!(keeps_open, ok(eq(&true)));
+        let read = read_next(&mut connection).await;
         expect_that!(
             read,
             ok(eq(&("PUT".to_owned(), "/d".to_owned(), Some(Bytes::from_static(b"form-42")))))
@@ -307,26 +308,33 @@
     });
 }
 
-/// Rests on a connection, used before or not, and sends something after a while: how it ended, and when.
-fn rest(used: bool, idle: &[(u64, u64)], ends_at: Option<u64>, sends_at: Option<u64>) -> (IdleOutcome, u128) {
-    run(async {
-        let (mut client, mut connection) = pair();
+/// Waits for a request on an idle connection, used before or not. `idle` is the idle timeout from each moment on,
+/// `ends_at` when the process closes idle connections, `sends_at` when the client sends a byte: all in milliseconds.
+/// Returns the outcome, and after how many milliseconds it came.
+fn wait_idle(
+    used: bool,
+    idle: &[(u64, u64)],
+    ends_at: Option<u64>,
+    sends_at: Option<u64>,
+) -> (IdleOutcome, u128) {
+    run_paused(async {
+        let (mut client, mut connection) = connected();
         if used {
-            client.write_all(WHOLE[0].0.as_bytes()).await.expect("taken");
-            next(&mut connection).await.expect("whole");
-            let answered = connection.respond(text_response(StatusCode::OK, "")).await;
-            expect_that!(answered, ok(eq(&true)));
+            client.write_all(REQUESTS[0].0.as_bytes()).await.expect("taken");
+            read_next(&mut connection).await.expect("a complete request");
+            let keeps_open = connection.respond(text_response(StatusCode::OK, "")).await;
+            expect_that!(keeps_open, ok(eq(&true)));
         }
         let begun = Instant::now();
         let since = || begun.elapsed().as_millis() as u64;
-        let told = || {
+        let idle_timeout = || {
             let last = idle.iter().rev().find(|(from, _)| *from <= since());
             Duration::from_millis(last.map_or(0, |(_, idle)| *idle))
         };
         let (end, mut ending) = watch::channel(None);
-        let rest = async {
-            let rested = connection.wait_idle(told, &mut ending).await;
-            (rested, begun.elapsed().as_millis())
+        let wait = async {
+            let outcome = connection.wait_idle(idle_timeout, &mut ending).await;
+            (outcome, begun.elapsed().as_millis())
         };
         let others = async {
             if let Some(at) = ends_at {
@@ -339,54 +347,57 @@
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            rested = rest => rested,
+            outcome = wait => outcome,
             () = others => unreachable!(),
         }
     })
 }
 
 #[gtest]
-fn a_connection_rests_as_long_as_its_client_may_think() {
+fn an_idle_connection_is_kept_for_its_idle_timeout_and_slack() {
     let slack = IDLE_SLACK.as_millis();
-    // Taken up at four fifths, and up to the whole.
+    // A request that begins within the idle timeout is read.
     for at in [0, 1, 12_000, 14_999, 15_000] {
         expect_that!(
-            rest(true, &[(0, 15_000)], None, Some(at)),
+            wait_idle(true, &[(0, 15_000)], None, Some(at)),
             eq(&(IdleOutcome::RequestStarted, u128::from(at)))
         );
     }
-    expect_that!(rest(true, &[(0, 15_000)], None, None), eq(&(IdleOutcome::Close, 15_000 + slack)));
-    // The bound is raised while it rests: the new one counts. It is lowered: its client may not know yet.
+    expect_that!(wait_idle(true, &[(0, 15_000)], None, None), eq(&(IdleOutcome::Close, 15_000 + slack)));
+    // The timeout is raised meanwhile: the new one counts. It is lowered: the client may not know yet.
     let raised = [(0, 15_000), (9_000, 30_000)];
-    expect_that!(rest(true, &raised, None, Some(24_000)), eq(&(IdleOutcome::RequestStarted, 24_000)));
-    let (over, at) = rest(true, &raised, None, None);
+    expect_that!(wait_idle(true, &raised, None, Some(24_000)), eq(&(IdleOutcome::RequestStarted, 24_000)));
+    let (over, at) = wait_idle(true, &raised, None, None);
     expect_that!((over, at), eq(&(IdleOutcome::Close, 30_000 + slack)));
     expect_that!(
-        rest(true, &[(0, 15_000), (2_000, 5_000)], None, Some(12_000)).0,
+        wait_idle(true, &[(0, 15_000), (2_000, 5_000)], None, Some(12_000)).0,
         eq(&IdleOutcome::RequestStarted)
     );
-    // This process ends: what rests is closed when it is time, and not before.
+    // The process drains: an idle connection is closed when it is time, and not before.
     expect_that!(
-        rest(true, &[(0, 15_000)], Some(2_600), Some(2_599)),
+        wait_idle(true, &[(0, 15_000)], Some(2_600), Some(2_599)),
         eq(&(IdleOutcome::RequestStarted, 2_599))
     );
-    expect_that!(rest(true, &[(0, 15_000)], Some(2_600), None), eq(&(IdleOutcome::Close, 2_600)));
-    // One that was just opened is heard first.
-    expect_that!(rest(false, &[(0, 15_000)], Some(0), Some(900)), eq(&(IdleOutcome::RequestStarted, 900)));
+    expect_that!(wait_idle(true, &[(0, 15_000)], Some(2_600), None), eq(&(IdleOutcome::Close, 2_600)));
+    // A connection that was just opened gets time for its first request.
     expect_that!(
-        rest(false, &[(0, 15_000)], Some(0), None),
+        wait_idle(false, &[(0, 15_000)], Some(0), Some(900)),
+        eq(&(IdleOutcome::RequestStarted, 900))
+    );
+    expect_that!(
+        wait_idle(false, &[(0, 15_000)], Some(0), None),
         eq(&(IdleOutcome::Close, FIRST_REQUEST_GRACE.as_millis()))
     );
 }
 
-/// Guards the request behind one that ends in trailers: they are dropped, and the next one is read whole.
+/// Guards the request behind one that ends in trailers: they are dropped, and the next one is read completely.
 #[gtest]
-fn trailers_are_dropped_and_what_follows_is_the_next_request() {
+fn trailers_are_dropped_and_the_next_request_follows() {
     let chunked = "PUT /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n";
     for trailers in ["", "X-T: 1\r\n", "X-T: 1\r\nX-U: 2\r\nX-V:\r\n"] {
-        let text = format!("{chunked}{trailers}\r\n{}", WHOLE[1].0);
+        let text = format!("{chunked}{trailers}\r\n{}", REQUESTS[1].0);
         for cut in 0..=text.len() {
-            let (all, error) = run(read(&[&text.as_bytes()[..cut], &text.as_bytes()[cut..]]));
+            let (all, error) = run_paused(read_all(&[&text.as_bytes()[..cut], &text.as_bytes()[cut..]]));
             let seen: Vec<_> = all.iter().map(|(_, uri, body)| (&**uri, body.as_deref())).collect();
             let expected = [("/a", Some(b"ab".as_slice())), ("/b", Some(b"hello".as_slice()))];
             assert_that!(seen, eq(&expected), "{trailers:?} cut at {cut}: {error:?}");
@@ -396,20 +407,20 @@
 
 /// Guards a body that is refused for its length: its client is not told to send it first.
 #[gtest]
-fn who_waits_to_send_a_body_hears_at_once_whether_it_is_wanted() {
-    for (length, told) in [("64", "HTTP/1.1 100 Continue\r\n\r\n"), ("65", "")] {
-        let heard = run(async {
-            let (mut client, mut connection) = pair();
+fn expect_100_continue_is_decided_before_the_body_is_sent() {
+    for (length, result) in [("64", "HTTP/1.1 100 Continue\r\n\r\n"), ("65", "")] {
+        let received = run_paused(async {
+            let (mut client, mut connection) = connected();
             let head = format!(
                 "POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: {length}\r\n\r\n"
             );
             client.write_all(head.as_bytes()).await.expect("taken");
-            let read = timeout(Duration::from_secs(1), next(&mut connection)).await;
+            let read = timeout(Duration::from_secs(1), read_next(&mut connection)).await;
             let refused = matches!(read, Ok(Err(HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, _))));
-            expect_that!(refused, eq(told.is_empty()), "{length}");
+            expect_that!(refused, eq(result.is_empty()), "{length}");
             drop(connection);
-            hear(client).await
+            receive_all(client).await
         });
-        expect_that!(heard, eq(told), "{length}");
+        expect_that!(received, eq(result), "{length}");
     }
 }
--- a/crates/gateway/tests/cluster.rs
+++ b/crates/gateway/tests/cluster.rs
@@ -1,10 +1,10 @@
-//! Both programs as they are, on loopback, with a worker that says what it is told to: what clients, workers and
-//! operators see on their sockets.
+//! What clients, workers and operators see on the sockets of real processes: an edge, a core machine and a worker whose
+//! responses the test sets.
 
 mod common;
 
-use common::cluster::{good, Whole};
-use common::{hear, say, status, until, BOUND};
+use common::cluster::{good_response, Cluster, HOLD};
+use common::{read_response, send_and_receive, status, wait_until, TIMEOUT};
 use googletest::prelude::*;
 use std::io::Write;
 use std::net::TcpStream;
@@ -13,19 +13,19 @@
 use std::time::{Duration, Instant};
 
 #[gtest]
-fn what_goes_on_is_the_workers_whole_answer_and_nothing_else() {
-    let whole = Whole::start("answers");
-    whole.configure();
-    whole.worker();
-    until("ready", || whole.is_ready());
+fn only_the_workers_complete_response_is_forwarded() {
+    let cluster = Cluster::start_serving("answers");
 
-    whole.answers(&good("id-1", "papers"));
-    let answer =
-        whole.ask("/once/x?q=1", "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nX-Tenant: forged\r\n", "");
-    expect_that!(status(&answer), eq(200));
-    expect_that!(answer.to_ascii_lowercase(), contains_substring("x-server-seal: seal-id-1"));
-    expect_that!(answer, ends_with("papers"));
-    let heard = whole.last().to_ascii_lowercase();
+    cluster.set_worker_response(&good_response("id-1", "papers"));
+    let response = cluster.request(
+        "/once/x?q=1",
+        "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nX-Tenant: forged\r\n",
+        "",
+    );
+    expect_that!(status(&response), eq(200));
+    expect_that!(response.to_ascii_lowercase(), contains_substring("x-server-seal: seal-id-1"));
+    expect_that!(response, ends_with("papers"));
+    let worker_request = cluster.last_request().to_ascii_lowercase();
     for sent in [
         "get /once/x?q=1 http/1.1",
         "host: a.example",
@@ -33,27 +33,27 @@
         "x-tenant: t1",
         "x-target-instance: i-1",
     ] {
-        expect_that!(heard, contains_substring(sent));
+        expect_that!(worker_request, contains_substring(sent));
     }
     for kept in ["key-1", "api-key", "forged", "x-hop"] {
-        expect_that!(heard, not(contains_substring(kept)));
+        expect_that!(worker_request, not(contains_substring(kept)));
     }
 
-    whole.ask("/once/x", "Transfer-Encoding: chunked\r\n", "4\r\nform\r\n3\r\n-42\r\n0\r\n\r\n");
-    expect_that!(whole.last(), ends_with("\r\n\r\nform-42"));
-    whole.ask("/once/x", "Content-Length: 7\r\n", "form-42");
-    expect_that!(whole.last(), ends_with("\r\n\r\nform-42"));
+    cluster.request("/once/x", "Transfer-Encoding: chunked\r\n", "4\r\nform\r\n3\r\n-42\r\n0\r\n\r\n");
+    expect_that!(cluster.last_request(), ends_with("\r\n\r\nform-42"));
+    cluster.request("/once/x", "Content-Length: 7\r\n", "form-42");
+    expect_that!(cluster.last_request(), ends_with("\r\n\r\nform-42"));
 
-    // An answer to another request comes first: it belongs to nobody.
-    whole.answers(&(good("id-0", "others") + &good("id-1", "papers")));
-    expect_that!(whole.ask("/once/x", "", ""), ends_with("papers"));
-    // Bytes after a whole answer: they belong to nobody, and the next request gets none of them.
-    whole.answers(&(good("id-1", "papers") + &good("id-9", "others")));
-    expect_that!(whole.ask("/once/x", "", ""), ends_with("papers"));
-    whole.answers(&good("id-1", "next"));
-    expect_that!(whole.ask("/once/x", "", ""), ends_with("next"));
+    // A response to another request comes first: it is discarded.
+    cluster.set_worker_response(&(good_response("id-0", "others") + &good_response("id-1", "papers")));
+    expect_that!(cluster.request("/once/x", "", ""), ends_with("papers"));
+    // Bytes after a complete response are discarded, and the next request gets none of them.
+    cluster.set_worker_response(&(good_response("id-1", "papers") + &good_response("id-9", "others")));
+    expect_that!(cluster.request("/once/x", "", ""), ends_with("papers"));
+    cluster.set_worker_response(&good_response("id-1", "next"));
+    expect_that!(cluster.request("/once/x", "", ""), ends_with("next"));
 
-    // What is not the worker's whole answer is never passed on, nor is what may have run promised not to have.
+    // What is not the worker's complete response is never passed on, nor is a client told that what may have run has not.
     let seal = "X-Attempt-Id: id-1\r\nX-Server-Seal: s\r\n";
     for bad in [
         format!("HTTP/1.1 200 OK\r\n{seal}Content-Length: 9\r\n\r\npapCUT"),
@@ -62,44 +62,41 @@
         format!("HTTP/1.1 200 OK\r\n{seal}Content-Encoding: gzip\r\nContent-Length: 3\r\n\r\npap"),
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nContent-Length: 3\r\n\r\npap".into(),
         "HTTP/1.1 503 Service Unavailable\r\nX-Attempt-Id: id-1\r\nContent-Length: 0\r\n\r\n".into(),
-        // Nobody's: believed by none, be it a success or a refusal.
+        // One that names no request is not believed, be it a success or a rejection.
         "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 3\r\n\r\npap".into(),
         "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n".into(),
         "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n".into(),
         "nonsense\r\n\r\nCUT".into(),
         "CUT".into(),
     ] {
-        whole.answers(&bad);
-        let before = whole.heard.lock().expect("whole").len();
-        let answer = whole.ask("/once/x", "", "");
-        expect_that!(status(&answer), eq(502), "{bad}: {answer}");
-        expect_that!(answer, not(contains_substring("pap")));
-        expect_that!(whole.heard.lock().expect("whole").len(), eq(before + 1), "once only: {bad}");
+        cluster.set_worker_response(&bad);
+        let before = cluster.request_count();
+        let response = cluster.request("/once/x", "", "");
+        expect_that!(status(&response), eq(502), "{bad}: {response}");
+        expect_that!(response, not(contains_substring("pap")));
+        expect_that!(cluster.request_count(), eq(before + 1), "once only: {bad}");
     }
-    // Its own word that it has not run.
-    whole.answers(
+    // The worker says that it has not run the request.
+    cluster.set_worker_response(
         "HTTP/1.1 503 Service Unavailable\r\nX-Attempt-Id: id-1\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
     );
-    let answer = whole.ask("/once/x", "", "");
-    expect_that!(status(&answer), eq(503));
-    expect_that!(answer, contains_substring("retry-after: "));
-    // A failure of its own goes on as it is.
-    whole.answers(
+    let response = cluster.request("/once/x", "", "");
+    expect_that!(status(&response), eq(503));
+    expect_that!(response, contains_substring("retry-after: "));
+    // The worker's own failure is passed on as it is.
+    cluster.set_worker_response(
         "HTTP/1.1 500 Oops\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: s5\r\nContent-Length: 4\r\n\r\noops",
     );
-    let answer = whole.ask("/once/x", "", "");
-    expect_that!(status(&answer), eq(500));
-    expect_that!(answer, ends_with("oops"));
+    let response = cluster.request("/once/x", "", "");
+    expect_that!(status(&response), eq(500));
+    expect_that!(response, ends_with("oops"));
 }
 
 #[gtest]
-fn bad_input_of_every_caller_gets_a_clear_error_and_harms_nothing() {
-    let whole = Whole::start("bad");
-    whole.configure();
-    whole.worker();
-    until("ready", || whole.is_ready());
-    whole.answers(&good("id-1", "papers"));
-    let front = |text: &str| status(&say(whole.front, text));
+fn malformed_input_is_rejected_and_changes_nothing() {
+    let cluster = Cluster::start_serving("bad");
+    cluster.set_worker_response(&good_response("id-1", "papers"));
+    let front = |text: &str| status(&send_and_receive(cluster.front_address, text));
     let id = "Host: a.example\r\nX-Attempt-Id: id-1\r\nX-Remaining-Ms: 2000\r\n";
     let long = "x".repeat(4000);
     let cases = [
@@ -124,7 +121,7 @@
     for (what, text, expected) in cases {
         expect_that!(front(&text), eq(expected), "{what}");
     }
-    expect_that!(whole.heard.lock().expect("whole").len(), eq(0), "none of it reached the worker");
+    expect_that!(cluster.request_count(), eq(0), "none of it reached the worker");
 
     let beat = "/whinstall/instances/i-2/heartbeat";
     let calls = [
@@ -137,112 +134,107 @@
         ("/whinstall/instances/nobody/departure", "{}", 200),
     ];
     for (path, body, expected) in calls {
-        let answer = whole.call(path, body);
-        expect_that!(status(&answer), eq(expected), "{path} {body}");
+        let response = cluster.call_core(path, body);
+        expect_that!(status(&response), eq(expected), "{path} {body}");
         if expected == 400 {
-            expect_that!(answer, contains_substring("\"fault\":\""));
+            expect_that!(response, contains_substring("\"fault\":\""));
         }
     }
     for path in ["/whinstall/instances//heartbeat", "/whinstall/instances/a/b/heartbeat"] {
-        expect_that!(status(&whole.call(path, "{}")), not(eq(200)), "{path}");
+        expect_that!(status(&cluster.call_core(path, "{}")), not(eq(200)), "{path}");
     }
-    expect_that!(whole.ask("/once/x", "", ""), ends_with("papers"));
-    // How the core stands, by the operators' command.
-    let told = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
-        .args(["status", "--at", &whole.control.to_string()])
+    expect_that!(cluster.request("/once/x", "", ""), ends_with("papers"));
+    // The state of the core, by the operators' command.
+    let output = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
+        .args(["status", "--at", &cluster.control_address.to_string()])
         .output()
         .expect("it runs");
-    let told = String::from_utf8_lossy(&told.stdout).into_owned();
+    let output = String::from_utf8_lossy(&output.stdout).into_owned();
     for word in ["\"role\": \"leader\"", "\"term\": 1", "\"holds_counter\": true", "\"members\": ["] {
-        expect_that!(told, contains_substring(word));
+        expect_that!(output, contains_substring(word));
     }
-    // What happened is told.
-    let journal =
-        say(whole.control, "GET /whinstall/journal HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n");
+    // What happened is in the journal.
+    let journal = send_and_receive(
+        cluster.control_address,
+        "GET /whinstall/journal HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n",
+    );
     for word in ["\"item\":\"r1\"", "\"worker\":\"i-1\"", "\"acknowledged\":true", "\"holds_counter\":true"] {
         expect_that!(journal, contains_substring(word));
     }
 }
 
-/// Asks for a fifth of the quota: the next request is due 5 ms later.
-fn is_served(whole: &Whole) {
+/// A request that must be served. At a fifth of the quota's rate: the next is due 5 ms later.
+fn is_served(cluster: &Cluster) {
     let asked = Instant::now();
-    expect_that!(whole.ask("/once/x", "", ""), ends_with("papers"));
-    until("the next is due", || asked.elapsed() >= Duration::from_millis(5));
+    expect_that!(cluster.request("/once/x", "", ""), ends_with("papers"));
+    wait_until("the next is due", || asked.elapsed() >= Duration::from_millis(5));
 }
 
 #[gtest]
-fn the_core_comes_back_with_what_its_disk_holds_and_a_drain_breaks_nothing_off() {
-    let mut whole = Whole::start("ends");
-    whole.configure();
-    whole.worker();
-    until("ready", || whole.is_ready());
-    let read = whole.call("/whinstall/configuration/read", "");
+fn a_restarted_core_has_its_state_and_a_draining_edge_completes_requests() {
+    let mut cluster = Cluster::start_serving("ends");
+    let read = cluster.call_core("/whinstall/configuration/read", "");
     expect_that!(read, contains_substring("\"r-1\"").or(contains_substring("\"r1\"")));
 
-    // Killed and back: all is there, and the gatekeeper serves on all the while.
-    whole.answers(&good("id-1", "papers"));
-    // A tenant's share at a gatekeeper stands once the core's disks have it on record: within a second of its first
-    // request.
+    // The core is killed and restarted: its state is there, and the edge serves meanwhile.
+    cluster.set_worker_response(&good_response("id-1", "papers"));
+    // A tenant's quota share at an edge holds once the core's disks have it: within a second of its first request.
     let begun = Instant::now();
     while begun.elapsed() < Duration::from_secs(1) {
-        is_served(&whole);
+        is_served(&cluster);
     }
-    whole.core = None;
-    is_served(&whole);
-    whole.core = Some(whole.run("core", "again"));
-    let body = |answer: &str| answer.split("\r\n\r\n").nth(1).unwrap_or_default().to_owned();
-    until("it is read again", || {
-        is_served(&whole);
-        body(&whole.call("/whinstall/configuration/read", "")) == body(&read)
+    cluster.core = None;
+    is_served(&cluster);
+    cluster.core = Some(cluster.spawn("core", "again"));
+    let body = |response: &str| response.split("\r\n\r\n").nth(1).unwrap_or_default().to_owned();
+    wait_until("it is read again", || {
+        is_served(&cluster);
+        body(&cluster.call_core("/whinstall/configuration/read", "")) == body(&read)
     });
 
-    // SIGTERM: not ready, an answer that is owed still comes and says that the connection ends, then the end.
-    let mut client = TcpStream::connect(whole.front).expect("it listens");
-    client.set_read_timeout(Some(BOUND)).expect("a bound");
+    // SIGTERM: the edge is not ready, still responds and says that the connection ends, and exits.
+    let mut client = TcpStream::connect(cluster.front_address).expect("it listens");
+    client.set_read_timeout(Some(TIMEOUT)).expect("a bound");
     let request = "GET /any/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id-1\r\nX-Remaining-Ms: 2000\r\nApi-Key: key-1\r\n\r\n";
-    whole.terminate();
+    cluster.terminate_edge();
     client.write_all(request.as_bytes()).expect("taken");
-    let answer = hear(&mut client);
-    expect_that!(answer, ends_with("papers"));
-    expect_that!(answer.to_ascii_lowercase(), contains_substring("connection: close"));
-    whole.ends();
+    let response = read_response(&mut client);
+    expect_that!(response, ends_with("papers"));
+    expect_that!(response.to_ascii_lowercase(), contains_substring("connection: close"));
+    cluster.assert_edge_exits();
 }
 
 #[gtest]
-fn what_waits_when_its_client_or_this_process_is_to_end_runs_once_and_is_answered_if_it_can_be() {
-    let mut whole = Whole::start("waits");
-    whole.configure();
-    whole.worker();
-    until("ready", || whole.is_ready());
-    // Clients that leave while their requests are at work: nothing is sent a second time, and nobody else hears.
-    whole.answers("HELD");
+fn requests_in_flight_run_once_and_complete_during_shutdown() {
+    let mut cluster = Cluster::start_serving("waits");
+    // Clients that leave while their requests are at the worker: nothing is sent a second time.
+    cluster.set_worker_response(HOLD);
     for (n, path) in ["/once/x", "/any/x"].into_iter().enumerate() {
-        let client = whole.asks(path);
-        whole.hears(n + 1);
+        let client = cluster.send_request(path);
+        cluster.wait_for_requests(n + 1);
         drop(client);
     }
-    // The next ones come on connections of their own, as the others' still wait.
+    // The next ones are sent on connections of their own, as the others' still wait.
     let mut clients: Vec<TcpStream> = Vec::new();
     for path in ["/once/y", "/any/y"] {
-        clients.push(whole.asks(path));
-        whole.hears(2 + clients.len());
+        clients.push(cluster.send_request(path));
+        cluster.wait_for_requests(2 + clients.len());
     }
-    // SIGTERM while they wait: the worker's answers come, whole, and say that the connections end.
-    whole.terminate();
-    whole.answers(&good("id-1", "papers"));
+    // SIGTERM while they wait: the complete responses of the worker come, and say that the connections end.
+    cluster.terminate_edge();
+    cluster.set_worker_response(&good_response("id-1", "papers"));
     for client in &mut clients {
-        let answer = hear(client);
-        expect_that!(status(&answer), eq(200));
-        expect_that!(answer, ends_with("papers"));
-        expect_that!(answer.to_ascii_lowercase(), contains_substring("connection: close"));
+        let response = read_response(client);
+        expect_that!(status(&response), eq(200));
+        expect_that!(response, ends_with("papers"));
+        expect_that!(response.to_ascii_lowercase(), contains_substring("connection: close"));
     }
-    whole.ends();
-    expect_that!(whole.heard.lock().expect("whole").len(), eq(4));
+    cluster.assert_edge_exits();
+    expect_that!(cluster.request_count(), eq(4));
 }
 
 #[gtest]
-fn the_command_line_says_what_it_takes() {
+fn the_command_line_reports_usage_and_faults() {
     let run = |args: &[&str]| {
         Command::new(env!("CARGO_BIN_EXE_whinstall-gateway")).args(args).output().expect("it runs")
     };
--- a/crates/gateway/tests/common/cluster.rs
+++ b/crates/gateway/tests/common/cluster.rs
@@ -1,6 +1,6 @@
-//! Both programs as they are, on loopback, with a worker that says what it is told to.
+//! A cluster of real processes on loopback: a core machine, an edge, and a worker whose responses a test sets.
 
-use super::{port, say, status, until, Role, BOUND};
+use super::{free_port, send_and_receive, status, wait_until, Process, TIMEOUT};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -8,54 +8,79 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Seconds from SIGTERM to SIGKILL, as the settings say.
+/// Seconds from SIGTERM to SIGKILL, by the settings.
 const GRACE_S: u64 = 4;
-/// The same.
+/// The same as a duration.
 pub const GRACE: Duration = Duration::from_secs(GRACE_S);
 
-/// Both programs, and a worker.
-pub struct Whole {
-    pub folder: PathBuf,
-    pub front: SocketAddr,
-    pub ready: SocketAddr,
-    pub control: SocketAddr,
-    pub edge: Option<Role>,
-    pub core: Option<Role>,
-    pub answer: Arc<Mutex<String>>,
-    pub heard: Arc<Mutex<Vec<String>>>,
+/// As a worker's response: the worker waits until another one is set.
+pub const HOLD: &str = "HOLD";
+/// In a worker's response: the connection ends here.
+pub const CUT: &str = "CUT";
+
+/// An edge, a core machine and a worker.
+pub struct Cluster {
+    folder: PathBuf,
+    pub front_address: SocketAddr,
+    readiness_address: SocketAddr,
+    pub control_address: SocketAddr,
+    pub edge: Option<Process>,
+    pub core: Option<Process>,
+    /// What the worker responds to each request.
+    worker_response: Arc<Mutex<String>>,
+    /// The requests that the worker got.
+    worker_requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl Whole {
-    pub fn start(name: &str) -> Self {
+impl Cluster {
+    /// Starts an edge and a core machine, without a configuration.
+    fn start(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("whinstall-whole-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(folder.join("data")).expect("a folder");
         let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
-        let inner = port();
-        let (front, ready, control) = (address(port()), address(port()), address(port()));
-        let heard = Arc::new(Mutex::new(Vec::new()));
-        let answer = Arc::new(Mutex::new(String::new()));
+        let internal_port = free_port();
+        let [front_address, readiness_address, control_address] = [(); 3].map(|()| address(free_port()));
         for (role, cold) in [("edge", true), ("core", true), ("again", false)] {
             let endpoints = match role {
-                "edge" => format!("front_http = \"{front}\"\nready_port = \"{ready}\""),
-                _ => format!("control_port = \"{control}\""),
+                "edge" => format!("front_http = \"{front_address}\"\nready_port = \"{readiness_address}\""),
+                _ => format!("control_port = \"{control_address}\""),
             };
             let data = folder.join("data");
             let settings = format!(
                 "[self]\nnode_name = \"{role}\"\nip_addr = \"127.0.0.1\"\nzone_name = \"a\"\nregion_name = \"r\"\n\
-                 cold_start = {cold}\ndata_path = {data:?}\n[network]\ninternal_ports = [{inner}, {inner}]\n\
-                 seed_list = [\"{control}\"]\n[network.endpoints]\n{endpoints}\n[network.zones]\na = \"r\"\n\
+                 cold_start = {cold}\ndata_path = {data:?}\n[network]\ninternal_ports = [{internal_port}, {internal_port}]\n\
+                 seed_list = [\"{control_address}\"]\n[network.endpoints]\n{endpoints}\n[network.zones]\na = \"r\"\n\
                  [constraints.envelope]\nretry_slack = 62\nquota_margin = 20\ngrace_period = \"{GRACE_S}s\"\n"
             );
             std::fs::write(folder.join(format!("{role}.toml")), settings).expect("written");
         }
-        let mut whole = Whole { folder, front, ready, control, edge: None, core: None, answer, heard };
-        whole.core = Some(whole.run("core", "core"));
-        whole.edge = Some(whole.run("edge", "edge"));
-        whole
+        let mut cluster = Cluster {
+            folder,
+            front_address,
+            readiness_address,
+            control_address,
+            edge: None,
+            core: None,
+            worker_response: Arc::default(),
+            worker_requests: Arc::default(),
+        };
+        cluster.core = Some(cluster.spawn("core", "core"));
+        cluster.edge = Some(cluster.spawn("edge", "edge"));
+        cluster
+    }
+
+    /// Starts a cluster with a configuration and a worker, and waits until the edge is ready.
+    pub fn start_serving(name: &str) -> Self {
+        let cluster = Cluster::start(name);
+        cluster.configure();
+        cluster.start_worker();
+        wait_until("ready", || cluster.is_ready());
+        cluster
     }
 
-    pub fn run(&self, role: &str, settings: &str) -> Role {
+    /// Starts a process of this role with the settings file of this name.
+    pub fn spawn(&self, role: &str, settings: &str) -> Process {
         let log = std::fs::File::create(self.folder.join(format!("{role}.log"))).expect("a file");
         let child = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
             .arg(role)
@@ -63,98 +88,112 @@
             .stderr(log)
             .stdin(Stdio::null())
             .spawn();
-        Role { child: child.expect("it starts") }
+        Process { child: child.expect("it starts") }
     }
 
-    pub fn call(&self, path: &str, body: &str) -> String {
+    /// Calls the core machine's control address, and returns the response.
+    pub fn call_core(&self, path: &str, body: &str) -> String {
         let method = if body.is_empty() && path.ends_with("read") { "GET" } else { "POST" };
         let length = body.len();
         let head = format!(
             "{method} {path} HTTP/1.1\r\nHost: c\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n"
         );
-        say(self.control, &(head + body))
+        send_and_receive(self.control_address, &(head + body))
     }
 
-    /// A worker that answers each request with what stands in `answer`, and is announced.
-    pub fn worker(&self) {
+    /// Starts the worker, and announces it by a heartbeat.
+    fn start_worker(&self) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (answer, heard) = (Arc::clone(&self.answer), Arc::clone(&self.heard));
+        let (response, requests) = (Arc::clone(&self.worker_response), Arc::clone(&self.worker_requests));
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (answer, heard) = (Arc::clone(&answer), Arc::clone(&heard));
-                std::thread::spawn(move || serve(stream, &answer, &heard));
+                let (response, requests) = (Arc::clone(&response), Arc::clone(&requests));
+                std::thread::spawn(move || run_worker(stream, &response, &requests));
             }
         });
         let beat = format!(
             r#"{{"service_ref":"s1","address":"{address}","zone_name":"a","revision":"v1","capacity":4,"phase":"settled","warmup_left":"0ms","call_count":1}}"#
         );
-        until("a heartbeat is taken", || {
-            status(&self.call("/whinstall/instances/i-1/heartbeat", &beat)) == 200
+        wait_until("a heartbeat is taken", || {
+            status(&self.call_core("/whinstall/instances/i-1/heartbeat", &beat)) == 200
         });
     }
 
-    pub fn configure(&self) {
+    /// Has the core accept a configuration with three routes, a tenant and a service.
+    fn configure(&self) {
         let body = r#"{"upsert":{"route_set":{"columns":["label","hostname","path_prefix","route_class","cutoff","target","rank","max_attempts","revision","service_ref"],"records":[["r1","a.example","/once/","effectful","2000ms","400ms",0,2,"r7","s1"],["r2","a.example","/any/","idempotent","2000ms","400ms",0,2,"r7","s1"],["r3","a.example","/long/","effectful","10000ms","400ms",0,2,"r7","s1"]]},"tenant_set":{"columns":["label","credentials","rate_per_s","burst_size","revision"],"records":[["t1",["key-1"],1000,1000,"r7"]]},"service_set":{"columns":["label","probe_path","revision"],"records":[["s1","/health","r7"]]},"saturation":{"header_max_bytes":2048,"body_max_bytes":4096,"header_deadline":"3000ms","idle_cutoff":"15000ms","revision":"r7"}},"remove":{"route_set":[]}}"#;
-        until("a configuration is taken", || {
-            status(&self.call("/whinstall/configuration/amend", body)) == 200
+        wait_until("a configuration is taken", || {
+            status(&self.call_core("/whinstall/configuration/amend", body)) == 200
         });
     }
 
     pub fn is_ready(&self) -> bool {
-        status(&say(self.ready, "GET /whinstall/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n"))
-            == 200
+        status(&send_and_receive(
+            self.readiness_address,
+            "GET /whinstall/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n",
+        )) == 200
     }
 
-    pub fn ask(&self, path: &str, more: &str, body: &str) -> String {
+    /// Sends a client's request with further headers `more`, and returns the response.
+    pub fn request(&self, path: &str, more: &str, body: &str) -> String {
         let method = if body.is_empty() { "GET" } else { "POST" };
-        say(self.front, &format!(
+        send_and_receive(self.front_address, &format!(
             "{method} {path} HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id-1\r\nX-Remaining-Ms: 2000\r\nApi-Key: key-1\r\n{more}\r\n{body}"
         ))
     }
 
-    /// Asks the gatekeeper to end; returns when, once it says that it is not ready any more.
-    pub fn terminate(&self) -> Instant {
+    /// Sends SIGTERM to the edge, and waits until it is not ready. Returns when it was sent.
+    pub fn terminate_edge(&self) -> Instant {
         let edge = self.edge.as_ref().expect("it runs");
         let begun = Instant::now();
         let told = Command::new("kill").arg("-TERM").arg(edge.child.id().to_string()).status();
         assert!(told.expect("kill runs").success());
-        until("it is not ready any more", || !self.is_ready());
+        wait_until("it is not ready any more", || !self.is_ready());
         begun
     }
 
-    /// The gatekeeper has ended, as one that was asked to.
-    pub fn ends(&mut self) {
+    /// Waits for the edge to exit, which must succeed.
+    pub fn assert_edge_exits(&mut self) {
         let edge = self.edge.as_mut().expect("it runs");
         assert!(edge.child.wait().expect("it ends").success());
     }
 
-    pub fn answers(&self, text: &str) {
-        *self.answer.lock().expect("whole") = text.into();
+    /// What the worker responds from now on.
+    pub fn set_worker_response(&self, text: &str) {
+        *self.worker_response.lock().expect("not poisoned") = text.into();
     }
 
-    pub fn asks(&self, path: &str) -> TcpStream {
-        self.asks_within(path, BOUND)
+    /// Sends a client's request, and returns the connection on which the response will come.
+    pub fn send_request(&self, path: &str) -> TcpStream {
+        self.send_request_within(path, TIMEOUT)
     }
 
-    pub fn asks_within(&self, path: &str, left: Duration) -> TcpStream {
-        let mut client = TcpStream::connect(self.front).expect("it listens");
-        client.set_read_timeout(Some(BOUND)).expect("a bound");
+    pub fn send_request_within(&self, path: &str, left: Duration) -> TcpStream {
+        let mut client = TcpStream::connect(self.front_address).expect("it listens");
+        client.set_read_timeout(Some(TIMEOUT)).expect("a bound");
         let request = format!("GET {path} HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id-1\r\nX-Remaining-Ms: {}\r\nApi-Key: key-1\r\n\r\n", left.as_millis());
         client.write_all(request.as_bytes()).expect("taken");
         client
     }
 
-    pub fn hears(&self, requests: usize) {
-        until("the worker hears it", || self.heard.lock().expect("whole").len() == requests);
+    /// Waits until the worker has got so many requests.
+    pub fn wait_for_requests(&self, requests: usize) {
+        wait_until("the worker hears it", || self.request_count() == requests);
+    }
+
+    /// How many requests the worker has got.
+    pub fn request_count(&self) -> usize {
+        self.worker_requests.lock().expect("not poisoned").len()
     }
 
-    pub fn last(&self) -> String {
-        self.heard.lock().expect("whole").last().cloned().unwrap_or_default()
+    /// The last request that the worker got.
+    pub fn last_request(&self) -> String {
+        self.worker_requests.lock().expect("not poisoned").last().cloned().unwrap_or_default()
     }
 }
 
-impl Drop for Whole {
+impl Drop for Cluster {
     fn drop(&mut self) {
         (self.edge, self.core) = (None, None);
         if std::thread::panicking() {
@@ -167,40 +206,40 @@
     }
 }
 
-/// Hears whole requests and answers each. `CUT` in an answer: the connection ends there. `HELD`: it waits for another.
-fn serve(mut stream: TcpStream, answer: &Mutex<String>, heard: &Mutex<Vec<String>>) {
-    let (mut read, mut bytes) = (Vec::new(), [0; 8192]);
+/// Reads complete requests on a connection and responds to each: see [`HOLD`] and [`CUT`].
+fn run_worker(mut stream: TcpStream, response: &Mutex<String>, requests: &Mutex<Vec<String>>) {
+    let (mut received, mut bytes) = (Vec::new(), [0; 8192]);
     while let Ok(n) = stream.read(&mut bytes) {
         if n == 0 {
             return;
         }
-        read.extend_from_slice(&bytes[..n]);
-        let text = String::from_utf8_lossy(&read).into_owned();
-        let Some((head, body)) = text.split_once("\r\n\r\n") else { continue };
+        received.extend_from_slice(&bytes[..n]);
+        let request = String::from_utf8_lossy(&received).into_owned();
+        let Some((head, body)) = request.split_once("\r\n\r\n") else { continue };
         let lower = head.to_ascii_lowercase();
         let length = lower.split("content-length: ").nth(1).and_then(|l| l.lines().next()?.parse().ok());
         if body.len() < length.unwrap_or(0) {
             continue;
         }
-        heard.lock().expect("whole").push(text);
-        read.clear();
-        let told = || answer.lock().expect("whole").clone();
-        while told() == "HELD" {
+        requests.lock().expect("not poisoned").push(request);
+        received.clear();
+        let current = || response.lock().expect("not poisoned").clone();
+        while current() == HOLD {
             std::thread::yield_now();
         }
-        let answer = told();
-        let (whole, cut) = match answer.split_once("CUT") {
+        let response = current();
+        let (text, is_cut) = match response.split_once(CUT) {
             Some((before, _)) => (before.to_owned(), true),
-            None => (answer, false),
+            None => (response, false),
         };
-        if stream.write_all(whole.as_bytes()).is_err() || cut {
+        if stream.write_all(text.as_bytes()).is_err() || is_cut {
             return;
         }
     }
 }
 
-/// A worker's good answer to the request of this id.
-pub fn good(id: &str, body: &str) -> String {
+/// A worker's valid response to the request of this id.
+pub fn good_response(id: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: seal-{id}\r\nContent-Length: {length}\r\n\r\n{body}")
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! What tests of the programs as they are have in common: ports, calls on sockets, bounded waits.
+//! What tests of real processes share: ports, requests on sockets, bounded waits.
 
-// Each program of tests uses some of it.
+// Each test program uses a part of it.
 #![allow(dead_code)]
 
 pub mod cluster;
@@ -11,14 +11,15 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// Nothing here takes longer.
-pub const BOUND: Duration = Duration::from_secs(20);
+/// No single wait takes longer.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Ports for listeners: below those that the system gives to connections, so that a role which was killed finds its own
 /// free again. Other programs of tests start elsewhere in the range.
 const PORTS: std::ops::Range<u32> = 12_000..32_000;
 
-pub fn port() -> u16 {
+/// A port on which nothing listens, different at each call.
+pub fn free_port() -> u16 {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let first = std::process::id().wrapping_mul(97);
     loop {
@@ -30,26 +31,29 @@
     }
 }
 
-pub struct Role {
+/// A process that is killed when this is dropped.
+pub struct Process {
     pub child: Child,
 }
 
-impl Drop for Role {
+impl Drop for Process {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Says one thing on a new connection and hears all that comes until it ends, or the whole of one answer.
-pub fn say(to: SocketAddr, text: &str) -> String {
+/// Sends `text` on a new connection, and returns what comes until the connection ends or one response is complete. Empty
+/// if nothing listens there.
+pub fn send_and_receive(to: SocketAddr, text: &str) -> String {
     let Ok(mut stream) = TcpStream::connect(to) else { return String::new() };
-    stream.set_read_timeout(Some(BOUND)).expect("a bound");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a bound");
     let _ = stream.write_all(text.as_bytes());
-    hear(&mut stream)
+    read_response(&mut stream)
 }
 
-pub fn hear(stream: &mut TcpStream) -> String {
+/// Reads until the connection ends or one response is complete.
+pub fn read_response(stream: &mut TcpStream) -> String {
     let (mut heard, mut bytes) = (Vec::new(), [0; 4096]);
     loop {
         match stream.read(&mut bytes) {
@@ -67,14 +71,16 @@
     String::from_utf8_lossy(&heard).into_owned()
 }
 
+/// The status of a response; 0 if it has none.
 pub fn status(answer: &str) -> u16 {
     answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
 }
 
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits for a condition; panics with `what` after [`TIMEOUT`].
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < BOUND, "{what}");
+        assert!(begun.elapsed() < TIMEOUT, "{what}");
         std::thread::yield_now();
     }
 }
--- a/crates/gateway/tests/drain.rs
+++ b/crates/gateway/tests/drain.rs
@@ -1,93 +1,85 @@
-//! What clients see of a gatekeeper between SIGTERM and its end, on loopback.
+//! What clients of a real edge see between SIGTERM and its exit.
 
 mod common;
 
-use common::cluster::{good, Whole, GRACE};
-use common::{hear, status, until, BOUND};
+use common::cluster::{good_response, Cluster, GRACE, HOLD};
+use common::{read_response, status, wait_until, TIMEOUT};
 use googletest::prelude::*;
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-fn served(name: &str) -> Whole {
-    let whole = Whole::start(name);
-    whole.configure();
-    whole.worker();
-    until("ready", || whole.is_ready());
-    whole
-}
-
 /// A connection that is in use until its head is late: while it is there the process does not end.
-fn half_a_request(whole: &Whole) -> TcpStream {
-    let mut client = TcpStream::connect(whole.front).expect("it listens");
-    client.set_read_timeout(Some(BOUND)).expect("a bound");
+fn send_half_a_request(cluster: &Cluster) -> TcpStream {
+    let mut client = TcpStream::connect(cluster.front_address).expect("it listens");
+    client.set_read_timeout(Some(TIMEOUT)).expect("a bound");
     client.write_all(b"GET /any/x HTTP/1.1\r\nHost: a.ex").expect("taken");
     client
 }
 
-fn wait_until(at: Instant) {
-    until("the time comes", || Instant::now() >= at);
+fn wait_for(at: Instant) {
+    wait_until("the time comes", || Instant::now() >= at);
 }
 
 #[gtest]
-fn a_request_that_can_not_end_before_the_process_does_is_refused_at_once() {
-    let mut whole = served("late");
-    let mut half = half_a_request(&whole);
-    let asked = whole.terminate();
-    let _open = half_a_request(&whole);
-    // The platform had its time to notice, and sends a client all the same.
-    wait_until(asked + GRACE * 7 / 10);
-    whole.answers("HELD");
-    let mut late = whole.asks("/long/x");
+fn a_draining_edge_rejects_requests_that_cannot_complete_in_time() {
+    let mut cluster = Cluster::start_serving("late");
+    let mut half = send_half_a_request(&cluster);
+    let asked = cluster.terminate_edge();
+    let _open = send_half_a_request(&cluster);
+    // The platform had time to notice, and sends a client all the same.
+    wait_for(asked + GRACE * 7 / 10);
+    cluster.set_worker_response(HOLD);
+    let mut late = cluster.send_request("/long/x");
     let sent = Instant::now();
-    let answer = hear(&mut late);
+    let response = read_response(&mut late);
     let took = sent.elapsed();
-    let lower = answer.to_ascii_lowercase();
-    expect_that!(status(&answer), eq(503));
+    let lower = response.to_ascii_lowercase();
+    expect_that!(status(&response), eq(503));
     expect_that!(lower, contains_substring("retry-after: "));
     expect_that!(lower, contains_substring("connection: close"));
     expect_that!(took, lt(Duration::from_millis(500)));
-    expect_that!(whole.heard.lock().expect("whole").len(), eq(0), "it was promised not to run");
-    // What was half read when the signal came is answered too.
-    expect_that!(status(&hear(&mut half)), eq(408));
-    whole.ends();
+    expect_that!(cluster.request_count(), eq(0), "it was promised not to run");
+    // A request that was half read when the signal came gets a response too.
+    expect_that!(status(&read_response(&mut half)), eq(408));
+    cluster.assert_edge_exits();
 }
 
 #[gtest]
-fn a_request_that_can_be_expected_to_end_is_served_and_its_worker_told_to_end_in_time() {
-    let mut whole = served("short");
-    let _half = half_a_request(&whole);
-    let asked = whole.terminate();
-    wait_until(asked + GRACE * 55 / 100);
-    whole.answers(&good("id-1", "papers"));
-    let answer = hear(&mut whole.asks("/long/x"));
-    expect_that!(answer, ends_with("papers"));
-    expect_that!(answer.to_ascii_lowercase(), contains_substring("connection: close"));
-    let heard = whole.last().to_ascii_lowercase();
-    let left = heard.split("x-remaining-ms: ").nth(1).and_then(|l| l.lines().next()?.parse().ok());
-    let left = Duration::from_millis(left.expect("it is told"));
+fn a_draining_edge_serves_requests_that_can_complete_with_a_shorter_deadline() {
+    let mut cluster = Cluster::start_serving("short");
+    let _half = send_half_a_request(&cluster);
+    let asked = cluster.terminate_edge();
+    wait_for(asked + GRACE * 55 / 100);
+    cluster.set_worker_response(&good_response("id-1", "papers"));
+    let response = read_response(&mut cluster.send_request("/long/x"));
+    expect_that!(response, ends_with("papers"));
+    expect_that!(response.to_ascii_lowercase(), contains_substring("connection: close"));
+    let worker_request = cluster.last_request().to_ascii_lowercase();
+    let left = worker_request.split("x-remaining-ms: ").nth(1).and_then(|l| l.lines().next()?.parse().ok());
+    let left = Duration::from_millis(left.expect("it is set"));
     expect_that!(left, lt(GRACE * 45 / 100));
-    // A worker that says nothing even so: the answer is final, and comes before the end.
-    whole.answers("HELD");
-    let answer = hear(&mut whole.asks("/long/x"));
-    expect_that!(status(&answer), eq(504));
-    whole.ends();
+    // A worker that does not respond in that time: the client gets a final response before the exit.
+    cluster.set_worker_response(HOLD);
+    let response = read_response(&mut cluster.send_request("/long/x"));
+    expect_that!(status(&response), eq(504));
+    cluster.assert_edge_exits();
     expect_that!(asked.elapsed(), lt(GRACE));
-    whole.answers(&good("id-1", "papers"));
+    cluster.set_worker_response(&good_response("id-1", "papers"));
 }
 
 #[gtest]
-fn what_is_still_at_a_worker_when_the_process_ends_gets_a_final_answer() {
-    let mut whole = served("cut");
-    whole.answers("HELD");
-    let mut client = whole.asks("/long/x");
-    whole.hears(1);
-    let asked = whole.terminate();
-    let answer = hear(&mut client);
-    // It may have run: that is neither refused nor left open.
-    expect_that!(status(&answer), eq(504));
+fn requests_at_workers_get_a_final_response_before_the_process_exits() {
+    let mut cluster = Cluster::start_serving("cut");
+    cluster.set_worker_response(HOLD);
+    let mut client = cluster.send_request("/long/x");
+    cluster.wait_for_requests(1);
+    let asked = cluster.terminate_edge();
+    let response = read_response(&mut client);
+    // It may have run: it is neither rejected as not run nor left without a response.
+    expect_that!(status(&response), eq(504));
     expect_that!(asked.elapsed(), gt(GRACE * 3 / 4));
-    whole.ends();
+    cluster.assert_edge_exits();
     expect_that!(asked.elapsed(), lt(GRACE));
-    whole.answers(&good("id-1", "papers"));
+    cluster.set_worker_response(&good_response("id-1", "papers"));
 }
--- a/crates/gateway/tests/log_lines.rs
+++ b/crates/gateway/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! Each message that the programs can log has its line in the operators' page.
+//! Every message that the programs can log has its row in docs/system-operators.md.
 
 use googletest::prelude::*;
 use std::path::{Path, PathBuf};
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn each_line_that_can_be_logged_is_in_the_operators_page() {
+fn every_log_message_is_documented() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = std::fs::read_to_string(root.join("../../docs/system-operators.md")).expect("the page");
     let mut files = Vec::new();
--- a/crates/gateway/tests/operator_calls.rs
+++ b/crates/gateway/tests/operator_calls.rs
@@ -1,4 +1,4 @@
-//! Operators' calls on the sockets of a core machine as it is: in pieces, in chunks, cut off, close together, at once.
+//! Operators' calls on the sockets of a real core machine: in pieces, in chunks, cut off, pipelined, concurrent.
 
 use googletest::prelude::*;
 use std::io::{Read, Write};
@@ -8,15 +8,15 @@
 use std::time::{Duration, Instant};
 
 /// Nothing here takes longer.
-const BOUND: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Core {
+struct CoreProcess {
     child: Child,
     folder: PathBuf,
     control: SocketAddr,
 }
 
-impl Drop for Core {
+impl Drop for CoreProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -24,8 +24,8 @@
     }
 }
 
-impl Core {
-    /// One that leads by itself.
+impl CoreProcess {
+    /// A core of one machine, which leads.
     fn start(name: &str) -> Self {
         let port =
             || TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address").port();
@@ -48,10 +48,10 @@
             .stderr(log)
             .stdin(Stdio::null())
             .spawn();
-        let core = Core { child: child.expect("it starts"), folder, control };
+        let core = CoreProcess { child: child.expect("it starts"), folder, control };
         let begun = Instant::now();
-        while core.call(&amend("s", 1, 1)).0 != 200 {
-            assert!(begun.elapsed() < BOUND, "no order is taken");
+        while core.call(&post_change("s", 1, 1)).0 != 200 {
+            assert!(begun.elapsed() < TIMEOUT, "no change is accepted");
             std::thread::yield_now();
         }
         core
@@ -59,18 +59,18 @@
 
     fn open(&self) -> Option<TcpStream> {
         let stream = TcpStream::connect(self.control).ok()?;
-        stream.set_read_timeout(Some(BOUND)).expect("a bound");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a bound");
         Some(stream)
     }
 
     fn call(&self, text: &str) -> (u16, String) {
         let Some(mut stream) = self.open() else { return (0, String::new()) };
         let _ = stream.write_all(text.as_bytes());
-        hear(&mut stream)
+        read_response(&mut stream)
     }
 
     fn read(&self) -> String {
-        let (status, body) = clear(|| self.call(READ));
+        let (status, body) = retry_unavailable(|| self.call(READ));
         assert_that!(status, eq(200));
         body
     }
@@ -80,18 +80,18 @@
 const AMEND: &str =
     "POST /whinstall/configuration/amend HTTP/1.1\r\nHost: c\r\nContent-Type: application/json\r\n";
 
-fn order(label: &str, version: u64, content: u64) -> String {
+fn change_body(label: &str, version: u64, content: u64) -> String {
     format!(
         r#"{{"upsert":{{"service_set":{{"columns":["label","conn_limit","revision"],"records":[["{label}",{content},"r{version}"]]}}}}}}"#
     )
 }
 
-fn sent(body: &str) -> String {
+fn post(body: &str) -> String {
     format!("{AMEND}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-fn amend(label: &str, version: u64, content: u64) -> String {
-    sent(&order(label, version, content))
+fn post_change(label: &str, version: u64, content: u64) -> String {
+    post(&change_body(label, version, content))
 }
 
 fn chunks(body: &str, size: usize, end: &str) -> String {
@@ -100,8 +100,8 @@
     format!("{AMEND}Transfer-Encoding: chunked\r\n\r\n{}{end}", pieces.collect::<String>())
 }
 
-/// The next answer, to its last byte and no further; 0: there is none.
-fn hear(stream: &mut TcpStream) -> (u16, String) {
+/// Reads the next response, and not a byte more. Its status and body; 0 if the connection ends first.
+fn read_response(stream: &mut TcpStream) -> (u16, String) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
@@ -120,26 +120,26 @@
     }
 }
 
-/// Says this and hears the next answer.
-fn said(stream: &mut TcpStream, text: &str) -> (u16, String) {
+/// Sends `text` and reads the next response.
+fn exchange(stream: &mut TcpStream, text: &str) -> (u16, String) {
     stream.write_all(text.as_bytes()).expect("taken");
-    hear(stream)
+    read_response(stream)
 }
 
-/// What is answered once the answer is clear: on a busy machine an order may come too late to its decision, 503.
-fn clear<T>(mut call: impl FnMut() -> (u16, T)) -> (u16, T) {
+/// Repeats a call while it gets 503: on a busy machine a change may not be decided in time.
+fn retry_unavailable<T>(mut call: impl FnMut() -> (u16, T)) -> (u16, T) {
     let begun = Instant::now();
     loop {
         let told = call();
-        if told.0 != 503 || begun.elapsed() > BOUND {
+        if told.0 != 503 || begun.elapsed() > TIMEOUT {
             return told;
         }
     }
 }
 
 #[gtest]
-fn calls_are_whole_or_nothing_however_they_are_sent() {
-    let core = Core::start("whole");
+fn calls_are_applied_completely_or_not_at_all() {
+    let core = CoreProcess::start("whole");
     // On one connection, each after the other.
     let mut one = core.open().expect("open");
     let big: Vec<String> = (0..5000).map(|n| format!(r#"["big-{n}",1,"r1"]"#)).collect();
@@ -148,35 +148,35 @@
         big.join(",")
     );
     let cases = [
-        ("not JSON", sent("{\"upsert\":"), 400),
-        ("after it", amend("s", 2, 1), 200),
-        ("in chunks", chunks(&order("s", 3, 1), 7, "0\r\n\r\n"), 200),
-        ("in single bytes, with trailers", chunks(&order("s", 4, 1), 1, "0\r\nX-T: 1\r\n\r\n"), 200),
-        ("no body", sent(""), 400),
-        ("another method", sent("{}").replacen("POST", "PUT", 1), 404),
-        ("another path", sent("{}").replacen("amend", "amend/", 1), 404),
+        ("not JSON", post("{\"upsert\":"), 400),
+        ("after it", post_change("s", 2, 1), 200),
+        ("in chunks", chunks(&change_body("s", 3, 1), 7, "0\r\n\r\n"), 200),
+        ("in single bytes, with trailers", chunks(&change_body("s", 4, 1), 1, "0\r\nX-T: 1\r\n\r\n"), 200),
+        ("no body", post(""), 400),
+        ("another method", post("{}").replacen("POST", "PUT", 1), 404),
+        ("another path", post("{}").replacen("amend", "amend/", 1), 404),
         (
             "its own again, spelled otherwise",
-            sent(&order("s", 4, 1).replace("\"r4\"", "\"r04\"").replace(",1,", ",1.0,")),
+            post(&change_body("s", 4, 1).replace("\"r4\"", "\"r04\"").replace(",1,", ",1.0,")),
             200,
         ),
-        ("other content under its number", amend("s", 4, 2), 409),
-        ("an older one again", amend("s", 2, 1), 200),
-        ("other content of an older one", amend("s", 2, 2), 409),
-        ("large", sent(&big), 200),
+        ("other content under its number", post_change("s", 4, 2), 409),
+        ("an older one again", post_change("s", 2, 1), 200),
+        ("other content of an older one", post_change("s", 2, 2), 409),
+        ("large", post(&big), 200),
         ("large in chunks, again", chunks(&big, 9000, "0\r\n\r\n"), 200),
         ("a read", READ.into(), 200),
     ];
     for (what, text, expected) in cases {
-        expect_that!(clear(|| said(&mut one, &text)).0, eq(expected), "{what}");
+        expect_that!(retry_unavailable(|| exchange(&mut one, &text)).0, eq(expected), "{what}");
     }
     // Sent close together: answered in their order.
     let mut version = 4;
-    let heard = clear(|| {
+    let heard = retry_unavailable(|| {
         version += 2;
-        let (first, second) = (amend("s", version - 1, 1), amend("s", version, 1));
-        let mut heard = vec![said(&mut one, &[&first, READ, &second, READ].concat())];
-        heard.extend((0..3).map(|_| hear(&mut one)));
+        let (first, second) = (post_change("s", version - 1, 1), post_change("s", version, 1));
+        let mut heard = vec![exchange(&mut one, &[&first, READ, &second, READ].concat())];
+        heard.extend((0..3).map(|_| read_response(&mut one)));
         let unclear = heard.iter().map(|h| h.0).find(|status| *status == 503);
         (unclear.unwrap_or(200), heard)
     });
@@ -184,17 +184,17 @@
     expect_that!(heard.1.iter().map(|h| h.0).collect::<Vec<_>>(), eq(&[200; 4]));
     expect_that!((shows(1, version - 1), shows(3, version)), eq((true, true)));
     // Its body is asked for before it is sent.
-    let body = order("s", version + 1, 1);
+    let body = change_body("s", version + 1, 1);
     let head = format!("{AMEND}Expect: 100-continue\r\nContent-Length: {}\r\n\r\n", body.len());
-    let told = clear(|| {
-        expect_that!(said(&mut one, &head).0, eq(100));
-        said(&mut one, &body)
+    let told = retry_unavailable(|| {
+        expect_that!(exchange(&mut one, &head).0, eq(100));
+        exchange(&mut one, &body)
     });
     expect_that!(told.0, eq(200));
     // Cut off somewhere, though what came is JSON by itself: nothing of it is in force.
-    let whole = amend("s", 99, 1);
-    let padded = sent(&(order("s", 98, 1) + " "));
-    let chunked = chunks(&order("s", 97, 1), 4096, "0\r\n\r\n");
+    let whole = post_change("s", 99, 1);
+    let padded = post(&(change_body("s", 98, 1) + " "));
+    let chunked = chunks(&change_body("s", 97, 1), 4096, "0\r\n\r\n");
     let ends =
         |text: &str, from: usize| (from..text.len()).step_by(5).chain([text.len() - 1]).collect::<Vec<_>>();
     for text in [&whole, &padded, &chunked] {
@@ -202,7 +202,7 @@
             let mut cut = core.open().expect("open");
             cut.write_all(&text.as_bytes()[..end]).expect("taken");
             cut.shutdown(std::net::Shutdown::Write).expect("shut");
-            expect_that!(hear(&mut cut).0, not(eq(200)), "cut at {end} of {text}");
+            expect_that!(read_response(&mut cut).0, not(eq(200)), "cut at {end} of {text}");
         }
     }
     let stands = core.read();
@@ -213,11 +213,12 @@
 }
 
 #[gtest]
-fn of_eight_orders_under_one_number_at_once_one_content_is_confirmed() {
-    let core = Core::start("race");
+fn of_concurrent_changes_under_one_version_one_content_is_accepted() {
+    let core = CoreProcess::start("race");
     for version in 2..22 {
         let told: Vec<(u64, u16)> = std::thread::scope(|scope| {
-            let call = |n: u64| (n / 2, clear(|| core.call(&amend("s", version, 10 + n / 2))).0);
+            let call =
+                |n: u64| (n / 2, retry_unavailable(|| core.call(&post_change("s", version, 10 + n / 2))).0);
             let calls: Vec<_> = (0..8).map(|n| scope.spawn(move || call(n))).collect();
             calls.into_iter().map(|c| c.join().expect("heard")).collect()
         });
--- a/crates/gateway/tests/seed_list.rs
+++ b/crates/gateway/tests/seed_list.rs
@@ -1,9 +1,9 @@
-//! How processes find the core: seeds that are down, strangers, silent, gatekeepers themselves, or change while the process
-//! runs. Both programs as they are, each on a loopback address of its own.
+//! How processes find the core: seeds that are down, not of this system, silent, edges themselves, or changed while the
+//! process runs. Real processes, each on a loopback address of its own.
 
 mod common;
 
-use common::{port, say, status, until, Role};
+use common::{free_port, send_and_receive, status, wait_until, Process};
 use googletest::prelude::*;
 use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -30,7 +30,7 @@
         let folder = std::env::temp_dir().join(format!("whinstall-seeds-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
-        Site { folder, ports: [port(), port(), port(), port()], net }
+        Site { folder, ports: [free_port(), free_port(), free_port(), free_port()], net }
     }
 
     fn ip(&self, n: u8) -> Ipv4Addr {
@@ -65,7 +65,7 @@
         self.folder.join(format!("{n}.toml"))
     }
 
-    fn run(&self, n: u8, role: &str, seeds: &[u8], cold: bool) -> Role {
+    fn run(&self, n: u8, role: &str, seeds: &[u8], cold: bool) -> Process {
         std::fs::write(self.file(n), self.settings(n, role, seeds, cold)).expect("written");
         let child = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
             .arg(role)
@@ -73,7 +73,7 @@
             .stderr(std::fs::File::create(self.folder.join(format!("{n}.log"))).expect("a file"))
             .stdin(Stdio::null())
             .spawn();
-        Role { child: child.expect("it starts") }
+        Process { child: child.expect("it starts") }
     }
 
     fn logged(&self, n: u8, line: &str) -> bool {
@@ -85,12 +85,12 @@
         let body = r#"{"upsert":{"service_set":[{"label":"s1","revision":"r1"}]}}"#;
         let head = "POST /whinstall/configuration/amend HTTP/1.1\r\nHost: c\r\nConnection: close\r\n";
         let call = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
-        until("a configuration is taken", || status(&say(self.at(n)[3], &call)) == 200);
+        wait_until("a configuration is taken", || status(&send_and_receive(self.at(n)[3], &call)) == 200);
     }
 
     fn readiness(&self, n: u8) -> u16 {
         let ask = "GET /whinstall/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n";
-        status(&say(self.at(n)[2], ask))
+        status(&send_and_receive(self.at(n)[2], ask))
     }
 
     fn is_ready(&self, n: u8) -> bool {
@@ -142,7 +142,7 @@
 }
 
 #[gtest]
-fn seeds_that_are_down_strangers_silent_or_gatekeepers_hold_nothing_up() {
+fn unusable_seeds_do_not_hold_up_the_start() {
     let site = Site::new("strangers", 11);
     // 1: a gatekeeper, 2: nobody, 3: talks of something else, 4: says nothing and never ends, 5: another gatekeeper.
     let (nonsense, mut silent) =
@@ -150,24 +150,24 @@
     let seeds = [1, 2, 3, 4, 5];
     let _gates = [site.run(1, "edge", &seeds, false), site.run(5, "edge", &seeds, false)];
     // Each is given up and tried again.
-    until("strangers are met again", || nonsense.met() > 4 && silent.met() > 4);
+    wait_until("strangers are met again", || nonsense.met() > 4 && silent.met() > 4);
     expect_that!([site.readiness(1), site.readiness(5)], eq([503, 503]));
     // A core machine gets the address of the silent one. Connections to that one still stand.
     silent.stops_listening();
     let core = site.run(4, "core", &[4], true);
     site.configure(4);
-    until("ready", || site.is_ready(1) && site.is_ready(5));
+    wait_until("ready", || site.is_ready(1) && site.is_ready(5));
     // It is killed; its address goes to nobody, and a successor is at another seed's address.
     drop(core);
     let data = |n| site.folder.join(format!("data-{n}"));
     let (_, _) = (site.settings(2, "core", &[2], false), std::fs::remove_dir_all(data(2)));
     let _successor = site.run(2, "core", &[2], true);
     site.configure(2);
-    until("still ready", || site.is_ready(1) && site.is_ready(5));
+    wait_until("still ready", || site.is_ready(1) && site.is_ready(5));
 }
 
 #[gtest]
-fn a_core_machine_is_there_by_its_disk_whoever_its_seeds_are() {
+fn a_core_machine_restarts_from_its_disk_with_unusable_seeds() {
     let site = Site::new("disk", 12);
     let first = site.run(1, "core", &[1], true);
     site.configure(1);
@@ -176,38 +176,38 @@
         [Stranger::new(site.at(3)[0], b"\x00\x00\x00\x03abc"), Stranger::new(site.at(4)[0], b"")];
     let _again = site.run(1, "core", &[2, 3, 4], false);
     let read = "GET /whinstall/configuration/read HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n";
-    until("it reads", || say(site.at(1)[3], read).contains("\"s1\""));
+    wait_until("it reads", || send_and_receive(site.at(1)[3], read).contains("\"s1\""));
 }
 
 #[gtest]
-fn a_settings_file_that_changes_without_a_signal_is_taken_once_it_is_whole() {
+fn a_changed_settings_file_is_loaded_once_it_is_complete() {
     let site = Site::new("file", 13);
     let _core = site.run(1, "core", &[1], true);
     site.configure(1);
     let _edge = site.run(2, "edge", &[9], false);
-    until("it serves", || site.readiness(2) == 503);
+    wait_until("it serves", || site.readiness(2) == 503);
     let whole = site.settings(2, "edge", &[9, 1], false);
     let cut = whole.find("seed_list").expect("a list") + 14;
     std::fs::write(site.file(2), &whole[..cut]).expect("written");
-    until("half of it is refused", || site.logged(2, "settings rejected, keeping the previous ones"));
+    wait_until("half of it is refused", || site.logged(2, "settings rejected, keeping the previous ones"));
     expect_that!(site.readiness(2), eq(503));
     std::fs::write(site.file(2), &whole).expect("written");
-    until("ready", || site.is_ready(2));
+    wait_until("ready", || site.is_ready(2));
     expect_that!(site.logged(2, "settings reloaded"), eq(true));
 }
 
 #[gtest]
-fn other_seeds_are_reached_for_at_a_signal() {
+fn sighup_reloads_the_seed_list() {
     let site = Site::new("signal", 14);
     let _core = site.run(1, "core", &[1], true);
     site.configure(1);
     let edge = site.run(2, "edge", &[9], false);
-    until("it serves", || site.readiness(2) == 503);
+    wait_until("it serves", || site.readiness(2) == 503);
     // By another name first, so that it is never seen in part.
     let making = site.folder.join("making");
     std::fs::write(&making, site.settings(2, "edge", &[1], false)).expect("written");
     std::fs::rename(making, site.file(2)).expect("renamed");
     let told = Command::new("kill").arg("-HUP").arg(edge.child.id().to_string()).status();
     expect_that!(told.expect("kill runs").success(), eq(true));
-    until("ready", || site.is_ready(2));
+    wait_until("ready", || site.is_ready(2));
 }
