--- a/crates/gateway/src/cli/check.rs
+++ b/crates/gateway/src/cli/check.rs
@@ -19,8 +19,8 @@
         Ok(body) => body,
         Err(error) => return Err(CommandError::File(path, error)),
     };
-    let checked =
-        configuration::read_call(&body).and_then(|items| change::judge(&Default::default(), &items));
+    let checked = configuration::parse_change(&body)
+        .and_then(|items| change::validate_change(&Default::default(), &items));
     match checked {
         Ok(items) => {
             println!("{path}: {} items, valid on their own", items.len());
--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -1,8 +1,8 @@
 //! Recovery when most of the core is lost for good: the export of a remaining disk, imported by a new core.
 
 use crate::cli::export::{export, ExportError};
-use crate::configuration::read_call;
-use crate::control_plane::{ApiCommand, CoreNode, Effect, Event, TICK};
+use crate::configuration::parse_change;
+use crate::control_plane::{ApiCommand, CoreNode, Effect, Event, TICK_SECS};
 use crate::settings::Settings;
 use crate::storage::tests::Folder;
 use crate::storage::{ReplicaStore, WriteBatch, DATABASE_FILE, WAL_FILE};
@@ -32,10 +32,10 @@
         machine.core.start(&mut out);
         machine.carry_out(out);
         for _ in 0..60 {
-            machine.now += TICK;
+            machine.now += TICK_SECS;
             machine.event(Event::Tick);
         }
-        assert!(machine.core.raft.leads());
+        assert!(machine.core.raft.is_leader());
         machine
     }
 
@@ -54,27 +54,27 @@
             })
             .collect();
         let replies = effects.into_iter().filter_map(|e| match e {
-            Effect::Reply(_, status, body) => Some((status, body)),
+            Effect::Respond(_, status, body) => Some((status, body)),
             _ => None,
         });
         self.replies.extend(replies);
-        if let Some(last) = puts.last().map(|p| p.number) {
+        if let Some(last) = puts.last().map(|p| p.sequence) {
             self.store.write(&puts).expect("written");
-            self.event(Event::Disk(last));
+            self.event(Event::Persisted(last));
         }
     }
 
     /// The response to a call, after one more tick, in which the log may be compacted.
     pub(crate) fn call(&mut self, command: ApiCommand) -> (u16, Value) {
         self.replies.clear();
-        self.event(Event::Call(1, command));
-        self.now += TICK;
+        self.event(Event::ApiCall(1, command));
+        self.now += TICK_SECS;
         self.event(Event::Tick);
         self.replies.pop().unwrap_or((0, Value::Null))
     }
 
     pub(crate) fn amend(&mut self, body: &Value) -> u16 {
-        self.call(ApiCommand::Amend(read_call(body.to_string().as_bytes()).expect("a call"))).0
+        self.call(ApiCommand::Amend(parse_change(body.to_string().as_bytes()).expect("a call"))).0
     }
 }
 
@@ -103,7 +103,8 @@
         "route_set": [{ "label": "b", "revision": "r8" }], "service_set": [{ "label": "s9", "revision": "r1000" }],
     }});
     expect_that!(machine.amend(&drop), eq(200));
-    let (entries, behind) = machine.core.raft.held();
+    let raft = &machine.core.raft;
+    let (entries, behind) = (raft.entry_count(), raft.snapshot_index());
     expect_that!((entries, behind), (gt(10), gt(100)), "a snapshot, and a log after it");
     machine.call(ApiCommand::Read).1
 }
@@ -124,7 +125,7 @@
     expect_that!(origin["members"][0].as_str(), some(eq("10.0.1.1/0")));
 
     let mut machine = SingleCore::start(&new.0);
-    let call = read_call(exported.to_string().as_bytes()).expect("a call");
+    let call = parse_change(exported.to_string().as_bytes()).expect("a call");
     expect_that!(machine.call(ApiCommand::Amend(call.clone())).0, eq(200));
     let (status, state) = machine.call(ApiCommand::Read);
     expect_that!(status, eq(200));
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -5,7 +5,7 @@
 #[cfg(test)]
 mod control_api_tests;
 
-use crate::control_plane::{ConnectionId, CoreNode, Effect, Event, TICK};
+use crate::control_plane::{ConnectionId, CoreNode, Effect, Event, TICK_SECS};
 use crate::protocol::PeerMessage;
 use crate::runtime::{Clock, ProcessSignal, RunError, SignalListener};
 use crate::settings::Settings;
@@ -70,13 +70,13 @@
         match effect {
             Effect::Connect(ip) => self.connect(ip),
             Effect::Disconnect(ip) => self.links.close(ip),
-            Effect::Send(ip, message) => self.links.send(ip, message),
-            Effect::Return(connection, message) => {
+            Effect::SendToPeer(ip, message) => self.links.send(ip, message),
+            Effect::SendToSession(connection, message) => {
                 if let Some(outgoing) = self.inbound.borrow().get(&connection) {
                     let _ = outgoing.send(message);
                 }
             }
-            Effect::Reply(call, status, body) => {
+            Effect::Respond(call, status, body) => {
                 if let Some(respond) = self.calls.borrow_mut().remove(&call) {
                     let _ = respond.send(ApiResponse { status, body });
                 }
@@ -90,7 +90,8 @@
     /// Opens a link to another core machine, whose messages become events.
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = LinkEventMapper { up: Event::LinkUp, received: Event::Peer, down: Event::LinkDown };
+        let events =
+            LinkEventMapper { up: Event::LinkUp, received: Event::PeerMessage, down: Event::LinkDown };
         self.links.open(ip, events.for_peer(ip, move |event| this.handle(event)));
     }
 
@@ -103,10 +104,10 @@
             outgoing
         };
         let on_event = move |connection, event| match event {
-            LinkEvent::Received(message) => server.handle(Event::Inbound(connection, message)),
+            LinkEvent::Received(message) => server.handle(Event::SessionMessage(connection, message)),
             LinkEvent::Down => {
                 server.inbound.borrow_mut().remove(&connection);
-                server.handle(Event::Closed(connection));
+                server.handle(Event::SessionClosed(connection));
             }
             LinkEvent::Up => {}
         };
@@ -114,7 +115,7 @@
     }
 
     fn leads(&self) -> bool {
-        self.core.borrow().leads()
+        self.core.borrow().has_leadership_to_transfer()
     }
 }
 
@@ -127,7 +128,7 @@
 
 impl Timeline {
     fn new(synced: UnboundedReceiver<u64>) -> Self {
-        let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK));
+        let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK_SECS));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         Timeline { ticks, synced }
     }
@@ -136,7 +137,7 @@
     async fn next(&mut self) -> Event {
         tokio::select! {
             _ = self.ticks.tick() => Event::Tick,
-            Some(number) = self.synced.recv() => Event::Disk(number),
+            Some(number) = self.synced.recv() => Event::Persisted(number),
         }
     }
 }
@@ -145,7 +146,7 @@
 async fn open_disk(data: &Path, is_first_seed: bool) -> Result<(ReplicaStore, LoadedState), StorageError> {
     loop {
         match ReplicaStore::open(data, is_first_seed) {
-            Err(error @ (StorageError::Database(_) | StorageError::Folder(_))) => {
+            Err(error @ (StorageError::Database(_) | StorageError::DataFolder(_))) => {
                 tracing::warn!(%error, "failed to open the disk, retrying");
                 tokio::time::sleep(DISK_RETRY).await;
             }
@@ -191,12 +192,12 @@
 fn log_start(settings: &Settings, stored: &LoadedState) {
     tracing::info!(
         node = settings.node,
-        disk = format!("{:x}", stored.disk),
-        fresh = stored.fresh,
+        disk = format!("{:x}", stored.disk_id),
+        fresh = stored.is_new,
         cold_start = settings.cold_start,
-        term = stored.raft.term,
-        snapshot = stored.raft.snapshot.as_ref().map_or(0, |s| s.index),
-        entries = stored.raft.log.len(),
+        term = stored.raft_state.term,
+        snapshot = stored.raft_state.snapshot.as_ref().map_or(0, |s| s.index),
+        entries = stored.raft_state.entries.len(),
         workers = stored.workers.len(),
         "core role starting"
     );
@@ -213,7 +214,7 @@
     let body_budget = BodyBudget::new(settings.memory_bytes as usize / BODY_MEMORY_DIVISOR);
     let core = CoreNode::new(clock.now(), settings, stored).map_err(RunError::Snapshot)?;
     let (sender, synced) = unbounded_channel();
-    let disk = store.serve(move |number| {
+    let disk = store.spawn_writer(move |number| {
         let _ = sender.send(number);
     });
     let server = Rc::new(CoreServer {
@@ -246,7 +247,8 @@
                 ProcessSignal::Shutdown => return Ok(()),
             },
         }
-        if let Some(error) = server.core.borrow().broken.clone() {
+        let fatal_error = server.core.borrow_mut().fatal_error.take();
+        if let Some(error) = fatal_error {
             return Err(RunError::Snapshot(error));
         }
     }
@@ -256,7 +258,7 @@
 async fn shut_down(server: &Rc<CoreServer>, timeline: &mut Timeline) {
     tracing::info!(calls = server.calls.borrow().len(), leads = server.leads(), "core role draining");
     server.is_shutting_down.set(true);
-    server.handle(Event::Ending);
+    server.handle(Event::Shutdown);
     let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, async {
         while !server.calls.borrow().is_empty() || server.leads() {
             let event = timeline.next().await;
--- a/crates/gateway/src/runtime/core_server/control_api.rs
+++ b/crates/gateway/src/runtime/core_server/control_api.rs
@@ -2,7 +2,7 @@
 //! machine, whose responses go back as JSON.
 
 use super::CoreServer;
-use crate::configuration::read_call;
+use crate::configuration::parse_change;
 use crate::control_plane::{error_body, ApiCommand, Event};
 use crate::discovery::{Worker, WorkerPhase};
 use crate::json_path::{self, JsonNode, JsonPathError};
@@ -136,7 +136,7 @@
         self.next_call.set(call + 1);
         let (respond, response) = oneshot::channel();
         self.calls.borrow_mut().insert(call, respond);
-        self.handle(Event::Call(call, command));
+        self.handle(Event::ApiCall(call, command));
         response.await.unwrap_or_else(|_| ApiResponse::shutting_down())
     }
 }
@@ -145,8 +145,8 @@
 pub(super) fn decode_call(head: &Request, body: &[u8]) -> Result<Option<ApiCommand>, DecodeError> {
     if matches_endpoint(head, Method::POST, AMEND_PATH) {
         // The state machine responds to an unreadable one too: it does so only in contact with most of the core.
-        let change = read_call(body);
-        return Ok(Some(change.map_or_else(|e| ApiCommand::Unreadable(e.to_string()), ApiCommand::Amend)));
+        let change = parse_change(body);
+        return Ok(Some(change.map_or_else(|e| ApiCommand::InvalidChange(e.to_string()), ApiCommand::Amend)));
     }
     if matches_endpoint(head, Method::GET, READ_PATH) {
         return Ok(Some(ApiCommand::Read));
@@ -162,7 +162,7 @@
         Some(("", _)) => Err(DecodeError::MissingInstanceId),
         Some((id, "heartbeat")) if head.method() == Method::POST => {
             let value = json_path::parse(body)?;
-            Ok(Some(ApiCommand::Beat(decode_heartbeat(id, &JsonNode::root(&value))?)))
+            Ok(Some(ApiCommand::Heartbeat(decode_heartbeat(id, &JsonNode::root(&value))?)))
         }
         Some((id, "departure")) if head.method() == Method::POST => {
             Ok(Some(ApiCommand::Departure(id.into())))
--- a/crates/gateway/src/runtime/core_server/control_api_tests.rs
+++ b/crates/gateway/src/runtime/core_server/control_api_tests.rs
@@ -21,7 +21,7 @@
     let amend = "/whinstall/configuration/amend";
     expect_that!(decoded(Method::POST, amend), some(matches_pattern!(ApiCommand::Amend(_))));
     let unreadable = decode(Method::POST, amend, "{").expect("decoded");
-    expect_that!(unreadable, some(matches_pattern!(ApiCommand::Unreadable(_))));
+    expect_that!(unreadable, some(matches_pattern!(ApiCommand::InvalidChange(_))));
     let read = "/whinstall/configuration/read";
     expect_that!(decoded(Method::GET, read), some(matches_pattern!(ApiCommand::Read)));
     expect_that!(decoded(Method::GET, "/whinstall/core"), some(matches_pattern!(ApiCommand::Status)));
@@ -46,13 +46,17 @@
 fn a_heartbeat_describes_a_worker() {
     let full = r#"{"service_ref":"s1","address":"10.0.0.1:80","zone_name":"a","capacity":4,"phase":"decaying","warmup_left":"250ms","call_count":7}"#;
     let path = "/whinstall/instances/i-1/heartbeat";
-    let Ok(Some(ApiCommand::Beat(worker))) = decode(Method::POST, path, full) else { panic!("a heartbeat") };
+    let Ok(Some(ApiCommand::Heartbeat(worker))) = decode(Method::POST, path, full) else {
+        panic!("a heartbeat")
+    };
     expect_that!((&*worker.id, &*worker.service, &*worker.zone), eq(("i-1", "s1", "a")));
     expect_that!((worker.capacity, worker.warmup_ms, worker.call_count), eq((4, 250, 7)));
     expect_that!(worker.phase, eq(WorkerPhase::Draining));
     let short =
         r#"{"service_ref":"s1","address":"10.0.0.1:80","zone_name":"a","phase":"settled","call_count":7}"#;
-    let Ok(Some(ApiCommand::Beat(worker))) = decode(Method::POST, path, short) else { panic!("a heartbeat") };
+    let Ok(Some(ApiCommand::Heartbeat(worker))) = decode(Method::POST, path, short) else {
+        panic!("a heartbeat")
+    };
     expect_that!((worker.capacity, worker.warmup_ms), eq((1, 0)));
     expect_that!(worker.phase, eq(WorkerPhase::Serving));
 }
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -60,14 +60,14 @@
             Effect::Connect(ip) => self.connect(ip),
             Effect::Disconnect(ip) => self.links.close(ip),
             Effect::Send(ip, message) => self.links.send(ip, message),
-            Effect::Dispatch { id, attempt, worker, address, within } => {
+            Effect::Dispatch { id, attempt, worker, address, timeout_secs: within } => {
                 let timeout = Duration::from_secs_f64(within.max(0.0));
                 self.dispatch(id, attempt, worker, address, timeout);
             }
-            Effect::CallOff(id, attempt) => self.cancel_attempt(&id, attempt),
-            Effect::Answer(id, response) => self.resolve(&id, response),
-            Effect::CloseIdle(worker) => self.upstreams.close_idle(&worker.0),
-            Effect::Tell(edges, report) => {
+            Effect::CancelAttempt(id, attempt) => self.cancel_attempt(&id, attempt),
+            Effect::Respond(id, response) => self.resolve(&id, response),
+            Effect::CloseIdleConnections(worker) => self.upstreams.close_idle(&worker.0),
+            Effect::SendLoadReport(edges, report) => {
                 self.load_reports.send(&edges, &report);
             }
         }
@@ -78,7 +78,8 @@
     /// Opens a link to a core machine, whose messages become events.
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
-        let events = LinkEventMapper { up: Event::LinkUp, received: Event::Core, down: Event::LinkDown };
+        let events =
+            LinkEventMapper { up: Event::LinkUp, received: Event::CoreMessage, down: Event::LinkDown };
         self.links.open(ip, events.for_peer(ip, move |event| this.handle(event)));
     }
 
@@ -99,7 +100,7 @@
         self.load_reports
             .receive(|received| {
                 if let Some(report) = received.report {
-                    self.handle(Event::Told(received.from, report));
+                    self.handle(Event::PeerLoad(received.from, report));
                 }
             })
             .await;
@@ -130,7 +131,7 @@
     tokio::task::spawn_local(Rc::clone(&server).receive_load_reports());
     tokio::task::spawn_local(Rc::clone(&server).run_ticks());
     while let ProcessSignal::Reload(settings) = signals.next().await {
-        server.update(|node, _, effects| node.retune(*settings, effects));
+        server.update(|node, _, effects| node.update_settings(*settings, effects));
     }
     drain::drain(&server).await;
     Ok(())
--- a/crates/gateway/src/runtime/edge_server/client_connections.rs
+++ b/crates/gateway/src/runtime/edge_server/client_connections.rs
@@ -54,11 +54,11 @@
     /// The limits on a request, by the configuration in force.
     fn request_limits(&self) -> RequestLimits {
         let node = self.edge.node.borrow();
-        let saturation = &node.view.saturation;
+        let saturation = &node.active_config.client_limits;
         RequestLimits {
-            max_head_bytes: saturation.header_bytes,
-            max_body_bytes: saturation.body_bytes,
-            head_timeout: saturation.header_deadline,
+            max_head_bytes: saturation.max_header_bytes,
+            max_body_bytes: saturation.max_body_bytes,
+            head_timeout: saturation.header_timeout,
             body_timeout: BODY_TIMEOUT,
         }
     }
@@ -67,7 +67,7 @@
     async fn serve_connection(self: Rc<Self>, mut connection: Connection) {
         let mut closes_idle_at = self.closes_idle_at.subscribe();
         loop {
-            let idle_timeout = || self.edge.node.borrow().view.saturation.idle_cutoff;
+            let idle_timeout = || self.edge.node.borrow().active_config.client_limits.idle_timeout;
             if connection.wait_idle(idle_timeout, &mut closes_idle_at).await == IdleOutcome::Close {
                 // Dropped, not drained: a request that comes now must not be read, or its client can't repeat it.
                 return;
@@ -102,4 +102,4 @@
 }
 
 /// The final response while this edge has no configuration yet.
-pub(super) const NOT_CONFIGURED: FinalResponse = FinalResponse::Refused(RETRY_AFTER_S);
+pub(super) const NOT_CONFIGURED: FinalResponse = FinalResponse::NotExecuted(RETRY_AFTER_S);
--- a/crates/gateway/src/runtime/edge_server/dispatch.rs
+++ b/crates/gateway/src/runtime/edge_server/dispatch.rs
@@ -1,6 +1,7 @@
 //! Upstream attempts: sends a pending request to the worker that the state machine chose, and reports how it ended.
 
 use super::EdgeServer;
+use crate::data_plane::requests::AttemptReport;
 use crate::runtime::edge_loop::EdgeDriver;
 use crate::transport::upstream_pool::AttemptOutcome;
 use std::net::SocketAddr;
@@ -29,7 +30,7 @@
         };
         let this = Rc::clone(self);
         tokio::task::spawn_local(async move {
-            let may_send = || this.edge.node.borrow().takes_work(&worker);
+            let may_send = || this.edge.node.borrow().is_serving(&worker);
             let sent =
                 this.upstreams.attempt(&worker.0, address, &forward, tenant.as_deref(), timeout, may_send);
             let outcome = tokio::select! {
@@ -54,7 +55,7 @@
             None => (Ending::Cancelled, None),
             Some(outcome) => {
                 if outcome.misdirected {
-                    self.update(|node, now, effects| node.misdirected(now, worker, effects));
+                    self.update(|node, now, effects| node.on_misdirected(now, worker, effects));
                 }
                 let succeeded = outcome.response.is_some().then_some(outcome.ending == Ending::Ok);
                 if let Some(request) = self.pending.borrow_mut().get_mut(id) {
@@ -64,7 +65,8 @@
                 (outcome.ending, succeeded)
             }
         };
-        self.update(|node, now, effects| node.ended(now, id, attempt, worker, ending, succeeded, effects));
+        let report = AttemptReport { id, attempt, worker, ending, response_ok: succeeded };
+        self.update(|node, now, effects| node.on_attempt_end(now, report, effects));
         self.forget_if_finished(id);
     }
 
--- a/crates/gateway/src/runtime/edge_server/drain.rs
+++ b/crates/gateway/src/runtime/edge_server/drain.rs
@@ -39,8 +39,7 @@
 /// Waits until no client is connected and no attempt is in flight, but no longer than until `deadline`.
 async fn wait_until_idle(server: &Rc<EdgeServer>, deadline: Instant) {
     let is_busy = || server.client_connections.get() > 0 || server.edge.node.borrow().pending_count() > 0;
-    while Instant::now() < deadline && is_busy()
-    {
+    while Instant::now() < deadline && is_busy() {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/gateway/src/runtime/edge_server/request.rs
+++ b/crates/gateway/src/runtime/edge_server/request.rs
@@ -86,11 +86,12 @@
             attempts: HashMap::new(),
         };
         self.pending.borrow_mut().insert(id.clone(), pending);
-        let arrival = IncomingRequest { id: id.clone(), route, tenant, left: client_wait.as_secs_f64() };
-        self.update(|node, now, effects| node.arrived(now, arrival, effects));
+        let arrival =
+            IncomingRequest { id: id.clone(), route, tenant, remaining_secs: client_wait.as_secs_f64() };
+        self.update(|node, now, effects| node.on_request(now, arrival, effects));
         let response = tokio::select! {
             biased;
-            response = &mut response => response.unwrap_or(ClientResponse::Local(FinalResponse::Failed)),
+            response = &mut response => response.unwrap_or(ClientResponse::Local(FinalResponse::UpstreamFailed)),
             () = connection.client_disconnected() => {
                 self.client_left(&id);
                 return None;
@@ -105,7 +106,7 @@
 
     /// The phases up to forwarding. `Err`: the response that ends the request.
     fn accept_request(&self, head: &Request) -> Result<AcceptedRequest, OutgoingResponse> {
-        let config = Arc::clone(&self.edge.node.borrow().view);
+        let config = Arc::clone(&self.edge.node.borrow().active_config);
         if !self.edge.node.borrow().is_configured() {
             return Err(local_response(NOT_CONFIGURED));
         }
@@ -123,8 +124,8 @@
         accepted: &AcceptedRequest,
     ) -> ForwardedRequest {
         let AcceptedRequest { route, client_wait, .. } = accepted;
-        let time = route.cutoff.map_or(*client_wait, |cutoff| cutoff.min(*client_wait)).as_secs_f64();
-        let time = self.edge.node.borrow().work_time_for(self.edge.clock.now(), time).max(0.0);
+        let now = self.edge.clock.now();
+        let limits = self.edge.node.borrow().time_limits(now, route, client_wait.as_secs_f64());
         let mut headers: HeaderMap = head.headers().clone();
         remove_hop_by_hop(&mut headers, &NOT_FORWARDED, &ALWAYS_FORWARDED);
         ForwardedRequest {
@@ -133,8 +134,8 @@
             headers,
             body,
             id: accepted.attempt_id.clone(),
-            is_idempotent: route.repeatable,
-            deadline: Instant::now() + Duration::from_secs_f64(time),
+            is_idempotent: route.is_idempotent,
+            deadline: Instant::now() + Duration::from_secs_f64(limits.upstream_secs.max(0.0)),
         }
     }
 
@@ -149,13 +150,13 @@
         let mut pending = self.pending.borrow_mut();
         let Some(request) = pending.get_mut(id) else { return };
         let response = match response {
-            FinalResponse::Worker(attempt) => {
+            FinalResponse::Upstream(attempt) => {
                 request.responses.remove(&attempt).map(ClientResponse::Upstream)
             }
             other => Some(ClientResponse::Local(other)),
         };
         if let Some(client) = request.client.take() {
-            let _ = client.send(response.unwrap_or(ClientResponse::Local(FinalResponse::Failed)));
+            let _ = client.send(response.unwrap_or(ClientResponse::Local(FinalResponse::UpstreamFailed)));
         }
     }
 
@@ -164,7 +165,7 @@
         if let Some(request) = self.pending.borrow_mut().get_mut(id) {
             request.client = None;
         }
-        self.update(|node, now, effects| node.left(now, id, effects));
+        self.update(|node, now, effects| node.on_client_disconnect(now, id, effects));
         self.forget_if_finished(id);
     }
 
@@ -172,7 +173,7 @@
     pub(super) fn forget_if_finished(&self, id: &RequestId) {
         let mut pending = self.pending.borrow_mut();
         let nobody_waits = pending.get(id).is_some_and(|request| request.client.is_none());
-        if nobody_waits && !self.edge.node.borrow().knows(id) {
+        if nobody_waits && !self.edge.node.borrow().is_pending(id) {
             pending.remove(id);
         }
     }
@@ -181,7 +182,7 @@
 /// The route by host and path; 404 if there is none.
 fn find_route(config: &ActiveConfig, head: &Request) -> Result<Arc<Route>, OutgoingResponse> {
     let host = head.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or_default();
-    let route = config.route(host, head.path()).cloned();
+    let route = config.match_route(host, head.path()).cloned();
     route.ok_or_else(|| text_response(StatusCode::NOT_FOUND, "no route"))
 }
 
@@ -192,12 +193,12 @@
     route: &Route,
     head: &Request,
 ) -> Result<Option<Arc<Tenant>>, OutgoingResponse> {
-    if !config.keyed || route.unkeyed {
+    if !config.requires_credentials || route.allows_anonymous {
         return Ok(None);
     }
     let mut keys = head.headers().get_all("api-key");
     let key = keys.next().and_then(|key| key.to_str().ok());
-    let tenant = key.and_then(|key| config.tenant(key)).filter(|_| keys.next().is_none());
+    let tenant = key.and_then(|key| config.tenant_by_credential(key)).filter(|_| keys.next().is_none());
     let unknown = || text_response(StatusCode::UNAUTHORIZED, "unknown key");
     tenant.map(|tenant| Some(Arc::clone(tenant))).ok_or_else(unknown)
 }
@@ -230,10 +231,14 @@
 /// A response that is not a worker's. `Retry-After` only where the request was not run.
 fn local_response(response: FinalResponse) -> OutgoingResponse {
     let (status, retry_after, text) = match response {
-        FinalResponse::Limited(after) => (StatusCode::TOO_MANY_REQUESTS, Some(after), "beyond the quota"),
-        FinalResponse::Refused(after) => (StatusCode::SERVICE_UNAVAILABLE, Some(after), "not run: come back"),
+        FinalResponse::RateLimited(after) => (StatusCode::TOO_MANY_REQUESTS, Some(after), "beyond the quota"),
+        FinalResponse::NotExecuted(after) => {
+            (StatusCode::SERVICE_UNAVAILABLE, Some(after), "not run: come back")
+        }
         FinalResponse::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None, "no answer in time"),
-        FinalResponse::Failed | FinalResponse::Worker(_) => (StatusCode::BAD_GATEWAY, None, "failed"),
+        FinalResponse::UpstreamFailed | FinalResponse::Upstream(_) => {
+            (StatusCode::BAD_GATEWAY, None, "failed")
+        }
     };
     let mut outgoing = text_response(status, text);
     if let Some(after) = retry_after {
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -9,6 +9,7 @@
 #[cfg(test)]
 mod signals_tests;
 
+use crate::control_plane::SnapshotError;
 use crate::settings::{Settings, SettingsError};
 use crate::storage::StorageError;
 pub use signals::{ProcessSignal, SignalListener};
@@ -32,7 +33,7 @@
     /// the disk: {0}
     Storage(StorageError),
     /// the state in a snapshot can't be read: {0}
-    Snapshot(String),
+    Snapshot(SnapshotError),
 }
 
 impl Error for RunError {
@@ -41,7 +42,8 @@
             RunError::Settings(error) => Some(error),
             RunError::Runtime(error) | RunError::Listen(error) | RunError::Signals(error) => Some(error),
             RunError::Storage(error) => Some(error),
-            RunError::MissingSetting(_) | RunError::Snapshot(_) => None,
+            RunError::Snapshot(error) => Some(error),
+            RunError::MissingSetting(_) => None,
         }
     }
 }
