--- a/crates/gateway/src/consensus/config.rs
+++ b/crates/gateway/src/consensus/config.rs
@@ -8,17 +8,17 @@
 pub struct RaftConfig {
     /// A leader broadcasts at least this often.
     pub heartbeat_interval: Millis,
-    /// A follower that hears no leader for this long, and up to twice that, starts an election. Nobody votes within this
-    /// time of hearing from a leader, or of its own start. A leader that is not in contact with a quorum for this long
-    /// steps down.
+    /// A follower that hears no leader for this long, and up to twice that, starts an election. Nobody votes
+    /// within this time of hearing from a leader, or of its own start. A leader that is not in contact with a
+    /// quorum for this long steps down.
     pub election_timeout: Millis,
-    /// How long a leader relies on a contact with a quorum. Shorter than `election_timeout` by what clocks may differ in
-    /// speed.
+    /// How long a leader relies on a contact with a quorum. Shorter than `election_timeout` by what clocks
+    /// may differ in speed.
     pub lease_duration: Millis,
     /// A voter that was silent for this long is removed, if `min_voters` permits.
     pub voter_removal_timeout: Millis,
-    /// A silent voter is removed only from a configuration of more than this many: more than twice the failures that are
-    /// to be tolerated.
+    /// A silent voter is removed only from a configuration of more than this many: more than twice the
+    /// failures that are to be tolerated.
     pub min_voters: usize,
     /// Upper bound for the entries of a message.
     pub max_entries_per_append: usize,
--- a/crates/gateway/src/consensus/election.rs
+++ b/crates/gateway/src/consensus/election.rs
@@ -1,9 +1,10 @@
 //! Elections: terms, PreVote and votes.
 //!
-//! Election Safety (Raft paper, 5.2): a member grants at most one vote in a term, and the vote is durable before it is
-//! sent, so at most one candidate gets a majority. Leader Completeness (5.4): a vote goes only to a candidate whose log
-//! is at least as up to date, so a new leader has all committed entries. PreVote (dissertation, 9.6) and the rule that
-//! nobody votes while it hears a leader (dissertation, 4.2.3) keep members that were cut off from deposing a leader.
+//! Election Safety (Raft paper, 5.2): a member grants at most one vote in a term, and the vote is durable
+//! before it is sent, so at most one candidate gets a majority. Leader Completeness (5.4): a vote goes only
+//! to a candidate whose log is at least as up to date, so a new leader has all committed entries. PreVote
+//! (dissertation, 9.6) and the rule that nobody votes while it hears a leader (dissertation, 4.2.3) keep
+//! members that were cut off from deposing a leader.
 
 use super::quorum::is_majority;
 use super::raft::Role;
@@ -26,15 +27,16 @@
 impl<C: Clone> Raft<C> {
     /// Waits for a leader anew: for the election timeout and up to twice that.
     pub(super) fn reset_election_deadline(&mut self, now: Millis) {
-        // Pseudo-random, so that votes are seldom split (Raft paper, 5.2), but the same in every run: drawn by member,
-        // term and time.
+        // Pseudo-random, so that votes are seldom split (Raft paper, 5.2), but the same in every run: drawn
+        // by member, term and time.
         let mut hasher = DefaultHasher::new();
         (self.id, self.term, now / TIMEOUT_DRAW_STEP).hash(&mut hasher);
         let election_timeout = self.config.election_timeout;
         self.election_deadline = now + election_timeout + hasher.finish() % election_timeout.max(1);
     }
 
-    /// Becomes a follower: `term` is newer, or a leader or the loss of the quorum ends this member's own role.
+    /// Becomes a follower: `term` is newer, or a leader or the loss of the quorum ends this member's own
+    /// role.
     pub(super) fn step_down(&mut self, now: Millis, term: Term) {
         if term > self.term {
             self.set_hard_state(term, None);
@@ -70,8 +72,8 @@
         self.count_votes(now);
     }
 
-    /// Starts an election in a new term; `leader_transfer`: the leader asked for it. The candidate's own vote counts once it
-    /// is durable ([`Raft::on_persisted`]).
+    /// Starts an election in a new term; `leader_transfer`: the leader asked for it. The candidate's own vote
+    /// counts once it is durable ([`Raft::on_persisted`]).
     pub(super) fn campaign(&mut self, now: Millis, leader_transfer: bool) {
         self.reset_election_deadline(now);
         self.forget_leader();
@@ -139,8 +141,9 @@
         self.respond_to_vote(from, self.term, is_pre_vote, granted);
     }
 
-    /// Whether a leader other than `candidate` may rely on this member not voting: then a request has no effect, not
-    /// even on the term. A leader that stands as a candidate for a later term relies on nothing any more.
+    /// Whether a leader other than `candidate` may rely on this member not voting: then a request has no
+    /// effect, not even on the term. A leader that stands as a candidate for a later term relies on nothing
+    /// any more.
     fn is_bound_to_leader(&self, now: Millis, candidate: NodeId) -> bool {
         let hears_other = self.hears_leader(now)
             && self.leader_id != Some(candidate)
--- a/crates/gateway/src/consensus/follower.rs
+++ b/crates/gateway/src/consensus/follower.rs
@@ -7,7 +7,8 @@
 };
 use bytes::Bytes;
 
-/// Upper bound for the memory that is reserved at once for an incoming snapshot, in bytes. A larger one grows as it comes.
+/// Upper bound for the memory that is reserved at once for an incoming snapshot, in bytes. A larger one grows
+/// as it comes.
 const MAX_SNAPSHOT_RESERVATION: u64 = 64 * 1024 * 1024;
 
 /// A snapshot that is being received.
@@ -29,8 +30,8 @@
 }
 
 impl<C: Clone> Raft<C> {
-    /// Follows the sender of a leader's message, unless its term is over: then it learns the newer one. Whether the message
-    /// is to be handled.
+    /// Follows the sender of a leader's message, unless its term is over: then it learns the newer one.
+    /// Whether the message is to be handled.
     pub(super) fn accept_leader(
         &mut self,
         now: Millis,
@@ -54,8 +55,9 @@
             self.step_down(now, term);
         }
         if self.vote != Some(from) && !self.has_fault(InjectedFault::FollowWithoutVote) {
-            // After a restart the vote tells which leader may rely on this member (`is_bound_by_restart`). Changing it
-            // within the term is safe: a majority has voted for this leader, so no other candidate can win the term.
+            // After a restart the vote tells which leader may rely on this member (`is_bound_by_restart`).
+            // Changing it within the term is safe: a majority has voted for this leader, so no other
+            // candidate can win the term.
             self.set_hard_state(term, Some(from));
         }
         self.leader_id = Some(from);
@@ -110,8 +112,9 @@
         }
     }
 
-    /// Says that the entry before the leader's is not in this log, and where the leader should go back to: the end of
-    /// this log if that is before it, else the commit index, up to which both logs surely are equal.
+    /// Says that the entry before the leader's is not in this log, and where the leader should go back to:
+    /// the end of this log if that is before it, else the commit index, up to which both logs surely are
+    /// equal.
     fn reject_entries(&mut self, now: Millis, to: NodeId, prev_log: LogPosition) {
         let before_prev = prev_log.index.saturating_sub(1);
         let last_index = self.log.last_index();
@@ -173,8 +176,8 @@
         self.acknowledge_log(now, from);
     }
 
-    /// Replaces the log up to the snapshot's index. If the log contains the snapshot's last entry, the entries after it
-    /// are kept, else all are dropped (Raft paper, 7).
+    /// Replaces the log up to the snapshot's index. If the log contains the snapshot's last entry, the
+    /// entries after it are kept, else all are dropped (Raft paper, 7).
     fn install_snapshot(&mut self, snapshot: Snapshot) {
         let index = snapshot.index;
         let replaces_log = self.log.term(index) != Some(snapshot.term);
--- a/crates/gateway/src/consensus/injected_fault.rs
+++ b/crates/gateway/src/consensus/injected_fault.rs
@@ -1,6 +1,7 @@
 //! Deliberate violations of the protocol, for tests only.
 
-/// A rule that the protocol code breaks on request. Tests inject each one to show that they detect its violation.
+/// A rule that the protocol code breaks on request. Tests inject each one to show that they detect its
+/// violation.
 #[cfg_attr(not(test), allow(dead_code))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedFault {
--- a/crates/gateway/src/consensus/injected_fault_tests.rs
+++ b/crates/gateway/src/consensus/injected_fault_tests.rs
@@ -1,5 +1,5 @@
-//! Injected faults that break liveness or stability, not safety: each is injected, and its test must notice. The model
-//! finds the others (`model/injected_faults.rs`).
+//! Injected faults that break liveness or stability, not safety: each is injected, and its test must notice.
+//! The model finds the others (`model/injected_faults.rs`).
 
 use super::tests::apply_writes;
 use super::*;
--- a/crates/gateway/src/consensus/leader.rs
+++ b/crates/gateway/src/consensus/leader.rs
@@ -1,8 +1,8 @@
 //! The leader: replication of entries and snapshots, and what is committed.
 //!
-//! Commitment (Raft paper, 5.3 and 5.4.2): an entry of the leader's own term is committed once it is durable on a
-//! majority; entries of earlier terms are committed only together with one of these, since a majority of copies alone
-//! does not keep a later leader from overwriting them (figure 8).
+//! Commitment (Raft paper, 5.3 and 5.4.2): an entry of the leader's own term is committed once it is durable
+//! on a majority; entries of earlier terms are committed only together with one of these, since a majority of
+//! copies alone does not keep a later leader from overwriting them (figure 8).
 
 use super::leader_transfer::LeaderTransfer;
 use super::progress::{Progress, SnapshotTransfer};
@@ -37,7 +37,9 @@
     pub heartbeat_seq: u64,
     /// Index of the no-op that this leader appended first.
     pub term_start_index: Index,
+    /// Reads that wait for their confirmation, oldest first.
     pub pending_reads: Vec<PendingRead>,
+    /// Once a transfer has begun, this leadership takes no proposals and holds no lease until it ends.
     pub transfer: Option<LeaderTransfer>,
     /// When the latest broadcast was sent.
     pub broadcast_at: Millis,
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Sends a peer the entries that it lacks, or, if they are compacted, chunks of a snapshot. `is_heartbeat`: sends
-    /// something in any case.
+    /// Sends a peer the entries that it lacks, or, if they are compacted, chunks of a snapshot.
+    /// `is_heartbeat`: sends something in any case.
     pub(super) fn replicate_to(&mut self, now: Millis, to: NodeId, is_heartbeat: bool) {
         let snapshot_index = self.log.snapshot_position().index;
         let (last_index, term, leader_commit) = (self.log.last_index(), self.term, self.commit_index);
@@ -150,8 +152,9 @@
         }
     }
 
-    /// Notes the contact that a response proves: it confirms the leadership as of the sending of the broadcast that it
-    /// names. Whether the response is to be handled: it is one to this leader, in this term.
+    /// Notes the contact that a response proves: it confirms the leadership as of the sending of the
+    /// broadcast that it names. Whether the response is to be handled: it is one to this leader, in this
+    /// term.
     pub(super) fn accept_response(
         &mut self,
         now: Millis,
@@ -258,8 +261,8 @@
         let Role::Leader(leader) = &self.role else { return };
         let is_heartbeat_due = now >= leader.broadcast_at + self.config.heartbeat_interval;
         if leader.transfer.as_ref().is_some_and(|t| now > t.started_at + self.config.election_timeout) {
-            // The transfer failed. Its target may still start the election at any time, without regard to the lease, so
-            // this leadership can't be resumed.
+            // The transfer failed. Its target may still start the election at any time, without regard to the
+            // lease, so this leadership can't be resumed.
             return self.step_down(now, self.term);
         }
         if is_heartbeat_due {
--- a/crates/gateway/src/consensus/leader_transfer.rs
+++ b/crates/gateway/src/consensus/leader_transfer.rs
@@ -1,7 +1,8 @@
 //! Leadership transfer (dissertation, 3.10).
 //!
-//! The leader stops taking proposals, waits until the target has its whole log, and tells it to start an election. That
-//! election disregards the lease, so the leader gives its lease up for the rest of its leadership.
+//! The leader stops taking proposals, waits until the target has its whole log, and tells it to start an
+//! election. That election disregards the lease, so the leader gives its lease up for the rest of its
+//! leadership.
 
 use super::raft::Role;
 use super::{InjectedFault, Message, Millis, NodeId, Raft};
@@ -14,8 +15,8 @@
 }
 
 impl<C: Clone> Raft<C> {
-    /// Hands the leadership to the most up-to-date voter that is heard: this process ends, or its disk is stalled. Has no
-    /// effect on a member that is not the leader, or if nobody can take it.
+    /// Hands the leadership to the most up-to-date voter that is heard: this process ends, or its disk is
+    /// stalled. Has no effect on a member that is not the leader, or if nobody can take it.
     pub fn transfer_leadership(&mut self, now: Millis) {
         let voters = self.voters();
         let election_timeout = self.config.election_timeout;
@@ -31,7 +32,8 @@
         self.issue_writes(now);
     }
 
-    /// Tells the target of a transfer to start its election, once it has the whole log: before, it could not win.
+    /// Tells the target of a transfer to start its election, once it has the whole log: before, it could not
+    /// win.
     pub(super) fn send_timeout_now(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let Some(LeaderTransfer { target, .. }) = leader.transfer else { return };
--- a/crates/gateway/src/consensus/lease.rs
+++ b/crates/gateway/src/consensus/lease.rs
@@ -1,16 +1,17 @@
 //! What leader and followers may rely on, and for how long.
 //!
-//! A voter that hears from a leader grants no vote within the election timeout after that (dissertation, 4.2.3 and 6.4.1),
-//! so a leader that was in contact with a majority knows that no other leader is elected for that time. It counts from
-//! when the heartbeat was *sent*, by its own clock, and relies on it for the shorter `lease_duration`: the difference
-//! covers clocks that run at different speeds. A voter keeps the promise across restarts, see
-//! [`Raft::is_bound_by_restart`].
+//! A voter that hears from a leader grants no vote within the election timeout after that (dissertation,
+//! 4.2.3 and 6.4.1), so a leader that was in contact with a majority knows that no other leader is elected
+//! for that time. It counts from when the heartbeat was *sent*, by its own clock, and relies on it for the
+//! shorter `lease_duration`: the difference covers clocks that run at different speeds. A voter keeps the
+//! promise across restarts, see [`Raft::is_bound_by_restart`].
 
 use super::raft::Role;
 use super::{InjectedFault, Millis, Raft};
 
 impl<C: Clone> Raft<C> {
-    /// Whether this member is surely the only leader now, has committed in its term, and so may act for the whole system.
+    /// Whether this member is surely the only leader now, has committed in its term, and so may act for the
+    /// whole system.
     pub fn holds_lease(&self, now: Millis) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         // The target of a leadership transfer is elected without regard to this lease.
@@ -19,10 +20,12 @@
             && now < self.quorum_contact(now).saturating_add(self.config.lease_duration)
     }
 
-    /// Whether this member is attached to the majority of the core: what it has applied may be handed out as current.
+    /// Whether this member is attached to the majority of the core: what it has applied may be handed out as
+    /// current.
     ///
-    /// On a leader: it has committed in its term, and is in contact with a quorum. On others: the same was true of the
-    /// leader within the election timeout (by the echoed clock), and all is applied that it said was committed.
+    /// On a leader: it has committed in its term, and is in contact with a quorum. On others: the same was
+    /// true of the leader within the election timeout (by the echoed clock), and all is applied that it said
+    /// was committed.
     pub fn is_attached(&self, now: Millis) -> bool {
         match &self.role {
             Role::Leader(leader) => {
@@ -42,11 +45,14 @@
         self.leader_heard_at.is_some_and(|at| now < at + self.config.election_timeout)
     }
 
-    /// When a majority was last in contact: the latest time at or before which a broadcast was sent that each of them has
-    /// responded to. This member itself counts as in contact at `now`. 0 if this member is not the leader.
+    /// When a majority was last in contact: the latest time at or before which a broadcast was sent that each
+    /// of them has responded to. This member itself counts as in contact at `now`. 0 if this member is not
+    /// the leader.
     pub(super) fn quorum_contact(&self, now: Millis) -> Millis {
         let Role::Leader(leader) = &self.role else { return 0 };
-        // Those that voted for it count as in contact at its election.
+        // A new leader gets an election timeout to make contact. The lease is no longer for that: it needs a
+        // commit in this term, so a majority has responded to a broadcast that was sent at the election or
+        // later.
         self.quorum_value(now, |progress| progress.contact_at.max(leader.elected_at))
     }
 
@@ -55,7 +61,8 @@
         now < self.quorum_contact(now).saturating_add(self.config.election_timeout)
     }
 
-    /// Whether this process started so lately that a leader may rely on a contact with it from before the start.
+    /// Whether this process started so lately that a leader may rely on a contact with it from before the
+    /// start.
     ///
     /// The hard state names the only member that this can be: a follower records its leader as its vote
     /// ([`Raft::accept_leader`]). If that is this member itself, nobody relies on it.
@@ -65,8 +72,9 @@
         now < self.started_at + self.config.election_timeout && !voted_for_self
     }
 
-    /// Whether this member was leader or candidate before its start, so lately that nobody else leads yet. Its own lease
-    /// ended with the earlier process, so it need not wait for an election timeout before it stands again.
+    /// Whether this member was leader or candidate before its start, so lately that nobody else leads yet.
+    /// Its own lease ended with the earlier process, so it need not wait for an election timeout before it
+    /// stands again.
     pub(super) fn may_resume_leadership(&self, now: Millis) -> bool {
         now < self.started_at + self.config.election_timeout
             && self.vote == Some(self.id)
--- a/crates/gateway/src/consensus/membership.rs
+++ b/crates/gateway/src/consensus/membership.rs
@@ -1,8 +1,8 @@
 //! Configuration changes: learners become voters, lost disks and machines that are gone are removed.
 //!
-//! Each change adds or removes one voter (dissertation, 4.1), so majorities before and after it overlap. That holds only
-//! if changes don't overlap in time, and if a leader begins none before it has committed in its own term (the correction
-//! of 2015 to the published algorithm).
+//! Each change adds or removes one voter (dissertation, 4.1), so majorities before and after it overlap. That
+//! holds only if changes don't overlap in time, and if a leader begins none before it has committed in its
+//! own term (the correction of 2015 to the published algorithm).
 
 use super::leader::LeaderState;
 use super::progress::Progress;
@@ -15,8 +15,8 @@
 const LEARNER_TIMEOUT_FACTOR: Millis = 4;
 
 impl<C: Clone> Raft<C> {
-    /// A core machine announces itself with its current disk: it hears no leader. A leader replicates to it from now on,
-    /// and makes it a voter once it has caught up.
+    /// A core machine announces itself with its current disk: it hears no leader. A leader replicates to it
+    /// from now on, and makes it a voter once it has caught up.
     pub fn join(&mut self, now: Millis, id: NodeId) {
         if id == self.id {
             return;
@@ -39,8 +39,8 @@
         self.issue_writes(now);
     }
 
-    /// A member announces that its process ends: it may be removed at once, without waiting for the removal timeout.
-    /// Remembered on every member, for whoever leads in that time.
+    /// A member announces that its process ends: it may be removed at once, without waiting for the removal
+    /// timeout. Remembered on every member, for whoever leads in that time.
     pub fn leave(&mut self, now: Millis, id: NodeId) {
         self.departing.retain(|_, until| now < *until);
         if id != self.id {
@@ -84,8 +84,8 @@
         !is_change_pending && !is_term_uncommitted && leader.transfer.is_none()
     }
 
-    /// After a commit: a leader that the committed configuration does not contain steps down (dissertation, 4.2.2), and
-    /// replicates no longer to removed members whose disk is lost.
+    /// After a commit: a leader that the committed configuration does not contain steps down (dissertation,
+    /// 4.2.2), and replicates no longer to removed members whose disk is lost.
     pub(super) fn finish_conf_change(&mut self, now: Millis) {
         let configuration = self.log.configuration();
         if configuration.index > self.commit_index {
@@ -114,12 +114,12 @@
 }
 
 impl ChangePlanner<'_> {
-    /// The next configuration, if a change is due: first a lost disk is removed, then a learner that has caught up is
-    /// added, then a voter that is gone is removed.
+    /// The next configuration, if a change is due: first a lost disk is removed, then a learner that has
+    /// caught up is added, then a voter that is gone is removed.
     ///
-    /// A lost disk goes before the same machine's new one is added: with both of them in the configuration each further
-    /// step would need all other voters, and a machine that lost its disk again during its repair would leave the
-    /// configuration without a majority for good.
+    /// A lost disk goes before the same machine's new one is added: with both of them in the configuration
+    /// each further step would need all other voters, and a machine that lost its disk again during its
+    /// repair would leave the configuration without a majority for good.
     fn next_voters(&self) -> Option<VoterSet> {
         let mut next = self.voters.clone();
         if let Some(id) = self.voters.iter().find(|id| self.is_superseded(id) && self.is_removable(id)) {
@@ -152,8 +152,8 @@
         if self.is_superseded(id) && self.is_silent(id, self.config.election_timeout) {
             return true;
         }
-        // Of two voters one that departs leaves the other able to go on; one that is merely silent may be cut off, and
-        // then both would go on.
+        // Of two voters one that departs leaves the other able to go on; one that is merely silent may be cut
+        // off, and then both would go on.
         let leaves_enough =
             self.voters.len() > self.config.min_voters || self.voters.len() == 2 && self.is_departing(id);
         leaves_enough && (self.is_silent(id, self.config.voter_removal_timeout) || self.is_departing(id))
@@ -168,7 +168,8 @@
             && !self.is_superseded(id)
     }
 
-    /// Whether the members that are heard now are a majority of these voters: a change must not stop the cluster.
+    /// Whether the members that are heard now are a majority of these voters: a change must not stop the
+    /// cluster.
     fn has_live_majority(&self, voters: &VoterSet) -> bool {
         let live = voters.iter().filter(|id| !self.is_silent(id, self.config.election_timeout));
         is_majority(live.count(), voters.len())
--- a/crates/gateway/src/consensus/message.rs
+++ b/crates/gateway/src/consensus/message.rs
@@ -6,9 +6,9 @@
 
 /// A message from one member to another. Any of them may be lost, delayed, duplicated or reordered.
 ///
-/// `heartbeat_seq` numbers the leader's broadcasts within its term. A response carries the newest number its sender has
-/// seen, which proves that the sender accepted this leader at some time after that broadcast: leases and linearizable
-/// reads are built on that.
+/// `heartbeat_seq` numbers the leader's broadcasts within its term. A response carries the newest number its
+/// sender has seen, which proves that the sender accepted this leader at some time after that broadcast:
+/// leases and linearizable reads are built on that.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message<C> {
     /// Asks for a vote (Raft paper, 5.2), or, as a PreVote, whether one would be given.
@@ -20,7 +20,8 @@
         last_log: LastLogPosition,
         /// PreVote: binds neither the sender nor the receiver, and raises no term.
         pre_vote: bool,
-        /// The leader itself asked for this election ([`Message::TimeoutNow`]): its lease does not stand against it.
+        /// The leader itself asked for this election ([`Message::TimeoutNow`]): its lease does not stand
+        /// against it.
         leader_transfer: bool,
     },
     /// Response to [`Message::RequestVote`].
@@ -44,9 +45,10 @@
         entries: Vec<Entry<C>>,
         /// The leader's commit index.
         leader_commit: Index,
-        /// The latest `follower_clock` of the receiver that the leader knows; only while the leader has committed in its
-        /// term and is in contact with a quorum. The receiver learns from it that at that time of its own clock or later
-        /// the leader was not cut off, however long this message was under way.
+        /// The latest `follower_clock` of the receiver that the leader knows; only while the leader has
+        /// committed in its term and is in contact with a quorum. The receiver learns from it that at that
+        /// time of its own clock or later the leader was not cut off, however long this message was under
+        /// way.
         echoed_clock: Option<Millis>,
         /// Number of the leader's latest broadcast.
         heartbeat_seq: u64,
@@ -58,15 +60,16 @@
         term: Term,
         /// The newest `heartbeat_seq` that the responder has seen in this term.
         heartbeat_seq: u64,
-        /// On success: the responder's log is on disk and equal to the leader's up to here. Else: a hint up to where the
-        /// leader should go back.
+        /// On success: the responder's log is on disk and equal to the leader's up to here. Else: a hint up
+        /// to where the leader should go back.
         index: Index,
         /// Whether the responder's log contains `prev_log`.
         success: bool,
         /// The responder's clock, to be echoed by the leader.
         follower_clock: Millis,
     },
-    /// A chunk of a snapshot, for a follower that needs entries which the leader has compacted (Raft paper, 7).
+    /// A chunk of a snapshot, for a follower that needs entries which the leader has compacted (Raft paper,
+    /// 7).
     #[serde(rename = "Piece")]
     InstallSnapshot {
         /// The leader's term.
--- a/crates/gateway/src/consensus/mod.rs
+++ b/crates/gateway/src/consensus/mod.rs
@@ -1,16 +1,18 @@
-//! The replicated log: one agreed order for the operators' calls, the configuration of the core itself and the terms of
-//! the quota counter.
+//! The replicated log: one agreed order for the operators' calls, the configuration of the core itself and
+//! the terms of the quota counter.
 //!
-//! An implementation of Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm"; section
-//! numbers marked "dissertation" are those of Ongaro's "Consensus: Bridging Theory and Practice") with PreVote, check
-//! quorum, leases, linearizable reads by read index, single-server configuration changes, leadership transfer, and log
-//! compaction with snapshots in chunks. The names are the papers' names.
+//! An implementation of Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm";
+//! section numbers marked "dissertation" are those of Ongaro's "Consensus: Bridging Theory and Practice")
+//! with PreVote, check quorum, leases, linearizable reads by read index, single-server configuration changes,
+//! leadership transfer, and log compaction with snapshots in chunks. The names are the papers' names.
 //!
-//! [`Raft`] is a pure state machine: it does no I/O and reads no clock. A driver passes the time in with each call, feeds
-//! it messages ([`Raft::receive`]), completed writes ([`Raft::on_persisted`]) and the passing of time ([`Raft::tick`]),
-//! and performs what [`Raft::take_outputs`] returns. Two properties hold for every output:
+//! [`Raft`] is a pure state machine: it does no I/O and reads no clock. A driver passes the time in with each
+//! call, feeds it messages ([`Raft::receive`]), completed writes ([`Raft::on_persisted`]) and the passing of
+//! time ([`Raft::tick`]), and performs what [`Raft::take_outputs`] returns. Two properties hold for every
+//! output:
 //!
-//! - no message claims anything (a vote, a term, a replicated entry) that is not durable on this member's disk;
+//! - no message claims anything (a vote, a term, a replicated entry) that is not durable on this member's
+//!   disk;
 //! - an entry is committed only when it is durable on a majority of the voters.
 //!
 //! | file | concern |
--- a/crates/gateway/src/consensus/model/actions.rs
+++ b/crates/gateway/src/consensus/model/actions.rs
@@ -21,21 +21,23 @@
 }
 
 impl Action {
-    /// The machine that acts; `None` for actions of the network and of the clocks.
-    fn machine(&self) -> Option<usize> {
+    /// The machine whose [`Raft`] is called; `None` for actions that are more, or other, than one call.
+    fn calling_machine(&self) -> Option<usize> {
         match self {
             Action::FinishWrite(m)
             | Action::Campaign(m)
             | Action::Broadcast(m)
             | Action::Propose(m)
             | Action::Read(m)
-            | Action::LoseDisk(m)
             | Action::Compact(m)
             | Action::Transfer(m)
-            | Action::Crash { machine: m, .. }
             | Action::Join { machine: m, .. }
             | Action::ChangeConfiguration { leader: m, .. } => Some(*m),
-            Action::Deliver(_) | Action::DeliverDuplicate(_) | Action::Tick => None,
+            Action::Deliver(_)
+            | Action::DeliverDuplicate(_)
+            | Action::Crash { .. }
+            | Action::LoseDisk(_)
+            | Action::Tick => None,
         }
     }
 }
@@ -50,14 +52,18 @@
                 self.tick_clocks(state);
                 Some(0)
             }
+            Action::Crash { machine, kept_writes } => {
+                self.crash(state, *machine, *kept_writes);
+                Some(*machine)
+            }
+            Action::LoseDisk(machine) => {
+                self.lose_disk(state, *machine);
+                Some(*machine)
+            }
             _ => {
-                let m = action.machine()?;
-                match action {
-                    Action::Crash { kept_writes, .. } => self.crash(state, m, *kept_writes),
-                    Action::LoseDisk(_) => self.lose_disk(state, m),
-                    _ => self.call_raft(state, m, action)?,
-                }
-                Some(m)
+                let machine = action.calling_machine()?;
+                self.call_raft(state, machine, action)?;
+                Some(machine)
             }
         }
     }
--- a/crates/gateway/src/consensus/model/injected_fault_tests.rs
+++ b/crates/gateway/src/consensus/model/injected_fault_tests.rs
@@ -1,5 +1,6 @@
-//! Each injected fault must be found by the model, from a start that needs few steps to it; and from there the unbroken
-//! code must have no violation. Faults that break no invariant are in `consensus::injected_fault_tests`.
+//! Each injected fault must be found by the model, from a start that needs few steps to it; and from there
+//! the unbroken code must have no violation. Faults that break no invariant are in
+//! `consensus::injected_fault_tests`.
 
 use super::search::{env_or, find_violation, search};
 use super::starts::{settled, settled_with_clocks, third_lags, third_needs_snapshot};
@@ -62,8 +63,8 @@
     settled(ClusterModel { candidates: &[2], checks_durability: false, ..model })
 }
 
-/// Figure 8 of the Raft paper: a majority will have an entry of an old term, and another machine may yet win with an entry
-/// of a later one.
+/// Figure 8 of the Raft paper: a majority will have an entry of an old term, and another machine may yet win
+/// with an entry of a later one.
 fn entry_of_old_term_on_majority() -> ClusterModel {
     let model = ClusterModel { max_term: 4, candidates: &[0, 2], ..at_once(BROADCASTS) };
     let state = model.elect(model.new_cluster(), 0, ALL_MACHINES);
@@ -110,7 +111,8 @@
     model.starting_from(state)
 }
 
-/// The third machine was a candidate in the first term, too; nobody has heard the leader for an election timeout.
+/// The third machine was a candidate in the first term, too; nobody has heard the leader for an election
+/// timeout.
 fn losing_candidate(budget: Budget) -> ClusterModel {
     let model = ClusterModel { slow_clock: Some(0), candidates: &[2], ..at_once(budget) };
     let state = model.after(model.new_cluster(), &[Action::Campaign(0), Action::Campaign(2)]);
@@ -128,7 +130,8 @@
     model.starting_from(state)
 }
 
-/// The first machine has an entry of a term that came to nothing, after one that it does not know to be committed.
+/// The first machine has an entry of a term that came to nothing, after one that it does not know to be
+/// committed.
 fn stale_tail() -> ClusterModel {
     let model = ClusterModel { max_term: 4, candidates: &[], ..at_once(BROADCASTS) };
     let state = model.elect(model.new_cluster(), 0, ALL_MACHINES);
@@ -143,7 +146,8 @@
     model.starting_from(state)
 }
 
-/// The first machine leads again, two terms later; a response of the second to its first leadership is still in flight.
+/// The first machine leads again, two terms later; a response of the second to its first leadership is still
+/// in flight.
 fn late_response() -> ClusterModel {
     let injected_fault = Some(InjectedFault::AcceptStaleResponse);
     let model = ClusterModel { max_term: 4, candidates: &[2], injected_fault, ..at_once(READ) };
@@ -330,8 +334,8 @@
     assert_all_found(true);
 }
 
-/// From the same starts and within the same bounds the unbroken code has no violation. The lease without a margin is left
-/// out: its fault is in its bounds.
+/// From the same starts and within the same bounds the unbroken code has no violation. The lease without a
+/// margin is left out: its fault is in its bounds.
 fn assert_unbroken_is_clean(max_states: usize) {
     for case in all_cases().filter(|case| case.model.injected_fault.is_some()) {
         search(&format!("unbroken: {}", case.name), without_fault(case.model), max_states, &[]);
--- a/crates/gateway/src/consensus/model/invariants.rs
+++ b/crates/gateway/src/consensus/model/invariants.rs
@@ -92,8 +92,8 @@
     }
 }
 
-/// A machine leads: alone in its term, with all that was committed in earlier ones, and with one configuration change at
-/// a time.
+/// A machine leads: alone in its term, with all that was committed in earlier ones, and with one
+/// configuration change at a time.
 pub(super) fn check_leader(state: &mut ClusterState, raft: &Raft<u8>) {
     if !state.leaders.contains_key(&raft.term) {
         Arc::make_mut(&mut state.leaders).insert(raft.term, raft.id);
--- a/crates/gateway/src/consensus/model/mod.rs
+++ b/crates/gateway/src/consensus/model/mod.rs
@@ -1,9 +1,10 @@
-//! The replicated log as a state space for the model checker `stateright`: the very code of [`Raft`], with disks, unfinished
-//! writes and the messages in flight.
+//! The replicated log as a state space for the model checker `stateright`: the very code of [`Raft`], with
+//! disks, unfinished writes and the messages in flight.
 //!
-//! Time. Clocks stand still at [`NOW`]; instead of time passing, an [`Action::Tick`] makes all that is remembered older
-//! ([`time`]). So no field grows, and the state space is finite. Without clocks (`slow_clock` is `None`) nothing is bound
-//! by time: any machine may campaign at any moment, which is more than can happen.
+//! Time. Clocks stand still at [`NOW`]; instead of time passing, an [`Action::Tick`] makes all that is
+//! remembered older ([`time`]). So no field grows, and the state space is finite. Without clocks
+//! (`slow_clock` is `None`) nothing is bound by time: any machine may campaign at any moment, which is more
+//! than can happen.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -184,8 +185,8 @@
     /// The lease duration, in ticks.
     lease: Millis,
     injected_fault: Option<InjectedFault>,
-    /// Whether a message that is sent before what it claims is on disk is a violation of its own. Else only what comes of
-    /// it is one.
+    /// Whether a message that is sent before what it claims is on disk is a violation of its own. Else only
+    /// what comes of it is one.
     checks_durability: bool,
     /// The machines that may campaign.
     candidates: &'static [usize],
--- a/crates/gateway/src/consensus/model/network.rs
+++ b/crates/gateway/src/consensus/model/network.rs
@@ -3,8 +3,8 @@
 use super::*;
 use crate::consensus::raft::Role;
 
-/// Whether a message has no effect, now or later, whatever becomes of its receiver: the term on a disk never falls, and a
-/// member is candidate or leader once in a term.
+/// Whether a message has no effect, now or later, whatever becomes of its receiver: the term on a disk never
+/// falls, and a member is candidate or leader once in a term.
 pub(super) fn is_redundant(receiver: &Machine, message: &Message<u8>) -> bool {
     let (durable_term, raft) = (receiver.persisted.term, &receiver.raft);
     match message {
--- a/crates/gateway/src/consensus/model/random_walk.rs
+++ b/crates/gateway/src/consensus/model/random_walk.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// Of 256 steps, so many deliver a message or finish a write, if there is one: work is more frequent than faults.
+/// Of 256 steps, so many deliver a message or finish a write, if there is one: work is more frequent than
+/// faults.
 const WORK_STEPS_OF_256: u8 = 160;
 
 /// What walks came by.
--- a/crates/gateway/src/consensus/model/random_walk_tests.rs
+++ b/crates/gateway/src/consensus/model/random_walk_tests.rs
@@ -1,4 +1,5 @@
-//! Random walks of the unbroken code within wide bounds. `MODEL_WALKS`: seeds of the long form for each of them.
+//! Random walks of the unbroken code within wide bounds. `MODEL_WALKS`: seeds of the long form for each of
+//! them.
 
 use super::random_walk::{random_walk, random_walks, wide_models};
 use super::script::drop_messages;
@@ -35,8 +36,8 @@
     leaders.max_by_key(|m| state.machines[*m].raft.term())
 }
 
-/// Faults are over and all machines reach each other. Checks that the cluster comes to rest: with one leader, all machines
-/// voters, and all of them caught up.
+/// Faults are over and all machines reach each other. Checks that the cluster comes to rest: with one leader,
+/// all machines voters, and all of them caught up.
 fn comes_to_rest(model: &ClusterModel, state: ClusterState) -> Result<(), String> {
     let mut state = drop_messages(state);
     for _ in 0..20 {
--- a/crates/gateway/src/consensus/model/repair_tests.rs
+++ b/crates/gateway/src/consensus/model/repair_tests.rs
@@ -35,8 +35,8 @@
     assert_eq!(commit_index, last_index);
 }
 
-/// A leader that did not see a repair begin ends it none the less: a machine that has another disk now does not vote under
-/// the old one, even where no voter may be missing.
+/// A leader that did not see a repair begin ends it none the less: a machine that has another disk now does
+/// not vote under the old one, even where no voter may be missing.
 #[test]
 fn the_next_leader_finishes_a_repair() {
     let model = settled(ClusterModel { min_voters: 5, ..ClusterModel::default() });
--- a/crates/gateway/src/consensus/model/search.rs
+++ b/crates/gateway/src/consensus/model/search.rs
@@ -10,8 +10,8 @@
     std::env::var(name).ok().and_then(|s| s.parse().ok()).unwrap_or(default)
 }
 
-/// Searches all states, or `max_states` of them, and prints which: "closed" if all were seen, else "bounded". Panics on a
-/// violation, and if one of the properties `reached` is not.
+/// Searches all states, or `max_states` of them, and prints which: "closed" if all were seen, else "bounded".
+/// Panics on a violation, and if one of the properties `reached` is not.
 pub(super) fn search(name: &str, model: ClusterModel, max_states: usize, reached: &[&'static str]) {
     let start = Instant::now();
     let threads = env_or("MODEL_THREADS", 4) as usize;
@@ -34,7 +34,8 @@
     }
 }
 
-/// The violation that a search of `max_states` states finds. `shortest`: goes on until there is no shorter path to one.
+/// The violation that a search of `max_states` states finds. `shortest`: goes on until there is no shorter
+/// path to one.
 pub(super) fn find_violation(
     name: &str,
     model: &ClusterModel,
--- a/crates/gateway/src/consensus/model/search_tests.rs
+++ b/crates/gateway/src/consensus/model/search_tests.rs
@@ -1,7 +1,7 @@
 //! Searches of the unbroken code, part by part: each with bounds that let it see all states, or many.
 //!
-//! The ignored ones are long forms of the others: `MODEL_STATES` states of each part at most; `MODEL_PART`: only parts
-//! whose names contain this; `MODEL_THREADS` threads.
+//! The ignored ones are long forms of the others: `MODEL_STATES` states of each part at most; `MODEL_PART`:
+//! only parts whose names contain this; `MODEL_THREADS` threads.
 
 use super::search::{env_or, search};
 use super::starts::{settled, settled_with_clocks, third_lags, third_needs_snapshot};
@@ -100,11 +100,11 @@
         reached: SECOND_LEADER,
     };
     vec![
-        part("fencing, one candidate", &[1], Budget::NONE),
-        part("fencing, hand-over", &[1, 2], transfer),
-        part("fencing, crash", &[1, 2], crash_and_broadcast),
-        part("fencing, hand-over, one candidate", &[1], transfer),
-        part("fencing, crash, one candidate", &[1], crash),
+        part("lease, one candidate", &[1], Budget::NONE),
+        part("lease, transfer", &[1, 2], transfer),
+        part("lease, crash", &[1, 2], crash_and_broadcast),
+        part("lease, transfer, one candidate", &[1], transfer),
+        part("lease, crash, one candidate", &[1], crash),
     ]
 }
 
--- a/crates/gateway/src/consensus/model/time.rs
+++ b/crates/gateway/src/consensus/model/time.rs
@@ -1,5 +1,6 @@
-//! Keeps times, numbers of broadcasts and numbers of writes from growing. The code looks only at their differences, and
-//! whatever is older than every timeout has the same effect, so this takes no behaviour away.
+//! Keeps times, numbers of broadcasts and numbers of writes from growing. The code looks only at their
+//! differences, and whatever is older than every timeout has the same effect, so this takes no behaviour
+//! away.
 
 use super::{Machine, ELECTION_TIMEOUT, NOW};
 use crate::consensus::raft::Role;
--- a/crates/gateway/src/consensus/output.rs
+++ b/crates/gateway/src/consensus/output.rs
@@ -11,8 +11,9 @@
 /// An action for the driver, which performs them in the order in which they come out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output<C> {
-    /// Write all of these atomically and in this order, sync, then call [`super::Raft::on_persisted`] with `id`. Later
-    /// outputs need not wait for that: messages that depend on a write are held back until it is durable.
+    /// Write all of these atomically and in this order, sync, then call [`super::Raft::on_persisted`] with
+    /// `id`. Later outputs need not wait for that: messages that depend on a write are held back until it is
+    /// durable.
     Persist {
         /// Number of the batch.
         id: WriteId,
@@ -50,8 +51,8 @@
     Snapshot {
         /// The snapshot.
         snapshot: Snapshot,
-        /// Drop all other entries too: the snapshot came from a leader, and the stored log conflicts with it or ends
-        /// before it.
+        /// Drop all other entries too: the snapshot came from a leader, and the stored log conflicts with it
+        /// or ends before it.
         replaces_log: bool,
     },
 }
--- a/crates/gateway/src/consensus/persistence.rs
+++ b/crates/gateway/src/consensus/persistence.rs
@@ -1,8 +1,9 @@
 //! Write batches, and the messages that must wait for them.
 //!
-//! Raft answers RPCs only after the persistent state that the answer depends on is on stable storage (Raft paper, figure
-//! 2). Here writes are asynchronous: a message that was produced while the hard state (term and vote) is not durable yet
-//! is held back until it is; an acknowledgement of entries says only what is durable ([`Raft::durable_index`]).
+//! Raft answers RPCs only after the persistent state that the answer depends on is on stable storage (Raft
+//! paper, figure 2). Here writes are asynchronous: a message that was produced while the hard state (term and
+//! vote) is not durable yet is held back until it is; an acknowledgement of entries says only what is durable
+//! ([`Raft::durable_index`]).
 
 use super::{Entry, Index, InjectedFault, LogWrite, Message, Millis, NodeId, Output, Raft, Term, WriteId};
 use std::collections::VecDeque;
@@ -16,7 +17,7 @@
     pub issued_at: Millis,
 }
 
-/// A message that waits until the hard state that it speaks of is durable.
+/// A message that waits until the hard state that it depends on is durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct HeldMessage<C> {
     /// The write batch with that hard state; `None` until the batch is issued.
@@ -36,11 +37,15 @@
 pub(super) struct WriteQueue<C> {
     /// Writes of the input that is being handled: the next batch.
     pub unissued: Vec<LogWrite<C>>,
+    /// The latest batch that was handed to the driver.
     pub last_issued: WriteId,
+    /// The latest batch that is durable.
     pub last_durable: WriteId,
+    /// The batches between these two, oldest first.
     pub pending: VecDeque<PendingWrite>,
     /// The latest batch with a hard state.
     pub hard_state_write: WriteId,
+    /// Messages that wait for a hard state, oldest first.
     pub held_messages: VecDeque<HeldMessage<C>>,
 }
 
@@ -109,7 +114,7 @@
         let id = queue.last_issued;
         if has_hard_state {
             queue.hard_state_write = id;
-            // These were produced after the term changed, and speak of it.
+            // These were produced after the hard state changed, and depend on it.
             for held in queue.held_messages.iter_mut().filter(|held| held.after.is_none()) {
                 held.after = Some(id);
             }
--- a/crates/gateway/src/consensus/progress.rs
+++ b/crates/gateway/src/consensus/progress.rs
@@ -7,13 +7,13 @@
 pub(super) struct Progress {
     /// The next entry to send; optimistic, and > `match_index`.
     pub next_index: Index,
-    /// The peer's log is durable and equal to the leader's up to here. Never falls within a term, because the peer
-    /// acknowledges only what is on its disk.
+    /// The peer's log is durable and equal to the leader's up to here. Never falls within a term, because the
+    /// peer acknowledges only what is on its disk.
     pub match_index: Index,
     /// The newest broadcast that the peer responded to.
     pub acked_heartbeat_seq: u64,
-    /// When that broadcast was sent. Leases count from the sending: the peer received it at that time or later, so it
-    /// votes for nobody else until an election timeout after it.
+    /// When that broadcast was sent. Leases count from the sending: the peer received it at that time or
+    /// later, so it votes for nobody else until an election timeout after it.
     pub contact_at: Millis,
     /// When any response of the peer last arrived.
     pub heard_at: Millis,
@@ -38,8 +38,8 @@
     }
 }
 
-/// A snapshot transfer. It goes on with the same snapshot until the peer has it, also if the leader compacts meanwhile:
-/// else frequent compaction would keep a slow peer from ever finishing.
+/// A snapshot transfer. It goes on with the same snapshot until the peer has it, also if the leader compacts
+/// meanwhile: else frequent compaction would keep a slow peer from ever finishing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct SnapshotTransfer {
     pub snapshot: Snapshot,
--- a/crates/gateway/src/consensus/quorum.rs
+++ b/crates/gateway/src/consensus/quorum.rs
@@ -4,14 +4,15 @@
 use super::raft::Role;
 use super::{InjectedFault, NodeId, Raft, VoterSet};
 
-/// Whether `count` of `voters` members are a majority. Any two majorities of one configuration, or of two that differ by
-/// one member, have a member in common; all safety arguments rest on that (Raft paper, 5.2; dissertation, 4.1).
+/// Whether `count` of `voters` members are a majority. Any two majorities of one configuration, or of two
+/// that differ by one member, have a member in common; all safety arguments rest on that (Raft paper, 5.2;
+/// dissertation, 4.1).
 pub(super) fn is_majority(count: usize, voters: usize) -> bool {
     2 * count > voters
 }
 
-/// The highest value that a majority of `voters` members has reached, of the values of all of them; the default without
-/// members.
+/// The highest value that a majority of `voters` members has reached, of the values of all of them; the
+/// default without members.
 fn reached_by_majority<T: Ord + Copy + Default>(mut values: Vec<T>, voters: usize) -> T {
     values.sort_unstable();
     // In ascending order: a majority is at or above this one.
@@ -20,8 +21,8 @@
 }
 
 impl<C: Clone> Raft<C> {
-    /// The highest value that a majority of the voters has reached, where `own` is this leader's and `value_of` that of a
-    /// peer. The default if this member is not the leader.
+    /// The highest value that a majority of the voters has reached, where `own` is this leader's and
+    /// `value_of` that of a peer. The default if this member is not the leader.
     pub(super) fn quorum_value<T: Ord + Copy + Default>(
         &self,
         own: T,
--- a/crates/gateway/src/consensus/raft.rs
+++ b/crates/gateway/src/consensus/raft.rs
@@ -1,5 +1,5 @@
-//! A member of the replicated log: its state, its inputs, and what others may ask of it. The rules of the protocol are in
-//! the sibling modules, one concern each.
+//! A member of the replicated log: its state, its inputs, and what others may ask of it. The rules of the
+//! protocol are in the sibling modules, one concern each.
 
 use super::election::VoteRequest;
 use super::follower::{IncomingSnapshot, SnapshotChunk};
@@ -43,26 +43,31 @@
     /// The highest index that was handed out as [`Output::Apply`] or [`Output::InstallSnapshot`].
     pub(super) applied_index: Index,
     pub(super) role: Role,
+    /// The leader of `term`, if it is known.
     pub(super) leader_id: Option<NodeId>,
     /// When the leader of this or an earlier term was last heard.
     pub(super) leader_heard_at: Option<Millis>,
     /// The newest broadcast of this term's leader that was seen.
     pub(super) seen_heartbeat_seq: u64,
-    /// The latest time of this member's own clock at which a leader in contact with a quorum is known to have led: the
-    /// newest echoed clock.
+    /// The latest time of this member's own clock at which a leader in contact with a quorum is known to have
+    /// led: the newest echoed clock.
     pub(super) quorum_confirmed_at: Option<Millis>,
-    /// The highest commit index that a leader told; may be ahead of this log.
+    /// The highest commit index that a leader has announced; may be ahead of this log.
     pub(super) leader_commit: Index,
-    /// The log is equal to that of this term's leader up to here. Entries beyond it may be of a term that came to
-    /// nothing, so they don't count as committed whatever the leader's commit index is.
+    /// The log is equal to that of this term's leader up to here. Entries beyond it may be of a term that
+    /// came to nothing, so they don't count as committed whatever the leader's commit index is.
     pub(super) verified_index: Index,
+    /// A snapshot of this term's leader, of which not all chunks have come.
     pub(super) incoming_snapshot: Option<IncomingSnapshot>,
     /// Members that announced that their process ends, and until when that is remembered.
     pub(super) departing: BTreeMap<NodeId, Millis>,
+    /// When this process started.
     pub(super) started_at: Millis,
+    /// When an election starts unless a leader is heard before.
     pub(super) election_deadline: Millis,
     pub(super) write_queue: WriteQueue<C>,
     pub(super) last_read_id: ReadId,
+    /// What the driver has not taken yet.
     pub(super) outputs: Vec<Output<C>>,
     pub(super) injected_fault: Option<InjectedFault>,
 }
@@ -105,8 +110,8 @@
         raft
     }
 
-    /// Starts a new cluster: appends the initial configuration. To be called on each of its members, with the same
-    /// voters; has no effect on a member that has a log or a term already.
+    /// Starts a new cluster: appends the initial configuration. To be called on each of its members, with the
+    /// same voters; has no effect on a member that has a log or a term already.
     pub fn bootstrap(&mut self, now: Millis, voters: VoterSet) {
         if self.log.last_index() > 0 || self.term > 0 {
             return;
@@ -167,8 +172,8 @@
         self.log.term(index)
     }
 
-    /// The voters of the latest configuration in the log, committed or not (dissertation, 4.1: a server always uses
-    /// the latest configuration in its log).
+    /// The voters of the latest configuration in the log, committed or not (dissertation, 4.1: a server
+    /// always uses the latest configuration in its log).
     pub fn voters(&self) -> VoterSet {
         self.log.configuration().voters
     }
@@ -199,7 +204,8 @@
         leader.peers.iter().map(status).collect()
     }
 
-    /// The voters that are known to this leader to have all entries up to `index` on disk; empty on other members.
+    /// The voters that are known to this leader to have all entries up to `index` on disk; empty on other
+    /// members.
     pub fn voters_with(&self, index: Index) -> Vec<NodeId> {
         let Role::Leader(leader) = &self.role else { return Vec::new() };
         let voters = self.voters();
@@ -208,8 +214,8 @@
         others.map(|(id, _)| *id).chain(own).collect()
     }
 
-    /// Whether a snapshot transfer to a peer is going on. Compacting the log now would make that peer need the next
-    /// snapshot as soon as it has this one.
+    /// Whether a snapshot transfer to a peer is going on. Compacting the log now would make that peer need
+    /// the next snapshot as soon as it has this one.
     pub fn is_sending_snapshot(&self) -> bool {
         matches!(&self.role, Role::Leader(leader) if leader.peers.values().any(|p| p.transfer.is_some()))
     }
@@ -221,7 +227,8 @@
 
     // Inputs. Each ends with `issue_writes`: what it changed becomes one atomic write batch.
 
-    /// Lets time pass: heartbeats, elections, configuration changes. To be called several times per heartbeat interval.
+    /// Lets time pass: heartbeats, elections, configuration changes. To be called several times per heartbeat
+    /// interval.
     pub fn tick(&mut self, now: Millis) {
         match &self.role {
             Role::Leader(_) => self.tick_leader(now),
@@ -317,8 +324,8 @@
         self.issue_writes(now);
     }
 
-    /// Appends a command to the log. Returns where: the command is committed if and only if an entry with this index and
-    /// term is applied. `None` if this member is not the leader, or hands the leadership over.
+    /// Appends a command to the log. Returns where: the command is committed if and only if an entry with
+    /// this index and term is applied. `None` if this member is not the leader, or hands the leadership over.
     pub fn propose(&mut self, now: Millis, command: C) -> Option<LogPosition> {
         let Role::Leader(leader) = &self.role else { return None };
         if leader.transfer.is_some() {
@@ -335,8 +342,8 @@
         self.compact(now, self.applied_index, data);
     }
 
-    /// Compacts the log: `data`, the state machine's state as of the applied entry `index`, replaces the entries up to
-    /// there (Raft paper, 7). Has no effect if a snapshot covers that entry already.
+    /// Compacts the log: `data`, the state machine's state as of the applied entry `index`, replaces the
+    /// entries up to there (Raft paper, 7). Has no effect if a snapshot covers that entry already.
     pub fn compact(&mut self, now: Millis, index: Index, data: bytes::Bytes) {
         let index = index.min(self.applied_index);
         let is_newer = index > self.log.snapshot_position().index;
--- a/crates/gateway/src/consensus/read_index.rs
+++ b/crates/gateway/src/consensus/read_index.rs
@@ -1,8 +1,9 @@
 //! Linearizable reads by read index (dissertation, 6.4).
 //!
-//! A leader may answer a read from its state machine once it has confirmed, by a broadcast that was sent after the read
-//! came in and that a majority responded to, that it was still the leader then. Every write that was acknowledged before
-//! the read is committed, and a leader that has committed in its own term has applied all of these.
+//! A leader may answer a read from its state machine once it has confirmed, by a broadcast that was sent
+//! after the read came in and that a majority responded to, that it was still the leader then. Every write
+//! that was acknowledged before the read is committed, and a leader that has committed in its own term has
+//! applied all of these.
 
 use super::raft::Role;
 use super::{InjectedFault, Millis, Output, Raft, ReadId};
@@ -16,8 +17,8 @@
 }
 
 impl<C: Clone> Raft<C> {
-    /// Begins a linearizable read. [`Output::ReadReady`] with the returned number says when it may be answered; it never
-    /// comes if the leadership is lost before. `None` if this member is not the leader.
+    /// Begins a linearizable read. [`Output::ReadReady`] with the returned number says when it may be
+    /// answered; it never comes if the leadership is lost before. `None` if this member is not the leader.
     pub fn read_index(&mut self, now: Millis) -> Option<ReadId> {
         let Role::Leader(_) = &self.role else { return None };
         self.last_read_id += 1;
@@ -32,8 +33,8 @@
         Some(id)
     }
 
-    /// Releases the reads that a majority has confirmed. Before the first commit in this term none: until then the
-    /// leader may not know of all that is committed.
+    /// Releases the reads that a majority has confirmed. Before the first commit in this term none: until
+    /// then the leader may not know of all that is committed.
     pub(super) fn release_reads(&mut self) {
         let confirmed_seq = match self.has_fault(InjectedFault::ReadWithoutQuorum) {
             true => u64::MAX,
--- a/crates/gateway/src/consensus/tests/cluster.rs
+++ b/crates/gateway/src/consensus/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! A simulated cluster: machines with disks, and a network that delays, loses and reorders messages. Each observation is
-//! checked against those before it.
+//! A simulated cluster: machines with disks, and a network that delays, loses and reorders messages. Each
+//! observation is checked against those before it.
 
 use super::apply_writes;
 use crate::consensus::*;
@@ -64,7 +64,7 @@
     value: Option<u64>,
 }
 
-pub(super) struct Machine {
+struct Machine {
     /// `None` while the process is down.
     raft: Option<Raft<u64>>,
     disk: u64,
@@ -76,8 +76,8 @@
     applied_values: HashSet<u64>,
     /// So many of the confirmed values were found by an earlier read of this process.
     checked: usize,
-    pub disk_stalled_until: Millis,
-    pub cut_off_until: Millis,
+    disk_stalled_until: Millis,
+    cut_off_until: Millis,
 }
 
 struct InFlightMessage {
@@ -103,9 +103,9 @@
 
 /// The machines, the network between them, and what was observed.
 pub(super) struct Cluster {
-    pub now: Millis,
+    now: Millis,
     pub rng: fastrand::Rng,
-    pub machines: Vec<Machine>,
+    machines: Vec<Machine>,
     network: Vec<InFlightMessage>,
     committed: HashMap<Index, CommittedEntry>,
     proposed: u64,
@@ -382,8 +382,8 @@
         self.run_until(self.now + span);
     }
 
-    /// Without new faults the cluster recovers: it commits, all machines vote, members that are gone don't, and nothing
-    /// that was confirmed is lost.
+    /// Without new faults the cluster recovers: it commits, all machines vote, members that are gone don't,
+    /// and nothing that was confirmed is lost.
     pub fn assert_recovers(&mut self, context: &str) {
         let (at, confirmed) = (self.now, self.confirmed.len());
         self.proposed = 0;
@@ -440,6 +440,23 @@
         }
     }
 
+    fn begin_cut_off(&mut self, m: usize, span: Millis) {
+        self.machines[m].cut_off_until = self.now + span;
+    }
+
+    /// No message reaches a machine or leaves it.
+    pub fn cut_off(&mut self, m: usize, span: Millis) {
+        self.begin_cut_off(m, span);
+        self.run_for(span);
+    }
+
+    /// No write of a machine finishes.
+    pub fn stall_disk(&mut self, m: usize, span: Millis) {
+        self.machines[m].disk_stalled_until = self.now + span;
+        self.run_for(span);
+    }
+
+    /// The leader, if there is one, hands the leadership over.
     pub fn transfer_leadership(&mut self, span: Millis) {
         let now = self.now;
         let mut running = self.machines.iter_mut().filter_map(|m| m.raft.as_mut());
@@ -451,7 +468,7 @@
 
     /// A machine is cut off, and a process is killed meanwhile.
     pub fn cut_off_and_kill(&mut self, m: usize, span: Millis) {
-        self.machines[m].cut_off_until = self.now + span;
+        self.begin_cut_off(m, span);
         self.run_for(span / 2);
         let killed = self.rng.usize(0..self.machines.len());
         self.kill(killed, false, false);
--- a/crates/gateway/src/consensus/tests/mod.rs
+++ b/crates/gateway/src/consensus/tests/mod.rs
@@ -1,6 +1,7 @@
-//! Randomised runs of a small cluster, by seed: messages that are delayed, lost and reordered, disks that stall, processes
-//! that are killed, disks that are lost, machines that are cut off. Checked throughout: what is committed is the same
-//! everywhere and for good, reads are linearizable, and nobody holds a lease beside another.
+//! Randomised runs of a small cluster, by seed: messages that are delayed, lost and reordered, disks that
+//! stall, processes that are killed, disks that are lost, machines that are cut off. Checked throughout: what
+//! is committed is the same everywhere and for good, reads are linearizable, and nobody holds a lease beside
+//! another.
 
 mod cluster;
 
@@ -34,14 +35,8 @@
         let span = cluster.rng.u64(100..4000);
         match fault {
             0 => cluster.lose_power(m, span),
-            1 => {
-                cluster.machines[m].cut_off_until = cluster.now + 2 * span;
-                cluster.run_for(2 * span);
-            }
-            2 => {
-                cluster.machines[m].disk_stalled_until = cluster.now + span;
-                cluster.run_for(span);
-            }
+            1 => cluster.cut_off(m, 2 * span),
+            2 => cluster.stall_disk(m, span),
             3 => cluster.lose_power_everywhere(None, span / 4),
             4 => cluster.transfer_leadership(span / 4),
             5 => cluster.lose_power_everywhere(Some(m).filter(|_| machine_count > 1), span / 4),
@@ -67,9 +62,9 @@
     }
 }
 
-/// Guards leases across restarts: the leader that may rely on a member is on that member's disk before the leader hears
-/// that it is followed. So after a restart the member is bound to that leader only, and not for longer than the leader
-/// may rely on it.
+/// Guards leases across restarts: the leader that may rely on a member is on that member's disk before the
+/// leader hears that it is followed. So after a restart the member is bound to that leader only, and not for
+/// longer than the leader may rely on it.
 #[test]
 fn after_a_restart_a_follower_votes_for_nobody_but_its_last_leader_within_the_election_timeout() {
     let id = |n| NodeId { ip: ip(n), disk: 0 };
