--- a/crates/gateway/src/control_plane/api_calls.rs
+++ b/crates/gateway/src/control_plane/api_calls.rs
@@ -84,3 +84,7 @@
         Effect::Respond(call, 200, json!({}))
     }
 }
+
+#[cfg(test)]
+#[path = "api_calls_tests.rs"]
+mod tests;
--- a/crates/gateway/src/control_plane/calls_tests.rs
+++ b/crates/gateway/src/control_plane/api_calls_tests.rs
@@ -1,6 +1,6 @@
 //! Calls at a core node that is out of contact with a majority, or has just started.
 
-use super::{ApiCommand, CoreNode, Effect, Event, TICK_SECS};
+use crate::control_plane::{ApiCommand, CoreNode, Effect, Event, TICK_SECS};
 use crate::protocol::PeerMessage;
 use crate::settings::Settings;
 use crate::storage::LoadedState;
@@ -14,7 +14,8 @@
     IpAddr::from([10, 0, 1, n])
 }
 
-/// The first of these seeds, five seconds after the first start of the system. Its disk syncs at once; no other node answers.
+/// The first of these seeds, five seconds after the first start of the system. Its disk syncs at once; no other node
+/// answers.
 fn started_node(seeds: &[u8]) -> CoreNode {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.cold_start) = (ip(1), true);
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -1,12 +1,12 @@
 //! Operators' calls on their way through the replicated log, and the configuration that is applied at this node.
 //!
-//! A call at a follower is forwarded to the leader. The leader proposes a change as a log entry; every member judges the
-//! committed entry alike, so a change is accepted or rejected by its position in the log and by nothing else. The leader
-//! acknowledges an accepted change only once enough disks hold it to survive the tolerated losses, which may be more
-//! than a majority. Reads and rejections need no entry, but a majority that confirms the leader after the call came (the
-//! Raft paper, section 8): a deposed leader would answer from stale state.
+//! A call at a follower is forwarded to the leader. The leader proposes a change as a log entry; every member judges
+//! the committed entry alike, so a change is accepted or rejected by its position in the log and by nothing else. The
+//! leader acknowledges an accepted change only once enough disks hold it to survive the tolerated losses, which may be
+//! more than a majority. Reads and rejections need no entry, but a majority that confirms the leader after the call
+//! came (the Raft paper, section 8): a deposed leader would answer from stale state.
 //!
-//! A call that is not decided within [`CALL_TIMEOUT_SECS`] gets 503: it may or may not take effect.
+//! A call that is not decided within `CALL_TIMEOUT_SECS` gets 503: it may or may not take effect.
 
 use super::{error_body, CallId, ConnectionId, CoreContext, Effect};
 use crate::configuration::state::ChangeOutcome;
@@ -24,7 +24,7 @@
 /// Seconds after which an undecided call is answered with 503, so that its caller can try another node in time.
 const CALL_TIMEOUT_SECS: f64 = 0.85;
 
-/// What a call waits for.
+/// What a call waits for. The texts are part of the operators' interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitStage {
     /// A majority to commit its entry.
@@ -96,6 +96,14 @@
     deadline: f64,
 }
 
+/// A committed change that changed something.
+pub struct AppliedChange {
+    /// Index of the entry that changed the configuration before.
+    pub previous: Index,
+    /// The items as they are now.
+    pub items: Vec<Arc<ConfigItem>>,
+}
+
 /// The configuration at this node, and the calls that wait for the log. Times are seconds of the event clock.
 #[derive(Default)]
 pub struct ConfigurationService {
@@ -119,8 +127,8 @@
         ConfigurationService { state, applied, ..ConfigurationService::default() }
     }
 
-    /// An operator's call at this node: submitted here if this node leads, else forwarded to a reachable leader. Without
-    /// one the caller gets 503 at once.
+    /// An operator's call at this node: submitted here if this node leads, else forwarded to a reachable leader.
+    /// Without one the caller gets 503 at once.
     pub fn handle_call(
         &mut self,
         call: CallId,
@@ -237,8 +245,7 @@
         out.push(Effect::Respond(call, status, body));
     }
 
-    /// Applies a committed change, and responds if the call waits here. Returns the items that changed, with the index
-    /// of the change before, or `None` if none did.
+    /// Applies a committed change, and responds if the call waits here. `None`: it was rejected, or changed nothing.
     pub fn apply(
         &mut self,
         position: LogPosition,
@@ -246,7 +253,7 @@
         raft: &Raft<LogCommand>,
         context: &mut CoreContext,
         out: &mut Vec<Effect>,
-    ) -> Option<(Index, Vec<Arc<ConfigItem>>)> {
+    ) -> Option<AppliedChange> {
         let previous = self.state.index();
         let outcome = self.state.apply(position.index, change);
         self.applied = position.index;
@@ -265,7 +272,7 @@
         if let Some(proposed) = self.proposed.remove(&position.index) {
             self.resolve_proposed(position, proposed, response, raft, context, out);
         }
-        (!changed.is_empty()).then_some((previous, changed))
+        (!changed.is_empty()).then_some(AppliedChange { previous, items: changed })
     }
 
     /// The entry at a proposed change's index is committed.
--- a/crates/gateway/src/control_plane/context.rs
+++ b/crates/gateway/src/control_plane/context.rs
@@ -1,8 +1,8 @@
-//! State that all parts of the core role share: this node's identity and settings, the core nodes that it knows, and which
-//! of them it is in contact with.
+//! State that all parts of the core role share: this node's identity and settings, the core nodes that it knows, and
+//! which of them it is in contact with.
 //!
-//! Only voters count towards a majority. Nodes known by hearsay, seeds among them, never do: otherwise a wiped node beside a
-//! partitioned one could act as the core.
+//! Only voters count towards a majority. Nodes known by hearsay, seeds among them, never do: otherwise a wiped node
+//! beside a partitioned one could act as the core.
 
 use crate::consensus::Millis;
 use crate::control_plane::event_journal::EventJournal;
@@ -17,11 +17,22 @@
 const ADVERTISED_WITHIN_SECS: f64 = 10.0;
 /// A core node that neither votes nor is a seed is forgotten after this many seconds of silence.
 const FORGET_AFTER_SECS: f64 = 60.0;
-/// The log's clock starts at a random number of milliseconds below this, in steps of [`EPOCH_STEP_MS`].
+/// The log's clock starts at a random number of milliseconds below this...
 const EPOCH_LIMIT_MS: Millis = 1 << 40;
-/// Over four hours, so that clocks of two incarnations of a process hardly ever overlap.
+/// ...rounded down to a multiple of this, over four hours.
 const EPOCH_STEP_MS: Millis = 1 << 24;
 
+/// What [`CoreContext::learn_node`] did.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LearnOutcome {
+    /// The node was unknown.
+    NewNode,
+    /// The node was known, but not its location.
+    NewLocation,
+    /// Nothing new.
+    Unchanged,
+}
+
 /// What the parts of the core role share.
 pub struct CoreContext {
     /// The settings in force.
@@ -103,8 +114,8 @@
         2 * reachable > self.voters.len()
     }
 
-    /// Whether data on these nodes outlives every loss that the settings tolerate: they are more nodes, in more zones and
-    /// more regions, than may be lost at once.
+    /// Whether data on these nodes outlives every loss that the settings tolerate: they are more nodes, in more zones
+    /// and more regions, than may be lost at once.
     pub fn survives_tolerated_losses<'a>(&self, holders: impl Iterator<Item = &'a IpAddr>) -> bool {
         let (mut nodes, mut zones, mut regions) = (0, BTreeSet::new(), BTreeSet::new());
         for ip in holders {
@@ -117,17 +128,17 @@
         nodes > tolerance.machines && zones.len() > tolerance.zones && regions.len() > tolerance.regions
     }
 
-    /// Takes note of a core node or of its location. `None`: nothing new; `Some(true)`: the node was unknown.
-    pub fn learn_node(&mut self, node: NodeLocation) -> Option<bool> {
+    /// Takes note of a core node and its location. A location once known stays.
+    pub fn learn_node(&mut self, node: NodeLocation) -> LearnOutcome {
         let known = self.known_nodes.get(&node.ip);
         let adds_nothing = known.is_some_and(|known| !known.zone.is_empty() || node.zone.is_empty());
         if node.ip == self.me.ip || adds_nothing {
-            return None;
+            return LearnOutcome::Unchanged;
         }
-        let is_new = known.is_none();
+        let outcome = if known.is_none() { LearnOutcome::NewNode } else { LearnOutcome::NewLocation };
         self.learned_at.insert(node.ip, self.now);
         self.known_nodes.insert(node.ip, node);
-        Some(is_new)
+        outcome
     }
 
     /// The core nodes that this one tells others about: itself, the voters, and those that it has heard itself lately.
--- a/crates/gateway/src/control_plane/event_journal.rs
+++ b/crates/gateway/src/control_plane/event_journal.rs
@@ -1,5 +1,5 @@
 //! The core node's event journal: the latest events in memory, in the order in which they happened, for `GET
-//! /whinstall/journal`. It is for diagnosis only; nothing is decided by it, and it is bounded by [`MAX_EVENTS`].
+//! /whinstall/journal`. It is for diagnosis only; nothing is decided by it, and it is bounded by `MAX_EVENTS`.
 
 use super::configuration_service::WaitStage;
 use crate::configuration::ConfigItem;
@@ -97,7 +97,7 @@
 }
 
 impl EventJournal {
-    /// Appends an event that happened at `now`, and drops the oldest beyond [`MAX_EVENTS`].
+    /// Appends an event that happened at `now`, and drops the oldest beyond `MAX_EVENTS`.
     pub fn append(&mut self, now: f64, event: JournalEvent) {
         self.appended += 1;
         self.entries.push_back(JournalEntry { number: self.appended, at: now, event });
@@ -107,15 +107,15 @@
     }
 
     /// Merges a worker into the registry, and appends it if that changed the registry: mere signs of life are not
-    /// recorded. `keep` is how long the registry remembers an ended worker, in seconds.
+    /// recorded. `keep_secs` is how long the registry remembers a worker that has left or is unresponsive.
     pub fn merge_worker(
         &mut self,
         now: f64,
         worker: Worker,
         registry: &mut WorkerRegistry,
-        keep: f64,
+        keep_secs: f64,
     ) -> MergeOutcome {
-        let outcome = registry.merge(now, worker.clone(), keep);
+        let outcome = registry.merge(now, worker.clone(), keep_secs);
         if outcome == MergeOutcome::Changed {
             self.append(now, JournalEvent::Worker(worker));
         }
@@ -133,3 +133,7 @@
         json!({ "appended": self.appended, "facts": self.entries.iter().map(render_entry).collect::<Vec<_>>() })
     }
 }
+
+#[cfg(test)]
+#[path = "event_journal_tests.rs"]
+mod tests;
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -1,14 +1,14 @@
-//! The core role (control plane) as one deterministic state machine: events in, effects out, with time passed in as seconds
-//! of a monotonic clock.
+//! The core role (control plane) as one deterministic state machine: events in, effects out, with time passed in as
+//! seconds of a monotonic clock.
 //!
 //! One replicated log orders configuration changes, the membership of the core and the recorded quota ceilings
-//! ([`configuration_service`], [`replicated_log`], [`quota_lease`]). Workers spread between core nodes by gossip, without
-//! waiting for a disk ([`worker_membership`]). Edges are sent what they lack ([`edge_sessions`]).
+//! ([`configuration_service`], `replicated_log`, [`quota_lease`]). Workers spread between core nodes by gossip, without
+//! waiting for a disk ([`worker_membership`]). Edges are sent what they lack (`edge_sessions`).
 //!
 //! Invariants:
 //! - Nothing is acknowledged before enough disks hold it to survive the losses that the settings tolerate.
-//! - A node without contact to a majority neither answers for workers nor sends a complete configuration: a starting edge
-//!   would take stale state for the newest.
+//! - A node without contact to a majority neither answers for workers nor sends a complete configuration: a starting
+//!   edge would take stale state for the newest.
 
 mod api_calls;
 mod change_tracker;
@@ -17,8 +17,6 @@
 mod edge_directory;
 mod edge_sessions;
 pub mod event_journal;
-#[cfg(test)]
-mod event_journal_tests;
 mod events;
 mod in_flight_window;
 mod peer_messages;
@@ -88,10 +86,12 @@
     /// Core nodes to which an outbound connection is up.
     connected_peers: BTreeSet<IpAddr>,
     member_states: MemberStates,
+    /// Times of the latest periodic work, in seconds of the event clock.
     last_tick: f64,
     last_ping: f64,
     last_cleanup: f64,
-    /// Set when this node can't go on: a leader sent a snapshot that this release can't decode. The driver ends the process.
+    /// Set when this node can't go on: a leader sent a snapshot that this release can't decode. The driver ends the
+    /// process.
     pub fatal_error: Option<SnapshotError>,
 }
 
@@ -109,7 +109,7 @@
         let applied = loaded.raft.snapshot.as_ref().map_or(0, |s| s.index);
         let snapshot_bytes = loaded.raft.snapshot.as_ref().map_or(0, |s| s.data.len());
         let me = NodeId { ip: context.me.ip, disk: loaded.disk };
-        let is_empty = loaded.raft.log.is_empty() && loaded.raft.snapshot.is_none();
+        let has_no_log = loaded.raft.log.is_empty() && loaded.raft.snapshot.is_none();
         let raft =
             Raft::new(context.log_time(now), me, loaded.raft, replicated_log::raft_config(&context.settings));
         let mut core = CoreNode {
@@ -134,7 +134,7 @@
         // First start of the whole system: each seed bootstraps the log with disk 0 of every seed. A seed that crashed
         // before this was synced does so again, although its settings no longer say that this is the first start.
         let settings = &core.context.settings;
-        if is_empty && loaded.disk == 0 && settings.is_seed() {
+        if has_no_log && loaded.disk == 0 && settings.is_seed() {
             let seeds = settings.seeds.iter().map(|s| NodeId { ip: s.ip(), disk: 0 }).collect();
             core.raft.bootstrap(core.context.log_time(now), seeds);
         }
@@ -195,7 +195,3 @@
 fn tenant_limit(state: &ConfigState, tenant: &str) -> Option<TenantLimit> {
     state.quota(tenant).map(|(rate, burst)| TenantLimit { rate, burst })
 }
-
-#[cfg(test)]
-#[path = "calls_tests.rs"]
-mod calls_tests;
--- a/crates/gateway/src/control_plane/peer_messages.rs
+++ b/crates/gateway/src/control_plane/peer_messages.rs
@@ -1,9 +1,10 @@
 //! Messages of other nodes: from core nodes on the connections that this process opened, and from edges and core nodes
-//! on the connections that they opened. Consensus messages are passed on to [`replicated_log`](super::replicated_log),
-//! an edge's state to [`edge_sessions`](super::edge_sessions).
+//! on the connections that they opened. Consensus messages are passed on to `replicated_log`,
+//! an edge's state to `edge_sessions`.
 
 use super::{tenant_limit, ConnectionId, CoreNode, Effect};
 use crate::consensus::Term;
+use crate::control_plane::context::LearnOutcome;
 use crate::discovery::Worker;
 use crate::protocol::{NodeLocation, PeerMessage, TenantUsage};
 use crate::storage::WriteBatch;
@@ -19,7 +20,8 @@
 }
 
 impl CoreNode {
-    /// The outbound connection to a core node is up: introduce this node, then send the core nodes and workers known here.
+    /// The outbound connection to a core node is up: introduce this node, then send the core nodes and workers known
+    /// here.
     pub(super) fn handle_link_up(&mut self, ip: IpAddr, out: &mut Vec<Effect>) {
         self.connected_peers.insert(ip);
         let hello = PeerMessage::Hello {
@@ -143,9 +145,9 @@
         let mut has_changed = false;
         for node in nodes {
             let (ip, zone) = (node.ip, node.zone.clone());
-            let Some(is_new) = self.context.learn_node(node) else { continue };
-            has_changed = true;
-            if is_new {
+            let outcome = self.context.learn_node(node);
+            has_changed |= outcome != LearnOutcome::Unchanged;
+            if outcome == LearnOutcome::NewNode {
                 tracing::info!(member = %ip, zone, "core node discovered");
                 out.push(Effect::Connect(ip));
             }
@@ -173,15 +175,15 @@
         self.send_worker_updates_to_peers(&changed, out);
     }
 
-    /// Workers that another core node sent: edges learn what changed. The core nodes learn only of workers that the sender
-    /// holds as unresponsive although this node has heard of them since.
+    /// Workers that another core node sent: edges learn what changed. The core nodes learn only of workers that the
+    /// sender holds as unresponsive although this node has heard of them since.
     fn merge_relayed_workers(&mut self, now: f64, workers: Vec<Worker>, out: &mut Vec<Effect>) {
         let (_, contested) = self.merge_workers(now, workers, out);
         self.send_worker_updates_to_peers(&contested, out);
     }
 
-    /// Merges workers into the registry, persists what changed and sends it to the edges. Returns what changed, and what
-    /// the sender wrongly holds as unresponsive.
+    /// Merges workers into the registry, persists what changed and sends it to the edges. Returns what changed, and
+    /// what the sender wrongly holds as unresponsive.
     fn merge_workers(
         &mut self,
         now: f64,
@@ -205,8 +207,8 @@
         }
     }
 
-    /// Persists workers without waiting for the sync: after a power loss the node starts with as many as were synced, and
-    /// heartbeats and peers bring the rest.
+    /// Persists workers without waiting for the sync: after a power loss the node starts with as many as were synced,
+    /// and heartbeats and peers bring the rest.
     pub(super) fn persist_workers(&mut self, workers: &[Worker], out: &mut Vec<Effect>) {
         if !workers.is_empty() {
             let number = self.context.next_id();
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -26,6 +26,12 @@
 const LEASE_MS: Millis = 600;
 /// A write that takes longer than this counts as a hanging disk.
 const DISK_HANG_MS: Millis = 500;
+/// Entries that the leader puts into one message, at most.
+const MAX_ENTRIES_PER_MESSAGE: usize = 64;
+/// A snapshot is sent to another member in pieces of this size...
+const SNAPSHOT_PIECE_BYTES: usize = 128 * 1024;
+/// ...with this many of them unacknowledged, at most.
+const MAX_PIECES_IN_FLIGHT: usize = 8;
 /// A node that hears no leader asks to join this often, in seconds.
 const JOIN_INTERVAL_SECS: f64 = 0.3;
 /// The log is compacted once its commands take more bytes than this, and than the last snapshot...
@@ -44,8 +50,8 @@
 const EDGE_CEILINGS_BYTES: usize = 40;
 const TENANT_CEILING_BYTES: usize = 20;
 
-/// Index and term of an entry, which identify it: two logs that hold an entry with the same position hold the same entry
-/// (the Raft paper's log matching property, section 5.3).
+/// Index and term of an entry, which identify it: two logs that hold an entry with the same position hold the same
+/// entry (the Raft paper's log matching property, section 5.3).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogPosition {
     /// Its index.
@@ -63,8 +69,8 @@
 /// The log's parameters, by the deployment's settings.
 pub fn raft_config(settings: &Settings) -> RaftConfig {
     let tolerance = settings.tolerance;
-    // A zone or region that is lost may take several voters with it; never fewer voters are kept than a majority of
-    // which outlives as many single losses.
+    // Silent voters are taken out down to the number of which a majority is left after `losses` more. A lower bound
+    // only: a lost zone or region may take several voters.
     let losses = tolerance.machines.max(tolerance.zones).max(tolerance.regions);
     RaftConfig {
         heartbeat: HEARTBEAT_MS,
@@ -72,9 +78,9 @@
         lease: LEASE_MS,
         out_after: settings.envelope.resync.as_millis() as u64 / 2,
         least: (2 * losses + 1).max(3),
-        batch: 64,
-        piece: 128 * 1024,
-        window: 8,
+        batch: MAX_ENTRIES_PER_MESSAGE,
+        piece: SNAPSHOT_PIECE_BYTES,
+        window: MAX_PIECES_IN_FLIGHT,
         hang: DISK_HANG_MS,
     }
 }
@@ -91,6 +97,7 @@
 #[derive(Default)]
 pub(super) struct LogDriver {
     pending_writes: Vec<PendingWrite>,
+    /// In seconds of the event clock.
     last_join_request: f64,
     /// Estimated bytes of the commands that were applied since the last snapshot.
     applied_bytes: usize,
@@ -102,6 +109,7 @@
     receiver: Option<SnapshotReceiver>,
     /// The entry of the quota ceilings that were proposed last, until it is applied or leadership changes.
     proposed_ceilings: Option<LogPosition>,
+    /// Leadership and voters as logged last.
     was_leader: bool,
     voters: Vec<NodeId>,
 }
@@ -210,8 +218,8 @@
         self.compact_log(now, out);
     }
 
-    /// Compacts the log behind a snapshot of what is applied, once it is long. The snapshot is encoded over several ticks,
-    /// one chunk at a time on its way to the disk.
+    /// Compacts the log behind a snapshot of what is applied, once it is long. The snapshot is encoded over several
+    /// ticks, one chunk at a time on its way to the disk.
     fn compact_log(&mut self, now: f64, out: &mut Vec<Effect>) {
         if self.log_driver.writer.is_none() {
             self.start_snapshot();
@@ -329,10 +337,10 @@
         self.log_driver.applied_bytes += command_bytes(&command);
         match command {
             LogCommand::Configure(change) => {
-                let changed = self.configuration.apply(position, &change, &self.raft, &mut self.context, out);
-                if let Some((previous, items)) = changed {
-                    let items: Vec<ConfigItem> = items.iter().map(|i| (**i).clone()).collect();
-                    self.push_items(previous, position.index, items, out);
+                let applied = self.configuration.apply(position, &change, &self.raft, &mut self.context, out);
+                if let Some(applied) = applied {
+                    let items: Vec<ConfigItem> = applied.items.iter().map(|i| (**i).clone()).collect();
+                    self.push_items(applied.previous, position.index, items, out);
                 }
             }
             LogCommand::Shares(ceilings) => self.apply_ceilings(position, ceilings),
@@ -350,7 +358,8 @@
         }
     }
 
-    /// Replaces the state by a leader's snapshot. If that can't be decoded it is of another release: this node can't go on.
+    /// Replaces the state by a leader's snapshot. If that can't be decoded it is of another release: this node can't go
+    /// on.
     fn install_snapshot(&mut self, now: f64, snapshot: &Snapshot, out: &mut Vec<Effect>) {
         let position = LogPosition { index: snapshot.index, term: snapshot.term };
         let receiver = self.log_driver.receiver.take();
--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -2,8 +2,8 @@
 //!
 //! A snapshot takes megabytes. [`SnapshotWriter`] encodes this node's own over several ticks while the state goes on
 //! changing; [`SnapshotReceiver`] decodes a leader's while its bytes arrive. Both hand out [`SnapshotChunk`]s that are
-//! written ahead of the batch that puts the snapshot in force, so that neither heartbeats nor entries wait for one large
-//! write.
+//! written ahead of the batch that puts the snapshot in force, so that neither heartbeats nor entries wait for one
+//! large write.
 //!
 //! Format: [`FORMAT_CHUNKED`], the length of the ceilings in [`LENGTH_BYTES`] big-endian bytes, the ceilings as
 //! MessagePack, then the configuration as its [`Encoder`] writes it.
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -1,11 +1,11 @@
-//! Snapshots of megabytes are encoded, sent, decoded and written in small steps while the log goes on. What each step costs
-//! at the largest size: `cargo test --release -p whinstall-gateway measure_disk_repair -- --ignored --nocapture`.
+//! Snapshots of megabytes are encoded, sent, decoded and written in small steps while the log goes on. What each step
+//! costs at the largest size: `cargo test --release -p whinstall-gateway measure_disk_repair -- --ignored --nocapture`.
 
-use super::super::{CoreNode, Effect, Event, TICK_SECS};
 use super::{decode, SnapshotReceiver, SnapshotWriter, STEP_BYTES};
 use crate::configuration::{ConfigItem, ConfigState, ItemFields, ItemKind};
 use crate::consensus::LogWrite;
 use crate::control_plane::replicated_log::LogPosition;
+use crate::control_plane::{ApiCommand, CoreNode, Effect, Event, TICK_SECS};
 use crate::protocol::PeerMessage;
 use crate::settings::Settings;
 use crate::storage::{ReplicaStore, WriteBatch, SNAPSHOT_CHUNK_BYTES};
@@ -46,8 +46,8 @@
     services.chain((0..tenants / 8).map(route)).chain((0..tenants).map(|n| tenant(n, 7))).collect()
 }
 
-/// A snapshot that is encoded while the state changes holds the state as of its start. Decoded from pieces of any size it
-/// gives that state again, and each chunk that is written ahead continues the last one.
+/// A snapshot that is encoded while the state changes holds the state as of its start. Decoded from pieces of any size
+/// it gives that state again, and each chunk that is written ahead continues the last one.
 #[gtest]
 fn snapshot_holds_the_state_of_its_start_in_any_chunking() {
     let position = LogPosition { index: 1, term: 1 };
@@ -97,8 +97,8 @@
     folder: PathBuf,
 }
 
-/// Three core nodes in one thread, with real disks and a network without delay. Records the processing time of each event
-/// by its kind.
+/// Three core nodes in one thread, with real disks and a network without delay. Records the processing time of each
+/// event by its kind.
 struct ThreeNodeCluster {
     nodes: Vec<Node>,
     now: f64,
@@ -263,7 +263,7 @@
     fn amend(&mut self, items: Vec<ConfigItem>) {
         let response_count = self.responses.len();
         let leader = self.leader().expect("a leader");
-        self.queue.push_back((leader, Event::ApiCall(1, super::super::ApiCommand::Amend(items))));
+        self.queue.push_back((leader, Event::ApiCall(1, ApiCommand::Amend(items))));
         self.drain_queue();
         self.run_until(|t| t.responses.len() > response_count);
     }
@@ -358,7 +358,7 @@
             for n in 0..8 {
                 made += 1;
                 let change = vec![tenant((made * 7 + n) % 300, 10 + made as u64)];
-                cluster.queue.push_back((leader, Event::ApiCall(1, super::super::ApiCommand::Amend(change))));
+                cluster.queue.push_back((leader, Event::ApiCall(1, ApiCommand::Amend(change))));
             }
             cluster.drain_queue();
             // At least one tick, so that the log gets compacted.
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -1,6 +1,6 @@
-//! The cluster as this node sees it, for `GET /whinstall/core`: members, leader, each member's progress, which of them are
-//! out of contact and why, and what is being repaired. Also the log lines when a member's state changes. For operators
-//! only; nothing is decided by it.
+//! The cluster as this node sees it, for `GET /whinstall/core`: members, leader, each member's progress, which of them
+//! are out of contact and why, and what is being repaired. Also the log lines when a member's state changes. For
+//! operators only; nothing is decided by it.
 
 use super::replicated_log::{member_name, raft_config, ELECTION_TIMEOUT_MS};
 use super::CoreNode;
@@ -35,7 +35,7 @@
 }
 
 impl Display for MemberState {
-    /// As the operators' interface spells it.
+    /// The text is part of the operators' interface.
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             MemberState::Voting => "votes",
