--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -67,7 +67,7 @@
 }
 
 /// The log's parameters, by the deployment's settings.
-pub fn raft_config(settings: &Settings) -> RaftConfig {
+pub(super) fn raft_config(settings: &Settings) -> RaftConfig {
     let tolerance = settings.tolerance;
     // Silent voters are taken out down to the number of which a majority is left after `losses` more. A lower bound
     // only: a lost zone or region may take several voters.
@@ -182,7 +182,8 @@
         }
     }
 
-    /// Tells the other core nodes that this process ends, so that the leader may take it out of the voters.
+    /// Tells the other core nodes that this process ends, so that the leader may take it out of the voters
+    /// without waiting for its silence.
     pub(super) fn announce_leave(&self, out: &mut Vec<Effect>) {
         let id = self.raft.me();
         let leave = |ip| Effect::SendToPeer(ip, PeerMessage::Leave { id });
--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -63,11 +63,11 @@
 
 /// The state in a snapshot.
 #[derive(Default)]
-pub struct DecodedSnapshot {
+pub(super) struct DecodedSnapshot {
     /// The configuration.
-    pub config: ConfigState,
+    pub(super) config: ConfigState,
     /// The recorded quota ceilings, if there are any.
-    pub ceilings: Option<Arc<ShareCeilings>>,
+    pub(super) ceilings: Option<Arc<ShareCeilings>>,
 }
 
 /// This node's own snapshot while it is encoded. It holds the state as of its creation, whatever is applied meanwhile.
@@ -210,7 +210,7 @@
 ///
 /// # Errors
 /// As [`SnapshotReceiver::finish`].
-pub fn decode(bytes: &[u8]) -> Result<DecodedSnapshot, SnapshotError> {
+pub(super) fn decode(bytes: &[u8]) -> Result<DecodedSnapshot, SnapshotError> {
     if bytes.first() == Some(&FORMAT_MONOLITHIC) {
         let (config, ceilings): (Bytes, Option<Arc<ShareCeilings>>) = rmp_serde::from_slice(bytes)?;
         return Ok(DecodedSnapshot { config: ConfigState::decode(&config)?, ceilings });
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -1,7 +1,7 @@
 //! Snapshots of megabytes are encoded, sent, decoded and written in small steps while the log goes on. What each step
 //! costs at the largest size: `cargo test --release -p whinstall-gateway measure_disk_repair -- --ignored --nocapture`.
 
-use super::{decode, SnapshotReceiver, SnapshotWriter, STEP_BYTES};
+use super::{decode, SnapshotError, SnapshotReceiver, SnapshotWriter, STEP_BYTES};
 use crate::configuration::{ConfigItem, ConfigState, ItemFields, ItemKind};
 use crate::consensus::LogWrite;
 use crate::control_plane::replicated_log::LogPosition;
@@ -85,7 +85,8 @@
     let _ = receiver.receive(&bytes[..bytes.len() - 1]);
     expect_that!(receiver.finish(&bytes[..bytes.len() - 1]).is_err(), eq(true));
     expect_that!(decode(&[&bytes[..], &[0]].concat()).is_err(), eq(true));
-    expect_that!(decode(&[&[9], &bytes[1..]].concat()).is_err(), eq(true));
+    let unknown_format = decode(&[&[9], &bytes[1..]].concat());
+    expect_that!(matches!(unknown_format, Err(SnapshotError::Format(9))), eq(true));
     // The format of earlier releases.
     let monolithic = rmp_serde::to_vec(&(initial.encode(), None::<u8>)).expect("encoded");
     expect_that!(decode(&monolithic).expect("decoded").config == initial, eq(true));
