--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -26,6 +26,12 @@
 const LEASE_MS: Millis = 600;
 /// A write that takes longer than this counts as a hanging disk.
 const DISK_HANG_MS: Millis = 500;
+/// Entries that the leader puts into one message, at most.
+const MAX_ENTRIES_PER_MESSAGE: usize = 64;
+/// A snapshot is sent to another member in pieces of this size...
+const SNAPSHOT_PIECE_BYTES: usize = 128 * 1024;
+/// ...with this many of them unacknowledged, at most.
+const MAX_PIECES_IN_FLIGHT: usize = 8;
 /// A node that hears no leader asks to join this often, in seconds.
 const JOIN_INTERVAL_SECS: f64 = 0.3;
 /// The log is compacted once its commands take more bytes than this, and than the last snapshot...
@@ -45,10 +51,10 @@
 const TENANT_CEILING_BYTES: usize = 20;
 
 /// The log's parameters, by the deployment's settings.
-pub fn raft_config(settings: &Settings) -> RaftConfig {
+pub(super) fn raft_config(settings: &Settings) -> RaftConfig {
     let tolerance = settings.tolerance;
-    // A zone or region that is lost may take several voters with it; never fewer voters are kept than a majority of
-    // which outlives as many single losses.
+    // Silent voters are taken out down to the number of which a majority is left after `losses` more. A lower bound
+    // only: a lost zone or region may take several voters.
     let losses = tolerance.machines.max(tolerance.zones).max(tolerance.regions);
     RaftConfig {
         heartbeat_interval: HEARTBEAT_MS,
@@ -56,9 +62,9 @@
         lease_duration: LEASE_MS,
         voter_removal_timeout: settings.envelope.resync_bound.as_millis() as u64 / 2,
         min_voters: (2 * losses + 1).max(3),
-        max_entries_per_append: 64,
-        snapshot_chunk_bytes: 128 * 1024,
-        max_chunks_in_flight: 8,
+        max_entries_per_append: MAX_ENTRIES_PER_MESSAGE,
+        snapshot_chunk_bytes: SNAPSHOT_PIECE_BYTES,
+        max_chunks_in_flight: MAX_PIECES_IN_FLIGHT,
         disk_stall_timeout: DISK_HANG_MS,
     }
 }
@@ -75,6 +81,7 @@
 #[derive(Default)]
 pub(super) struct LogDriver {
     pending_writes: Vec<PendingWrite>,
+    /// In seconds of the event clock.
     last_join_request: f64,
     /// Estimated bytes of the commands that were applied since the last snapshot.
     applied_bytes: usize,
@@ -86,6 +93,7 @@
     receiver: Option<SnapshotReceiver>,
     /// The entry of the quota ceilings that were proposed last, until it is applied or leadership changes.
     proposed_ceilings: Option<LogPosition>,
+    /// Leadership and voters as logged last.
     was_leader: bool,
     voters: Vec<NodeId>,
 }
@@ -158,7 +166,8 @@
         }
     }
 
-    /// Tells the other core nodes that this process ends, so that the leader may take it out of the voters.
+    /// Tells the other core nodes that this process ends, so that the leader may take it out of the voters
+    /// without waiting for its silence.
     pub(super) fn announce_leave(&self, out: &mut Vec<Effect>) {
         let id = self.raft.id();
         let leave = |ip| Effect::SendToPeer(ip, PeerMessage::Leave { id });
@@ -194,8 +203,8 @@
         self.compact_log(now, out);
     }
 
-    /// Compacts the log behind a snapshot of what is applied, once it is long. The snapshot is encoded over several ticks,
-    /// one chunk at a time on its way to the disk.
+    /// Compacts the log behind a snapshot of what is applied, once it is long. The snapshot is encoded over several
+    /// ticks, one chunk at a time on its way to the disk.
     fn compact_log(&mut self, now: f64, out: &mut Vec<Effect>) {
         if self.log_driver.writer.is_none() {
             self.start_snapshot();
@@ -321,10 +330,10 @@
         self.log_driver.applied_bytes += command_bytes(&command);
         match command {
             LogCommand::Configure(change) => {
-                let changed = self.configuration.apply(position, &change, &self.raft, &mut self.context, out);
-                if let Some((previous, items)) = changed {
-                    let items: Vec<ConfigItem> = items.iter().map(|i| (**i).clone()).collect();
-                    self.push_items(previous, position.index, items, out);
+                let applied = self.configuration.apply(position, &change, &self.raft, &mut self.context, out);
+                if let Some(applied) = applied {
+                    let items: Vec<ConfigItem> = applied.items.iter().map(|i| (**i).clone()).collect();
+                    self.push_items(applied.previous, position.index, items, out);
                 }
             }
             LogCommand::Shares(ceilings) => self.apply_ceilings(position, ceilings),
@@ -342,7 +351,8 @@
         }
     }
 
-    /// Replaces the state by a leader's snapshot. If that can't be decoded it is of another release: this node can't go on.
+    /// Replaces the state by a leader's snapshot. If that can't be decoded it is of another release: this node can't go
+    /// on.
     fn install_snapshot(&mut self, now: f64, snapshot: &Snapshot, out: &mut Vec<Effect>) {
         let position = LogPosition { index: snapshot.index, term: snapshot.term };
         let receiver = self.log_driver.receiver.take();
