--- a/crates/gateway/src/control_plane/change_tracker.rs
+++ b/crates/gateway/src/control_plane/change_tracker.rs
@@ -1,50 +1,58 @@
-//! Owns which keys of a list changed after which number: what somebody lacks who knows it up to a number. It holds each key
-//! once, whatever changed and however often, so it never grows beyond the list. It must never tell a difference from which
-//! something is left out.
+//! Which keys of a list changed after which change number, so that a receiver that knows the list up to a number can be
+//! sent the difference. Each key is held once, with its latest change, so memory is bounded by the list.
+//!
+//! Invariant: a difference is complete or refused. Once a key is forgotten, receivers that have not seen its last
+//! change get no difference any more ([`ChangeTracker::changed_since`] returns `None`) and need the full list.
 
 use std::collections::BTreeMap;
 
-/// The changes of a list, numbered.
+/// Numbers the changes of a list.
 #[derive(Clone, Debug)]
 pub struct ChangeTracker<K> {
-    last: u64,
-    keys: BTreeMap<u64, K>,
-    numbers: BTreeMap<K, u64>,
-    /// What changed up to here is not told by differences any more.
-    forgotten: u64,
+    last_change: u64,
+    keys_by_change: BTreeMap<u64, K>,
+    change_by_key: BTreeMap<K, u64>,
+    /// The highest change number of a forgotten key.
+    forgotten_up_to: u64,
 }
 
 impl<K> Default for ChangeTracker<K> {
     fn default() -> Self {
-        ChangeTracker { last: 0, keys: BTreeMap::new(), numbers: BTreeMap::new(), forgotten: 0 }
+        ChangeTracker {
+            last_change: 0,
+            keys_by_change: BTreeMap::new(),
+            change_by_key: BTreeMap::new(),
+            forgotten_up_to: 0,
+        }
     }
 }
 
 impl<K: Clone + Ord> ChangeTracker<K> {
-    /// The number of the last change.
-    pub fn last(&self) -> u64 {
-        self.last
+    /// The number of the last change; 0 before the first.
+    pub fn last_change(&self) -> u64 {
+        self.last_change
     }
 
-    /// This key changed.
-    pub fn touch(&mut self, key: &K) {
-        self.last += 1;
-        if let Some(old) = self.numbers.insert(key.clone(), self.last) {
-            self.keys.remove(&old);
+    /// Records a change of this key.
+    pub fn record(&mut self, key: &K) {
+        self.last_change += 1;
+        if let Some(earlier) = self.change_by_key.insert(key.clone(), self.last_change) {
+            self.keys_by_change.remove(&earlier);
         }
-        self.keys.insert(self.last, key.clone());
+        self.keys_by_change.insert(self.last_change, key.clone());
     }
 
-    /// This key is of no list any more: who has not heard so yet has to be told all.
+    /// Forgets a key that is no longer on the list.
     pub fn forget(&mut self, key: &K) {
-        if let Some(number) = self.numbers.remove(key) {
-            self.keys.remove(&number);
-            self.forgotten = self.forgotten.max(number);
+        if let Some(change) = self.change_by_key.remove(key) {
+            self.keys_by_change.remove(&change);
+            self.forgotten_up_to = self.forgotten_up_to.max(change);
         }
     }
 
-    /// The keys that changed after this number; `None`: some of them were forgotten since.
-    pub fn since(&self, number: u64) -> Option<impl Iterator<Item = &K>> {
-        (number >= self.forgotten).then(|| self.keys.range(number + 1..).map(|(_, key)| key))
+    /// The keys that changed after this number, in the order of their changes; `None`: one of them may be forgotten, so
+    /// the full list is needed.
+    pub fn changed_since(&self, change: u64) -> Option<impl Iterator<Item = &K>> {
+        (change >= self.forgotten_up_to).then(|| self.keys_by_change.range(change + 1..).map(|(_, key)| key))
     }
 }
--- a/crates/gateway/src/control_plane/edge_directory.rs
+++ b/crates/gateway/src/control_plane/edge_directory.rs
@@ -1,98 +1,123 @@
-//! Owns which gatekeepers there are, and which of them are news to whom. One that is back, where it was, is none. It must
-//! never hold one that was not heard for long.
+//! The edge nodes that were heard from lately, with a change log from which each session is sent the differences.
+//!
+//! An edge node that reconnects from the same location is no change. One that is not heard from for [`EXPIRY_SECS`] is
+//! removed; its address stays in the change log for as long again, so that sessions learn of the removal.
 
 use super::change_tracker::ChangeTracker;
 use crate::protocol::{NodeLocation, PeerMessage};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
 
-/// Gatekeepers count for so long after they were last heard of, and are known to be gone for as long: seconds.
-const KEPT: f64 = 60.0;
+/// An edge node expires this long after it was last heard from, and its removal is reported for as long again: seconds.
+const EXPIRY_SECS: f64 = 60.0;
 
-/// The gatekeepers that were heard of lately.
+struct KnownEdge {
+    last_heard_secs: f64,
+    location: NodeLocation,
+}
+
+struct RemovedAddress {
+    removed_secs: f64,
+    ip: IpAddr,
+}
+
+/// The edge nodes that were heard from lately.
 #[derive(Default)]
 pub struct EdgeDirectory {
-    /// By name: when last heard of, where.
-    gates: BTreeMap<String, (f64, NodeLocation)>,
+    edges: BTreeMap<String, KnownEdge>,
     changes: ChangeTracker<IpAddr>,
-    gone: VecDeque<(f64, IpAddr)>,
+    /// In the order of removal.
+    removed: VecDeque<RemovedAddress>,
 }
 
 impl EdgeDirectory {
-    /// How many there are.
+    /// The number of edge nodes.
     pub fn count(&self) -> usize {
-        self.gates.len()
+        self.edges.len()
     }
 
     /// The number of the last change.
-    pub fn last(&self) -> u64 {
-        self.changes.last()
+    pub fn last_change(&self) -> u64 {
+        self.changes.last_change()
     }
 
-    /// One says where it is.
-    pub fn meet(&mut self, now: f64, node: &str, me: NodeLocation) {
-        let ip = me.ip;
-        match self.gates.insert(node.to_owned(), (now, me.clone())) {
-            Some((_, old)) if old == me => return,
-            Some((_, old)) if old.ip != ip => self.left(now, old.ip),
+    /// An edge node announced its location.
+    pub fn announce(&mut self, now: f64, node: &str, location: NodeLocation) {
+        let ip = location.ip;
+        let known = KnownEdge { last_heard_secs: now, location: location.clone() };
+        match self.edges.insert(node.to_owned(), known) {
+            Some(earlier) if earlier.location == location => return,
+            Some(earlier) if earlier.location.ip != ip => self.remove_address(now, earlier.location.ip),
             _ => {}
         }
-        self.changes.touch(&ip);
-    }
-
-    /// One was heard.
-    pub fn heard(&mut self, now: f64, node: &str) {
-        if let Some((at, _)) = self.gates.get_mut(node) {
-            *at = now;
-        }
+        self.changes.record(&ip);
     }
 
-    fn left(&mut self, now: f64, ip: IpAddr) {
-        // Another one may have its address by now.
-        if !self.gates.values().any(|(_, m)| m.ip == ip) {
-            self.changes.touch(&ip);
-            self.gone.push_back((now, ip));
+    /// An edge node was heard from.
+    pub fn record_contact(&mut self, now: f64, node: &str) {
+        if let Some(edge) = self.edges.get_mut(node) {
+            edge.last_heard_secs = now;
         }
     }
 
-    /// Those that were not heard for long are gone.
-    pub fn sweep(&mut self, now: f64) {
-        let late = self.gates.iter().filter(|(_, (at, _))| now - at >= KEPT);
-        for node in late.map(|(node, _)| node.clone()).collect::<Vec<_>>() {
-            if let Some((_, member)) = self.gates.remove(&node) {
-                self.left(now, member.ip);
+    /// Removes edge nodes that were not heard from for [`EXPIRY_SECS`], and forgets removals that are as old.
+    pub fn expire(&mut self, now: f64) {
+        let expired = self.edges.iter().filter(|(_, e)| now - e.last_heard_secs >= EXPIRY_SECS);
+        for node in expired.map(|(node, _)| node.clone()).collect::<Vec<_>>() {
+            if let Some(edge) = self.edges.remove(&node) {
+                self.remove_address(now, edge.location.ip);
             }
         }
-        while let Some((_, ip)) = self.gone.front().filter(|(at, _)| now - at >= KEPT).copied() {
-            self.gone.pop_front();
-            if !self.gates.values().any(|(_, m)| m.ip == ip) {
+        while let Some(ip) =
+            self.removed.front().filter(|r| now - r.removed_secs >= EXPIRY_SECS).map(|r| r.ip)
+        {
+            self.removed.pop_front();
+            if !self.has_address(ip) {
                 self.changes.forget(&ip);
             }
         }
     }
 
-    /// What somebody lacks who knows them up to this change (`None`: nothing).
-    pub fn lacked(&self, known: Option<u64>) -> PeerMessage {
-        let Some(changed) = known.and_then(|number| self.changes.since(number)) else {
-            let all = self.gates.values().map(|(_, m)| m);
-            return PeerMessage::EdgeNodes { is_full: true, present: by_zone(all), removed: Vec::new() };
+    /// The message that brings a session from the change that it knows (`None`: it knows nothing) to the last one: a
+    /// difference, or all edge nodes if the difference is no longer known.
+    pub fn update_since(&self, known: Option<u64>) -> PeerMessage {
+        let Some(changed) = known.and_then(|change| self.changes.changed_since(change)) else {
+            let all = self.edges.values().map(|e| &e.location);
+            return PeerMessage::EdgeNodes {
+                is_full: true,
+                present: group_by_zone(all),
+                removed: Vec::new(),
+            };
         };
-        let places: BTreeMap<IpAddr, &NodeLocation> = self.gates.values().map(|(_, m)| (m.ip, m)).collect();
-        let (mut here, mut gone) = (Vec::new(), Vec::new());
+        let locations: BTreeMap<IpAddr, &NodeLocation> =
+            self.edges.values().map(|e| (e.location.ip, &e.location)).collect();
+        let (mut present, mut removed) = (Vec::new(), Vec::new());
         for ip in changed {
-            match places.get(ip) {
-                Some(member) => here.push(*member),
-                None => gone.push(*ip),
+            match locations.get(ip) {
+                Some(location) => present.push(*location),
+                None => removed.push(*ip),
             }
         }
-        PeerMessage::EdgeNodes { is_full: false, present: by_zone(here.into_iter()), removed: gone }
+        PeerMessage::EdgeNodes { is_full: false, present: group_by_zone(present.into_iter()), removed }
+    }
+
+    /// Records that an edge node left this address, unless another one has it by now.
+    fn remove_address(&mut self, now: f64, ip: IpAddr) {
+        if !self.has_address(ip) {
+            self.changes.record(&ip);
+            self.removed.push_back(RemovedAddress { removed_secs: now, ip });
+        }
+    }
+
+    fn has_address(&self, ip: IpAddr) -> bool {
+        self.edges.values().any(|e| e.location.ip == ip)
     }
 }
 
-fn by_zone<'a>(members: impl Iterator<Item = &'a NodeLocation>) -> Vec<(String, Vec<IpAddr>)> {
+fn group_by_zone<'a>(locations: impl Iterator<Item = &'a NodeLocation>) -> Vec<(String, Vec<IpAddr>)> {
     let mut zones: BTreeMap<&str, Vec<IpAddr>> = BTreeMap::new();
-    for member in members {
-        zones.entry(&member.zone).or_default().push(member.ip);
+    for location in locations {
+        zones.entry(&location.zone).or_default().push(location.ip);
     }
     zones.into_iter().map(|(zone, ips)| (zone.to_owned(), ips)).collect()
 }
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -3,7 +3,7 @@
 //! came between. It must never give a whole configuration, or the list of workers, while out of touch with most of the
 //! core: whoever has just started would take it for the newest.
 
-use super::in_flight_window::{weight, InFlightWindow};
+use super::in_flight_window::{estimated_bytes, InFlightWindow};
 use super::{ConnectionId, CoreNode, Effect, TICK};
 use crate::configuration::ConfigItem;
 use crate::consensus::Index;
@@ -91,7 +91,7 @@
         if core {
             self.meet(vec![me], out);
         } else {
-            self.gates.meet(now, &node, me);
+            self.gates.announce(now, &node, me);
         }
         // What a gatekeeper holds comes with its first ping.
         let caller = PeerSession {
@@ -115,7 +115,7 @@
         for effect in effects {
             let Effect::Return(conn, msg) = effect else { continue };
             if let Some(caller) = self.callers.get_mut(conn) {
-                caller.link.says(msg);
+                caller.link.record_sent(msg);
             }
         }
     }
@@ -136,8 +136,8 @@
         out: &mut Vec<Effect>,
     ) {
         let mine = (self.keeper.state.index(), self.roster.registry.digest());
-        let (leave, last) = (self.leave(now), self.roster.last());
-        let settled = leave.whole && self.roster.settled(now);
+        let (leave, last) = (self.leave(now), self.roster.last_change());
+        let settled = leave.whole && self.roster.is_complete(now);
         let Some(caller) = self.callers.get_mut(&conn) else { return };
         if caller.member.is_some() {
             out.push(Effect::Return(
@@ -146,12 +146,12 @@
             ));
             return;
         }
-        caller.link.hears(heard);
+        caller.link.acknowledge(heard);
         caller.holds = Some((config, workers));
-        let older = caller.told && config < mine.0 && caller.link.takes_whole(leave.most);
+        let older = caller.told && config < mine.0 && caller.link.has_room_for_full_state(leave.most);
         caller.behind = if older { caller.behind + 1 } else { 0 };
         if caller.behind >= 2 {
-            tracing::info!(gate = caller.node, "tells all to a gatekeeper that missed something");
+            tracing::info!(edge = caller.node, "resending full configuration to edge");
             (caller.told, caller.behind) = (false, 0);
         }
         // Once both have had the same news, a difference is more than news under way to one of them, and stays the same.
@@ -160,10 +160,10 @@
             (caller.differs, caller.whole.1) = ((by, now), WHOLE_EVERY);
         }
         let (at, every) = caller.whole;
-        let same = caller.link.workers_heard() && caller.workers == Some(last);
+        let same = caller.link.are_workers_acknowledged() && caller.workers == Some(last);
         let lasts = by != 0 && same && now - caller.differs.1 >= DIFFERS;
-        if lasts && settled && now - at > every && caller.link.takes_whole(leave.most) {
-            tracing::info!(gate = caller.node, "tells all workers to a gatekeeper that differs");
+        if lasts && settled && now - at > every && caller.link.has_room_for_full_state(leave.most) {
+            tracing::info!(edge = caller.node, "resending full worker list to edge");
             caller.whole = (now, (2.0 * every).min(WHOLE_LAST));
             let workers = self.roster.registry.workers().cloned().collect();
             out.push(Effect::Return(conn, PeerMessage::WorkerSnapshot { workers, complete: settled }));
@@ -191,7 +191,7 @@
 
     /// What a gatekeeper lacks, as far as its connection takes it.
     fn serve(&mut self, conn: ConnectionId, leave: &SendPermissions, out: &mut Vec<Effect>) {
-        let mine = (self.keeper.state.index(), self.roster.registry.digest(), self.roster.last());
+        let mine = (self.keeper.state.index(), self.roster.registry.digest(), self.roster.last_change());
         let (Some(caller), last) = (self.callers.get_mut(&conn), mine.2) else { return };
         let Some((config, workers)) = caller.holds else { return };
         if leave.whole {
@@ -203,14 +203,14 @@
             caller.workers.filter(|n| *n < last && leave.news && caller.link.has_room(leave.most))
         {
             // Those that can't be told any more are told by the whole list.
-            let news = self.roster.since(known);
+            let news = self.roster.changed_since(known);
             caller.workers = news.is_some().then_some(last);
             out.extend(news.map(|workers| Effect::Return(conn, PeerMessage::WorkerUpdates(workers))));
         }
         let lacks = !caller.told || caller.workers.is_none();
         let most = self.shared.settings.memory as usize / MEMORY_PART;
         let room = self.pace.wholes > 0.0 && (self.pace.under_way == 0 || self.pace.under_way < most);
-        if !(lacks && leave.whole && room && caller.link.takes_whole(leave.most)) {
+        if !(lacks && leave.whole && room && caller.link.has_room_for_full_state(leave.most)) {
             return;
         }
         let mut whole = Vec::new();
@@ -225,7 +225,7 @@
             let workers = self.roster.registry.workers().cloned().collect();
             whole.push(PeerMessage::WorkerSnapshot { workers, complete: false });
         }
-        let bytes: usize = whole.iter().map(weight).sum();
+        let bytes: usize = whole.iter().map(estimated_bytes).sum();
         self.pace.wholes -= bytes as f64;
         self.pace.under_way += bytes;
         out.extend(whole.into_iter().map(|msg| Effect::Return(conn, msg)));
@@ -233,7 +233,7 @@
 
     /// Workers' news goes to all gatekeepers that it is news to.
     pub(super) fn tell_workers(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leave, last) = (self.leave(now), self.roster.last());
+        let (leave, last) = (self.leave(now), self.roster.last_change());
         if !leave.news {
             return;
         }
@@ -242,7 +242,7 @@
             let Some(known) = caller.workers.filter(|n| *n < last && caller.link.has_room(leave.most)) else {
                 continue;
             };
-            let news = lacked.entry(known).or_insert_with(|| self.roster.since(known));
+            let news = lacked.entry(known).or_insert_with(|| self.roster.changed_since(known));
             caller.workers = news.is_some().then_some(last);
             out.extend(
                 news.iter().map(|workers| Effect::Return(*conn, PeerMessage::WorkerUpdates(workers.clone()))),
@@ -275,7 +275,7 @@
     }
 
     fn serve_all(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leave, last) = (self.leave(now), self.roster.last());
+        let (leave, last) = (self.leave(now), self.roster.last_change());
         let lacks = |c: &PeerSession| c.member.is_none() && (!c.told || c.workers.is_none_or(|n| n < last));
         let lacking = self.callers.iter().filter(|(_, c)| lacks(c)).map(|(conn, _)| *conn);
         for conn in lacking.collect::<Vec<_>>() {
@@ -285,9 +285,9 @@
 
     /// Upkeep.
     pub(super) fn tick_gates(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.gates.sweep(now);
+        self.gates.expire(now);
         self.pace.wholes = (self.pace.wholes + WHOLES * TICK).min(WHOLES * TICK);
-        self.pace.under_way = self.callers.values().map(|c| c.link.bytes()).sum();
+        self.pace.under_way = self.callers.values().map(|c| c.link.bytes_in_flight()).sum();
         // Those that came while this machine could not speak for all, or whose connections lagged.
         self.serve_all(now, out);
         self.tell_list(now, out);
@@ -296,7 +296,7 @@
     /// The list of gatekeepers: each is told what is news to it, in turn.
     fn tell_list(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.pace.lists = (self.pace.lists + LISTS * TICK).min(LISTS * TICK);
-        let (most, last, from) = (self.leave(now).most, self.gates.last(), self.pace.listed);
+        let (most, last, from) = (self.leave(now).most, self.gates.last_change(), self.pace.listed);
         let behind = |c: &PeerSession| c.member.is_none() && c.gates != Some(last) && c.link.has_room(most);
         let turn = self.callers.range(from + 1..).chain(self.callers.range(..=from));
         let turn: Vec<ConnectionId> = turn.filter(|(_, c)| behind(c)).map(|(conn, _)| *conn).collect();
@@ -305,9 +305,9 @@
                 return;
             }
             let Some(caller) = self.callers.get_mut(&conn) else { continue };
-            let msg = self.gates.lacked(caller.gates);
+            let msg = self.gates.update_since(caller.gates);
             caller.gates = Some(last);
-            self.pace.lists -= weight(&msg) as f64;
+            self.pace.lists -= estimated_bytes(&msg) as f64;
             self.pace.listed = conn;
             out.push(Effect::Return(conn, msg));
         }
--- a/crates/gateway/src/control_plane/in_flight_window.rs
+++ b/crates/gateway/src/control_plane/in_flight_window.rs
@@ -1,77 +1,101 @@
-//! Owns how much was said on a connection that is not known to be heard. The other side tells how many messages it has
-//! heard; each counts them from the connection's start. It must never let one that lags be filled further.
+//! Application-level flow control of one connection to an edge node: which messages are sent and not yet acknowledged.
+//!
+//! The receiver reports in each ping how many messages it has received on the connection; both sides count from its
+//! start. A connection that lags is sent nothing more until it has caught up, so a slow reader cannot fill the sender's
+//! memory.
 
 use crate::protocol::PeerMessage;
 use std::collections::VecDeque;
 
-/// What is on its way on one connection.
+/// Estimated bytes of one configuration item on the wire.
+const CONFIG_ITEM_BYTES: usize = 200;
+/// Estimated bytes of one worker on the wire.
+const WORKER_BYTES: usize = 100;
+/// Estimated bytes of one edge node's address on the wire.
+const EDGE_ADDRESS_BYTES: usize = 12;
+
+/// A message in flight that counts towards the window.
+#[derive(Clone, Debug)]
+struct InFlightMessage {
+    /// Its position among the messages sent on the connection, from 1.
+    number: u64,
+    /// Estimated size.
+    bytes: usize,
+    /// Whether it carries full state; otherwise a difference.
+    is_full_state: bool,
+}
+
+/// The messages in flight on one connection.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightWindow {
-    said: u64,
-    heard: u64,
-    /// The last message that told of workers.
-    workers: u64,
-    /// Messages of some size that may not be heard yet: number, bytes, is it a whole state?
-    under_way: VecDeque<(u64, usize, bool)>,
+    /// Messages sent.
+    sent: u64,
+    /// Messages that the receiver reported as received.
+    acknowledged: u64,
+    /// Number of the last message that carried workers.
+    last_workers_message: u64,
+    /// In the order of sending; messages of negligible size are left out.
+    in_flight: VecDeque<InFlightMessage>,
 }
 
-/// About how many bytes a message takes, where it can be large.
-pub fn weight(msg: &PeerMessage) -> usize {
+/// Estimated encoded size of a message, in bytes; 0 for messages that are always small.
+pub fn estimated_bytes(msg: &PeerMessage) -> usize {
     match msg {
-        PeerMessage::ConfigUpdate { items, .. } => 200 * items.len(),
+        PeerMessage::ConfigUpdate { items, .. } => CONFIG_ITEM_BYTES * items.len(),
         PeerMessage::WorkerUpdates(workers) | PeerMessage::WorkerSnapshot { workers, .. } => {
-            100 * workers.len()
+            WORKER_BYTES * workers.len()
         }
-        PeerMessage::EdgeNodes { present: here, removed: gone, .. } => {
-            12 * (here.iter().map(|z| z.1.len()).sum::<usize>() + gone.len())
+        PeerMessage::EdgeNodes { present, removed, .. } => {
+            EDGE_ADDRESS_BYTES * (present.iter().map(|(_, ips)| ips.len()).sum::<usize>() + removed.len())
         }
         _ => 0,
     }
 }
 
-/// Is this a whole state?
-fn is_whole(msg: &PeerMessage) -> bool {
+/// Whether a message carries a full configuration or the full list of workers.
+fn is_full_state(msg: &PeerMessage) -> bool {
     matches!(msg, PeerMessage::ConfigUpdate { previous: None, .. } | PeerMessage::WorkerSnapshot { .. })
 }
 
 impl InFlightWindow {
-    /// This is said.
-    pub fn says(&mut self, msg: &PeerMessage) {
-        self.said += 1;
-        let (bytes, whole) = (weight(msg), is_whole(msg));
-        if bytes > 0 || whole {
-            self.under_way.push_back((self.said, bytes, whole));
+    /// Counts a message that is sent.
+    pub fn record_sent(&mut self, msg: &PeerMessage) {
+        self.sent += 1;
+        let (bytes, is_full_state) = (estimated_bytes(msg), is_full_state(msg));
+        if bytes > 0 || is_full_state {
+            self.in_flight.push_back(InFlightMessage { number: self.sent, bytes, is_full_state });
         }
         if matches!(msg, PeerMessage::WorkerUpdates(_) | PeerMessage::WorkerSnapshot { .. }) {
-            self.workers = self.said;
+            self.last_workers_message = self.sent;
         }
     }
 
-    /// So many were heard.
-    pub fn hears(&mut self, heard: u64) {
-        self.heard = heard.min(self.said);
-        while self.under_way.front().is_some_and(|m| m.0 <= self.heard) {
-            self.under_way.pop_front();
+    /// The receiver has received this many messages since the connection started. A count beyond what was sent is taken
+    /// for all.
+    pub fn acknowledge(&mut self, received: u64) {
+        self.acknowledged = received.min(self.sent);
+        while self.in_flight.front().is_some_and(|m| m.number <= self.acknowledged) {
+            self.in_flight.pop_front();
         }
     }
 
-    /// Is all heard that told of workers?
-    pub fn workers_heard(&self) -> bool {
-        self.workers <= self.heard
+    /// Whether the receiver has every message that carried workers.
+    pub fn are_workers_acknowledged(&self) -> bool {
+        self.last_workers_message <= self.acknowledged
     }
 
-    /// Bytes under way, whole states and all.
-    pub fn bytes(&self) -> usize {
-        self.under_way.iter().map(|m| m.1).sum()
+    /// Estimated bytes in flight, of full state and of differences.
+    pub fn bytes_in_flight(&self) -> usize {
+        self.in_flight.iter().map(|m| m.bytes).sum()
     }
 
-    /// May differences be said, if so many bytes of them may be under way?
-    pub fn has_room(&self, most: usize) -> bool {
-        self.under_way.iter().filter(|m| !m.2).map(|m| m.1).sum::<usize>() < most
+    /// Whether another difference may be sent, with at most `limit_bytes` of differences in flight before it.
+    pub fn has_room(&self, limit_bytes: usize) -> bool {
+        self.in_flight.iter().filter(|m| !m.is_full_state).map(|m| m.bytes).sum::<usize>() < limit_bytes
     }
 
-    /// Is no whole state under way, and room for differences?
-    pub fn takes_whole(&self, most: usize) -> bool {
-        self.has_room(most) && !self.under_way.iter().any(|m| m.2)
+    /// Whether full state may be sent: none is in flight, and there is room for a difference.
+    pub fn has_room_for_full_state(&self, limit_bytes: usize) -> bool {
+        self.has_room(limit_bytes) && !self.in_flight.iter().any(|m| m.is_full_state)
     }
 }
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -38,7 +38,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use std::sync::Arc;
-use worker_membership::WorkerMembership;
+use worker_membership::{MergedWorkers, WorkerMembership};
 
 /// A connection that somebody opened to this process.
 pub type ConnectionId = u64;
@@ -293,7 +293,7 @@
         match msg {
             PeerMessage::CoreNodes(members) => self.meet(members, out),
             PeerMessage::WorkersReplicated { request_id: ask } => {
-                self.roster.held(ip, ask, &self.shared, out)
+                self.roster.confirm_replication(ip, ask, &self.shared, out)
             }
             PeerMessage::Ping { workers_digest: workers, .. } => self.digest(now, ip, workers, out),
             PeerMessage::ForwardResponse { request_id: ask, response: answer } => {
@@ -305,7 +305,7 @@
 
     /// A core machine's digest of the workers: if they go on to differ it is told all.
     fn digest(&mut self, now: f64, ip: IpAddr, workers: u64, out: &mut Vec<Effect>) {
-        if self.roster.differs(now, ip, workers) {
+        if self.roster.should_resend_all(now, ip, workers) {
             let workers = self.roster.registry.workers().cloned().collect();
             out.push(Effect::Send(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
@@ -317,7 +317,7 @@
         }
         let Some(caller) = self.callers.get(&conn).cloned() else { return };
         if caller.member.is_none() {
-            self.gates.heard(now, &caller.node);
+            self.gates.record_contact(now, &caller.node);
         }
         match msg {
             PeerMessage::CoreNodes(members) => self.meet(members, out),
@@ -342,7 +342,7 @@
             }
             PeerMessage::Heartbeats(heard) => {
                 // Some may be unknown here: the digests will differ, and the whole list comes.
-                self.roster.alive(now, &heard);
+                self.roster.record_peer_heartbeats(now, &heard);
             }
             PeerMessage::Ping { config_index: config, workers_digest: workers, received: heard } => {
                 self.pinged(now, conn, (config, workers, heard), out)
@@ -364,7 +364,7 @@
 
     /// Workers' news: what is new here goes to the gatekeepers, and to the core if it was told here first.
     fn news(&mut self, now: f64, workers: Vec<Worker>, first: bool, out: &mut Vec<Effect>) {
-        let (changed, contested) = self.roster.merge(now, workers, &mut self.shared.journal);
+        let MergedWorkers { changed, contested } = self.roster.merge(now, workers, &mut self.shared.journal);
         self.persist_workers(&changed, out);
         if !changed.is_empty() {
             self.tell_workers(now, out);
@@ -407,18 +407,18 @@
             ApiCommand::Beat(worker) => {
                 let leaving = worker.phase != WorkerPhase::Serving;
                 self.news(now, vec![worker.clone()], true, out);
-                self.roster.refreshed(&worker);
+                self.roster.record_heartbeat(&worker);
                 return match leaving {
-                    true => self.roster.hold(now, call, worker, &mut self.shared, out),
+                    true => self.roster.replicate_shutdown(now, call, worker, &mut self.shared, out),
                     false => out.push(Effect::Reply(call, 200, json!({}))),
                 };
             }
             ApiCommand::Departure(id) => {
-                let Some(worker) = self.roster.departed(&id) else {
+                let Some(worker) = self.roster.departure_of(&id) else {
                     return out.push(self.departure_of_unknown(now, call));
                 };
                 self.news(now, vec![worker.clone()], true, out);
-                return self.roster.hold(now, call, worker, &mut self.shared, out);
+                return self.roster.replicate_shutdown(now, call, worker, &mut self.shared, out);
             }
         };
         self.keeper.call(now, call, wish, (&mut self.raft, &mut self.shared), out);
@@ -427,7 +427,7 @@
 
     /// The answer to the departure of a worker that is not on the list here.
     fn departure_of_unknown(&self, now: f64, call: CallId) -> Effect {
-        if self.shared.voters.len() > 1 && !self.roster.settled(now) {
+        if self.shared.voters.len() > 1 && !self.roster.is_complete(now) {
             return Effect::Reply(call, 503, error_body("not every worker is known here yet"));
         }
         // Nobody knows it: nothing is to be taken away.
@@ -439,7 +439,7 @@
             // This process was away: others' silence tells nothing.
             tracing::warn!(seconds = now - self.ticked, "was not running");
             self.shared.journal.append(now, JournalEvent::Away(now - self.ticked));
-            self.roster.excuse(now);
+            self.roster.reset_timeouts(now);
         }
         self.ticked = now;
         if now - self.pinged >= PING {
--- a/crates/gateway/src/control_plane/quota_lease.rs
+++ b/crates/gateway/src/control_plane/quota_lease.rs
@@ -77,13 +77,13 @@
     ) -> Option<ShareCeilings> {
         let lease = lease.filter(|_| !self.ended);
         if self.counter.as_ref().is_some_and(|c| lease != Some(c.term())) {
-            tracing::warn!("no longer holds the counter");
+            tracing::warn!("lost quota lease");
             shared.journal.append(now, JournalEvent::Holds(false));
             self.counter = None;
         }
         let term = lease?;
         if self.counter.is_none() {
-            tracing::info!(term, record = record.is_some(), "holds the counter");
+            tracing::info!(term, has_record = record.is_some(), "acquired quota lease");
             shared.journal.append(now, JournalEvent::Holds(true));
             // Shares rise only by records that are committed, so where the log has none there are no shares.
             let none = ShareCeilings::default();
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -185,7 +185,7 @@
             "calls_waiting": self.keeper.waiting(),
             "disk_hangs": self.raft.hangs(ms),
             "gatekeepers": self.gates.count(),
-            "workers_settled": self.roster.settled(now),
+            "workers_settled": self.roster.is_complete(now),
         })
     }
 }
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -1,5 +1,12 @@
-//! Owns the core's part in the list of workers: what they call, who else must know before a leaving worker hears so,
-//! who has fallen silent. It must never acknowledge a worker's leaving before enough of the core knows of it.
+//! The core node's view of the workers: it merges their reports, replicates shutdown announcements before they are
+//! acknowledged, exchanges heartbeats and digests with its peers, and detects workers that fell silent.
+//!
+//! Workers are not in the replicated log: their reports merge in any order (see [`WorkerRegistry`]) and are spread
+//! best-effort. Two invariants:
+//! - A worker's announced shutdown is acknowledged only once enough core nodes hold it in memory that no tolerated loss
+//!   of nodes can forget it ([`CoreContext::may_hold_all`]).
+//! - A worker is declared unresponsive only by a node that was itself in contact with a majority of the core for the
+//!   whole of the worker's timeout ([`WorkerMembership::is_complete`]).
 
 use super::change_tracker::ChangeTracker;
 use super::{error_body, CallId, CoreContext, Effect};
@@ -12,107 +19,130 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// A worker that said nothing for so many heartbeats is silent.
-const SILENT_BEATS: f64 = 4.0;
-/// Those that ended are remembered for so long, so that late calls don't revive them: seconds.
-const KEEP: f64 = 60.0;
-/// Who was heard of is told this often: seconds.
-const ALIVE_EVERY: f64 = 0.5;
-/// A leaving worker hears by then, so that it can call elsewhere: seconds.
-const HOLD_WITHIN: f64 = 0.8;
+/// A worker times out after this many missed heartbeats.
+const MISSED_HEARTBEATS: f64 = 4.0;
+/// Unresponsive and departed workers are remembered for this long, so that delayed heartbeats don't revive them: seconds.
+const ENDED_WORKER_KEEP_SECS: f64 = 60.0;
+/// Heartbeats received here are reported to the peers this often: seconds.
+const HEARTBEAT_REPORT_INTERVAL_SECS: f64 = 0.5;
+/// A shutdown announcement that is not replicated within this time is refused, so that the worker can call another core
+/// node: seconds.
+const REPLICATION_TIMEOUT_SECS: f64 = 0.8;
+/// A peer whose digest differs in the same way this often in a row is sent all workers...
+const RESEND_AFTER_MISMATCHES: u32 = 3;
+/// ...but no more often than this: seconds.
+const RESEND_INTERVAL_SECS: f64 = 1.0;
+/// Acknowledged shutdowns are forgotten beyond this number; a repeated announcement is then replicated again.
+const MAX_ACKNOWLEDGED_SHUTDOWNS: usize = 10_000;
 
-struct Holding {
+/// A shutdown announcement that waits for enough core nodes to hold it.
+struct PendingReplication {
     call: CallId,
-    held: BTreeSet<IpAddr>,
-    until: f64,
-    id: String,
+    held_by: BTreeSet<IpAddr>,
+    deadline_secs: f64,
+    worker_id: String,
     phase: WorkerPhase,
 }
 
-/// The core's list of workers.
+/// How a peer's worker digest differed from the local one.
+struct DigestMismatch {
+    /// The peer's digest XOR the local one, at its last ping; 0: equal.
+    difference: u64,
+    /// Pings in a row with this difference.
+    repeats: u32,
+    resent_secs: f64,
+}
+
+/// What [`WorkerMembership::merge`] found out.
+pub struct MergedWorkers {
+    /// Workers that are new or changed here.
+    pub changed: Vec<Worker>,
+    /// Workers that the sender took for unresponsive and that were heard from here since.
+    pub contested: Vec<Worker>,
+}
+
+/// The workers, as this core node knows them.
 pub struct WorkerMembership {
-    /// The list.
+    /// Their latest reports.
     pub registry: WorkerRegistry,
     changes: ChangeTracker<Arc<str>>,
-    beat: f64,
-    holdings: BTreeMap<u64, Holding>,
-    /// Workers whose leaving enough others know of.
-    known: BTreeMap<String, WorkerPhase>,
-    alive: BTreeMap<String, u64>,
-    told_at: f64,
-    /// Since when most of the core has been in touch.
-    touch_since: Option<f64>,
-    /// By core machine: how the lists differed last, how often in a row, when it was told all.
-    differing: BTreeMap<IpAddr, (u64, u32, f64)>,
+    heartbeat_interval_secs: f64,
+    /// By request id.
+    pending: BTreeMap<u64, PendingReplication>,
+    /// Shutdowns that enough core nodes hold, by worker id.
+    acknowledged: BTreeMap<String, WorkerPhase>,
+    /// Heartbeats received here since the last report to the peers: call counts by worker id.
+    unreported_heartbeats: BTreeMap<String, u64>,
+    heartbeats_reported_secs: f64,
+    /// Since when this node has been in contact with a majority of the core without a break.
+    in_majority_since_secs: Option<f64>,
+    /// By core node.
+    mismatches: BTreeMap<IpAddr, DigestMismatch>,
 }
 
 impl WorkerMembership {
-    /// With the workers that were known before: all as if they had just been heard of.
+    /// Starts with the workers of the disk, as if all had just been heard from and none were in slow start.
     pub fn new(settings: &Settings, now: f64, workers: Vec<Worker>) -> Self {
         let mut registry = WorkerRegistry::default();
         for worker in workers {
-            registry.merge(now, Worker { warmup_ms: 0, ..worker }, KEEP);
+            registry.merge(now, Worker { warmup_ms: 0, ..worker }, ENDED_WORKER_KEEP_SECS);
         }
         WorkerMembership {
             registry,
             changes: ChangeTracker::default(),
-            beat: settings.heartbeat.as_secs_f64(),
-            holdings: BTreeMap::new(),
-            known: BTreeMap::new(),
-            alive: BTreeMap::new(),
-            told_at: 0.0,
-            touch_since: None,
-            differing: BTreeMap::new(),
+            heartbeat_interval_secs: settings.heartbeat.as_secs_f64(),
+            pending: BTreeMap::new(),
+            acknowledged: BTreeMap::new(),
+            unreported_heartbeats: BTreeMap::new(),
+            heartbeats_reported_secs: 0.0,
+            in_majority_since_secs: None,
+            mismatches: BTreeMap::new(),
         }
     }
 
-    /// Takes news; returned: what changed here, and what others hold wrongly as silent.
-    pub fn merge(
-        &mut self,
-        now: f64,
-        workers: Vec<Worker>,
-        journal: &mut EventJournal,
-    ) -> (Vec<Worker>, Vec<Worker>) {
+    /// Merges reports, of a worker itself or of another core node.
+    pub fn merge(&mut self, now: f64, workers: Vec<Worker>, journal: &mut EventJournal) -> MergedWorkers {
         let (mut changed, mut contested) = (Vec::new(), Vec::new());
         for worker in workers {
-            let (id, phase) = (worker.id.clone(), worker.phase);
-            match journal.worker(now, worker, &mut self.registry, KEEP) {
+            let (id, reported_phase) = (worker.id.clone(), worker.phase);
+            match journal.worker(now, worker, &mut self.registry, ENDED_WORKER_KEEP_SECS) {
                 MergeOutcome::Changed => {
-                    let Some(held) = self.registry.get(&id) else { continue };
-                    tracing::info!(worker = %held.id, service = %held.service, phase = ?held.phase, "worker");
-                    self.changes.touch(&held.id);
-                    changed.push(held.clone());
+                    let Some(known) = self.registry.get(&id) else { continue };
+                    tracing::info!(worker = %known.id, service = %known.service, phase = ?known.phase, "worker changed");
+                    self.changes.record(&known.id);
+                    changed.push(known.clone());
                 }
-                MergeOutcome::Stale if phase == WorkerPhase::Unresponsive => {
+                MergeOutcome::Stale if reported_phase == WorkerPhase::Unresponsive => {
                     contested
                         .extend(self.registry.get(&id).filter(|w| w.phase <= WorkerPhase::Draining).cloned());
                 }
                 MergeOutcome::Stale | MergeOutcome::Refreshed => {}
             }
         }
-        (changed, contested)
+        MergedWorkers { changed, contested }
     }
 
-    /// A worker called here: the others are to hear that it lives.
-    pub fn refreshed(&mut self, worker: &Worker) {
-        self.alive.insert(worker.id.to_string(), worker.call_count);
+    /// A worker sent its heartbeat to this node: it goes into the next report to the peers.
+    pub fn record_heartbeat(&mut self, worker: &Worker) {
+        self.unreported_heartbeats.insert(worker.id.to_string(), worker.call_count);
     }
 
-    /// Others heard of these.
-    pub fn alive(&mut self, now: f64, heard: &[(String, u64)]) {
-        for (id, calls) in heard {
-            self.registry.record_heartbeat(now, id, *calls);
+    /// A peer reported heartbeats: call counts by worker id.
+    pub fn record_peer_heartbeats(&mut self, now: f64, heartbeats: &[(String, u64)]) {
+        for (id, call_count) in heartbeats {
+            self.registry.record_heartbeat(now, id, *call_count);
         }
     }
 
-    /// The same worker as gone.
-    pub fn departed(&self, id: &str) -> Option<Worker> {
-        let held = self.registry.get(id)?;
-        Some(Worker { phase: WorkerPhase::Departed, call_count: held.call_count + 1, ..held.clone() })
+    /// The report of a known worker's departure; `None`: it is unknown here.
+    pub fn departure_of(&self, id: &str) -> Option<Worker> {
+        let known = self.registry.get(id)?;
+        Some(Worker { phase: WorkerPhase::Departed, call_count: known.call_count + 1, ..known.clone() })
     }
 
-    /// A leaving worker is answered once enough of the core knows.
-    pub fn hold(
+    /// Replicates a worker's shutdown announcement, and replies to its call once enough core nodes hold it: at once if
+    /// they are known to.
+    pub fn replicate_shutdown(
         &mut self,
         now: f64,
         call: CallId,
@@ -120,114 +150,147 @@
         shared: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
-        if self.known.get(&*worker.id).is_some_and(|phase| *phase >= worker.phase) {
+        if self.acknowledged.get(&*worker.id).is_some_and(|phase| *phase >= worker.phase) {
             return out.push(Effect::Reply(call, 200, json!({})));
         }
-        let ask = shared.number();
-        let held = BTreeSet::from([shared.me.ip]);
-        let (id, phase) = (worker.id.to_string(), worker.phase);
-        self.holdings.insert(ask, Holding { call, held, until: now + HOLD_WITHIN, id, phase });
+        let request_id = shared.number();
+        let pending = PendingReplication {
+            call,
+            held_by: BTreeSet::from([shared.me.ip]),
+            deadline_secs: now + REPLICATION_TIMEOUT_SECS,
+            worker_id: worker.id.to_string(),
+            phase: worker.phase,
+        };
+        self.pending.insert(request_id, pending);
         for ip in shared.peers() {
-            out.push(Effect::Send(
-                ip,
-                PeerMessage::ReplicateWorkers { request_id: ask, workers: vec![worker.clone()] },
-            ));
+            let workers = vec![worker.clone()];
+            out.push(Effect::Send(ip, PeerMessage::ReplicateWorkers { request_id, workers }));
         }
-        self.held(shared.me.ip, ask, shared, out);
-    }
-
-    /// One more machine knows.
-    pub fn held(&mut self, ip: IpAddr, ask: u64, shared: &CoreContext, out: &mut Vec<Effect>) {
-        let Some(holding) = self.holdings.get_mut(&ask) else { return };
-        holding.held.insert(ip);
-        if shared.may_hold_all(holding.held.iter()) {
-            tracing::info!(worker = holding.id, phase = ?holding.phase, "acknowledges a leaving worker");
-            out.push(Effect::Reply(holding.call, 200, json!({})));
-            if let Some(done) = self.holdings.remove(&ask) {
-                self.known.insert(done.id, done.phase);
+        // One node may be enough.
+        self.confirm_replication(shared.me.ip, request_id, shared, out);
+    }
+
+    /// A core node holds the announcement of this request. Ignored once the call has its reply.
+    pub fn confirm_replication(
+        &mut self,
+        ip: IpAddr,
+        request_id: u64,
+        shared: &CoreContext,
+        out: &mut Vec<Effect>,
+    ) {
+        let Some(pending) = self.pending.get_mut(&request_id) else { return };
+        pending.held_by.insert(ip);
+        if shared.may_hold_all(pending.held_by.iter()) {
+            tracing::info!(worker = pending.worker_id, phase = ?pending.phase, "acknowledged worker shutdown");
+            out.push(Effect::Reply(pending.call, 200, json!({})));
+            if let Some(done) = self.pending.remove(&request_id) {
+                self.acknowledged.insert(done.worker_id, done.phase);
             }
         }
     }
 
-    /// Does a core machine's list go on to differ in the same way? While news is on its way to one of the two, it differs
-    /// otherwise each time. Once in a while.
-    pub fn differs(&mut self, now: f64, ip: IpAddr, digest: u64) -> bool {
-        let by = digest ^ self.registry.digest();
-        let (last, times, at) = self.differing.entry(ip).or_insert((0, 0, f64::NEG_INFINITY));
-        *times = match by {
+    /// Compares a peer's digest of the workers with the local one. Returns whether the peer is to be sent all workers:
+    /// the digests keep differing in the same way. While an update is on its way to one of the two they differ in
+    /// another way each time.
+    pub fn should_resend_all(&mut self, now: f64, peer: IpAddr, digest: u64) -> bool {
+        let difference = digest ^ self.registry.digest();
+        let initial = DigestMismatch { difference: 0, repeats: 0, resent_secs: f64::NEG_INFINITY };
+        let mismatch = self.mismatches.entry(peer).or_insert(initial);
+        mismatch.repeats = match difference {
             0 => 0,
-            by if by == *last => *times + 1,
+            same if same == mismatch.difference => mismatch.repeats + 1,
             _ => 1,
         };
-        *last = by;
-        let tell = *times >= 3 && now - *at > 1.0;
-        if tell {
-            (*times, *at) = (0, now);
+        mismatch.difference = difference;
+        let resend =
+            mismatch.repeats >= RESEND_AFTER_MISMATCHES && now - mismatch.resent_secs > RESEND_INTERVAL_SECS;
+        if resend {
+            (mismatch.repeats, mismatch.resent_secs) = (0, now);
         }
-        tell
+        resend
     }
 
-    /// The number of the last change of the list.
-    pub fn last(&self) -> u64 {
-        self.changes.last()
+    /// The number of the last change.
+    pub fn last_change(&self) -> u64 {
+        self.changes.last_change()
     }
 
-    /// Workers that changed after this number; `None`: that can't be told any more.
-    pub fn since(&self, number: u64) -> Option<Vec<Worker>> {
-        let changed = self.changes.since(number)?;
+    /// Workers that changed after this change; `None`: the difference is no longer known.
+    pub fn changed_since(&self, change: u64) -> Option<Vec<Worker>> {
+        let changed = self.changes.changed_since(change)?;
         Some(changed.filter_map(|id| self.registry.get(id).cloned()).collect())
     }
 
-    /// Has this machine listened for so long, in touch with most of the core, that it knows every live worker?
-    pub fn settled(&self, now: f64) -> bool {
-        self.touch_since.is_some_and(|at| now - at > SILENT_BEATS * self.beat)
+    /// Whether every live worker is known here: this node has been in contact with a majority of the core for a worker's
+    /// whole timeout, so each has sent a heartbeat that reached it.
+    pub fn is_complete(&self, now: f64) -> bool {
+        self.in_majority_since_secs.is_some_and(|since| now - since > self.worker_timeout_secs())
+    }
+
+    fn worker_timeout_secs(&self) -> f64 {
+        MISSED_HEARTBEATS * self.heartbeat_interval_secs
     }
 
-    /// Nobody's silence counts: this process was away.
-    pub fn excuse(&mut self, now: f64) {
-        self.touch_since = None;
+    /// Restarts every worker's timeout: this process was paused and received nothing meanwhile.
+    pub fn reset_timeouts(&mut self, now: f64) {
+        self.in_majority_since_secs = None;
         self.registry.reset_timeouts(now);
     }
 
-    /// Upkeep; returned: workers that are silent from now on.
+    /// Periodic work: replication timeouts, the report of heartbeats, expiry. Returns workers that became unresponsive.
     pub fn tick(&mut self, now: f64, shared: &mut CoreContext, out: &mut Vec<Effect>) -> Vec<Worker> {
-        let late: Vec<u64> = self.holdings.iter().filter(|(_, h)| h.until <= now).map(|(a, _)| *a).collect();
-        for ask in late {
-            let Some(holding) = self.holdings.remove(&ask) else { continue };
-            tracing::warn!(worker = holding.id, "too few core machines know of a leaving worker in time");
-            out.push(Effect::Reply(holding.call, 503, error_body("too few core machines in time")));
-        }
-        if now - self.told_at >= ALIVE_EVERY && !self.alive.is_empty() {
-            self.told_at = now;
-            let alive: Vec<(String, u64)> = std::mem::take(&mut self.alive).into_iter().collect();
-            for ip in shared.peers() {
-                out.push(Effect::Send(ip, PeerMessage::Heartbeats(alive.clone())));
-            }
-        }
-        self.touch_since = match shared.majority(now) {
-            true => self.touch_since.or(Some(now)),
+        self.refuse_late_replications(now, out);
+        self.report_heartbeats(now, shared, out);
+        self.in_majority_since_secs = match shared.majority(now) {
+            true => self.in_majority_since_secs.or(Some(now)),
             false => None,
         };
         for id in self.registry.remove_ended(now) {
             self.changes.forget(&id);
         }
-        if self.known.len() > 10_000 {
-            self.known.clear();
+        if self.acknowledged.len() > MAX_ACKNOWLEDGED_SHUTDOWNS {
+            self.acknowledged.clear();
         }
-        if !self.settled(now) {
+        if !self.is_complete(now) {
             return Vec::new();
         }
-        let silent = self.registry.expire(now, SILENT_BEATS * self.beat, KEEP);
-        if !silent.is_empty() {
-            for worker in &silent {
-                tracing::warn!(worker = %worker.id, service = %worker.service, "worker fell silent");
-                self.changes.touch(&worker.id);
+        self.expire_workers(now, shared, out)
+    }
+
+    fn refuse_late_replications(&mut self, now: f64, out: &mut Vec<Effect>) {
+        let late = self.pending.iter().filter(|(_, p)| p.deadline_secs <= now).map(|(id, _)| *id);
+        for request_id in late.collect::<Vec<_>>() {
+            let Some(pending) = self.pending.remove(&request_id) else { continue };
+            tracing::warn!(worker = pending.worker_id, "worker shutdown not replicated in time");
+            out.push(Effect::Reply(pending.call, 503, error_body("too few core machines in time")));
+        }
+    }
+
+    fn report_heartbeats(&mut self, now: f64, shared: &CoreContext, out: &mut Vec<Effect>) {
+        let due = now - self.heartbeats_reported_secs >= HEARTBEAT_REPORT_INTERVAL_SECS;
+        if due && !self.unreported_heartbeats.is_empty() {
+            self.heartbeats_reported_secs = now;
+            let heartbeats: Vec<(String, u64)> =
+                std::mem::take(&mut self.unreported_heartbeats).into_iter().collect();
+            for ip in shared.peers() {
+                out.push(Effect::Send(ip, PeerMessage::Heartbeats(heartbeats.clone())));
+            }
+        }
+    }
+
+    /// Marks workers whose heartbeats timed out as unresponsive and tells the peers.
+    fn expire_workers(&mut self, now: f64, shared: &mut CoreContext, out: &mut Vec<Effect>) -> Vec<Worker> {
+        let unresponsive = self.registry.expire(now, self.worker_timeout_secs(), ENDED_WORKER_KEEP_SECS);
+        if !unresponsive.is_empty() {
+            for worker in &unresponsive {
+                tracing::warn!(worker = %worker.id, service = %worker.service, "worker heartbeats timed out");
+                self.changes.record(&worker.id);
                 shared.journal.append(now, JournalEvent::Worker(worker.clone()));
             }
             for ip in shared.peers() {
-                out.push(Effect::Send(ip, PeerMessage::WorkerUpdates(silent.clone())));
+                out.push(Effect::Send(ip, PeerMessage::WorkerUpdates(unresponsive.clone())));
             }
         }
-        silent
+        unresponsive
     }
 }
