--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -3,7 +3,7 @@
 //! came between. It must never give a whole configuration, or the list of workers, while out of touch with most of the
 //! core: whoever has just started would take it for the newest.
 
-use super::in_flight_window::{weight, InFlightWindow};
+use super::in_flight_window::{estimated_bytes, InFlightWindow};
 use super::{ConnectionId, CoreNode, Effect, TICK_SECS};
 use crate::configuration::ConfigItem;
 use crate::consensus::Index;
@@ -91,7 +91,7 @@
         if core {
             self.learn_core_nodes(vec![me], out);
         } else {
-            self.edges.meet(now, &node, me);
+            self.edges.announce(now, &node, me);
         }
         // What a gatekeeper holds comes with its first ping.
         let caller = PeerSession {
@@ -115,7 +115,7 @@
         for effect in effects {
             let Effect::SendToSession(conn, msg) = effect else { continue };
             if let Some(caller) = self.sessions.get_mut(conn) {
-                caller.link.says(msg);
+                caller.link.record_sent(msg);
             }
         }
     }
@@ -136,8 +136,8 @@
         out: &mut Vec<Effect>,
     ) {
         let mine = (self.configuration.state.last_change_index(), self.membership.registry.digest());
-        let (leave, last) = (self.leave(now), self.membership.last());
-        let settled = leave.whole && self.membership.settled(now);
+        let (leave, last) = (self.leave(now), self.membership.last_change());
+        let settled = leave.whole && self.membership.is_complete(now);
         let Some(caller) = self.sessions.get_mut(&conn) else { return };
         if caller.member.is_some() {
             out.push(Effect::SendToSession(
@@ -146,12 +146,12 @@
             ));
             return;
         }
-        caller.link.hears(heard);
+        caller.link.acknowledge(heard);
         caller.holds = Some((config, workers));
-        let older = caller.told && config < mine.0 && caller.link.takes_whole(leave.most);
+        let older = caller.told && config < mine.0 && caller.link.has_room_for_full_state(leave.most);
         caller.behind = if older { caller.behind + 1 } else { 0 };
         if caller.behind >= 2 {
-            tracing::info!(gate = caller.node, "tells all to a gatekeeper that missed something");
+            tracing::info!(edge = caller.node, "resending full configuration to edge");
             (caller.told, caller.behind) = (false, 0);
         }
         // Once both have had the same news, a difference is more than news under way to one of them, and stays the same.
@@ -160,10 +160,10 @@
             (caller.differs, caller.whole.1) = ((by, now), WHOLE_EVERY);
         }
         let (at, every) = caller.whole;
-        let same = caller.link.workers_heard() && caller.workers == Some(last);
+        let same = caller.link.are_workers_acknowledged() && caller.workers == Some(last);
         let lasts = by != 0 && same && now - caller.differs.1 >= DIFFERS;
-        if lasts && settled && now - at > every && caller.link.takes_whole(leave.most) {
-            tracing::info!(gate = caller.node, "tells all workers to a gatekeeper that differs");
+        if lasts && settled && now - at > every && caller.link.has_room_for_full_state(leave.most) {
+            tracing::info!(edge = caller.node, "resending full worker list to edge");
             caller.whole = (now, (2.0 * every).min(WHOLE_LAST));
             let workers = self.membership.registry.workers().cloned().collect();
             out.push(Effect::SendToSession(conn, PeerMessage::WorkerSnapshot { workers, complete: settled }));
@@ -194,7 +194,7 @@
         let mine = (
             self.configuration.state.last_change_index(),
             self.membership.registry.digest(),
-            self.membership.last(),
+            self.membership.last_change(),
         );
         let (Some(caller), last) = (self.sessions.get_mut(&conn), mine.2) else { return };
         let Some((config, workers)) = caller.holds else { return };
@@ -207,7 +207,7 @@
             caller.workers.filter(|n| *n < last && leave.news && caller.link.has_room(leave.most))
         {
             // Those that can't be told any more are told by the whole list.
-            let news = self.membership.since(known);
+            let news = self.membership.changed_since(known);
             caller.workers = news.is_some().then_some(last);
             out.extend(news.map(|workers| Effect::SendToSession(conn, PeerMessage::WorkerUpdates(workers))));
         }
@@ -215,7 +215,7 @@
         let most = self.context.settings.memory_bytes as usize / MEMORY_PART;
         let room = self.transfer_pacing.wholes > 0.0
             && (self.transfer_pacing.under_way == 0 || self.transfer_pacing.under_way < most);
-        if !(lacks && leave.whole && room && caller.link.takes_whole(leave.most)) {
+        if !(lacks && leave.whole && room && caller.link.has_room_for_full_state(leave.most)) {
             return;
         }
         let mut whole = Vec::new();
@@ -230,7 +230,7 @@
             let workers = self.membership.registry.workers().cloned().collect();
             whole.push(PeerMessage::WorkerSnapshot { workers, complete: false });
         }
-        let bytes: usize = whole.iter().map(weight).sum();
+        let bytes: usize = whole.iter().map(estimated_bytes).sum();
         self.transfer_pacing.wholes -= bytes as f64;
         self.transfer_pacing.under_way += bytes;
         out.extend(whole.into_iter().map(|msg| Effect::SendToSession(conn, msg)));
@@ -238,7 +238,7 @@
 
     /// Workers' news goes to all gatekeepers that it is news to.
     pub(super) fn tell_workers(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leave, last) = (self.leave(now), self.membership.last());
+        let (leave, last) = (self.leave(now), self.membership.last_change());
         if !leave.news {
             return;
         }
@@ -247,7 +247,7 @@
             let Some(known) = caller.workers.filter(|n| *n < last && caller.link.has_room(leave.most)) else {
                 continue;
             };
-            let news = lacked.entry(known).or_insert_with(|| self.membership.since(known));
+            let news = lacked.entry(known).or_insert_with(|| self.membership.changed_since(known));
             caller.workers = news.is_some().then_some(last);
             out.extend(
                 news.iter()
@@ -281,7 +281,7 @@
     }
 
     fn serve_all(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leave, last) = (self.leave(now), self.membership.last());
+        let (leave, last) = (self.leave(now), self.membership.last_change());
         let lacks = |c: &PeerSession| c.member.is_none() && (!c.told || c.workers.is_none_or(|n| n < last));
         let lacking = self.sessions.iter().filter(|(_, c)| lacks(c)).map(|(conn, _)| *conn);
         for conn in lacking.collect::<Vec<_>>() {
@@ -291,10 +291,10 @@
 
     /// Upkeep.
     pub(super) fn tick_gates(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.edges.sweep(now);
+        self.edges.expire(now);
         self.transfer_pacing.wholes =
             (self.transfer_pacing.wholes + WHOLES * TICK_SECS).min(WHOLES * TICK_SECS);
-        self.transfer_pacing.under_way = self.sessions.values().map(|c| c.link.bytes()).sum();
+        self.transfer_pacing.under_way = self.sessions.values().map(|c| c.link.bytes_in_flight()).sum();
         // Those that came while this machine could not speak for all, or whose connections lagged.
         self.serve_all(now, out);
         self.tell_list(now, out);
@@ -303,7 +303,7 @@
     /// The list of gatekeepers: each is told what is news to it, in turn.
     fn tell_list(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.transfer_pacing.lists = (self.transfer_pacing.lists + LISTS * TICK_SECS).min(LISTS * TICK_SECS);
-        let (most, last, from) = (self.leave(now).most, self.edges.last(), self.transfer_pacing.listed);
+        let (most, last, from) = (self.leave(now).most, self.edges.last_change(), self.transfer_pacing.listed);
         let behind = |c: &PeerSession| c.member.is_none() && c.gates != Some(last) && c.link.has_room(most);
         let turn = self.sessions.range(from + 1..).chain(self.sessions.range(..=from));
         let turn: Vec<ConnectionId> = turn.filter(|(_, c)| behind(c)).map(|(conn, _)| *conn).collect();
@@ -312,9 +312,9 @@
                 return;
             }
             let Some(caller) = self.sessions.get_mut(&conn) else { continue };
-            let msg = self.edges.lacked(caller.gates);
+            let msg = self.edges.update_since(caller.gates);
             caller.gates = Some(last);
-            self.transfer_pacing.lists -= weight(&msg) as f64;
+            self.transfer_pacing.lists -= estimated_bytes(&msg) as f64;
             self.transfer_pacing.listed = conn;
             out.push(Effect::SendToSession(conn, msg));
         }
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -226,7 +226,7 @@
             "calls_waiting": self.configuration.waiting_calls(),
             "disk_hangs": self.raft.is_disk_stalled(log_time),
             "gatekeepers": self.edges.count(),
-            "workers_settled": self.membership.settled(now),
+            "workers_settled": self.membership.is_complete(now),
         })
     }
 }
