--- a/crates/gateway/src/control_plane/api_calls.rs
+++ b/crates/gateway/src/control_plane/api_calls.rs
@@ -59,26 +59,26 @@
     fn handle_heartbeat(&mut self, now: f64, call: CallId, worker: Worker, out: &mut Vec<Effect>) {
         let is_leaving = worker.phase != WorkerPhase::Serving;
         self.merge_reported_worker(now, worker.clone(), out);
-        self.membership.refreshed(&worker);
+        self.membership.record_heartbeat(&worker);
         if is_leaving {
-            self.membership.hold(now, call, worker, &mut self.context, out);
+            self.membership.replicate_shutdown(now, call, worker, &mut self.context, out);
         } else {
             out.push(Effect::Respond(call, 200, json!({})));
         }
     }
 
     fn handle_departure(&mut self, now: f64, call: CallId, id: &str, out: &mut Vec<Effect>) {
-        let Some(worker) = self.membership.departed(id) else {
+        let Some(worker) = self.membership.departure_of(id) else {
             return out.push(self.respond_to_unknown_departure(now, call));
         };
         self.merge_reported_worker(now, worker.clone(), out);
-        self.membership.hold(now, call, worker, &mut self.context, out);
+        self.membership.replicate_shutdown(now, call, worker, &mut self.context, out);
     }
 
     /// The worker is not in the registry here. Acknowledged only by a node that would know every live worker by now:
     /// another one may hold it as live.
     fn respond_to_unknown_departure(&self, now: f64, call: CallId) -> Effect {
-        if self.context.voters.len() > 1 && !self.membership.settled(now) {
+        if self.context.voters.len() > 1 && !self.membership.is_complete(now) {
             return Effect::Respond(call, 503, error_body("not every worker is known here yet"));
         }
         Effect::Respond(call, 200, json!({}))
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -303,7 +303,8 @@
     /// The list of gatekeepers: each is told what is news to it, in turn.
     fn tell_list(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.transfer_pacing.lists = (self.transfer_pacing.lists + LISTS * TICK_SECS).min(LISTS * TICK_SECS);
-        let (most, last, from) = (self.leave(now).most, self.edges.last_change(), self.transfer_pacing.listed);
+        let (most, last, from) =
+            (self.leave(now).most, self.edges.last_change(), self.transfer_pacing.listed);
         let behind = |c: &PeerSession| c.member.is_none() && c.gates != Some(last) && c.link.has_room(most);
         let turn = self.sessions.range(from + 1..).chain(self.sessions.range(..=from));
         let turn: Vec<ConnectionId> = turn.filter(|(_, c)| behind(c)).map(|(conn, _)| *conn).collect();
--- a/crates/gateway/src/control_plane/peer_messages.rs
+++ b/crates/gateway/src/control_plane/peer_messages.rs
@@ -2,6 +2,7 @@
 //! on the connections that they opened. Consensus messages are passed on to `replicated_log`,
 //! an edge's state to `edge_sessions`.
 
+use super::worker_membership::MergedWorkers;
 use super::{tenant_limit, ConnectionId, CoreNode, Effect};
 use crate::consensus::Term;
 use crate::control_plane::context::LearnOutcome;
@@ -55,7 +56,7 @@
         match message {
             PeerMessage::CoreNodes(nodes) => self.learn_core_nodes(nodes, out),
             PeerMessage::WorkersReplicated { request_id } => {
-                self.membership.held(ip, request_id, &self.context, out)
+                self.membership.confirm_replication(ip, request_id, &self.context, out)
             }
             PeerMessage::Ping { workers_digest, .. } => self.compare_workers(now, ip, workers_digest, out),
             PeerMessage::ForwardResponse { request_id, response } => {
@@ -67,7 +68,7 @@
 
     /// Anti-entropy between core nodes: a peer whose registry keeps differing is sent all workers.
     fn compare_workers(&mut self, now: f64, ip: IpAddr, peer_digest: u64, out: &mut Vec<Effect>) {
-        if self.membership.differs(now, ip, peer_digest) {
+        if self.membership.should_resend_all(now, ip, peer_digest) {
             let workers = self.membership.registry.workers().cloned().collect();
             out.push(Effect::SendToPeer(ip, PeerMessage::WorkerSnapshot { workers, complete: false }));
         }
@@ -86,7 +87,7 @@
         }
         let Some(session) = self.sessions.get(&conn).cloned() else { return };
         if session.member.is_none() {
-            self.edges.heard(now, &session.node);
+            self.edges.record_contact(now, &session.node);
         }
         match message {
             PeerMessage::CoreNodes(nodes) => self.learn_core_nodes(nodes, out),
@@ -112,7 +113,7 @@
                 out.push(Effect::SendToSession(conn, PeerMessage::WorkersReplicated { request_id }));
             }
             // A worker that is unknown here is skipped: the digests then differ, and anti-entropy brings it.
-            PeerMessage::Heartbeats(heartbeats) => self.membership.alive(now, &heartbeats),
+            PeerMessage::Heartbeats(heartbeats) => self.membership.record_peer_heartbeats(now, &heartbeats),
             PeerMessage::Ping { config_index, workers_digest, received } => {
                 self.pinged(now, conn, (config_index, workers_digest, received), out)
             }
@@ -190,7 +191,8 @@
         workers: Vec<Worker>,
         out: &mut Vec<Effect>,
     ) -> (Vec<Worker>, Vec<Worker>) {
-        let (changed, contested) = self.membership.merge(now, workers, &mut self.context.journal);
+        let MergedWorkers { changed, contested } =
+            self.membership.merge(now, workers, &mut self.context.journal);
         self.persist_workers(&changed, out);
         if !changed.is_empty() {
             self.tell_workers(now, out);
--- a/crates/gateway/src/control_plane/upkeep.rs
+++ b/crates/gateway/src/control_plane/upkeep.rs
@@ -40,7 +40,7 @@
         if gap_secs > SUSPENSION_SECS {
             tracing::warn!(seconds = gap_secs, "process was suspended");
             self.context.journal.append(now, JournalEvent::Suspended { secs: gap_secs });
-            self.membership.excuse(now);
+            self.membership.reset_timeouts(now);
         }
     }
 
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -105,7 +105,7 @@
         let (mut changed, mut contested) = (Vec::new(), Vec::new());
         for worker in workers {
             let (id, reported_phase) = (worker.id.clone(), worker.phase);
-            match journal.worker(now, worker, &mut self.registry, ENDED_WORKER_KEEP_SECS) {
+            match journal.merge_worker(now, worker, &mut self.registry, ENDED_WORKER_KEEP_SECS) {
                 MergeOutcome::Changed => {
                     let Some(known) = self.registry.get(&id) else { continue };
                     tracing::info!(worker = %known.id, service = %known.service, phase = ?known.phase, "worker changed");
@@ -151,9 +151,9 @@
         out: &mut Vec<Effect>,
     ) {
         if self.acknowledged.get(&*worker.id).is_some_and(|phase| *phase >= worker.phase) {
-            return out.push(Effect::Reply(call, 200, json!({})));
+            return out.push(Effect::Respond(call, 200, json!({})));
         }
-        let request_id = shared.number();
+        let request_id = shared.next_id();
         let pending = PendingReplication {
             call,
             held_by: BTreeSet::from([shared.me.ip]),
@@ -164,7 +164,7 @@
         self.pending.insert(request_id, pending);
         for ip in shared.peers() {
             let workers = vec![worker.clone()];
-            out.push(Effect::Send(ip, PeerMessage::ReplicateWorkers { request_id, workers }));
+            out.push(Effect::SendToPeer(ip, PeerMessage::ReplicateWorkers { request_id, workers }));
         }
         // One node may be enough.
         self.confirm_replication(shared.me.ip, request_id, shared, out);
@@ -180,9 +180,9 @@
     ) {
         let Some(pending) = self.pending.get_mut(&request_id) else { return };
         pending.held_by.insert(ip);
-        if shared.may_hold_all(pending.held_by.iter()) {
+        if shared.survives_tolerated_losses(pending.held_by.iter()) {
             tracing::info!(worker = pending.worker_id, phase = ?pending.phase, "acknowledged worker shutdown");
-            out.push(Effect::Reply(pending.call, 200, json!({})));
+            out.push(Effect::Respond(pending.call, 200, json!({})));
             if let Some(done) = self.pending.remove(&request_id) {
                 self.acknowledged.insert(done.worker_id, done.phase);
             }
@@ -241,7 +241,7 @@
     pub fn tick(&mut self, now: f64, shared: &mut CoreContext, out: &mut Vec<Effect>) -> Vec<Worker> {
         self.refuse_late_replications(now, out);
         self.report_heartbeats(now, shared, out);
-        self.in_majority_since_secs = match shared.majority(now) {
+        self.in_majority_since_secs = match shared.has_majority(now) {
             true => self.in_majority_since_secs.or(Some(now)),
             false => None,
         };
@@ -262,7 +262,7 @@
         for request_id in late.collect::<Vec<_>>() {
             let Some(pending) = self.pending.remove(&request_id) else { continue };
             tracing::warn!(worker = pending.worker_id, "worker shutdown not replicated in time");
-            out.push(Effect::Reply(pending.call, 503, error_body("too few core machines in time")));
+            out.push(Effect::Respond(pending.call, 503, error_body("too few core machines in time")));
         }
     }
 
@@ -273,7 +273,7 @@
             let heartbeats: Vec<(String, u64)> =
                 std::mem::take(&mut self.unreported_heartbeats).into_iter().collect();
             for ip in shared.peers() {
-                out.push(Effect::Send(ip, PeerMessage::Heartbeats(heartbeats.clone())));
+                out.push(Effect::SendToPeer(ip, PeerMessage::Heartbeats(heartbeats.clone())));
             }
         }
     }
@@ -288,7 +288,7 @@
                 shared.journal.append(now, JournalEvent::Worker(worker.clone()));
             }
             for ip in shared.peers() {
-                out.push(Effect::Send(ip, PeerMessage::WorkerUpdates(unresponsive.clone())));
+                out.push(Effect::SendToPeer(ip, PeerMessage::WorkerUpdates(unresponsive.clone())));
             }
         }
         unresponsive
