--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -1,5 +1,5 @@
-//! What the replicated log's disk must outlive, against a model in memory and against every way that a loss of power
-//! may leave its files; and the way of items from an earlier disk.
+//! The store against a model in memory, and against every way in which a loss of power may leave its files; and the
+//! items of a disk of the program before the replicated log, exported and sent again.
 
 use crate::cli::export::{call, export, ExportError};
 use crate::configuration::{parse_change, ConfigItem, ItemFields, ItemKind, ItemSet};
@@ -7,8 +7,8 @@
 use crate::discovery::{Worker, WorkerPhase};
 use crate::protocol::LogCommand;
 use crate::storage::{
-    LoadedState, ReplicaStore, SnapshotChunk, StorageError, WriteBatch, DATABASE_FILE, LEGACY_DATABASE_FILE,
-    SNAPSHOT_CHUNK_BYTES, WAL_FILE,
+    LoadedState, ReplicaStore, SnapshotChunk, StorageError, StoredRecord, WriteBatch, DATABASE_FILE,
+    LEGACY_DATABASE_FILE, SNAPSHOT_CHUNK_BYTES, WAL_FILE,
 };
 use googletest::prelude::*;
 use rusqlite::Connection;
@@ -53,7 +53,7 @@
     NodeId { ip: std::net::Ipv4Addr::new(10, 1, 0, disk as u8).into(), disk }
 }
 
-fn order(label: &str, version: u64, size: usize) -> LogCommand {
+fn configure_command(label: &str, version: u64, size: usize) -> LogCommand {
     let body = json!({ "label": label, "revision": format!("r{version}"), "note": "x".repeat(size) });
     let body = body.as_object().map(ItemFields::from);
     LogCommand::Configure(
@@ -65,7 +65,7 @@
     let body = match index % 7 {
         0 => EntryPayload::TermStart,
         1 => EntryPayload::Members([node(0), node(index)].into()),
-        _ => EntryPayload::Command(order("s", index, size)),
+        _ => EntryPayload::Command(configure_command("s", index, size)),
     };
     Entry { term, index, body }
 }
@@ -76,7 +76,7 @@
     Worker { id, service, address, zone, capacity: 4, phase, warmup_ms: 0, call_count: calls }
 }
 
-fn put(writes: Vec<LogWrite<LogCommand>>) -> WriteBatch {
+fn batch_of(writes: Vec<LogWrite<LogCommand>>) -> WriteBatch {
     WriteBatch { log_writes: writes, ..WriteBatch::default() }
 }
 
@@ -84,123 +84,124 @@
     ReplicaStore::open(folder, true).expect("opens")
 }
 
-fn content(folder: &Path) -> LoadedState {
+fn reopened_state(folder: &Path) -> LoadedState {
     LoadedState { is_new: true, ..open(folder).1 }
 }
 
-/// What a put means, as simply as can be.
-fn apply(held: &mut LoadedState, put: &WriteBatch) {
-    for write in &put.log_writes {
+/// The meaning of a batch, implemented as simply as possible.
+fn apply_to_model(loaded: &mut LoadedState, batch: &WriteBatch) {
+    for write in &batch.log_writes {
         match write.clone() {
-            LogWrite::Hard(term, vote) => (held.raft_state.term, held.raft_state.vote) = (term, vote),
+            LogWrite::Hard(term, vote) => (loaded.raft_state.term, loaded.raft_state.vote) = (term, vote),
             LogWrite::Append(entries) => {
-                held.raft_state.log.retain(|e| e.index < entries[0].index);
-                held.raft_state.log.extend(entries);
+                loaded.raft_state.log.retain(|e| e.index < entries[0].index);
+                loaded.raft_state.log.extend(entries);
             }
             LogWrite::Snapshot { snapshot, whole } => {
-                held.raft_state.log.retain(|e| !whole && e.index > snapshot.index);
-                held.raft_state.snapshot = Some(snapshot);
+                loaded.raft_state.log.retain(|e| !whole && e.index > snapshot.index);
+                loaded.raft_state.snapshot = Some(snapshot);
             }
         }
     }
-    for worker in &put.workers {
-        held.workers.retain(|w| w.id != worker.id);
+    for worker in &batch.workers {
+        loaded.workers.retain(|w| w.id != worker.id);
         if worker.phase <= WorkerPhase::Draining {
-            held.workers.push(worker.clone());
+            loaded.workers.push(worker.clone());
         }
     }
-    held.workers.sort_by(|a, b| a.id.cmp(&b.id));
+    loaded.workers.sort_by(|a, b| a.id.cmp(&b.id));
 }
 
-/// A put that a member may write next.
-fn next(rng: &mut fastrand::Rng, held: &LoadedState, most: usize) -> WriteBatch {
-    let behind = held.raft_state.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
-    let last = held.raft_state.log.last().map_or(behind, |e| (e.index, e.term));
-    let mut put = WriteBatch::default();
-    let term = held.raft_state.term.max(last.1).max(1);
-    // The bytes by the place: what was written ahead is the same.
+/// A random batch that a node in this state may write.
+fn random_batch(rng: &mut fastrand::Rng, loaded: &LoadedState, max_bytes: usize) -> WriteBatch {
+    let start = loaded.raft_state.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
+    let last = loaded.raft_state.log.last().map_or(start, |e| (e.index, e.term));
+    let mut batch = WriteBatch::default();
+    let term = loaded.raft_state.term.max(last.1).max(1);
+    // Bytes by index, so that staged chunks agree with the snapshot.
     let snapshot = |rng: &mut fastrand::Rng, index, term| Snapshot {
         index,
         term,
         members: [node(1), node(2)].into(),
-        data: vec![index as u8; rng.usize(..most)].into(),
+        data: vec![index as u8; rng.usize(..max_bytes)].into(),
     };
     match rng.u8(..10) {
-        // A new leader's entries in the place of those that did not last.
-        0 if !held.raft_state.log.is_empty() => {
-            let from = held.raft_state.log[rng.usize(..held.raft_state.log.len())].index;
-            put.log_writes.push(LogWrite::Hard(term + 1, None));
-            put.log_writes.push(LogWrite::Append(
-                (from..from + 2).map(|i| entry(i, term + 1, rng.usize(..most))).collect(),
+        // A new leader overwrites entries that were not committed.
+        0 if !loaded.raft_state.log.is_empty() => {
+            let from = loaded.raft_state.log[rng.usize(..loaded.raft_state.log.len())].index;
+            batch.log_writes.push(LogWrite::Hard(term + 1, None));
+            batch.log_writes.push(LogWrite::Append(
+                (from..from + 2).map(|i| entry(i, term + 1, rng.usize(..max_bytes))).collect(),
             ));
         }
-        1 => put.log_writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4))))),
-        // A snapshot, and the log behind it cut.
-        2 | 3 if !held.raft_state.log.is_empty() => {
-            let many = held.raft_state.log.len();
-            let at = &held.raft_state.log[if rng.bool() { many - 1 } else { rng.usize(..many) }];
+        1 => batch.log_writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4))))),
+        // A snapshot of its own; the log up to it is compacted.
+        2 | 3 if !loaded.raft_state.log.is_empty() => {
+            let many = loaded.raft_state.log.len();
+            let at = &loaded.raft_state.log[if rng.bool() { many - 1 } else { rng.usize(..many) }];
             let snapshot = snapshot(rng, at.index, at.term);
-            put.log_writes.push(LogWrite::Snapshot { snapshot, whole: false });
+            batch.log_writes.push(LogWrite::Snapshot { snapshot, whole: false });
         }
-        // A leader's snapshot.
+        // A snapshot received from the leader.
         4 => {
-            let index = rng.u64(behind.0 + 1..last.0 + 9);
+            let index = rng.u64(start.0 + 1..last.0 + 9);
             let snapshot = snapshot(rng, index, term);
-            put.log_writes.push(LogWrite::Snapshot { snapshot, whole: true });
+            batch.log_writes.push(LogWrite::Snapshot { snapshot, whole: true });
         }
         5 => {
             let phase = [WorkerPhase::Serving, WorkerPhase::Draining, WorkerPhase::Departed][rng.usize(..3)];
-            put.workers.push(worker(rng.u64(..5), phase, rng.u64(..)));
+            batch.workers.push(worker(rng.u64(..5), phase, rng.u64(..)));
         }
-        // Ahead of a snapshot that may come, or not.
+        // A chunk staged for a snapshot that may or may not be installed.
         6 | 7 => {
             let (of, parts) = (last, rng.usize(1..3));
             let data = vec![of.0 as u8; parts * SNAPSHOT_CHUNK_BYTES].into();
-            put.snapshot_chunk = Some(SnapshotChunk {
+            batch.snapshot_chunk = Some(SnapshotChunk {
                 snapshot: of.into(),
                 offset: (rng.usize(..3) / 2 * SNAPSHOT_CHUNK_BYTES) as u64,
                 data,
             });
         }
         _ => {
-            let entries = (1..2 + rng.u64(..3)).map(|i| entry(last.0 + i, term, rng.usize(..most))).collect();
-            put.log_writes.push(LogWrite::Append(entries));
+            let entries =
+                (1..2 + rng.u64(..3)).map(|i| entry(last.0 + i, term, rng.usize(..max_bytes))).collect();
+            batch.log_writes.push(LogWrite::Append(entries));
         }
     }
     if rng.bool() {
-        put.log_writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4)))));
+        batch.log_writes.push(LogWrite::Hard(term + 1, Some(node(rng.u64(..4)))));
     }
-    put
+    batch
 }
 
-/// Guards every write's meaning, by the model, over reopenings at any point.
+/// Each kind of write has the model's effect, with the store reopened at any point.
 #[gtest]
-fn what_is_read_back_is_what_the_model_holds() {
+fn reopened_store_matches_the_model() {
     for seed in 0..8 {
         let (mut rng, folder) = (fastrand::Rng::with_seed(seed), Folder::new(&format!("model{seed}")));
         let (mut store, mut model) = open(&folder.0);
         for step in 0..150 {
-            let mut puts = Vec::new();
+            let mut batches = Vec::new();
             for _ in 0..rng.usize(1..4) {
-                let put = next(&mut rng, &model, 3000);
-                apply(&mut model, &put);
-                puts.push(put);
+                let batch = random_batch(&mut rng, &model, 3000);
+                apply_to_model(&mut model, &batch);
+                batches.push(batch);
             }
-            store.write(&puts).expect("writes");
+            store.write(&batches).expect("writes");
             if rng.u8(..10) == 0 {
                 drop(store);
-                let (again, held) = open(&folder.0);
-                let held = LoadedState { is_new: !held.is_new, ..held };
-                assert_that!(held == model, eq(true), "seed {seed} step {step}");
+                let (again, loaded) = open(&folder.0);
+                let loaded = LoadedState { is_new: !loaded.is_new, ..loaded };
+                assert_that!(loaded == model, eq(true), "seed {seed} step {step}");
                 store = again;
             }
         }
     }
 }
 
-/// A file of which some later writes came and some didn't, each whole, torn or not at all; `whole`: up to there all is
-/// as after them.
-fn torn(rng: &mut fastrand::Rng, old: &[u8], new: &[u8], whole: usize) -> Vec<u8> {
+/// A file of which later writes reached the disk in part, each whole, torn or not at all; the first `whole` bytes are as
+/// after them.
+fn torn_file(rng: &mut fastrand::Rng, old: &[u8], new: &[u8], whole: usize) -> Vec<u8> {
     let keep = [old.len(), new.len(), old.len().max(new.len())][rng.usize(..3)];
     let mut file = new[..whole].to_vec();
     while file.len() < keep {
@@ -209,7 +210,7 @@
             0 => old,
             _ => new,
         };
-        // What was never written reads as nought.
+        // What was never written reads as zeros.
         let there = from.len().clamp(file.len(), to);
         file.extend_from_slice(from.get(file.len()..there).unwrap_or(&[]));
         file.resize(to, 0);
@@ -217,67 +218,68 @@
     file
 }
 
-/// Bytes at the head of the write-ahead log that are synced before what follows.
+/// Bytes of the write-ahead log's header, which is synced before what follows.
 const WAL_HEAD: usize = 32;
 
-/// Guards each synced put against a loss of power within the next: within an append, a new leader's cut of the log, a
-/// snapshot and the cut behind it, a leader's snapshot, and while pages go from the write-ahead log to the database.
+/// A synced batch survives a loss of power during the next one: during an append, an overwrite by a new leader, a
+/// compaction, a leader's snapshot, and a checkpoint of the write-ahead log to the database.
 #[gtest]
-fn a_loss_of_power_leaves_a_whole_put_or_none() {
+fn power_loss_keeps_each_batch_whole_or_absent() {
     let (mut checkpoints, mut restarts, mut after, mut before) = (0, 0, 0, 0);
     for seed in 0..4 {
         let (mut rng, folder) = (fastrand::Rng::with_seed(seed), Folder::new(&format!("power{seed}")));
         let (mut store, mut model) = open(&folder.0);
         let copy = Folder::new(&format!("torn{seed}"));
-        let look = |db: &[u8], wal: &[u8]| {
+        let load_copy = |db: &[u8], wal: &[u8]| {
             std::fs::write(copy.0.join(DATABASE_FILE), db).expect("a copy");
             std::fs::write(copy.0.join(WAL_FILE), wal).expect("a copy");
-            content(&copy.0)
+            reopened_state(&copy.0)
         };
         for step in 0..60 {
             let old = (folder.file(DATABASE_FILE), folder.file(WAL_FILE));
-            let was = model.clone();
-            let put = next(&mut rng, &model, 200_000);
-            apply(&mut model, &put);
-            store.write(&[put]).expect("writes");
-            let (is, new) = (&model, (folder.file(DATABASE_FILE), folder.file(WAL_FILE)));
+            let previous = model.clone();
+            let batch = random_batch(&mut rng, &model, 200_000);
+            apply_to_model(&mut model, &batch);
+            store.write(&[batch]).expect("writes");
+            let (current, new) = (&model, (folder.file(DATABASE_FILE), folder.file(WAL_FILE)));
             let at = format!("seed {seed} step {step}");
             let head = new.1.len().min(WAL_HEAD);
             if old.1.get(..head) != new.1.get(..head) {
                 restarts += 1;
-                // The head is new and nothing else: what was in the log is in the database.
+                // Only the header is new: the log was restarted, its content is in the database.
                 let wal = [&new.1[..head], old.1.get(head..).unwrap_or(&[])].concat();
-                assert_that!(look(&old.0, &wal) == was, eq(true), "{at}: head");
+                assert_that!(load_copy(&old.0, &wal) == previous, eq(true), "{at}: head");
             }
             for _ in 0..4 {
-                let found = look(&old.0, &torn(&mut rng, &old.1, &new.1, head));
-                after += usize::from(found == *is);
-                before += usize::from(found == was);
-                assert_that!(found == was || found == *is, eq(true), "{at}: log");
+                let found = load_copy(&old.0, &torn_file(&mut rng, &old.1, &new.1, head));
+                after += usize::from(found == *current);
+                before += usize::from(found == previous);
+                assert_that!(found == previous || found == *current, eq(true), "{at}: log");
             }
             if old.0 != new.0 {
                 checkpoints += 1;
                 for _ in 0..4 {
-                    let db = torn(&mut rng, &old.0, &new.0, 0);
-                    assert_that!(look(&db, &new.1) == *is, eq(true), "{at}: database");
+                    let db = torn_file(&mut rng, &old.0, &new.0, 0);
+                    assert_that!(load_copy(&db, &new.1) == *current, eq(true), "{at}: database");
                 }
             }
-            assert_that!(look(&new.0, &new.1) == *is, eq(true), "{at}: synced");
+            assert_that!(load_copy(&new.0, &new.1) == *current, eq(true), "{at}: synced");
         }
     }
     expect_that!([checkpoints, restarts, after, before], each(gt(9)));
 }
 
-/// Guards the identity: a database that has its name has it, with its log beside it; without its name nothing was said.
+/// A database under its name has its identity and its write-ahead log; before the renaming nothing was reported, so the
+/// creation starts over.
 #[gtest]
-fn a_loss_of_power_at_the_making_leaves_a_whole_disk_or_an_empty_one() {
+fn power_loss_during_creation_leaves_a_complete_database_or_none() {
     let whole = Folder::new("made");
     let (_, made) = ReplicaStore::open(&whole.0, false).expect("opens");
     expect_that!(made.is_new, eq(true));
     expect_that!(made.disk_id, not(eq(0)));
     let base = whole.file(DATABASE_FILE);
     expect_that!(whole.names(), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
-    // Stopped anywhere before the name: rests of any kind, with and without the empty log.
+    // Interrupted anywhere before the renaming: partial files of any size, with and without the empty log.
     for (step, wal) in [0, 18, 512, 4096, base.len()].into_iter().zip([false, true].into_iter().cycle()) {
         let folder = Folder::new("midway");
         for name in ["replica.making", "replica.making-wal", "replica.making-journal"] {
@@ -286,33 +288,33 @@
         if wal {
             std::fs::write(folder.0.join(WAL_FILE), []).expect("a file");
         }
-        let (_, held) = ReplicaStore::open(&folder.0, false).expect("opens");
-        expect_that!(held.is_new, eq(true));
-        expect_that!([0, made.disk_id].contains(&held.disk_id), eq(false));
+        let (_, loaded) = ReplicaStore::open(&folder.0, false).expect("opens");
+        expect_that!(loaded.is_new, eq(true));
+        expect_that!([0, made.disk_id].contains(&loaded.disk_id), eq(false));
         expect_that!(folder.names(), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
-        expect_that!(ReplicaStore::open(&folder.0, true).expect("opens").1.disk_id, eq(held.disk_id));
+        expect_that!(ReplicaStore::open(&folder.0, true).expect("opens").1.disk_id, eq(loaded.disk_id));
     }
-    // Killed just after the name.
+    // Killed just after the renaming.
     let folder = Folder::new("named");
     std::fs::write(folder.0.join(DATABASE_FILE), &base).expect("a file");
     std::fs::write(folder.0.join(WAL_FILE), []).expect("a file");
-    let (_, held) = ReplicaStore::open(&folder.0, true).expect("opens");
-    expect_that!((held.disk_id, held.is_new), eq((made.disk_id, false)));
+    let (_, loaded) = ReplicaStore::open(&folder.0, true).expect("opens");
+    expect_that!((loaded.disk_id, loaded.is_new), eq((made.disk_id, false)));
     expect_that!(ReplicaStore::open(&Folder::new("seed").0, true).expect("opens").1.disk_id, eq(0));
 }
 
-/// Guards against taking a disk that can't be read for an empty one, and against changing it.
+/// A damaged disk is never taken for an empty one, and never changed.
 #[gtest]
-fn a_disk_that_cant_be_read_is_refused_and_left_as_it_is() {
+fn unreadable_disk_is_refused_and_unchanged() {
     let whole = Folder::new("readable");
     let (mut store, _) = open(&whole.0);
     let members = [node(1)].into();
     let snapshot = Snapshot { index: 3, term: 2, members, data: vec![7; 200_000].into() };
     let entries = (1..10).map(|i| entry(i, 2 + i / 5, 40)).collect();
     let writes = vec![LogWrite::Append(entries), LogWrite::Snapshot { snapshot, whole: false }];
-    store.write(&[put(writes)]).expect("writes");
+    store.write(&[batch_of(writes)]).expect("writes");
     drop(store);
-    let breaks = [
+    let corruptions = [
         ("DELETE FROM log WHERE idx = 6", "entry 7 of the log comes after 5"),
         ("DELETE FROM log WHERE idx = 4", "entry 5 of the log comes after 3"),
         ("DELETE FROM snapshot", "entry 4 of the log comes after 0"),
@@ -327,14 +329,14 @@
         ("UPDATE meta SET format = 9", "format is 9"),
         ("DROP TABLE log", "no such table"),
     ];
-    let refused = |folder: &Folder, why: &str| {
+    let assert_refused = |folder: &Folder, why: &str| {
         let files = || folder.names().into_iter().map(|n| (folder.file(&n), n)).collect::<Vec<_>>();
         let was = files();
         let found = ReplicaStore::open(&folder.0, true).err().map(|e| e.to_string());
         expect_that!(found, some(contains_substring(why)));
         expect_that!(files() == was, eq(true), "{why}");
     };
-    for (sql, why) in breaks {
+    for (sql, why) in corruptions {
         let folder = Folder::new("broken");
         for name in [DATABASE_FILE, WAL_FILE] {
             std::fs::write(folder.0.join(name), whole.file(name)).expect("a copy");
@@ -344,40 +346,40 @@
         db.execute_batch(sql).expect(sql);
         drop(db);
         std::fs::write(folder.0.join(WAL_FILE), []).expect("a file");
-        refused(&folder, why);
+        assert_refused(&folder, why);
     }
     let alone = |name: &str, bytes: &[u8]| {
         let folder = Folder::new("alone");
         std::fs::write(folder.0.join(name), bytes).expect("a file");
         folder
     };
-    refused(&alone(DATABASE_FILE, &whole.file(DATABASE_FILE)), "replica.sqlite without");
-    refused(&alone(WAL_FILE, &whole.file(WAL_FILE)), "replica.sqlite-wal without");
+    assert_refused(&alone(DATABASE_FILE, &whole.file(DATABASE_FILE)), "replica.sqlite without");
+    assert_refused(&alone(WAL_FILE, &whole.file(WAL_FILE)), "replica.sqlite-wal without");
     let empty = alone(DATABASE_FILE, &[]);
     std::fs::write(empty.0.join(WAL_FILE), whole.file(WAL_FILE)).expect("a copy");
-    refused(&empty, "cut to nothing");
+    assert_refused(&empty, "cut to nothing");
     let rubbish = alone(DATABASE_FILE, &[9; 8192]);
     std::fs::write(rubbish.0.join(WAL_FILE), []).expect("a file");
-    refused(&rubbish, "not a database");
+    assert_refused(&rubbish, "not a database");
 }
 
-/// Guards against reporting what a disk refused, and against a connection that stays stuck after it.
+/// A failed write is not reported, leaves nothing, and does not leave the connection unusable.
 #[gtest]
-fn a_refused_write_leaves_nothing_and_is_tried_again() {
+fn failed_write_leaves_no_trace_and_can_be_retried() {
     let folder = Folder::new("refused");
     let (mut store, mut model) = open(&folder.0);
-    let small = |index| put(vec![LogWrite::Append(vec![entry(index, 1, 50)])]);
-    apply(&mut model, &small(1));
+    let small = |index| batch_of(vec![LogWrite::Append(vec![entry(index, 1, 50)])]);
+    apply_to_model(&mut model, &small(1));
     store.write(&[small(1)]).expect("writes");
-    // Full: within the transaction, behind writes that fitted.
-    store.limit(12);
-    let large = put(vec![LogWrite::Append(vec![entry(3, 1, 500_000)])]);
+    // The disk gets full within the transaction, after writes that fitted.
+    store.limit_pages(12);
+    let large = batch_of(vec![LogWrite::Append(vec![entry(3, 1, 500_000)])]);
     for _ in 0..3 {
         expect_that!(store.write(&[small(2), large.clone()]), err(anything()));
     }
-    apply(&mut model, &small(2));
+    apply_to_model(&mut model, &small(2));
     store.write(&[small(2)]).expect("what fits is written at once");
-    // Too high a number is refused by itself, and so is what could not be read again.
+    // A number that is too large is refused, and so is a log that could not be read back.
     let snapshot = |index| Snapshot { index, term: 1, members: [node(1)].into(), data: vec![1].into() };
     for wrong in [
         vec![LogWrite::Hard(u64::MAX, None)],
@@ -394,38 +396,39 @@
             LogWrite::Append(vec![entry(3, 1, 50)]),
         ],
     ] {
-        expect_that!(store.write(&[put(wrong.clone())]), err(anything()), "{wrong:?}");
+        expect_that!(store.write(&[batch_of(wrong.clone())]), err(anything()), "{wrong:?}");
     }
-    store.limit(100_000);
-    apply(&mut model, &large);
+    store.limit_pages(100_000);
+    apply_to_model(&mut model, &large);
     store.write(&[large]).expect("writes");
     drop(store);
-    assert_that!(content(&folder.0) == model, eq(true));
+    assert_that!(reopened_state(&folder.0) == model, eq(true));
 }
 
 #[gtest]
-fn a_thread_writes_what_comes_and_tells_the_last_number() {
+fn writer_thread_writes_all_batches_and_reports_the_last_sequence() {
     let folder = Folder::new("thread");
     let (store, mut model) = open(&folder.0);
     let (done, synced) = mpsc::channel();
-    let puts = store.spawn_writer(move |number| {
+    let sender = store.spawn_writer(move |number| {
         let _ = done.send(number);
     });
     for number in 1..=40 {
-        let put = WriteBatch { sequence: number, ..put(vec![LogWrite::Append(vec![entry(number, 1, 100)])]) };
-        apply(&mut model, &put);
-        puts.send(put).expect("taken");
+        let batch =
+            WriteBatch { sequence: number, ..batch_of(vec![LogWrite::Append(vec![entry(number, 1, 100)])]) };
+        apply_to_model(&mut model, &batch);
+        sender.send(batch).expect("taken");
     }
-    drop(puts);
-    let told_of: Vec<u64> = synced.iter().collect();
-    expect_that!(told_of.is_sorted(), eq(true));
-    expect_that!(told_of.last(), some(eq(&40)));
-    assert_that!(content(&folder.0) == model, eq(true));
+    drop(sender);
+    let reported: Vec<u64> = synced.iter().collect();
+    expect_that!(reported.is_sorted(), eq(true));
+    expect_that!(reported.last(), some(eq(&40)));
+    assert_that!(reopened_state(&folder.0) == model, eq(true));
 }
 
-/// Guards the bound on the disk: as much after 6,000 changes as after 600, whatever snapshots were written.
+/// 6,000 changes take about as much disk as 600, whatever snapshots were written.
 #[gtest]
-fn the_disk_in_use_stays_bounded() {
+fn disk_usage_stays_bounded() {
     let folder = Folder::new("bounded");
     let (mut store, _) = open(&folder.0);
     let mut sizes = Vec::new();
@@ -436,7 +439,7 @@
             let snapshot = Snapshot { index: index - 20, term: 1, members: [node(1)].into(), data };
             writes.push(LogWrite::Snapshot { snapshot, whole: false });
         }
-        store.write(&[put(writes)]).expect("writes");
+        store.write(&[batch_of(writes)]).expect("writes");
         if index % 600 == 0 {
             sizes.push(folder.bytes());
         }
@@ -445,8 +448,8 @@
     expect_that!(sizes[9], lt(sizes[0] * 3 / 2));
 }
 
-/// A disk as the program before the replicated log left it: its process killed, so part is in the write-ahead log.
-fn earlier(folder: &Path, items: &ItemSet) -> Connection {
+/// A disk of the program before the replicated log; its process was killed, so part of it is in the write-ahead log.
+fn create_legacy_database(folder: &Path, items: &ItemSet) -> Connection {
     let db = Connection::open(folder.join(LEGACY_DATABASE_FILE)).expect("opens");
     db.pragma_update(None, "locking_mode", "EXCLUSIVE").expect("set");
     db.pragma_update(None, "journal_mode", "WAL").expect("set");
@@ -465,9 +468,9 @@
     db
 }
 
-/// Guards what operators sent against the change of programs.
+/// What operators sent survives the change of programs.
 #[gtest]
-fn the_items_of_an_earlier_disk_go_through_one_call_unchanged() {
+fn legacy_items_survive_export_and_import_unchanged() {
     let sent = json!({
         "upsert": {
             "route_set": [
@@ -490,7 +493,7 @@
         items.merge(item);
     }
     let folder = Folder::new("earlier");
-    let db = earlier(&folder.0, &items);
+    let db = create_legacy_database(&folder.0, &items);
     let files = || folder.names().into_iter().map(|n| (folder.file(&n), n)).collect::<Vec<_>>();
     let was = files();
     expect_that!(was, len(eq(2)));
@@ -513,7 +516,44 @@
 }
 
 #[gtest]
-fn a_folder_without_a_disk_is_not_exported() {
+fn export_refuses_a_folder_without_a_database() {
     let folder = Folder::new("unlike");
     expect_that!(export(&folder.0).err(), some(matches_pattern!(ExportError::Nothing(_))));
 }
+
+/// Operators and their runbooks know these texts.
+#[gtest]
+fn error_texts_are_pinned() {
+    let unreadable = |error: StorageError, what: &str| {
+        expect_that!(error.to_string(), eq(&format!("the disk holds what can't be read: {what}")));
+    };
+    unreadable(StorageError::database_without_wal(), "replica.sqlite without replica.sqlite-wal");
+    unreadable(StorageError::wal_without_database(), "replica.sqlite-wal without replica.sqlite");
+    unreadable(StorageError::EmptyDatabase, "replica.sqlite is cut to nothing");
+    unreadable(StorageError::JournalMode("off".into()), "replica.sqlite is in journal mode off");
+    unreadable(StorageError::MissingIdentity, "no identity");
+    unreadable(StorageError::NegativeNumber { column: "term", value: -1 }, "term -1");
+    unreadable(StorageError::NumberTooLarge(u64::MAX), "18446744073709551615 is too high");
+    unreadable(StorageError::IndexTooLarge(5), "index 5");
+    unreadable(StorageError::GapInLog { index: 7, previous: 5 }, "entry 7 of the log comes after 5");
+    let decreases = StorageError::TermDecreases { term: 1, index: 5, previous: 2 };
+    unreadable(decreases, "term 1 of entry 5 comes after 2");
+    let range = StorageError::AppendOutOfRange { index: 4, snapshot_index: 1, last_index: 2 };
+    unreadable(range, "entry 4 for a log of 1 to 2");
+    unreadable(StorageError::NonConsecutiveAppend { index: 5, expected: 4 }, "entry 5 in the place of 4");
+    unreadable(StorageError::SnapshotGoesBack { index: 1, current: 2 }, "a snapshot of 1 after 2");
+    unreadable(StorageError::InvalidSnapshotSize(-3), "a snapshot of -3 bytes");
+    unreadable(StorageError::MissingSnapshotRow(2), "part 2 of the snapshot is missing");
+    let size = StorageError::SnapshotSizeMismatch { found: 1, expected: 2 };
+    unreadable(size, "1 bytes of a snapshot of 2");
+    let source = rmp_serde::from_slice::<u8>(b"").expect_err("empty");
+    let text = source.to_string();
+    unreadable(StorageError::Decode { record: StoredRecord::Vote, source }, &format!("the vote: {text}"));
+    let records = [StoredRecord::Worker, StoredRecord::SnapshotMembers, StoredRecord::LogEntry(9)];
+    expect_that!(
+        records.map(|r| r.to_string()),
+        elements_are![eq("a worker"), eq("the snapshot's members"), eq("entry 9")]
+    );
+    let format = StorageError::UnsupportedFormat(9).to_string();
+    expect_that!(format, eq("the disk's format is 9, of another version of this program"));
+}
