--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -121,7 +121,7 @@
 impl LogBounds {
     fn of(loaded: &LoadedState) -> Self {
         let snapshot_index = loaded.raft_state.snapshot.as_ref().map_or(0, |s| s.index);
-        let last_index = loaded.raft_state.log.last().map_or(snapshot_index, |e| e.index);
+        let last_index = loaded.raft_state.entries.last().map_or(snapshot_index, |e| e.index);
         LogBounds { snapshot_index, last_index }
     }
 }
--- a/crates/gateway/src/storage/read.rs
+++ b/crates/gateway/src/storage/read.rs
@@ -2,7 +2,7 @@
 
 use super::schema::{decode, from_sql_integer, stored_snapshot_row_range, StoredRecord, SCHEMA_VERSION};
 use super::{LoadedState, StorageError};
-use crate::consensus::{Entry, Index, Members, NodeId, Snapshot, Term};
+use crate::consensus::{Entry, Index, NodeId, Snapshot, Term, VoterSet};
 use crate::discovery::Worker;
 use crate::protocol::LogCommand;
 use bytes::BytesMut;
@@ -44,7 +44,7 @@
     raft_state.snapshot = load_snapshot(db)?;
     let snapshot = raft_state.snapshot.as_ref();
     let start = snapshot.map_or(LogPosition::default(), |s| LogPosition { index: s.index, term: s.term });
-    raft_state.log = load_log(db, start)?;
+    raft_state.entries = load_log(db, start)?;
     loaded.workers = load_workers(db)?;
     Ok(loaded)
 }
@@ -71,11 +71,11 @@
     let query = "SELECT idx, term, members, size FROM snapshot";
     let Some(row) = db.query_row(query, [], to_snapshot).optional()? else { return Ok(None) };
     let size = usize::try_from(row.size).map_err(|_| StorageError::InvalidSnapshotSize(row.size))?;
-    let members: Members = decode(&row.members, StoredRecord::SnapshotMembers)?;
+    let members: VoterSet = decode(&row.members, StoredRecord::SnapshotMembers)?;
     let index = from_sql_integer(row.index, "snapshot index")?;
     let term = from_sql_integer(row.term, "snapshot term")?;
     let data = load_snapshot_data(db, index, size)?;
-    Ok(Some(Snapshot { index, term, members, data: data.freeze() }))
+    Ok(Some(Snapshot { index, term, voters: members, data: data.freeze() }))
 }
 
 /// Joins the rows of the snapshot of this index, which has so many bytes.
@@ -114,7 +114,7 @@
         if term < previous.term {
             return Err(StorageError::TermDecreases { term, index, previous: previous.term });
         }
-        log.push(Entry { term, index, body: decode(blob(row, 2)?, StoredRecord::LogEntry(index))? });
+        log.push(Entry { term, index, payload: decode(blob(row, 2)?, StoredRecord::LogEntry(index))? });
         previous = LogPosition { index, term };
     }
     Ok(log)
--- a/crates/gateway/src/storage/snapshots.rs
+++ b/crates/gateway/src/storage/snapshots.rs
@@ -50,7 +50,7 @@
         snapshot: &Snapshot,
         replaces_log: bool,
     ) -> Result<(), StorageError> {
-        let Snapshot { index, term, members, data } = snapshot;
+        let Snapshot { index, term, voters: members, data } = snapshot;
         let current = self.log_bounds.snapshot_index;
         if *index < current && !replaces_log {
             return Err(StorageError::SnapshotGoesBack { index: *index, current });
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -92,7 +92,9 @@
 fn apply_to_model(loaded: &mut LoadedState, batch: &WriteBatch) {
     for write in &batch.log_writes {
         match write.clone() {
-            LogWrite::HardState { term, vote } => (loaded.raft_state.term, loaded.raft_state.vote) = (term, vote),
+            LogWrite::HardState { term, vote } => {
+                (loaded.raft_state.term, loaded.raft_state.vote) = (term, vote)
+            }
             LogWrite::Append(entries) => {
                 loaded.raft_state.entries.retain(|e| e.index < entries[0].index);
                 loaded.raft_state.entries.extend(entries);
--- a/crates/gateway/src/storage/write.rs
+++ b/crates/gateway/src/storage/write.rs
@@ -45,13 +45,15 @@
     fn write_batch(&mut self, batch: &WriteBatch) -> Result<(), StorageError> {
         for write in &batch.log_writes {
             match write {
-                LogWrite::Hard(term, vote) => {
+                LogWrite::HardState { term, vote } => {
                     let vote = vote.as_ref().map(encode).transpose()?;
                     let params = params![to_sql_integer(*term)?, vote];
                     self.execute("UPDATE meta SET term = ?1, vote = ?2", params)?;
                 }
                 LogWrite::Append(entries) => self.append(entries)?,
-                LogWrite::Snapshot { snapshot, whole } => self.install_snapshot(snapshot, *whole)?,
+                LogWrite::Snapshot { snapshot, replaces_log: whole } => {
+                    self.install_snapshot(snapshot, *whole)?
+                }
             }
         }
         if let Some(chunk) = batch.snapshot_chunk.as_ref().filter(|_| !self.staging_paused) {
@@ -86,7 +88,10 @@
             }
             self.log_bounds.last_index = expected;
             let (index, term) = (to_sql_integer(entry.index)?, to_sql_integer(entry.term)?);
-            self.execute("INSERT INTO log VALUES (?1, ?2, ?3)", params![index, term, encode(&entry.body)?])?;
+            self.execute(
+                "INSERT INTO log VALUES (?1, ?2, ?3)",
+                params![index, term, encode(&entry.payload)?],
+            )?;
         }
         Ok(())
     }
