--- a/crates/gateway/src/runtime/core_server/control_api.rs
+++ b/crates/gateway/src/runtime/core_server/control_api.rs
@@ -171,7 +171,7 @@
     }
 }
 
-/// The worker that a heartbeat describes. Of several faults the first of its fields, in the order below, is told.
+/// The worker that a heartbeat describes. Of several faults one is reported, always the same.
 fn decode_heartbeat(id: &str, body: &JsonNode) -> Result<Worker, JsonPathError> {
     let address = body.required("address")?;
     let socket = address.as_str()?.parse();
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -59,7 +59,7 @@
         Clock(Instant::now())
     }
 
-    /// The time in seconds: [`CLOCK_START_S`] and what has passed since the start.
+    /// The time in seconds: 1000 at the start, and never near 0.
     pub fn now(&self) -> f64 {
         CLOCK_START_S + self.0.elapsed().as_secs_f64()
     }
--- a/crates/gateway/src/transport/http_server.rs
+++ b/crates/gateway/src/transport/http_server.rs
@@ -316,8 +316,8 @@
         }
     }
 
-    /// Resolves when the client closes the connection. Requests that it sends ahead are kept, up to
-    /// [`MAX_READ_AHEAD_BYTES`]; beyond that its leaving is not noticed.
+    /// Resolves when the client closes the connection. Requests that it sends ahead are kept, up to 64 KiB; beyond that
+    /// a disconnect is not noticed.
     pub async fn client_disconnected(&mut self) {
         while self.buffer.len() < MAX_READ_AHEAD_BYTES {
             if self.read_more().await.is_err() {
