--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -34,7 +34,7 @@
     drops: HashMap<(ItemKind, String), u64>,
     /// Newest flip version that an edge's life was seen to serve by.
     seen: HashMap<(usize, u64), u64>,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub read: Option<serde_json::Value>,
     pub read_at: f64,
 }
@@ -51,7 +51,7 @@
             acked: Vec::new(),
             drops: HashMap::new(),
             seen: HashMap::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             read: None,
             read_at: 0.0,
         }
@@ -66,8 +66,8 @@
         self.asked[request as usize].answer = Some(404);
     }
 
-    pub fn edge_died(&mut self, edge: usize, life: u64) {
-        self.seen.remove(&(edge, life));
+    pub fn edge_died(&mut self, edge: usize, incarnation: u64) {
+        self.seen.remove(&(edge, incarnation));
     }
 
     pub fn sent(&mut self, version: u64, service: &str) {
@@ -102,7 +102,7 @@
         }
         let left = self.leaving.get(worker).filter(|at| now - **at > DRAIN);
         if let Some(at) = left.filter(|_| in_touch) {
-            self.broken.push(format!("DRAIN {now:.3}: {worker} left at {at:.3}, edge {}", hit.edge));
+            self.violations.push(format!("DRAIN {now:.3}: {worker} left at {at:.3}, edge {}", hit.edge));
         }
     }
 
@@ -111,17 +111,17 @@
         asked.runs += 1;
         let effectful = asked.path != "/read/x";
         if effectful && asked.runs > 1 {
-            self.broken.push(format!("TWICE {now:.3}: request {} on {}", hit.request, asked.path));
+            self.violations.push(format!("TWICE {now:.3}: request {} on {}", hit.request, asked.path));
         }
         if effectful && matches!(asked.answer, Some(429 | 503)) {
-            self.broken.push(format!("REFUSED {now:.3}: request {} runs after its refusal", hit.request));
+            self.violations.push(format!("REFUSED {now:.3}: request {} runs after its refusal", hit.request));
         }
         self.runs.entry(asked.key).or_default().push(now);
         if asked.path != "/flip/x" {
             return;
         }
         // By which versions may this have been sent there?
-        let (sent, edge) = (asked.at, (hit.edge, hit.life));
+        let (sent, edge) = (asked.at, (hit.edge, hit.incarnation));
         let settled = self
             .acked
             .iter()
@@ -132,7 +132,7 @@
             self.flips.range(floor..).filter(|(_, s)| *s == service).map(|(v, _)| *v).collect();
         match allowed.first() {
             None => self
-                .broken
+                .violations
                 .push(format!("CONFIG {now:.3}: edge {} sends to {service}, floor r{floor}", hit.edge)),
             Some(oldest) => {
                 // Requests in flight overlap: only what was surely seen counts.
@@ -165,13 +165,14 @@
             FinalResponse::TimedOut => 504,
         };
         if asked.answer.replace(status).is_some() {
-            self.broken.push(format!("{now:.3}: request {request} is answered twice"));
+            self.violations.push(format!("{now:.3}: request {request} is answered twice"));
         }
         if asked.path != "/read/x" && asked.runs > 0 && matches!(status, 429 | 503) {
-            self.broken.push(format!("REFUSED {now:.3}: request {request} has run"));
+            self.violations.push(format!("REFUSED {now:.3}: request {request} has run"));
         }
         if ran_all_the_while && now - asked.at > 1.05 {
-            self.broken.push(format!("{now:.3}: request {request} is answered after {:.3}", now - asked.at));
+            self.violations
+                .push(format!("{now:.3}: request {request} is answered after {:.3}", now - asked.at));
         }
     }
 
@@ -230,7 +231,7 @@
     /// What can be told only at the end.
     pub fn close(&mut self) {
         if self.quota_use() > 1.0 {
-            self.broken.push(format!("QUOTA: {:.2} of what is allowed", self.quota_use()));
+            self.violations.push(format!("QUOTA: {:.2} of what is allowed", self.quota_use()));
         }
         for (path, further) in &self.further {
             for at in further {
@@ -238,14 +239,14 @@
                 let more = further.iter().filter(|t| within(**t)).count() as f64;
                 let asked = self.asked.iter().filter(|a| a.path == *path && within(a.at)).count() as f64;
                 if more > 0.2 * asked + 62.0 {
-                    self.broken
+                    self.violations
                         .push(format!("BUDGET {at:.3}: {more} further tries for {asked} requests on {path}"));
                     break;
                 }
             }
         }
         let Some(read) = &self.read else {
-            self.broken.push("nothing was read back".into());
+            self.violations.push("nothing was read back".into());
             return;
         };
         let mut newest: BTreeMap<(ItemKind, String), ConfigItem> = BTreeMap::new();
@@ -270,7 +271,7 @@
                 (None, None) => true,
             };
             if !good {
-                self.broken
+                self.violations
                     .push(format!("CONFIG: {label} r{} was acknowledged, {told:?} is read", item.version));
             }
         }
--- a/crates/simulation/src/external_actors.rs
+++ b/crates/simulation/src/external_actors.rs
@@ -73,12 +73,12 @@
 
     pub fn call(&mut self, core: usize, by: CallOrigin) {
         let id = self.rng.u64(..);
-        let core = self.pick(core);
+        let core = self.listed_core_from(core);
         let call = ControlCall { id, core, by };
         self.calls.insert(id, call.clone());
         let delay = self.delay();
-        self.after(delay, SimulationEvent::CallArrives(core, call));
-        self.after(1.0, SimulationEvent::CallTimedOut(id));
+        self.schedule_after(delay, SimulationEvent::CallArrives(core, call));
+        self.schedule_after(1.0, SimulationEvent::CallTimedOut(id));
     }
 
     pub fn call_arrives(&mut self, core: usize, call: ControlCall) {
@@ -89,24 +89,26 @@
             return;
         }
         let command = match &call.by {
-            CallOrigin::Beat(n) => ApiCommand::Heartbeat(self.say_of(*n)),
-            CallOrigin::Depart(n) => ApiCommand::Departure(self.workers[*n].id.to_string()),
-            CallOrigin::Amend(items) => ApiCommand::Amend(items.clone()),
-            CallOrigin::Order { order, .. } => ApiCommand::Amend(self.desk.orders[*order].items.clone()),
-            CallOrigin::Look { .. } => ApiCommand::Read,
-            CallOrigin::Read => {
-                self.audit.reads(self.now);
+            CallOrigin::Heartbeat(n) => ApiCommand::Heartbeat(self.heartbeat_of(*n)),
+            CallOrigin::Departure(n) => ApiCommand::Departure(self.workers[*n].id.to_string()),
+            CallOrigin::PrimaryChange(items) => ApiCommand::Amend(items.clone()),
+            CallOrigin::Change { order, .. } => {
+                ApiCommand::Amend(self.operator_records.orders[*order].items.clone())
+            }
+            CallOrigin::Read { .. } => ApiCommand::Read,
+            CallOrigin::PrimaryRead => {
+                self.auditor.reads(self.now);
                 ApiCommand::Read
             }
         };
         self.pending.insert((core, call.id), call.id);
-        if self.answers_wrongly(core, &call, &command) {
+        if self.misbehaving_response(core, &call, &command) {
             return;
         }
         self.core_event(core, control_plane::Event::ApiCall(call.id, command));
     }
 
-    fn say_of(&mut self, n: usize) -> Worker {
+    fn heartbeat_of(&mut self, n: usize) -> Worker {
         let w = &self.workers[n];
         Worker {
             id: Arc::clone(&w.id),
@@ -120,136 +122,139 @@
         }
     }
 
-    fn by_operator(&self, call: &ControlCall) -> bool {
+    fn is_operator_call(&self, call: &ControlCall) -> bool {
         matches!(self.sender(&call.by), Participant::Operator(_))
     }
 
-    pub fn replied(&mut self, core: usize, call: u64, status: u16, body: &serde_json::Value) {
+    pub fn core_responded(&mut self, core: usize, call: u64, status: u16, body: &serde_json::Value) {
         let Some(id) = self.pending.remove(&(core, call)) else { return };
         self.digest.reply(self.now, core, status);
         let Some(call) = self.calls.get(&id).cloned() else { return };
-        if self.by_operator(&call) {
+        if self.is_operator_call(&call) {
             self.operator_answered(core, status);
         }
-        if matches!(call.by, CallOrigin::Beat(_) | CallOrigin::Depart(_)) {
+        if matches!(call.by, CallOrigin::Heartbeat(_) | CallOrigin::Departure(_)) {
             self.worker_answered(core, status);
         }
-        if let CallOrigin::Order { order, .. } = call.by {
-            self.order_answered(order, core, status);
+        if let CallOrigin::Change { order, .. } = call.by {
+            self.change_responded(order, core, status);
         }
-        let clerk = matches!(call.by, CallOrigin::Order { .. } | CallOrigin::Look { .. });
-        let deaf = Some(self.deaf.1).filter(|_| self.now < self.deaf.0 && self.by_operator(&call));
-        let part = deaf.or(Some(self.plan.crew.lost).filter(|_| clerk)).filter(|_| !self.operator.done);
+        let operator = matches!(call.by, CallOrigin::Change { .. } | CallOrigin::Read { .. });
+        let deaf = Some(self.lost_responses.1)
+            .filter(|_| self.now < self.lost_responses.0 && self.is_operator_call(&call));
+        let part = deaf
+            .or(Some(self.plan.operator_load.lost_fraction).filter(|_| operator))
+            .filter(|_| !self.operator.done);
         let lost = part.is_some_and(|part| self.rng.f64() < part);
         if lost || !self.links.reaches(Participant::Core(core), self.sender(&call.by)) {
             return;
         }
-        if let (CallOrigin::Look { .. }, 200) = (&call.by, status) {
+        if let (CallOrigin::Read { .. }, 200) = (&call.by, status) {
             self.read_answered(call.id, body);
         }
-        if let (CallOrigin::Read, 200) = (&call.by, status) {
-            self.audit.read_back(body);
+        if let (CallOrigin::PrimaryRead, 200) = (&call.by, status) {
+            self.auditor.read_back(body);
         }
-        if let (CallOrigin::Beat(n), 200) = (&call.by, status) {
+        if let (CallOrigin::Heartbeat(n), 200) = (&call.by, status) {
             if self.workers[*n].phase == WorkerPhase::Draining && self.workers[*n].acked.is_none() {
                 self.workers[*n].acked = Some(self.now);
-                self.audit.leaving(&self.workers[*n].id, self.now);
+                self.auditor.leaving(&self.workers[*n].id, self.now);
             }
         }
-        if let (CallOrigin::Amend(items), 200) = (&call.by, status) {
-            self.audit.acknowledged(self.now, items);
+        if let (CallOrigin::PrimaryChange(items), 200) = (&call.by, status) {
+            self.auditor.acknowledged(self.now, items);
         }
         let delay = self.delay();
-        self.after(delay, SimulationEvent::CallAnswered(call, status));
+        self.schedule_after(delay, SimulationEvent::CallAnswered(call, status));
     }
 
-    pub fn call_back(&mut self, call: ControlCall, status: u16) {
+    pub fn call_returned(&mut self, call: ControlCall, status: u16) {
         if self.calls.remove(&call.id).is_none() {
             return;
         }
-        if let CallOrigin::Order { .. } = call.by {
-            return self.order_back(call, status);
+        if let CallOrigin::Change { .. } = call.by {
+            return self.change_returned(call, status);
         }
         if status != 200 && status != 400 && status != 409 {
             return self.call_failed(call);
         }
         match call.by {
-            CallOrigin::Beat(n) => {
+            CallOrigin::Heartbeat(n) => {
                 let leaving =
                     self.workers[n].phase == WorkerPhase::Draining && self.workers[n].acked.is_some();
                 if leaving && !self.workers[n].departing {
                     self.workers[n].departing = true;
-                    self.after(2.8, SimulationEvent::WorkerDeparts(n));
+                    self.schedule_after(2.8, SimulationEvent::WorkerDeparts(n));
                 }
                 let wait = 1.4 + 0.2 * self.rng.f64();
-                self.after(wait, SimulationEvent::HeartbeatDue(n));
+                self.schedule_after(wait, SimulationEvent::HeartbeatDue(n));
             }
-            CallOrigin::Depart(_) => {}
-            CallOrigin::Amend(_) if status != 200 => {
+            CallOrigin::Departure(_) => {}
+            CallOrigin::PrimaryChange(_) if status != 200 => {
                 let text = format!("REFUSED {:.3}: a valid change gets {status}", self.now);
-                self.audit.broken.push(text);
+                self.auditor.violations.push(text);
             }
-            CallOrigin::Order { .. } => {}
-            CallOrigin::Look { clerk, from } => self.look_back(call.id, clerk, from),
-            CallOrigin::Amend(_) => {
+            CallOrigin::Change { .. } => {}
+            CallOrigin::Read { operator, from } => self.read_returned(call.id, operator, from),
+            CallOrigin::PrimaryChange(_) => {
                 self.operator.waits = None;
                 let wait = 0.3 + 0.8 * self.rng.f64();
-                self.after(wait, SimulationEvent::OperatorActs);
+                self.schedule_after(wait, SimulationEvent::OperatorActs);
             }
-            CallOrigin::Read => self.operator.read = Some(status),
+            CallOrigin::PrimaryRead => self.operator.read = Some(status),
         }
     }
 
     pub fn call_failed(&mut self, call: ControlCall) {
         let pause = 0.1 + 0.2 * self.rng.f64();
         match call.by.clone() {
-            CallOrigin::Order { .. } => self.order_failed(call),
-            CallOrigin::Look { clerk, .. } => {
+            CallOrigin::Change { .. } => self.change_failed(call),
+            CallOrigin::Read { operator, .. } => {
                 let from = self.now;
-                self.call(call.core + 1, CallOrigin::Look { clerk, from });
+                self.call(call.core + 1, CallOrigin::Read { operator, from });
             }
-            CallOrigin::Beat(n) => {
+            CallOrigin::Heartbeat(n) => {
                 self.workers[n].core = call.core + 1;
-                self.after(0.01, SimulationEvent::HeartbeatDue(n));
+                self.schedule_after(0.01, SimulationEvent::HeartbeatDue(n));
             }
-            CallOrigin::Depart(_) => {}
+            CallOrigin::Departure(_) => {}
             // Unchanged, to another one.
-            CallOrigin::Amend(_) => self.recall(call, pause),
-            CallOrigin::Read => self.call(call.core + 1, CallOrigin::Read),
+            CallOrigin::PrimaryChange(_) => self.retry_call(call, pause),
+            CallOrigin::PrimaryRead => self.call(call.core + 1, CallOrigin::PrimaryRead),
         }
     }
 
     /// The same call again, to another one.
-    pub fn recall(&mut self, call: ControlCall, pause: f64) {
+    pub fn retry_call(&mut self, call: ControlCall, pause: f64) {
         let at = self.now + pause;
         let id = self.rng.u64(..);
-        let core = self.pick(call.core + 1);
+        let core = self.listed_core_from(call.core + 1);
         let call = ControlCall { id, core, by: call.by };
         self.calls.insert(id, call.clone());
-        self.at(at, SimulationEvent::CallArrives(core, call));
-        self.at(at + 1.0, SimulationEvent::CallTimedOut(id));
+        self.schedule_at(at, SimulationEvent::CallArrives(core, call));
+        self.schedule_at(at + 1.0, SimulationEvent::CallTimedOut(id));
     }
 
     pub fn read_back(&mut self) {
         self.operator.done = true;
-        for clerk in 0..self.plan.crew.clerks {
-            self.turn(super::operators::OperatorStep::Read(clerk));
+        for operator in 0..self.plan.operator_load.operators {
+            self.operator_turn(super::operators::OperatorStep::Read(operator));
         }
-        self.call(0, CallOrigin::Read);
+        self.call(0, CallOrigin::PrimaryRead);
     }
 
-    pub fn beat(&mut self, n: usize) {
+    pub fn send_heartbeat(&mut self, n: usize) {
         if !self.workers[n].alive {
             return;
         }
         self.workers[n].calls += 1;
         let core = self.workers[n].core;
-        self.call(core, CallOrigin::Beat(n));
+        self.call(core, CallOrigin::Heartbeat(n));
     }
 
-    pub fn depart(&mut self, n: usize) {
+    pub fn send_departure(&mut self, n: usize) {
         let core = self.workers[n].core;
-        self.call(core, CallOrigin::Depart(n));
+        self.call(core, CallOrigin::Departure(n));
         self.workers[n].alive = false;
         // Its address goes to a new worker of another service.
         let (service, address, zone) = ((self.workers[n].service + 1) % 3, self.workers[n].address, "b");
@@ -257,12 +262,12 @@
         let mut worker = SimulatedWorker::new(fresh, service, zone);
         worker.address = address;
         self.workers.push(worker);
-        self.after(2.0, SimulationEvent::HeartbeatDue(fresh));
+        self.schedule_after(2.0, SimulationEvent::HeartbeatDue(fresh));
     }
 
     // The operator.
 
-    pub fn operate(&mut self) {
+    pub fn submit_primary_change(&mut self) {
         if self.operator.done {
             return;
         }
@@ -320,22 +325,22 @@
         let items = parse_change(body.to_string().as_bytes()).expect("a valid call");
         for item in items.iter().filter(|i| i.kind == ItemKind::Route && i.label == "r-flip") {
             let service = item.body.as_ref().map(|b| b.route_services().concat());
-            self.audit.sent(item.version, &service.unwrap_or_default());
+            self.auditor.sent(item.version, &service.unwrap_or_default());
         }
-        self.audit.told(&items);
+        self.auditor.told(&items);
         self.operator.waits = Some(self.now);
         let core = self.operator.core + self.rng.usize(0..3);
-        self.call(core, CallOrigin::Amend(items));
+        self.call(core, CallOrigin::PrimaryChange(items));
     }
 
     // Clients.
 
-    pub fn ask(&mut self) {
-        let hot = if self.now < self.hot.0 { self.hot.1 } else { 1.0 };
+    pub fn send_client_request(&mut self) {
+        let hot = if self.now < self.hot_tenant.0 { self.hot_tenant.1 } else { 1.0 };
         let big = 0.4 * hot;
         let all = big + 0.6;
         let wait = -(1.0 - self.rng.f64()).ln() / (self.plan.rate * all);
-        self.after(wait, SimulationEvent::ClientRequest);
+        self.schedule_after(wait, SimulationEvent::ClientRequest);
         let draw = self.rng.f64() * all;
         let key = if draw < big {
             "key-big"
@@ -345,7 +350,7 @@
             "key-free"
         };
         let path = ["/read/x", "/write/x", "/flip/x"][self.rng.usize(0..3)];
-        let now = |n: usize| 1000.0 + (self.now - self.edges[n].boot) * self.edges[n].drift;
+        let now = |n: usize| 1000.0 + (self.now - self.edges[n].booted_at) * self.edges[n].clock_rate;
         let ready = |n: &usize| self.edges[*n].edge.as_ref().is_some_and(|e| e.is_ready(now(*n)));
         let edges: Vec<usize> =
             (0..self.edges.len()).filter(ready).filter(|n| !self.edges[*n].frozen).collect();
@@ -353,10 +358,10 @@
             return;
         }
         let n = edges[self.rng.usize(0..edges.len())];
-        let request = self.audit.asked(self.now, n, self.edges[n].life, key, path);
+        let request = self.auditor.asked(self.now, n, self.edges[n].incarnation, key, path);
         let id = RequestId(request.to_string().into());
-        let life = self.edges[n].life;
-        self.asked.insert((n, life, id.clone()), request);
+        let incarnation = self.edges[n].incarnation;
+        self.asked.insert((n, incarnation, id.clone()), request);
         let mut turned = false;
         self.edge_call(n, |edge, now, out| {
             let view = Arc::clone(&edge.active_config);
@@ -375,37 +380,45 @@
             );
         });
         if turned {
-            self.audit.turned_back(request);
+            self.auditor.turned_back(request);
         }
     }
 
-    pub fn dispatched(
+    pub fn attempt_dispatched(
         &mut self,
         n: usize,
-        life: u64,
+        incarnation: u64,
         id: RequestId,
         attempt: u32,
         worker: HostId,
         within: f64,
     ) {
-        let Some(request) = self.asked.get(&(n, life, id.clone())).copied() else { return };
+        let Some(request) = self.asked.get(&(n, incarnation, id.clone())).copied() else { return };
         let Some(index) = self.workers.iter().position(|w| w.id == worker.0) else { return };
-        let hit =
-            WorkerAttempt { edge: n, life, id: id.clone(), attempt, worker: index, host: worker, request };
-        self.open.insert((n, life, id, attempt));
+        let hit = WorkerAttempt {
+            edge: n,
+            incarnation,
+            id: id.clone(),
+            attempt,
+            worker: index,
+            host: worker,
+            request,
+        };
+        self.open.insert((n, incarnation, id, attempt));
         let delay = self.delay();
-        self.after(delay, SimulationEvent::AttemptArrives(hit.clone()));
-        self.after(within, SimulationEvent::AttemptEnded(hit, Ending::Timeout, false));
+        self.schedule_after(delay, SimulationEvent::AttemptArrives(hit.clone()));
+        self.schedule_after(within, SimulationEvent::AttemptEnded(hit, Ending::Timeout, false));
     }
 
-    pub fn called_off(&mut self, n: usize, life: u64, id: RequestId, attempt: u32) {
-        let Some(request) = self.asked.get(&(n, life, id.clone())).copied() else { return };
-        let hit = WorkerAttempt { edge: n, life, id, attempt, worker: 0, host: HostId("".into()), request };
-        self.after(0.0, SimulationEvent::AttemptEnded(hit, Ending::Cancelled, false));
+    pub fn attempt_cancelled(&mut self, n: usize, incarnation: u64, id: RequestId, attempt: u32) {
+        let Some(request) = self.asked.get(&(n, incarnation, id.clone())).copied() else { return };
+        let hit =
+            WorkerAttempt { edge: n, incarnation, id, attempt, worker: 0, host: HostId("".into()), request };
+        self.schedule_after(0.0, SimulationEvent::AttemptEnded(hit, Ending::Cancelled, false));
     }
 
     /// A request reaches the address where its worker was.
-    pub fn arrive(&mut self, hit: WorkerAttempt) {
+    pub fn attempt_arrives(&mut self, hit: WorkerAttempt) {
         if !self.links.reaches(Participant::Edge(hit.edge), Participant::Worker(hit.worker)) {
             return;
         }
@@ -413,37 +426,39 @@
         let address = self.workers[hit.worker].address;
         let Some(there) = self.workers.iter().rposition(|w| w.address == address && (w.alive || w.dark))
         else {
-            return self.after(back, SimulationEvent::AttemptEnded(hit, Ending::ConnectFailed, false));
+            return self
+                .schedule_after(back, SimulationEvent::AttemptEnded(hit, Ending::ConnectFailed, false));
         };
         if self.workers[there].dark {
-            return self.after(0.2, SimulationEvent::AttemptEnded(hit, Ending::ConnectFailed, false));
+            return self
+                .schedule_after(0.2, SimulationEvent::AttemptEnded(hit, Ending::ConnectFailed, false));
         }
         if there != hit.worker {
-            return self.after(back, SimulationEvent::AttemptEnded(hit, Ending::Full, true));
+            return self.schedule_after(back, SimulationEvent::AttemptEnded(hit, Ending::Full, true));
         }
         let edge = &self.edges[hit.edge];
-        let in_touch = self.now > edge.trouble && self.now > self.unsettled;
-        self.audit.arrives(self.now, &hit, &self.workers[there].id, in_touch);
+        let in_touch = self.now > edge.faulty_until && self.now > self.unsettled_until;
+        self.auditor.arrives(self.now, &hit, &self.workers[there].id, in_touch);
         let w = &mut self.workers[there];
         if w.busy < SLOTS {
             self.run(there, hit);
         } else if w.queue.len() < QUEUE {
             w.queue.push_back(hit);
         } else {
-            self.after(back, SimulationEvent::AttemptEnded(hit, Ending::Full, false));
+            self.schedule_after(back, SimulationEvent::AttemptEnded(hit, Ending::Full, false));
         }
     }
 
     fn run(&mut self, n: usize, hit: WorkerAttempt) {
         self.workers[n].busy += 1;
         let edge = &self.edges[hit.edge];
-        let calm = self.now > edge.trouble && self.now > self.unsettled;
-        self.audit.runs(self.now, &hit, SERVICES[self.workers[n].service], calm);
+        let calm = self.now > edge.faulty_until && self.now > self.unsettled_until;
+        self.auditor.runs(self.now, &hit, SERVICES[self.workers[n].service], calm);
         let work = 0.03 + 0.06 * self.rng.f64();
-        self.after(work, SimulationEvent::WorkerFinishes(n, hit));
+        self.schedule_after(work, SimulationEvent::WorkerFinishes(n, hit));
     }
 
-    pub fn finish(&mut self, n: usize, hit: WorkerAttempt) {
+    pub fn finish_work(&mut self, n: usize, hit: WorkerAttempt) {
         let lost = self.rng.f64() < self.plan.lost_answers;
         let w = &mut self.workers[n];
         w.busy -= 1;
@@ -456,19 +471,19 @@
         }
         let back = self.delay();
         let ending = if lost || !alive { Ending::Reset } else { Ending::Ok };
-        self.after(back, SimulationEvent::AttemptEnded(hit, ending, false));
+        self.schedule_after(back, SimulationEvent::AttemptEnded(hit, ending, false));
     }
 
-    pub fn ended(&mut self, hit: WorkerAttempt, ending: Ending, misdirected: bool) {
-        if !self.open.remove(&(hit.edge, hit.life, hit.id.clone(), hit.attempt)) {
+    pub fn attempt_ended(&mut self, hit: WorkerAttempt, ending: Ending, misdirected: bool) {
+        if !self.open.remove(&(hit.edge, hit.incarnation, hit.id.clone(), hit.attempt)) {
             return;
         }
-        if self.edges[hit.edge].life != hit.life || self.edges[hit.edge].edge.is_none() {
+        if self.edges[hit.edge].incarnation != hit.incarnation || self.edges[hit.edge].edge.is_none() {
             return;
         }
         if self.edges[hit.edge].frozen {
-            self.open.insert((hit.edge, hit.life, hit.id.clone(), hit.attempt));
-            return self.after(0.05, SimulationEvent::AttemptEnded(hit, ending, misdirected));
+            self.open.insert((hit.edge, hit.incarnation, hit.id.clone(), hit.attempt));
+            return self.schedule_after(0.05, SimulationEvent::AttemptEnded(hit, ending, misdirected));
         }
         let whole = (ending == Ending::Ok).then_some(true);
         self.edge_call(hit.edge, |edge, now, out| {
@@ -481,10 +496,10 @@
         });
     }
 
-    pub fn answered(&mut self, n: usize, life: u64, id: RequestId, answer: FinalResponse) {
-        if let Some(request) = self.asked.get(&(n, life, id)) {
-            let calm = self.now > self.edges[n].trouble;
-            self.audit.answered(self.now, *request, &answer, calm);
+    pub fn answered(&mut self, n: usize, incarnation: u64, id: RequestId, answer: FinalResponse) {
+        if let Some(request) = self.asked.get(&(n, incarnation, id)) {
+            let calm = self.now > self.edges[n].faulty_until;
+            self.auditor.answered(self.now, *request, &answer, calm);
         }
     }
 }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -198,17 +198,17 @@
         let mut core = CoreNode::new(1000.0, settings, held).expect("a state that can be read");
         let mut out = Vec::new();
         core.start(&mut out);
-        let life = node.life;
+        let incarnation = node.incarnation;
         node.core = Some(core);
-        self.repair_begins(n);
+        self.repair_started(n);
         self.core_effects(n, out);
-        self.after(control_plane::TICK, SimulationEvent::CoreTick(n, life));
+        self.schedule_after(control_plane::TICK, SimulationEvent::CoreTick(n, incarnation));
     }
 
     /// A step in the making of a new disk is done: the mark is there, is synced, the database stands.
-    pub(super) fn making(&mut self, n: usize, life: u64, told: bool) {
+    pub(super) fn advance_disk_creation(&mut self, n: usize, incarnation: u64, told: bool) {
         let node = &mut self.cores[n];
-        if node.life != life || !node.disk.making {
+        if node.incarnation != incarnation || !node.disk.making {
             return;
         }
         match node.disk.mark {
@@ -219,82 +219,87 @@
                 return self.start_core(n, settings);
             }
         }
-        self.after(self.plan.making, SimulationEvent::CreatingDisk(n, life, told));
+        self.schedule_after(
+            self.plan.disk_creation_step,
+            SimulationEvent::CreatingDisk(n, incarnation, told),
+        );
     }
 
     /// The rules that a gatekeeper keeps while it is in touch wait for so long.
-    pub fn trouble(&mut self, edge: usize, secs: f64) {
-        let trouble = &mut self.edges[edge].trouble;
-        *trouble = trouble.max(self.now + secs);
+    pub fn mark_edge_faulty_for(&mut self, edge: usize, secs: f64) {
+        let faulty_until = &mut self.edges[edge].faulty_until;
+        *faulty_until = faulty_until.max(self.now + secs);
     }
 
-    pub fn fault(&mut self, fault: Fault) {
+    pub fn inject_fault(&mut self, fault: Fault) {
         let contact = 3.0;
         match &fault {
             Fault::KillCore { core, down, power, wipe } => {
                 self.kill(NodeRef::Core(*core), *power);
                 self.cores[*core].disk.crash(*power, *wipe, &mut self.rng);
-                self.unsettled = self.unsettled.max(self.now + down + contact);
-                self.after(*down, SimulationEvent::Boot(NodeRef::Core(*core)));
+                self.unsettled_until = self.unsettled_until.max(self.now + down + contact);
+                self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Core(*core)));
             }
             Fault::KillEdge { edge, down } => {
                 self.kill(NodeRef::Edge(*edge), false);
-                self.trouble(*edge, down + contact);
-                self.after(*down, SimulationEvent::Boot(NodeRef::Edge(*edge)));
+                self.mark_edge_faulty_for(*edge, down + contact);
+                self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(*edge)));
             }
             Fault::KillManyEdges { edges, down, dark } => {
                 for n in 0..*edges {
                     self.kill(NodeRef::Edge(n), *dark);
-                    self.trouble(n, down + contact);
-                    self.after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
+                    self.mark_edge_faulty_for(n, down + contact);
+                    self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
                 }
             }
             Fault::CutCore { core, secs, one_way } => {
                 self.links.cut_core(*core, *one_way, true);
-                self.touch();
-                self.unsettled = self.unsettled.max(self.now + secs + contact);
-                self.after(*secs, SimulationEvent::Repair(fault.clone()));
+                self.mark_core_disturbed();
+                self.unsettled_until = self.unsettled_until.max(self.now + secs + contact);
+                self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::CutEdge { edge, secs } => {
                 self.links.cut_edge(*edge, true);
-                self.trouble(*edge, secs + contact);
-                self.after(*secs, SimulationEvent::Repair(fault.clone()));
+                self.mark_edge_faulty_for(*edge, secs + contact);
+                self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::StallDisk { core, secs } => {
                 self.cores[*core].disk.stalled_until = self.now + secs;
-                self.touch();
-                self.unsettled = self.unsettled.max(self.now + secs + contact);
+                self.mark_core_disturbed();
+                self.unsettled_until = self.unsettled_until.max(self.now + secs + contact);
             }
             Fault::Freeze { who, secs } => {
-                self.freeze(*who, true);
+                self.set_frozen(*who, true);
                 match who {
-                    NodeRef::Core(_) => self.unsettled = self.unsettled.max(self.now + secs + contact),
-                    NodeRef::Edge(n) => self.trouble(*n, secs + contact),
+                    NodeRef::Core(_) => {
+                        self.unsettled_until = self.unsettled_until.max(self.now + secs + contact)
+                    }
+                    NodeRef::Edge(n) => self.mark_edge_faulty_for(*n, secs + contact),
                 }
-                self.after(*secs, SimulationEvent::Repair(fault.clone()));
+                self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::KillAllCore { down } => {
                 // One that was removed, or was lost for good, has no process that could come back.
-                for n in self.listed() {
+                for n in self.listed_cores() {
                     self.kill(NodeRef::Core(n), false);
                     self.cores[n].disk.crash(false, false, &mut self.rng);
-                    self.after(*down, SimulationEvent::Boot(NodeRef::Core(n)));
+                    self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Core(n)));
                 }
-                self.unsettled = self.unsettled.max(self.now + down + contact);
+                self.unsettled_until = self.unsettled_until.max(self.now + down + contact);
             }
             Fault::PowerOffAll { down, wipe } => {
-                for n in self.listed() {
+                for n in self.listed_cores() {
                     self.kill(NodeRef::Core(n), true);
                     self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
                     let late = self.rng.f64() * 0.2;
-                    self.after(*down + late, SimulationEvent::Boot(NodeRef::Core(n)));
+                    self.schedule_after(*down + late, SimulationEvent::Boot(NodeRef::Core(n)));
                 }
                 for n in 0..self.edges.len() {
                     self.kill(NodeRef::Edge(n), true);
-                    self.trouble(n, down + contact);
-                    self.after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
+                    self.mark_edge_faulty_for(n, down + contact);
+                    self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
                 }
-                self.unsettled = self.unsettled.max(self.now + down + contact);
+                self.unsettled_until = self.unsettled_until.max(self.now + down + contact);
             }
             Fault::CrashWorker { worker, dark } => {
                 self.workers[*worker].alive = false;
@@ -302,16 +307,16 @@
             }
             Fault::DrainWorker { worker } => self.workers[*worker].leaves(),
             Fault::Severe(severe) => self.severe(severe.clone()),
-            Fault::Hot { times, secs } => self.hot = (self.now + secs, *times),
+            Fault::Hot { times, secs } => self.hot_tenant = (self.now + secs, *times),
         }
     }
 
-    pub fn freeze(&mut self, who: NodeRef, frozen: bool) {
+    pub fn set_frozen(&mut self, who: NodeRef, frozen: bool) {
         match who {
             NodeRef::Core(n) => {
                 let node = &mut self.cores[n];
                 node.frozen = frozen;
-                self.touch();
+                self.mark_core_disturbed();
                 let late = if frozen { Vec::new() } else { std::mem::take(&mut self.cores[n].backlog) };
                 late.into_iter().for_each(|event| self.core_event(n, event));
             }
@@ -319,14 +324,14 @@
         }
     }
 
-    pub fn mend(&mut self, fault: Fault) {
+    pub fn end_fault(&mut self, fault: Fault) {
         if matches!(fault, Fault::CutCore { .. }) {
-            self.touch();
+            self.mark_core_disturbed();
         }
         match fault {
             Fault::CutCore { core, one_way, .. } => self.links.cut_core(core, one_way, false),
             Fault::CutEdge { edge, .. } => self.links.cut_edge(edge, false),
-            Fault::Freeze { who, .. } => self.freeze(who, false),
+            Fault::Freeze { who, .. } => self.set_frozen(who, false),
             _ => {}
         }
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -61,7 +61,7 @@
     Boot(NodeRef),
     /// The next step of making a core machine's new disk, in this life; is it told that the system starts first?
     CreatingDisk(usize, u64, bool),
-    Watch,
+    InvariantCheck,
     OperatorTurn(OperatorStep),
     /// A process that was asked to end is gone.
     ProcessExited(usize, u64),
@@ -80,19 +80,19 @@
 
 #[derive(Clone, Debug)]
 pub enum CallOrigin {
-    Beat(usize),
-    Depart(usize),
-    Amend(Vec<ConfigItem>),
-    Read,
+    Heartbeat(usize),
+    Departure(usize),
+    PrimaryChange(Vec<ConfigItem>),
+    PrimaryRead,
     /// One of the clerks' orders; `again`: beside the clerk's own run of orders.
-    Order {
+    Change {
         order: usize,
-        clerk: usize,
+        operator: usize,
         again: bool,
     },
     /// A clerk reads.
-    Look {
-        clerk: usize,
+    Read {
+        operator: usize,
         from: f64,
     },
 }
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug)]
 pub struct WorkerAttempt {
     pub edge: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub id: whinstall::RequestId,
     pub attempt: u32,
     pub worker: usize,
@@ -111,10 +111,10 @@
 
 pub struct SimulatedCore {
     pub core: Option<CoreNode>,
-    pub life: u64,
+    pub incarnation: u64,
     pub disk: SimulatedDisk,
-    pub boot: f64,
-    pub drift: f64,
+    pub booted_at: f64,
+    pub clock_rate: f64,
     pub frozen: bool,
     /// What came while it was frozen, in order.
     pub backlog: Vec<control_plane::Event>,
@@ -127,12 +127,12 @@
 
 pub struct SimulatedEdge {
     pub edge: Option<EdgeNode>,
-    pub life: u64,
-    pub boot: f64,
-    pub drift: f64,
+    pub incarnation: u64,
+    pub booted_at: f64,
+    pub clock_rate: f64,
     pub frozen: bool,
     /// In trouble until then, for the rules that hold in touch.
-    pub trouble: f64,
+    pub faulty_until: f64,
     pub seeds: Vec<usize>,
 }
 
@@ -151,13 +151,13 @@
     pub open: HashSet<(usize, u64, whinstall::RequestId, u32)>,
     pub asked: HashMap<(usize, u64, whinstall::RequestId), u64>,
     pub operator: Operator,
-    pub audit: Auditor,
-    pub unsettled: f64,
-    pub hot: (f64, f64),
+    pub auditor: Auditor,
+    pub unsettled_until: f64,
+    pub hot_tenant: (f64, f64),
     /// Until then such a part of the answers to operators is lost.
-    pub deaf: (f64, f64),
-    pub desk: OperatorRecords,
-    pub watch: InvariantMonitor,
+    pub lost_responses: (f64, f64),
+    pub operator_records: OperatorRecords,
+    pub invariants: InvariantMonitor,
     pub repairs: RepairTimes,
     pub digest: Digest,
 }
@@ -176,13 +176,13 @@
         // The one draw that the core makes by itself, for when it claims the counter.
         fastrand::seed(seed);
         let seeds: Vec<usize> = (0..plan.cores.min(3)).collect();
-        let mut drift = || 1.0 + 2e-4 * (rng.f64() - 0.5);
+        let mut clock_rate = || 1.0 + 2e-4 * (rng.f64() - 0.5);
         let cores = (0..plan.cores).map(|_| SimulatedCore {
             core: None,
-            life: 0,
+            incarnation: 0,
             disk: SimulatedDisk::default(),
-            boot: 0.0,
-            drift: drift(),
+            booted_at: 0.0,
+            clock_rate: clock_rate(),
             frozen: false,
             backlog: Vec::new(),
             cold: true,
@@ -192,16 +192,16 @@
         let cores = cores.collect();
         let edges = (0..plan.edges).map(|_| SimulatedEdge {
             edge: None,
-            life: 0,
-            boot: 0.0,
-            drift: drift(),
+            incarnation: 0,
+            booted_at: 0.0,
+            clock_rate: clock_rate(),
             frozen: false,
-            trouble: 0.0,
+            faulty_until: 0.0,
             seeds: seeds.clone(),
         });
         let edges = edges.collect();
         let workers = (0..3 * plan.workers).map(|n| SimulatedWorker::new(n, n % 3, &zone(n / 3))).collect();
-        let audit = Auditor::new(&plan);
+        let auditor = Auditor::new(&plan);
         let mut world = World {
             now: 0.0,
             queue: BTreeMap::new(),
@@ -215,12 +215,12 @@
             open: HashSet::new(),
             asked: HashMap::new(),
             operator: Operator::default(),
-            audit,
-            unsettled: 0.0,
-            hot: (0.0, 1.0),
-            deaf: (0.0, 0.0),
-            desk: OperatorRecords::default(),
-            watch: InvariantMonitor::default(),
+            auditor,
+            unsettled_until: 0.0,
+            hot_tenant: (0.0, 1.0),
+            lost_responses: (0.0, 0.0),
+            operator_records: OperatorRecords::default(),
+            invariants: InvariantMonitor::default(),
             repairs: RepairTimes::default(),
             digest: Digest::default(),
             plan,
@@ -229,33 +229,33 @@
         for n in 0..world.cores.len() {
             let late: f64 = world.plan.late.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
             let spread = if world.plan.spread > 0.0 { world.plan.spread * world.rng.f64() } else { 0.0 };
-            world.at(0.01 + spread + late, SimulationEvent::Boot(NodeRef::Core(n)));
+            world.schedule_at(0.01 + spread + late, SimulationEvent::Boot(NodeRef::Core(n)));
         }
         for n in 0..world.edges.len() {
-            world.at(0.02, SimulationEvent::Boot(NodeRef::Edge(n)));
+            world.schedule_at(0.02, SimulationEvent::Boot(NodeRef::Edge(n)));
         }
         for n in 0..world.workers.len() {
             let after = 0.3 + world.rng.f64();
-            world.at(after, SimulationEvent::HeartbeatDue(n));
+            world.schedule_at(after, SimulationEvent::HeartbeatDue(n));
         }
-        world.at(0.2, SimulationEvent::LinkCheck);
-        world.at(1.0, SimulationEvent::OperatorActs);
-        world.at(4.0, SimulationEvent::ClientRequest);
-        if world.plan.crew.clerks > 0 {
-            world.at(0.1, SimulationEvent::Watch);
-            world.start_clerks();
+        world.schedule_at(0.2, SimulationEvent::LinkCheck);
+        world.schedule_at(1.0, SimulationEvent::OperatorActs);
+        world.schedule_at(4.0, SimulationEvent::ClientRequest);
+        if world.plan.operator_load.operators > 0 {
+            world.schedule_at(0.1, SimulationEvent::InvariantCheck);
+            world.start_operators();
         }
         world
     }
 
-    pub fn at(&mut self, at: f64, ev: SimulationEvent) {
+    pub fn schedule_at(&mut self, at: f64, ev: SimulationEvent) {
         self.next += 1;
         let at = at.max(self.now);
         self.queue.insert(((at * 1e6) as u64, self.next), ev);
     }
 
-    pub fn after(&mut self, secs: f64, ev: SimulationEvent) {
-        self.at(self.now + secs, ev);
+    pub fn schedule_after(&mut self, secs: f64, ev: SimulationEvent) {
+        self.schedule_at(self.now + secs, ev);
     }
 
     /// One way over the network.
@@ -273,7 +273,7 @@
         settings.node = format!("{}-{n}", if core { "core" } else { "edge" });
         settings.ip = if core { core_ip(n) } else { IpAddr::V4(Ipv4Addr::new(10, 0, 2, n as u8 + 1)) };
         settings.zone = zone(n);
-        settings.cold_start = if core { self.cores[n].cold } else { self.edges[n].life == 0 };
+        settings.cold_start = if core { self.cores[n].cold } else { self.edges[n].incarnation == 0 };
         settings.seeds = self.seeds(who);
         settings.envelope.resync_bound = std::time::Duration::from_secs_f64(self.plan.resync);
         settings.tolerance = LossTolerance { machines: self.plan.losses, zones: 0, regions: 0 };
@@ -281,39 +281,39 @@
     }
 
     fn boot(&mut self, who: NodeRef) {
-        if self.there(who) {
+        if self.has_process(who) {
             return;
         }
         if matches!(who, NodeRef::Core(_)) {
-            self.touch();
+            self.mark_core_disturbed();
         }
         let settings = self.settings(who);
         match who {
             NodeRef::Core(n) => {
                 let node = &mut self.cores[n];
-                node.life += 1;
-                node.boot = self.now;
+                node.incarnation += 1;
+                node.booted_at = self.now;
                 node.frozen = false;
                 node.backlog.clear();
                 node.cold = false;
-                if self.plan.making > 0.0 && node.disk.makes() {
-                    let making = SimulationEvent::CreatingDisk(n, node.life, settings.cold_start);
-                    return self.after(self.plan.making, making);
+                if self.plan.disk_creation_step > 0.0 && node.disk.makes() {
+                    let making = SimulationEvent::CreatingDisk(n, node.incarnation, settings.cold_start);
+                    return self.schedule_after(self.plan.disk_creation_step, making);
                 }
                 self.start_core(n, settings);
             }
             NodeRef::Edge(n) => {
                 let node = &mut self.edges[n];
-                node.life += 1;
-                node.boot = self.now;
+                node.incarnation += 1;
+                node.booted_at = self.now;
                 node.frozen = false;
-                let life = node.life;
-                let mut edge = EdgeNode::new(settings, life);
+                let incarnation = node.incarnation;
+                let mut edge = EdgeNode::new(settings, incarnation);
                 let mut out = Vec::new();
                 edge.start(&mut out);
                 node.edge = Some(edge);
                 self.edge_effects(n, out);
-                self.after(data_plane::TICK_SECS, SimulationEvent::EdgeTick(n, life));
+                self.schedule_after(data_plane::TICK_SECS, SimulationEvent::EdgeTick(n, incarnation));
             }
         }
     }
@@ -322,13 +322,13 @@
     fn kill(&mut self, who: NodeRef, dark: bool) {
         match who {
             NodeRef::Core(n) => {
-                self.touch();
+                self.mark_core_disturbed();
                 self.cores[n].core = None;
                 self.pending.retain(|(core, _), _| *core != n);
             }
             NodeRef::Edge(n) => {
                 self.edges[n].edge = None;
-                self.audit.edge_died(n, self.edges[n].life);
+                self.auditor.edge_died(n, self.edges[n].incarnation);
             }
         }
         if !dark {
@@ -340,7 +340,7 @@
 
     pub fn core_event(&mut self, n: usize, event: control_plane::Event) {
         let node = &mut self.cores[n];
-        let now = 1000.0 + (self.now - node.boot) * node.drift;
+        let now = 1000.0 + (self.now - node.booted_at) * node.clock_rate;
         let Some(core) = node.core.as_mut() else { return };
         if node.frozen {
             // It hears of it later; ticks that it missed don't come again.
@@ -356,33 +356,35 @@
         for effect in effects {
             match effect {
                 control_plane::Effect::Connect(ip) => self.connect(NodeRef::Core(n), ip),
-                control_plane::Effect::SendToPeer(ip, msg) => self.say(NodeRef::Core(n), ip, msg),
-                control_plane::Effect::SendToSession(conn, msg) => self.say_back(conn, msg),
-                control_plane::Effect::Respond(call, status, body) => self.replied(n, call, status, &body),
+                control_plane::Effect::SendToPeer(ip, msg) => self.send_message(NodeRef::Core(n), ip, msg),
+                control_plane::Effect::SendToSession(conn, msg) => self.send_response(conn, msg),
+                control_plane::Effect::Respond(call, status, body) => {
+                    self.core_responded(n, call, status, &body)
+                }
                 control_plane::Effect::Disconnect(ip) => self.disconnect(NodeRef::Core(n), ip),
                 control_plane::Effect::Persist(put) => {
                     self.snapshot_written(n, &put);
-                    let (life, sync) = (self.cores[n].life, self.plan.sync);
+                    let (incarnation, sync) = (self.cores[n].incarnation, self.plan.sync);
                     let takes = sync + faults::size(&put) as f64 / self.plan.disk_rate;
                     let disk = &mut self.cores[n].disk;
                     let number = put.sequence;
                     disk.writing.push(put);
                     disk.free_at = disk.free_at.max(self.now).max(disk.stalled_until) + takes;
                     let at = disk.free_at;
-                    self.at(at, SimulationEvent::DiskDone(n, life, number));
+                    self.schedule_at(at, SimulationEvent::DiskDone(n, incarnation, number));
                 }
             }
         }
     }
 
-    fn disk_done(&mut self, n: usize, life: u64, put: u64) {
+    fn disk_done(&mut self, n: usize, incarnation: u64, put: u64) {
         let (now, node) = (self.now, &mut self.cores[n]);
-        if node.life != life || node.core.is_none() {
+        if node.incarnation != incarnation || node.core.is_none() {
             return;
         }
         if let Some(until) = node.disk.hangs(now) {
             let at = until + self.plan.sync;
-            return self.at(at, SimulationEvent::DiskDone(n, life, put));
+            return self.schedule_at(at, SimulationEvent::DiskDone(n, incarnation, put));
         }
         node.disk.land(put);
         self.core_event(n, control_plane::Event::Persisted(put));
@@ -390,7 +392,7 @@
 
     pub fn edge_call(&mut self, n: usize, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<data_plane::Effect>)) {
         let node = &mut self.edges[n];
-        let now = 1000.0 + (self.now - node.boot) * node.drift;
+        let now = 1000.0 + (self.now - node.booted_at) * node.clock_rate;
         let Some(edge) = node.edge.as_mut().filter(|_| !node.frozen) else { return };
         let mut out = Vec::new();
         f(edge, now, &mut out);
@@ -398,17 +400,19 @@
     }
 
     fn edge_effects(&mut self, n: usize, effects: Vec<data_plane::Effect>) {
-        let life = self.edges[n].life;
+        let incarnation = self.edges[n].incarnation;
         for effect in effects {
             match effect {
                 data_plane::Effect::Connect(ip) => self.connect(NodeRef::Edge(n), ip),
                 data_plane::Effect::Disconnect(ip) => self.disconnect(NodeRef::Edge(n), ip),
-                data_plane::Effect::Send(ip, msg) => self.say(NodeRef::Edge(n), ip, msg),
+                data_plane::Effect::Send(ip, msg) => self.send_message(NodeRef::Edge(n), ip, msg),
                 data_plane::Effect::Dispatch { id, attempt, worker, timeout_secs: within, .. } => {
-                    self.dispatched(n, life, id, attempt, worker, within);
+                    self.attempt_dispatched(n, incarnation, id, attempt, worker, within);
+                }
+                data_plane::Effect::CancelAttempt(id, attempt) => {
+                    self.attempt_cancelled(n, incarnation, id, attempt)
                 }
-                data_plane::Effect::CancelAttempt(id, attempt) => self.called_off(n, life, id, attempt),
-                data_plane::Effect::Respond(id, answer) => self.answered(n, life, id, answer),
+                data_plane::Effect::Respond(id, answer) => self.answered(n, incarnation, id, answer),
                 data_plane::Effect::CloseIdleConnections(_) => {}
                 data_plane::Effect::SendLoadReport(to, load) => {
                     for ip in to {
@@ -419,7 +423,10 @@
                             if !self.links.reaches(Participant::Edge(n), Participant::Edge(to)) {
                                 continue;
                             }
-                            self.after(delay, SimulationEvent::LoadReportArrives(n, to, load.clone()));
+                            self.schedule_after(
+                                delay,
+                                SimulationEvent::LoadReportArrives(n, to, load.clone()),
+                            );
                         }
                     }
                 }
@@ -427,17 +434,17 @@
         }
     }
 
-    fn tick_edge(&mut self, n: usize, life: u64) {
-        if self.edges[n].life != life || self.edges[n].edge.is_none() {
+    fn tick_edge(&mut self, n: usize, incarnation: u64) {
+        if self.edges[n].incarnation != incarnation || self.edges[n].edge.is_none() {
             return;
         }
         self.edge_call(n, |edge, now, out| edge.handle(now, data_plane::Event::Tick, out));
         let node = &self.edges[n];
-        let now = 1000.0 + (self.now - node.boot) * node.drift;
+        let now = 1000.0 + (self.now - node.booted_at) * node.clock_rate;
         let next = node.edge.as_ref().map_or(data_plane::TICK_SECS, |e| {
             (e.next_wakeup(now) - now).clamp(0.002, data_plane::TICK_SECS)
         });
-        self.after(next, SimulationEvent::EdgeTick(n, life));
+        self.schedule_after(next, SimulationEvent::EdgeTick(n, incarnation));
     }
 
     /// Plays until then.
@@ -449,36 +456,36 @@
             self.now = self.now.max(first.key().0 as f64 / 1e6);
             self.digest.event(first.key().0);
             match first.remove() {
-                SimulationEvent::CoreTick(n, life) => {
-                    if self.cores[n].life == life && self.cores[n].core.is_some() {
+                SimulationEvent::CoreTick(n, incarnation) => {
+                    if self.cores[n].incarnation == incarnation && self.cores[n].core.is_some() {
                         self.core_event(n, control_plane::Event::Tick);
-                        self.watch_repair(n);
-                        self.after(control_plane::TICK, SimulationEvent::CoreTick(n, life));
+                        self.check_repair(n);
+                        self.schedule_after(control_plane::TICK, SimulationEvent::CoreTick(n, incarnation));
                     }
                 }
-                SimulationEvent::EdgeTick(n, life) => self.tick_edge(n, life),
-                SimulationEvent::Dial(key, life) => self.dial(key, life),
-                SimulationEvent::DialUp(key, life) => self.dial_up(key, life),
-                SimulationEvent::DeliverMessages(key, conn, forth) => self.pump(key, conn, forth),
+                SimulationEvent::EdgeTick(n, incarnation) => self.tick_edge(n, incarnation),
+                SimulationEvent::Dial(key, incarnation) => self.dial(key, incarnation),
+                SimulationEvent::DialUp(key, incarnation) => self.dial_up(key, incarnation),
+                SimulationEvent::DeliverMessages(key, conn, forth) => self.deliver_next(key, conn, forth),
                 SimulationEvent::LinkCheck => {
                     self.check_links();
-                    self.after(0.2, SimulationEvent::LinkCheck);
+                    self.schedule_after(0.2, SimulationEvent::LinkCheck);
                 }
-                SimulationEvent::DiskDone(n, life, put) => self.disk_done(n, life, put),
-                SimulationEvent::HeartbeatDue(n) => self.beat(n),
+                SimulationEvent::DiskDone(n, incarnation, put) => self.disk_done(n, incarnation, put),
+                SimulationEvent::HeartbeatDue(n) => self.send_heartbeat(n),
                 SimulationEvent::CallArrives(core, call) => self.call_arrives(core, call),
-                SimulationEvent::CallAnswered(call, status) => self.call_back(call, status),
+                SimulationEvent::CallAnswered(call, status) => self.call_returned(call, status),
                 SimulationEvent::CallTimedOut(id) => {
                     if let Some(call) = self.calls.remove(&id) {
                         self.call_failed(call);
                     }
                 }
-                SimulationEvent::WorkerDeparts(n) => self.depart(n),
-                SimulationEvent::ClientRequest => self.ask(),
-                SimulationEvent::AttemptArrives(hit) => self.arrive(hit),
-                SimulationEvent::WorkerFinishes(worker, hit) => self.finish(worker, hit),
+                SimulationEvent::WorkerDeparts(n) => self.send_departure(n),
+                SimulationEvent::ClientRequest => self.send_client_request(),
+                SimulationEvent::AttemptArrives(hit) => self.attempt_arrives(hit),
+                SimulationEvent::WorkerFinishes(worker, hit) => self.finish_work(worker, hit),
                 SimulationEvent::AttemptEnded(hit, ending, misdirected) => {
-                    self.ended(hit, ending, misdirected)
+                    self.attempt_ended(hit, ending, misdirected)
                 }
                 SimulationEvent::LoadReportArrives(from, to, load) => {
                     let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 2, from as u8 + 1));
@@ -486,16 +493,18 @@
                         edge.handle(now, data_plane::Event::PeerLoad(ip, load), out)
                     });
                 }
-                SimulationEvent::OperatorActs => self.operate(),
-                SimulationEvent::Fault(fault) => self.fault(fault),
-                SimulationEvent::Repair(fault) => self.mend(fault),
+                SimulationEvent::OperatorActs => self.submit_primary_change(),
+                SimulationEvent::Fault(fault) => self.inject_fault(fault),
+                SimulationEvent::Repair(fault) => self.end_fault(fault),
                 SimulationEvent::Boot(who) => self.boot(who),
-                SimulationEvent::CreatingDisk(n, life, told) => self.making(n, life, told),
-                SimulationEvent::Watch => self.look_round(),
-                SimulationEvent::OperatorTurn(turn) => self.turn(turn),
-                SimulationEvent::ProcessExited(n, life) => self.gone(n, life),
-                SimulationEvent::PartitionHeals(cut) => self.rejoin(&cut),
-                SimulationEvent::SeedListsChange => self.lists(),
+                SimulationEvent::CreatingDisk(n, incarnation, told) => {
+                    self.advance_disk_creation(n, incarnation, told)
+                }
+                SimulationEvent::InvariantCheck => self.check_invariants(),
+                SimulationEvent::OperatorTurn(turn) => self.operator_turn(turn),
+                SimulationEvent::ProcessExited(n, incarnation) => self.process_exited(n, incarnation),
+                SimulationEvent::PartitionHeals(cut) => self.heal_partition(&cut),
+                SimulationEvent::SeedListsChange => self.rewrite_seed_lists(),
             }
         }
         self.now = until;
@@ -510,7 +519,7 @@
             }
             (NodeRef::Edge(n), false) => {
                 let ip = core_ip(key.to);
-                self.heard(n, key.to);
+                self.note_contact(n, key.to);
                 self.edge_call(n, |edge, now, out| {
                     edge.handle(now, data_plane::Event::CoreMessage(ip, msg), out)
                 });
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -106,15 +106,15 @@
 impl World {
     fn alive(&self, who: NodeRef) -> Option<u64> {
         match who {
-            NodeRef::Core(n) => self.cores[n].core.as_ref().map(|_| self.cores[n].life),
-            NodeRef::Edge(n) => self.edges[n].edge.as_ref().map(|_| self.edges[n].life),
+            NodeRef::Core(n) => self.cores[n].core.as_ref().map(|_| self.cores[n].incarnation),
+            NodeRef::Edge(n) => self.edges[n].edge.as_ref().map(|_| self.edges[n].incarnation),
         }
     }
 
-    fn life(&self, who: NodeRef) -> u64 {
+    fn incarnation(&self, who: NodeRef) -> u64 {
         match who {
-            NodeRef::Core(n) => self.cores[n].life,
-            NodeRef::Edge(n) => self.edges[n].life,
+            NodeRef::Core(n) => self.cores[n].incarnation,
+            NodeRef::Edge(n) => self.edges[n].incarnation,
         }
     }
 
@@ -122,8 +122,8 @@
         let Some(to) = (0..self.cores.len()).find(|n| core_ip(*n) == ip) else { return };
         let key = LinkKey { from, to };
         self.links.wanted.insert(key);
-        let life = self.life(from);
-        self.after(0.001, SimulationEvent::Dial(key, life));
+        let incarnation = self.incarnation(from);
+        self.schedule_after(0.001, SimulationEvent::Dial(key, incarnation));
     }
 
     pub fn disconnect(&mut self, from: NodeRef, ip: IpAddr) {
@@ -133,23 +133,23 @@
         self.drop_link(key);
     }
 
-    pub fn dial(&mut self, key: LinkKey, life: u64) {
-        if self.alive(key.from) != Some(life) || !self.links.wanted.contains(&key) {
+    pub fn dial(&mut self, key: LinkKey, incarnation: u64) {
+        if self.alive(key.from) != Some(incarnation) || !self.links.wanted.contains(&key) {
             return;
         }
         let there = self.alive(NodeRef::Core(key.to)).is_some();
         let passes = self.links.passes(key, true) && self.links.passes(key, false);
         if there && passes && !self.links.up.contains_key(&key) {
             let rtt = self.delay() + self.delay();
-            self.after(rtt, SimulationEvent::DialUp(key, life));
+            self.schedule_after(rtt, SimulationEvent::DialUp(key, incarnation));
         } else {
-            self.after(if passes { 0.25 } else { 0.95 }, SimulationEvent::Dial(key, life));
+            self.schedule_after(if passes { 0.25 } else { 0.95 }, SimulationEvent::Dial(key, incarnation));
         }
     }
 
-    pub fn dial_up(&mut self, key: LinkKey, life: u64) {
-        if self.alive(key.from) != Some(life) || self.alive(NodeRef::Core(key.to)).is_none() {
-            return self.after(0.25, SimulationEvent::Dial(key, life));
+    pub fn dial_up(&mut self, key: LinkKey, incarnation: u64) {
+        if self.alive(key.from) != Some(incarnation) || self.alive(NodeRef::Core(key.to)).is_none() {
+            return self.schedule_after(0.25, SimulationEvent::Dial(key, incarnation));
         }
         self.links.next += 1;
         let conn = self.links.next;
@@ -157,11 +157,11 @@
         let heard = (self.now, self.now);
         let link = Link { conn, gone_here: false, gone_there: false, forth, back, heard };
         self.links.up.insert(key, link);
-        self.tell(key, true);
+        self.notify_link_state(key, true);
     }
 
     /// Tells the opener that its connection is up or down.
-    fn tell(&mut self, key: LinkKey, up: bool) {
+    fn notify_link_state(&mut self, key: LinkKey, up: bool) {
         let ip = core_ip(key.to);
         match key.from {
             NodeRef::Core(n) => {
@@ -180,18 +180,18 @@
         }
     }
 
-    pub fn say(&mut self, from: NodeRef, ip: IpAddr, msg: PeerMessage) {
+    pub fn send_message(&mut self, from: NodeRef, ip: IpAddr, msg: PeerMessage) {
         let Some(to) = (0..self.cores.len()).find(|n| core_ip(*n) == ip) else { return };
         self.push(LinkKey { from, to }, true, msg);
     }
 
-    pub fn say_back(&mut self, conn: u64, msg: PeerMessage) {
+    pub fn send_response(&mut self, conn: u64, msg: PeerMessage) {
         let key = self.links.up.iter().find(|(_, l)| l.conn == conn).map(|(k, _)| *k);
         if let Some(key) = key {
             if let (NodeRef::Edge(_), PeerMessage::QuotaGrants { is_leader: true, term, .. }) =
                 (key.from, &msg)
             {
-                self.counted(key.to, *term);
+                self.quota_leader_responded(key.to, *term);
             }
             if let NodeRef::Edge(_) = key.from {
                 let what = match &msg {
@@ -200,14 +200,14 @@
                     PeerMessage::ConfigUpdate { previous: None, .. } => Some("a whole configuration"),
                     _ => None,
                 };
-                self.handed_out(key.to, what);
+                self.check_handout(key.to, what);
             }
             self.push(key, false, msg);
         }
     }
 
     fn push(&mut self, key: LinkKey, forth: bool, msg: PeerMessage) {
-        self.piece_sent(key, &msg);
+        self.snapshot_chunk_sent(key, &msg);
         // Through the real encoding, so that what can't be read shows here.
         let mut bytes = bytes::BytesMut::from(&whinstall_gateway::protocol::encode(&msg)[..]);
         self.digest.message(self.now, bytes.len());
@@ -218,10 +218,10 @@
         let queue = if forth { &mut link.forth } else { &mut link.back };
         let at = queue.back().map_or(at, |(last, _)| at.max(*last));
         queue.push_back((at, msg));
-        self.at(at, SimulationEvent::DeliverMessages(key, conn, forth));
+        self.schedule_at(at, SimulationEvent::DeliverMessages(key, conn, forth));
     }
 
-    pub fn pump(&mut self, key: LinkKey, conn: u64, forth: bool) {
+    pub fn deliver_next(&mut self, key: LinkKey, conn: u64, forth: bool) {
         let passes = self.links.passes(key, forth);
         let frozen = match (key.from, forth) {
             (_, true) => self.cores[key.to].frozen,
@@ -234,7 +234,7 @@
         }
         if !passes || frozen {
             // Held up, in order.
-            return self.after(0.05, SimulationEvent::DeliverMessages(key, conn, forth));
+            return self.schedule_after(0.05, SimulationEvent::DeliverMessages(key, conn, forth));
         }
         let queue = if forth { &mut link.forth } else { &mut link.back };
         let Some((_, msg)) = queue.pop_front() else { return };
@@ -252,9 +252,9 @@
             self.core_event(key.to, control_plane::Event::SessionClosed(link.conn));
         }
         if !link.gone_here {
-            self.tell(key, false);
-            let life = self.life(key.from);
-            self.after(0.25, SimulationEvent::Dial(key, life));
+            self.notify_link_state(key, false);
+            let incarnation = self.incarnation(key.from);
+            self.schedule_after(0.25, SimulationEvent::Dial(key, incarnation));
         }
     }
 
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -9,7 +9,7 @@
 /// How much operators do.
 #[derive(Clone, Debug)]
 pub struct OperatorLoad {
-    pub clerks: usize,
+    pub operators: usize,
     /// Orders that one has under way at once.
     pub at_once: usize,
     /// Orders in all, twins not counted.
@@ -20,13 +20,13 @@
     pub pause: f64,
     /// Parts of the orders: with a twin of other content, whose answer is lost, sent again when confirmed, invalid,
     /// with a key that another order gives to another tenant.
-    pub twins: f64,
-    pub lost: f64,
-    pub again: f64,
-    pub invalid: f64,
-    pub shared: f64,
+    pub twin_fraction: f64,
+    pub lost_fraction: f64,
+    pub resend_fraction: f64,
+    pub invalid_fraction: f64,
+    pub shared_key_fraction: f64,
     /// Part of the orders that are under way at two machines from the start.
-    pub doubled: f64,
+    pub duplicate_fraction: f64,
     pub labels: usize,
     /// Seconds between two reads of one operator; 0: none but the last.
     pub reads: f64,
@@ -39,18 +39,18 @@
 impl Default for OperatorLoad {
     fn default() -> Self {
         OperatorLoad {
-            clerks: 0,
+            operators: 0,
             at_once: 2,
             orders: 10_000,
             from: 2.0,
             until: f64::INFINITY,
             pause: 0.6,
-            twins: 0.3,
-            lost: 0.1,
-            again: 0.3,
-            invalid: 0.05,
-            shared: 0.1,
-            doubled: 0.0,
+            twin_fraction: 0.3,
+            lost_fraction: 0.1,
+            resend_fraction: 0.3,
+            invalid_fraction: 0.05,
+            shared_key_fraction: 0.1,
+            duplicate_fraction: 0.0,
             labels: 6,
             reads: 0.7,
             learned: false,
@@ -71,7 +71,7 @@
 /// An order, and what was heard of it.
 #[derive(Clone, Debug)]
 pub struct SentChange {
-    pub clerk: usize,
+    pub operator: usize,
     pub sort: ChangeValidity,
     pub labels: Vec<usize>,
     pub version: u64,
@@ -186,47 +186,61 @@
 }
 
 impl World {
-    pub fn start_clerks(&mut self) {
-        let crew = self.plan.crew.clone();
-        for clerk in 0..crew.clerks {
-            for _ in 0..crew.at_once {
+    pub fn start_operators(&mut self) {
+        let operator_load = self.plan.operator_load.clone();
+        for operator in 0..operator_load.operators {
+            for _ in 0..operator_load.at_once {
                 let late = 0.2 * self.rng.f64();
-                self.at(crew.from + late, SimulationEvent::OperatorTurn(OperatorStep::Next(clerk)));
+                self.schedule_at(
+                    operator_load.from + late,
+                    SimulationEvent::OperatorTurn(OperatorStep::Next(operator)),
+                );
             }
-            if crew.reads > 0.0 {
-                self.at(crew.from, SimulationEvent::OperatorTurn(OperatorStep::Read(clerk)));
+            if operator_load.reads > 0.0 {
+                self.schedule_at(
+                    operator_load.from,
+                    SimulationEvent::OperatorTurn(OperatorStep::Read(operator)),
+                );
             }
         }
     }
 
-    pub fn turn(&mut self, turn: OperatorStep) {
+    pub fn operator_turn(&mut self, turn: OperatorStep) {
         match turn {
             // Services that orders name must stand.
-            OperatorStep::Next(_) if !self.audit.begun() => {
-                self.after(0.2, SimulationEvent::OperatorTurn(turn))
+            OperatorStep::Next(_) if !self.auditor.begun() => {
+                self.schedule_after(0.2, SimulationEvent::OperatorTurn(turn))
             }
-            OperatorStep::Next(clerk) => self.issue(clerk),
+            OperatorStep::Next(operator) => self.issue_change(operator),
             OperatorStep::Again(order) => {
-                let (clerk, core) = (self.desk.orders[order].clerk, self.rng.usize(0..64));
-                self.call(core, CallOrigin::Order { order, clerk, again: true });
+                let (operator, core) = (self.operator_records.orders[order].operator, self.rng.usize(0..64));
+                self.call(core, CallOrigin::Change { order, operator, again: true });
             }
-            OperatorStep::Read(clerk) => {
+            OperatorStep::Read(operator) => {
                 let core = self.rng.usize(0..64);
                 let from = self.now;
-                self.call(core, CallOrigin::Look { clerk, from });
+                self.call(core, CallOrigin::Read { operator, from });
             }
         }
     }
 
-    fn issue(&mut self, clerk: usize) {
-        let crew = &self.plan.crew;
-        if self.now > crew.until || self.desk.issued >= crew.orders || self.operator.done {
+    fn issue_change(&mut self, operator: usize) {
+        let operator_load = &self.plan.operator_load;
+        if self.now > operator_load.until
+            || self.operator_records.issued >= operator_load.orders
+            || self.operator.done
+        {
             return;
         }
-        let (twins, shared, invalid, labels) = (crew.twins, crew.shared, crew.invalid, crew.labels);
-        self.desk.issued += 1;
-        self.desk.version += 1;
-        let (version, draw) = (self.desk.version, self.rng.f64());
+        let (twins, shared, invalid, labels) = (
+            operator_load.twin_fraction,
+            operator_load.shared_key_fraction,
+            operator_load.invalid_fraction,
+            operator_load.labels,
+        );
+        self.operator_records.issued += 1;
+        self.operator_records.version += 1;
+        let (version, draw) = (self.operator_records.version, self.rng.f64());
         let sort = match draw {
             _ if draw < invalid => ChangeValidity::Invalid,
             _ if draw < invalid + shared => ChangeValidity::SharedKey,
@@ -243,42 +257,45 @@
         };
         let first = self.rng.usize(0..labels);
         let ours = some(&mut self.rng, first);
-        let one = self.file(clerk, sort, ours.clone(), version, version);
+        let one = self.record_change(operator, sort, ours.clone(), version, version);
         let twin =
             sort == ChangeValidity::SharedKey || sort == ChangeValidity::Proper && self.rng.f64() < twins;
         if twin {
-            let other = self.rng.usize(0..self.plan.crew.clerks);
+            let other = self.rng.usize(0..self.plan.operator_load.operators);
             let theirs = if self.rng.bool() { ours } else { some(&mut self.rng, first) };
-            let two = self.file(other, sort, theirs, version, version);
-            (self.desk.orders[one].rival, self.desk.orders[two].rival) = (Some(two), Some(one));
+            let two = self.record_change(other, sort, theirs, version, version);
+            (self.operator_records.orders[one].rival, self.operator_records.orders[two].rival) =
+                (Some(two), Some(one));
             let core = self.rng.usize(0..64);
-            self.call(core, CallOrigin::Order { order: two, clerk: other, again: true });
+            self.call(core, CallOrigin::Change { order: two, operator: other, again: true });
         }
         let drawn = self.rng.usize(0..64);
         let runs = |n: &usize| self.cores[*n].listed && self.cores[*n].core.is_some();
         let running = (drawn..drawn + self.cores.len()).map(|n| n % self.cores.len()).find(runs);
-        let core = running.filter(|_| self.plan.crew.learned).unwrap_or(drawn);
-        self.call(core, CallOrigin::Order { order: one, clerk, again: false });
-        if self.plan.crew.doubled > 0.0 && self.rng.f64() < self.plan.crew.doubled {
-            self.call(core + 1, CallOrigin::Order { order: one, clerk, again: true });
+        let core = running.filter(|_| self.plan.operator_load.learned).unwrap_or(drawn);
+        self.call(core, CallOrigin::Change { order: one, operator, again: false });
+        if self.plan.operator_load.duplicate_fraction > 0.0
+            && self.rng.f64() < self.plan.operator_load.duplicate_fraction
+        {
+            self.call(core + 1, CallOrigin::Change { order: one, operator, again: true });
         }
     }
 
-    fn file(
+    fn record_change(
         &mut self,
-        clerk: usize,
+        operator: usize,
         sort: ChangeValidity,
         labels: Vec<usize>,
         version: u64,
         key: u64,
     ) -> usize {
-        let content = self.desk.orders.len() as u64;
-        let items = items(sort, &labels, version, content, key, self.plan.crew.note);
+        let content = self.operator_records.orders.len() as u64;
+        let items = items(sort, &labels, version, content, key, self.plan.operator_load.note);
         let (taken, confirmed, refused, rival) = (None, None, None, None);
         let began = self.now;
         let (open, given_up, tries) = (true, false, 0);
-        self.desk.orders.push(SentChange {
-            clerk,
+        self.operator_records.orders.push(SentChange {
+            operator,
             sort,
             labels,
             version,
@@ -293,16 +310,16 @@
             given_up,
             tries,
         });
-        self.desk.waiting.push(content as usize);
+        self.operator_records.waiting.push(content as usize);
         content as usize
     }
 
     /// A core machine answers an order: what it says counts, heard or not.
-    pub fn order_answered(&mut self, order: usize, core: usize, status: u16) {
-        self.desk.answers += 1;
+    pub fn change_responded(&mut self, order: usize, core: usize, status: u16) {
+        self.operator_records.answers += 1;
         let now = self.now;
-        let o = &self.desk.orders[order];
-        let rival = o.rival.map(|r| &self.desk.orders[r]);
+        let o = &self.operator_records.orders[order];
+        let rival = o.rival.map(|r| &self.operator_records.orders[r]);
         let who = format!("order {order} (r{} of {:?}, {:?}) at core {core}", o.version, o.labels, o.sort);
         let mut wrong = None;
         match status {
@@ -336,17 +353,24 @@
             307 | 503 => {}
             _ => wrong = Some(format!("ODD {now:.3}: {who} gets {status}")),
         }
-        self.audit.broken.extend(wrong);
-        let o = &mut self.desk.orders[order];
+        self.auditor.violations.extend(wrong);
+        let o = &mut self.operator_records.orders[order];
         match status {
             200 => {
                 let first = o.taken.replace(o.taken.unwrap_or(now)).is_none();
                 for label in o.labels.clone().into_iter().filter(|_| o.sort == ChangeValidity::Proper) {
                     let (version, content) = (o.version, o.content);
-                    self.watch.stands(now, label, version, content, "confirmed", &mut self.audit.broken);
+                    self.invariants.check_content(
+                        now,
+                        label,
+                        version,
+                        content,
+                        "confirmed",
+                        &mut self.auditor.violations,
+                    );
                 }
                 if first {
-                    self.acked(core);
+                    self.change_acknowledged(core);
                 }
             }
             400 | 409 => {
@@ -357,52 +381,59 @@
     }
 
     /// An operator hears the answer to an order.
-    pub fn order_back(&mut self, call: ControlCall, status: u16) {
-        let CallOrigin::Order { order, again, .. } = call.by else { return };
-        let o = &mut self.desk.orders[order];
+    pub fn change_returned(&mut self, call: ControlCall, status: u16) {
+        let CallOrigin::Change { order, again, .. } = call.by else { return };
+        let o = &mut self.operator_records.orders[order];
         if status != 200 && status != 400 && status != 409 {
-            return self.order_failed(call);
+            return self.change_failed(call);
         }
         let first = std::mem::take(&mut o.open);
         if status == 200 {
             o.confirmed.get_or_insert(self.now);
-            if first && self.rng.f64() < self.plan.crew.again {
+            if first && self.rng.f64() < self.plan.operator_load.resend_fraction {
                 let late = 8.0 * self.rng.f64() * self.rng.f64();
-                self.after(late, SimulationEvent::OperatorTurn(OperatorStep::Again(order)));
+                self.schedule_after(late, SimulationEvent::OperatorTurn(OperatorStep::Again(order)));
             }
         }
-        self.freed(again, order);
+        self.schedule_next_change(again, order);
     }
 
-    fn freed(&mut self, again: bool, order: usize) {
+    fn schedule_next_change(&mut self, again: bool, order: usize) {
         if !again {
-            let wait = self.plan.crew.pause * self.rng.f64();
-            let clerk = self.desk.orders[order].clerk;
-            self.after(wait, SimulationEvent::OperatorTurn(OperatorStep::Next(clerk)));
+            let wait = self.plan.operator_load.pause * self.rng.f64();
+            let operator = self.operator_records.orders[order].operator;
+            self.schedule_after(wait, SimulationEvent::OperatorTurn(OperatorStep::Next(operator)));
         }
     }
 
     /// Silence or no clear answer: the same once more to another machine.
-    pub fn order_failed(&mut self, call: ControlCall) {
-        let CallOrigin::Order { order, again, .. } = call.by else { return };
-        let o = &mut self.desk.orders[order];
+    pub fn change_failed(&mut self, call: ControlCall) {
+        let CallOrigin::Change { order, again, .. } = call.by else { return };
+        let o = &mut self.operator_records.orders[order];
         o.tries += 1;
         // Twins may stay without a clear answer, and so may what is sent again.
         let enough = if o.confirmed.is_some() { 40 } else { 25 };
         if (again || o.rival.is_some()) && o.tries > enough {
             o.given_up = true;
-            return self.freed(again, order);
+            return self.schedule_next_change(again, order);
         }
         let pause = 0.1 + 0.2 * self.rng.f64();
-        self.recall(call, pause);
+        self.retry_call(call, pause);
     }
 
     pub fn read_answered(&mut self, call: u64, body: &serde_json::Value) {
-        let held = registers(self.plan.crew.labels, body);
+        let held = registers(self.plan.operator_load.labels, body);
         for (label, held) in held.iter().enumerate() {
             if let Some((version, content)) = held {
-                self.watch.stands(self.now, label, *version, *content, "read", &mut self.audit.broken);
-                self.refused_stands(*content, "read");
+                self.invariants.check_content(
+                    self.now,
+                    label,
+                    *version,
+                    *content,
+                    "read",
+                    &mut self.auditor.violations,
+                );
+                self.check_not_rejected(*content, "read");
             }
         }
         let mut keys = std::collections::HashMap::new();
@@ -414,38 +445,38 @@
                 for key in row[key].as_array().into_iter().flatten().filter_map(|k| k.as_str()) {
                     if let Some(other) = keys.insert(key.to_owned(), owner.clone()) {
                         let now = self.now;
-                        self.audit
-                            .broken
+                        self.auditor
+                            .violations
                             .push(format!("KEY {now:.3}: {other} and {owner} hold {key} as read"));
                     }
                 }
             }
         }
-        self.desk.heard.insert(call, held);
+        self.operator_records.heard.insert(call, held);
     }
 
     /// A clerk hears what stands.
-    pub fn look_back(&mut self, call: u64, clerk: usize, from: f64) {
-        let Some(held) = self.desk.heard.remove(&call) else { return };
-        self.desk.reads.push(Read { from, to: self.now, held });
+    pub fn read_returned(&mut self, call: u64, operator: usize, from: f64) {
+        let Some(held) = self.operator_records.heard.remove(&call) else { return };
+        self.operator_records.reads.push(Read { from, to: self.now, held });
         match self.operator.done {
-            true => self.desk.read_at_end = true,
-            false if self.plan.crew.reads > 0.0 => {
-                let wait = self.plan.crew.reads * (0.5 + self.rng.f64());
-                self.after(wait, SimulationEvent::OperatorTurn(OperatorStep::Read(clerk)));
+            true => self.operator_records.read_at_end = true,
+            false if self.plan.operator_load.reads > 0.0 => {
+                let wait = self.plan.operator_load.reads * (0.5 + self.rng.f64());
+                self.schedule_after(wait, SimulationEvent::OperatorTurn(OperatorStep::Read(operator)));
             }
             false => {}
         }
     }
 
     /// What was refused for its number must never stand.
-    pub fn refused_stands(&mut self, content: u64, seen: &str) {
+    pub fn check_not_rejected(&mut self, content: u64, seen: &str) {
         let now = self.now;
-        let Some(o) = self.desk.orders.get(content as usize) else { return };
+        let Some(o) = self.operator_records.orders.get(content as usize) else { return };
         if let Some((at, status)) = o.refused {
-            if self.watch.told.insert((content, seen.into())) {
+            if self.invariants.reported.insert((content, seen.into())) {
                 let text = format!("REFUSED {now:.3}: order {content} stands as {seen}, {status} at {at:.3}");
-                self.audit.broken.push(text);
+                self.auditor.violations.push(text);
             }
         }
     }
@@ -453,10 +484,10 @@
     /// Who sends this call?
     pub fn sender(&self, by: &CallOrigin) -> Participant {
         match by {
-            CallOrigin::Beat(n) | CallOrigin::Depart(n) => Participant::Worker(*n),
-            CallOrigin::Amend(_) | CallOrigin::Read => Participant::Operator(0),
-            CallOrigin::Order { clerk, .. } | CallOrigin::Look { clerk, .. } => {
-                Participant::Operator(clerk + 1)
+            CallOrigin::Heartbeat(n) | CallOrigin::Departure(n) => Participant::Worker(*n),
+            CallOrigin::PrimaryChange(_) | CallOrigin::PrimaryRead => Participant::Operator(0),
+            CallOrigin::Change { operator, .. } | CallOrigin::Read { operator, .. } => {
+                Participant::Operator(operator + 1)
             }
         }
     }
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -20,10 +20,10 @@
     pub spread: f64,
     pub late: Vec<(usize, f64)>,
     /// Seconds that each step takes in which a new disk is made: the mark, its sync, the database.
-    pub making: f64,
+    pub disk_creation_step: f64,
     /// No tenant has a quota.
     pub unlimited: bool,
-    pub crew: OperatorLoad,
+    pub operator_load: OperatorLoad,
     /// How many changes the first operator makes.
     pub steps: Option<u64>,
     /// Services with two kilobytes of fields each that stand from the first change on.
@@ -54,9 +54,9 @@
             lost_answers: 0.01,
             spread: 0.0,
             late: Vec::new(),
-            making: 0.0,
+            disk_creation_step: 0.0,
             unlimited: false,
-            crew: OperatorLoad::default(),
+            operator_load: OperatorLoad::default(),
             steps: None,
             bulk: 0,
             sync: 0.004,
--- a/crates/simulation/src/repair_times.rs
+++ b/crates/simulation/src/repair_times.rs
@@ -25,8 +25,8 @@
         known.max().unwrap_or(0)
     }
 
-    pub fn repair_begins(&mut self, n: usize) {
-        if self.cores[n].life == 1 && !self.watch.joining.contains_key(&n) {
+    pub fn repair_started(&mut self, n: usize) {
+        if self.cores[n].incarnation == 1 && !self.invariants.joining.contains_key(&n) {
             return;
         }
         let (since, target) = (self.now, self.committed());
@@ -34,18 +34,18 @@
     }
 
     /// Looks at a machine that started.
-    pub fn watch_repair(&mut self, n: usize) {
+    pub fn check_repair(&mut self, n: usize) {
         let Some(mut repair) = self.repairs.pending.remove(&n) else { return };
         let Some(core) = self.cores[n].core.as_ref().filter(|_| self.cores[n].listed) else { return };
         let holds =
             core.configuration.applied >= repair.target && core.raft.voters().contains(&core.raft.id());
-        let leader = core
-            .raft
-            .leader(core.context.log_time(1000.0 + (self.now - self.cores[n].boot) * self.cores[n].drift));
+        let leader = core.raft.leader(
+            core.context.log_time(1000.0 + (self.now - self.cores[n].booted_at) * self.cores[n].clock_rate),
+        );
         if holds && leader.is_some() {
             return self.repairs.took.push(self.now - repair.since);
         }
-        let most = self.most().filter(|most| most.iter().all(|m| self.joined(n, *m)));
+        let most = self.connected_majority().filter(|most| most.iter().all(|m| self.cores_connected(n, *m)));
         // Together with this one more may be lost than is to be borne.
         let down =
             (0..self.cores.len()).filter(|m| self.cores[*m].listed && self.cores[*m].core.is_none()).count();
@@ -58,7 +58,9 @@
         if self.now - repair.since > self.plan.resync && !repair.late {
             repair.late = true;
             let (now, for_s) = (self.now, self.now - repair.since);
-            self.audit.broken.push(format!("REPAIR {now:.3}: core {n} does not hold all after {for_s:.3} s"));
+            self.auditor
+                .violations
+                .push(format!("REPAIR {now:.3}: core {n} does not hold all after {for_s:.3} s"));
         }
         self.repairs.pending.insert(n, repair);
     }
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -197,11 +197,11 @@
             (None, true) => SnapshotStage::Cut,
             (None, false) => return,
         };
-        self.snapshot_at(moment, n, n);
+        self.snapshot_stage_reached(moment, n, n);
     }
 
     /// Something is said on a connection: a piece of a snapshot?
-    pub fn piece_sent(
+    pub fn snapshot_chunk_sent(
         &mut self,
         key: super::network::LinkKey,
         msg: &whinstall_gateway::protocol::PeerMessage,
@@ -214,21 +214,21 @@
             return;
         };
         if let (NodeRef::Core(from), false) = (key.from, data.is_empty()) {
-            self.snapshot_at(SnapshotStage::Sent, from, key.to);
+            self.snapshot_stage_reached(SnapshotStage::Sent, from, key.to);
         }
     }
 
-    fn snapshot_at(&mut self, moment: SnapshotStage, owner: usize, receiver: usize) {
-        *self.watch.moments.entry(moment as usize).or_default() += 1;
-        let mut waiting = std::mem::take(&mut self.watch.at_snapshot);
+    fn snapshot_stage_reached(&mut self, moment: SnapshotStage, owner: usize, receiver: usize) {
+        *self.invariants.snapshot_stages.entry(moment as usize).or_default() += 1;
+        let mut waiting = std::mem::take(&mut self.invariants.pending_snapshot_crashes);
         for at in waiting.iter_mut().filter(|at| at.moment == moment) {
             at.nth = at.nth.saturating_sub(1);
         }
         let due = waiting.iter().position(|at| at.moment == moment && at.nth == 0);
         let due = due.map(|n| waiting.remove(n));
-        self.watch.at_snapshot = waiting;
+        self.invariants.pending_snapshot_crashes = waiting;
         let Some(SnapshotCrash { struck, down, then, .. }) = due else { return };
-        self.watch.struck += 1;
+        self.invariants.snapshot_crashes += 1;
         // Somewhere in the write, or on the way.
         let late = 0.01 * self.rng.f64();
         let core = if struck == CrashTarget::Receiver { receiver } else { owner };
@@ -238,16 +238,16 @@
             }
             _ => super::faults::Fault::KillCore { core, down, power: true, wipe: false },
         };
-        self.after(late, SimulationEvent::Fault(lost));
+        self.schedule_after(late, SimulationEvent::Fault(lost));
         if then {
-            let next = self.pick(core + 1);
+            let next = self.listed_core_from(core + 1);
             let wiped = super::faults::Fault::KillCore { core: next, down: 0.5, power: true, wipe: true };
-            self.after(late + down + 0.2 + self.plan.resync, SimulationEvent::Fault(wiped));
+            self.schedule_after(late + down + 0.2 + self.plan.resync, SimulationEvent::Fault(wiped));
         }
     }
 
     /// The machine that is called: of those on the operator's list.
-    pub fn pick(&self, from: usize) -> usize {
+    pub fn listed_core_from(&self, from: usize) -> usize {
         let from = from % self.cores.len();
         let after = (from..self.cores.len()).chain(0..from);
         after.into_iter().find(|n| self.cores[*n].listed).unwrap_or(from)
@@ -263,43 +263,44 @@
     }
 
     /// Three of the operator's list that run; where it lags, of those that were on it then.
-    fn three(&self, but: usize) -> Vec<usize> {
+    fn current_seeds(&self, but: usize) -> Vec<usize> {
         if self.plan.seed_delay > 0.0 {
             let then = self.now - self.plan.seed_delay;
-            let list = self.watch.lists.iter().rev().find(|(at, _)| *at <= then);
+            let list = self.invariants.core_lists.iter().rev().find(|(at, _)| *at <= then);
             let first = (0..self.plan.cores).collect();
             return list.map_or(first, |l| l.1.clone()).into_iter().take(3).collect();
         }
-        let listed = self.listed().into_iter().filter(|n| *n != but);
-        let up = listed.filter(|n| self.there(NodeRef::Core(*n)));
+        let listed = self.listed_cores().into_iter().filter(|n| *n != but);
+        let up = listed.filter(|n| self.has_process(NodeRef::Core(*n)));
         up.take(3).collect()
     }
 
     /// The operators' list has changed.
-    fn list_changed(&mut self) {
-        let (now, listed) = (self.now, self.listed());
-        self.watch.lists.push((now, listed));
-        self.after(self.plan.seed_delay, SimulationEvent::SeedListsChange);
+    fn seed_list_changed(&mut self) {
+        let (now, listed) = (self.now, self.listed_cores());
+        self.invariants.core_lists.push((now, listed));
+        self.schedule_after(self.plan.seed_delay, SimulationEvent::SeedListsChange);
     }
 
     /// The files of all machines are written anew, by the operator's list as it is; read at their next start.
-    fn rewrite_lists(&mut self) {
-        let seeds = self.three(usize::MAX);
+    pub fn rewrite_seed_lists(&mut self) {
+        let seeds = self.current_seeds(usize::MAX);
         self.cores.iter_mut().for_each(|n| n.seeds.clone_from(&seeds));
         self.edges.iter_mut().for_each(|n| n.seeds.clone_from(&seeds));
     }
 
     fn add_core(&mut self) {
         let n = self.cores.len();
-        let seeds = self.three(n);
-        let drift = 1.0 + 2e-4 * (self.rng.f64() - 0.5);
-        let (core, life, disk, boot, backlog) = (None, 0, SimulatedDisk::default(), self.now, Vec::new());
+        let seeds = self.current_seeds(n);
+        let clock_rate = 1.0 + 2e-4 * (self.rng.f64() - 0.5);
+        let (core, incarnation, disk, booted_at, backlog) =
+            (None, 0, SimulatedDisk::default(), self.now, Vec::new());
         let node = SimulatedCore {
             core,
-            life,
+            incarnation,
             disk,
-            boot,
-            drift,
+            booted_at,
+            clock_rate,
             seeds,
             frozen: false,
             cold: false,
@@ -307,74 +308,70 @@
             backlog,
         };
         self.cores.push(node);
-        self.watch.joining.insert(n, self.now);
-        self.after(0.0, SimulationEvent::Boot(NodeRef::Core(n)));
-        self.lost_for(0.0, self.plan.resync);
-        self.after(0.3, SimulationEvent::SeedListsChange);
-        self.list_changed();
+        self.invariants.joining.insert(n, self.now);
+        self.schedule_after(0.0, SimulationEvent::Boot(NodeRef::Core(n)));
+        self.mark_core_faulty_for(0.0, self.plan.resync);
+        self.schedule_after(0.3, SimulationEvent::SeedListsChange);
+        self.seed_list_changed();
     }
 
     /// SIGTERM now; the process is gone a little later, and nobody calls the machine any more.
-    fn end_core(&mut self, n: usize) {
+    fn terminate_core(&mut self, n: usize) {
         self.core_event(n, control_plane::Event::Shutdown);
         self.cores[n].listed = false;
-        self.watch.left.insert(n, self.now);
-        let (life, late) = (self.cores[n].life, 0.3 + 0.6 * self.rng.f64());
-        self.after(late, SimulationEvent::ProcessExited(n, life));
-        self.lost_for(late, self.plan.resync);
-        self.list_changed();
+        self.invariants.removed_at.insert(n, self.now);
+        let (incarnation, late) = (self.cores[n].incarnation, 0.3 + 0.6 * self.rng.f64());
+        self.schedule_after(late, SimulationEvent::ProcessExited(n, incarnation));
+        self.mark_core_faulty_for(late, self.plan.resync);
+        self.seed_list_changed();
     }
 
-    pub fn gone(&mut self, n: usize, life: u64) {
-        if self.cores[n].life == life && self.cores[n].core.is_some() {
+    pub fn process_exited(&mut self, n: usize, incarnation: u64) {
+        if self.cores[n].incarnation == incarnation && self.cores[n].core.is_some() {
             self.kill(NodeRef::Core(n), false);
             let unwritten = self.rng.bool();
             self.cores[n].disk.crash(unwritten, false, &mut self.rng);
         }
         if !self.cores[n].listed {
-            self.watch.left.insert(n, self.now);
+            self.invariants.removed_at.insert(n, self.now);
         }
-        self.touch();
+        self.mark_core_disturbed();
     }
 
     /// The rules that hold while the core is calm wait until then.
-    fn lost_for(&mut self, secs: f64, more: f64) {
-        self.unsettled = self.unsettled.max(self.now + secs + more);
-        self.touch();
-    }
-
-    pub fn lists(&mut self) {
-        self.rewrite_lists();
+    fn mark_core_faulty_for(&mut self, secs: f64, more: f64) {
+        self.unsettled_until = self.unsettled_until.max(self.now + secs + more);
+        self.mark_core_disturbed();
     }
 
     fn cut(&mut self, cut: Partition, secs: f64) {
         for party in &cut.inside {
             if let Participant::Edge(n) = party {
-                self.trouble(*n, secs + 3.0);
+                self.mark_edge_faulty_for(*n, secs + 3.0);
             }
         }
         self.links.cuts.push(cut.clone());
-        self.lost_for(secs, 3.0);
-        self.after(secs, SimulationEvent::PartitionHeals(cut));
+        self.mark_core_faulty_for(secs, 3.0);
+        self.schedule_after(secs, SimulationEvent::PartitionHeals(cut));
     }
 
-    pub fn rejoin(&mut self, cut: &Partition) {
+    pub fn heal_partition(&mut self, cut: &Partition) {
         if let Some(at) = self.links.cuts.iter().position(|c| c == cut) {
             self.links.cuts.remove(at);
         }
-        self.touch();
+        self.mark_core_disturbed();
     }
 
-    fn lay(&mut self, trap: PendingCrash) {
-        self.watch.trap = Some((self.now + 2.5, trap));
+    fn arm_crash(&mut self, trap: PendingCrash) {
+        self.invariants.armed_crash = Some((self.now + 2.5, trap));
     }
 
     /// Its settings change, and it is told so if it runs.
-    fn reread(&mut self, who: NodeRef, seeds: &[usize]) {
+    fn reload_settings(&mut self, who: NodeRef, seeds: &[usize]) {
         // As an operator would write them: machines that are listed, more of them than may be lost.
         let named = seeds.iter().filter(|n| self.cores.get(**n).is_some_and(|c| c.listed)).copied();
         let mut seeds: Vec<usize> = Vec::new();
-        for n in named.chain(self.listed()) {
+        for n in named.chain(self.listed_cores()) {
             if !seeds.contains(&n) && seeds.len() <= self.plan.losses.max(2) {
                 seeds.push(n);
             }
@@ -399,9 +396,9 @@
     }
 
     /// An order is confirmed: was a fault waiting for that?
-    pub fn acked(&mut self, core: usize) {
-        let Some((until, trap)) = self.watch.trap.take() else { return };
-        let listed = self.listed();
+    pub fn change_acknowledged(&mut self, core: usize) {
+        let Some((until, trap)) = self.invariants.armed_crash.take() else { return };
+        let listed = self.listed_cores();
         if self.now > until || !listed.contains(&core) {
             return;
         }
@@ -411,7 +408,7 @@
                 let others = listed.into_iter().filter(|n| *n != core).take(more);
                 for core in std::iter::once(core).chain(others) {
                     let late = 0.004 * self.rng.f64();
-                    self.after(
+                    self.schedule_after(
                         late,
                         SimulationEvent::Fault(Fault::KillCore { core, down, power: true, wipe }),
                     );
@@ -423,19 +420,19 @@
         let wipe = vec![if self.rng.bool() { core } else { other }];
         let late = 0.003 * self.rng.f64();
         let dark = SevereFault::Blackout { down, wipe, edges };
-        self.after(late, SimulationEvent::Fault(Fault::Severe(dark)));
+        self.schedule_after(late, SimulationEvent::Fault(Fault::Severe(dark)));
     }
 
     pub fn severe(&mut self, severe: SevereFault) {
         match severe {
             SevereFault::Cut { cut, secs } => self.cut(cut, secs),
             SevereFault::CutHolder { edges, workers, operators, secs } => {
-                let holder = self.watch.holder().unwrap_or(0);
+                let holder = self.invariants.quota_leader().unwrap_or(0);
                 self.cut(Partition::side(&[holder], &edges, &workers, &operators, Direction::Both), secs);
             }
             SevereFault::CutLeader { way, pair, secs } => {
-                let leader = self.watch.holder().unwrap_or(0);
-                let other = Participant::Core(self.pick(leader + 1));
+                let leader = self.invariants.quota_leader().unwrap_or(0);
+                let other = Participant::Core(self.listed_core_from(leader + 1));
                 let side = Partition::side(&[leader], &[0], &[0, 4], &[1], way);
                 let only =
                     Partition { inside: vec![Participant::Core(leader)], others: Some(vec![other]), way };
@@ -448,78 +445,92 @@
                 self.kill(NodeRef::Core(core), power);
                 self.cores[core].disk.crash(power, wipe, &mut self.rng);
                 self.cores[core].seeds = seeds;
-                self.lost_for(down, self.plan.resync);
-                self.after(down, SimulationEvent::Boot(NodeRef::Core(core)));
+                self.mark_core_faulty_for(down, self.plan.resync);
+                self.schedule_after(down, SimulationEvent::Boot(NodeRef::Core(core)));
             }
             SevereFault::RestartEdge { edge, down, seeds } => {
                 self.kill(NodeRef::Edge(edge), false);
                 self.edges[edge].seeds = seeds;
-                self.trouble(edge, down + 3.0);
-                self.after(down, SimulationEvent::Boot(NodeRef::Edge(edge)));
+                self.mark_edge_faulty_for(edge, down + 3.0);
+                self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(edge)));
             }
             SevereFault::Replace { core, later } => {
-                self.end_core(core);
-                self.after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+                self.terminate_core(core);
+                self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
             }
             SevereFault::ReplaceHolder { later } => {
-                let holder = self.watch.holder().filter(|n| self.cores[*n].listed).unwrap_or(self.pick(0));
-                self.end_core(holder);
-                self.after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+                let holder = self
+                    .invariants
+                    .quota_leader()
+                    .filter(|n| self.cores[*n].listed)
+                    .unwrap_or(self.listed_core_from(0));
+                self.terminate_core(holder);
+                self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
             }
             SevereFault::Add => self.add_core(),
-            SevereFault::Remove { core } => self.end_core(core),
+            SevereFault::Remove { core } => self.terminate_core(core),
             SevereFault::RemoveHolder => {
-                let holder = self.watch.holder().filter(|n| self.cores[*n].listed).unwrap_or(self.pick(0));
-                self.end_core(holder);
+                let holder = self
+                    .invariants
+                    .quota_leader()
+                    .filter(|n| self.cores[*n].listed)
+                    .unwrap_or(self.listed_core_from(0));
+                self.terminate_core(holder);
             }
             SevereFault::Dies { core } => {
                 self.kill(NodeRef::Core(core), true);
                 self.cores[core].disk.crash(true, true, &mut self.rng);
-                self.lost_for(0.0, self.plan.resync);
+                self.mark_core_faulty_for(0.0, self.plan.resync);
             }
             SevereFault::SlowDisk { core, each, secs } => {
                 self.cores[core].disk.stalled_until = self.now + each;
-                self.lost_for(each, 3.0);
+                self.mark_core_faulty_for(each, 3.0);
                 if secs > each {
                     let later = SevereFault::SlowDisk { core, each, secs: secs - 1.5 * each };
-                    self.after(1.5 * each, SimulationEvent::Fault(Fault::Severe(later)));
+                    self.schedule_after(1.5 * each, SimulationEvent::Fault(Fault::Severe(later)));
                 }
             }
-            SevereFault::AtSnapshot(at) => self.watch.at_snapshot.push(at),
-            SevereFault::BlackoutAfterAck { down, edges } => self.lay(PendingCrash::Blackout { down, edges }),
-            SevereFault::HitAfterAck { down, wipe, more } => self.lay(PendingCrash::Hit { down, wipe, more }),
+            SevereFault::AtSnapshot(at) => self.invariants.pending_snapshot_crashes.push(at),
+            SevereFault::BlackoutAfterAck { down, edges } => {
+                self.arm_crash(PendingCrash::Blackout { down, edges })
+            }
+            SevereFault::HitAfterAck { down, wipe, more } => {
+                self.arm_crash(PendingCrash::Hit { down, wipe, more })
+            }
             SevereFault::Term { core, down } => {
-                if !self.cores[core].listed || !self.there(NodeRef::Core(core)) {
+                if !self.cores[core].listed || !self.has_process(NodeRef::Core(core)) {
                     return;
                 }
                 self.core_event(core, control_plane::Event::Shutdown);
-                let (life, late) = (self.cores[core].life, 0.1 + 0.8 * self.rng.f64());
-                self.after(late, SimulationEvent::ProcessExited(core, life));
-                self.lost_for(late + down, 4.0);
-                self.after(late + down, SimulationEvent::Boot(NodeRef::Core(core)));
+                let (incarnation, late) = (self.cores[core].incarnation, 0.1 + 0.8 * self.rng.f64());
+                self.schedule_after(late, SimulationEvent::ProcessExited(core, incarnation));
+                self.mark_core_faulty_for(late + down, 4.0);
+                self.schedule_after(late + down, SimulationEvent::Boot(NodeRef::Core(core)));
             }
             SevereFault::Succeed { core, later } => {
                 self.kill(NodeRef::Core(core), true);
                 self.cores[core].disk.crash(true, true, &mut self.rng);
                 self.cores[core].listed = false;
-                self.watch.left.insert(core, self.now);
-                self.lost_for(later, 4.0);
-                self.rewrite_lists();
-                self.after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+                self.invariants.removed_at.insert(core, self.now);
+                self.mark_core_faulty_for(later, 4.0);
+                self.rewrite_seed_lists();
+                self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+            }
+            SevereFault::Reread { who, seeds } => {
+                who.into_iter().for_each(|who| self.reload_settings(who, &seeds))
             }
-            SevereFault::Reread { who, seeds } => who.into_iter().for_each(|who| self.reread(who, &seeds)),
-            SevereFault::AcksLost { part, secs } => self.deaf = (self.now + secs, part),
+            SevereFault::AcksLost { part, secs } => self.lost_responses = (self.now + secs, part),
             SevereFault::Reset { who, part } => {
                 self.reset_some(who, part);
                 match who {
-                    NodeRef::Core(_) => self.lost_for(0.0, 3.0),
-                    NodeRef::Edge(n) => self.trouble(n, 3.0),
+                    NodeRef::Core(_) => self.mark_core_faulty_for(0.0, 3.0),
+                    NodeRef::Edge(n) => self.mark_edge_faulty_for(n, 3.0),
                 }
             }
             SevereFault::Drag { core, secs } => {
-                self.fault(Fault::Freeze { who: NodeRef::Core(core), secs: 0.16 });
+                self.inject_fault(Fault::Freeze { who: NodeRef::Core(core), secs: 0.16 });
                 if secs > 0.2 {
-                    self.after(
+                    self.schedule_after(
                         0.2,
                         SimulationEvent::Fault(Fault::Severe(SevereFault::Drag { core, secs: secs - 0.2 })),
                     );
@@ -527,25 +538,29 @@
             }
             SevereFault::DiskFull { core, secs } => {
                 self.cores[core].disk.full_until = self.now + secs;
-                self.lost_for(secs, 3.0);
+                self.mark_core_faulty_for(secs, 3.0);
             }
             SevereFault::AtHolder(fault) => {
-                let holder = self.watch.holder().filter(|n| self.cores[*n].listed).unwrap_or(self.pick(0));
-                self.fault(fault.at(holder));
+                let holder = self
+                    .invariants
+                    .quota_leader()
+                    .filter(|n| self.cores[*n].listed)
+                    .unwrap_or(self.listed_core_from(0));
+                self.inject_fault(fault.at(holder));
             }
             SevereFault::Blackout { down, wipe, edges } => {
-                for n in self.listed() {
+                for n in self.listed_cores() {
                     self.kill(NodeRef::Core(n), true);
                     self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
                     let late = 0.2 * self.rng.f64();
-                    self.after(down + late, SimulationEvent::Boot(NodeRef::Core(n)));
+                    self.schedule_after(down + late, SimulationEvent::Boot(NodeRef::Core(n)));
                 }
                 for n in (0..self.edges.len()).filter(|_| edges) {
                     self.kill(NodeRef::Edge(n), true);
-                    self.trouble(n, down + 4.0);
-                    self.after(down, SimulationEvent::Boot(NodeRef::Edge(n)));
+                    self.mark_edge_faulty_for(n, down + 4.0);
+                    self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(n)));
                 }
-                self.lost_for(down + 0.2, self.plan.resync);
+                self.mark_core_faulty_for(down + 0.2, self.plan.resync);
             }
         }
     }
--- a/crates/simulation/src/trials.rs
+++ b/crates/simulation/src/trials.rs
@@ -11,7 +11,13 @@
 
 /// A deployment whose control side is under way all day, its traffic light.
 pub fn control(cores: usize, losses: usize) -> DeploymentPlan {
-    let crew = OperatorLoad { clerks: 3, twins: 0.0, shared: 0.0, pause: 1.0, ..OperatorLoad::default() };
+    let operator_load = OperatorLoad {
+        operators: 3,
+        twin_fraction: 0.0,
+        shared_key_fraction: 0.0,
+        pause: 1.0,
+        ..OperatorLoad::default()
+    };
     DeploymentPlan {
         cores,
         losses,
@@ -20,7 +26,7 @@
         rate: 6.0,
         length: 34.0,
         steps: Some(5),
-        crew,
+        operator_load,
         ..DeploymentPlan::default()
     }
 }
@@ -42,16 +48,19 @@
 pub fn play(seed: u64, plan: DeploymentPlan, days: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
     for (at, fault) in days {
-        world.at(*at, SimulationEvent::Fault(fault.clone()));
+        world.schedule_at(*at, SimulationEvent::Fault(fault.clone()));
     }
     let length = world.plan.length;
     world.play(length - 4.0);
     world.read_back();
     world.play(length);
-    world.audit.close();
+    world.auditor.close();
     world.check_history();
-    if let Some(at) = world.watch.at_snapshot.first() {
-        world.audit.broken.push(format!("STORY: no loss came at {at:?}, of {:?}", world.watch.moments));
+    if let Some(at) = world.invariants.pending_snapshot_crashes.first() {
+        world
+            .auditor
+            .violations
+            .push(format!("STORY: no loss came at {at:?}, of {:?}", world.invariants.snapshot_stages));
     }
     world
 }
@@ -84,19 +93,23 @@
         let (plan, days) = story(seed, &mut fastrand::Rng::with_seed(seed));
         let mut world = play(seed, plan, &days);
         let found = more(&world);
-        world.audit.broken.extend(found);
+        world.auditor.violations.extend(found);
         if std::env::var_os("TWICE").is_some() {
             let (plan, days) = story(seed, &mut fastrand::Rng::with_seed(seed));
             let again = play(seed, plan, &days);
-            let told = &world.audit.broken[..again.audit.broken.len().min(world.audit.broken.len())];
-            assert_eq!(told, again.audit.broken, "seed {seed} differs when played again");
-            assert_eq!(world.desk.answers, again.desk.answers, "seed {seed} differs when played again");
+            let told = &world.auditor.violations
+                [..again.auditor.violations.len().min(world.auditor.violations.len())];
+            assert_eq!(told, again.auditor.violations, "seed {seed} differs when played again");
+            assert_eq!(
+                world.operator_records.answers, again.operator_records.answers,
+                "seed {seed} differs when played again"
+            );
         }
-        confirmed += world.desk.orders.iter().filter(|o| o.confirmed.is_some()).count();
-        reads += world.desk.reads.len();
+        confirmed += world.operator_records.orders.iter().filter(|o| o.confirmed.is_some()).count();
+        reads += world.operator_records.reads.len();
         took.extend(&world.repairs.took);
-        if !world.audit.broken.is_empty() {
-            failed.push((seed, world.audit.broken));
+        if !world.auditor.violations.is_empty() {
+            failed.push((seed, world.auditor.violations));
         }
     }
     println!("{many} seeds, {confirmed} orders confirmed, {reads} reads, {} seeds failed", failed.len());
--- a/crates/simulation/tests/scenarios/basic.rs
+++ b/crates/simulation/tests/scenarios/basic.rs
@@ -8,13 +8,13 @@
 pub(super) fn played(seed: u64, plan: DeploymentPlan, faults: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
     for (at, fault) in faults {
-        world.at(*at, SimulationEvent::Fault(fault.clone()));
+        world.schedule_at(*at, SimulationEvent::Fault(fault.clone()));
     }
     let length = world.plan.length;
     world.play(length - 3.0);
     world.read_back();
     world.play(length);
-    world.audit.close();
+    world.auditor.close();
     world
 }
 
@@ -23,7 +23,7 @@
     let mut worlds = Vec::new();
     for seed in seeds {
         let world = played(seed, plan.clone(), faults);
-        assert!(world.audit.broken.is_empty(), "seed {seed}: {:#?}", world.audit.broken);
+        assert!(world.auditor.violations.is_empty(), "seed {seed}: {:#?}", world.auditor.violations);
         worlds.push(world);
     }
     worlds
@@ -36,7 +36,7 @@
         all(0..6, &DeploymentPlan { lost_answers: 0.0, quota: 40.0, ..DeploymentPlan::default() }, &[])
     {
         for key in ["key-big", "key-free", "key-small"] {
-            expect_that!(world.audit.served_of_owed(5.0, 20.0, key), ge(0.97), "{key}");
+            expect_that!(world.auditor.served_of_owed(5.0, 20.0, key), ge(0.97), "{key}");
         }
     }
 }
@@ -44,7 +44,7 @@
 #[gtest]
 fn quotas_bind_over_all_gatekeepers_while_one_tenant_sends_tenfold() {
     for world in all(10..20, &DeploymentPlan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })]) {
-        expect_that!(world.audit.served(8.0, 16.0, "key-free"), ge(0.9));
+        expect_that!(world.auditor.served(8.0, 16.0, "key-free"), ge(0.9));
     }
 }
 
@@ -70,7 +70,7 @@
     ];
     for world in all(50..60, &DeploymentPlan::default(), &faults) {
         // Gatekeepers serve on with what they know, within their shares.
-        expect_that!(world.audit.served(9.0, 11.0, "key-free"), ge(0.9));
+        expect_that!(world.auditor.served(9.0, 11.0, "key-free"), ge(0.9));
     }
 }
 
@@ -78,7 +78,7 @@
 fn a_gatekeeper_cut_off_serves_a_tenant_within_its_quota_on() {
     let faults = [(8.0, Fault::CutEdge { edge: 0, secs: 10.0 })];
     for world in all(70..94, &DeploymentPlan { quota: 60.0, ..DeploymentPlan::default() }, &faults) {
-        expect_that!(world.audit.served(8.0, 18.0, "key-big"), ge(0.93));
+        expect_that!(world.auditor.served(8.0, 18.0, "key-big"), ge(0.93));
     }
 }
 
@@ -87,7 +87,7 @@
     for (seeds, lost) in [(80..86, 0), (90..96, 1), (100..106, 2)] {
         let fault = Fault::PowerOffAll { down: 1.0, wipe: vec![lost] };
         for world in all(seeds, &DeploymentPlan::default(), &[(12.0, fault)]) {
-            expect_that!(world.audit.served(16.0, 20.0, "key-free"), ge(0.8));
+            expect_that!(world.auditor.served(16.0, 20.0, "key-free"), ge(0.8));
         }
     }
 }
@@ -110,7 +110,7 @@
         (15.5, Fault::KillCore { core: 2, down: 1.5, power: true, wipe: true }),
     ];
     for world in all(120..130, &DeploymentPlan::default(), &faults) {
-        expect_that!(world.audit.served(6.0, 20.0, "key-free"), ge(0.93));
+        expect_that!(world.auditor.served(6.0, 20.0, "key-free"), ge(0.93));
     }
 }
 
@@ -136,7 +136,7 @@
         (11.0, Fault::CrashWorker { worker: 5, dark: false }),
     ];
     for world in all(160..172, &DeploymentPlan::default(), &faults) {
-        expect_that!(world.audit.served(12.0, 20.0, "key-free"), ge(0.85));
+        expect_that!(world.auditor.served(12.0, 20.0, "key-free"), ge(0.85));
     }
 }
 
@@ -176,7 +176,11 @@
     for seed in seeds {
         let faults = drawn(&mut fastrand::Rng::with_seed(seed), plan);
         let world = played(seed, plan.clone(), &faults);
-        assert!(world.audit.broken.is_empty(), "seed {seed}: {:#?}\n{faults:#?}", world.audit.broken);
+        assert!(
+            world.auditor.violations.is_empty(),
+            "seed {seed}: {:#?}\n{faults:#?}",
+            world.auditor.violations
+        );
     }
 }
 
--- a/crates/simulation/tests/scenarios/cut.rs
+++ b/crates/simulation/tests/scenarios/cut.rs
@@ -147,7 +147,7 @@
 #[gtest]
 fn while_a_machine_or_a_link_comes_and_goes_orders_are_confirmed() {
     let confirmed = |world: &whinstall_simulation::World| {
-        let mut at: Vec<f64> = world.desk.orders.iter().filter_map(|o| o.confirmed).collect();
+        let mut at: Vec<f64> = world.operator_records.orders.iter().filter_map(|o| o.confirmed).collect();
         at.extend([6.0, 46.0]);
         at.retain(|at| (6.0..=46.0).contains(at));
         at.sort_by(f64::total_cmp);
--- a/crates/simulation/tests/scenarios/digest_tests.rs
+++ b/crates/simulation/tests/scenarios/digest_tests.rs
@@ -12,8 +12,8 @@
 /// One line of numbers, without names of the program.
 fn told(world: &World) -> String {
     let d = &world.digest;
-    let (acknowledged, runs) = world.audit.counts();
-    let orders = world.desk.orders.iter().filter(|o| o.confirmed.is_some()).count();
+    let (acknowledged, runs) = world.auditor.counts();
+    let orders = world.operator_records.orders.iter().filter(|o| o.confirmed.is_some()).count();
     // By core machine that runs: the term, the entry that is committed, the entry that changed the configuration last.
     let cores = world.cores.iter().filter_map(|c| c.core.as_ref());
     let logs: Vec<_> = cores
@@ -26,8 +26,8 @@
         d.messages,
         d.bytes,
         d.replies,
-        world.audit.statuses(),
-        world.desk.reads.len(),
+        world.auditor.statuses(),
+        world.operator_records.reads.len(),
         world.now,
         d.hash,
     )
@@ -71,6 +71,6 @@
     }
     expect_that!(found.lines().count(), eq(known.lines().count()));
     for (name, world) in &worlds {
-        expect_that!(world.audit.broken, is_empty(), "{name}");
+        expect_that!(world.auditor.violations, is_empty(), "{name}");
     }
 }
--- a/crates/simulation/tests/scenarios/long.rs
+++ b/crates/simulation/tests/scenarios/long.rs
@@ -11,13 +11,13 @@
 
 /// Eight at once, as fast as they are answered.
 pub fn many(orders: usize) -> OperatorLoad {
-    let calm = OperatorLoad { clerks: 4, at_once: 2, orders, pause: 0.1, ..OperatorLoad::default() };
+    let calm = OperatorLoad { operators: 4, at_once: 2, orders, pause: 0.1, ..OperatorLoad::default() };
     OperatorLoad {
-        twins: 0.0,
-        lost: 0.02,
-        again: 0.05,
-        invalid: 0.02,
-        shared: 0.0,
+        twin_fraction: 0.0,
+        lost_fraction: 0.02,
+        resend_fraction: 0.05,
+        invalid_fraction: 0.02,
+        shared_key_fraction: 0.0,
         until: 14.0,
         reads: 0.5,
         ..calm
@@ -25,7 +25,7 @@
 }
 
 fn plan(orders: usize) -> DeploymentPlan {
-    DeploymentPlan { length: 30.0, crew: many(orders), ..control(3, 1) }
+    DeploymentPlan { length: 30.0, operator_load: many(orders), ..control(3, 1) }
 }
 
 #[gtest]
@@ -78,7 +78,14 @@
 /// one is wiped, then all lose power with torn last writes and one its disk, and at last all are killed.
 fn three_thousand(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let away = seed as usize % 3;
-    let crew = OperatorLoad { pause: 0.0, until: 21.0, again: 0.02, reads: 1.0, learned: true, ..many(3000) };
+    let operator_load = OperatorLoad {
+        pause: 0.0,
+        until: 21.0,
+        resend_fraction: 0.02,
+        reads: 1.0,
+        learned: true,
+        ..many(3000)
+    };
     let dark = SevereFault::Blackout { down: 0.8, wipe: vec![rng.usize(0..3)], edges: rng.bool() };
     let days = vec![
         (2.1, Fault::KillCore { core: away, down: 20.0, power: rng.bool(), wipe: false }),
@@ -86,7 +93,7 @@
         severe(30.9, dark),
         (36.2, Fault::KillAllCore { down: 0.5 }),
     ];
-    (DeploymentPlan { length: 46.0, crew, ..control(3, 1) }, days)
+    (DeploymentPlan { length: 46.0, operator_load, ..control(3, 1) }, days)
 }
 
 #[gtest]
@@ -168,17 +175,18 @@
 /// A day of any of these.
 pub fn any(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let cores = [3, 3, 3, 4, 5][rng.usize(0..5)];
-    let crew = OperatorLoad {
-        clerks: 4,
-        twins: 0.4,
-        again: 0.4,
-        lost: 0.15,
+    let operator_load = OperatorLoad {
+        operators: 4,
+        twin_fraction: 0.4,
+        resend_fraction: 0.4,
+        lost_fraction: 0.15,
         labels: 2 + rng.usize(0..6),
         ..OperatorLoad::default()
     };
     let far = if rng.u8(0..3) == 0 { 0.006 } else { 0.0005 };
     let plan = control(cores, (cores - 1) / 2);
-    let plan = DeploymentPlan { length: 50.0, delay: far, jitter: far / 2.0, spread: 0.3, crew, ..plan };
+    let plan =
+        DeploymentPlan { length: 50.0, delay: far, jitter: far / 2.0, spread: 0.3, operator_load, ..plan };
     let days = drawn(rng, &plan);
     let _ = seed;
     (plan, days)
--- a/crates/simulation/tests/scenarios/race.rs
+++ b/crates/simulation/tests/scenarios/race.rs
@@ -6,9 +6,9 @@
 use whinstall_simulation::trials::{control, trial, FaultSchedule};
 use whinstall_simulation::DeploymentPlan;
 
-fn plan(cores: usize, crew: OperatorLoad) -> DeploymentPlan {
+fn plan(cores: usize, operator_load: OperatorLoad) -> DeploymentPlan {
     DeploymentPlan {
-        crew: OperatorLoad { clerks: 4, pause: 0.4, until: 13.0, ..crew },
+        operator_load: OperatorLoad { operators: 4, pause: 0.4, until: 13.0, ..operator_load },
         length: 20.0,
         ..control(cores, (cores - 1) / 2)
     }
@@ -37,63 +37,97 @@
 
 #[gtest]
 fn of_two_orders_under_one_number_one_is_confirmed_at_most() {
-    let crew = OperatorLoad { twins: 1.0, invalid: 0.0, shared: 0.0, ..OperatorLoad::default() };
-    trial(12_000..12_005, |_, _| (plan(3, crew.clone()), Vec::new()));
+    let operator_load = OperatorLoad {
+        twin_fraction: 1.0,
+        invalid_fraction: 0.0,
+        shared_key_fraction: 0.0,
+        ..OperatorLoad::default()
+    };
+    trial(12_000..12_005, |_, _| (plan(3, operator_load.clone()), Vec::new()));
 }
 
 #[gtest]
 fn nor_while_answers_are_lost_and_machines_go_and_come() {
-    let crew = OperatorLoad { twins: 0.7, lost: 0.4, shared: 0.0, ..OperatorLoad::default() };
-    trial(12_100..12_108, |_, rng| (plan(3, crew.clone()), hits(rng, 3)));
+    let operator_load = OperatorLoad {
+        twin_fraction: 0.7,
+        lost_fraction: 0.4,
+        shared_key_fraction: 0.0,
+        ..OperatorLoad::default()
+    };
+    trial(12_100..12_108, |_, rng| (plan(3, operator_load.clone()), hits(rng, 3)));
 }
 
 #[gtest]
 fn an_order_sent_again_is_confirmed_again_through_changes_of_leader_and_restarts() {
-    let crew =
-        OperatorLoad { twins: 0.0, lost: 0.5, again: 1.0, shared: 0.0, labels: 3, ..OperatorLoad::default() };
+    let operator_load = OperatorLoad {
+        twin_fraction: 0.0,
+        lost_fraction: 0.5,
+        resend_fraction: 1.0,
+        shared_key_fraction: 0.0,
+        labels: 3,
+        ..OperatorLoad::default()
+    };
     trial(12_200..12_208, |seed, rng| {
         let cores = 3 + 2 * (seed as usize % 2);
-        (plan(cores, crew.clone()), hits(rng, cores))
+        (plan(cores, operator_load.clone()), hits(rng, cores))
     });
 }
 
 #[gtest]
 fn twins_on_four_far_machines_with_eight_under_way() {
-    let crew = OperatorLoad { twins: 0.8, again: 0.7, lost: 0.2, labels: 3, ..OperatorLoad::default() };
+    let operator_load = OperatorLoad {
+        twin_fraction: 0.8,
+        resend_fraction: 0.7,
+        lost_fraction: 0.2,
+        labels: 3,
+        ..OperatorLoad::default()
+    };
     trial(12_300..12_305, |_, rng| {
-        (DeploymentPlan { delay: 0.008, jitter: 0.004, ..plan(4, crew.clone()) }, hits(rng, 4))
+        (DeploymentPlan { delay: 0.008, jitter: 0.004, ..plan(4, operator_load.clone()) }, hits(rng, 4))
     });
 }
 
 #[gtest]
 fn one_key_goes_to_one_tenant_only() {
-    let crew = OperatorLoad { twins: 0.0, shared: 0.8, again: 0.0, ..OperatorLoad::default() };
+    let operator_load = OperatorLoad {
+        twin_fraction: 0.0,
+        shared_key_fraction: 0.8,
+        resend_fraction: 0.0,
+        ..OperatorLoad::default()
+    };
     trial(12_400..12_405, |_, _| {
-        let crew = OperatorLoad { clerks: 4, at_once: 1, pause: 1.0, until: 10.0, ..crew.clone() };
-        (DeploymentPlan { crew, length: 16.0, ..control(3, 1) }, Vec::new())
+        let operator_load =
+            OperatorLoad { operators: 4, at_once: 1, pause: 1.0, until: 10.0, ..operator_load.clone() };
+        (DeploymentPlan { operator_load, length: 16.0, ..control(3, 1) }, Vec::new())
     });
 }
 
 #[gtest]
 fn invalid_orders_are_never_confirmed() {
-    let crew = OperatorLoad { twins: 0.0, shared: 0.0, invalid: 0.6, lost: 0.3, ..OperatorLoad::default() };
-    trial(12_500..12_504, |_, rng| (plan(3, crew.clone()), hits(rng, 3)));
+    let operator_load = OperatorLoad {
+        twin_fraction: 0.0,
+        shared_key_fraction: 0.0,
+        invalid_fraction: 0.6,
+        lost_fraction: 0.3,
+        ..OperatorLoad::default()
+    };
+    trial(12_500..12_504, |_, rng| (plan(3, operator_load.clone()), hits(rng, 3)));
 }
 
 /// The same order at two machines at once, passed on to the leader twice, while whoever leads goes.
 #[gtest]
 fn an_order_under_way_at_two_machines_is_taken_once_and_confirmed_by_both() {
-    let crew = OperatorLoad {
-        twins: 0.2,
-        lost: 0.3,
-        again: 0.3,
-        shared: 0.0,
-        doubled: 0.8,
+    let operator_load = OperatorLoad {
+        twin_fraction: 0.2,
+        lost_fraction: 0.3,
+        resend_fraction: 0.3,
+        shared_key_fraction: 0.0,
+        duplicate_fraction: 0.8,
         labels: 3,
         ..OperatorLoad::default()
     };
     trial(12_600..12_606, |seed, rng| {
         let cores = 3 + 2 * (seed as usize % 2);
-        (plan(cores, crew.clone()), hits(rng, cores))
+        (plan(cores, operator_load.clone()), hits(rng, cores))
     });
 }
--- a/crates/simulation/tests/scenarios/repair.rs
+++ b/crates/simulation/tests/scenarios/repair.rs
@@ -157,16 +157,16 @@
         // A sync takes longer than the check's ticks are apart.
         let mut world = World::new(seed, DeploymentPlan { sync: 0.12, ..plan(3, 1) });
         for (at, fault) in started_on_a_full_disk(core) {
-            world.at(at, SimulationEvent::Fault(fault));
+            world.schedule_at(at, SimulationEvent::Fault(fault));
         }
         world.play(6.0 + FULL);
-        expect_that!(world.audit.broken, is_empty(), "seed {seed}: time runs while the disk is full");
+        expect_that!(world.auditor.violations, is_empty(), "seed {seed}: time runs while the disk is full");
         // Nobody takes no time at all: it is told as late from the first look on.
         world.plan.resync = 0.0;
         world.play(6.0 + FULL + 0.5);
         let late = format!("core {core} does not hold all");
-        let told = world.audit.broken.first().is_some_and(|told| told.contains(&late));
-        expect_true!(told, "seed {seed}: {:?}", world.audit.broken);
+        let told = world.auditor.violations.first().is_some_and(|told| told.contains(&late));
+        expect_true!(told, "seed {seed}: {:?}", world.auditor.violations);
     }
 }
 
@@ -177,7 +177,7 @@
     for all_back in [Fault::KillAllCore { down: 0.5 }, Fault::PowerOffAll { down: 0.5, wipe: Vec::new() }] {
         let days = vec![replace(6.0, 1, 0.5), (12.0, all_back)];
         let world = play(13_970, DeploymentPlan { length: 24.0, ..plan(3, 1) }, &days);
-        expect_that!(world.audit.broken, is_empty());
+        expect_that!(world.auditor.violations, is_empty());
         let up: Vec<bool> = world.cores.iter().map(|n| n.core.is_some()).collect();
         expect_that!(up, elements_are![eq(&true), eq(&false), eq(&true), eq(&true)]);
     }
--- a/crates/simulation/tests/scenarios/snapshot.rs
+++ b/crates/simulation/tests/scenarios/snapshot.rs
@@ -9,17 +9,18 @@
 
 /// A state of five pieces, and orders so large that the log is cut every few seconds.
 fn plan() -> DeploymentPlan {
-    let crew = OperatorLoad {
-        clerks: 4,
+    let operator_load = OperatorLoad {
+        operators: 4,
         at_once: 2,
         pause: 1.0,
-        again: 0.05,
-        twins: 0.0,
-        shared: 0.0,
+        resend_fraction: 0.05,
+        twin_fraction: 0.0,
+        shared_key_fraction: 0.0,
         ..OperatorLoad::default()
     };
-    let crew = OperatorLoad { note: 16 * 1024, lost: 0.02, until: 18.0, reads: 0.5, ..crew };
-    DeploymentPlan { length: 32.0, bulk: 300, crew, disk_rate: 10e6, ..control(3, 1) }
+    let operator_load =
+        OperatorLoad { note: 16 * 1024, lost_fraction: 0.02, until: 18.0, reads: 0.5, ..operator_load };
+    DeploymentPlan { length: 32.0, bulk: 300, operator_load, disk_rate: 10e6, ..control(3, 1) }
 }
 
 fn at(moment: SnapshotStage, nth: usize, struck: CrashTarget, down: f64, then: bool) -> SevereFault {
--- a/crates/simulation/tests/scenarios/spoiled.rs
+++ b/crates/simulation/tests/scenarios/spoiled.rs
@@ -12,23 +12,23 @@
 fn broken(spoiled: Option<Misbehaviour>, plan: &DeploymentPlan, days: &FaultSchedule) -> Vec<String> {
     let kinds = (16_000..16_004).flat_map(|seed| {
         let world = play(seed, DeploymentPlan { spoiled, ..plan.clone() }, days);
-        world.audit.broken
+        world.auditor.violations
     });
     kinds.map(|text| text.split([' ', ':']).next().unwrap_or_default().to_owned()).collect()
 }
 
-fn busy(invalid: f64) -> DeploymentPlan {
-    let crew = OperatorLoad {
-        clerks: 4,
+fn busy(invalid_fraction: f64) -> DeploymentPlan {
+    let operator_load = OperatorLoad {
+        operators: 4,
         pause: 0.3,
         reads: 0.2,
-        twins: 0.0,
-        shared: 0.0,
-        invalid,
+        twin_fraction: 0.0,
+        shared_key_fraction: 0.0,
+        invalid_fraction,
         labels: 3,
         ..OperatorLoad::default()
     };
-    DeploymentPlan { length: 22.0, crew, ..control(3, 1) }
+    DeploymentPlan { length: 22.0, operator_load, ..control(3, 1) }
 }
 
 /// Whoever leads is cut off, with an operator on its side.
--- a/crates/simulation/tests/scenarios/start.rs
+++ b/crates/simulation/tests/scenarios/start.rs
@@ -66,7 +66,7 @@
         // One, two, all; the mark is there, synced by the time it has to outlive a loss of power.
         hit.truncate([1, 2, cores][seed as usize / 6 % 3]);
         let days = stopped(rng, &hit, 2.0 * MAKING + 0.001);
-        (DeploymentPlan { making: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
+        (DeploymentPlan { disk_creation_step: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
     });
 }
 
@@ -76,7 +76,7 @@
         let cores = 3 + seed as usize % 4;
         let hit = rng.usize(0..3);
         let days = stopped(rng, &[hit], 0.0);
-        (DeploymentPlan { making: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
+        (DeploymentPlan { disk_creation_step: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
     });
 }
 
@@ -89,11 +89,11 @@
         let workers = if seed % 2 == 0 { 0 } else { 4 };
         let mut world = World::new(seed, DeploymentPlan { workers, ..plan(1 + seed as usize % 5) });
         for worker in (0..3 * workers).step_by(3) {
-            world.at(0.05, SimulationEvent::Fault(Fault::CrashWorker { worker, dark: false }));
+            world.schedule_at(0.05, SimulationEvent::Fault(Fault::CrashWorker { worker, dark: false }));
         }
         world.play(20.0);
         for (n, node) in world.edges.iter().enumerate() {
-            let now = 1000.0 + (world.now - node.boot) * node.drift;
+            let now = 1000.0 + (world.now - node.booted_at) * node.clock_rate;
             expect_that!(node.edge.as_ref().map(|e| e.is_ready(now)), some(eq(true)), "seed {seed}, {n}");
         }
     }
--- a/crates/simulation/tests/scenarios/status.rs
+++ b/crates/simulation/tests/scenarios/status.rs
@@ -9,7 +9,7 @@
 /// What a core machine tells, if it runs.
 fn status(world: &World, n: usize) -> Option<Value> {
     let node = &world.cores[n];
-    let now = 1000.0 + (world.now - node.boot) * node.drift;
+    let now = 1000.0 + (world.now - node.booted_at) * node.clock_rate;
     node.core.as_ref().map(|core| core.status(now))
 }
 
@@ -61,7 +61,7 @@
     let leader = leading(&world).expect("a leader");
     let lost = (0..3).find(|n| format!("core-{n}") != leader["me"]["node_name"]).expect("a follower");
     let fault = Fault::KillCore { core: lost, down: 100.0, power: false, wipe: false };
-    world.at(8.0, SimulationEvent::Fault(fault));
+    world.schedule_at(8.0, SimulationEvent::Fault(fault));
     world.play(13.0);
     let told = leading(&world).expect("a leader");
     let address = format!("10.0.1.{}", lost + 1);
@@ -83,7 +83,10 @@
     world.play(8.0);
     let leader = leading(&world).expect("a leader");
     let lost = (0..3).find(|n| format!("core-{n}") != leader["me"]["node_name"]).expect("a follower");
-    world.at(8.0, SimulationEvent::Fault(Fault::KillCore { core: lost, down: 2.0, power: true, wipe: true }));
+    world.schedule_at(
+        8.0,
+        SimulationEvent::Fault(Fault::KillCore { core: lost, down: 2.0, power: true, wipe: true }),
+    );
     let address = format!("10.0.1.{}", lost + 1);
     let mut states: Vec<(String, String)> = Vec::new();
     while world.now < 16.0 {
--- a/crates/simulation/tests/scenarios/worst.rs
+++ b/crates/simulation/tests/scenarios/worst.rs
@@ -214,18 +214,24 @@
 fn worst(_: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let cores = [3, 3, 4, 5][rng.usize(0..4)];
     let losses = (cores - 1) / 2;
-    let crew = OperatorLoad {
-        clerks: 3,
+    let operator_load = OperatorLoad {
+        operators: 3,
         at_once: 1 + rng.usize(0..2),
         pause: 1.5,
-        twins: 0.4,
-        again: 0.4,
-        lost: 0.15,
+        twin_fraction: 0.4,
+        resend_fraction: 0.4,
+        lost_fraction: 0.15,
         labels: 2 + rng.usize(0..6),
         ..OperatorLoad::default()
     };
     let far = if rng.u8(0..3) == 0 { 0.006 } else { 0.0005 };
-    let plan = DeploymentPlan { delay: far, jitter: far / 2.0, spread: 0.3, crew, ..control(cores, losses) };
+    let plan = DeploymentPlan {
+        delay: far,
+        jitter: far / 2.0,
+        spread: 0.3,
+        operator_load,
+        ..control(cores, losses)
+    };
     let mut kinds: Vec<usize> = (0..KINDS).collect();
     rng.shuffle(&mut kinds);
     kinds.truncate(3 + rng.usize(0..4));
@@ -324,8 +330,8 @@
                 }
                 let (mut plan, days) = story(seed, &mut fastrand::Rng::with_seed(seed));
                 if changes > 0 {
-                    plan.crew = OperatorLoad {
-                        labels: plan.crew.labels,
+                    plan.operator_load = OperatorLoad {
+                        labels: plan.operator_load.labels,
                         until: plan.length - 12.0,
                         ..many(changes as usize)
                     };
@@ -340,18 +346,22 @@
                     all.0.push((seed, vec!["PANIC: see above".to_owned()]));
                     continue;
                 };
-                let o = &world.desk.orders;
+                let o = &world.operator_records.orders;
                 let confirmed = o.iter().filter(|o| o.confirmed.is_some()).count();
-                let counts =
-                    [o.len() as u64, confirmed as u64, world.desk.reads.len() as u64, world.watch.holders];
+                let counts = [
+                    o.len() as u64,
+                    confirmed as u64,
+                    world.operator_records.reads.len() as u64,
+                    world.invariants.quota_leader_changes,
+                ];
                 for (sum, n) in
-                    all.1.iter_mut().zip(counts.into_iter().chain([world.watch.settled_for as u64]))
+                    all.1.iter_mut().zip(counts.into_iter().chain([world.invariants.settled_for as u64]))
                 {
                     *sum += n;
                 }
-                if !world.audit.broken.is_empty() {
-                    println!("seed {seed}: {}", world.audit.broken[0]);
-                    all.0.push((seed, world.audit.broken));
+                if !world.auditor.violations.is_empty() {
+                    println!("seed {seed}: {}", world.auditor.violations[0]);
+                    all.0.push((seed, world.auditor.violations));
                 }
             });
         }
