--- a/crates/simulation/tests/scenarios/basic.rs
+++ b/crates/simulation/tests/scenarios/basic_faults.rs
@@ -5,7 +5,7 @@
 use whinstall_simulation::network::NodeRef;
 use whinstall_simulation::{DeploymentPlan, SimulationEvent, World};
 
-pub(super) fn played(seed: u64, plan: DeploymentPlan, faults: &[(f64, Fault)]) -> World {
+pub(super) fn run_day(seed: u64, plan: DeploymentPlan, faults: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
     for (at, fault) in faults {
         world.schedule_at(*at, SimulationEvent::Fault(fault.clone()));
@@ -19,10 +19,14 @@
 }
 
 /// Plays on some seeds; what is broken names the seed.
-pub(super) fn all(seeds: std::ops::Range<u64>, plan: &DeploymentPlan, faults: &[(f64, Fault)]) -> Vec<World> {
+pub(super) fn run_seeds(
+    seeds: std::ops::Range<u64>,
+    plan: &DeploymentPlan,
+    faults: &[(f64, Fault)],
+) -> Vec<World> {
     let mut worlds = Vec::new();
     for seed in seeds {
-        let world = played(seed, plan.clone(), faults);
+        let world = run_day(seed, plan.clone(), faults);
         assert!(world.auditor.violations.is_empty(), "seed {seed}: {:#?}", world.auditor.violations);
         worlds.push(world);
     }
@@ -30,10 +34,10 @@
 }
 
 #[gtest]
-fn a_calm_day_is_served_and_nothing_is_refused() {
+fn fault_free_day_serves_every_tenant() {
     // The large tenant asks for 24 a second, the small one for 3 of its 6; some seeds draw more than its burst at once.
     for world in
-        all(0..6, &DeploymentPlan { lost_answers: 0.0, quota: 40.0, ..DeploymentPlan::default() }, &[])
+        run_seeds(0..6, &DeploymentPlan { lost_answers: 0.0, quota: 40.0, ..DeploymentPlan::default() }, &[])
     {
         for key in ["key-big", "key-free", "key-small"] {
             expect_that!(world.auditor.served_of_owed(5.0, 20.0, key), ge(0.97), "{key}");
@@ -42,14 +46,16 @@
 }
 
 #[gtest]
-fn quotas_bind_over_all_gatekeepers_while_one_tenant_sends_tenfold() {
-    for world in all(10..20, &DeploymentPlan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })]) {
+fn quotas_hold_across_edges_while_one_tenant_sends_ten_times_its_load() {
+    for world in
+        run_seeds(10..20, &DeploymentPlan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })])
+    {
         expect_that!(world.auditor.served(8.0, 16.0, "key-free"), ge(0.9));
     }
 }
 
 #[gtest]
-fn quotas_bind_with_gatekeepers_cut_off_and_the_counter_lost() {
+fn quotas_hold_with_partitioned_edges_and_lost_quota_leader() {
     let faults = [
         (7.0, Fault::Hot { times: 10.0, secs: 12.0 }),
         (9.0, Fault::CutEdge { edge: 0, secs: 6.0 }),
@@ -57,76 +63,76 @@
         (10.0, Fault::KillCore { core: 0, down: 2.5, power: true, wipe: false }),
         (15.0, Fault::KillCore { core: 1, down: 1.0, power: false, wipe: false }),
     ];
-    all(30..42, &DeploymentPlan::default(), &faults);
+    run_seeds(30..42, &DeploymentPlan::default(), &faults);
 }
 
 #[gtest]
-fn quotas_bind_when_every_counter_forgets() {
+fn quotas_hold_after_all_quota_state_is_lost() {
     let faults = [
         (7.0, Fault::Hot { times: 10.0, secs: 12.0 }),
         (9.0, Fault::KillAllCore { down: 0.8 }),
         (9.5, Fault::CutEdge { edge: 2, secs: 5.0 }),
         (14.0, Fault::KillAllCore { down: 0.4 }),
     ];
-    for world in all(50..60, &DeploymentPlan::default(), &faults) {
+    for world in run_seeds(50..60, &DeploymentPlan::default(), &faults) {
         // Gatekeepers serve on with what they know, within their shares.
         expect_that!(world.auditor.served(9.0, 11.0, "key-free"), ge(0.9));
     }
 }
 
 #[gtest]
-fn a_gatekeeper_cut_off_serves_a_tenant_within_its_quota_on() {
+fn partitioned_edge_keeps_serving_tenants_within_quota() {
     let faults = [(8.0, Fault::CutEdge { edge: 0, secs: 10.0 })];
-    for world in all(70..94, &DeploymentPlan { quota: 60.0, ..DeploymentPlan::default() }, &faults) {
+    for world in run_seeds(70..94, &DeploymentPlan { quota: 60.0, ..DeploymentPlan::default() }, &faults) {
         expect_that!(world.auditor.served(8.0, 18.0, "key-big"), ge(0.93));
     }
 }
 
 #[gtest]
-fn acknowledged_items_outlive_the_disk_of_one_and_the_power_of_all() {
+fn acknowledged_items_survive_one_lost_disk_and_a_full_power_loss() {
     for (seeds, lost) in [(80..86, 0), (90..96, 1), (100..106, 2)] {
         let fault = Fault::PowerOffAll { down: 1.0, wipe: vec![lost] };
-        for world in all(seeds, &DeploymentPlan::default(), &[(12.0, fault)]) {
+        for world in run_seeds(seeds, &DeploymentPlan::default(), &[(12.0, fault)]) {
             expect_that!(world.auditor.served(16.0, 20.0, "key-free"), ge(0.8));
         }
     }
 }
 
 #[gtest]
-fn two_of_five_disks_may_go() {
+fn five_cores_survive_two_lost_disks() {
     let plan = DeploymentPlan { cores: 5, losses: 2, ..DeploymentPlan::default() };
     let faults = [
         (7.0, Fault::KillCore { core: 4, down: 2.0, power: true, wipe: true }),
         (14.0, Fault::PowerOffAll { down: 1.0, wipe: vec![1, 3] }),
     ];
-    all(110..118, &plan, &faults);
+    run_seeds(110..118, &plan, &faults);
 }
 
 #[gtest]
-fn a_core_machine_cut_off_hung_or_wiped_neither_acknowledges_alone_nor_loses_workers() {
+fn partitioned_stalled_or_wiped_core_neither_acknowledges_alone_nor_loses_workers() {
     let faults = [
         (6.0, Fault::CutCore { core: 0, secs: 5.0, one_way: false }),
         (12.0, Fault::StallDisk { core: 1, secs: 3.0 }),
         (15.5, Fault::KillCore { core: 2, down: 1.5, power: true, wipe: true }),
     ];
-    for world in all(120..130, &DeploymentPlan::default(), &faults) {
+    for world in run_seeds(120..130, &DeploymentPlan::default(), &faults) {
         expect_that!(world.auditor.served(6.0, 20.0, "key-free"), ge(0.93));
     }
 }
 
 #[gtest]
-fn one_way_cuts_and_pauses_break_nothing() {
+fn one_way_partitions_and_process_pauses_violate_no_invariant() {
     let faults = [
         (6.0, Fault::CutCore { core: 1, secs: 4.0, one_way: true }),
         (11.0, Fault::Freeze { who: NodeRef::Core(0), secs: 3.0 }),
         (15.0, Fault::Freeze { who: NodeRef::Edge(1), secs: 2.0 }),
         (9.0, Fault::Hot { times: 8.0, secs: 9.0 }),
     ];
-    all(140..152, &DeploymentPlan::default(), &faults);
+    run_seeds(140..152, &DeploymentPlan::default(), &faults);
 }
 
 #[gtest]
-fn leaving_workers_get_nothing_late_and_their_addresses_go_to_others() {
+fn draining_workers_get_no_late_requests_and_their_addresses_are_reused() {
     let faults = [
         (6.0, Fault::DrainWorker { worker: 0 }),
         (7.0, Fault::DrainWorker { worker: 4 }),
@@ -135,13 +141,13 @@
         (10.0, Fault::CrashWorker { worker: 3, dark: true }),
         (11.0, Fault::CrashWorker { worker: 5, dark: false }),
     ];
-    for world in all(160..172, &DeploymentPlan::default(), &faults) {
+    for world in run_seeds(160..172, &DeploymentPlan::default(), &faults) {
         expect_that!(world.auditor.served(12.0, 20.0, "key-free"), ge(0.85));
     }
 }
 
 /// Draws troubles within what may be lost at once.
-pub(super) fn drawn(rng: &mut fastrand::Rng, plan: &DeploymentPlan) -> Vec<(f64, Fault)> {
+pub(super) fn random_faults(rng: &mut fastrand::Rng, plan: &DeploymentPlan) -> Vec<(f64, Fault)> {
     let mut faults = Vec::new();
     let mut at = 5.0 + rng.f64();
     while at < plan.length - 9.0 {
@@ -172,10 +178,10 @@
     faults
 }
 
-fn hunt(seeds: std::ops::Range<u64>, plan: &DeploymentPlan) {
+fn run_random_days(seeds: std::ops::Range<u64>, plan: &DeploymentPlan) {
     for seed in seeds {
-        let faults = drawn(&mut fastrand::Rng::with_seed(seed), plan);
-        let world = played(seed, plan.clone(), &faults);
+        let faults = random_faults(&mut fastrand::Rng::with_seed(seed), plan);
+        let world = run_day(seed, plan.clone(), &faults);
         assert!(
             world.auditor.violations.is_empty(),
             "seed {seed}: {:#?}\n{faults:#?}",
@@ -185,21 +191,21 @@
 }
 
 #[gtest]
-fn drawn_troubles_on_three_core_machines() {
-    hunt(1000..1050, &DeploymentPlan { length: 30.0, ..DeploymentPlan::default() });
+fn random_faults_on_three_cores() {
+    run_random_days(1000..1050, &DeploymentPlan { length: 30.0, ..DeploymentPlan::default() });
 }
 
 #[gtest]
-fn drawn_troubles_on_four_core_machines_far_apart() {
-    hunt(
+fn random_faults_on_four_distant_cores() {
+    run_random_days(
         2000..2040,
         &DeploymentPlan { cores: 4, delay: 0.008, jitter: 0.004, length: 30.0, ..DeploymentPlan::default() },
     );
 }
 
 #[gtest]
-fn drawn_troubles_on_five_core_machines_with_two_losses() {
-    hunt(
+fn random_faults_on_five_cores_tolerating_two_losses() {
+    run_random_days(
         3000..3040,
         &DeploymentPlan { cores: 5, losses: 2, edges: 9, length: 30.0, ..DeploymentPlan::default() },
     );
--- a/crates/simulation/tests/scenarios/start.rs
+++ b/crates/simulation/tests/scenarios/bootstrap.rs
@@ -12,12 +12,12 @@
 }
 
 #[gtest]
-fn one_to_six_core_machines_begin_in_any_order() {
+fn one_to_six_cores_bootstrap_in_any_order() {
     trial(10_000..10_012, |seed, _| (plan(1 + seed as usize % 6), Vec::new()));
 }
 
 #[gtest]
-fn seeds_that_listen_late_hold_nothing_up_for_good() {
+fn late_seeds_do_not_block_bootstrap() {
     trial(10_100..10_108, |seed, rng| {
         let cores = 2 + seed as usize % 5;
         let late = vec![(rng.usize(0..cores), 5.0 * rng.f64()), (rng.usize(0..cores), 2.0)];
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn a_seed_that_loses_power_before_the_system_began_comes_back() {
+fn seed_that_loses_power_before_bootstrap_returns() {
     trial(10_200..10_208, |seed, rng| {
         let cores = 3 + seed as usize % 4;
         let (core, at, down) = (rng.usize(0..cores.min(3)), 0.02 + 0.5 * rng.f64(), 0.5 + 4.0 * rng.f64());
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn a_seed_that_dies_for_good_before_the_system_began_is_done_without() {
+fn bootstrap_proceeds_without_a_lost_seed() {
     trial(10_300..10_308, |seed, rng| {
         let cores = 3 + seed as usize % 4;
         let (core, at) = (rng.usize(0..3), 0.02 + 0.5 * rng.f64());
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn cores_stopped_within_their_first_start_begin_all_the_same() {
+fn cores_stopped_during_their_first_start_still_bootstrap() {
     trial(10_500..10_536, |seed, rng| {
         let cores = 1 + seed as usize % 6;
         let mut hit: Vec<usize> = (0..cores).collect();
@@ -71,7 +71,7 @@
 }
 
 #[gtest]
-fn a_seed_stopped_before_its_mark_joins_the_others() {
+fn seed_stopped_before_its_bootstrap_marker_joins_the_others() {
     trial(10_600..10_612, |seed, rng| {
         let cores = 3 + seed as usize % 4;
         let hit = rng.usize(0..3);
@@ -83,7 +83,7 @@
 /// Guards a gatekeeper that connects before the core knows that it has heard of every worker, where a service that a route
 /// names has none: it has to hear later that nothing is lacking.
 #[gtest]
-fn a_gatekeeper_is_ready_though_a_service_has_no_worker() {
+fn edge_is_ready_when_a_service_has_no_worker() {
     for seed in 10_400..10_408 {
         // Services take turns: the first has no worker, or none has any.
         let workers = if seed % 2 == 0 { 0 } else { 4 };
--- a/crates/simulation/tests/scenarios/race.rs
+++ b/crates/simulation/tests/scenarios/concurrent_changes.rs
@@ -15,7 +15,7 @@
 }
 
 /// The core is hit again and again: whoever leads goes.
-fn hits(rng: &mut fastrand::Rng, cores: usize) -> FaultSchedule {
+fn repeated_faults(rng: &mut fastrand::Rng, cores: usize) -> FaultSchedule {
     let mut days = Vec::new();
     let mut at = 4.0 + rng.f64();
     while at < 14.0 {
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn of_two_orders_under_one_number_one_is_confirmed_at_most() {
+fn at_most_one_of_two_changes_with_one_version_is_confirmed() {
     let operator_load = OperatorLoad {
         twin_fraction: 1.0,
         invalid_fraction: 0.0,
@@ -47,18 +47,18 @@
 }
 
 #[gtest]
-fn nor_while_answers_are_lost_and_machines_go_and_come() {
+fn at_most_one_is_confirmed_with_lost_responses_and_restarts() {
     let operator_load = OperatorLoad {
         twin_fraction: 0.7,
         lost_fraction: 0.4,
         shared_key_fraction: 0.0,
         ..OperatorLoad::default()
     };
-    trial(12_100..12_108, |_, rng| (plan(3, operator_load.clone()), hits(rng, 3)));
+    trial(12_100..12_108, |_, rng| (plan(3, operator_load.clone()), repeated_faults(rng, 3)));
 }
 
 #[gtest]
-fn an_order_sent_again_is_confirmed_again_through_changes_of_leader_and_restarts() {
+fn resent_change_is_confirmed_again_across_leader_changes_and_restarts() {
     let operator_load = OperatorLoad {
         twin_fraction: 0.0,
         lost_fraction: 0.5,
@@ -69,12 +69,12 @@
     };
     trial(12_200..12_208, |seed, rng| {
         let cores = 3 + 2 * (seed as usize % 2);
-        (plan(cores, operator_load.clone()), hits(rng, cores))
+        (plan(cores, operator_load.clone()), repeated_faults(rng, cores))
     });
 }
 
 #[gtest]
-fn twins_on_four_far_machines_with_eight_under_way() {
+fn conflicting_changes_on_four_distant_cores_with_eight_in_flight() {
     let operator_load = OperatorLoad {
         twin_fraction: 0.8,
         resend_fraction: 0.7,
@@ -83,12 +83,15 @@
         ..OperatorLoad::default()
     };
     trial(12_300..12_305, |_, rng| {
-        (DeploymentPlan { delay: 0.008, jitter: 0.004, ..plan(4, operator_load.clone()) }, hits(rng, 4))
+        (
+            DeploymentPlan { delay: 0.008, jitter: 0.004, ..plan(4, operator_load.clone()) },
+            repeated_faults(rng, 4),
+        )
     });
 }
 
 #[gtest]
-fn one_key_goes_to_one_tenant_only() {
+fn credential_is_given_to_one_tenant_only() {
     let operator_load = OperatorLoad {
         twin_fraction: 0.0,
         shared_key_fraction: 0.8,
@@ -103,7 +106,7 @@
 }
 
 #[gtest]
-fn invalid_orders_are_never_confirmed() {
+fn invalid_changes_are_never_confirmed() {
     let operator_load = OperatorLoad {
         twin_fraction: 0.0,
         shared_key_fraction: 0.0,
@@ -111,12 +114,12 @@
         lost_fraction: 0.3,
         ..OperatorLoad::default()
     };
-    trial(12_500..12_504, |_, rng| (plan(3, operator_load.clone()), hits(rng, 3)));
+    trial(12_500..12_504, |_, rng| (plan(3, operator_load.clone()), repeated_faults(rng, 3)));
 }
 
 /// The same order at two machines at once, passed on to the leader twice, while whoever leads goes.
 #[gtest]
-fn an_order_under_way_at_two_machines_is_taken_once_and_confirmed_by_both() {
+fn change_sent_to_two_cores_is_applied_once_and_confirmed_by_both() {
     let operator_load = OperatorLoad {
         twin_fraction: 0.2,
         lost_fraction: 0.3,
@@ -128,6 +131,6 @@
     };
     trial(12_600..12_606, |seed, rng| {
         let cores = 3 + 2 * (seed as usize % 2);
-        (plan(cores, operator_load.clone()), hits(rng, cores))
+        (plan(cores, operator_load.clone()), repeated_faults(rng, cores))
     });
 }
--- a/crates/simulation/tests/scenarios/bounds.rs
+++ b/crates/simulation/tests/scenarios/configuration_bounds.rs
@@ -9,7 +9,7 @@
 const SIZES: [(usize, usize); 4] = [(3, 1), (4, 1), (5, 1), (5, 2)];
 
 /// All settings, one after the other by the seed: machines and losses, `resync_bound`, syncs, delays between zones.
-fn setting(seed: u64) -> DeploymentPlan {
+fn plan_for_seed(seed: u64) -> DeploymentPlan {
     let n = seed as usize;
     let (cores, losses) = SIZES[n % 4];
     let resync = [4.0, 6.0][n / 4 % 2];
@@ -30,26 +30,26 @@
 }
 
 /// A moment after `resync_bound` is over.
-fn after(plan: &DeploymentPlan) -> f64 {
+fn resync_elapsed(plan: &DeploymentPlan) -> f64 {
     plan.resync + 0.01
 }
 
-fn five_lost_in_a_row(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
-    let plan = setting(seed);
+fn five_disk_losses(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
+    let plan = plan_for_seed(seed);
     let (first, mut at) = (rng.usize(0..plan.cores), 6.0);
     let mut days = FaultSchedule::new();
     for n in 0..5 {
         let down = 0.3 + rng.f64();
         days.push(wiped(at, (first + n) % plan.cores, down));
-        at += down + after(&plan);
+        at += down + resync_elapsed(&plan);
     }
     (plan, days)
 }
 
 /// SIGTERM, then the successor at a new address; every other time it is the holder of the counter. Between them a disk
 /// is lost.
-fn five_replaced_in_a_row(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
-    let plan = setting(seed);
+fn five_replacements(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
+    let plan = plan_for_seed(seed);
     let mut days = FaultSchedule::new();
     let mut at = 6.0;
     for n in 0..5 {
@@ -60,50 +60,50 @@
             _ if holder => days.push(severe(at, SevereFault::ReplaceHolder { later })),
             _ => days.push(severe(at, SevereFault::Replace { core: n / 2, later })),
         }
-        at += later + after(&plan);
+        at += later + resync_elapsed(&plan);
     }
     (plan, days)
 }
 
 /// The successor first; once it has had its time the machine is removed, and stops counting: another is lost soon after.
-fn succeeded_first(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
-    let plan = setting(seed);
+fn successor_before_removal(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
+    let plan = plan_for_seed(seed);
     let cores = plan.cores;
     let holder = rng.bool();
-    let removed = 6.0 + after(&plan);
+    let removed = 6.0 + resync_elapsed(&plan);
     let remove = if holder { SevereFault::RemoveHolder } else { SevereFault::Remove { core: 0 } };
     let lost = removed + 0.9 + 1.5 * rng.f64();
     let down = 0.3 + rng.f64();
-    let again = lost + down + after(&plan);
+    let again = lost + down + resync_elapsed(&plan);
     let mut days = vec![severe(6.0, SevereFault::Add), severe(removed, remove)];
     // Whoever is left: the new one, and the last of the first ones unless that was the holder.
     days.push(wiped(lost, cores, down));
     days.push(severe(again, SevereFault::ReplaceHolder { later: 0.5 }));
-    days.push(wiped(again + 0.5 + after(&plan), cores + 1, 0.5));
+    days.push(wiped(again + 0.5 + resync_elapsed(&plan), cores + 1, 0.5));
     (plan, days)
 }
 
-/// Of the settings a third each in CI; all by hand: `cargo test --release -p whinstall-simulation every_setting -- --ignored
+/// Of the settings a third each in CI; all by hand: `cargo test --release -p whinstall-simulation every_configuration -- --ignored
 /// --nocapture`.
 #[gtest]
-fn five_disks_are_lost_in_a_row() {
-    trial(48_000..48_008, |seed, rng| five_lost_in_a_row(seed * 5, rng));
+fn five_consecutive_disk_losses() {
+    trial(48_000..48_008, |seed, rng| five_disk_losses(seed * 5, rng));
 }
 
 #[gtest]
-fn five_machines_are_replaced_in_a_row() {
-    trial(48_100..48_108, |seed, rng| five_replaced_in_a_row(seed * 5, rng));
+fn five_consecutive_core_replacements() {
+    trial(48_100..48_108, |seed, rng| five_replacements(seed * 5, rng));
 }
 
 #[gtest]
-fn a_machine_whose_successor_is_there_is_removed_and_another_is_lost() {
-    trial(48_200..48_208, |seed, rng| succeeded_first(seed * 5, rng));
+fn core_removed_after_its_successor_joined_then_another_lost() {
+    trial(48_200..48_208, |seed, rng| successor_before_removal(seed * 5, rng));
 }
 
 #[gtest]
 #[ignore = "all settings: run by hand"]
-fn every_setting() {
-    for story in [five_lost_in_a_row, five_replaced_in_a_row, succeeded_first] {
+fn every_configuration() {
+    for story in [five_disk_losses, five_replacements, successor_before_removal] {
         trial(48_000..48_096, story);
     }
 }
--- a/crates/simulation/tests/scenarios/repair.rs
+++ b/crates/simulation/tests/scenarios/core_repair.rs
@@ -22,7 +22,7 @@
 }
 
 #[gtest]
-fn one_wiped_then_another_a_resync_bound_later_then_the_third() {
+fn cores_wiped_one_resync_bound_apart() {
     trial(13_000..13_009, |seed, rng| {
         let first = seed as usize % 3;
         let down = 0.5 + rng.f64();
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn one_wiped_then_all_lose_power_and_another_its_disk() {
+fn one_core_wiped_then_full_power_loss_with_another_disk_lost() {
     trial(13_100..13_109, |seed, rng| {
         let first = seed as usize % 3;
         let down = 0.5 + rng.f64();
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn a_machine_is_replaced_then_another_loses_its_disk() {
+fn core_replaced_then_another_loses_its_disk() {
     trial(13_200..13_209, |seed, rng| {
         let first = seed as usize % 3;
         let later = 2.0 * rng.f64();
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn all_three_are_replaced_one_after_the_other_then_one_dies() {
+fn all_three_cores_replaced_in_turn_then_one_lost() {
     trial(13_300..13_306, |_, rng| {
         let later = 1.5 * rng.f64();
         let each = later + RESYNC + 0.1;
@@ -64,7 +64,7 @@
 }
 
 #[gtest]
-fn two_replacements_overlap_then_two_disks_are_lost() {
+fn overlapping_replacements_then_two_disks_lost() {
     trial(13_400..13_406, |_, rng| {
         let (one, later) = (rng.usize(0..5), 1.0 + rng.f64());
         let other = (one + 1 + rng.usize(0..4)) % 5;
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn a_spare_is_added_and_another_removed_then_one_dies() {
+fn spare_added_and_core_removed_then_one_lost() {
     trial(13_500..13_506, |seed, rng| {
         let core = seed as usize % 3;
         let days = vec![
@@ -90,7 +90,7 @@
 }
 
 #[gtest]
-fn who_leaves_may_hold_the_only_copy_but_one() {
+fn removed_core_may_hold_one_of_two_remaining_copies() {
     // One is away while changes come, so that two hold them; one of these leaves once it is back.
     trial(13_600..13_606, |seed, rng| {
         let away = seed as usize % 3;
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn a_wiped_machine_speaks_for_nothing_that_it_forgot() {
+fn wiped_core_does_not_vote_on_forgotten_state() {
     // All lose power, one its disk, while orders are under way; soon after, the same again.
     trial(13_700..13_709, |seed, rng| {
         let first = seed as usize % 3;
@@ -114,7 +114,7 @@
 }
 
 #[gtest]
-fn who_holds_the_counter_is_replaced_twice_then_a_disk_is_lost() {
+fn quota_leader_replaced_twice_then_a_disk_lost() {
     trial(13_800..13_805, |_, rng| {
         let leaves =
             |at, rng: &mut fastrand::Rng| severe(at, SevereFault::ReplaceHolder { later: 0.8 * rng.f64() });
@@ -125,7 +125,7 @@
 }
 
 #[gtest]
-fn all_lose_power_right_after_an_order_was_confirmed_and_one_its_disk() {
+fn full_power_loss_right_after_a_confirmation_with_one_disk_lost() {
     // Where machines are far apart others' disks lag most.
     trial(13_900..13_909, |seed, rng| {
         let far = if seed % 3 == 0 { 0.0005 } else { 0.008 };
@@ -145,13 +145,13 @@
 const FULL: f64 = 7.0;
 
 #[gtest]
-fn who_starts_on_a_full_disk_holds_all_once_there_is_room() {
+fn core_started_on_a_full_disk_repairs_once_space_is_free() {
     // Seed 15002 of the worst days, the auditor's fault: it knew only disks that are slow.
     trial(13_950..13_956, |seed, _| (plan(3, 1), started_on_a_full_disk(seed as usize % 3)));
 }
 
 #[gtest]
-fn who_starts_on_a_full_disk_has_no_more_time_than_others_once_there_is_room() {
+fn core_started_on_a_full_disk_gets_no_extra_repair_time() {
     for seed in 13_960..13_963 {
         let core = seed as usize % 3;
         // A sync takes longer than the check's ticks are apart.
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn a_machine_that_was_removed_does_not_come_back_with_the_others() {
+fn removed_core_does_not_restart_with_the_others() {
     // Seed 860086 of the worst days, the story's fault: all were killed, and two that had been replaced came back with the
     // others, as members with disks that no later loss of power struck.
     for all_back in [Fault::KillAllCore { down: 0.5 }, Fault::PowerOffAll { down: 0.5, wipe: Vec::new() }] {
--- a/crates/simulation/tests/scenarios/digest_tests.rs
+++ b/crates/simulation/tests/scenarios/digest_tests.rs
@@ -1,8 +1,8 @@
 //! Known digests of a few simulated days, for changes that must not change behaviour: renames, moves of code. A change
 //! of behaviour that is meant changes them; its commit then says why, and has the new ones.
 
-use super::basic::{drawn, played};
-use super::snapshot;
+use super::basic_faults::{random_faults, run_day};
+use super::snapshots;
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
 use whinstall_simulation::partitions::Direction;
@@ -10,7 +10,7 @@
 use whinstall_simulation::{DeploymentPlan, World};
 
 /// One line of numbers, without names of the program.
-fn told(world: &World) -> String {
+fn digest_line(world: &World) -> String {
     let d = &world.digest;
     let (acknowledged, runs) = world.auditor.counts();
     let orders = world.operator_records.orders.iter().filter(|o| o.confirmed.is_some()).count();
@@ -46,25 +46,26 @@
     ];
     let far =
         DeploymentPlan { cores: 4, delay: 0.008, jitter: 0.004, length: 30.0, ..DeploymentPlan::default() };
-    let faults = drawn(&mut fastrand::Rng::with_seed(2000), &far);
-    let (bulky, days) = snapshot::sent(14_700, &mut fastrand::Rng::with_seed(14_700));
+    let faults = random_faults(&mut fastrand::Rng::with_seed(2000), &far);
+    let (bulky, days) = snapshots::crashes_while_sending(14_700, &mut fastrand::Rng::with_seed(14_700));
     let side = [cut(8.0, &[0], Direction::Both, 6.0), wiped(20.0, 1, 0.5)];
     let worlds = [
         (
             "calm",
-            played(0, DeploymentPlan { lost_answers: 0.0, quota: 40.0, ..DeploymentPlan::default() }, &[]),
+            run_day(0, DeploymentPlan { lost_answers: 0.0, quota: 40.0, ..DeploymentPlan::default() }, &[]),
         ),
-        ("tenfold", played(10, DeploymentPlan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })])),
-        ("cut off, hung, wiped", played(120, DeploymentPlan::default(), &cut_off)),
+        ("tenfold", run_day(10, DeploymentPlan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })])),
+        ("cut off, hung, wiped", run_day(120, DeploymentPlan::default(), &cut_off)),
         (
             "two of five disks",
-            played(110, DeploymentPlan { cores: 5, losses: 2, ..DeploymentPlan::default() }, &two_lost),
+            run_day(110, DeploymentPlan { cores: 5, losses: 2, ..DeploymentPlan::default() }, &two_lost),
         ),
-        ("drawn, far apart", played(2000, far, &faults)),
+        ("drawn, far apart", run_day(2000, far, &faults)),
         ("operators", trials::play(7, control(3, 1), &side)),
         ("snapshot sent", trials::play(14_700, bulky, &days)),
     ];
-    let found: String = worlds.iter().map(|(name, world)| format!("{name}: {}\n", told(world))).collect();
+    let found: String =
+        worlds.iter().map(|(name, world)| format!("{name}: {}\n", digest_line(world))).collect();
     let known = include_str!("digests.txt");
     for (found, known) in found.lines().zip(known.lines().chain(std::iter::repeat(""))) {
         expect_that!(found, eq(known), "the simulated day differs from the one that is known (digests.txt)");
--- a/crates/simulation/tests/scenarios/long.rs
+++ b/crates/simulation/tests/scenarios/long_days.rs
@@ -10,7 +10,7 @@
 use whinstall_simulation::DeploymentPlan;
 
 /// Eight at once, as fast as they are answered.
-pub fn many(orders: usize) -> OperatorLoad {
+pub fn concurrent_changes(orders: usize) -> OperatorLoad {
     let calm = OperatorLoad { operators: 4, at_once: 2, orders, pause: 0.1, ..OperatorLoad::default() };
     OperatorLoad {
         twin_fraction: 0.0,
@@ -25,11 +25,11 @@
 }
 
 fn plan(orders: usize) -> DeploymentPlan {
-    DeploymentPlan { length: 30.0, operator_load: many(orders), ..control(3, 1) }
+    DeploymentPlan { length: 30.0, operator_load: concurrent_changes(orders), ..control(3, 1) }
 }
 
 #[gtest]
-fn a_member_that_was_away_for_300_changes_is_needed_a_resync_bound_after_its_return() {
+fn member_that_missed_300_changes_is_needed_one_resync_bound_after_its_return() {
     trial(14_000..14_003, |seed, _| {
         let away = seed as usize % 3;
         let days = vec![
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn a_wiped_member_catches_up_on_300_changes_while_they_come() {
+fn wiped_member_catches_up_during_300_changes() {
     trial(14_100..14_103, |seed, _| {
         let core = seed as usize % 3;
         (
@@ -53,7 +53,7 @@
 }
 
 #[gtest]
-fn the_whole_core_restarts_after_300_changes_with_torn_last_writes() {
+fn all_cores_restart_after_300_changes_with_torn_last_writes() {
     trial(14_200..14_203, |_, rng| {
         let wipe = if rng.bool() { vec![rng.usize(0..3)] } else { Vec::new() };
         let dark = |at, wipe| severe(at, SevereFault::Blackout { down: 0.8, wipe, edges: true });
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn disks_are_slow_and_hang_while_changes_come() {
+fn disks_are_slow_and_stall_during_changes() {
     trial(14_300..14_303, |_, rng| {
         let core = rng.usize(0..3);
         let days = vec![
@@ -76,7 +76,7 @@
 
 /// 3,000 changes, eight under way at once: for all of them one is away, which is needed as soon as it had its time; then
 /// one is wiped, then all lose power with torn last writes and one its disk, and at last all are killed.
-fn three_thousand(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
+fn three_thousand_changes(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let away = seed as usize % 3;
     let operator_load = OperatorLoad {
         pause: 0.0,
@@ -84,7 +84,7 @@
         resend_fraction: 0.02,
         reads: 1.0,
         learned: true,
-        ..many(3000)
+        ..concurrent_changes(3000)
     };
     let dark = SevereFault::Blackout { down: 0.8, wipe: vec![rng.usize(0..3)], edges: rng.bool() };
     let days = vec![
@@ -97,19 +97,19 @@
 }
 
 #[gtest]
-fn a_day_of_3000_changes() {
-    expect_that!(trial(14_800..14_801, three_thousand), ge(2800));
+fn day_of_3000_changes() {
+    expect_that!(trial(14_800..14_801, three_thousand_changes), ge(2800));
 }
 
 /// `cargo test --release -p whinstall-simulation days_of_3000 -- --ignored --nocapture`
 #[gtest]
 #[ignore = "tens of thousands of changes: run by hand"]
 fn days_of_3000_changes() {
-    expect_that!(trial(14_800..14_820, three_thousand), ge(20 * 2800));
+    expect_that!(trial(14_800..14_820, three_thousand_changes), ge(20 * 2800));
 }
 
 /// Troubles of every kind, within what may be lost at once.
-fn drawn(rng: &mut fastrand::Rng, plan: &DeploymentPlan) -> FaultSchedule {
+fn random_faults(rng: &mut fastrand::Rng, plan: &DeploymentPlan) -> FaultSchedule {
     let (mut days, mut next) = (FaultSchedule::new(), plan.cores);
     let mut listed: Vec<usize> = (0..plan.cores).collect();
     let mut at = 5.0 + 2.0 * rng.f64();
@@ -173,7 +173,7 @@
 }
 
 /// A day of any of these.
-pub fn any(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
+pub fn random_long_day(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let cores = [3, 3, 3, 4, 5][rng.usize(0..5)];
     let operator_load = OperatorLoad {
         operators: 4,
@@ -187,12 +187,12 @@
     let plan = control(cores, (cores - 1) / 2);
     let plan =
         DeploymentPlan { length: 50.0, delay: far, jitter: far / 2.0, spread: 0.3, operator_load, ..plan };
-    let days = drawn(rng, &plan);
+    let days = random_faults(rng, &plan);
     let _ = seed;
     (plan, days)
 }
 
 #[gtest]
-fn drawn_worst_days() {
-    trial(14_400..14_416, any);
+fn random_long_days() {
+    trial(14_400..14_416, random_long_day);
 }
--- a/crates/simulation/tests/scenarios/main.rs
+++ b/crates/simulation/tests/scenarios/main.rs
@@ -1,16 +1,16 @@
 //! The simulated days that run in CI, by what they are about.
 
-mod basic;
-mod bounds;
-mod cut;
+mod basic_faults;
+mod bootstrap;
+mod concurrent_changes;
+mod configuration_bounds;
+mod core_repair;
 mod digest_tests;
 mod history_tests;
-mod long;
+mod long_days;
+mod misbehaving_core;
+mod partitions;
 mod quota_counter;
-mod race;
-mod repair;
-mod snapshot;
-mod spoiled;
-mod start;
-mod status;
-mod worst;
+mod snapshots;
+mod status_reports;
+mod worst_days;
--- a/crates/simulation/tests/scenarios/spoiled.rs
+++ b/crates/simulation/tests/scenarios/misbehaving_core.rs
@@ -9,7 +9,11 @@
 use whinstall_simulation::DeploymentPlan;
 
 /// What is found broken over some seeds, by kind.
-fn broken(spoiled: Option<Misbehaviour>, plan: &DeploymentPlan, days: &FaultSchedule) -> Vec<String> {
+fn violation_kinds(
+    spoiled: Option<Misbehaviour>,
+    plan: &DeploymentPlan,
+    days: &FaultSchedule,
+) -> Vec<String> {
     let kinds = (16_000..16_004).flat_map(|seed| {
         let world = play(seed, DeploymentPlan { spoiled, ..plan.clone() }, days);
         world.auditor.violations
@@ -17,7 +21,7 @@
     kinds.map(|text| text.split([' ', ':']).next().unwrap_or_default().to_owned()).collect()
 }
 
-fn busy(invalid_fraction: f64) -> DeploymentPlan {
+fn busy_plan(invalid_fraction: f64) -> DeploymentPlan {
     let operator_load = OperatorLoad {
         operators: 4,
         pause: 0.3,
@@ -32,29 +36,32 @@
 }
 
 /// Whoever leads is cut off, with an operator on its side.
-fn leader_cut() -> FaultSchedule {
+fn leader_partitioned() -> FaultSchedule {
     let (edges, workers, operators) = (vec![0], vec![0], vec![1, 2]);
     vec![severe(6.0, SevereFault::CutHolder { edges, workers, operators, secs: 8.0 })]
 }
 
 #[gtest]
-fn a_read_by_a_leader_that_is_cut_off_is_found_by_the_history() {
-    let (plan, days) = (busy(0.0), leader_cut());
-    expect_that!(broken(None, &plan, &days), is_empty());
-    expect_that!(broken(Some(Misbehaviour::LeaderReads), &plan, &days), contains(eq("HISTORY")));
+fn history_check_detects_stale_reads_of_a_partitioned_leader() {
+    let (plan, days) = (busy_plan(0.0), leader_partitioned());
+    expect_that!(violation_kinds(None, &plan, &days), is_empty());
+    expect_that!(violation_kinds(Some(Misbehaviour::LeaderReads), &plan, &days), contains(eq("HISTORY")));
 }
 
 #[gtest]
-fn a_read_by_a_follower_alone_is_found_by_the_history() {
+fn history_check_detects_local_reads_of_a_follower() {
     // Far apart: a follower hears of a commit later than the operator.
-    let plan = DeploymentPlan { delay: 0.008, jitter: 0.03, ..busy(0.0) };
-    expect_that!(broken(None, &plan, &Vec::new()), is_empty());
-    expect_that!(broken(Some(Misbehaviour::FollowerReads), &plan, &Vec::new()), contains(eq("HISTORY")));
+    let plan = DeploymentPlan { delay: 0.008, jitter: 0.03, ..busy_plan(0.0) };
+    expect_that!(violation_kinds(None, &plan, &Vec::new()), is_empty());
+    expect_that!(
+        violation_kinds(Some(Misbehaviour::FollowerReads), &plan, &Vec::new()),
+        contains(eq("HISTORY"))
+    );
 }
 
 #[gtest]
-fn a_refusal_by_a_leader_that_is_cut_off_is_found() {
-    let (plan, days) = (busy(0.5), leader_cut());
-    expect_that!(broken(None, &plan, &days), is_empty());
-    expect_that!(broken(Some(Misbehaviour::LeaderRefuses), &plan, &days), contains(eq("APART")));
+fn monitor_detects_rejections_by_a_partitioned_leader() {
+    let (plan, days) = (busy_plan(0.5), leader_partitioned());
+    expect_that!(violation_kinds(None, &plan, &days), is_empty());
+    expect_that!(violation_kinds(Some(Misbehaviour::LeaderRefuses), &plan, &days), contains(eq("APART")));
 }
--- a/crates/simulation/tests/scenarios/cut.rs
+++ b/crates/simulation/tests/scenarios/partitions.rs
@@ -8,14 +8,14 @@
 use whinstall_simulation::DeploymentPlan;
 
 #[gtest]
-fn a_machine_cut_off_both_ways_answers_operators_503_only_and_the_others_go_on() {
+fn partitioned_core_answers_operators_only_503_while_the_others_continue() {
     trial(11_000..11_009, |seed, _| {
         (control(3, 1), vec![cut(6.0, &[seed as usize % 3], Direction::Both, 20.0)])
     });
 }
 
 #[gtest]
-fn a_machine_cut_off_one_way_does_no_harm() {
+fn core_partitioned_one_way_violates_no_invariant() {
     trial(11_100..11_109, |seed, rng| {
         let way = if rng.bool() { Direction::Out } else { Direction::In };
         (control(3, 1), vec![cut(6.0, &[seed as usize % 3], way, 20.0)])
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn who_holds_the_counter_is_cut_off_and_its_successor_too() {
+fn quota_leader_and_its_successor_are_partitioned() {
     trial(11_200..11_206, |_, rng| {
         let holder = |at, secs| {
             let (edges, workers, operators) = (vec![0], vec![0, 4], vec![1]);
@@ -34,7 +34,7 @@
 }
 
 #[gtest]
-fn two_of_five_cut_off_together_answer_nothing() {
+fn partitioned_minority_of_two_answers_nothing() {
     trial(11_300..11_305, |_, rng| {
         let (one, way) = (rng.usize(0..5), [Direction::Both, Direction::Out, Direction::In][rng.usize(0..3)]);
         (control(5, 2), vec![cut(6.0, &[one, (one + 1 + rng.usize(0..4)) % 5], way, 20.0)])
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn of_two_halves_neither_answers() {
+fn even_split_answers_on_neither_side() {
     trial(11_400..11_404, |_, rng| {
         let one = rng.usize(0..4);
         (control(4, 1), vec![cut(6.0, &[one, (one + 1) % 4], Direction::Both, 18.0)])
@@ -50,7 +50,7 @@
 }
 
 #[gtest]
-fn two_that_do_not_reach_each_other_while_the_third_reaches_both() {
+fn two_cores_that_reach_each_other_only_through_the_third() {
     trial(11_500..11_508, |_, rng| {
         // The counter is with the second; the third, that gave its word, is gone for a moment and has forgotten what
         // it didn't write down.
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn a_core_machine_restarted_while_cut_off_takes_what_it_has_for_nothing() {
+fn core_restarted_while_partitioned_does_not_trust_its_local_state() {
     trial(11_600..11_609, |seed, rng| {
         let core = seed as usize % 3;
         let (power, wipe) = (rng.bool(), seed % 2 == 0);
@@ -75,7 +75,7 @@
 }
 
 /// A gatekeeper's seeds begin with the one that is cut off, and it reaches only that one.
-fn fresh_edge(seed: u64, unlimited: bool) -> (DeploymentPlan, Vec<(f64, Fault)>) {
+fn edge_beside_partitioned_core(seed: u64, unlimited: bool) -> (DeploymentPlan, Vec<(f64, Fault)>) {
     let core = seed as usize % 3;
     let seeds = vec![core, (core + 1) % 3, (core + 2) % 3];
     let restart = SevereFault::RestartEdge { edge: 0, down: 0.5, seeds };
@@ -88,17 +88,17 @@
 }
 
 #[gtest]
-fn a_fresh_gatekeeper_beside_a_machine_cut_off_is_not_ready() {
-    trial(11_700..11_703, |seed, _| fresh_edge(seed, false));
+fn edge_started_beside_a_partitioned_core_is_not_ready() {
+    trial(11_700..11_703, |seed, _| edge_beside_partitioned_core(seed, false));
 }
 
 #[gtest]
-fn a_fresh_gatekeeper_without_quotas_beside_a_machine_cut_off_is_not_ready() {
-    trial(11_750..11_753, |seed, _| fresh_edge(seed, true));
+fn edge_without_quotas_started_beside_a_partitioned_core_is_not_ready() {
+    trial(11_750..11_753, |seed, _| edge_beside_partitioned_core(seed, true));
 }
 
 #[gtest]
-fn fresh_core_machines_beside_one_that_is_cut_off_make_no_core_of_their_own() {
+fn new_cores_beside_a_partitioned_core_form_no_cluster_of_their_own() {
     // A spare of the operator's starts there, and a wiped member: three of the seeds, but not of the members.
     trial(11_800..11_805, |_, rng| {
         let spares = [Participant::Core(5), Participant::Core(6)];
@@ -119,7 +119,7 @@
 /// A leader that is heard and hears nothing steps down and lets others lead; one that hears and isn't heard, too; and
 /// one that only the next machine can't hear, or be heard by, keeps or loses the lead without harm.
 #[gtest]
-fn a_leader_cut_one_way_or_from_one_other_makes_way_for_a_leader_that_stands() {
+fn partially_partitioned_leader_yields_to_a_stable_leader() {
     trial(11_900..11_909, |seed, _| {
         let way = [Direction::Out, Direction::In, Direction::Both][seed as usize % 3];
         let (pair, cores) = (seed % 2 == 0, 3 + 2 * usize::from(seed % 9 > 6));
@@ -129,7 +129,7 @@
 }
 
 #[gtest]
-fn two_followers_that_do_not_reach_each_other_harm_nobody() {
+fn two_disconnected_followers_violate_no_invariant() {
     trial(11_930..11_936, |seed, _| {
         let (one, way) =
             (seed as usize % 3, [Direction::Both, Direction::Out, Direction::In][seed as usize / 3 % 3]);
@@ -145,7 +145,7 @@
 /// Two seconds cut, two seconds joined, ten times: somebody leads nearly all the while, as most of the core is joined
 /// all the while. No stretch is ever settled, so the rules ask for nothing here; operators would.
 #[gtest]
-fn while_a_machine_or_a_link_comes_and_goes_orders_are_confirmed() {
+fn changes_are_confirmed_while_a_link_flaps() {
     let confirmed = |world: &whinstall_simulation::World| {
         let mut at: Vec<f64> = world.operator_records.orders.iter().filter_map(|o| o.confirmed).collect();
         at.extend([6.0, 46.0]);
@@ -174,7 +174,7 @@
 /// Workers that leave on both sides of a cut: whoever is cut off acknowledges nothing to them, the others do, and once
 /// an acknowledgement is out nobody in touch sends there for longer than `drain_bound`.
 #[gtest]
-fn workers_that_leave_during_a_cut_are_acknowledged_by_those_in_touch_only() {
+fn draining_workers_are_acknowledged_only_by_cores_in_the_majority() {
     let acked = |world: &whinstall_simulation::World| {
         // Two leave beside those that are in touch; the others' calls reach the machine that is cut off only.
         let late = [1, 5].into_iter().find(|n| world.workers[*n].acked.is_none_or(|at| at > 17.0));
@@ -193,7 +193,7 @@
 
 /// Gatekeepers that start anew beside a machine that is cut off, again and again, with nothing but its address.
 #[gtest]
-fn gatekeepers_that_start_beside_a_machine_cut_off_go_on_from_where_they_were() {
+fn edges_restarted_beside_a_partitioned_core_keep_their_progress() {
     trial(11_980..11_984, |seed, rng| {
         let core = seed as usize % 3;
         let mut days =
--- a/crates/simulation/tests/scenarios/quota_counter.rs
+++ b/crates/simulation/tests/scenarios/quota_counter.rs
@@ -1,7 +1,7 @@
 //! What the counter owes to tenants after troubles, by seeds: within two seconds of the gatekeepers' return they get what
 //! their quota leaves, and the bound of the quota holds all the while (the auditor's QUOTA).
 
-use super::basic::all;
+use super::basic_faults::run_seeds;
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
 use whinstall_simulation::{DeploymentPlan, World};
@@ -35,55 +35,55 @@
 
 /// The shortest recorded day: the whole core loses power, and soon after its return most gatekeepers do.
 #[gtest]
-fn tenants_are_served_soon_after_the_core_and_then_most_gatekeepers_lost_power() {
+fn tenants_are_served_soon_after_cores_then_most_edges_lost_power() {
     let mut faults = power_off_core(8.0, 0.97);
     faults.push((10.2, Fault::KillManyEdges { edges: 8, down: 1.2, dark: true }));
-    expect_served(&all(5000..5010, &plan(), &faults), 12.7, 20.0);
+    expect_served(&run_seeds(5000..5010, &plan(), &faults), 12.7, 20.0);
 }
 
 /// The gatekeepers go before the new holder has met any of them.
 #[gtest]
-fn tenants_are_served_soon_after_gatekeepers_and_core_lost_power_at_once() {
+fn tenants_are_served_soon_after_edges_and_cores_lost_power_together() {
     let mut faults = power_off_core(8.0, 0.97);
     faults.push((8.3, Fault::KillManyEdges { edges: 8, down: 1.2, dark: true }));
-    expect_served(&all(5020..5030, &plan(), &faults), 11.5, 20.0);
+    expect_served(&run_seeds(5020..5030, &plan(), &faults), 11.5, 20.0);
 }
 
 /// Most gatekeepers go, and then the core forgets them before they are back.
 #[gtest]
-fn tenants_are_served_soon_after_most_gatekeepers_and_then_the_core_were_killed() {
+fn tenants_are_served_soon_after_most_edges_then_all_cores_were_killed() {
     let faults = [
         (8.0, Fault::KillManyEdges { edges: 8, down: 1.2, dark: false }),
         (8.6, Fault::KillAllCore { down: 0.5 }),
     ];
-    expect_served(&all(5040..5050, &plan(), &faults), 11.2, 20.0);
+    expect_served(&run_seeds(5040..5050, &plan(), &faults), 11.2, 20.0);
 }
 
 /// The holder's disk is lost, and the gatekeepers go while the next one takes over.
 #[gtest]
-fn tenants_are_served_soon_after_the_holder_was_wiped_and_most_gatekeepers_killed() {
+fn tenants_are_served_soon_after_the_quota_leader_was_wiped_and_most_edges_killed() {
     let faults = [
         (8.0, Fault::KillCore { core: 0, down: 1.5, power: true, wipe: true }),
         (9.0, Fault::KillManyEdges { edges: 7, down: 1.0, dark: true }),
     ];
-    expect_served(&all(5060..5070, &plan(), &faults), 12.0, 20.0);
+    expect_served(&run_seeds(5060..5070, &plan(), &faults), 12.0, 20.0);
 }
 
 /// Again and again: holders and lives of gatekeepers that come and go leave nothing set aside behind them.
 #[gtest]
-fn nothing_stays_set_aside_after_many_lives_and_holders() {
+fn no_quota_stays_reserved_after_many_restarts_and_leader_changes() {
     let mut faults = Vec::new();
     for round in 0..3 {
         let at = 7.0 + 3.0 * f64::from(round);
         faults.push((at, Fault::KillAllCore { down: 0.6 }));
         faults.push((at + 0.8, Fault::KillManyEdges { edges: 7, down: 0.8, dark: round == 1 }));
     }
-    expect_served(&all(5080..5086, &plan(), &faults), 16.6, 22.0);
+    expect_served(&run_seeds(5080..5086, &plan(), &faults), 16.6, 22.0);
 }
 
 /// A tenant at ten times its usual all the while: nothing is left, and the bound holds whoever is lost.
 #[gtest]
-fn quotas_bind_while_gatekeepers_and_holders_come_and_go() {
+fn quotas_hold_while_edges_and_quota_leaders_restart() {
     let hot = |quota| DeploymentPlan { quota, rate: 90.0, ..plan() };
     for (seeds, quota) in [(5100..5106, 39.0), (5110..5116, 15.0)] {
         let mut faults = power_off_core(9.0, 0.97);
@@ -93,6 +93,6 @@
         faults.push((10.3, Fault::KillManyEdges { edges: 6, down: 1.0, dark: true }));
         faults.push((13.0, Fault::KillCore { core: 0, down: 2.0, power: true, wipe: true }));
         faults.push((14.1, Fault::KillManyEdges { edges: 6, down: 0.8, dark: false }));
-        all(seeds, &hot(quota), &faults);
+        run_seeds(seeds, &hot(quota), &faults);
     }
 }
--- a/crates/simulation/tests/scenarios/snapshot.rs
+++ b/crates/simulation/tests/scenarios/snapshots.rs
@@ -23,44 +23,57 @@
     DeploymentPlan { length: 32.0, bulk: 300, operator_load, disk_rate: 10e6, ..control(3, 1) }
 }
 
-fn at(moment: SnapshotStage, nth: usize, struck: CrashTarget, down: f64, then: bool) -> SevereFault {
+fn crash_at_stage(
+    moment: SnapshotStage,
+    nth: usize,
+    struck: CrashTarget,
+    down: f64,
+    then: bool,
+) -> SevereFault {
     SevereFault::AtSnapshot(SnapshotCrash { moment, nth, struck, down, then })
 }
 
 #[gtest]
-fn power_goes_between_the_parts_of_a_snapshots_write() {
+fn power_loss_between_chunks_of_a_snapshot_write() {
     trial(14_500..14_503, |seed, rng| {
         let struck = if seed % 3 == 2 { CrashTarget::All } else { CrashTarget::Owner };
         let lost = |from: f64, rng: &mut fastrand::Rng, then| {
-            severe(from, at(SnapshotStage::Ahead, 1 + rng.usize(0..6), struck, 0.3 + rng.f64(), then))
+            severe(
+                from,
+                crash_at_stage(SnapshotStage::Ahead, 1 + rng.usize(0..6), struck, 0.3 + rng.f64(), then),
+            )
         };
         (plan(), vec![lost(4.0, rng, false), lost(8.0, rng, true)])
     });
 }
 
 #[gtest]
-fn power_goes_between_a_snapshot_and_the_cut_behind_it() {
+fn power_loss_between_snapshot_and_log_compaction() {
     trial(14_600..14_603, |seed, rng| {
         let struck = if seed % 3 == 2 { CrashTarget::All } else { CrashTarget::Owner };
         let lost = |from: f64, rng: &mut fastrand::Rng, then| {
-            severe(from, at(SnapshotStage::Cut, 1 + rng.usize(0..3), struck, 0.3 + rng.f64(), then))
+            severe(
+                from,
+                crash_at_stage(SnapshotStage::Cut, 1 + rng.usize(0..3), struck, 0.3 + rng.f64(), then),
+            )
         };
         (plan(), vec![lost(4.0, rng, false), lost(8.0, rng, true)])
     });
 }
 
 /// A machine lost its disk; while its snapshot is on the way the sender, the receiver or all lose power, then again.
-pub(super) fn sent(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
+pub(super) fn crashes_while_sending(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let struck = [CrashTarget::Owner, CrashTarget::Receiver, CrashTarget::All][seed as usize % 3];
     let core = rng.usize(0..3);
-    let lost =
-        |rng: &mut fastrand::Rng, then| at(SnapshotStage::Sent, 1 + rng.usize(0..5), struck, 0.8, then);
+    let lost = |rng: &mut fastrand::Rng, then| {
+        crash_at_stage(SnapshotStage::Sent, 1 + rng.usize(0..5), struck, 0.8, then)
+    };
     // The rest of it is sent again.
     let days = vec![wiped(6.0, core, 0.5), severe(6.1, lost(rng, false)), severe(7.0, lost(rng, true))];
     (plan(), days)
 }
 
 #[gtest]
-fn power_goes_while_a_snapshot_is_sent() {
-    trial(14_700..14_706, sent);
+fn power_loss_while_a_snapshot_is_sent() {
+    trial(14_700..14_706, crashes_while_sending);
 }
--- a/crates/simulation/tests/scenarios/status.rs
+++ b/crates/simulation/tests/scenarios/status_reports.rs
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn a_calm_core_tells_the_same_of_itself_at_each_machine() {
+fn healthy_cores_report_the_same_status() {
     let mut world = World::new(10_500, control(3, 1));
     world.play(10.0);
     let leader = leading(&world).expect("a leader");
@@ -55,7 +55,7 @@
 }
 
 #[gtest]
-fn a_member_that_is_down_is_out_with_the_reason() {
+fn stopped_member_is_reported_with_its_reason() {
     let mut world = World::new(10_501, control(3, 1));
     world.play(8.0);
     let leader = leading(&world).expect("a leader");
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn a_lost_disk_is_seen_from_its_loss_to_its_repair() {
+fn lost_disk_is_reported_until_repaired() {
     let mut world = World::new(10_502, control(3, 1));
     world.play(8.0);
     let leader = leading(&world).expect("a leader");
--- a/crates/simulation/tests/scenarios/worst.rs
+++ b/crates/simulation/tests/scenarios/worst_days.rs
@@ -2,7 +2,7 @@
 //! day, within what may be lost at once; what loses nothing comes at any moment beside it. And the long run over
 //! thousands of seeds.
 
-use super::long::{any, many};
+use super::long_days::{concurrent_changes, random_long_day};
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
 use whinstall_simulation::network::NodeRef;
@@ -42,14 +42,14 @@
         from + (to - from) * self.rng.f64()
     }
 
-    fn replaced(&mut self, core: usize) {
+    fn record_replacement(&mut self, core: usize) {
         self.listed.retain(|n| *n != core);
         self.listed.push(self.next);
         self.next += 1;
     }
 
     /// One that may lose something; how long it lasts, until when others may not.
-    fn main(&mut self, kind: usize) -> f64 {
+    fn draw_fault(&mut self, kind: usize) -> f64 {
         let (core, secs, long) = (self.some(), self.span(0.3, 4.5), self.span(6.0, 20.0));
         let (edge, power, wipe) = (self.rng.usize(0..self.edges), self.rng.bool(), self.rng.bool());
         let way = [Direction::Both, Direction::Both, Direction::Out, Direction::In][self.rng.usize(0..4)];
@@ -106,7 +106,7 @@
             6 if !stays => {
                 let later = self.span(0.0, 2.0);
                 self.add(0.0, SevereFault::Replace { core, later });
-                self.replaced(core);
+                self.record_replacement(core);
                 return 1.0 + later;
             }
             7 if !stays => {
@@ -114,13 +114,13 @@
                 self.add(0.0, SevereFault::Add);
                 let joined = RESYNC + self.span(0.1, 1.0);
                 self.add(joined, SevereFault::Remove { core });
-                self.replaced(core);
+                self.record_replacement(core);
                 return joined + 1.0;
             }
             8 if !stays => {
                 let later = self.span(0.0, 2.0);
                 self.add(0.0, SevereFault::Succeed { core, later });
-                self.replaced(core);
+                self.record_replacement(core);
                 return later;
             }
             9 => {
@@ -186,7 +186,7 @@
     }
 
     /// One that loses nothing of the core.
-    fn beside(&mut self) -> (f64, Fault) {
+    fn draw_harmless_fault(&mut self) -> (f64, Fault) {
         let (core, secs) = (self.some(), self.span(0.3, 4.0));
         let (edge, dark) = (self.rng.usize(0..self.edges), self.rng.bool());
         let part = self.span(0.2, 1.0);
@@ -211,7 +211,7 @@
 }
 
 /// Some of the kinds, each twice and more, in any order; others beside them; a last one right after an order is confirmed.
-fn worst(_: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
+fn random_worst_day(_: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let cores = [3, 3, 4, 5][rng.usize(0..4)];
     let losses = (cores - 1) / 2;
     let operator_load = OperatorLoad {
@@ -241,13 +241,13 @@
     let (listed, at) = ((0..cores).collect(), 5.0 + 2.0 * rng.f64());
     let mut draw = Draw { rng, edges: plan.edges, losses, listed, next: cores, days: Vec::new(), at };
     for kind in kinds.into_iter().chain([10 + at.to_bits() as usize % 4]) {
-        let lasts = draw.main(kind);
+        let lasts = draw.draw_fault(kind);
         draw.at += lasts + RESYNC + 0.1 + draw.rng.f64();
     }
     let end = draw.at;
     draw.at = 4.0;
     while draw.at < end - 6.0 {
-        let fault = draw.beside();
+        let fault = draw.draw_harmless_fault();
         draw.days.push(fault);
         draw.at += 0.5 + 8.0 * draw.rng.f64();
     }
@@ -255,13 +255,13 @@
 }
 
 #[gtest]
-fn each_kind_of_trouble_twice_and_more_in_one_day() {
-    trial(15_000..15_002, worst);
+fn every_fault_kind_at_least_twice_in_one_day() {
+    trial(15_000..15_002, random_worst_day);
 }
 
 /// A day that broke a rule in a long run; each is kept with its cause.
 #[gtest]
-fn a_gatekeeper_starts_just_before_the_core_loses_power() {
+fn edge_starts_just_before_the_cores_lose_power() {
     // Seed 800276, the auditor's fault: it looked every tenth of a second whether a gatekeeper could have met the core, and this one
     // met it in between. It goes by what was heard now.
     trial(15_100..15_103, |_, _| {
@@ -274,7 +274,7 @@
 /// each for another purpose: the age of a settings file, the name of a new disk, the name of an edge node's incarnation,
 /// the capacity tool.
 #[gtest]
-fn the_time_of_day_is_read_by_no_state_machine() {
+fn no_state_machine_reads_the_wall_clock() {
     let crates = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let (mut source_files, mut wall_clock_readers) = (Vec::new(), Vec::new());
     let mut folders = vec![crates.join("gateway/src"), crates.join("capacity/src")];
@@ -308,7 +308,7 @@
 }
 
 /// `SEEDS=2000 THREADS=4 cargo test --release -p whinstall-simulation long_run -- --ignored --nocapture`; `FIRST`: the first seed;
-/// `CHANGES`: each day holds so many more changes, eight at once; `DAYS=spread`: those of `drawn_worst_days`. A single
+/// `CHANGES`: each day holds so many more changes, eight at once; `DAYS=spread`: those of `random_long_days`. A single
 /// seed's day is printed.
 #[test]
 #[ignore = "thousands of seeds: run by hand"]
@@ -317,7 +317,7 @@
         |name: &str, default| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default);
     let (first, many_seeds, changes) = (number("FIRST", 100_000), number("SEEDS", 200), number("CHANGES", 0));
     let spread = std::env::var("DAYS").is_ok_and(|days| days == "spread");
-    let story = if spread { any } else { worst };
+    let story = if spread { random_long_day } else { random_worst_day };
     let threads = number("THREADS", 4).max(1);
     let next = std::sync::atomic::AtomicU64::new(first);
     let all = std::sync::Mutex::new((Vec::new(), [0u64; 5]));
@@ -333,7 +333,7 @@
                     plan.operator_load = OperatorLoad {
                         labels: plan.operator_load.labels,
                         until: plan.length - 12.0,
-                        ..many(changes as usize)
+                        ..concurrent_changes(changes as usize)
                     };
                 }
                 let told =
