--- /dev/null
+++ b/crates/simulation/src/world.rs
@@ -0,0 +1,199 @@
+//! The simulated cluster as a whole: its state, the event queue and the loop that processes events in order of time.
+
+use crate::auditor::Auditor;
+use crate::digest::Digest;
+use crate::external_actors::{Operator, SimulatedWorker};
+use crate::faults::SimulatedDisk;
+use crate::invariants::InvariantMonitor;
+use crate::network::{NodeRef, SimulatedLinks};
+use crate::node::{zone, SimulatedCore, SimulatedEdge};
+use crate::operators::OperatorRecords;
+use crate::repair_times::RepairTimes;
+use crate::{ControlCall, DeploymentPlan, SimulationEvent};
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::net::{IpAddr, Ipv4Addr};
+use whinstall_gateway::control_plane;
+use whinstall_gateway::data_plane;
+
+pub struct World {
+    pub plan: DeploymentPlan,
+    pub now: f64,
+    pub rng: fastrand::Rng,
+    queue: BTreeMap<(u64, u64), SimulationEvent>,
+    next: u64,
+    pub cores: Vec<SimulatedCore>,
+    pub edges: Vec<SimulatedEdge>,
+    pub workers: Vec<SimulatedWorker>,
+    pub links: SimulatedLinks,
+    pub calls: HashMap<u64, ControlCall>,
+    pub pending: HashMap<(usize, u64), u64>,
+    pub open: HashSet<(usize, u64, whinstall::RequestId, u32)>,
+    pub asked: HashMap<(usize, u64, whinstall::RequestId), u64>,
+    pub operator: Operator,
+    pub auditor: Auditor,
+    pub unsettled_until: f64,
+    pub hot_tenant: (f64, f64),
+    /// Until then such a part of the answers to operators is lost.
+    pub lost_responses: (f64, f64),
+    pub operator_records: OperatorRecords,
+    pub invariants: InvariantMonitor,
+    pub repairs: RepairTimes,
+    pub digest: Digest,
+}
+
+impl World {
+    pub fn new(seed: u64, plan: DeploymentPlan) -> Self {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        // The one draw that the core makes by itself, for when it claims the counter.
+        fastrand::seed(seed);
+        let seeds: Vec<usize> = (0..plan.cores.min(3)).collect();
+        let mut clock_rate = || 1.0 + 2e-4 * (rng.f64() - 0.5);
+        let cores = (0..plan.cores).map(|_| SimulatedCore {
+            core: None,
+            incarnation: 0,
+            disk: SimulatedDisk::default(),
+            booted_at: 0.0,
+            clock_rate: clock_rate(),
+            frozen: false,
+            backlog: Vec::new(),
+            cold: true,
+            listed: true,
+            seeds: seeds.clone(),
+        });
+        let cores = cores.collect();
+        let edges = (0..plan.edges).map(|_| SimulatedEdge {
+            edge: None,
+            incarnation: 0,
+            booted_at: 0.0,
+            clock_rate: clock_rate(),
+            frozen: false,
+            faulty_until: 0.0,
+            seeds: seeds.clone(),
+        });
+        let edges = edges.collect();
+        let workers = (0..3 * plan.workers).map(|n| SimulatedWorker::new(n, n % 3, &zone(n / 3))).collect();
+        let auditor = Auditor::new(&plan);
+        let mut world = World {
+            now: 0.0,
+            queue: BTreeMap::new(),
+            next: 0,
+            cores,
+            edges,
+            workers,
+            links: SimulatedLinks::default(),
+            calls: HashMap::new(),
+            pending: HashMap::new(),
+            open: HashSet::new(),
+            asked: HashMap::new(),
+            operator: Operator::default(),
+            auditor,
+            unsettled_until: 0.0,
+            hot_tenant: (0.0, 1.0),
+            lost_responses: (0.0, 0.0),
+            operator_records: OperatorRecords::default(),
+            invariants: InvariantMonitor::default(),
+            repairs: RepairTimes::default(),
+            digest: Digest::default(),
+            plan,
+            rng,
+        };
+        for n in 0..world.cores.len() {
+            let late: f64 = world.plan.late.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
+            let spread = if world.plan.spread > 0.0 { world.plan.spread * world.rng.f64() } else { 0.0 };
+            world.schedule_at(0.01 + spread + late, SimulationEvent::Boot(NodeRef::Core(n)));
+        }
+        for n in 0..world.edges.len() {
+            world.schedule_at(0.02, SimulationEvent::Boot(NodeRef::Edge(n)));
+        }
+        for n in 0..world.workers.len() {
+            let after = 0.3 + world.rng.f64();
+            world.schedule_at(after, SimulationEvent::HeartbeatDue(n));
+        }
+        world.schedule_at(0.2, SimulationEvent::LinkCheck);
+        world.schedule_at(1.0, SimulationEvent::OperatorActs);
+        world.schedule_at(4.0, SimulationEvent::ClientRequest);
+        if world.plan.operator_load.operators > 0 {
+            world.schedule_at(0.1, SimulationEvent::InvariantCheck);
+            world.start_operators();
+        }
+        world
+    }
+
+    pub fn schedule_at(&mut self, at: f64, ev: SimulationEvent) {
+        self.next += 1;
+        let at = at.max(self.now);
+        self.queue.insert(((at * 1e6) as u64, self.next), ev);
+    }
+
+    pub fn schedule_after(&mut self, secs: f64, ev: SimulationEvent) {
+        self.schedule_at(self.now + secs, ev);
+    }
+
+    /// One way over the network.
+    pub fn delay(&mut self) -> f64 {
+        self.plan.delay + self.plan.jitter * self.rng.f64()
+    }
+
+    /// Plays until then.
+    pub fn play(&mut self, until: f64) {
+        while let Some(first) = self.queue.first_entry() {
+            if first.key().0 as f64 / 1e6 > until {
+                break;
+            }
+            self.now = self.now.max(first.key().0 as f64 / 1e6);
+            self.digest.event(first.key().0);
+            match first.remove() {
+                SimulationEvent::CoreTick(n, incarnation) => {
+                    if self.cores[n].incarnation == incarnation && self.cores[n].core.is_some() {
+                        self.core_event(n, control_plane::Event::Tick);
+                        self.check_repair(n);
+                        self.schedule_after(control_plane::TICK, SimulationEvent::CoreTick(n, incarnation));
+                    }
+                }
+                SimulationEvent::EdgeTick(n, incarnation) => self.tick_edge(n, incarnation),
+                SimulationEvent::Dial(key, incarnation) => self.dial(key, incarnation),
+                SimulationEvent::DialUp(key, incarnation) => self.dial_up(key, incarnation),
+                SimulationEvent::DeliverMessages(key, conn, forth) => self.deliver_next(key, conn, forth),
+                SimulationEvent::LinkCheck => {
+                    self.check_links();
+                    self.schedule_after(0.2, SimulationEvent::LinkCheck);
+                }
+                SimulationEvent::DiskDone(n, incarnation, put) => self.disk_done(n, incarnation, put),
+                SimulationEvent::HeartbeatDue(n) => self.send_heartbeat(n),
+                SimulationEvent::CallArrives(core, call) => self.call_arrives(core, call),
+                SimulationEvent::CallAnswered(call, status) => self.call_returned(call, status),
+                SimulationEvent::CallTimedOut(id) => {
+                    if let Some(call) = self.calls.remove(&id) {
+                        self.call_failed(call);
+                    }
+                }
+                SimulationEvent::WorkerDeparts(n) => self.send_departure(n),
+                SimulationEvent::ClientRequest => self.send_client_request(),
+                SimulationEvent::AttemptArrives(hit) => self.attempt_arrives(hit),
+                SimulationEvent::WorkerFinishes(worker, hit) => self.finish_work(worker, hit),
+                SimulationEvent::AttemptEnded(hit, ending, misdirected) => {
+                    self.attempt_ended(hit, ending, misdirected)
+                }
+                SimulationEvent::LoadReportArrives(from, to, load) => {
+                    let ip = IpAddr::V4(Ipv4Addr::new(10, 0, 2, from as u8 + 1));
+                    self.edge_call(to, |edge, now, out| {
+                        edge.handle(now, data_plane::Event::PeerLoad(ip, load), out)
+                    });
+                }
+                SimulationEvent::OperatorActs => self.submit_primary_change(),
+                SimulationEvent::Fault(fault) => self.inject_fault(fault),
+                SimulationEvent::Repair(fault) => self.end_fault(fault),
+                SimulationEvent::Boot(who) => self.boot(who),
+                SimulationEvent::CreatingDisk(n, incarnation, told) => {
+                    self.advance_disk_creation(n, incarnation, told)
+                }
+                SimulationEvent::InvariantCheck => self.check_invariants(),
+                SimulationEvent::OperatorTurn(turn) => self.operator_turn(turn),
+                SimulationEvent::ProcessExited(n, incarnation) => self.process_exited(n, incarnation),
+                SimulationEvent::PartitionHeals(cut) => self.heal_partition(&cut),
+                SimulationEvent::SeedListsChange => self.rewrite_seed_lists(),
+            }
+        }
+        self.now = until;
+    }
+}
