--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -306,7 +306,7 @@
                 self.workers[*worker].dark = *dark;
             }
             Fault::DrainWorker { worker } => self.workers[*worker].leaves(),
-            Fault::Severe(severe) => self.severe(severe.clone()),
+            Fault::Severe(severe) => self.inject_severe_fault(severe.clone()),
             Fault::Hot { times, secs } => self.hot_tenant = (self.now + secs, *times),
         }
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -3,21 +3,29 @@
 //! by its plan, its faults and its seed.
 
 pub mod auditor;
+pub mod clients;
+pub mod control_calls;
+pub mod core_health;
+pub mod core_membership;
 pub mod digest;
+pub mod edge_invariants;
 pub mod event;
-pub mod external_actors;
 pub mod faults;
 pub mod history;
 pub mod invariants;
 pub mod misbehaving_core;
 pub mod network;
 pub mod node;
+pub mod operator_sessions;
 pub mod operators;
 pub mod partitions;
 pub mod plan;
+pub mod primary_operator;
 pub mod repair_times;
 pub mod severe_faults;
+pub mod snapshot_crashes;
 pub mod trials;
+pub mod workers;
 pub mod world;
 
 pub use event::{CallOrigin, ControlCall, SimulationEvent, WorkerAttempt};
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -1,11 +1,11 @@
 //! The operators' worst days: cuts between sides, machines replaced, starts beside a machine that is cut off, slow
 //! disks. Steps of time of day are not among them: no state machine is told the time of day.
 
-use super::faults::{Fault, SimulatedDisk};
+use super::faults::Fault;
 use super::network::NodeRef;
 use super::partitions::{Direction, Participant, Partition};
-use super::{core_ip, SimulatedCore, SimulationEvent, World};
-use std::net::SocketAddr;
+pub use super::snapshot_crashes::{CrashTarget, PendingCrash, SnapshotCrash, SnapshotStage};
+use super::{SimulationEvent, World};
 use whinstall_gateway::control_plane;
 
 /// A trouble of such a day.
@@ -126,47 +126,6 @@
     },
 }
 
-/// What happens to a snapshot.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SnapshotStage {
-    /// A part of it is on its way to a machine's disk, ahead of it.
-    Ahead,
-    /// It is itself, and the log is cut with it.
-    Cut,
-    /// A piece of it is on its way to another machine.
-    Sent,
-}
-
-/// Who loses power then.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CrashTarget {
-    /// Whose snapshot it is, or whose disk: that machine.
-    Owner,
-    /// To whom it is sent.
-    Receiver,
-    /// The whole core.
-    All,
-}
-
-/// A loss of power at a moment of a snapshot.
-#[derive(Clone, Debug, PartialEq)]
-pub struct SnapshotCrash {
-    pub moment: SnapshotStage,
-    /// The so-manieth time that it comes, from now.
-    pub nth: usize,
-    pub struck: CrashTarget,
-    pub down: f64,
-    /// Once those are back, `resync_bound` later, the next machine loses its disk.
-    pub then: bool,
-}
-
-/// What waits for an order to be confirmed.
-#[derive(Clone, Debug, PartialEq)]
-pub enum PendingCrash {
-    Blackout { down: f64, edges: bool },
-    Hit { down: f64, wipe: bool, more: usize },
-}
-
 impl Fault {
     /// The same at this core machine.
     fn at(mut self, at: usize) -> Self {
@@ -186,165 +145,7 @@
 }
 
 impl World {
-    /// Something of a snapshot goes to a disk.
-    pub fn snapshot_written(&mut self, n: usize, put: &whinstall_gateway::storage::WriteBatch) {
-        let cut = put
-            .log_writes
-            .iter()
-            .any(|w| matches!(w, whinstall_gateway::consensus::LogWrite::Snapshot { .. }));
-        let moment = match (&put.snapshot_chunk, cut) {
-            (Some(_), _) => SnapshotStage::Ahead,
-            (None, true) => SnapshotStage::Cut,
-            (None, false) => return,
-        };
-        self.snapshot_stage_reached(moment, n, n);
-    }
-
-    /// Something is said on a connection: a piece of a snapshot?
-    pub fn snapshot_chunk_sent(
-        &mut self,
-        key: super::network::LinkKey,
-        msg: &whinstall_gateway::protocol::PeerMessage,
-    ) {
-        let whinstall_gateway::protocol::PeerMessage::Consensus {
-            message: whinstall_gateway::consensus::Message::InstallSnapshot { data, .. },
-            ..
-        } = msg
-        else {
-            return;
-        };
-        if let (NodeRef::Core(from), false) = (key.from, data.is_empty()) {
-            self.snapshot_stage_reached(SnapshotStage::Sent, from, key.to);
-        }
-    }
-
-    fn snapshot_stage_reached(&mut self, moment: SnapshotStage, owner: usize, receiver: usize) {
-        *self.invariants.snapshot_stages.entry(moment as usize).or_default() += 1;
-        let mut waiting = std::mem::take(&mut self.invariants.pending_snapshot_crashes);
-        for at in waiting.iter_mut().filter(|at| at.moment == moment) {
-            at.nth = at.nth.saturating_sub(1);
-        }
-        let due = waiting.iter().position(|at| at.moment == moment && at.nth == 0);
-        let due = due.map(|n| waiting.remove(n));
-        self.invariants.pending_snapshot_crashes = waiting;
-        let Some(SnapshotCrash { struck, down, then, .. }) = due else { return };
-        self.invariants.snapshot_crashes += 1;
-        // Somewhere in the write, or on the way.
-        let late = 0.01 * self.rng.f64();
-        let core = if struck == CrashTarget::Receiver { receiver } else { owner };
-        let lost = match struck {
-            CrashTarget::All => {
-                super::faults::Fault::Severe(SevereFault::Blackout { down, wipe: Vec::new(), edges: false })
-            }
-            _ => super::faults::Fault::KillCore { core, down, power: true, wipe: false },
-        };
-        self.schedule_after(late, SimulationEvent::Fault(lost));
-        if then {
-            let next = self.listed_core_from(core + 1);
-            let wiped = super::faults::Fault::KillCore { core: next, down: 0.5, power: true, wipe: true };
-            self.schedule_after(late + down + 0.2 + self.plan.resync, SimulationEvent::Fault(wiped));
-        }
-    }
-
-    /// The machine that is called: of those on the operator's list.
-    pub fn listed_core_from(&self, from: usize) -> usize {
-        let from = from % self.cores.len();
-        let after = (from..self.cores.len()).chain(0..from);
-        after.into_iter().find(|n| self.cores[*n].listed).unwrap_or(from)
-    }
-
-    /// The addresses that a `seed_list` of these holds.
-    pub fn seeds(&self, who: NodeRef) -> Vec<SocketAddr> {
-        let seeds = match who {
-            NodeRef::Core(n) => &self.cores[n].seeds,
-            NodeRef::Edge(n) => &self.edges[n].seeds,
-        };
-        seeds.iter().map(|n| (core_ip(*n), 80).into()).collect()
-    }
-
-    /// Three of the operator's list that run; where it lags, of those that were on it then.
-    fn current_seeds(&self, but: usize) -> Vec<usize> {
-        if self.plan.seed_delay > 0.0 {
-            let then = self.now - self.plan.seed_delay;
-            let list = self.invariants.core_lists.iter().rev().find(|(at, _)| *at <= then);
-            let first = (0..self.plan.cores).collect();
-            return list.map_or(first, |l| l.1.clone()).into_iter().take(3).collect();
-        }
-        let listed = self.listed_cores().into_iter().filter(|n| *n != but);
-        let up = listed.filter(|n| self.has_process(NodeRef::Core(*n)));
-        up.take(3).collect()
-    }
-
-    /// The operators' list has changed.
-    fn seed_list_changed(&mut self) {
-        let (now, listed) = (self.now, self.listed_cores());
-        self.invariants.core_lists.push((now, listed));
-        self.schedule_after(self.plan.seed_delay, SimulationEvent::SeedListsChange);
-    }
-
-    /// The files of all machines are written anew, by the operator's list as it is; read at their next start.
-    pub fn rewrite_seed_lists(&mut self) {
-        let seeds = self.current_seeds(usize::MAX);
-        self.cores.iter_mut().for_each(|n| n.seeds.clone_from(&seeds));
-        self.edges.iter_mut().for_each(|n| n.seeds.clone_from(&seeds));
-    }
-
-    fn add_core(&mut self) {
-        let n = self.cores.len();
-        let seeds = self.current_seeds(n);
-        let clock_rate = 1.0 + 2e-4 * (self.rng.f64() - 0.5);
-        let (core, incarnation, disk, booted_at, backlog) =
-            (None, 0, SimulatedDisk::default(), self.now, Vec::new());
-        let node = SimulatedCore {
-            core,
-            incarnation,
-            disk,
-            booted_at,
-            clock_rate,
-            seeds,
-            frozen: false,
-            cold: false,
-            listed: true,
-            backlog,
-        };
-        self.cores.push(node);
-        self.invariants.joining.insert(n, self.now);
-        self.schedule_after(0.0, SimulationEvent::Boot(NodeRef::Core(n)));
-        self.mark_core_faulty_for(0.0, self.plan.resync);
-        self.schedule_after(0.3, SimulationEvent::SeedListsChange);
-        self.seed_list_changed();
-    }
-
-    /// SIGTERM now; the process is gone a little later, and nobody calls the machine any more.
-    fn terminate_core(&mut self, n: usize) {
-        self.core_event(n, control_plane::Event::Shutdown);
-        self.cores[n].listed = false;
-        self.invariants.removed_at.insert(n, self.now);
-        let (incarnation, late) = (self.cores[n].incarnation, 0.3 + 0.6 * self.rng.f64());
-        self.schedule_after(late, SimulationEvent::ProcessExited(n, incarnation));
-        self.mark_core_faulty_for(late, self.plan.resync);
-        self.seed_list_changed();
-    }
-
-    pub fn process_exited(&mut self, n: usize, incarnation: u64) {
-        if self.cores[n].incarnation == incarnation && self.cores[n].core.is_some() {
-            self.kill(NodeRef::Core(n), false);
-            let unwritten = self.rng.bool();
-            self.cores[n].disk.crash(unwritten, false, &mut self.rng);
-        }
-        if !self.cores[n].listed {
-            self.invariants.removed_at.insert(n, self.now);
-        }
-        self.mark_core_disturbed();
-    }
-
-    /// The rules that hold while the core is calm wait until then.
-    fn mark_core_faulty_for(&mut self, secs: f64, more: f64) {
-        self.unsettled_until = self.unsettled_until.max(self.now + secs + more);
-        self.mark_core_disturbed();
-    }
-
-    fn cut(&mut self, cut: Partition, secs: f64) {
+    pub(crate) fn cut(&mut self, cut: Partition, secs: f64) {
         for party in &cut.inside {
             if let Participant::Edge(n) = party {
                 self.mark_edge_faulty_for(*n, secs + 3.0);
@@ -362,68 +163,7 @@
         self.mark_core_disturbed();
     }
 
-    fn arm_crash(&mut self, trap: PendingCrash) {
-        self.invariants.armed_crash = Some((self.now + 2.5, trap));
-    }
-
-    /// Its settings change, and it is told so if it runs.
-    fn reload_settings(&mut self, who: NodeRef, seeds: &[usize]) {
-        // As an operator would write them: machines that are listed, more of them than may be lost.
-        let named = seeds.iter().filter(|n| self.cores.get(**n).is_some_and(|c| c.listed)).copied();
-        let mut seeds: Vec<usize> = Vec::new();
-        for n in named.chain(self.listed_cores()) {
-            if !seeds.contains(&n) && seeds.len() <= self.plan.losses.max(2) {
-                seeds.push(n);
-            }
-        }
-        match who {
-            // Not there yet.
-            NodeRef::Core(n) if n >= self.cores.len() => return,
-            NodeRef::Core(n) => self.cores[n].seeds = seeds,
-            NodeRef::Edge(n) => self.edges[n].seeds = seeds,
-        }
-        let (settings, mut out) = (self.settings(who), Vec::new());
-        match who {
-            NodeRef::Core(n) => {
-                let Some(core) = self.cores[n].core.as_mut() else { return };
-                core.retune(settings, &mut out);
-                self.core_effects(n, out);
-            }
-            NodeRef::Edge(n) => {
-                self.edge_call(n, |edge, _, out| edge.update_settings(settings, out));
-            }
-        }
-    }
-
-    /// An order is confirmed: was a fault waiting for that?
-    pub fn change_acknowledged(&mut self, core: usize) {
-        let Some((until, trap)) = self.invariants.armed_crash.take() else { return };
-        let listed = self.listed_cores();
-        if self.now > until || !listed.contains(&core) {
-            return;
-        }
-        let (down, edges) = match trap {
-            PendingCrash::Blackout { down, edges } => (down, edges),
-            PendingCrash::Hit { down, wipe, more } => {
-                let others = listed.into_iter().filter(|n| *n != core).take(more);
-                for core in std::iter::once(core).chain(others) {
-                    let late = 0.004 * self.rng.f64();
-                    self.schedule_after(
-                        late,
-                        SimulationEvent::Fault(Fault::KillCore { core, down, power: true, wipe }),
-                    );
-                }
-                return;
-            }
-        };
-        let other = listed[self.rng.usize(0..listed.len())];
-        let wipe = vec![if self.rng.bool() { core } else { other }];
-        let late = 0.003 * self.rng.f64();
-        let dark = SevereFault::Blackout { down, wipe, edges };
-        self.schedule_after(late, SimulationEvent::Fault(Fault::Severe(dark)));
-    }
-
-    pub fn severe(&mut self, severe: SevereFault) {
+    pub fn inject_severe_fault(&mut self, severe: SevereFault) {
         match severe {
             SevereFault::Cut { cut, secs } => self.cut(cut, secs),
             SevereFault::CutHolder { edges, workers, operators, secs } => {
--- /dev/null
+++ b/crates/simulation/src/snapshot_crashes.rs
@@ -0,0 +1,141 @@
+//! Crashes that wait for a moment: a stage of a snapshot, or the confirmation of a change.
+
+use super::faults::Fault;
+use super::network::NodeRef;
+use super::severe_faults::SevereFault;
+use super::{SimulationEvent, World};
+
+/// What happens to a snapshot.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum SnapshotStage {
+    /// A part of it is on its way to a machine's disk, ahead of it.
+    Ahead,
+    /// It is itself, and the log is cut with it.
+    Cut,
+    /// A piece of it is on its way to another machine.
+    Sent,
+}
+
+/// Who loses power then.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum CrashTarget {
+    /// Whose snapshot it is, or whose disk: that machine.
+    Owner,
+    /// To whom it is sent.
+    Receiver,
+    /// The whole core.
+    All,
+}
+
+/// A loss of power at a moment of a snapshot.
+#[derive(Clone, Debug, PartialEq)]
+pub struct SnapshotCrash {
+    pub moment: SnapshotStage,
+    /// The so-manieth time that it comes, from now.
+    pub nth: usize,
+    pub struck: CrashTarget,
+    pub down: f64,
+    /// Once those are back, `resync_bound` later, the next machine loses its disk.
+    pub then: bool,
+}
+
+/// What waits for an order to be confirmed.
+#[derive(Clone, Debug, PartialEq)]
+pub enum PendingCrash {
+    Blackout { down: f64, edges: bool },
+    Hit { down: f64, wipe: bool, more: usize },
+}
+
+impl World {
+    /// Something of a snapshot goes to a disk.
+    pub fn snapshot_written(&mut self, n: usize, put: &whinstall_gateway::storage::WriteBatch) {
+        let cut = put
+            .log_writes
+            .iter()
+            .any(|w| matches!(w, whinstall_gateway::consensus::LogWrite::Snapshot { .. }));
+        let moment = match (&put.snapshot_chunk, cut) {
+            (Some(_), _) => SnapshotStage::Ahead,
+            (None, true) => SnapshotStage::Cut,
+            (None, false) => return,
+        };
+        self.snapshot_stage_reached(moment, n, n);
+    }
+
+    /// Something is said on a connection: a piece of a snapshot?
+    pub fn snapshot_chunk_sent(
+        &mut self,
+        key: super::network::LinkKey,
+        msg: &whinstall_gateway::protocol::PeerMessage,
+    ) {
+        let whinstall_gateway::protocol::PeerMessage::Consensus {
+            message: whinstall_gateway::consensus::Message::InstallSnapshot { data, .. },
+            ..
+        } = msg
+        else {
+            return;
+        };
+        if let (NodeRef::Core(from), false) = (key.from, data.is_empty()) {
+            self.snapshot_stage_reached(SnapshotStage::Sent, from, key.to);
+        }
+    }
+
+    pub(crate) fn snapshot_stage_reached(&mut self, moment: SnapshotStage, owner: usize, receiver: usize) {
+        *self.invariants.snapshot_stages.entry(moment as usize).or_default() += 1;
+        let mut waiting = std::mem::take(&mut self.invariants.pending_snapshot_crashes);
+        for at in waiting.iter_mut().filter(|at| at.moment == moment) {
+            at.nth = at.nth.saturating_sub(1);
+        }
+        let due = waiting.iter().position(|at| at.moment == moment && at.nth == 0);
+        let due = due.map(|n| waiting.remove(n));
+        self.invariants.pending_snapshot_crashes = waiting;
+        let Some(SnapshotCrash { struck, down, then, .. }) = due else { return };
+        self.invariants.snapshot_crashes += 1;
+        // Somewhere in the write, or on the way.
+        let late = 0.01 * self.rng.f64();
+        let core = if struck == CrashTarget::Receiver { receiver } else { owner };
+        let lost = match struck {
+            CrashTarget::All => {
+                super::faults::Fault::Severe(SevereFault::Blackout { down, wipe: Vec::new(), edges: false })
+            }
+            _ => super::faults::Fault::KillCore { core, down, power: true, wipe: false },
+        };
+        self.schedule_after(late, SimulationEvent::Fault(lost));
+        if then {
+            let next = self.listed_core_from(core + 1);
+            let wiped = super::faults::Fault::KillCore { core: next, down: 0.5, power: true, wipe: true };
+            self.schedule_after(late + down + 0.2 + self.plan.resync, SimulationEvent::Fault(wiped));
+        }
+    }
+
+    pub(crate) fn arm_crash(&mut self, trap: PendingCrash) {
+        self.invariants.armed_crash = Some((self.now + 2.5, trap));
+    }
+
+    /// An order is confirmed: was a fault waiting for that?
+    pub fn change_acknowledged(&mut self, core: usize) {
+        let Some((until, trap)) = self.invariants.armed_crash.take() else { return };
+        let listed = self.listed_cores();
+        if self.now > until || !listed.contains(&core) {
+            return;
+        }
+        let (down, edges) = match trap {
+            PendingCrash::Blackout { down, edges } => (down, edges),
+            PendingCrash::Hit { down, wipe, more } => {
+                let others = listed.into_iter().filter(|n| *n != core).take(more);
+                for core in std::iter::once(core).chain(others) {
+                    let late = 0.004 * self.rng.f64();
+                    self.schedule_after(
+                        late,
+                        SimulationEvent::Fault(Fault::KillCore { core, down, power: true, wipe }),
+                    );
+                }
+                return;
+            }
+        };
+        let other = listed[self.rng.usize(0..listed.len())];
+        let wipe = vec![if self.rng.bool() { core } else { other }];
+        let late = 0.003 * self.rng.f64();
+        let dark = SevereFault::Blackout { down, wipe, edges };
+        self.schedule_after(late, SimulationEvent::Fault(Fault::Severe(dark)));
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/workers.rs
@@ -0,0 +1,151 @@
+//! Simulated workers: heartbeats, departure, and attempts that they queue, run and answer.
+
+use super::partitions::Participant;
+use super::{CallOrigin, SimulationEvent, WorkerAttempt, World};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use whinstall::Ending;
+use whinstall_gateway::discovery::{Worker, WorkerPhase};
+
+/// A worker.
+pub struct SimulatedWorker {
+    pub id: Arc<str>,
+    pub service: usize,
+    pub zone: String,
+    pub address: SocketAddr,
+    pub alive: bool,
+    pub dark: bool,
+    pub phase: WorkerPhase,
+    pub calls: u64,
+    pub core: usize,
+    pub busy: usize,
+    pub queue: VecDeque<WorkerAttempt>,
+    pub acked: Option<f64>,
+    pub(crate) departing: bool,
+}
+
+pub const SERVICES: [&str; 3] = ["planer", "lathe", "drill"];
+const SLOTS: usize = 3;
+const QUEUE: usize = 4;
+
+impl SimulatedWorker {
+    pub fn new(n: usize, service: usize, zone: &str) -> Self {
+        SimulatedWorker {
+            id: format!("i-{n}").into(),
+            service,
+            zone: zone.into(),
+            address: ([10, 9, 0, n as u8 + 1], 80).into(),
+            alive: true,
+            dark: false,
+            phase: WorkerPhase::Serving,
+            calls: 0,
+            core: n,
+            busy: 0,
+            queue: VecDeque::new(),
+            acked: None,
+            departing: false,
+        }
+    }
+
+    pub fn leaves(&mut self) {
+        self.phase = WorkerPhase::Draining;
+    }
+}
+
+impl World {
+    pub(crate) fn heartbeat_of(&mut self, n: usize) -> Worker {
+        let w = &self.workers[n];
+        Worker {
+            id: Arc::clone(&w.id),
+            service: SERVICES[w.service].into(),
+            address: w.address,
+            zone: w.zone.as_str().into(),
+            capacity: SLOTS as u32,
+            phase: w.phase,
+            warmup_ms: 0,
+            call_count: w.calls,
+        }
+    }
+
+    pub fn send_heartbeat(&mut self, n: usize) {
+        if !self.workers[n].alive {
+            return;
+        }
+        self.workers[n].calls += 1;
+        let core = self.workers[n].core;
+        self.call(core, CallOrigin::Heartbeat(n));
+    }
+
+    pub fn send_departure(&mut self, n: usize) {
+        let core = self.workers[n].core;
+        self.call(core, CallOrigin::Departure(n));
+        self.workers[n].alive = false;
+        // Its address goes to a new worker of another service.
+        let (service, address, zone) = ((self.workers[n].service + 1) % 3, self.workers[n].address, "b");
+        let fresh = self.workers.len();
+        let mut worker = SimulatedWorker::new(fresh, service, zone);
+        worker.address = address;
+        self.workers.push(worker);
+        self.schedule_after(2.0, SimulationEvent::HeartbeatDue(fresh));
+    }
+
+    // The operator.
+
+    /// A request reaches the address where its worker was.
+    pub fn attempt_arrives(&mut self, hit: WorkerAttempt) {
+        if !self.links.reaches(Participant::Edge(hit.edge), Participant::Worker(hit.worker)) {
+            return;
+        }
+        let back = self.delay();
+        let address = self.workers[hit.worker].address;
+        let Some(there) = self.workers.iter().rposition(|w| w.address == address && (w.alive || w.dark))
+        else {
+            return self
+                .schedule_after(back, SimulationEvent::AttemptEnded(hit, Ending::ConnectFailed, false));
+        };
+        if self.workers[there].dark {
+            return self
+                .schedule_after(0.2, SimulationEvent::AttemptEnded(hit, Ending::ConnectFailed, false));
+        }
+        if there != hit.worker {
+            return self.schedule_after(back, SimulationEvent::AttemptEnded(hit, Ending::Full, true));
+        }
+        let edge = &self.edges[hit.edge];
+        let in_touch = self.now > edge.faulty_until && self.now > self.unsettled_until;
+        self.auditor.arrives(self.now, &hit, &self.workers[there].id, in_touch);
+        let w = &mut self.workers[there];
+        if w.busy < SLOTS {
+            self.run(there, hit);
+        } else if w.queue.len() < QUEUE {
+            w.queue.push_back(hit);
+        } else {
+            self.schedule_after(back, SimulationEvent::AttemptEnded(hit, Ending::Full, false));
+        }
+    }
+
+    pub(crate) fn run(&mut self, n: usize, hit: WorkerAttempt) {
+        self.workers[n].busy += 1;
+        let edge = &self.edges[hit.edge];
+        let calm = self.now > edge.faulty_until && self.now > self.unsettled_until;
+        self.auditor.runs(self.now, &hit, SERVICES[self.workers[n].service], calm);
+        let work = 0.03 + 0.06 * self.rng.f64();
+        self.schedule_after(work, SimulationEvent::WorkerFinishes(n, hit));
+    }
+
+    pub fn finish_work(&mut self, n: usize, hit: WorkerAttempt) {
+        let lost = self.rng.f64() < self.plan.lost_answers;
+        let w = &mut self.workers[n];
+        w.busy -= 1;
+        let (alive, next) = (w.alive, w.queue.pop_front());
+        if let Some(next) = next.filter(|_| alive) {
+            self.run(n, next);
+        }
+        if !self.links.reaches(Participant::Worker(n), Participant::Edge(hit.edge)) {
+            return;
+        }
+        let back = self.delay();
+        let ending = if lost || !alive { Ending::Reset } else { Ending::Ok };
+        self.schedule_after(back, SimulationEvent::AttemptEnded(hit, ending, false));
+    }
+}
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -2,13 +2,14 @@
 
 use crate::auditor::Auditor;
 use crate::digest::Digest;
-use crate::external_actors::{Operator, SimulatedWorker};
 use crate::faults::SimulatedDisk;
 use crate::invariants::InvariantMonitor;
 use crate::network::{NodeRef, SimulatedLinks};
 use crate::node::{zone, SimulatedCore, SimulatedEdge};
 use crate::operators::OperatorRecords;
+use crate::primary_operator::Operator;
 use crate::repair_times::RepairTimes;
+use crate::workers::SimulatedWorker;
 use crate::{ControlCall, DeploymentPlan, SimulationEvent};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr};
