--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -163,6 +163,7 @@
         self.mark_core_disturbed();
     }
 
+    /// Injects a fault of the operators' worst days.
     pub fn inject_severe_fault(&mut self, severe: SevereFault) {
         match severe {
             SevereFault::Cut { cut, secs } => self.cut(cut, secs),
@@ -170,23 +171,9 @@
                 let holder = self.invariants.quota_leader().unwrap_or(0);
                 self.cut(Partition::side(&[holder], &edges, &workers, &operators, Direction::Both), secs);
             }
-            SevereFault::CutLeader { way, pair, secs } => {
-                let leader = self.invariants.quota_leader().unwrap_or(0);
-                let other = Participant::Core(self.listed_core_from(leader + 1));
-                let side = Partition::side(&[leader], &[0], &[0, 4], &[1], way);
-                let only =
-                    Partition { inside: vec![Participant::Core(leader)], others: Some(vec![other]), way };
-                self.cut(if pair { only } else { side }, secs);
-            }
+            SevereFault::CutLeader { way, pair, secs } => self.cut_leader(way, pair, secs),
             SevereFault::RestartCore { core, down, power, wipe, seeds } => {
-                if !self.cores[core].listed {
-                    return;
-                }
-                self.kill(NodeRef::Core(core), power);
-                self.cores[core].disk.crash(power, wipe, &mut self.rng);
-                self.cores[core].seeds = seeds;
-                self.mark_core_faulty_for(down, self.plan.resync);
-                self.schedule_after(down, SimulationEvent::Boot(NodeRef::Core(core)));
+                self.restart_core(core, down, power, wipe, seeds)
             }
             SevereFault::RestartEdge { edge, down, seeds } => {
                 self.kill(NodeRef::Edge(edge), false);
@@ -194,42 +181,16 @@
                 self.mark_edge_faulty_for(edge, down + 3.0);
                 self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(edge)));
             }
-            SevereFault::Replace { core, later } => {
-                self.terminate_core(core);
-                self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
-            }
-            SevereFault::ReplaceHolder { later } => {
-                let holder = self
-                    .invariants
-                    .quota_leader()
-                    .filter(|n| self.cores[*n].listed)
-                    .unwrap_or(self.listed_core_from(0));
-                self.terminate_core(holder);
-                self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
-            }
+            SevereFault::Replace { core, later } => self.replace_core(core, later),
+            SevereFault::ReplaceHolder { later } => self.replace_core(self.listed_quota_leader(), later),
             SevereFault::Add => self.add_core(),
             SevereFault::Remove { core } => self.terminate_core(core),
-            SevereFault::RemoveHolder => {
-                let holder = self
-                    .invariants
-                    .quota_leader()
-                    .filter(|n| self.cores[*n].listed)
-                    .unwrap_or(self.listed_core_from(0));
-                self.terminate_core(holder);
-            }
+            SevereFault::RemoveHolder => self.terminate_core(self.listed_quota_leader()),
             SevereFault::Dies { core } => {
-                self.kill(NodeRef::Core(core), true);
-                self.cores[core].disk.crash(true, true, &mut self.rng);
+                self.lose_core(core);
                 self.mark_core_faulty_for(0.0, self.plan.resync);
             }
-            SevereFault::SlowDisk { core, each, secs } => {
-                self.cores[core].disk.stalled_until = self.now + each;
-                self.mark_core_faulty_for(each, 3.0);
-                if secs > each {
-                    let later = SevereFault::SlowDisk { core, each, secs: secs - 1.5 * each };
-                    self.schedule_after(1.5 * each, SimulationEvent::Fault(Fault::Severe(later)));
-                }
-            }
+            SevereFault::SlowDisk { core, each, secs } => self.slow_disk(core, each, secs),
             SevereFault::AtSnapshot(at) => self.invariants.pending_snapshot_crashes.push(at),
             SevereFault::BlackoutAfterAck { down, edges } => {
                 self.arm_crash(PendingCrash::Blackout { down, edges })
@@ -237,25 +198,8 @@
             SevereFault::HitAfterAck { down, wipe, more } => {
                 self.arm_crash(PendingCrash::Hit { down, wipe, more })
             }
-            SevereFault::Term { core, down } => {
-                if !self.cores[core].listed || !self.has_process(NodeRef::Core(core)) {
-                    return;
-                }
-                self.core_event(core, control_plane::Event::Shutdown);
-                let (incarnation, late) = (self.cores[core].incarnation, 0.1 + 0.8 * self.rng.f64());
-                self.schedule_after(late, SimulationEvent::ProcessExited(core, incarnation));
-                self.mark_core_faulty_for(late + down, 4.0);
-                self.schedule_after(late + down, SimulationEvent::Boot(NodeRef::Core(core)));
-            }
-            SevereFault::Succeed { core, later } => {
-                self.kill(NodeRef::Core(core), true);
-                self.cores[core].disk.crash(true, true, &mut self.rng);
-                self.cores[core].listed = false;
-                self.invariants.removed_at.insert(core, self.now);
-                self.mark_core_faulty_for(later, 4.0);
-                self.rewrite_seed_lists();
-                self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
-            }
+            SevereFault::Term { core, down } => self.restart_core_gracefully(core, down),
+            SevereFault::Succeed { core, later } => self.lose_and_replace_core(core, later),
             SevereFault::Reread { who, seeds } => {
                 who.into_iter().for_each(|who| self.reload_settings(who, &seeds))
             }
@@ -267,41 +211,106 @@
                     NodeRef::Edge(n) => self.mark_edge_faulty_for(n, 3.0),
                 }
             }
-            SevereFault::Drag { core, secs } => {
-                self.inject_fault(Fault::Freeze { who: NodeRef::Core(core), secs: 0.16 });
-                if secs > 0.2 {
-                    self.schedule_after(
-                        0.2,
-                        SimulationEvent::Fault(Fault::Severe(SevereFault::Drag { core, secs: secs - 0.2 })),
-                    );
-                }
-            }
+            SevereFault::Drag { core, secs } => self.throttle_core(core, secs),
             SevereFault::DiskFull { core, secs } => {
                 self.cores[core].disk.full_until = self.now + secs;
                 self.mark_core_faulty_for(secs, 3.0);
             }
-            SevereFault::AtHolder(fault) => {
-                let holder = self
-                    .invariants
-                    .quota_leader()
-                    .filter(|n| self.cores[*n].listed)
-                    .unwrap_or(self.listed_core_from(0));
-                self.inject_fault(fault.at(holder));
-            }
-            SevereFault::Blackout { down, wipe, edges } => {
-                for n in self.listed_cores() {
-                    self.kill(NodeRef::Core(n), true);
-                    self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
-                    let late = 0.2 * self.rng.f64();
-                    self.schedule_after(down + late, SimulationEvent::Boot(NodeRef::Core(n)));
-                }
-                for n in (0..self.edges.len()).filter(|_| edges) {
-                    self.kill(NodeRef::Edge(n), true);
-                    self.mark_edge_faulty_for(n, down + 4.0);
-                    self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(n)));
-                }
-                self.mark_core_faulty_for(down + 0.2, self.plan.resync);
-            }
+            SevereFault::AtHolder(fault) => self.inject_fault(fault.at(self.listed_quota_leader())),
+            SevereFault::Blackout { down, wipe, edges } => self.blackout(down, &wipe, edges),
+        }
+    }
+
+    /// The core node that responded last as the quota leader, if it is still listed; otherwise the first listed one.
+    fn listed_quota_leader(&self) -> usize {
+        let leader = self.invariants.quota_leader().filter(|n| self.cores[*n].listed);
+        leader.unwrap_or(self.listed_core_from(0))
+    }
+
+    /// Partitions the quota leader, from the next core node only (`pair`) or from all others outside its side.
+    fn cut_leader(&mut self, way: Direction, pair: bool, secs: f64) {
+        let leader = self.invariants.quota_leader().unwrap_or(0);
+        let other = Participant::Core(self.listed_core_from(leader + 1));
+        let side = Partition::side(&[leader], &[0], &[0, 4], &[1], way);
+        let only = Partition { inside: vec![Participant::Core(leader)], others: Some(vec![other]), way };
+        self.cut(if pair { only } else { side }, secs);
+    }
+
+    fn restart_core(&mut self, core: usize, down: f64, power: bool, wipe: bool, seeds: Vec<usize>) {
+        if !self.cores[core].listed {
+            return;
+        }
+        self.kill(NodeRef::Core(core), power);
+        self.cores[core].disk.crash(power, wipe, &mut self.rng);
+        self.cores[core].seeds = seeds;
+        self.mark_core_faulty_for(down, self.plan.resync);
+        self.schedule_after(down, SimulationEvent::Boot(NodeRef::Core(core)));
+    }
+
+    fn restart_core_gracefully(&mut self, core: usize, down: f64) {
+        if !self.cores[core].listed || !self.has_process(NodeRef::Core(core)) {
+            return;
+        }
+        self.core_event(core, control_plane::Event::Shutdown);
+        let (incarnation, late) = (self.cores[core].incarnation, 0.1 + 0.8 * self.rng.f64());
+        self.schedule_after(late, SimulationEvent::ProcessExited(core, incarnation));
+        self.mark_core_faulty_for(late + down, 4.0);
+        self.schedule_after(late + down, SimulationEvent::Boot(NodeRef::Core(core)));
+    }
+
+    /// Ends a core node; a successor with an empty disk starts `later` seconds after.
+    fn replace_core(&mut self, core: usize, later: f64) {
+        self.terminate_core(core);
+        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+    }
+
+    /// A core node loses power and its disk.
+    fn lose_core(&mut self, core: usize) {
+        self.kill(NodeRef::Core(core), true);
+        self.cores[core].disk.crash(true, true, &mut self.rng);
+    }
+
+    fn lose_and_replace_core(&mut self, core: usize, later: f64) {
+        self.lose_core(core);
+        self.cores[core].listed = false;
+        self.invariants.removed_at.insert(core, self.now);
+        self.mark_core_faulty_for(later, 4.0);
+        self.rewrite_seed_lists();
+        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+    }
+
+    /// Stalls the disk for `each` seconds, again and again until `secs` are over.
+    fn slow_disk(&mut self, core: usize, each: f64, secs: f64) {
+        self.cores[core].disk.stalled_until = self.now + each;
+        self.mark_core_faulty_for(each, 3.0);
+        if secs > each {
+            let later = SevereFault::SlowDisk { core, each, secs: secs - 1.5 * each };
+            self.schedule_after(1.5 * each, SimulationEvent::Fault(Fault::Severe(later)));
+        }
+    }
+
+    /// Freezes the process for most of each fifth of a second until `secs` are over.
+    fn throttle_core(&mut self, core: usize, secs: f64) {
+        self.inject_fault(Fault::Freeze { who: NodeRef::Core(core), secs: 0.16 });
+        if secs > 0.2 {
+            let rest = SevereFault::Drag { core, secs: secs - 0.2 };
+            self.schedule_after(0.2, SimulationEvent::Fault(Fault::Severe(rest)));
+        }
+    }
+
+    /// All core nodes lose power, and all edge nodes if `edges`; the disks in `wipe` are lost.
+    fn blackout(&mut self, down: f64, wipe: &[usize], edges: bool) {
+        for n in self.listed_cores() {
+            self.kill(NodeRef::Core(n), true);
+            self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
+            let late = 0.2 * self.rng.f64();
+            self.schedule_after(down + late, SimulationEvent::Boot(NodeRef::Core(n)));
+        }
+        for n in (0..self.edges.len()).filter(|_| edges) {
+            self.kill(NodeRef::Edge(n), true);
+            self.mark_edge_faulty_for(n, down + 4.0);
+            self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(n)));
         }
+        self.mark_core_faulty_for(down + 0.2, self.plan.resync);
     }
 }
