--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -1,15 +1,13 @@
 //! Operators in number: orders under way at once, twins under one number, answers lost on their way, the same order
 //! sent again long after, invalid ones, reads all the while. They know what comes back on their sockets and no more.
 
-use super::partitions::Participant;
-use super::{CallOrigin, ControlCall, SimulationEvent, World};
 use crate::history::{Held, Read};
 use whinstall_gateway::configuration::{parse_change, ConfigItem};
 
 /// How much operators do.
 #[derive(Clone, Debug)]
 pub struct OperatorLoad {
-    pub clerks: usize,
+    pub operators: usize,
     /// Orders that one has under way at once.
     pub at_once: usize,
     /// Orders in all, twins not counted.
@@ -20,13 +18,13 @@
     pub pause: f64,
     /// Parts of the orders: with a twin of other content, whose answer is lost, sent again when confirmed, invalid,
     /// with a key that another order gives to another tenant.
-    pub twins: f64,
-    pub lost: f64,
-    pub again: f64,
-    pub invalid: f64,
-    pub shared: f64,
+    pub twin_fraction: f64,
+    pub lost_fraction: f64,
+    pub resend_fraction: f64,
+    pub invalid_fraction: f64,
+    pub shared_key_fraction: f64,
     /// Part of the orders that are under way at two machines from the start.
-    pub doubled: f64,
+    pub duplicate_fraction: f64,
     pub labels: usize,
     /// Seconds between two reads of one operator; 0: none but the last.
     pub reads: f64,
@@ -39,18 +37,18 @@
 impl Default for OperatorLoad {
     fn default() -> Self {
         OperatorLoad {
-            clerks: 0,
+            operators: 0,
             at_once: 2,
             orders: 10_000,
             from: 2.0,
             until: f64::INFINITY,
             pause: 0.6,
-            twins: 0.3,
-            lost: 0.1,
-            again: 0.3,
-            invalid: 0.05,
-            shared: 0.1,
-            doubled: 0.0,
+            twin_fraction: 0.3,
+            lost_fraction: 0.1,
+            resend_fraction: 0.3,
+            invalid_fraction: 0.05,
+            shared_key_fraction: 0.1,
+            duplicate_fraction: 0.0,
             labels: 6,
             reads: 0.7,
             learned: false,
@@ -71,7 +69,7 @@
 /// An order, and what was heard of it.
 #[derive(Clone, Debug)]
 pub struct SentChange {
-    pub clerk: usize,
+    pub operator: usize,
     pub sort: ChangeValidity,
     pub labels: Vec<usize>,
     pub version: u64,
@@ -90,7 +88,7 @@
     /// Was no answer heard yet?
     pub open: bool,
     pub given_up: bool,
-    tries: u32,
+    pub(crate) tries: u32,
 }
 
 impl SentChange {
@@ -118,8 +116,8 @@
     pub heard: std::collections::HashMap<u64, Vec<Held>>,
     /// Orders without a clear answer.
     pub waiting: Vec<usize>,
-    version: u64,
-    issued: usize,
+    pub(crate) version: u64,
+    pub(crate) issued: usize,
     pub answers: u64,
 }
 
@@ -133,7 +131,7 @@
         "revision": format!("r{version}")})
 }
 
-fn items(
+pub(crate) fn items(
     sort: ChangeValidity,
     labels: &[usize],
     version: u64,
@@ -184,280 +182,3 @@
 pub fn content(prefix: &str) -> Option<u64> {
     prefix.trim_end_matches('/').rsplit('/').next()?.parse().ok()
 }
-
-impl World {
-    pub fn start_clerks(&mut self) {
-        let crew = self.plan.crew.clone();
-        for clerk in 0..crew.clerks {
-            for _ in 0..crew.at_once {
-                let late = 0.2 * self.rng.f64();
-                self.at(crew.from + late, SimulationEvent::OperatorTurn(OperatorStep::Next(clerk)));
-            }
-            if crew.reads > 0.0 {
-                self.at(crew.from, SimulationEvent::OperatorTurn(OperatorStep::Read(clerk)));
-            }
-        }
-    }
-
-    pub fn turn(&mut self, turn: OperatorStep) {
-        match turn {
-            // Services that orders name must stand.
-            OperatorStep::Next(_) if !self.audit.begun() => {
-                self.after(0.2, SimulationEvent::OperatorTurn(turn))
-            }
-            OperatorStep::Next(clerk) => self.issue(clerk),
-            OperatorStep::Again(order) => {
-                let (clerk, core) = (self.desk.orders[order].clerk, self.rng.usize(0..64));
-                self.call(core, CallOrigin::Order { order, clerk, again: true });
-            }
-            OperatorStep::Read(clerk) => {
-                let core = self.rng.usize(0..64);
-                let from = self.now;
-                self.call(core, CallOrigin::Look { clerk, from });
-            }
-        }
-    }
-
-    fn issue(&mut self, clerk: usize) {
-        let crew = &self.plan.crew;
-        if self.now > crew.until || self.desk.issued >= crew.orders || self.operator.done {
-            return;
-        }
-        let (twins, shared, invalid, labels) = (crew.twins, crew.shared, crew.invalid, crew.labels);
-        self.desk.issued += 1;
-        self.desk.version += 1;
-        let (version, draw) = (self.desk.version, self.rng.f64());
-        let sort = match draw {
-            _ if draw < invalid => ChangeValidity::Invalid,
-            _ if draw < invalid + shared => ChangeValidity::SharedKey,
-            _ => ChangeValidity::Proper,
-        };
-        let some = |rng: &mut fastrand::Rng, first: usize| {
-            let mut some = vec![first];
-            for _ in 0..rng.usize(0..3) {
-                some.push(rng.usize(0..labels));
-            }
-            some.sort_unstable();
-            some.dedup();
-            some
-        };
-        let first = self.rng.usize(0..labels);
-        let ours = some(&mut self.rng, first);
-        let one = self.file(clerk, sort, ours.clone(), version, version);
-        let twin =
-            sort == ChangeValidity::SharedKey || sort == ChangeValidity::Proper && self.rng.f64() < twins;
-        if twin {
-            let other = self.rng.usize(0..self.plan.crew.clerks);
-            let theirs = if self.rng.bool() { ours } else { some(&mut self.rng, first) };
-            let two = self.file(other, sort, theirs, version, version);
-            (self.desk.orders[one].rival, self.desk.orders[two].rival) = (Some(two), Some(one));
-            let core = self.rng.usize(0..64);
-            self.call(core, CallOrigin::Order { order: two, clerk: other, again: true });
-        }
-        let drawn = self.rng.usize(0..64);
-        let runs = |n: &usize| self.cores[*n].listed && self.cores[*n].core.is_some();
-        let running = (drawn..drawn + self.cores.len()).map(|n| n % self.cores.len()).find(runs);
-        let core = running.filter(|_| self.plan.crew.learned).unwrap_or(drawn);
-        self.call(core, CallOrigin::Order { order: one, clerk, again: false });
-        if self.plan.crew.doubled > 0.0 && self.rng.f64() < self.plan.crew.doubled {
-            self.call(core + 1, CallOrigin::Order { order: one, clerk, again: true });
-        }
-    }
-
-    fn file(
-        &mut self,
-        clerk: usize,
-        sort: ChangeValidity,
-        labels: Vec<usize>,
-        version: u64,
-        key: u64,
-    ) -> usize {
-        let content = self.desk.orders.len() as u64;
-        let items = items(sort, &labels, version, content, key, self.plan.crew.note);
-        let (taken, confirmed, refused, rival) = (None, None, None, None);
-        let began = self.now;
-        let (open, given_up, tries) = (true, false, 0);
-        self.desk.orders.push(SentChange {
-            clerk,
-            sort,
-            labels,
-            version,
-            content,
-            items,
-            began,
-            taken,
-            confirmed,
-            refused,
-            rival,
-            open,
-            given_up,
-            tries,
-        });
-        self.desk.waiting.push(content as usize);
-        content as usize
-    }
-
-    /// A core machine answers an order: what it says counts, heard or not.
-    pub fn order_answered(&mut self, order: usize, core: usize, status: u16) {
-        self.desk.answers += 1;
-        let now = self.now;
-        let o = &self.desk.orders[order];
-        let rival = o.rival.map(|r| &self.desk.orders[r]);
-        let who = format!("order {order} (r{} of {:?}, {:?}) at core {core}", o.version, o.labels, o.sort);
-        let mut wrong = None;
-        match status {
-            200 if o.sort == ChangeValidity::Invalid => {
-                wrong = Some(format!("INVALID {now:.3}: {who} was confirmed"))
-            }
-            200 => {
-                if let Some((at, status)) = o.refused.filter(|r| r.1 == 409) {
-                    wrong = Some(format!("NUMBER {now:.3}: {who} is confirmed, {status} at {at:.3}"));
-                }
-                if let Some(at) = rival.and_then(|r| r.taken) {
-                    let (what, other) =
-                        (if o.sort == ChangeValidity::Proper { "NUMBER" } else { "KEY" }, o.rival);
-                    wrong = Some(format!(
-                        "{what} {now:.3}: {who} is confirmed, its rival {other:?} was at {at:.3}"
-                    ));
-                }
-            }
-            400 | 409 => {
-                if let Some(at) = o.taken {
-                    wrong = Some(format!("REFUSED {now:.3}: {who} gets {status}, confirmed at {at:.3}"));
-                }
-                let proper = match o.sort {
-                    ChangeValidity::Proper => status == 409 && rival.is_some(),
-                    ChangeValidity::Invalid | ChangeValidity::SharedKey => status == 400,
-                };
-                if !proper {
-                    wrong = Some(format!("REFUSED {now:.3}: {who} gets {status}, rival {:?}", o.rival));
-                }
-            }
-            307 | 503 => {}
-            _ => wrong = Some(format!("ODD {now:.3}: {who} gets {status}")),
-        }
-        self.audit.broken.extend(wrong);
-        let o = &mut self.desk.orders[order];
-        match status {
-            200 => {
-                let first = o.taken.replace(o.taken.unwrap_or(now)).is_none();
-                for label in o.labels.clone().into_iter().filter(|_| o.sort == ChangeValidity::Proper) {
-                    let (version, content) = (o.version, o.content);
-                    self.watch.stands(now, label, version, content, "confirmed", &mut self.audit.broken);
-                }
-                if first {
-                    self.acked(core);
-                }
-            }
-            400 | 409 => {
-                o.refused.get_or_insert((now, status));
-            }
-            _ => {}
-        }
-    }
-
-    /// An operator hears the answer to an order.
-    pub fn order_back(&mut self, call: ControlCall, status: u16) {
-        let CallOrigin::Order { order, again, .. } = call.by else { return };
-        let o = &mut self.desk.orders[order];
-        if status != 200 && status != 400 && status != 409 {
-            return self.order_failed(call);
-        }
-        let first = std::mem::take(&mut o.open);
-        if status == 200 {
-            o.confirmed.get_or_insert(self.now);
-            if first && self.rng.f64() < self.plan.crew.again {
-                let late = 8.0 * self.rng.f64() * self.rng.f64();
-                self.after(late, SimulationEvent::OperatorTurn(OperatorStep::Again(order)));
-            }
-        }
-        self.freed(again, order);
-    }
-
-    fn freed(&mut self, again: bool, order: usize) {
-        if !again {
-            let wait = self.plan.crew.pause * self.rng.f64();
-            let clerk = self.desk.orders[order].clerk;
-            self.after(wait, SimulationEvent::OperatorTurn(OperatorStep::Next(clerk)));
-        }
-    }
-
-    /// Silence or no clear answer: the same once more to another machine.
-    pub fn order_failed(&mut self, call: ControlCall) {
-        let CallOrigin::Order { order, again, .. } = call.by else { return };
-        let o = &mut self.desk.orders[order];
-        o.tries += 1;
-        // Twins may stay without a clear answer, and so may what is sent again.
-        let enough = if o.confirmed.is_some() { 40 } else { 25 };
-        if (again || o.rival.is_some()) && o.tries > enough {
-            o.given_up = true;
-            return self.freed(again, order);
-        }
-        let pause = 0.1 + 0.2 * self.rng.f64();
-        self.recall(call, pause);
-    }
-
-    pub fn read_answered(&mut self, call: u64, body: &serde_json::Value) {
-        let held = registers(self.plan.crew.labels, body);
-        for (label, held) in held.iter().enumerate() {
-            if let Some((version, content)) = held {
-                self.watch.stands(self.now, label, *version, *content, "read", &mut self.audit.broken);
-                self.refused_stands(*content, "read");
-            }
-        }
-        let mut keys = std::collections::HashMap::new();
-        let list = &body["tenant_set"];
-        let at = |name: &str| list["columns"].as_array().and_then(|c| c.iter().position(|c| c == name));
-        if let (Some(name), Some(key)) = (at("label"), at("credentials")) {
-            for row in list["records"].as_array().into_iter().flatten() {
-                let owner = row[name].as_str().unwrap_or_default().to_owned();
-                for key in row[key].as_array().into_iter().flatten().filter_map(|k| k.as_str()) {
-                    if let Some(other) = keys.insert(key.to_owned(), owner.clone()) {
-                        let now = self.now;
-                        self.audit
-                            .broken
-                            .push(format!("KEY {now:.3}: {other} and {owner} hold {key} as read"));
-                    }
-                }
-            }
-        }
-        self.desk.heard.insert(call, held);
-    }
-
-    /// A clerk hears what stands.
-    pub fn look_back(&mut self, call: u64, clerk: usize, from: f64) {
-        let Some(held) = self.desk.heard.remove(&call) else { return };
-        self.desk.reads.push(Read { from, to: self.now, held });
-        match self.operator.done {
-            true => self.desk.read_at_end = true,
-            false if self.plan.crew.reads > 0.0 => {
-                let wait = self.plan.crew.reads * (0.5 + self.rng.f64());
-                self.after(wait, SimulationEvent::OperatorTurn(OperatorStep::Read(clerk)));
-            }
-            false => {}
-        }
-    }
-
-    /// What was refused for its number must never stand.
-    pub fn refused_stands(&mut self, content: u64, seen: &str) {
-        let now = self.now;
-        let Some(o) = self.desk.orders.get(content as usize) else { return };
-        if let Some((at, status)) = o.refused {
-            if self.watch.told.insert((content, seen.into())) {
-                let text = format!("REFUSED {now:.3}: order {content} stands as {seen}, {status} at {at:.3}");
-                self.audit.broken.push(text);
-            }
-        }
-    }
-
-    /// Who sends this call?
-    pub fn sender(&self, by: &CallOrigin) -> Participant {
-        match by {
-            CallOrigin::Beat(n) | CallOrigin::Depart(n) => Participant::Worker(*n),
-            CallOrigin::Amend(_) | CallOrigin::Read => Participant::Operator(0),
-            CallOrigin::Order { clerk, .. } | CallOrigin::Look { clerk, .. } => {
-                Participant::Operator(clerk + 1)
-            }
-        }
-    }
-}
