--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -148,7 +148,10 @@
                     if self.cores[n].incarnation == incarnation && self.cores[n].core.is_some() {
                         self.core_event(n, control_plane::Event::Tick);
                         self.check_repair(n);
-                        self.schedule_after(control_plane::TICK, SimulationEvent::CoreTick(n, incarnation));
+                        self.schedule_after(
+                            control_plane::TICK_SECS,
+                            SimulationEvent::CoreTick(n, incarnation),
+                        );
                     }
                 }
                 SimulationEvent::EdgeTick(n, incarnation) => self.tick_edge(n, incarnation),
