--- a/crates/gateway/src/configuration/content_hash.rs
+++ b/crates/gateway/src/configuration/content_hash.rs
@@ -76,7 +76,7 @@
         None => text.push_str("dropped"),
         Some(body) => fields(&mut text, body.iter().filter(|(_, value)| !value.is_null())),
     }
-    whinstall::ground::hash(&text)
+    whinstall::identifiers::fnv1a(&text)
 }
 
 fn put(text: &mut String, part: std::fmt::Arguments) {
--- a/crates/gateway/src/configuration/state_tests.rs
+++ b/crates/gateway/src/configuration/state_tests.rs
@@ -393,11 +393,11 @@
         expect_that!(hash(text), not(eq(same)), "{text}");
     }
     // On disks since the first build: these never change.
-    expect_that!(verbatim_hash(None), eq(whinstall::ground::hash("dropped")));
-    expect_that!(hash("{}"), eq(whinstall::ground::hash("{0")));
+    expect_that!(verbatim_hash(None), eq(whinstall::identifiers::fnv1a("dropped")));
+    expect_that!(hash("{}"), eq(whinstall::identifiers::fnv1a("{0")));
     expect_that!(
         same,
-        eq(whinstall::ground::hash(r##"{3"1:a#1;"1:b[2t"1:x"1:c{2"1:d#-2;"1:e~3fe0000000000000;"##))
+        eq(whinstall::identifiers::fnv1a(r##"{3"1:a#1;"1:b[2t"1:x"1:c{2"1:d#-2;"1:e~3fe0000000000000;"##))
     );
 }
 
--- a/crates/gateway/src/data_plane/load_table.rs
+++ b/crates/gateway/src/data_plane/load_table.rs
@@ -5,7 +5,7 @@
 use crate::protocol::{LoadReport, NodeLocation};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
-use whinstall::ground;
+use whinstall::identifiers;
 
 /// A change is told to the own zone after so long for each of its gatekeepers: seconds.
 const NEAR_EACH: f64 = 0.001;
@@ -41,7 +41,7 @@
 
 /// A worker's short name.
 pub fn key(worker: &str) -> u32 {
-    ground::hash(worker) as u32
+    identifiers::fnv1a(worker) as u32
 }
 
 impl LoadTable {
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -28,7 +28,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
 use upstream_service::UpstreamService;
-use whinstall::{ground, HostId, RequestId};
+use whinstall::{identifiers, HostId, RequestId};
 
 /// What happens to this process.
 #[derive(Clone, Debug)]
@@ -182,7 +182,7 @@
             counted_by: None,
             pinged: f64::NEG_INFINITY,
             gates: 0,
-            rng: fastrand::Rng::with_seed(life ^ ground::hash(&settings.node)),
+            rng: fastrand::Rng::with_seed(life ^ identifiers::fnv1a(&settings.node)),
             drain: None,
             settings,
             incarnation: life,
@@ -462,7 +462,7 @@
     /// The service of this name, made if need be.
     fn service(&mut self, name: &Arc<str>) {
         if !self.services.contains_key(name) {
-            let ordinal = (ground::hash(&self.settings.node) >> 40) as u32;
+            let ordinal = (identifiers::fnv1a(&self.settings.node) >> 40) as u32;
             let seed = self.rng.u64(..);
             let made = UpstreamService::new(Arc::clone(name), &self.settings.zone, ordinal, self.gates, seed);
             self.services.insert(Arc::clone(name), made);
--- a/src/fleet/replica.rs
+++ b/src/fleet/replica.rs
@@ -7,7 +7,7 @@
 //! An origin is a gatekeeper's name with its incarnation: one that comes back under its old name is a new origin, and
 //! what its former self spent stays on that one's shelf until it is out of date.
 
-use crate::ground::{hash, CustomerId, HostId};
+use crate::identifiers::{fnv1a, CustomerId, HostId};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -529,10 +529,10 @@
     pub fn spent(&self) -> (usize, u64) {
         let (mut count, mut sum) = (0, 0u64);
         for (origin, shelf) in &self.shelves {
-            let of = hash(&origin.name) ^ origin.incarnation.wrapping_mul(GOLDEN_BITS);
+            let of = fnv1a(&origin.name) ^ origin.incarnation.wrapping_mul(GOLDEN_BITS);
             for (key, row) in &shelf.rows {
                 if let Key::Spent(customer, window) = key {
-                    let what = hash(&customer.0) ^ (*window as u64).wrapping_mul(GOLDEN_BITS);
+                    let what = fnv1a(&customer.0) ^ (*window as u64).wrapping_mul(GOLDEN_BITS);
                     let one = (of ^ what.rotate_left(17)).wrapping_add(row.version).wrapping_mul(GOLDEN_BITS);
                     (count, sum) = (count + 1, sum.wrapping_add(one ^ one >> 29));
                 }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -2,7 +2,7 @@
 //! repetition and cut pieces ends in equal copies once links hold, and nothing passes the stated bounds.
 
 use super::replica::*;
-use crate::ground::{CustomerId, HostId};
+use crate::identifiers::{CustomerId, HostId};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use std::sync::Arc;
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -68,7 +68,7 @@
 mod tests {
     use super::*;
     use crate::fleet::replica::{Key, Origin, Row, Said};
-    use crate::ground::CustomerId;
+    use crate::identifiers::CustomerId;
     use proptest::prelude::*;
     use std::sync::Arc;
 
--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet::budget::{Ppm, WHOLE};
 use crate::gateway::state::{Customer, Gateway};
-use crate::ground::CustomerId;
+use crate::identifiers::CustomerId;
 
 /// Units asked are a rate over so many seconds: a demand that moves is followed within one.
 const WANTS_S: f64 = 1.0;
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -87,7 +87,7 @@
             let warmth = self.warmth(h);
             self.ready += warmth;
             let far = self.s.cross_zone_price > 0.0 && h.zone != self.s.zone;
-            rings[usize::from(far)].push((hash(&id.0), h.nominal * warmth * h.part.unwrap_or(1.0), id, h));
+            rings[usize::from(far)].push((fnv1a(&id.0), h.nominal * warmth * h.part.unwrap_or(1.0), id, h));
         }
         let mut tables: [Vec<(f64, HostId)>; 2] = Default::default();
         for (ring, table) in rings.iter_mut().zip(&mut tables) {
@@ -95,7 +95,7 @@
             let whole: f64 = ring.iter().map(|x| x.1).sum();
             let part = (SUBSET_HOSTS / ring.len() as f64).max(SUBSET_SHARED / f64::from(self.s.replicas));
             // Golden steps: any number of gateways lies evenly on the ring, neighbours far apart.
-            let (mut end, from) = (0.0, (f64::from(self.s.ordinal) * GOLDEN).fract() * whole);
+            let (mut end, from) = (0.0, (f64::from(self.s.ordinal) * GOLDEN_RATIO_FRACTION).fract() * whole);
             let to = from + part.min(1.0) * whole;
             for (_, length, id, h) in ring.iter() {
                 let covered = |at: f64| ((at + length).min(to) - at.max(from)).max(0.0);
--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -6,7 +6,7 @@
 use crate::fleet::replica::{Elsewhere, Judged};
 use crate::gateway::interface::Plan;
 use crate::gateway::state::{count_name, Customer, Gateway, Health, Host};
-use crate::ground::{CustomerId, HostId};
+use crate::identifiers::{CustomerId, HostId};
 use std::collections::BTreeMap;
 
 /// What this gateway charged one customer in one window.
--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -2,7 +2,7 @@
 //! and what other gateways have out, where they tell. It must never decide on a request.
 
 use crate::gateway::state::Gateway;
-use crate::ground::HostId;
+use crate::identifiers::HostId;
 
 impl Gateway {
     /// Further attempts that may be sent until this is told again; fractions of one count for nothing.
--- a/src/gateway/interface.rs
+++ b/src/gateway/interface.rs
@@ -1,6 +1,6 @@
 //! What goes in and out of the decisions: settings, events, actions, ids. Nothing here decides.
 
-pub use crate::ground::{CountName, CustomerId, Ending, HostId, RequestId};
+pub use crate::identifiers::{CountName, CustomerId, Ending, HostId, RequestId};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/src/gateway/legacy.rs
+++ b/src/gateway/legacy.rs
@@ -3,7 +3,7 @@
 //! never let two processes spend the same part of a hard ceiling.
 
 use crate::gateway::state::{Customer, Flow, Gateway, Health, Host};
-use crate::ground::{CustomerId, HostId};
+use crate::identifiers::{CustomerId, HostId};
 use crate::quota::share::Share;
 use std::sync::Arc;
 
--- a/src/gateway/rules.rs
+++ b/src/gateway/rules.rs
@@ -83,7 +83,7 @@
         let p = &self.s.plans[plan];
         let (max_cost, limited) = (p.burst.max(self.s.units_top), p.rate > 0.0);
         let width = f64::from(if width == 0 { self.s.replicas } else { width });
-        let phase = (hash(&customer.0) >> 40) as f64 / (1u64 << 24) as f64;
+        let phase = (fnv1a(&customer.0) >> 40) as f64 / (1u64 << 24) as f64;
         let phase_of = |at: f64| at / Self::window_s(p) + phase;
         let window = phase_of(now).floor();
         // Full when this gateway started: what the rate added to the window before went over the brim.
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -2,7 +2,7 @@
 
 use crate::gateway::copies::Books;
 use crate::gateway::interface::*;
-pub(crate) use crate::ground::{hash, GOLDEN};
+pub(crate) use crate::identifiers::{fnv1a, GOLDEN_RATIO_FRACTION};
 use crate::quota::share::Share;
 use crate::quota::{Guard, QuotaSettings, Report};
 use std::cmp::Reverse;
@@ -413,7 +413,7 @@
     let key: &str = &id.0;
     match key.len() {
         0..=40 => CountName(format!("{kind}{window}:{key}").into()),
-        _ => CountName(format!("{kind}{window}#{:016x}", hash(key)).into()),
+        _ => CountName(format!("{kind}{window}#{:016x}", fnv1a(key)).into()),
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -86,7 +86,7 @@
 pub mod config;
 pub mod fleet;
 mod gateway;
-pub mod ground;
+pub mod identifiers;
 pub mod operators;
 pub mod quota;
 #[cfg(feature = "adapter")]
--- a/src/net/zone_failover.rs
+++ b/src/net/zone_failover.rs
@@ -106,7 +106,8 @@
     /// Starts without endpoints.
     pub fn new(settings: ZoneFailoverSettings, gatekeeper: Gatekeeper, now: Duration) -> Self {
         // Multiples of the golden ratio spread the jitter evenly over the gatekeepers, however many there are.
-        let jitter_unit = (f64::from(gatekeeper.ordinal) * whinstall::ground::GOLDEN).fract();
+        let jitter_unit =
+            (f64::from(gatekeeper.ordinal) * whinstall::identifiers::GOLDEN_RATIO_FRACTION).fract();
         let now_secs = now.as_secs_f64();
         ZoneBalancer {
             detection_timeout: settings.detection_timeout,
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -15,7 +15,7 @@
 pub use mode::Mode;
 pub use settings::QuotaSettings;
 
-use crate::ground::{hash, CountName, CustomerId, Ending, GOLDEN};
+use crate::identifiers::{fnv1a, CountName, CustomerId, Ending, GOLDEN_RATIO_FRACTION};
 use breaker::Breaker;
 use line::{Line, Proof};
 use mode::{Came, Evidence};
@@ -153,7 +153,7 @@
 
     /// A name's key in its part's evidence, and that part.
     fn place(&self, name: &CountName) -> (u64, usize) {
-        let key = hash(&name.0);
+        let key = fnv1a(&name.0);
         (key, (key % self.parts.len() as u64) as usize)
     }
 
@@ -255,7 +255,7 @@
             }
         };
         if came == Came::Not {
-            self.unit = (self.unit + GOLDEN).fract();
+            self.unit = (self.unit + GOLDEN_RATIO_FRACTION).fract();
             count.breaker.failed(now, self.unit, &s);
         } else {
             count.breaker.succeeded();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -290,7 +290,7 @@
     let from = NEXT.fetch_add(100_000, Ordering::Relaxed);
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock").as_secs_f64();
     let phase =
-        |who: u32| (whinstall::ground::hash(&format!("{who:016x}")) >> 40) as f64 / (1u64 << 24) as f64;
+        |who: u32| (whinstall::identifiers::fnv1a(&format!("{who:016x}")) >> 40) as f64 / (1u64 << 24) as f64;
     let begun = |who: &u32| (passed..passed + 0.08).contains(&(now / window + phase(*who)).fract());
     (from..).filter(begun).take(count).collect()
 }
