--- a/src/quota/line.rs
+++ b/src/quota/ledger.rs
@@ -172,5 +172,5 @@
 }
 
 #[cfg(test)]
-#[path = "line_tests.rs"]
+#[path = "ledger_tests.rs"]
 mod tests;
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,12 +1,12 @@
 //! The counter's guard: what of the counter's answers the decision module may go by, and when it may be called,
-//! while the counter is lost, late, split or replaced. It owns the books of each count ([`line`]), a breaker for
+//! while the counter is lost, late, split or replaced. It owns the books of each count ([`ledger`]), a breaker for
 //! each ([`breaker`]), the mode of each part of the counter ([`mode`]), the comparison with the meter ([`witness`])
 //! and the estimates where no total tells ([`share`]). Pure: time and random draws are passed in, no I/O. It must never refuse a session or charge a
 //! customer: it hands the module totals, or none, and the module decides.
 
 pub mod bound;
 pub mod breaker;
-pub mod line;
+pub mod ledger;
 pub mod mode;
 pub mod settings;
 pub mod share;
@@ -17,7 +17,7 @@
 
 use crate::identifiers::{fnv1a, CountName, CustomerId, Ending, GOLDEN_RATIO_FRACTION};
 use breaker::Breaker;
-use line::{Line, Proof};
+use ledger::{Line, Proof};
 use mode::{Came, Evidence};
 use std::collections::{BTreeMap, VecDeque};
 use witness::Witness;
