--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,12 +1,12 @@
 //! The counter's guard: what of the counter's answers the decision module may go by, and when it may be called,
-//! while the counter is lost, late, split or replaced. It owns the books of each count ([`line`]), a breaker for
+//! while the counter is lost, late, split or replaced. It owns the books of each count ([`ledger`]), a breaker for
 //! each ([`breaker`]), the mode of each part of the counter ([`mode`]), the comparison with the meter ([`witness`])
 //! and the estimates where no total tells ([`share`]). Pure: time and random draws are passed in, no I/O. It must never refuse a session or charge a
 //! customer: it hands the module totals, or none, and the module decides.
 
 pub mod bound;
 pub mod breaker;
-pub mod line;
+pub mod ledger;
 pub mod mode;
 pub mod settings;
 pub mod share;
@@ -15,9 +15,9 @@
 pub use mode::Mode;
 pub use settings::QuotaSettings;
 
-use crate::ground::{hash, CountName, CustomerId, Ending, GOLDEN};
+use crate::identifiers::{fnv1a, CountName, CustomerId, Ending, GOLDEN_RATIO_FRACTION};
 use breaker::Breaker;
-use line::{Line, Proof};
+use ledger::{Line, Proof};
 use mode::{Came, Evidence};
 use std::collections::{BTreeMap, VecDeque};
 use witness::Witness;
@@ -153,7 +153,7 @@
 
     /// A name's key in its part's evidence, and that part.
     fn place(&self, name: &CountName) -> (u64, usize) {
-        let key = hash(&name.0);
+        let key = fnv1a(&name.0);
         (key, (key % self.parts.len() as u64) as usize)
     }
 
@@ -255,7 +255,7 @@
             }
         };
         if came == Came::Not {
-            self.unit = (self.unit + GOLDEN).fract();
+            self.unit = (self.unit + GOLDEN_RATIO_FRACTION).fract();
             count.breaker.failed(now, self.unit, &s);
         } else {
             count.breaker.succeeded();
