--- a/crates/gateway/src/data_plane/drain.rs
+++ b/crates/gateway/src/data_plane/drain.rs
@@ -53,7 +53,7 @@
     /// Number of those with an attempt in flight.
     pub at_workers: usize,
     /// When the newest of all was received, in seconds of the clock that is passed in.
-    pub newest: Option<f64>,
+    pub newest_received_at: Option<f64>,
 }
 
 impl EdgeNode {
@@ -72,8 +72,9 @@
                 false => unanswered.waiting += 1,
             }
             let received_at = request.received_at;
-            let newest = unanswered.newest.map_or(received_at, |newest: f64| newest.max(received_at));
-            unanswered.newest = Some(newest);
+            let newest =
+                unanswered.newest_received_at.map_or(received_at, |newest: f64| newest.max(received_at));
+            unanswered.newest_received_at = Some(newest);
         }
         unanswered
     }
--- a/crates/gateway/src/data_plane/quota_admission/mod.rs
+++ b/crates/gateway/src/data_plane/quota_admission/mod.rs
@@ -1,8 +1,8 @@
 //! Admission by quota at one edge node.
 //!
 //! The quota leader grants each edge node units ahead of time; a request that finds one is admitted at once, others wait
-//! for the next sync ([`sync`]). While the leader can't be reached, a tenant's standing share counts instead
-//! ([`standing_share`]), until it lapses.
+//! for the next sync (module `sync`). While the leader can't be reached, a tenant's standing share counts instead
+//! (module `standing_share`), until it lapses.
 //!
 //! Invariants: no more is admitted than was granted or, while disconnected, than the standing share allows; nothing that
 //! an earlier leader said counts after a later leader has answered (the term is the fencing token). Time is passed in, in
--- a/crates/gateway/src/data_plane/request_state_tests.rs
+++ b/crates/gateway/src/data_plane/request_state_tests.rs
@@ -166,19 +166,19 @@
         if !self.is_client_gone && self.answer.is_none() {
             steps.extend([Step::Disconnect, Step::Shutdown]);
         }
-        for (n, attempt_truth) in self.attempts.iter().enumerate() {
-            let reached = attempt_truth.written != Written::Nothing;
-            if reached && attempt_truth.fate == Fate::Open {
+        for (n, attempt) in self.attempts.iter().enumerate() {
+            let reached = attempt.written != Written::Nothing;
+            if reached && attempt.fate == Fate::Open {
                 // Also long after the attempt has ended here.
                 steps.extend([Step::Runs(n), Step::Rejects(n)]);
             }
-            if !attempt_truth.is_in_flight {
+            if !attempt.is_in_flight {
                 continue;
             }
             if self.state.is_idempotent {
                 steps.push(Step::AttemptEnds(n, Ending::Cancelled));
             }
-            match attempt_truth.written {
+            match attempt.written {
                 Written::Nothing => {
                     steps
                         .extend([Written::Partial, Written::Complete].map(|written| Step::Write(n, written)));
@@ -190,9 +190,7 @@
                         [Ending::Reset, Ending::Timeout, Ending::Error].map(|e| Step::AttemptEnds(n, e)),
                     );
                     steps.extend(
-                        (0..RESPONSES.len())
-                            .filter(|s| attempt_truth.can_send(*s))
-                            .map(|s| Step::Responds(n, s)),
+                        (0..RESPONSES.len()).filter(|s| attempt.can_send(*s)).map(|s| Step::Responds(n, s)),
                     );
                 }
             }
@@ -212,16 +210,16 @@
         {
             ending = Ending::ConnectFailed;
         }
-        let attempt_truth = &mut self.attempts[n];
-        (attempt_truth.is_in_flight, attempt_truth.is_reported_not_run) = (false, ending.never_ran());
-        if attempt_truth.is_reported_not_run
-            && attempt_truth.written != Written::Nothing
-            && attempt_truth.fate != Fate::Rejected
+        let attempt = &mut self.attempts[n];
+        (attempt.is_in_flight, attempt.is_reported_not_run) = (false, ending.never_ran());
+        if attempt.is_reported_not_run
+            && attempt.written != Written::Nothing
+            && attempt.fate != Fate::Rejected
         {
-            return fail!("attempt {} is reported as not run though it may run", attempt_truth.attempt);
+            return fail!("attempt {} is reported as not run though it may run", attempt.attempt);
         }
-        let attempt = attempt_truth.attempt;
-        let ended = self.state.end_attempt(attempt, ending, response_ok);
+        let number = attempt.attempt;
+        let ended = self.state.end_attempt(number, ending, response_ok);
         verify_that!(ended, some(anything()))?;
         self.has_actions_pending = true;
         self.record_response(ended.and_then(|e| e.response), fault)
@@ -235,11 +233,7 @@
             answer = FinalResponse::NotExecuted(0.1);
         }
         if self.is_client_gone || self.answer.is_some() {
-            return fail!(
-                "{answer:?} after {:?}, client is_client_gone: {}",
-                self.answer,
-                self.is_client_gone
-            );
+            return fail!("{answer:?} after {:?}, client gone: {}", self.answer, self.is_client_gone);
         }
         if let FinalResponse::Upstream(attempt) = answer {
             let ran =
@@ -288,58 +282,28 @@
                 (w.is_charged, w.units_charged, w.has_actions_pending) = (charged, i8::from(charged), true);
             }
             Step::RateLimit => {
-                let answer = w.state.rate_limit(1.0);
-                w.record_response(answer, fault)?;
-            }
-            Step::Dispatch => {
-                w.asked += 1;
-                match fault {
-                    Some(Fault::DispatchedWhileInFlight) => w.state.is_idempotent = true,
-                    Some(Fault::TooManyDispatches) => w.state.max_dispatches += 1,
-                    Some(Fault::DispatchedAfterDisconnect) => w.state.is_answered = false,
-                    _ => {}
-                }
-                let decision = w.state.begin_attempt(0.0);
-                let m = &self.state;
-                (w.state.is_idempotent, w.state.max_dispatches) = (m.is_idempotent, m.max_dispatches);
-                w.state.is_answered = m.is_answered;
-                match decision {
-                    DispatchDecision::Send(attempt) if m.is_answered => {
-                        fail!("attempt {attempt} is sent after the response")?
-                    }
-                    DispatchDecision::Send(attempt) => w.attempts.push(AttemptTruth {
-                        attempt,
-                        is_in_flight: true,
-                        written: Written::Nothing,
-                        fate: Fate::Open,
-                        is_reported_not_run: false,
-                    }),
-                    DispatchDecision::Withhold(attempt) => {
-                        let answer =
-                            w.state.end_attempt(attempt, Ending::Moot, None).and_then(|e| e.response);
-                        w.has_actions_pending = true;
-                        w.record_response(answer, fault)?;
-                    }
-                }
+                let response = w.state.rate_limit(1.0);
+                w.record_response(response, fault)?;
             }
+            Step::Dispatch => w.dispatch(fault)?,
             Step::GiveUp => {
                 let out = w.state.in_flight.clone();
                 if fault == Some(Fault::NotExecutedWhileInFlight) {
                     w.state.in_flight.clear();
                 }
-                let answer = w.state.give_up(0.1);
+                let response = w.state.give_up(0.1);
                 w.state.in_flight = out;
-                w.record_response(answer, fault)?;
+                w.record_response(response, fault)?;
             }
             Step::Shutdown => {
                 let out = w.state.in_flight.clone();
                 if fault == Some(Fault::ShutdownTakenAsNotDispatched) {
                     w.state.in_flight.clear();
                 }
-                let answer = w.state.respond_now(0.1);
+                let response = w.state.respond_now(0.1);
                 w.state.in_flight = out;
-                verify_that!(answer, some(anything()))?;
-                w.record_response(answer, fault)?;
+                verify_that!(response, some(anything()))?;
+                w.record_response(response, fault)?;
             }
             Step::ActionsDone => {
                 w.has_actions_pending = false;
@@ -347,8 +311,8 @@
                     w.state.is_answered = false;
                 }
                 if fault != Some(Fault::StalledRequestIgnored) {
-                    let answer = w.state.give_up_if_stalled(0.1);
-                    w.record_response(answer, fault)?;
+                    let response = w.state.give_up_if_stalled(0.1);
+                    w.record_response(response, fault)?;
                 }
             }
             Step::Disconnect => {
@@ -378,6 +342,42 @@
         Ok(w)
     }
 
+    /// The decision module asks for an attempt.
+    fn dispatch(&mut self, fault: Option<Fault>) -> Result<()> {
+        self.asked += 1;
+        let before = self.state.clone();
+        match fault {
+            Some(Fault::DispatchedWhileInFlight) => self.state.is_idempotent = true,
+            Some(Fault::TooManyDispatches) => self.state.max_dispatches += 1,
+            Some(Fault::DispatchedAfterDisconnect) => self.state.is_answered = false,
+            _ => {}
+        }
+        let decision = self.state.begin_attempt(0.0);
+        self.state.is_idempotent = before.is_idempotent;
+        self.state.max_dispatches = before.max_dispatches;
+        self.state.is_answered = before.is_answered;
+        match decision {
+            DispatchDecision::Send(attempt) if before.is_answered => {
+                fail!("attempt {attempt} is sent after the response")
+            }
+            DispatchDecision::Send(attempt) => {
+                self.attempts.push(AttemptTruth {
+                    attempt,
+                    is_in_flight: true,
+                    written: Written::Nothing,
+                    fate: Fate::Open,
+                    is_reported_not_run: false,
+                });
+                Ok(())
+            }
+            DispatchDecision::Withhold(attempt) => {
+                let ended = self.state.end_attempt(attempt, Ending::Moot, None);
+                self.has_actions_pending = true;
+                self.record_response(ended.and_then(|e| e.response), fault)
+            }
+        }
+    }
+
     /// A response arrives on an attempt's connection.
     fn receive_response(&mut self, n: usize, response: usize, fault: Option<Fault>) -> Result<()> {
         let mut head = head(response);
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -5,13 +5,14 @@
 //! [`request_state`](super::request_state).
 
 pub use super::request_state::FinalResponse;
+
+use super::quota_admission::{AdmissionDecision, GrantState};
 use super::request_state::{DispatchDecision, RequestState};
 use super::time_limits::{TimeLimits, DISPATCH_MARGIN_SECS};
 use super::upstream_service::{AttemptResult, RequestClass};
 use super::{drain, EdgeNode, Effect};
 use crate::configuration::active_config::{Route, Tenant};
 use crate::control_plane::quota_counter::TenantLimit;
-use crate::data_plane::quota_admission::{AdmissionDecision, GrantState};
 use std::sync::Arc;
 use std::time::Duration;
 use whinstall::{Action, Ending, HostId, RequestId};
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -16,7 +16,7 @@
 "tenant_set":{"columns":["label","credentials","rate_per_s","burst_size","revision"],"records":[["free",["key-free"],0,0,"r1"],["held",["key-held"],5,5,"r1"]]},
 "service_set":{"columns":["label","probe_path","revision"],"records":[["s1","/health","r1"]]}}}"#;
 
-fn worker(n: usize, phase: WorkerPhase, calls: u64) -> Worker {
+fn worker(n: usize, phase: WorkerPhase, call_count: u64) -> Worker {
     Worker {
         id: format!("i-{n}").into(),
         service: "s1".into(),
@@ -25,7 +25,7 @@
         capacity: 2,
         phase,
         warmup_ms: 0,
-        call_count: calls,
+        call_count,
     }
 }
 
@@ -47,8 +47,8 @@
     now: f64,
     observed: BTreeMap<String, Observed>,
     rng: fastrand::Rng,
-    calls: u64,
-    abandoned: bool,
+    call_count: u64,
+    is_shut_down: bool,
     ends_at: f64,
 }
 
@@ -61,8 +61,8 @@
             now: 1000.0,
             observed: BTreeMap::new(),
             rng,
-            calls: 1,
-            abandoned: false,
+            call_count: 1,
+            is_shut_down: false,
             ends_at: f64::INFINITY,
         };
         let core = "10.0.1.1".parse().expect("an address");
@@ -84,7 +84,7 @@
         let mut dispatched = Vec::new();
         for effect in out {
             match effect {
-                Effect::Dispatch { id, attempt, worker, timeout_secs: within, .. } => {
+                Effect::Dispatch { id, attempt, worker, timeout_secs, .. } => {
                     let observed = self.observed.get_mut(&*id.0).expect("known");
                     assert_that!(
                         observed.runs_once && (observed.may_have_run || !observed.in_flight.is_empty()),
@@ -96,67 +96,67 @@
                     assert_that!(observed.sent, le(if observed.runs_once { 2 } else { 3 }));
                     // No timeout ends it before its client, its route or this process does.
                     assert_that!(
-                        within,
+                        timeout_secs,
                         ge((observed.received_at + 1.0).min(self.ends_at) - self.now - 1e-9)
                     );
                     observed.in_flight.insert(attempt, worker);
-                    dispatched.push((id, attempt, within));
+                    dispatched.push((id, attempt, timeout_secs));
                 }
                 Effect::CancelAttempt(id, attempt) => {
                     let observed = self.observed.get_mut(&*id.0).expect("known");
                     assert_that!(observed.runs_once, eq(false), "{id:?} is cancelled");
                     if observed.in_flight.contains_key(&attempt) {
-                        dispatched.extend(self.ended(&id, attempt, Ending::Cancelled, None));
+                        dispatched.extend(self.end_attempt(&id, attempt, Ending::Cancelled, None));
                     }
                 }
-                Effect::Respond(id, answer) => self.answered(&id, answer),
+                Effect::Respond(id, response) => self.record_response(&id, response),
                 _ => {}
             }
         }
         dispatched
     }
 
-    fn answered(&mut self, id: &RequestId, answer: FinalResponse) {
+    fn record_response(&mut self, id: &RequestId, response: FinalResponse) {
         let observed = self.observed.get_mut(&*id.0).expect("known");
         assert_that!(
             (&observed.response, observed.has_disconnected),
             eq((&None, false)),
-            "{id:?}: {answer:?}"
+            "{id:?}: {response:?}"
         );
-        match &answer {
+        match &response {
             FinalResponse::RateLimited(_) | FinalResponse::NotExecuted(_) => {
                 assert_that!(
                     observed.may_have_run || !observed.in_flight.is_empty(),
                     eq(false),
-                    "{id:?}: {answer:?}"
+                    "{id:?}: {response:?}"
                 );
             }
             FinalResponse::Upstream(attempt) => {
                 assert_that!(observed.complete_responses, contains(eq(attempt)))
             }
             // With an attempt in flight only where the process exits.
-            FinalResponse::TimedOut if self.abandoned => {
+            FinalResponse::TimedOut if self.is_shut_down => {
                 assert_that!(observed.may_have_run || !observed.in_flight.is_empty(), eq(true));
             }
             FinalResponse::UpstreamFailed | FinalResponse::TimedOut => {
                 assert_that!(observed.may_have_run, eq(true))
             }
         }
-        observed.response = Some(answer);
+        observed.response = Some(response);
     }
 
     fn receive(&mut self, n: usize, path: &str, key: &str) {
-        let view = Arc::clone(&self.edge.active_config);
-        let route = view.route("a.example", path).cloned().expect("a route");
-        let tenant = view.tenant(key).cloned();
+        let config = Arc::clone(&self.edge.active_config);
+        let route = config.route("a.example", path).cloned().expect("a route");
+        let tenant = config.tenant(key).cloned();
         let id = RequestId(format!("{n}").into());
         let observed = Observed { runs_once: !route.repeatable, received_at: self.now, ..Default::default() };
         self.observed.insert(n.to_string(), observed);
-        let arrival = IncomingRequest { id, route, tenant, remaining_secs: 1.0 };
-        self.with(|edge, now, out| edge.on_request(now, arrival, out));
+        let incoming = IncomingRequest { id, route, tenant, remaining_secs: 1.0 };
+        self.with(|edge, now, out| edge.on_request(now, incoming, out));
     }
 
-    fn ended(
+    fn end_attempt(
         &mut self,
         id: &RequestId,
         attempt: u32,
@@ -164,7 +164,7 @@
         response_ok: Option<bool>,
     ) -> Vec<(RequestId, u32, f64)> {
         let observed = self.observed.get_mut(&*id.0).expect("known");
-        let host = observed.in_flight.remove(&attempt).expect("out");
+        let host = observed.in_flight.remove(&attempt).expect("in flight");
         observed.may_have_run |= !ending.never_ran();
         observed.complete_responses.extend(response_ok.map(|_| attempt));
         let report = AttemptReport { id, attempt, worker: &host, ending, response_ok };
@@ -178,7 +178,7 @@
     }
 
     /// A random attempt in flight, if there is any.
-    fn any(&mut self) -> Option<(RequestId, u32)> {
+    fn random_attempt(&mut self) -> Option<(RequestId, u32)> {
         let all = self.observed.iter().flat_map(|(id, s)| s.in_flight.keys().map(move |a| (id.clone(), *a)));
         let all: Vec<_> = all.collect();
         self.rng.choice(all).map(|(id, attempt)| (RequestId(id.into()), attempt))
@@ -193,7 +193,7 @@
             late.flat_map(|(id, s)| s.in_flight.keys().map(move |a| (id.clone(), *a))).collect();
         for (id, attempt) in late {
             if self.observed[&id].in_flight.contains_key(&attempt) {
-                self.ended(&RequestId(id.into()), attempt, Ending::Timeout, None);
+                self.end_attempt(&RequestId(id.into()), attempt, Ending::Timeout, None);
             }
         }
     }
@@ -206,7 +206,7 @@
                 self.receive(n, path, key);
             }
             7..=14 => {
-                let Some((id, attempt)) = self.any() else { return };
+                let Some((id, attempt)) = self.random_attempt() else { return };
                 let (ending, response_ok) = [
                     (Ending::Ok, Some(true)),
                     (Ending::Error, Some(false)),
@@ -216,7 +216,7 @@
                     (Ending::ConnectFailed, None),
                     (Ending::Moot, None),
                 ][self.rng.usize(0..7)];
-                self.ended(&id, attempt, ending, response_ok);
+                self.end_attempt(&id, attempt, ending, response_ok);
             }
             15 => {
                 let here = self.observed.iter().filter(|(_, s)| s.response.is_none() && !s.has_disconnected);
@@ -226,15 +226,16 @@
                 }
             }
             16 => {
-                self.calls += 1;
+                self.call_count += 1;
                 let phase = match self.rng.u32(0..12) {
                     0 => WorkerPhase::Draining,
                     1..=3 => WorkerPhase::Unresponsive,
                     _ => WorkerPhase::Serving,
                 };
                 // One in four is a new worker.
-                let n = self.rng.usize(0..workers) + 16 * self.rng.usize(0..4) * (self.calls as usize / 8);
-                let news = vec![worker(n % 250, phase, self.calls)];
+                let n =
+                    self.rng.usize(0..workers) + 16 * self.rng.usize(0..4) * (self.call_count as usize / 8);
+                let news = vec![worker(n % 250, phase, self.call_count)];
                 let core = "10.0.1.1".parse().expect("an address");
                 self.with(|edge, now, out| {
                     edge.handle(now, Event::CoreMessage(core, PeerMessage::WorkerUpdates(news)), out)
@@ -251,7 +252,7 @@
 
 #[gtest]
 fn random_sequences_keep_every_invariant_and_leave_no_request_pending() {
-    let (mut requests, mut answers) = (0, BTreeMap::<&str, usize>::new());
+    let (mut requests, mut responses) = (0, BTreeMap::<&str, usize>::new());
     for seed in 0..400 {
         let workers = 2 + seed as usize % 6;
         let mut scenario = Scenario::new(seed, workers);
@@ -264,7 +265,7 @@
         }
         if seed % 2 == 0 {
             // The process exits: everything is answered at once, also with attempts in flight.
-            scenario.abandoned = true;
+            scenario.is_shut_down = true;
             scenario.with(|edge, _, out| edge.respond_to_all(out));
             assert_that!(scenario.edge.unanswered(), eq(Unanswered::default()), "seed {seed}");
         }
@@ -286,12 +287,12 @@
                 Some(FinalResponse::UpstreamFailed) => "failed",
                 Some(FinalResponse::TimedOut) => "timed out",
             };
-            (requests, *answers.entry(kind).or_default()) =
-                (requests + 1, answers.get(kind).unwrap_or(&0) + 1);
+            (requests, *responses.entry(kind).or_default()) =
+                (requests + 1, responses.get(kind).unwrap_or(&0) + 1);
         }
     }
-    println!("{requests} requests: {answers:?}");
-    expect_that!(answers.len(), eq(6));
+    println!("{requests} requests: {responses:?}");
+    expect_that!(responses.len(), eq(6));
 }
 
 #[gtest]
@@ -304,8 +305,8 @@
         scenario.disconnect(1);
         // The idempotent one is cancelled, the other is not; neither is dispatched again or answered.
         expect_that!(scenario.observed["1"].in_flight.len(), eq(usize::from(path == "/once/x")));
-        if let Some((id, attempt)) = scenario.any() {
-            scenario.ended(&id, attempt, Ending::Full, None);
+        if let Some((id, attempt)) = scenario.random_attempt() {
+            scenario.end_attempt(&id, attempt, Ending::Full, None);
         }
         expect_that!((scenario.observed["1"].sent, scenario.edge.pending_count()), eq((1, 0)));
     }
@@ -320,18 +321,22 @@
     let latest = drain.ends_at - 0.15 - 0.8 - 1e-6;
     let times =
         [scenario.now, drain.closes_at - 0.01, drain.closes_at, latest, latest + 0.01, drain.ends_at + 0.1];
-    for (n, (at, taken)) in times.into_iter().zip([true, true, true, true, false, false]).enumerate() {
+    for (n, (at, is_accepted)) in times.into_iter().zip([true, true, true, true, false, false]).enumerate() {
         scenario.now = at;
         scenario.receive(n, "/once/x", "key-free");
         let observed = &scenario.observed[&n.to_string()];
-        expect_that!(observed.in_flight.len(), eq(usize::from(taken)), "{n}");
-        expect_that!(matches!(observed.response, Some(FinalResponse::NotExecuted(_))), eq(!taken), "{n}");
+        expect_that!(observed.in_flight.len(), eq(usize::from(is_accepted)), "{n}");
+        expect_that!(
+            matches!(observed.response, Some(FinalResponse::NotExecuted(_))),
+            eq(!is_accepted),
+            "{n}"
+        );
         // Its worker is to respond before the drain ends.
         let route = scenario.edge.active_config.route("a.example", "/once/x").cloned().expect("a route");
         let limits = scenario.edge.time_limits(scenario.now, &route, 1.0);
         expect_that!(at + limits.upstream_secs, le(drain.ends_at - 0.1));
-        if let Some((id, attempt)) = scenario.any() {
-            scenario.ended(&id, attempt, Ending::Ok, Some(true));
+        if let Some((id, attempt)) = scenario.random_attempt() {
+            scenario.end_attempt(&id, attempt, Ending::Ok, Some(true));
         }
     }
 }
--- a/crates/gateway/src/data_plane/retry_budget.rs
+++ b/crates/gateway/src/data_plane/retry_budget.rs
@@ -33,8 +33,10 @@
     first_attempts: VecDeque<f64>,
     /// When retries were sent, within the window.
     retries: VecDeque<f64>,
-    /// The highest number of edge nodes lately, and when it was last reported.
-    edge_count: (u32, f64),
+    /// The highest number of edge nodes lately.
+    edge_count: u32,
+    /// When that number was last reported.
+    edge_count_at: f64,
 }
 
 impl RetryBudget {
@@ -54,11 +56,11 @@
     pub fn available(&mut self, now: f64, config: &RetryBudgetConfig, edge_count: u32) -> f64 {
         Self::drop_expired(&mut self.first_attempts, now, config.window_secs);
         Self::drop_expired(&mut self.retries, now, config.window_secs);
-        if edge_count >= self.edge_count.0 || now - self.edge_count.1 > EDGE_COUNT_HOLD_SECS {
-            self.edge_count = (edge_count, now);
+        if edge_count >= self.edge_count || now - self.edge_count_at > EDGE_COUNT_HOLD_SECS {
+            (self.edge_count, self.edge_count_at) = (edge_count, now);
         }
         let may_spend_slack = edge_count > 0 && now >= config.slack_available_at;
-        let slack = if may_spend_slack { config.slack / f64::from(self.edge_count.0) } else { 0.0 };
+        let slack = if may_spend_slack { config.slack / f64::from(self.edge_count) } else { 0.0 };
         let allowance = USED_FRACTION * (config.ratio * self.first_attempts.len() as f64 + slack);
         (allowance - self.retries.len() as f64).max(0.0).floor()
     }
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -4,7 +4,7 @@
 //! The service knows no sockets. It passes the budget's allowance to the module with each event, so that the module
 //! never asks for a retry that the budget over all edge nodes does not cover.
 
-use crate::data_plane::retry_budget::{RetryBudget, RetryBudgetConfig};
+use super::retry_budget::{RetryBudget, RetryBudgetConfig};
 use crate::discovery::{Worker, WorkerPhase, WorkerRegistry};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gateway/src/runtime/edge_server/drain.rs
+++ b/crates/gateway/src/runtime/edge_server/drain.rs
@@ -27,7 +27,7 @@
         opened = server.courier.opened.get(),
         waiting = owed.waiting,
         at_workers = owed.at_workers,
-        newest_read_s = owed.newest.map_or(0.0, |at| at - begun),
+        newest_read_s = owed.newest_received_at.map_or(0.0, |at| at - begun),
         "edge role ends"
     );
     server.with(|edge, _, out| edge.respond_to_all(out));
