--- a/crates/gateway/src/data_plane/load_table.rs
+++ b/crates/gateway/src/data_plane/load_table.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{LoadReport, NodeLocation};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
-use whinstall::ground;
+use whinstall::identifiers;
 
 /// Least time between two reports to the own zone, for each of its other edge nodes, in seconds.
 const ZONE_INTERVAL_PER_NODE_SECS: f64 = 0.001;
@@ -23,7 +23,7 @@
 
 /// The key of the worker with this id. Two workers may share one; then each counts the other's attempts, too.
 pub fn worker_key(worker: &str) -> WorkerKey {
-    ground::hash(worker) as u32
+    identifiers::fnv1a(worker) as u32
 }
 
 /// A worker whose attempts in flight from other edge nodes have changed.
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -47,7 +47,7 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 use upstream_service::UpstreamService;
-use whinstall::{ground, RequestId};
+use whinstall::{identifiers, RequestId};
 
 /// Longest time between two [`Event::Tick`]s, in seconds.
 pub const TICK_SECS: f64 = 0.05;
@@ -119,7 +119,7 @@
             last_quota_leader: None,
             last_ping_at: f64::NEG_INFINITY,
             edge_count: 0,
-            rng: fastrand::Rng::with_seed(incarnation ^ ground::hash(&settings.node)),
+            rng: fastrand::Rng::with_seed(incarnation ^ identifiers::fnv1a(&settings.node)),
             drain: None,
             settings,
             incarnation,
--- a/crates/gateway/src/data_plane/worker_updates.rs
+++ b/crates/gateway/src/data_plane/worker_updates.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{MergeOutcome, Worker, WorkerPhase};
 use std::collections::HashSet;
 use std::sync::Arc;
-use whinstall::{ground, HostId};
+use whinstall::{identifiers, HostId};
 
 /// Workers that have ended are remembered for so long, in seconds: a late update does not bring one back.
 const ENDED_WORKER_RETENTION_SECS: f64 = 60.0;
@@ -89,7 +89,7 @@
     /// Creates the service of this name unless it exists.
     pub(super) fn ensure_service(&mut self, name: &Arc<str>) {
         if !self.services.contains_key(name) {
-            let ordinal = (ground::hash(&self.settings.node) >> 40) as u32;
+            let ordinal = (identifiers::fnv1a(&self.settings.node) >> 40) as u32;
             let seed = self.rng.u64(..);
             let (zone, edge_count) = (&self.settings.zone, self.edge_count);
             let service = UpstreamService::new(Arc::clone(name), zone, ordinal, edge_count, seed);
--- a/crates/gateway/src/runtime/edge_server/drain.rs
+++ b/crates/gateway/src/runtime/edge_server/drain.rs
@@ -29,7 +29,7 @@
         opened = server.upstreams.connections_opened.get(),
         waiting = owed.waiting,
         at_workers = owed.at_workers,
-        newest_read_s = owed.newest.map_or(0.0, |at| at - begun),
+        newest_read_s = owed.newest_received_at.map_or(0.0, |at| at - begun),
         "edge role stopping"
     );
     server.update(|node, _, effects| node.respond_to_all(effects));
