--- a/crates/gateway/src/configuration/active_config.rs
+++ b/crates/gateway/src/configuration/active_config.rs
@@ -1,5 +1,6 @@
-//! Owns what a gatekeeper serves by: routes by host and longest prefix, keys to tenants, bounds on clients; folded
-//! from parts, one of each item. It must never be changed but by folding anew, nor keep an item's JSON.
+//! The view of the configuration that an edge node serves requests by: routes by host and longest path prefix, tenants
+//! by credential, limits on clients. It is immutable; after a change a new one is built from the [`ActiveItem`]s, one
+//! per configuration item, which hold no JSON.
 
 use super::change::tenant_credentials;
 #[cfg(test)]
@@ -12,79 +13,92 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A route.
+/// Of a route without `target`.
+const DEFAULT_LATENCY_TARGET: Duration = Duration::from_secs(1);
+/// Without `header_max_bytes`.
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
+/// Without `body_max_bytes`.
+const DEFAULT_MAX_BODY_BYTES: usize = 1024 * 1024;
+/// Without `header_deadline`.
+const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Without `idle_cutoff`.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// A route: which service handles requests of a host and path, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub label: Arc<str>,
-    /// What a path must begin with.
+    /// A path must begin with this; begins and ends with a slash.
     pub path_prefix: String,
-    /// May its requests run more than once?
+    /// May a request be executed more than once, so that it may be retried after it was sent?
     pub is_idempotent: bool,
-    /// The longest that a request is held.
+    /// Upper bound on the time until the response; `None`: that of the client alone.
     pub timeout: Option<Duration>,
-    /// An answer within this earns its full worth.
+    /// A response within this has its full value.
     pub latency_target: Duration,
-    /// 0 is the highest.
+    /// Priority in load shedding; 0 is the highest.
     pub priority: u32,
-    /// Where its requests go, with weights.
+    /// Services that its requests go to, with their relative weights.
     pub service_weights: Vec<(Arc<str>, f64)>,
-    /// The most workers that one request is sent to.
+    /// Most attempts for one request, the first included.
     pub max_attempts: u32,
-    /// Does it need no key?
+    /// Are requests without a credential accepted?
     pub allows_anonymous: bool,
     version: u64,
 }
 
 impl Route {
-    /// The service for a request, by a draw from 0 to 1.
+    /// Picks a service by weight; `draw` is uniform in 0..1. `None`: no service has a weight above 0.
     pub fn pick_service(&self, draw: f64) -> Option<&Arc<str>> {
-        let sum: f64 = self.service_weights.iter().map(|m| m.1).sum();
-        let mut at = draw * sum;
-        let hit = self.service_weights.iter().find(|m| {
-            at -= m.1;
-            at < 0.0
+        let sum: f64 = self.service_weights.iter().map(|w| w.1).sum();
+        let mut remaining = draw * sum;
+        let picked = self.service_weights.iter().find(|w| {
+            remaining -= w.1;
+            remaining < 0.0
         });
-        hit.or(self.service_weights.iter().rev().find(|m| m.1 > 0.0)).map(|m| &m.0)
+        // Rounding may leave `remaining` at 0 or above.
+        picked.or(self.service_weights.iter().rev().find(|w| w.1 > 0.0)).map(|w| &w.0)
     }
 }
 
-/// A tenant.
+/// A tenant: who sends a request, by its credential.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Its name.
     pub label: Arc<str>,
-    /// Goes before that of the route.
+    /// Overrides the route's priority.
     pub priority: Option<u32>,
-    /// Requests a second; 0: no limit.
+    /// Sustained requests per second; 0: no limit.
     pub requests_per_sec: f64,
-    /// Requests on top.
+    /// Requests that may come on top of the sustained rate.
     pub burst: f64,
     version: u64,
 }
 
-/// Bounds on clients.
+/// Limits on clients' connections and requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// The longest head.
+    /// Most bytes of a request's head.
     pub max_header_bytes: usize,
-    /// The longest body.
+    /// Most bytes of a request's body.
     pub max_body_bytes: usize,
-    /// A head is whole within this.
+    /// A request's head must be complete within this.
     pub header_timeout: Duration,
-    /// A connection may be idle for this long.
+    /// An idle connection is closed after this.
     pub idle_timeout: Duration,
 }
 
-/// What a gatekeeper serves by.
+/// The view that requests are served by. Maps are shared between views, so that a clone is cheap.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveConfig {
-    hosts: Arc<HashMap<Arc<str>, Vec<Arc<Route>>>>,
-    keys: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
-    tenants: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
-    /// Does the configuration hold tenants, so that keys are asked for?
+    /// By host in lower case; longest prefix first.
+    routes_by_host: Arc<HashMap<Arc<str>, Vec<Arc<Route>>>>,
+    tenants_by_credential: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
+    tenants_by_label: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
+    /// Must requests have a credential? True if there is any tenant; routes may be exempt.
     pub requires_credentials: bool,
-    /// Bounds on clients.
+    /// Limits on clients.
     pub client_limits: ClientLimits,
 }
 
@@ -100,27 +114,27 @@
     body.get(name).and_then(Value::as_str).and_then(time)
 }
 
-/// What is served by of one item that stands: a tenth of the item's memory (a JSON object takes some 2 KB).
+/// What requests are served by of one active item: a tenth of the item's memory (a JSON object takes some 2 KB).
 #[derive(Clone, Debug, PartialEq)]
 pub enum ActiveItem {
     /// A route, with its host in lower case.
     Route(Arc<str>, Arc<Route>),
-    /// A tenant, with its keys.
+    /// A tenant, with its credentials.
     Tenant(Arc<Tenant>, Box<[Arc<str>]>),
-    /// Nothing is served by a service's item.
+    /// A service; nothing of its item is needed.
     Service,
-    /// Bounds on clients.
+    /// Limits on clients.
     Saturation(Box<ClientLimits>),
 }
 
 impl ActiveItem {
-    /// Of an item; `None`: it is dropped.
+    /// Converts an item; `None`: it is removed.
     pub fn from_item(item: &ConfigItem) -> Option<Self> {
         let body = &item.body.as_ref()?.to_map();
         Some(match item.kind {
             ItemKind::Route => ActiveItem::Route(
                 text(body, "hostname").to_ascii_lowercase().into(),
-                Arc::new(route(item, body)),
+                Arc::new(route_from(item, body)),
             ),
             ItemKind::Tenant => {
                 let tenant = Tenant {
@@ -133,7 +147,7 @@
                 ActiveItem::Tenant(Arc::new(tenant), tenant_credentials(body).map(Into::into).collect())
             }
             ItemKind::Service => ActiveItem::Service,
-            ItemKind::Saturation => ActiveItem::Saturation(Box::new(saturation(Some(body)))),
+            ItemKind::Saturation => ActiveItem::Saturation(Box::new(client_limits_from(Some(body)))),
         })
     }
 
@@ -147,152 +161,154 @@
     }
 }
 
-fn route(item: &ConfigItem, body: &Map<String, Value>) -> Route {
-    let part = |p: &Value| Some((p.get("service_ref")?.as_str()?.into(), p.get("gain")?.as_f64()?));
+fn route_from(item: &ConfigItem, body: &Map<String, Value>) -> Route {
+    let weight = |s: &Value| Some((s.get("service_ref")?.as_str()?.into(), s.get("gain")?.as_f64()?));
     let mixture = body.get("mixture").and_then(Value::as_array).into_iter().flatten();
-    let mut mixture: Vec<(Arc<str>, f64)> = mixture.filter_map(part).collect();
-    if mixture.is_empty() {
-        mixture.push((text(body, "service_ref").into(), 1.0));
+    let mut service_weights: Vec<(Arc<str>, f64)> = mixture.filter_map(weight).collect();
+    if service_weights.is_empty() {
+        service_weights.push((text(body, "service_ref").into(), 1.0));
     }
     Route {
         label: item.label.as_str().into(),
         path_prefix: text(body, "path_prefix").into(),
         is_idempotent: text(body, "route_class") == "idempotent",
         timeout: duration(body, "cutoff"),
-        latency_target: duration(body, "target").unwrap_or(Duration::from_secs(1)),
+        latency_target: duration(body, "target").unwrap_or(DEFAULT_LATENCY_TARGET),
         priority: number(body, "rank").unwrap_or(0.0) as u32,
-        service_weights: mixture,
+        service_weights,
         max_attempts: number(body, "max_attempts").map_or(1, |n| n.max(1.0) as u32),
         allows_anonymous: body.get("unkeyed").and_then(Value::as_bool).unwrap_or(false),
         version: item.version,
     }
 }
 
-fn fold_routes(routes: Vec<(&Arc<str>, &Arc<Route>)>) -> HashMap<Arc<str>, Vec<Arc<Route>>> {
+fn group_routes(routes: Vec<(&Arc<str>, &Arc<Route>)>) -> HashMap<Arc<str>, Vec<Arc<Route>>> {
     let mut hosts: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
     for (host, route) in routes {
         hosts.entry(Arc::clone(host)).or_default().push(Arc::clone(route));
     }
     for routes in hosts.values_mut() {
-        // The longest prefix first; of the same place the newer route.
-        let place = |r: &Route| (Reverse(r.path_prefix.len()), Reverse(r.version));
-        routes.sort_by(|a, b| place(a).cmp(&place(b)).then_with(|| a.label.cmp(&b.label)));
+        // The longest prefix first; of equal ones the newer route.
+        let rank = |r: &Route| (Reverse(r.path_prefix.len()), Reverse(r.version));
+        routes.sort_by(|a, b| rank(a).cmp(&rank(b)).then_with(|| a.label.cmp(&b.label)));
     }
     hosts
 }
 
-type Tenants = HashMap<Arc<str>, Arc<Tenant>>;
+type TenantMap = HashMap<Arc<str>, Arc<Tenant>>;
 
-/// By key and by name.
-fn fold_tenants(mut tenants: Vec<(&Arc<Tenant>, &[Arc<str>])>) -> (Tenants, Tenants) {
-    let mut by_key = HashMap::with_capacity(tenants.iter().map(|t| t.1.len()).sum());
+/// By credential, and by name.
+fn group_tenants(mut tenants: Vec<(&Arc<Tenant>, &[Arc<str>])>) -> (TenantMap, TenantMap) {
+    let mut by_credential = HashMap::with_capacity(tenants.iter().map(|t| t.1.len()).sum());
     let mut by_label = HashMap::with_capacity(tenants.len());
     tenants.sort_by(|(a, _), (b, _)| (a.version, &a.label).cmp(&(b.version, &b.label)));
     for (tenant, keys) in tenants {
         by_label.insert(Arc::clone(&tenant.label), Arc::clone(tenant));
-        // Where two operators gave a key to two tenants at once, the newer version has it, everywhere.
-        for key in keys {
-            by_key.insert(Arc::clone(key), Arc::clone(tenant));
+        // Should two tenants have one credential, the newer version gets it, at every node.
+        for credential in keys {
+            by_credential.insert(Arc::clone(credential), Arc::clone(tenant));
         }
     }
-    (by_key, by_label)
+    (by_credential, by_label)
 }
 
-fn saturation(body: Option<&Map<String, Value>>) -> ClientLimits {
+fn client_limits_from(body: Option<&Map<String, Value>>) -> ClientLimits {
     let amount = |name| body.and_then(|b| number(b, name)).map(|n| n as usize);
     let time = |name| body.and_then(|b| duration(b, name));
     ClientLimits {
-        max_header_bytes: amount("header_max_bytes").unwrap_or(16384),
-        max_body_bytes: amount("body_max_bytes").unwrap_or(1048576),
-        header_timeout: time("header_deadline").unwrap_or(Duration::from_secs(3)),
-        idle_timeout: time("idle_cutoff").unwrap_or(Duration::from_secs(15)),
+        max_header_bytes: amount("header_max_bytes").unwrap_or(DEFAULT_MAX_HEADER_BYTES),
+        max_body_bytes: amount("body_max_bytes").unwrap_or(DEFAULT_MAX_BODY_BYTES),
+        header_timeout: time("header_deadline").unwrap_or(DEFAULT_HEADER_TIMEOUT),
+        idle_timeout: time("idle_cutoff").unwrap_or(DEFAULT_IDLE_TIMEOUT),
     }
 }
 
 impl Default for ActiveConfig {
-    /// Of nothing.
+    /// The view of an empty configuration.
     fn default() -> Self {
         ActiveConfig {
-            hosts: Arc::default(),
-            keys: Arc::default(),
-            tenants: Arc::default(),
+            routes_by_host: Arc::default(),
+            tenants_by_credential: Arc::default(),
+            tenants_by_label: Arc::default(),
             requires_credentials: false,
-            client_limits: saturation(None),
+            client_limits: client_limits_from(None),
         }
     }
 }
 
 impl ActiveConfig {
-    /// Folds the items that stand.
+    /// The view of a set of items.
     #[cfg(test)]
     pub fn from_item_set(items: &ItemSet) -> Self {
         ActiveConfig::from_items(items.iter())
     }
 
-    /// Folds the items that stand, given in any order, each name once; those dropped are passed over.
+    /// The view of these items, in any order, each name once; removed ones are ignored.
     #[cfg(test)]
     pub fn from_items<'a>(items: impl Iterator<Item = &'a ConfigItem>) -> Self {
-        let parts: Vec<ActiveItem> = items.filter_map(ActiveItem::from_item).collect();
-        ActiveConfig::from_active_items(parts.iter())
+        let active: Vec<ActiveItem> = items.filter_map(ActiveItem::from_item).collect();
+        ActiveConfig::from_active_items(active.iter())
     }
 
-    /// Folds the parts of all items that stand, given in any order.
-    pub fn from_active_items<'a>(parts: impl Iterator<Item = &'a ActiveItem>) -> Self {
+    /// The view of all active items, in any order.
+    pub fn from_active_items<'a>(items: impl Iterator<Item = &'a ActiveItem>) -> Self {
         let all = [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation];
-        ActiveConfig::default().with_changed_kinds(parts, &BTreeSet::from(all))
+        ActiveConfig::default().with_changed_kinds(items, &BTreeSet::from(all))
     }
 
-    /// The view after a change: `changed` kinds are folded from `parts` (of all items that stand, as for
-    /// [`View::fold_parts`]), the others are shared with this view. Equal to a full fold if `changed` names the kind of
-    /// every item that changed.
+    /// The view after a change: the `changed` kinds are rebuilt from `items` (all active items, as for
+    /// [`from_active_items`](ActiveConfig::from_active_items)), the others are shared with this view. Equal to a full
+    /// rebuild if `changed` has the kind of every item that changed.
     pub fn with_changed_kinds<'a>(
         &self,
-        parts: impl Iterator<Item = &'a ActiveItem>,
+        items: impl Iterator<Item = &'a ActiveItem>,
         changed: &BTreeSet<ItemKind>,
     ) -> Self {
-        let (mut routes, mut tenants, mut bounds) = (Vec::new(), Vec::new(), None);
-        for part in parts.filter(|p| changed.contains(&p.kind())) {
-            match part {
+        let (mut routes, mut tenants, mut limits) = (Vec::new(), Vec::new(), None);
+        for item in items.filter(|i| changed.contains(&i.kind())) {
+            match item {
                 ActiveItem::Route(host, route) => routes.push((host, route)),
                 ActiveItem::Tenant(tenant, keys) => tenants.push((tenant, &**keys)),
                 ActiveItem::Service => {}
-                ActiveItem::Saturation(saturation) => bounds = bounds.or(Some(saturation)),
+                ActiveItem::Saturation(item) => limits = limits.or(Some(item)),
             }
         }
         let mut view = self.clone();
         if changed.contains(&ItemKind::Route) {
-            view.hosts = Arc::new(fold_routes(routes));
+            view.routes_by_host = Arc::new(group_routes(routes));
         }
         if changed.contains(&ItemKind::Tenant) {
-            let (by_key, by_label) = fold_tenants(tenants);
+            let (by_credential, by_label) = group_tenants(tenants);
             view.requires_credentials = !by_label.is_empty();
-            (view.keys, view.tenants) = (Arc::new(by_key), Arc::new(by_label));
+            (view.tenants_by_credential, view.tenants_by_label) =
+                (Arc::new(by_credential), Arc::new(by_label));
         }
         if changed.contains(&ItemKind::Saturation) {
-            view.client_limits = bounds.map_or_else(|| saturation(None), |s| (**s).clone());
+            view.client_limits = limits.map_or_else(|| client_limits_from(None), |s| (**s).clone());
         }
         view
     }
 
-    /// The route of a request: of the host's routes the one with the longest prefix that begins the path.
+    /// The route of a request: of the host's routes that with the longest matching prefix. `host` may have a port and
+    /// any case.
     pub fn match_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let name = host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()));
-        let name = name.map_or(host, |(name, _)| name).to_ascii_lowercase();
-        self.hosts.get(name.as_str())?.iter().find(|r| path.starts_with(&r.path_prefix))
+        let without_port = host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()));
+        let name = without_port.map_or(host, |(name, _)| name).to_ascii_lowercase();
+        self.routes_by_host.get(name.as_str())?.iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
-    /// The tenant that holds a key.
-    pub fn tenant_by_credential(&self, key: &str) -> Option<&Arc<Tenant>> {
-        self.keys.get(key)
+    /// The tenant that has a credential.
+    pub fn tenant_by_credential(&self, credential: &str) -> Option<&Arc<Tenant>> {
+        self.tenants_by_credential.get(credential)
     }
 
     /// The tenants by name.
     pub fn tenants_by_label(&self) -> &HashMap<Arc<str>, Arc<Tenant>> {
-        &self.tenants
+        &self.tenants_by_label
     }
 
-    /// The routes that stand.
+    /// All routes.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
-        self.hosts.values().flatten()
+        self.routes_by_host.values().flatten()
     }
 }
--- a/crates/gateway/src/configuration/change.rs
+++ b/crates/gateway/src/configuration/change.rs
@@ -1,5 +1,5 @@
-//! Owns what an operator's call says and whether the configuration that would stand after it is valid. It must never
-//! put anything into force.
+//! Parsing of an operator's request, and the rules that a configuration must satisfy. [`parse_change`] checks each item
+//! by itself; [`find_violations`] checks the rules between items. Nothing is put in force here.
 
 use super::item::{ConfigItem, ItemKind, ItemSet};
 use crate::json_path::{JsonNode, JsonPathError};
@@ -7,21 +7,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// No route may hold a request longer than this.
+/// Upper bound of a route's `cutoff` and `target`.
 const MAX_ROUTE_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Why a call is refused.
+/// Why a request is rejected. Paths begin at `$`, the root of the request.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
+#[ignore_extra_doc_attributes]
 pub enum ChangeError {
     /// unreadable: {0}
+    ///
+    /// Not JSON, or a value of another type than the field must have.
     Unreadable(JsonPathError),
     /// {0}: unknown list
+    ///
+    /// A set of items that there is not.
     UnknownList(String),
-    /// {0}: {1} values for {2} columns
-    RecordLengthMismatch(String, usize, usize),
-    /// {0}: the column {1} comes twice
-    DuplicateColumn(String, String),
+    /// {path}: {values} values for {columns} columns
+    RecordLengthMismatch {
+        /// Path of the record.
+        path: String,
+        /// How many values it has.
+        values: usize,
+        /// How many columns its set has.
+        columns: usize,
+    },
+    /// {path}: the column {column} comes twice
+    DuplicateColumn {
+        /// Path of the set.
+        path: String,
+        /// Name of the column.
+        column: String,
+    },
     /// {0}: neither a service nor a mixture
+    ///
+    /// The path of a route; so for the next four.
     MissingService(String),
     /// {0}: gains add up to 0
     ZeroTotalGain(String),
@@ -31,12 +50,26 @@
     UnknownRouteClass(String),
     /// {0}: does not begin and end with a slash
     InvalidPathPrefix(String),
-    /// route {0} names the unknown service {1}
-    UnknownService(String, String),
+    /// route {route} names the unknown service {service}
+    UnknownService {
+        /// Name of the route.
+        route: String,
+        /// Name of the service, which does not exist or would be removed.
+        service: String,
+    },
     /// tenants {0} and {1} share a key
+    ///
+    /// Names of the tenants.
     SharedCredential(String, String),
-    /// {0} {1:?}: r{2} has another content
-    VersionContentMismatch(&'static str, String, u64),
+    /// {set} {label:?}: r{version} has another content
+    VersionContentMismatch {
+        /// The operator's name of the item's set.
+        set: &'static str,
+        /// Name of the item.
+        label: String,
+        /// Its version, which was confirmed with another content.
+        version: u64,
+    },
 }
 
 impl std::error::Error for ChangeError {}
@@ -47,132 +80,146 @@
     }
 }
 
-/// The items of a call, each checked for itself.
+/// The items of an operator's request, each validated by itself.
 pub fn parse_change(body: &[u8]) -> Result<Vec<ConfigItem>, ChangeError> {
     let value = crate::json_path::parse(body)?;
     let root = JsonNode::root(&value);
     root.object()?;
     let mut items = Vec::new();
-    if let Some(set) = root.get("upsert") {
-        for (name, value) in set.object()? {
-            let Some(kind) = kind(name) else { return Err(ChangeError::UnknownList(name.clone())) };
-            if value.is_null() {
-                continue;
-            }
-            let list = set.need(name)?;
-            match kind {
-                ItemKind::Saturation => items.push(item(kind, &list, String::new())?),
-                _ => rows(&list, |row, path| {
-                    items.push(item(kind, &JsonNode::root(row), path)?);
-                    Ok(())
-                })?,
-            }
-        }
+    if let Some(upserts) = root.get("upsert") {
+        for_each_set(&upserts, |kind, set| parse_upserts(kind, set, &mut items))?;
     }
-    if let Some(drop) = root.get("remove") {
-        for (name, value) in drop.object()? {
-            let Some(kind) = kind(name) else { return Err(ChangeError::UnknownList(name.clone())) };
-            if value.is_null() {
-                continue;
-            }
-            rows(&drop.need(name)?, |row, _| {
-                let at = JsonNode::root(row);
-                let (label, version) = (at.need("label")?.name()?, at.need("revision")?.version()?);
-                items.push(ConfigItem { kind, label: label.into(), version, body: None });
-                Ok(())
-            })?;
-        }
+    if let Some(removals) = root.get("remove") {
+        for_each_set(&removals, |kind, set| parse_removals(kind, set, &mut items))?;
     }
     Ok(items)
 }
 
-fn kind(name: &str) -> Option<ItemKind> {
+/// Calls `parse` for each set of items in an object; one that is null is left out.
+fn for_each_set(
+    sets: &JsonNode,
+    mut parse: impl FnMut(ItemKind, &JsonNode) -> Result<(), ChangeError>,
+) -> Result<(), ChangeError> {
+    for (name, value) in sets.object()? {
+        let Some(kind) = kind_of_set(name) else { return Err(ChangeError::UnknownList(name.clone())) };
+        if !value.is_null() {
+            parse(kind, &sets.need(name)?)?;
+        }
+    }
+    Ok(())
+}
+
+fn kind_of_set(name: &str) -> Option<ItemKind> {
     [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation]
         .into_iter()
         .find(|k| k.set_name() == name)
 }
 
-/// Hands over the rows of a list, one after the other, as objects: given so, or as columns and records.
-fn rows(
-    list: &JsonNode,
-    mut take: impl FnMut(&Value, String) -> Result<(), ChangeError>,
+fn parse_upserts(kind: ItemKind, set: &JsonNode, items: &mut Vec<ConfigItem>) -> Result<(), ChangeError> {
+    if kind == ItemKind::Saturation {
+        items.push(parse_item(kind, set, String::new())?);
+        return Ok(());
+    }
+    for_each_row(set, |row, path| {
+        items.push(parse_item(kind, &JsonNode::root(row), path)?);
+        Ok(())
+    })
+}
+
+fn parse_removals(kind: ItemKind, set: &JsonNode, items: &mut Vec<ConfigItem>) -> Result<(), ChangeError> {
+    for_each_row(set, |row, _| {
+        let row = JsonNode::root(row);
+        let (label, version) = (row.need("label")?.name()?, row.need("revision")?.version()?);
+        items.push(ConfigItem { kind, label: label.into(), version, body: None });
+        Ok(())
+    })
+}
+
+/// Calls `visit` for each row of a set, with the row as an object and its path in the request. A set is a list of
+/// objects, or has `columns` and `records`; a null in a record is a field that is left out.
+fn for_each_row(
+    set: &JsonNode,
+    mut visit: impl FnMut(&Value, String) -> Result<(), ChangeError>,
 ) -> Result<(), ChangeError> {
-    if list.value().is_array() {
-        for object in list.list()? {
+    if set.value().is_array() {
+        for object in set.list()? {
             object.object()?;
-            take(object.value(), object.path())?;
+            visit(object.value(), object.path())?;
         }
         return Ok(());
     }
-    let columns = list.need("columns")?.list()?;
+    let columns = set.need("columns")?.list()?;
     let columns: Vec<&str> = columns.iter().map(JsonNode::name).collect::<Result<_, _>>()?;
-    let mut met = BTreeSet::new();
-    if let Some(twice) = columns.iter().find(|name| !met.insert(**name)) {
-        return Err(ChangeError::DuplicateColumn(list.path(), (*twice).into()));
+    let mut seen = BTreeSet::new();
+    if let Some(duplicate) = columns.iter().find(|name| !seen.insert(**name)) {
+        return Err(ChangeError::DuplicateColumn { path: set.path(), column: (*duplicate).into() });
     }
-    for record in list.need("records")?.list()? {
+    for record in set.need("records")?.list()? {
         let values = record.list()?;
         if values.len() != columns.len() {
-            return Err(ChangeError::RecordLengthMismatch(record.path(), values.len(), columns.len()));
+            let (path, values, columns) = (record.path(), values.len(), columns.len());
+            return Err(ChangeError::RecordLengthMismatch { path, values, columns });
         }
         let fields = columns.iter().zip(&values).filter(|(_, v)| !v.value().is_null());
         let object: Map<String, Value> = fields.map(|(c, v)| ((*c).into(), v.value().clone())).collect();
-        take(&Value::Object(object), record.path())?;
+        visit(&Value::Object(object), record.path())?;
     }
     Ok(())
 }
 
-fn item(kind: ItemKind, at: &JsonNode, path: String) -> Result<ConfigItem, ChangeError> {
-    let within = |e: JsonPathError| match e {
-        JsonPathError::Missing(at) if !path.is_empty() => {
-            JsonPathError::Missing(format!("{path}{}", &at[1..]))
-        }
-        JsonPathError::Not(at, what) if !path.is_empty() => {
-            JsonPathError::Not(format!("{path}{}", &at[1..]), what)
-        }
-        e => e,
-    };
-    let check = || -> Result<ConfigItem, ChangeError> {
-        let version = at.need("revision")?.version()?;
-        let label = if kind == ItemKind::Saturation { "" } else { at.need("label")?.name()? };
+/// `path`: of the item in the request; the paths in `item` begin at the item.
+fn parse_item(kind: ItemKind, item: &JsonNode, path: String) -> Result<ConfigItem, ChangeError> {
+    let parse = || -> Result<ConfigItem, ChangeError> {
+        let version = item.need("revision")?.version()?;
+        let label = if kind == ItemKind::Saturation { "" } else { item.need("label")?.name()? };
         match kind {
-            ItemKind::Route => route(at, &path)?,
-            ItemKind::Tenant => tenant(at)?,
-            ItemKind::Service => service(at)?,
-            ItemKind::Saturation => saturation(at)?,
+            ItemKind::Route => check_route(item, &path)?,
+            ItemKind::Tenant => check_tenant(item)?,
+            ItemKind::Service => check_service(item)?,
+            ItemKind::Saturation => check_client_limits(item)?,
         }
-        Ok(ConfigItem { kind, label: label.into(), version, body: Some(at.object()?.into()) })
+        Ok(ConfigItem { kind, label: label.into(), version, body: Some(item.object()?.into()) })
     };
-    check().map_err(|e| match e {
-        ChangeError::Unreadable(e) => ChangeError::Unreadable(within(e)),
-        e => e,
+    parse().map_err(|error| match error {
+        ChangeError::Unreadable(error) => ChangeError::Unreadable(within(&path, error)),
+        error => error,
     })
 }
 
-fn route(at: &JsonNode, path: &str) -> Result<(), ChangeError> {
-    at.need("hostname")?.name()?;
-    let prefix = at.need("path_prefix")?.text()?;
+/// Replaces the root `$` of an item's path by the item's path in the request.
+fn within(path: &str, error: JsonPathError) -> JsonPathError {
+    match error {
+        error if path.is_empty() => error,
+        JsonPathError::Missing(at) => JsonPathError::Missing(format!("{path}{}", &at[1..])),
+        JsonPathError::Not(at, what) => JsonPathError::Not(format!("{path}{}", &at[1..]), what),
+        error => error,
+    }
+}
+
+fn check_route(route: &JsonNode, path: &str) -> Result<(), ChangeError> {
+    route.need("hostname")?.name()?;
+    let prefix = route.need("path_prefix")?.text()?;
     if !(prefix.starts_with('/') && prefix.ends_with('/')) {
         return Err(ChangeError::InvalidPathPrefix(path.into()));
     }
-    if !matches!(at.need("route_class")?.text()?, "idempotent" | "effectful") {
+    if !matches!(route.need("route_class")?.text()?, "idempotent" | "effectful") {
         return Err(ChangeError::UnknownRouteClass(path.into()));
     }
     for name in ["cutoff", "target"] {
-        if at.get(name).map(|t| t.time()).transpose()?.is_some_and(|t| t > MAX_ROUTE_TIMEOUT) {
+        if route.get(name).map(|t| t.time()).transpose()?.is_some_and(|t| t > MAX_ROUTE_TIMEOUT) {
             return Err(ChangeError::DurationTooLong(format!("{path}.{name}")));
         }
     }
     for name in ["rank", "max_attempts"] {
-        at.get(name).map(|n| n.amount()).transpose()?;
+        route.get(name).map(|n| n.amount()).transpose()?;
     }
-    at.get("unkeyed").map(|t| t.truth()).transpose()?;
-    match (at.get("mixture"), at.get("service_ref")) {
+    route.get("unkeyed").map(|t| t.truth()).transpose()?;
+    match (route.get("mixture"), route.get("service_ref")) {
         (Some(mixture), _) => {
             let mut sum = 0.0;
-            for part in mixture.list()? {
-                part.need("service_ref")?.name()?;
-                sum += part.need("gain")?.amount()?;
+            for share in mixture.list()? {
+                share.need("service_ref")?.name()?;
+                sum += share.need("gain")?.amount()?;
             }
             if sum <= 0.0 {
                 return Err(ChangeError::ZeroTotalGain(path.into()));
@@ -186,82 +233,83 @@
     Ok(())
 }
 
-fn tenant(at: &JsonNode) -> Result<(), ChangeError> {
-    if let Some(keys) = at.get("credentials") {
+fn check_tenant(tenant: &JsonNode) -> Result<(), ChangeError> {
+    if let Some(keys) = tenant.get("credentials") {
         for key in keys.list()? {
             key.name()?;
         }
     }
     for name in ["rank", "rate_per_s", "burst_size"] {
-        at.get(name).map(|n| n.amount()).transpose()?;
+        tenant.get(name).map(|n| n.amount()).transpose()?;
     }
     Ok(())
 }
 
-fn service(at: &JsonNode) -> Result<(), ChangeError> {
-    at.get("probe_path").map(|p| p.text()).transpose()?;
-    at.get("conn_limit").map(|n| n.amount()).transpose()?;
+fn check_service(service: &JsonNode) -> Result<(), ChangeError> {
+    service.get("probe_path").map(|p| p.text()).transpose()?;
+    service.get("conn_limit").map(|n| n.amount()).transpose()?;
     Ok(())
 }
 
-fn saturation(at: &JsonNode) -> Result<(), ChangeError> {
+fn check_client_limits(limits: &JsonNode) -> Result<(), ChangeError> {
     for name in ["header_max_bytes", "body_max_bytes"] {
-        at.get(name).map(|n| n.amount()).transpose()?;
+        limits.get(name).map(|n| n.amount()).transpose()?;
     }
     for name in ["header_deadline", "idle_cutoff"] {
-        at.get(name).map(|t| t.time()).transpose()?;
+        limits.get(name).map(|t| t.time()).transpose()?;
     }
     Ok(())
 }
 
-/// Judges the whole configuration that would stand: refused is what a call would newly put wrong, not what was so
-/// before it. The items that would change anything are returned.
-pub fn validate_change(held: &ItemSet, call: &[ConfigItem]) -> Result<Vec<ConfigItem>, ChangeError> {
-    let mut after = held.clone();
-    let news: Vec<ConfigItem> = call.iter().filter(|i| after.merge((*i).clone())).cloned().collect();
-    if news.is_empty() {
-        return Ok(news);
+/// Validates a change against a whole configuration: rejected is what it would newly violate, not what was violated
+/// before. Returns the items that would change anything.
+pub fn validate_change(current: &ItemSet, change: &[ConfigItem]) -> Result<Vec<ConfigItem>, ChangeError> {
+    let mut after = current.clone();
+    let effective: Vec<ConfigItem> = change.iter().filter(|i| after.merge((*i).clone())).cloned().collect();
+    if effective.is_empty() {
+        return Ok(effective);
     }
-    let before = find_violations(held);
-    match find_violations(&after).into_iter().find(|f| !before.contains(f)) {
-        Some(fault) => Err(fault),
-        None => Ok(news),
+    let before = find_violations(current);
+    match find_violations(&after).into_iter().find(|v| !before.contains(v)) {
+        Some(violation) => Err(violation),
+        None => Ok(effective),
     }
 }
 
-/// What is wrong between the items of a configuration.
+/// The rules between items that a configuration violates: every service that a route names exists, and no two tenants
+/// have the same credential.
 pub fn find_violations(items: &ItemSet) -> Vec<ChangeError> {
-    let mut found = Vec::new();
+    let mut violations = Vec::new();
     for (label, body) in items.active_items(ItemKind::Route) {
         for service in body.route_services() {
-            let stands = items.active_items(ItemKind::Service).any(|(l, _)| l == service);
-            if !stands {
-                found.push(ChangeError::UnknownService(label.into(), service));
+            let exists = items.active_items(ItemKind::Service).any(|(l, _)| l == service);
+            if !exists {
+                violations.push(ChangeError::UnknownService { route: label.into(), service });
             }
         }
     }
     let mut owners: BTreeMap<String, &str> = BTreeMap::new();
     for (label, body) in items.active_items(ItemKind::Tenant) {
-        for key in body.tenant_credentials() {
-            if let Some(other) = owners.insert(key, label).filter(|other| *other != label) {
-                found.push(ChangeError::SharedCredential(other.into(), label.into()));
+        for credential in body.tenant_credentials() {
+            if let Some(other) = owners.insert(credential, label).filter(|other| *other != label) {
+                violations.push(ChangeError::SharedCredential(other.into(), label.into()));
             }
         }
     }
-    found
+    violations
 }
 
-/// The services that a route names.
+/// The services that a route names: those of its `mixture`, or its `service_ref`.
 pub fn route_services(route: &Map<String, Value>) -> Vec<&str> {
     let mixture = route.get("mixture").and_then(Value::as_array).into_iter().flatten();
-    let mut named: Vec<&str> = mixture.filter_map(|p| p.get("service_ref")?.as_str()).collect();
-    if named.is_empty() {
-        named.extend(route.get("service_ref").and_then(Value::as_str));
+    let mut services: Vec<&str> = mixture.filter_map(|s| s.get("service_ref")?.as_str()).collect();
+    if services.is_empty() {
+        services.extend(route.get("service_ref").and_then(Value::as_str));
     }
-    named
+    services
 }
 
-/// The keys that a tenant has.
+/// The credentials of a tenant.
 pub fn tenant_credentials(tenant: &Map<String, Value>) -> impl Iterator<Item = &str> {
     tenant.get("credentials").and_then(Value::as_array).into_iter().flatten().filter_map(Value::as_str)
 }
--- a/crates/gateway/src/configuration/content_hash_tests.rs
+++ b/crates/gateway/src/configuration/content_hash_tests.rs
@@ -1,4 +1,4 @@
-//! When two items say the same: whatever the spelling, on disks of earlier builds, too.
+//! When two versions have the same content: whatever the spelling, and on disks of earlier builds too.
 
 use super::content_hash::{semantic_hash, verbatim_hash};
 use super::state::ChangeOutcome;
@@ -7,18 +7,18 @@
 use serde_json::{json, Value};
 
 /// 200 with an effect, 200 without, 409.
-fn code(outcome: &ChangeOutcome) -> &'static str {
+fn outcome_name(outcome: &ChangeOutcome) -> &'static str {
     match outcome {
-        ChangeOutcome::Applied(_) => "taken",
-        ChangeOutcome::AlreadyApplied => "known",
+        ChangeOutcome::Applied(_) => "applied",
+        ChangeOutcome::AlreadyApplied => "already applied",
         ChangeOutcome::Conflict(_) => "conflict",
         _ => "other",
     }
 }
 
-/// Guards an order that is sent again in another spelling, by another client or through another reader: the same.
+/// A change that is sent again in another spelling, or through another client, has the same content.
 #[gtest]
-fn an_item_is_the_same_however_it_is_spelled() {
+fn equivalent_spellings_have_the_same_content() {
     let read = |body: Value| parse_change(body.to_string().as_bytes()).expect("readable");
     let columns = ["label", "hostname", "path_prefix", "route_class", "cutoff", "target", "rank", "mixture"];
     let route = |more: Value| {
@@ -28,15 +28,15 @@
         body.as_object_mut().expect("one").extend(more.as_object().expect("one").clone());
         body
     };
-    let orders = |routes: Vec<Value>, tenants: Vec<Value>| {
+    let changes = |routes: Vec<Value>, tenants: Vec<Value>| {
         read(json!({ "upsert": { "route_set": routes, "tenant_set": tenants,
             "service_set": [{ "label": "s1", "revision": "r7" }, { "label": "s2", "revision": "r7" }],
             "saturation": { "header_deadline": "3000ms", "idle_cutoff": "15000ms", "revision": "r7" } } }))
     };
     let tenant = json!({ "label": "t1", "credentials": ["k1", "k2"], "rate_per_s": 10, "revision": "r7" });
-    let first = orders(vec![route(json!({}))], vec![tenant.clone()]);
+    let first = changes(vec![route(json!({}))], vec![tenant.clone()]);
     let mut base = ConfigState::default();
-    assert_that!(code(&base.apply(1, &first)), eq("taken"));
+    assert_that!(outcome_name(&base.apply(1, &first)), eq("applied"));
     let parts = |a: Value, b: Value| json!({ "mixture": [a, b] });
     let (s1, s2) = (json!({ "service_ref": "s1", "gain": 90 }), json!({ "gain": 10.0, "service_ref": "s2" }));
     let same = [
@@ -57,26 +57,28 @@
         parts(s1.clone(), json!({ "service_ref": "s2", "gain": 11 })),
         parts(json!({ "service_ref": "s2", "gain": 90 }), json!({ "service_ref": "s1", "gain": 10 })),
     ];
-    for (told, fields) in same.iter().map(|f| ("known", f)).chain(other.iter().map(|f| ("conflict", f))) {
-        let order = orders(vec![route(fields.clone())], vec![tenant.clone()]);
-        expect_that!(code(&base.clone().apply(2, &order)), eq(told), "{fields}");
-        // Also once it is overtaken.
+    for (expected, fields) in
+        same.iter().map(|f| ("already applied", f)).chain(other.iter().map(|f| ("conflict", f)))
+    {
+        let change = changes(vec![route(fields.clone())], vec![tenant.clone()]);
+        expect_that!(outcome_name(&base.clone().apply(2, &change)), eq(expected), "{fields}");
+        // Also once it is superseded.
         let mut later = base.clone();
         let higher = read(json!({ "upsert": { "route_set": [route(json!({ "revision": "r9" }))] } }));
-        expect_that!(code(&later.apply(2, &higher)), eq("taken"));
-        expect_that!(code(&later.apply(3, &order)), eq(told), "{fields}");
+        expect_that!(outcome_name(&later.apply(2, &higher)), eq("applied"));
+        expect_that!(outcome_name(&later.apply(3, &change)), eq(expected), "{fields}");
     }
-    for (told, fields) in [
-        ("known", json!({ "credentials": ["k2", "k1"], "burst_size": 0 })),
-        ("known", json!({ "rate_per_s": 10.0, "burst_size": null, "rank": null })),
+    for (expected, fields) in [
+        ("already applied", json!({ "credentials": ["k2", "k1"], "burst_size": 0 })),
+        ("already applied", json!({ "rate_per_s": 10.0, "burst_size": null, "rank": null })),
         ("conflict", json!({ "credentials": ["k1"] })),
         ("conflict", json!({ "rate_per_s": 0 })),
     ] {
         let mut tenant = tenant.clone();
         tenant.as_object_mut().expect("one").extend(fields.as_object().expect("one").clone());
         expect_that!(
-            code(&base.clone().apply(2, &orders(vec![route(json!({}))], vec![tenant]))),
-            eq(told),
+            outcome_name(&base.clone().apply(2, &changes(vec![route(json!({}))], vec![tenant]))),
+            eq(expected),
             "{fields}"
         );
     }
@@ -88,27 +90,26 @@
     for turn in 0..columns.len() {
         columns.rotate_left(1);
         record.rotate_left(1);
-        let order = read(json!({ "upsert": { "route_set": { "columns": columns, "records": [record] } } }));
-        expect_that!(code(&base.clone().apply(2, &order)), eq("known"), "{turn}");
+        let change = read(json!({ "upsert": { "route_set": { "columns": columns, "records": [record] } } }));
+        expect_that!(outcome_name(&base.clone().apply(2, &change)), eq("already applied"), "{turn}");
     }
-    // An order under two spellings at once is one.
-    let twice = orders(vec![route(same[0].clone()), route(same[2].clone())], vec![]);
-    expect_that!(code(&ConfigState::default().apply(1, &twice)), eq("taken"));
+    // One version in two spellings within a change.
+    let twice = changes(vec![route(same[0].clone()), route(same[2].clone())], vec![]);
+    expect_that!(outcome_name(&ConfigState::default().apply(1, &twice)), eq("applied"));
 }
 
-/// Guards a disk of an earlier build, whose hashes are of the fields as they were spelled: what it confirmed is
-/// confirmed again.
+/// Disks of earlier builds have hashes of the fields as they were sent; what they confirmed is confirmed again.
 #[gtest]
-fn what_an_earlier_build_confirmed_is_known_by_its_spelling() {
+fn verbatim_hash_of_an_earlier_build_still_matches() {
     let body = json!({ "label": "t", "credentials": ["k2", "k1"], "revision": "r5" });
-    let order = [ConfigItem {
+    let change = [ConfigItem {
         kind: ItemKind::Tenant,
         label: "t".into(),
         version: 5,
         body: body.as_object().map(Into::into),
     }];
     let mut state = ConfigState::default();
-    assert_that!(code(&state.apply(1, &order)), eq("taken"));
+    assert_that!(outcome_name(&state.apply(1, &change)), eq("applied"));
     let body = body.as_object();
     let (now, before) = (semantic_hash(body), verbatim_hash(body));
     let bytes = state.encode();
@@ -116,5 +117,5 @@
     let at = bytes.windows(now.len()).position(|w| w == now).expect("there");
     let old = [&bytes[..at], &before, &bytes[at + now.len()..]].concat();
     let mut state = ConfigState::decode(&old).expect("decoded");
-    expect_that!(code(&state.apply(2, &order)), eq("known"));
+    expect_that!(outcome_name(&state.apply(2, &change)), eq("already applied"));
 }
--- a/crates/gateway/src/configuration/fields.rs
+++ b/crates/gateway/src/configuration/fields.rs
@@ -1,5 +1,5 @@
-//! Owns the fields of an item as they were sent, held in few bytes: a configuration of tens of thousands of items is
-//! held, told and read many times. It must never change what was sent, nor judge it.
+//! The fields of an item exactly as they were sent, in a compact form: a configuration of tens of thousands of items is
+//! stored, sent and read many times.
 
 use super::change;
 use serde::de::{Deserializer, MapAccess, SeqAccess, Visitor};
@@ -17,7 +17,7 @@
     pub burst: f64,
 }
 
-/// Fields by name, as MessagePack, sorted by name. Equal fields are equal bytes.
+/// Fields by name, as a MessagePack map sorted by name, so that equal fields are equal bytes. Cheap to clone.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ItemFields(Arc<[u8]>);
 
@@ -29,13 +29,13 @@
 }
 
 impl ItemFields {
-    /// The fields, each by itself.
+    /// The fields as JSON.
     pub fn to_map(&self) -> Map<String, Value> {
-        // What can't be read is never taken in.
+        // Deserializing refuses what can't be read here.
         rmp_serde::from_slice(&self.0).unwrap_or_default()
     }
 
-    /// Bytes that they take.
+    /// Size in bytes.
     pub fn encoded_len(&self) -> usize {
         self.0.len()
     }
@@ -45,12 +45,12 @@
         change::route_services(&self.to_map()).into_iter().map(str::to_owned).collect()
     }
 
-    /// The keys that a tenant has.
+    /// The credentials of a tenant.
     pub fn tenant_credentials(&self) -> Vec<String> {
         self.credentials_and_rate().0
     }
 
-    /// The keys that a tenant has, and its quota.
+    /// The credentials of a tenant and its rate.
     pub fn credentials_and_rate(&self) -> (Vec<String>, TenantRate) {
         #[derive(Deserialize)]
         struct Tenant<'a> {
@@ -61,19 +61,19 @@
             #[serde(default)]
             burst_size: Option<f64>,
         }
-        if let Ok(read) = rmp_serde::from_slice::<Tenant>(&self.0) {
-            let keys = read.credentials.into_iter().flatten().map(str::to_owned).collect();
+        if let Ok(tenant) = rmp_serde::from_slice::<Tenant>(&self.0) {
+            let credentials = tenant.credentials.into_iter().flatten().map(str::to_owned).collect();
             let rate = TenantRate {
-                requests_per_sec: read.rate_per_s.unwrap_or(0.0),
-                burst: read.burst_size.unwrap_or(0.0),
+                requests_per_sec: tenant.rate_per_s.unwrap_or(0.0),
+                burst: tenant.burst_size.unwrap_or(0.0),
             };
-            return (keys, rate);
+            return (credentials, rate);
         }
-        // Fields of other kinds than a tenant's should be.
+        // Fields of other types than a tenant's should have.
         let map = self.to_map();
         let number = |field: &str| map.get(field).and_then(Value::as_f64).unwrap_or(0.0);
-        let keys = change::tenant_credentials(&map).map(str::to_owned).collect();
-        (keys, TenantRate { requests_per_sec: number("rate_per_s"), burst: number("burst_size") })
+        let credentials = change::tenant_credentials(&map).map(str::to_owned).collect();
+        (credentials, TenantRate { requests_per_sec: number("rate_per_s"), burst: number("burst_size") })
     }
 }
 
@@ -91,13 +91,13 @@
 
 impl<'de> Deserialize<'de> for ItemFields {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(Reader)
+        from.deserialize_any(ItemFieldsVisitor)
     }
 }
 
-struct Reader;
+struct ItemFieldsVisitor;
 
-impl<'de> Visitor<'de> for Reader {
+impl<'de> Visitor<'de> for ItemFieldsVisitor {
     type Value = ItemFields;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -105,17 +105,17 @@
     }
 
     fn visit_bytes<E: serde::de::Error>(self, bytes: &[u8]) -> Result<ItemFields, E> {
-        let mut reader = rmp_serde::Deserializer::new(std::io::Cursor::new(bytes));
-        Plain::deserialize(&mut reader).map_err(E::custom)?;
-        // A map, of any of the three lengths, and nothing behind it.
-        let map = matches!(bytes.first(), Some(0x80..=0x8f | 0xde | 0xdf));
-        match map && reader.position() == bytes.len() as u64 {
+        let mut deserializer = rmp_serde::Deserializer::new(std::io::Cursor::new(bytes));
+        AnyJson::deserialize(&mut deserializer).map_err(E::custom)?;
+        // A map (MessagePack has three markers for it), and nothing behind it.
+        let is_map = matches!(bytes.first(), Some(0x80..=0x8f | 0xde | 0xdf));
+        match is_map && deserializer.position() == bytes.len() as u64 {
             true => Ok(ItemFields(bytes.into())),
             false => Err(E::custom("not the fields of an item")),
         }
     }
 
-    /// As disks before this form have them.
+    /// The form on disks of earlier builds.
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<ItemFields, A::Error> {
         let mut fields = Map::new();
         while let Some((name, value)) = map.next_entry::<String, Value>()? {
@@ -125,74 +125,74 @@
     }
 }
 
-/// What [`Fields::map`] can read, passed over.
-struct Plain;
+/// Skips any value that [`ItemFields::to_map`] can read.
+struct AnyJson;
 
-impl<'de> Deserialize<'de> for Plain {
+impl<'de> Deserialize<'de> for AnyJson {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_any(Plain)
+        from.deserialize_any(AnyJson)
     }
 }
 
-impl<'de> Visitor<'de> for Plain {
-    type Value = Plain;
+impl<'de> Visitor<'de> for AnyJson {
+    type Value = AnyJson;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("a value of JSON")
     }
 
-    fn visit_bool<E>(self, _: bool) -> Result<Plain, E> {
-        Ok(Plain)
+    fn visit_bool<E>(self, _: bool) -> Result<AnyJson, E> {
+        Ok(AnyJson)
     }
 
-    fn visit_i64<E>(self, _: i64) -> Result<Plain, E> {
-        Ok(Plain)
+    fn visit_i64<E>(self, _: i64) -> Result<AnyJson, E> {
+        Ok(AnyJson)
     }
 
-    fn visit_u64<E>(self, _: u64) -> Result<Plain, E> {
-        Ok(Plain)
+    fn visit_u64<E>(self, _: u64) -> Result<AnyJson, E> {
+        Ok(AnyJson)
     }
 
-    fn visit_f64<E>(self, _: f64) -> Result<Plain, E> {
-        Ok(Plain)
+    fn visit_f64<E>(self, _: f64) -> Result<AnyJson, E> {
+        Ok(AnyJson)
     }
 
-    fn visit_str<E>(self, _: &str) -> Result<Plain, E> {
-        Ok(Plain)
+    fn visit_str<E>(self, _: &str) -> Result<AnyJson, E> {
+        Ok(AnyJson)
     }
 
-    fn visit_unit<E>(self) -> Result<Plain, E> {
-        Ok(Plain)
+    fn visit_unit<E>(self) -> Result<AnyJson, E> {
+        Ok(AnyJson)
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<Plain, A::Error> {
-        while list.next_element::<Plain>()?.is_some() {}
-        Ok(Plain)
+    fn visit_seq<A: SeqAccess<'de>>(self, mut list: A) -> Result<AnyJson, A::Error> {
+        while list.next_element::<AnyJson>()?.is_some() {}
+        Ok(AnyJson)
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Plain, A::Error> {
-        while map.next_entry::<Name, Plain>()?.is_some() {}
-        Ok(Plain)
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<AnyJson, A::Error> {
+        while map.next_entry::<FieldName, AnyJson>()?.is_some() {}
+        Ok(AnyJson)
     }
 }
 
-/// The name of a field, passed over.
-struct Name;
+/// Skips the name of a field.
+struct FieldName;
 
-impl<'de> Deserialize<'de> for Name {
+impl<'de> Deserialize<'de> for FieldName {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        from.deserialize_str(Name)
+        from.deserialize_str(FieldName)
     }
 }
 
-impl Visitor<'_> for Name {
-    type Value = Name;
+impl Visitor<'_> for FieldName {
+    type Value = FieldName;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("a name")
     }
 
-    fn visit_str<E>(self, _: &str) -> Result<Name, E> {
-        Ok(Name)
+    fn visit_str<E>(self, _: &str) -> Result<FieldName, E> {
+        Ok(FieldName)
     }
 }
--- a/crates/gateway/src/configuration/item.rs
+++ b/crates/gateway/src/configuration/item.rs
@@ -1,5 +1,6 @@
-//! Owns the items: a map from name to the highest version seen, set or dropped. Merging is commutative, associative
-//! and idempotent, so copies that saw the same items in any order are equal. It must never judge what an item says.
+//! Configuration items, and a set of them that keeps the highest version of each name. Merging is commutative,
+//! associative and idempotent, so replicas that saw the same items in any order are equal. What an item says is not
+//! validated here.
 
 use super::fields::ItemFields;
 use serde::{Deserialize, Serialize};
@@ -7,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// What an item is.
+/// What an item configures. Serialized by the variant's name; ordered as declared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ItemKind {
     /// A route.
@@ -16,12 +17,12 @@
     Tenant,
     /// A service.
     Service,
-    /// The one item of bounds on clients.
+    /// The limits on clients; there is one item of this kind, with an empty name.
     Saturation,
 }
 
 impl ItemKind {
-    /// The list that holds items of this kind.
+    /// The operator's name of the set of such items, in requests and answers.
     pub fn set_name(self) -> &'static str {
         match self {
             ItemKind::Route => "route_set",
@@ -32,112 +33,117 @@
     }
 }
 
-/// One version of an item. `body`: its fields as they were sent; `None`: dropped.
+/// One version of an item. Serialized by position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigItem {
-    /// What it is.
+    /// What it configures.
     pub kind: ItemKind,
-    /// Its name.
+    /// Its name, unique within its kind.
     pub label: String,
-    /// Its version.
+    /// Its version (the operator's `revision`); higher ones replace lower ones.
     pub version: u64,
-    /// Its fields.
+    /// Its fields as they were sent; `None`: the item is removed.
     pub body: Option<ItemFields>,
 }
 
-/// The items that hold.
+/// The highest version of each item, removed ones included.
 #[derive(Clone, Debug, Default)]
 pub struct ItemSet {
-    map: BTreeMap<(ItemKind, String), ConfigItem>,
+    items: BTreeMap<(ItemKind, String), ConfigItem>,
+    /// XOR of the items' hashes.
     digest: u64,
 }
 
-fn hash(item: &ConfigItem) -> u64 {
+fn version_hash(item: &ConfigItem) -> u64 {
     let mut hasher = DefaultHasher::new();
     (item.kind, &item.label, item.version).hash(&mut hasher);
     hasher.finish()
 }
 
 impl ItemSet {
-    /// The same at every process that holds the same versions.
+    /// Equal for sets with the same versions.
     #[cfg(test)]
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The version that holds for a name.
+    /// The highest version of a name.
     pub fn version(&self, kind: ItemKind, label: &str) -> Option<u64> {
-        self.map.get(&(kind, label.to_owned())).map(|i| i.version)
+        self.items.get(&(kind, label.to_owned())).map(|i| i.version)
     }
 
-    /// The fields of one item, if it stands.
+    /// The fields of an item that is not removed.
     #[cfg(test)]
     pub fn body(&self, kind: ItemKind, label: &str) -> Option<Map<String, Value>> {
-        self.map.get(&(kind, label.to_owned()))?.body.as_ref().map(ItemFields::to_map)
+        self.items.get(&(kind, label.to_owned()))?.body.as_ref().map(ItemFields::to_map)
     }
 
-    /// Would this item change anything?
+    /// Would merging this item change anything?
     pub fn is_newer(&self, item: &ConfigItem) -> bool {
         self.version(item.kind, &item.label).is_none_or(|v| v < item.version)
     }
 
-    /// Takes an item if its version is higher than the one held.
+    /// Takes an item if its version is higher than that of the same name here; was it taken?
     pub fn merge(&mut self, item: ConfigItem) -> bool {
         if !self.is_newer(&item) {
             return false;
         }
-        self.digest ^= hash(&item);
-        if let Some(old) = self.map.insert((item.kind, item.label.clone()), item) {
-            self.digest ^= hash(&old);
+        self.digest ^= version_hash(&item);
+        if let Some(old) = self.items.insert((item.kind, item.label.clone()), item) {
+            self.digest ^= version_hash(&old);
         }
         true
     }
 
-    /// All items, the dropped ones too.
+    /// All items, the removed ones too.
     pub fn iter(&self) -> impl Iterator<Item = &ConfigItem> {
-        self.map.values()
+        self.items.values()
     }
 
-    /// The items of a kind that stand.
+    /// Names and fields of the items of a kind that are not removed.
     pub fn active_items(&self, kind: ItemKind) -> impl Iterator<Item = (&str, &ItemFields)> {
-        let of_kind = self.map.iter().filter(move |((k, _), _)| *k == kind);
+        let of_kind = self.items.iter().filter(move |((k, _), _)| *k == kind);
         of_kind.filter_map(|((_, label), item)| Some((label.as_str(), item.body.as_ref()?)))
     }
 
-    /// All items that stand, laid out as in the first call's set.
+    /// The items that are not removed, in the layout of a change's `upsert`.
     pub fn to_json(&self) -> Value {
-        render(self.map.values())
+        items_to_json(self.items.values())
     }
 }
 
-/// Lays items out as in the first call's set; those dropped are left out.
-pub fn render<'a>(items: impl Iterator<Item = &'a ConfigItem>) -> Value {
-    let mut standing: [Vec<&ItemFields>; 4] = Default::default();
+/// Items in the layout of a change's `upsert`; removed ones are left out.
+pub fn items_to_json<'a>(items: impl Iterator<Item = &'a ConfigItem>) -> Value {
+    let mut active: [Vec<&ItemFields>; 4] = Default::default();
     for item in items {
-        standing[item.kind as usize].extend(&item.body);
+        active[item.kind as usize].extend(&item.body);
     }
-    let mut out = Map::new();
+    let mut sets = Map::new();
     for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service] {
-        let bodies = &standing[kind as usize];
-        let mut columns: Vec<String> = Vec::new();
-        let mut records: Vec<Value> = Vec::with_capacity(bodies.len());
-        for body in bodies {
-            let mut body = body.to_map();
-            let mut record: Vec<Value> =
-                columns.iter().map(|c| body.remove(c).unwrap_or(Value::Null)).collect();
-            for (name, value) in body {
-                columns.push(name);
-                record.push(value);
-            }
-            records.push(Value::Array(record));
-        }
-        for record in records.iter_mut().filter_map(Value::as_array_mut) {
-            record.resize(columns.len(), Value::Null);
+        sets.insert(kind.set_name().into(), to_columns_and_records(&active[kind as usize]));
+    }
+    if let Some(limits) = active[ItemKind::Saturation as usize].first() {
+        sets.insert(ItemKind::Saturation.set_name().into(), Value::Object(limits.to_map()));
+    }
+    Value::Object(sets)
+}
+
+/// Columns are in the order in which the items have them first; a field that an item lacks is null.
+fn to_columns_and_records(items: &[&ItemFields]) -> Value {
+    let mut columns: Vec<String> = Vec::new();
+    let mut records: Vec<Value> = Vec::with_capacity(items.len());
+    for item in items {
+        let mut fields = item.to_map();
+        let mut record: Vec<Value> =
+            columns.iter().map(|c| fields.remove(c).unwrap_or(Value::Null)).collect();
+        for (name, value) in fields {
+            columns.push(name);
+            record.push(value);
         }
-        out.insert(kind.set_name().into(), serde_json::json!({ "columns": columns, "records": records }));
+        records.push(Value::Array(record));
     }
-    if let Some(body) = standing[ItemKind::Saturation as usize].first() {
-        out.insert(ItemKind::Saturation.set_name().into(), Value::Object(body.to_map()));
+    for record in records.iter_mut().filter_map(Value::as_array_mut) {
+        record.resize(columns.len(), Value::Null);
     }
-    Value::Object(out)
+    serde_json::json!({ "columns": columns, "records": records })
 }
--- a/crates/gateway/src/configuration/mod.rs
+++ b/crates/gateway/src/configuration/mod.rs
@@ -1,5 +1,9 @@
-//! The operator's configuration: named items with versions of their own, calls that change them, what makes a whole
-//! configuration invalid, and what a gatekeeper serves by. Pure. It must never know a socket or a disk.
+//! The operator's configuration: routes, tenants, services and limits on clients, each a named item with a version of
+//! its own.
+//!
+//! [`parse_change`] reads a request of an operator into a [`ConfigChange`], which becomes an entry of the replicated
+//! log; [`ConfigState`] applies it at each core node; [`replica::ConfigReplica`] follows the active items at each edge
+//! node, and [`ActiveConfig`] is the view that requests are served by. No I/O, no clock.
 
 pub mod active_config;
 pub mod change;
@@ -15,7 +19,7 @@
 pub use item::{ConfigItem, ItemKind, ItemSet};
 pub use state::ConfigState;
 
-/// An operator's call, as [`read_call`] gives it: one entry of the replicated log.
+/// The items of an operator's request, as [`parse_change`] returns them: one entry of the replicated log.
 pub type ConfigChange = std::sync::Arc<Vec<ConfigItem>>;
 
 #[cfg(test)]
--- a/crates/gateway/src/configuration/race_tests.rs
+++ b/crates/gateway/src/configuration/race_tests.rs
@@ -1,5 +1,5 @@
-//! Orders of several operators over the same names, with versions that cross, in every order in which the log may have
-//! them, and each sent again at every later place.
+//! Changes of several operators to the same names, with versions that cross, in every order in which the log may have
+//! them, and each one sent again at every later position.
 
 use super::state::ChangeOutcome;
 use super::{ConfigItem, ConfigState, ItemKind};
@@ -7,48 +7,48 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 
-/// An order: names with version and content; no content: dropped.
-type Told<'a> = &'a [(&'a str, u64, Option<u64>)];
+/// A change: names with version and content; no content: removed.
+type ChangeSpec<'a> = &'a [(&'a str, u64, Option<u64>)];
 
-fn order(told: Told) -> Vec<ConfigItem> {
+fn change(spec: ChangeSpec) -> Vec<ConfigItem> {
     let item = |(label, version, content): &(&str, u64, Option<u64>)| {
         let body = content.map(|limit| json!({ "label": label, "conn_limit": limit }));
         let body = body.and_then(|b| b.as_object().map(Into::into));
         ConfigItem { kind: ItemKind::Service, label: (*label).into(), version: *version, body }
     };
-    told.iter().map(item).collect()
+    spec.iter().map(item).collect()
 }
 
-/// All orders of so many things.
-fn permutations(many: usize) -> Vec<Vec<usize>> {
-    if many == 0 {
+/// All permutations of 0..count.
+fn permutations(count: usize) -> Vec<Vec<usize>> {
+    if count == 0 {
         return vec![Vec::new()];
     }
-    let shorter = permutations(many - 1);
+    let shorter = permutations(count - 1);
     let longer =
-        |p: &Vec<usize>| (0..many).map(|at| [&p[..at], &[many - 1], &p[at..]].concat()).collect::<Vec<_>>();
+        |p: &Vec<usize>| (0..count).map(|at| [&p[..at], &[count - 1], &p[at..]].concat()).collect::<Vec<_>>();
     shorter.iter().flat_map(longer).collect()
 }
 
-/// What operators have heard.
+/// The outcomes that operators have received.
 #[derive(Default)]
-struct Heard {
+struct Outcomes {
     confirmed: Vec<usize>,
-    refused: Vec<usize>,
+    rejected: Vec<usize>,
     /// By name and version: the content that was confirmed.
     contents: BTreeMap<(String, u64), Option<u64>>,
 }
 
-impl Heard {
-    /// One more answer; an operator whose order was refused sends it no more.
-    fn answer(&mut self, state: &mut ConfigState, index: u64, n: usize, told: Told) {
+impl Outcomes {
+    /// Applies a change and checks its outcome; an operator whose change was rejected does not send it again.
+    fn apply_and_check(&mut self, state: &mut ConfigState, index: u64, n: usize, spec: ChangeSpec) {
         let before = state.clone();
-        let outcome = state.apply(index, &order(told));
+        let outcome = state.apply(index, &change(spec));
         match outcome {
             ChangeOutcome::Applied(_) | ChangeOutcome::AlreadyApplied => {
-                assert_that!(self.refused, not(contains(eq(&n))), "{told:?} was refused");
+                assert_that!(self.rejected, not(contains(eq(&n))), "{spec:?} was rejected");
                 self.confirmed.push(n);
-                for (label, version, content) in told {
+                for (label, version, content) in spec {
                     let held = self.contents.insert(((*label).into(), *version), *content);
                     assert_that!(
                         held.is_none_or(|h| h == *content),
@@ -58,20 +58,20 @@
                 }
             }
             ChangeOutcome::Conflict(_) => {
-                assert_that!(self.confirmed, not(contains(eq(&n))), "{told:?} was confirmed");
+                assert_that!(self.confirmed, not(contains(eq(&n))), "{spec:?} was confirmed");
                 let other = |(l, v, c): &(&str, u64, Option<u64>)| {
                     self.contents.get(&((*l).into(), *v)).is_some_and(|held| held != c)
                 };
-                assert_that!(told.iter().any(other), eq(true), "{told:?} is refused without ground");
+                assert_that!(spec.iter().any(other), eq(true), "{spec:?} is rejected without reason");
                 assert_that!(*state, eq(&before));
-                self.refused.push(n);
+                self.rejected.push(n);
             }
-            other => panic!("{told:?}: {other:?}"),
+            other => panic!("{spec:?}: {other:?}"),
         }
     }
 
-    /// What stands is, of each name, the highest version that was confirmed.
-    fn stands(&self, state: &ConfigState) {
+    /// The current version of each name is the highest one that was confirmed.
+    fn check_current(&self, state: &ConfigState) {
         let mut newest: BTreeMap<&str, Option<u64>> = BTreeMap::new();
         for ((label, _), content) in &self.contents {
             newest.insert(label, *content);
@@ -83,12 +83,12 @@
     }
 }
 
-/// Guards two operators under one number, orders whose versions cross, and those that were half overtaken before they
-/// came, or came again.
+/// Two operators using one version, changes whose versions cross, and changes that were partly superseded before they
+/// arrived, or arrived again.
 #[gtest]
-fn orders_with_crossed_versions_keep_their_word_in_every_interleaving() {
-    let days: [&[Told]; 4] = [
-        // Two races over three names; what the one sets highest the other sets lowest.
+fn outcomes_are_consistent_in_every_interleaving() {
+    let scenarios: [&[ChangeSpec]; 4] = [
+        // Two races over three names; the highest version of one change is the lowest of the other.
         &[
             &[("a", 5, Some(1)), ("b", 9, Some(1))],
             &[("a", 9, Some(2)), ("b", 5, Some(2))],
@@ -97,7 +97,7 @@
             &[("c", 9, Some(5)), ("a", 7, Some(5))],
             &[("b", 7, None), ("c", 7, None)],
         ],
-        // Four under one number, with a fifth over and a sixth under it.
+        // Four of one version, a fifth above and a sixth below it.
         &[
             &[("a", 7, Some(1))],
             &[("a", 7, Some(2))],
@@ -106,7 +106,7 @@
             &[("a", 8, Some(3))],
             &[("a", 6, Some(4)), ("b", 7, Some(2))],
         ],
-        // Dropped, set again, dropped, by two who don't know of each other.
+        // Removed, set again, removed, by two operators who don't know of each other.
         &[
             &[("a", 1, Some(1)), ("b", 1, Some(1))],
             &[("a", 2, None), ("b", 3, Some(2))],
@@ -115,7 +115,7 @@
             &[("a", 4, None), ("b", 3, Some(9))],
             &[("a", 2, Some(8))],
         ],
-        // Half overtaken, and its other half under a number that is taken.
+        // Partly superseded, and partly of a version that is taken.
         &[
             &[("a", 3, Some(1)), ("b", 3, Some(1)), ("c", 3, Some(1))],
             &[("a", 4, Some(2))],
@@ -125,39 +125,40 @@
             &[("c", 3, Some(1)), ("b", 4, Some(4))],
         ],
     ];
-    let (mut courses, mut answers) = (0, [0, 0]);
-    for told in days {
-        for course in permutations(told.len()) {
-            let (mut state, mut heard, mut index) = (ConfigState::default(), Heard::default(), 0);
-            let mut apply = |state: &mut ConfigState, heard: &mut Heard, n: usize| {
+    let (mut interleavings, mut answers) = (0, [0, 0]);
+    for spec in scenarios {
+        for interleaving in permutations(spec.len()) {
+            let (mut state, mut outcomes, mut index) = (ConfigState::default(), Outcomes::default(), 0);
+            let mut apply = |state: &mut ConfigState, outcomes: &mut Outcomes, n: usize| {
                 index += 1;
-                heard.answer(state, index, n, told[n]);
-                heard.stands(state);
+                outcomes.apply_and_check(state, index, n, spec[n]);
+                outcomes.check_current(state);
             };
-            for (place, n) in course.iter().enumerate() {
-                apply(&mut state, &mut heard, *n);
-                // Each that was confirmed comes again, at every place.
-                for again in course[..=place]
+            for (position, n) in interleaving.iter().enumerate() {
+                apply(&mut state, &mut outcomes, *n);
+                // Each that was confirmed arrives again, at every position.
+                for again in interleaving[..=position]
                     .iter()
-                    .filter(|a| heard.confirmed.contains(a))
+                    .filter(|a| outcomes.confirmed.contains(a))
                     .copied()
                     .collect::<Vec<_>>()
                 {
                     let before = state.to_json();
-                    apply(&mut state, &mut heard, again);
+                    apply(&mut state, &mut outcomes, again);
                     assert_that!(state.to_json(), eq(&before));
                 }
             }
-            courses += 1;
-            answers[0] += course.iter().filter(|n| heard.confirmed.contains(n)).count();
-            answers[1] += heard.refused.len();
+            interleavings += 1;
+            answers[0] += interleaving.iter().filter(|n| outcomes.confirmed.contains(n)).count();
+            answers[1] += outcomes.rejected.len();
             assert_that!(
-                heard.refused.len() + course.iter().filter(|n| heard.confirmed.contains(n)).count(),
+                outcomes.rejected.len()
+                    + interleaving.iter().filter(|n| outcomes.confirmed.contains(n)).count(),
                 eq(6)
             );
         }
     }
-    println!("{courses} courses, {} orders confirmed, {} refused", answers[0], answers[1]);
-    expect_that!(courses, eq(4 * 720));
+    println!("{interleavings} interleavings, {} changes confirmed, {} rejected", answers[0], answers[1]);
+    expect_that!(interleavings, eq(4 * 720));
     expect_that!(answers.into_iter().min(), some(gt(1000)));
 }
--- a/crates/gateway/src/configuration/replica.rs
+++ b/crates/gateway/src/configuration/replica.rs
@@ -1,62 +1,68 @@
-//! Owns a gatekeeper's copy of what stands: as of an entry of the core's log. It must never go back to an earlier entry, nor
-//! take changes that don't go on from where it is, nor keep more of an item than is served by.
+//! An edge node's replica of the active configuration, as of an entry of the core's log. It never goes back to an
+//! earlier entry, never applies changes that leave a gap, and keeps of an item only what requests are served by.
 
 use super::active_config::ActiveItem;
 use super::item::{ConfigItem, ItemKind};
 use std::collections::BTreeMap;
 
-/// What became of something told.
+/// What became of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaUpdate {
-    /// It is in force.
+    /// It is in force now.
     Applied,
-    /// It was in force already, or something newer is.
+    /// It, or a newer one, was in force already.
     Stale,
-    /// Changes before it are lacking.
+    /// Changes before it are missing; the core must send a full update.
     Gap,
 }
 
-/// Of the items that stand, as of an entry, what is served by.
+/// What requests are served by of the active items, as of an entry of the core's log.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigReplica {
     index: u64,
-    parts: BTreeMap<(ItemKind, Box<str>), ActiveItem>,
+    active_items: BTreeMap<(ItemKind, Box<str>), ActiveItem>,
 }
 
 impl ConfigReplica {
-    /// The entry that changed it last; 0: nothing is known.
+    /// Index of the entry that changed the configuration last; 0: no update was applied yet.
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Is nothing known at all?
+    /// Was no update applied yet?
     pub fn is_empty(&self) -> bool {
         self.index == 0
     }
 
-    /// The parts of all items that stand.
+    /// All active items.
     pub fn active_items(&self) -> impl Iterator<Item = &ActiveItem> {
-        self.parts.values()
+        self.active_items.values()
     }
 
-    /// Takes all that stands as of an entry (`from`: none), or what that entry changed behind another one.
-    pub fn apply_update(&mut self, from: Option<u64>, index: u64, items: Vec<ConfigItem>) -> ReplicaUpdate {
+    /// Applies an update as of the entry at `index`: all active items (`previous` is `None`), or those that changed
+    /// since the entry at `previous`.
+    pub fn apply_update(
+        &mut self,
+        previous: Option<u64>,
+        index: u64,
+        items: Vec<ConfigItem>,
+    ) -> ReplicaUpdate {
         if index <= self.index {
             return ReplicaUpdate::Stale;
         }
-        match from {
-            None => self.parts.clear(),
-            Some(from) if from != self.index => return ReplicaUpdate::Gap,
+        match previous {
+            None => self.active_items.clear(),
+            Some(previous) if previous != self.index => return ReplicaUpdate::Gap,
             Some(_) => {}
         }
         self.index = index;
-        // Each item goes as soon as its part is made: all of them as JSON take many times the parts' memory.
+        // Each item is dropped as soon as it is converted: as JSON, all of them take many times the memory.
         for item in items {
-            let part = ActiveItem::from_item(&item);
+            let active = ActiveItem::from_item(&item);
             let name = (item.kind, item.label.into_boxed_str());
-            match part {
-                Some(part) => self.parts.insert(name, part),
-                None => self.parts.remove(&name),
+            match active {
+                Some(active) => self.active_items.insert(name, active),
+                None => self.active_items.remove(&name),
             };
         }
         ReplicaUpdate::Applied
--- a/crates/gateway/src/configuration/state/encoding.rs
+++ b/crates/gateway/src/configuration/state/encoding.rs
@@ -1,6 +1,9 @@
-//! Owns how a state is told in bytes, for snapshots: frame after frame, made and taken a step at a time, so that whoever
-//! encodes or decodes a large one goes on with what else is to be done. Equal states give equal bytes. It must never
-//! take a state that contradicts itself.
+//! The encoding of a state for snapshots: a sequence of frames, encoded and decoded one at a time, so that a large
+//! state never holds up the event loop. Equal states give equal bytes. A state that contradicts itself is refused.
+//!
+//! Layout: the byte [`FORMAT`], a frame with the [`Header`], then frames of up to [`RECORDS_PER_FRAME`] records, by
+//! kind and name. A frame is its length (4 bytes, big-endian) and a MessagePack value. An earlier layout,
+//! [`FORMAT_WHOLE`] and one MessagePack value, is still read.
 
 use super::{
     ConfigState, ConfigStateError, ItemKind, Record, KINDS, MAX_SUPERSEDED_VERSIONS, MAX_TOMBSTONES,
@@ -11,75 +14,83 @@
 
 /// First byte of an encoded state.
 const FORMAT: u8 = 3;
-/// First byte of one that is told as a whole, behind it: how states were told before.
+/// First byte of the earlier layout: one MessagePack value behind it.
 const FORMAT_WHOLE: u8 = 2;
-/// Records in a frame.
-const FRAME: usize = 128;
-/// Bytes that tell the length of a frame.
-const LENGTH: usize = 4;
+/// Most records in a frame.
+const RECORDS_PER_FRAME: usize = 128;
+/// Bytes of a frame's length.
+const LENGTH_BYTES: usize = 4;
 
+/// All of a state but its records. Serialized by position.
 #[derive(Clone, Serialize, Deserialize)]
-struct Head {
-    index: u64,
-    place: u64,
-    floors: [Option<u64>; KINDS],
-    records: u64,
+struct Header {
+    last_change_index: u64,
+    next_sequence: u64,
+    forgotten_up_to: [Option<u64>; KINDS],
+    /// How many records follow.
+    record_count: u64,
 }
 
+/// The earlier layout. Serialized by position.
 #[derive(Deserialize)]
-struct Whole {
-    index: u64,
-    place: u64,
-    floors: [Option<u64>; KINDS],
+struct WholeState {
+    last_change_index: u64,
+    next_sequence: u64,
+    forgotten_up_to: [Option<u64>; KINDS],
     records: Vec<Record>,
 }
 
-/// A state as it was when this was made, to be told step by step; the state itself may change meanwhile.
+/// Encodes a state as it was when [`ConfigState::encoder`] was called; the state itself may change meanwhile.
 pub struct StateEncoder {
-    head: Option<Head>,
+    header: Option<Header>,
     records: VecDeque<Arc<Record>>,
 }
 
-fn frame(out: &mut Vec<u8>, content: &impl Serialize) {
-    let at = out.len();
-    out.extend([0; LENGTH]);
-    // Nothing of a state can't be told: fields are texts, and a vector takes all that is written.
+fn write_frame(out: &mut Vec<u8>, content: &impl Serialize) {
+    let start = out.len();
+    out.extend([0; LENGTH_BYTES]);
+    // Can't fail: all fields have an encoding, and a vector takes all that is written.
     if let Err(error) = rmp_serde::encode::write(out, content) {
-        tracing::error!(%error, "a state can't be encoded");
+        tracing::error!(%error, "encoding the configuration state failed");
     }
-    let length = (out.len() - at - LENGTH) as u32;
-    out[at..at + LENGTH].copy_from_slice(&length.to_be_bytes());
+    let length = (out.len() - start - LENGTH_BYTES) as u32;
+    out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
 }
 
-/// The first whole frame's content, and the bytes that it takes.
-fn first(bytes: &[u8]) -> Option<(&[u8], usize)> {
-    let length = u32::from_be_bytes(*bytes.first_chunk::<LENGTH>()?) as usize;
-    let end = LENGTH.checked_add(length)?;
-    Some((bytes.get(LENGTH..end)?, end))
+/// The content of the frame that these bytes begin with, and the bytes that it takes; `None`: it is not complete.
+fn split_frame(bytes: &[u8]) -> Option<(&[u8], usize)> {
+    let length = u32::from_be_bytes(*bytes.first_chunk::<LENGTH_BYTES>()?) as usize;
+    let end = LENGTH_BYTES.checked_add(length)?;
+    Some((bytes.get(LENGTH_BYTES..end)?, end))
+}
+
+fn unreadable(e: rmp_serde::decode::Error) -> ConfigStateError {
+    ConfigStateError::Unreadable(e.to_string())
 }
 
 impl StateEncoder {
-    /// Appends the next frame; false: there was none.
+    /// Appends the next frame; false: all are encoded.
     pub fn encode_frame(&mut self, out: &mut Vec<u8>) -> bool {
-        if let Some(head) = self.head.take() {
+        if let Some(header) = self.header.take() {
             out.push(FORMAT);
-            frame(out, &head);
+            write_frame(out, &header);
             return true;
         }
-        let many = self.records.len().min(FRAME);
-        if many > 0 {
-            frame(out, &self.records.drain(..many).collect::<Vec<_>>());
+        let count = self.records.len().min(RECORDS_PER_FRAME);
+        if count > 0 {
+            write_frame(out, &self.records.drain(..count).collect::<Vec<_>>());
         }
-        many > 0
+        count > 0
     }
 }
 
-/// Takes an encoded state as it comes.
+/// Decodes a state from its frames as they arrive.
 pub struct StateDecoder {
     state: ConfigState,
-    /// Records that are still to come; `None`: the head is.
-    left: Option<u64>,
-    before: Option<(ItemKind, String)>,
+    /// Records that are still to come; `None`: the header is.
+    missing_records: Option<u64>,
+    /// Kind and name of the last record; they rise.
+    previous: Option<(ItemKind, String)>,
 }
 
 impl Default for StateDecoder {
@@ -89,86 +100,101 @@
 }
 
 impl StateDecoder {
-    /// For a state that remembers so many overtaken versions.
-    pub fn with_history_limit(history_max: usize) -> Self {
-        StateDecoder { state: ConfigState::with_history_limit(history_max), left: None, before: None }
+    /// For a state that remembers so many superseded versions.
+    pub fn with_history_limit(max_superseded: usize) -> Self {
+        StateDecoder {
+            state: ConfigState::with_history_limit(max_superseded),
+            missing_records: None,
+            previous: None,
+        }
     }
 
-    /// Takes the next frame off the front of these bytes; returned: how many it took, 0 if it has not come whole, or no
-    /// more is wanted.
+    /// Decodes the frame that these bytes begin with. Returns how many bytes it took: 0 if the frame is not complete
+    /// yet, or if no more is expected.
     pub fn decode_frame(&mut self, bytes: &[u8]) -> Result<usize, ConfigStateError> {
-        let unreadable = |e: rmp_serde::decode::Error| ConfigStateError::Unreadable(e.to_string());
-        let Some(left) = self.left else {
-            return match bytes.first() {
-                Some(&FORMAT) => {
-                    let Some((content, end)) = first(&bytes[1..]) else { return Ok(0) };
-                    let head: Head = rmp_serde::from_slice(content).map_err(unreadable)?;
-                    (self.state.index, self.state.place) = (head.index, head.place);
-                    (self.state.floors, self.left) = (head.floors, Some(head.records));
-                    Ok(1 + end)
-                }
-                Some(&format) => Err(ConfigStateError::Format(format)),
-                None => Ok(0),
-            };
-        };
-        let Some((content, end)) = first(bytes).filter(|_| left > 0) else { return Ok(0) };
+        let Some(missing) = self.missing_records else { return self.decode_header(bytes) };
+        let Some((content, end)) = split_frame(bytes).filter(|_| missing > 0) else { return Ok(0) };
         let records: Vec<Record> = rmp_serde::from_slice(content).map_err(unreadable)?;
-        let more = left.checked_sub(records.len() as u64).filter(|_| !records.is_empty());
-        self.left = Some(more.ok_or_else(|| ConfigStateError::Unreadable("an odd frame".into()))?);
+        let missing = missing.checked_sub(records.len() as u64).filter(|_| !records.is_empty());
+        let missing = missing.ok_or(ConfigStateError::UnexpectedRecordCount)?;
+        self.missing_records = Some(missing);
         self.restore(records)?;
         Ok(end)
     }
 
+    fn decode_header(&mut self, bytes: &[u8]) -> Result<usize, ConfigStateError> {
+        match bytes.first() {
+            None => return Ok(0),
+            Some(&FORMAT) => {}
+            Some(&format) => return Err(ConfigStateError::Format(format)),
+        }
+        let Some((content, end)) = split_frame(&bytes[1..]) else { return Ok(0) };
+        let header: Header = rmp_serde::from_slice(content).map_err(unreadable)?;
+        self.state.last_change_index = header.last_change_index;
+        self.state.next_sequence = header.next_sequence;
+        self.state.forgotten_up_to = header.forgotten_up_to;
+        self.missing_records = Some(header.record_count);
+        Ok(1 + end)
+    }
+
     fn restore(&mut self, records: Vec<Record>) -> Result<(), ConfigStateError> {
         for record in records {
             let name = (record.item.kind, record.item.label.clone());
-            if self.before.as_ref() >= Some(&name) || !record.is_sound() || !self.state.restore(record) {
-                return Err(ConfigStateError::Inconsistent(name.0.set_name(), name.1));
+            let is_rising = self.previous.as_ref() < Some(&name);
+            if !is_rising || !record.is_consistent() || !self.state.restore(record) {
+                return Err(ConfigStateError::Inconsistent { set: name.0.set_name(), label: name.1 });
             }
-            self.before = Some(name);
+            self.previous = Some(name);
         }
         Ok(())
     }
 
-    /// The state, all of which was taken.
+    /// The state; an error if frames are missing or it is not valid.
     pub fn finish(self) -> Result<ConfigState, ConfigStateError> {
-        match self.left {
+        match self.missing_records {
             None => return Err(ConfigStateError::Empty),
             Some(0) => {}
-            Some(left) => return Err(ConfigStateError::Unreadable(format!("{left} records are missing"))),
+            Some(missing) => return Err(ConfigStateError::MissingRecords(missing)),
         }
         let state = self.state;
-        let unknown = state.users.keys().find(|s| !state.stands(ItemKind::Service, s));
-        match unknown {
-            Some(service) => {
-                Err(ConfigStateError::Inconsistent(ItemKind::Service.set_name(), service.clone()))
-            }
+        let unknown_service = state.routes_by_service.keys().find(|s| !state.is_active(ItemKind::Service, s));
+        match unknown_service {
+            Some(service) => Err(ConfigStateError::Inconsistent {
+                set: ItemKind::Service.set_name(),
+                label: service.clone(),
+            }),
             None => Ok(state),
         }
     }
 }
 
 impl ConfigState {
-    /// Takes a decoded record. False: another one has one of its keys or places, or there are too many tombstones or
-    /// overtaken versions.
+    /// Adds a decoded record. False: another record has one of its credentials or sequence numbers, or there are too
+    /// many tombstones or superseded versions.
     fn restore(&mut self, record: Record) -> bool {
-        let alone = self.enter(&record.item).is_none();
+        let has_own_credentials = self.add_to_lookups(&record.item).is_none();
         let (kind, label) = (record.item.kind, Arc::<str>::from(record.item.label.as_str()));
-        let mut placed = true;
+        let mut has_own_sequences = true;
         for past in &record.history {
-            let other = self.overtaken.insert(past.place, (kind, Arc::clone(&label)));
-            placed &= other.is_none() && past.place < self.place;
+            let other = self.superseded.insert(past.sequence, (kind, Arc::clone(&label)));
+            has_own_sequences &= other.is_none() && past.sequence < self.next_sequence;
         }
         self.records[kind as usize].insert(record.item.label.clone(), Arc::new(record));
-        let bounded = self.tombstones.len() <= MAX_TOMBSTONES && self.overtaken.len() <= self.history_max;
-        alone && placed && bounded
+        let is_bounded =
+            self.tombstones.len() <= MAX_TOMBSTONES && self.superseded.len() <= self.max_superseded;
+        has_own_credentials && has_own_sequences && is_bounded
     }
 
-    /// What tells this state, as it is now, step by step.
+    /// An encoder of this state as it is now. Records are shared, not copied.
     pub fn encoder(&self) -> StateEncoder {
         let records: VecDeque<_> = self.records.iter().flat_map(BTreeMap::values).cloned().collect();
-        let (index, place, floors) = (self.index, self.place, self.floors);
-        StateEncoder { head: Some(Head { index, place, floors, records: records.len() as u64 }), records }
+        let header = Header {
+            last_change_index: self.last_change_index,
+            next_sequence: self.next_sequence,
+            forgotten_up_to: self.forgotten_up_to,
+            record_count: records.len() as u64,
+        };
+        StateEncoder { header: Some(header), records }
     }
 
     /// The whole state at once.
@@ -179,23 +205,23 @@
         bytes.into()
     }
 
-    /// The state that gave these bytes; an error if they are cut, followed by others, or contradict themselves.
+    /// The state that gave these bytes; an error if they are truncated, followed by others, or contradict themselves.
     pub fn decode(bytes: &[u8]) -> Result<ConfigState, ConfigStateError> {
         ConfigState::decode_bounded(bytes, MAX_SUPERSEDED_VERSIONS)
     }
 
-    /// The same for one that remembers so many overtaken versions.
-    pub fn decode_bounded(bytes: &[u8], history_max: usize) -> Result<ConfigState, ConfigStateError> {
-        let mut decoder = StateDecoder::with_history_limit(history_max);
+    /// The same for a state that remembers so many superseded versions.
+    pub fn decode_bounded(bytes: &[u8], max_superseded: usize) -> Result<ConfigState, ConfigStateError> {
+        let mut decoder = StateDecoder::with_history_limit(max_superseded);
         let mut rest = bytes;
-        if let Some((&FORMAT_WHOLE, mut whole)) = bytes.split_first() {
-            let read = rmp_serde::decode::from_read(&mut whole);
-            let Whole { index, place, floors, records } =
-                read.map_err(|e| ConfigStateError::Unreadable(e.to_string()))?;
-            (decoder.state.index, decoder.state.place, decoder.state.floors) = (index, place, floors);
-            decoder.left = Some(0);
-            decoder.restore(records)?;
-            rest = whole;
+        if let Some((&FORMAT_WHOLE, mut behind)) = bytes.split_first() {
+            let whole: WholeState = rmp_serde::decode::from_read(&mut behind).map_err(unreadable)?;
+            decoder.state.last_change_index = whole.last_change_index;
+            decoder.state.next_sequence = whole.next_sequence;
+            decoder.state.forgotten_up_to = whole.forgotten_up_to;
+            decoder.missing_records = Some(0);
+            decoder.restore(whole.records)?;
+            rest = behind;
         }
         loop {
             match decoder.decode_frame(rest)? {
--- a/crates/gateway/src/configuration/state_measure.rs
+++ b/crates/gateway/src/configuration/state_measure.rs
@@ -1,5 +1,5 @@
-//! Prints what the state machine costs at the size of the largest site: `cargo test --release -p whinstall-gateway
-//! measure_the_largest -- --nocapture`. Times are printed, never judged. Without `--release` at a
+//! Prints the cost of the state machine at the size of the largest site: `cargo test --release -p whinstall-gateway
+//! measure_the_largest -- --nocapture`. Times are printed and not asserted. Without `--release` at a
 //! tenth of that size.
 
 use super::active_config::ActiveItem;
@@ -10,10 +10,10 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-const PART: u64 = if cfg!(debug_assertions) { 10 } else { 1 };
-const TENANTS: u64 = 37_000 / PART;
-const ROUTES: u64 = 4_600 / PART;
-const SERVICES: u64 = 310 / PART;
+const SCALE_DIVISOR: u64 = if cfg!(debug_assertions) { 10 } else { 1 };
+const TENANTS: u64 = 37_000 / SCALE_DIVISOR;
+const ROUTES: u64 = 4_600 / SCALE_DIVISOR;
+const SERVICES: u64 = 310 / SCALE_DIVISOR;
 
 fn item(kind: ItemKind, label: String, version: u64, mut body: Value) -> ConfigItem {
     body["label"] = json!(label);
@@ -44,15 +44,19 @@
 }
 
 fn timed<T>(what: &str, runs: u32, mut run: impl FnMut() -> T) -> T {
-    let mut told = Vec::new();
+    let mut times_ms = Vec::new();
     let mut last = None;
     for _ in 0..runs {
         let start = Instant::now();
         last = Some(run());
-        told.push(start.elapsed().as_secs_f64() * 1e3);
+        times_ms.push(start.elapsed().as_secs_f64() * 1e3);
     }
-    told.sort_by(f64::total_cmp);
-    println!("{what}: {:.3} ms (median of {runs}; most {:.3})", told[told.len() / 2], told[told.len() - 1]);
+    times_ms.sort_by(f64::total_cmp);
+    println!(
+        "{what}: {:.3} ms (median of {runs}; most {:.3})",
+        times_ms[times_ms.len() / 2],
+        times_ms[times_ms.len() - 1]
+    );
     last.expect("run once")
 }
 
@@ -64,15 +68,15 @@
 
 #[gtest]
 fn measure_the_largest_configuration() {
-    let mut first: Vec<ConfigItem> = (0..SERVICES).map(service).collect();
-    first.extend((0..ROUTES).map(|n| route(n, 7)));
-    first.extend((0..TENANTS).map(|n| tenant(n, 7)));
+    let mut first_change: Vec<ConfigItem> = (0..SERVICES).map(service).collect();
+    first_change.extend((0..ROUTES).map(|n| route(n, 7)));
+    first_change.extend((0..TENANTS).map(|n| tenant(n, 7)));
     println!("{TENANTS} tenants, {ROUTES} routes, {SERVICES} services");
     let empty = resident();
     let mut state = ConfigState::default();
-    let outcome = timed("apply the first order", 1, || state.apply(1, &first));
-    expect_that!(outcome, matches_pattern!(ChangeOutcome::Applied(len(eq(first.len())))));
-    println!("resident: {empty:.0} MiB with the order alone, {:.0} MiB with the state", resident());
+    let outcome = timed("apply the first change", 1, || state.apply(1, &first_change));
+    expect_that!(outcome, matches_pattern!(ChangeOutcome::Applied(len(eq(first_change.len())))));
+    println!("resident: {empty:.0} MiB with the change alone, {:.0} MiB with the state", resident());
     let (mut index, mut n) = (1, 0);
     let mut next = || {
         index += 1;
@@ -91,38 +95,39 @@
         expect_that!(state.apply(index, &[route(n, 7 + index)]), matches_pattern!(ChangeOutcome::Applied(_)));
     });
     let in_use = ConfigItem { version: 9, body: None, ..service(3) };
-    timed("refuse a service's drop", 201, || {
+    timed("reject a service's removal", 201, || {
         expect_that!(
             state.apply(9999, std::slice::from_ref(&in_use)),
             matches_pattern!(ChangeOutcome::Invalid(_))
         );
     });
     expect_that!(
-        timed("the first order again", 5, || state.apply(9999, &first)),
+        timed("the first change again", 5, || state.apply(9999, &first_change)),
         eq(&ChangeOutcome::AlreadyApplied)
     );
     println!("encoded before the history is full: {} bytes", state.encode().len());
-    let mut overtaken = 0;
-    while overtaken < MAX_SUPERSEDED_VERSIONS as u64 {
+    let mut superseded = 0;
+    while superseded < MAX_SUPERSEDED_VERSIONS as u64 {
         for _ in 0..100 {
             let (index, n) = next();
-            let order: Vec<ConfigItem> = (n..n + 50).map(|n| tenant(n, 7 + index)).collect();
-            expect_that!(state.apply(index, &order), matches_pattern!(ChangeOutcome::Applied(_)));
-            overtaken += 50;
+            let change: Vec<ConfigItem> = (n..n + 50).map(|n| tenant(n, 7 + index)).collect();
+            expect_that!(state.apply(index, &change), matches_pattern!(ChangeOutcome::Applied(_)));
+            superseded += 50;
         }
     }
-    println!("history full: {MAX_SUPERSEDED_VERSIONS} overtaken versions; resident {:.0} MiB", resident());
+    println!("history full: {MAX_SUPERSEDED_VERSIONS} superseded versions; resident {:.0} MiB", resident());
     let bytes = timed("encode", 9, || state.encode());
     println!("encoded: {} bytes", bytes.len());
     expect_that!(timed("decode", 9, || ConfigState::decode(&bytes)), ok(eq(&state)));
     timed("clone", 9, || state.clone());
-    let standing = || state.active_items().map(|i| &**i);
-    let view = timed("View::fold_items", 9, || ActiveConfig::from_items(standing()));
-    let parts: Vec<ActiveItem> = standing().filter_map(ActiveItem::from_item).collect();
+    let active = || state.active_items().map(|i| &**i);
+    let view = timed("ActiveConfig::from_items", 9, || ActiveConfig::from_items(active()));
+    let parts: Vec<ActiveItem> = active().filter_map(ActiveItem::from_item).collect();
     for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service] {
         let kinds = BTreeSet::from([kind]);
-        let again =
-            timed(&format!("View::refold of {kind:?}"), 9, || view.with_changed_kinds(parts.iter(), &kinds));
+        let again = timed(&format!("ActiveConfig::with_changed_kinds of {kind:?}"), 9, || {
+            view.with_changed_kinds(parts.iter(), &kinds)
+        });
         expect_that!(again == view, eq(true));
     }
     timed("render", 5, || state.to_json());
--- a/crates/gateway/src/configuration/state_tests.rs
+++ b/crates/gateway/src/configuration/state_tests.rs
@@ -1,5 +1,5 @@
-//! What each order comes to, that a confirmed one is never refused, that what stands is valid, that members agree, and
-//! that nothing grows without bound.
+//! The state machine: the outcome of each change, that a confirmed one is never rejected, that the active items are
+//! valid, that members agree, and that nothing grows without bound.
 
 use super::active_config::ActiveItem;
 use super::change::{find_violations, validate_change, ChangeError};
@@ -10,35 +10,35 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-fn set(kind: ItemKind, label: &str, version: u64, body: Value) -> ConfigItem {
+fn upserted(kind: ItemKind, label: &str, version: u64, body: Value) -> ConfigItem {
     ConfigItem { kind, label: label.into(), version, body: body.as_object().map(ItemFields::from) }
 }
 
-fn dropped(kind: ItemKind, label: &str, version: u64) -> ConfigItem {
+fn removed(kind: ItemKind, label: &str, version: u64) -> ConfigItem {
     ConfigItem { kind, label: label.into(), version, body: None }
 }
 
 fn service(label: &str, version: u64, limit: u64) -> ConfigItem {
-    set(ItemKind::Service, label, version, json!({ "label": label, "conn_limit": limit }))
+    upserted(ItemKind::Service, label, version, json!({ "label": label, "conn_limit": limit }))
 }
 
 fn route(label: &str, version: u64, service: &str) -> ConfigItem {
     let body = json!({ "label": label, "hostname": "a.example", "path_prefix": "/", "service_ref": service });
-    set(ItemKind::Route, label, version, body)
+    upserted(ItemKind::Route, label, version, body)
 }
 
 fn tenant(label: &str, version: u64, keys: &[&str]) -> ConfigItem {
-    set(ItemKind::Tenant, label, version, json!({ "label": label, "credentials": keys }))
+    upserted(ItemKind::Tenant, label, version, json!({ "label": label, "credentials": keys }))
 }
 
 /// 200 with an effect, 200 without, 409, 400, 503.
-fn code(outcome: &ChangeOutcome) -> &'static str {
+fn outcome_name(outcome: &ChangeOutcome) -> &'static str {
     match outcome {
-        ChangeOutcome::Applied(_) => "taken",
-        ChangeOutcome::AlreadyApplied => "known",
+        ChangeOutcome::Applied(_) => "applied",
+        ChangeOutcome::AlreadyApplied => "already applied",
         ChangeOutcome::Conflict(_) => "conflict",
         ChangeOutcome::Invalid(_) => "invalid",
-        ChangeOutcome::Indeterminate => "forgotten",
+        ChangeOutcome::Indeterminate => "indeterminate",
     }
 }
 
@@ -48,31 +48,31 @@
     }
 }
 
-/// Overtaken versions that the states of the drawn orders remember: few, so that they forget.
-const FEW: usize = 100;
+/// Superseded versions that the states under generated changes remember: few, so that they forget some.
+const SMALL_HISTORY_LIMIT: usize = 100;
 
-/// As it is read from a log on the disk.
-fn reread(order: &[ConfigItem]) -> Vec<ConfigItem> {
-    rmp_serde::from_slice(&rmp_serde::to_vec(order).expect("encoded")).expect("decoded")
+/// The change as it is read from a log on the disk.
+fn encode_and_decode(change: &[ConfigItem]) -> Vec<ConfigItem> {
+    rmp_serde::from_slice(&rmp_serde::to_vec(change).expect("encoded")).expect("decoded")
 }
 
-/// Orders over a few names, whose versions mostly rise; some in bulk, to bring tombstones over their bound.
-struct Draw {
+/// Generates changes over a few names, whose versions mostly rise; some in bulk, so that there are too many tombstones.
+struct ChangeGenerator {
     rng: fastrand::Rng,
     clock: u64,
     bulk: bool,
 }
 
-impl Draw {
+impl ChangeGenerator {
     fn item(&mut self) -> ConfigItem {
         let version =
             (self.clock + self.rng.u64(0..6)).saturating_sub(self.rng.u64(0..3) * self.rng.u64(0..60));
         let n = self.rng.u32(0..5);
         let some_service = |rng: &mut fastrand::Rng| format!("s{}", rng.u32(0..4));
         match self.rng.u32(0..20) {
-            0..=2 => dropped(ItemKind::Route, &format!("r{n}"), version),
-            3..=4 => dropped(ItemKind::Tenant, &format!("t{n}"), version),
-            5..=6 => dropped(ItemKind::Service, &some_service(&mut self.rng), version),
+            0..=2 => removed(ItemKind::Route, &format!("r{n}"), version),
+            3..=4 => removed(ItemKind::Tenant, &format!("t{n}"), version),
+            5..=6 => removed(ItemKind::Service, &some_service(&mut self.rng), version),
             7..=10 => service(&some_service(&mut self.rng), version, self.rng.u64(0..2)),
             11..=14 => {
                 let mut item = route(&format!("r{n}"), version, &some_service(&mut self.rng));
@@ -90,67 +90,71 @@
                     (0..self.rng.u32(0..3)).map(|_| format!("k{}", self.rng.u32(0..9))).collect();
                 tenant(&format!("t{n}"), version, &keys.iter().map(String::as_str).collect::<Vec<_>>())
             }
-            _ => set(ItemKind::Saturation, "", version, json!({ "body_max_bytes": self.rng.u32(0..2) })),
+            _ => upserted(ItemKind::Saturation, "", version, json!({ "body_max_bytes": self.rng.u32(0..2) })),
         }
     }
 
-    fn order(&mut self) -> Vec<ConfigItem> {
+    fn change(&mut self) -> Vec<ConfigItem> {
         self.clock += self.rng.u64(0..4);
         if self.bulk && self.rng.u32(0..12) == 0 {
             let version = self.clock;
             let kind = self.rng.choice([ItemKind::Route, ItemKind::Tenant]).expect("one");
-            let any = |_| dropped(kind, &format!("b{}", self.rng.u32(0..30_000)), version);
+            let any = |_| removed(kind, &format!("b{}", self.rng.u32(0..30_000)), version);
             return (0..400).map(any).collect();
         }
         (0..self.rng.u32(1..6)).map(|_| self.item()).collect()
     }
 }
 
-/// Guards the table of docs/control.md: each way a version can compare, in an order that is valid and one that isn't.
+/// The table of docs/control.md: each way a version can compare, in a change that is valid and one that isn't.
 #[gtest]
-fn what_each_pair_comes_to() {
+fn each_version_comparison_has_its_outcome() {
     let mut base = ConfigState::default();
-    for (index, order) in [
+    for (index, change) in [
         vec![service("s1", 5, 1), tenant("t1", 5, &["k1"]), tenant("t2", 5, &["k2"])],
-        // Overtaken, and what it said would share a key with what stands by now.
+        // Superseded; its content would share a credential with an active tenant.
         vec![tenant("t1", 9, &["k3"])],
         vec![tenant("t2", 9, &["k1"])],
         vec![service("s2", 5, 1), route("r1", 5, "s2")],
-        vec![route("r1", 9, "s1"), dropped(ItemKind::Service, "s2", 9)],
+        vec![route("r1", 9, "s1"), removed(ItemKind::Service, "s2", 9)],
     ]
     .iter()
     .enumerate()
     {
-        assert_that!(code(&base.apply(index as u64 + 1, order)), eq("taken"));
+        assert_that!(outcome_name(&base.apply(index as u64 + 1, change)), eq("applied"));
     }
     assert_that!(base.last_change_index(), eq(5));
     let cases = [
-        ("lower, confirmed before", vec![tenant("t2", 5, &["k2"])], "known"),
-        ("lower, confirmed before, invalid today", vec![tenant("t1", 5, &["k1"])], "known"),
-        ("lower, confirmed before, names what is gone", vec![route("r1", 5, "s2")], "known"),
-        ("lower, number not met", vec![tenant("t2", 7, &["k8"])], "known"),
-        ("lower, number not met, would be invalid", vec![tenant("t2", 7, &["k3"])], "known"),
-        ("lower, number not met, names what is gone", vec![route("r1", 7, "s2")], "known"),
-        ("lower, number not met, names what never was", vec![route("r1", 7, "s9")], "invalid"),
+        ("lower, confirmed before", vec![tenant("t2", 5, &["k2"])], "already applied"),
+        ("lower, confirmed before, invalid today", vec![tenant("t1", 5, &["k1"])], "already applied"),
+        ("lower, confirmed before, names what is gone", vec![route("r1", 5, "s2")], "already applied"),
+        ("lower, number not seen", vec![tenant("t2", 7, &["k8"])], "already applied"),
+        ("lower, number not seen, would be invalid", vec![tenant("t2", 7, &["k3"])], "already applied"),
+        ("lower, number not seen, names what is gone", vec![route("r1", 7, "s2")], "already applied"),
+        ("lower, number not seen, names what never was", vec![route("r1", 7, "s9")], "invalid"),
         ("the same beside a higher one", vec![route("r1", 7, "s9"), tenant("t2", 10, &["k1"])], "invalid"),
-        ("lower, number not met, with its service", vec![route("r1", 7, "s9"), service("s9", 7, 1)], "taken"),
+        (
+            "lower, number not seen, with its service",
+            vec![route("r1", 7, "s9"), service("s9", 7, 1)],
+            "applied",
+        ),
         ("lower, number has another content", vec![tenant("t2", 5, &["k8"])], "conflict"),
-        ("equal and same", vec![tenant("t2", 9, &["k1"])], "known"),
+        ("equal and same", vec![tenant("t2", 9, &["k1"])], "already applied"),
         ("equal, other, valid", vec![tenant("t2", 9, &["k8"])], "conflict"),
         ("equal, other, invalid", vec![tenant("t2", 9, &["k3"])], "conflict"),
-        ("equal, set against drop", vec![dropped(ItemKind::Tenant, "t2", 9)], "conflict"),
+        ("equal, set against drop", vec![removed(ItemKind::Tenant, "t2", 9)], "conflict"),
         ("equal, drop against set", vec![service("s2", 9, 1)], "conflict"),
-        ("equal, both dropped", vec![dropped(ItemKind::Service, "s2", 9)], "known"),
-        ("higher, valid", vec![tenant("t2", 10, &["k1", "k8"])], "taken"),
-        ("higher, same content", vec![tenant("t2", 10, &["k1"])], "taken"),
+        ("equal, both dropped", vec![removed(ItemKind::Service, "s2", 9)], "already applied"),
+        ("higher, valid", vec![tenant("t2", 10, &["k1", "k8"])], "applied"),
+        ("higher, same content", vec![tenant("t2", 10, &["k1"])], "applied"),
         ("higher, shares a key", vec![tenant("t2", 10, &["k3"])], "invalid"),
         ("higher, unknown service", vec![route("r1", 10, "s2")], "invalid"),
-        ("higher, drops a service in use", vec![dropped(ItemKind::Service, "s1", 10)], "invalid"),
-        ("a key changes hands", vec![tenant("t1", 10, &["k1"]), tenant("t2", 10, &["k3"])], "taken"),
+        ("higher, drops a service in use", vec![removed(ItemKind::Service, "s1", 10)], "invalid"),
+        ("a key changes hands", vec![tenant("t1", 10, &["k1"]), tenant("t2", 10, &["k3"])], "applied"),
         (
             "a service goes with its route",
-            vec![dropped(ItemKind::Service, "s1", 10), dropped(ItemKind::Route, "r1", 10)],
-            "taken",
+            vec![removed(ItemKind::Service, "s1", 10), removed(ItemKind::Route, "r1", 10)],
+            "applied",
         ),
         ("one of two conflicts", vec![tenant("t1", 10, &["k9"]), tenant("t2", 9, &["k8"])], "conflict"),
         ("conflict goes before invalid", vec![route("r1", 10, "s2"), tenant("t2", 9, &["k8"])], "conflict"),
@@ -158,62 +162,63 @@
         (
             "a name twice: the higher holds",
             vec![tenant("t1", 11, &["k9"]), tenant("t1", 10, &["k8"])],
-            "taken",
+            "applied",
         ),
-        ("a name twice, same", vec![tenant("t1", 10, &["k8"]), tenant("t1", 10, &["k8"])], "taken"),
+        ("a name twice, same", vec![tenant("t1", 10, &["k8"]), tenant("t1", 10, &["k8"])], "applied"),
         (
             "a name twice, equal and other",
             vec![tenant("t1", 10, &["k8"]), tenant("t1", 10, &["k9"])],
             "conflict",
         ),
-        ("nothing", vec![], "known"),
+        ("nothing", vec![], "already applied"),
     ];
-    for (what, order, told) in cases {
+    for (what, change, expected) in cases {
         let mut state = base.clone();
-        let outcome = state.apply(6, &order);
-        expect_that!(code(&outcome), eq(told), "{what}: {outcome:?}");
+        let outcome = state.apply(6, &change);
+        expect_that!(outcome_name(&outcome), eq(expected), "{what}: {outcome:?}");
         match outcome {
             ChangeOutcome::Applied(_) => expect_that!(state.last_change_index(), eq(6), "{what}"),
             ChangeOutcome::AlreadyApplied => expect_that!(state.to_json(), eq(&base.to_json()), "{what}"),
             _ => expect_that!(state, eq(&base), "{what}"),
         }
-        if matches!(told, "taken" | "known") {
-            expect_that!(code(&state.apply(7, &order)), eq("known"), "{what}: again");
+        if matches!(expected, "applied" | "already applied") {
+            expect_that!(outcome_name(&state.apply(7, &change)), eq("already applied"), "{what}: again");
         }
         if what.starts_with("a name twice: ") {
             expect_that!(
                 state.body(ItemKind::Tenant, "t1").expect("stands")["credentials"],
                 eq(&json!(["k9"]))
             );
-            expect_that!(code(&state.apply(8, &[tenant("t1", 10, &["k7"])])), eq("conflict"));
+            expect_that!(outcome_name(&state.apply(8, &[tenant("t1", 10, &["k7"])])), eq("conflict"));
         }
     }
 }
 
-/// Guards operators whose confirmed order, sent again at any later time, would be refused or take effect twice; a
-/// number that would stand for two contents; a name that would go back; a refusal without ground.
+/// A confirmed change that is sent again at any later time is neither rejected nor applied twice; a version has one
+/// content; the current version of a name never falls; each conflict has a reason.
 #[gtest]
-fn an_order_once_taken_is_confirmed_again_or_left_open() {
-    let mut met: BTreeMap<&str, u32> = BTreeMap::new();
+fn confirmed_change_is_never_rejected_when_resent() {
+    let mut seen: BTreeMap<&str, u32> = BTreeMap::new();
     let mut again: BTreeMap<&str, u32> = BTreeMap::new();
     for seed in 0..60 {
-        let mut draw = Draw { rng: fastrand::Rng::with_seed(seed), clock: 0, bulk: seed % 3 == 0 };
+        let mut generator =
+            ChangeGenerator { rng: fastrand::Rng::with_seed(seed), clock: 0, bulk: seed % 3 == 0 };
         let (mut state, mut sent) =
-            (ConfigState::with_history_limit(FEW), Vec::<(Vec<ConfigItem>, bool)>::new());
+            (ConfigState::with_history_limit(SMALL_HISTORY_LIMIT), Vec::<(Vec<ConfigItem>, bool)>::new());
         let mut contents: HashMap<(ItemKind, String, u64), u64> = HashMap::new();
         let mut highest: HashMap<(ItemKind, String), ConfigItem> = HashMap::new();
         for index in 1..500 {
-            if sent.is_empty() || draw.rng.bool() {
-                let order = draw.order();
-                sent.push((order, false));
+            if sent.is_empty() || generator.rng.bool() {
+                let change = generator.change();
+                sent.push((change, false));
             }
             // The newest, or any that was ever sent.
-            let at = if draw.rng.bool() { sent.len() - 1 } else { draw.rng.usize(0..sent.len()) };
-            let (order, confirmed) = &mut sent[at];
-            let outcome = state.apply(index, order);
-            *met.entry(code(&outcome)).or_default() += 1;
+            let at = if generator.rng.bool() { sent.len() - 1 } else { generator.rng.usize(0..sent.len()) };
+            let (change, confirmed) = &mut sent[at];
+            let outcome = state.apply(index, change);
+            *seen.entry(outcome_name(&outcome)).or_default() += 1;
             if *confirmed {
-                *again.entry(code(&outcome)).or_default() += 1;
+                *again.entry(outcome_name(&outcome)).or_default() += 1;
                 assert_that!(
                     matches!(outcome, ChangeOutcome::AlreadyApplied | ChangeOutcome::Indeterminate),
                     eq(true),
@@ -232,7 +237,7 @@
             match outcome {
                 ChangeOutcome::Applied(_) | ChangeOutcome::AlreadyApplied => {
                     *confirmed = true;
-                    for item in order.iter() {
+                    for item in change.iter() {
                         let held = contents.insert(number(item), hash(item));
                         assert_that!(held.is_none_or(|h| h == hash(item)), eq(true), "{item:?}");
                         assert_that!(highest[&name(item)].version, ge(item.version));
@@ -240,43 +245,45 @@
                 }
                 ChangeOutcome::Conflict(_) => {
                     let mut own: HashMap<_, u64> = HashMap::new();
-                    let ground = order.iter().any(|i| {
+                    let ground = change.iter().any(|i| {
                         let held = contents.get(&number(i)).copied();
                         held.or(own.insert(number(i), hash(i))).is_some_and(|h| h != hash(i))
                     });
-                    assert_that!(ground, eq(true), "{order:?}");
+                    assert_that!(ground, eq(true), "{change:?}");
                 }
                 _ => {}
             }
         }
-        let standing: BTreeSet<_> = state.active_items().map(|i| (i.kind, &i.label, i.version)).collect();
-        let told = highest.values().filter(|i| i.body.is_some());
-        assert_that!(standing, eq(&told.map(|i| (i.kind, &i.label, i.version)).collect::<BTreeSet<_>>()));
+        let active: BTreeSet<_> = state.active_items().map(|i| (i.kind, &i.label, i.version)).collect();
+        let expected = highest.values().filter(|i| i.body.is_some());
+        assert_that!(active, eq(&expected.map(|i| (i.kind, &i.label, i.version)).collect::<BTreeSet<_>>()));
     }
-    println!("outcomes {met:?}, of orders confirmed before {again:?}");
-    expect_that!(met, len(eq(5)));
+    println!("outcomes {seen:?}, of changes confirmed before {again:?}");
+    expect_that!(seen, len(eq(5)));
     expect_that!(again, len(eq(2)));
 }
 
-/// Guards the judging through indexes: the same as today's on clones of the whole; and what stands is always valid.
+/// Validation through the lookups agrees with validation of a whole copy, and the active items are always valid.
 #[gtest]
-fn judged_as_on_clones_of_the_whole() {
+fn incremental_validation_agrees_with_full_validation() {
     let mut compared: BTreeMap<&str, u32> = BTreeMap::new();
     for seed in 0..150 {
-        let mut draw = Draw { rng: fastrand::Rng::with_seed(1000 + seed), clock: 0, bulk: false };
-        let (mut state, mut items) = (ConfigState::with_history_limit(FEW), ItemSet::default());
+        let mut generator =
+            ChangeGenerator { rng: fastrand::Rng::with_seed(1000 + seed), clock: 0, bulk: false };
+        let (mut state, mut items) =
+            (ConfigState::with_history_limit(SMALL_HISTORY_LIMIT), ItemSet::default());
         let mut stood = BTreeSet::new();
         for index in 1..120 {
-            let order = draw.order();
-            // No state of the past can have had this service.
+            let change = generator.change();
+            // A service that never existed in any state.
             let never = |s: String| {
-                !stood.contains(&s) && !order.iter().any(|i| i.kind == ItemKind::Service && i.label == s)
+                !stood.contains(&s) && !change.iter().any(|i| i.kind == ItemKind::Service && i.label == s)
             };
-            let routes = order.iter().filter(|i| i.kind == ItemKind::Route).filter_map(|i| i.body.as_ref());
+            let routes = change.iter().filter(|i| i.kind == ItemKind::Route).filter_map(|i| i.body.as_ref());
             let lost = routes.flat_map(ItemFields::route_services).any(never);
-            let (before, naive) = (state.clone(), validate_change(&items, &order));
-            let outcome = state.apply(index, &order);
-            match (&outcome, naive) {
+            let (before, full) = (state.clone(), validate_change(&items, &change));
+            let outcome = state.apply(index, &change);
+            match (&outcome, full) {
                 (ChangeOutcome::Applied(_), Ok(news)) => {
                     assert_that!(news, not(is_empty()));
                     merge(&mut items, &news);
@@ -285,7 +292,7 @@
                 (ChangeOutcome::AlreadyApplied, Ok(news)) => assert_that!(news, is_empty()),
                 (ChangeOutcome::Invalid(fault), Err(_)) => {
                     let mut after = items.clone();
-                    merge(&mut after, &order);
+                    merge(&mut after, &change);
                     let named = match fault {
                         ChangeError::SharedCredential(..) => find_violations(&after)
                             .iter()
@@ -294,45 +301,48 @@
                     };
                     assert_that!(named, eq(true), "{fault}");
                 }
-                (ChangeOutcome::Invalid(ChangeError::UnknownService(_, service)), Ok(_)) => {
-                    assert_that!(never(service.clone()), eq(true), "{order:?}");
+                (ChangeOutcome::Invalid(ChangeError::UnknownService { service, .. }), Ok(_)) => {
+                    assert_that!(never(service.clone()), eq(true), "{change:?}");
                 }
                 (ChangeOutcome::Conflict(_) | ChangeOutcome::Indeterminate, _) => {}
-                (outcome, naive) => panic!("{order:?}: {outcome:?}, on clones {naive:?}"),
+                (outcome, full) => panic!("{change:?}: {outcome:?}, on clones {full:?}"),
             }
             match outcome {
                 ChangeOutcome::Applied(_) | ChangeOutcome::AlreadyApplied => {
-                    assert_that!(lost, eq(false), "{order:?}");
-                    let services = order.iter().filter(|i| i.kind == ItemKind::Service);
+                    assert_that!(lost, eq(false), "{change:?}");
+                    let services = change.iter().filter(|i| i.kind == ItemKind::Service);
                     stood.extend(services.map(|i| i.label.clone()));
                 }
                 _ => assert_that!(state, eq(&before)),
             }
             assert_that!(find_violations(&items), is_empty());
-            *compared.entry(code(&outcome)).or_default() += 1;
+            *compared.entry(outcome_name(&outcome)).or_default() += 1;
         }
     }
     println!("compared {compared:?}");
-    expect_that!(compared["taken"], gt(1000));
+    expect_that!(compared["applied"], gt(1000));
     expect_that!(compared["invalid"], gt(1000));
 }
 
-/// Guards members that would differ: by having read the log from a disk, or by having begun from a snapshot.
+/// Members don't differ, whether they read the log from a disk or started from a snapshot.
 #[gtest]
-fn members_hold_the_same_bytes() {
+fn members_encode_the_same_bytes() {
     for seed in 0..12 {
-        let mut draw = Draw { rng: fastrand::Rng::with_seed(2000 + seed), clock: 0, bulk: seed % 4 == 0 };
-        let orders: Vec<Vec<ConfigItem>> = (0..400).map(|_| draw.order()).collect();
-        let (mut one, mut other) =
-            (ConfigState::with_history_limit(FEW), ConfigState::with_history_limit(FEW));
-        for (index, order) in (1..).zip(&orders) {
-            let outcome = one.apply(index, order);
-            assert_that!(other.apply(index, &reread(order)), eq(&outcome));
+        let mut generator =
+            ChangeGenerator { rng: fastrand::Rng::with_seed(2000 + seed), clock: 0, bulk: seed % 4 == 0 };
+        let changes: Vec<Vec<ConfigItem>> = (0..400).map(|_| generator.change()).collect();
+        let (mut one, mut other) = (
+            ConfigState::with_history_limit(SMALL_HISTORY_LIMIT),
+            ConfigState::with_history_limit(SMALL_HISTORY_LIMIT),
+        );
+        for (index, change) in (1..).zip(&changes) {
+            let outcome = one.apply(index, change);
+            assert_that!(other.apply(index, &encode_and_decode(change)), eq(&outcome));
             if index % 37 == 0 {
                 let bytes = one.encode();
                 assert_that!(other.encode(), eq(&bytes));
-                // Indexes, histories, floors and tombstones too.
-                other = ConfigState::decode_bounded(&bytes, FEW).expect("decoded");
+                // Including lookups, history and tombstones.
+                other = ConfigState::decode_bounded(&bytes, SMALL_HISTORY_LIMIT).expect("decoded");
                 assert_that!(other, eq(&one));
                 assert_that!(other.to_json(), eq(&one.to_json()));
             }
@@ -340,13 +350,13 @@
     }
 }
 
-/// Guards a member that would begin from a snapshot that was torn, or that another build wrote.
+/// A snapshot that is torn, or was written by another build, is never used.
 #[gtest]
-fn what_is_cut_or_added_to_is_no_state() {
-    let mut draw = Draw { rng: fastrand::Rng::with_seed(5), clock: 0, bulk: false };
+fn truncated_or_extended_state_is_refused() {
+    let mut generator = ChangeGenerator { rng: fastrand::Rng::with_seed(5), clock: 0, bulk: false };
     let mut state = ConfigState::default();
     for index in 1..60 {
-        let _ = state.apply(index, &draw.order());
+        let _ = state.apply(index, &generator.change());
     }
     let bytes = state.encode();
     for end in 0..bytes.len() {
@@ -360,20 +370,23 @@
     // Two tenants with one key; a route without its service (a route's bytes come first).
     let shared = [tenant("t1", 1, &["k1"]), tenant("t2", 1, &["k2"])];
     let orphan = [route("r", 1, "k2"), service("k2", 1, 1)];
-    for (order, last) in [(shared, true), (orphan, false)] {
+    for (change, last) in [(shared, true), (orphan, false)] {
         let mut state = ConfigState::default();
-        expect_that!(code(&state.apply(1, &order)), eq("taken"));
+        expect_that!(outcome_name(&state.apply(1, &change)), eq("applied"));
         let mut bytes = state.encode().to_vec();
         let mut found = bytes.windows(2).enumerate().filter(|(_, w)| w == b"k2").map(|(at, _)| at);
         let at = if last { found.next_back() } else { found.next() }.expect("there");
         bytes[at + 1] = b'1';
-        expect_that!(ConfigState::decode(&bytes), err(matches_pattern!(ConfigStateError::Inconsistent(..))));
+        expect_that!(
+            ConfigState::decode(&bytes),
+            err(matches_pattern!(ConfigStateError::Inconsistent { .. }))
+        );
     }
 }
 
-/// Guards contents told apart, or taken for the same, otherwise than by an earlier build or another member.
+/// Contents compare equal exactly where earlier builds and other members find them equal.
 #[gtest]
-fn content_is_the_same_whatever_its_layout() {
+fn verbatim_hash_ignores_layout_only() {
     let hash = |text: &str| verbatim_hash(serde_json::from_str::<Value>(text).expect("JSON").as_object());
     let same = hash(r#"{"a":1,"b":[true,"x"],"c":{"d":-2,"e":0.5}}"#);
     for text in [
@@ -401,90 +414,99 @@
     );
 }
 
-/// Guards both bounds: what they forget is left open, never confirmed with another content, and a name that was
-/// forgotten doesn't come back under an old number.
+/// What either bound forgets is indeterminate, never confirmed with another content, and a name that was forgotten
+/// doesn't come back under an old version.
 #[gtest]
-fn what_is_forgotten_is_left_open() {
+fn forgotten_versions_are_indeterminate() {
     let mut state = ConfigState::default();
-    // One holds; three more than are remembered were overtaken.
+    // One is current; three more than are remembered were superseded.
     let newest = MAX_SUPERSEDED_VERSIONS as u64 + 1 + 3;
     for version in 1..=newest {
-        expect_that!(code(&state.apply(version, &[service("s", version, version)])), eq("taken"));
+        expect_that!(outcome_name(&state.apply(version, &[service("s", version, version)])), eq("applied"));
     }
     for version in 1..=newest {
-        let told = if version <= 3 { ["forgotten"; 2] } else { ["known", "conflict"] };
-        expect_that!(code(&state.apply(99, &[service("s", version, version)])), eq(told[0]), "{version}");
-        expect_that!(code(&state.apply(99, &[service("s", version, 0)])), eq(told[1]), "{version}");
+        let expected = if version <= 3 { ["indeterminate"; 2] } else { ["already applied", "conflict"] };
+        expect_that!(
+            outcome_name(&state.apply(99, &[service("s", version, version)])),
+            eq(expected[0]),
+            "{version}"
+        );
+        expect_that!(
+            outcome_name(&state.apply(99, &[service("s", version, 0)])),
+            eq(expected[1]),
+            "{version}"
+        );
     }
     let many = MAX_TOMBSTONES as u64 + 10;
     let label = |n: u64| format!("t{n}");
     for n in 1..=many {
-        expect_that!(code(&state.apply(100 + n, &[tenant(&label(n), n, &["k"])])), eq("taken"));
+        expect_that!(outcome_name(&state.apply(100 + n, &[tenant(&label(n), n, &["k"])])), eq("applied"));
         expect_that!(
-            code(&state.apply(100 + n, &[dropped(ItemKind::Tenant, &label(n), n + 1)])),
-            eq("taken")
+            outcome_name(&state.apply(100 + n, &[removed(ItemKind::Tenant, &label(n), n + 1)])),
+            eq("applied")
         );
     }
     for n in [1, 10] {
-        expect_that!(code(&state.apply(9999, &[tenant(&label(n), n, &["k"])])), eq("forgotten"));
+        expect_that!(outcome_name(&state.apply(9999, &[tenant(&label(n), n, &["k"])])), eq("indeterminate"));
         expect_that!(
-            code(&state.apply(9999, &[dropped(ItemKind::Tenant, &label(n), n + 1)])),
-            eq("forgotten")
+            outcome_name(&state.apply(9999, &[removed(ItemKind::Tenant, &label(n), n + 1)])),
+            eq("indeterminate")
         );
-        // Above the floor it is as new, and its old numbers stay forgotten.
-        expect_that!(code(&state.apply(9999, &[tenant(&label(n), n + 20, &[])])), eq("taken"));
-        expect_that!(code(&state.apply(9999, &[tenant(&label(n), n, &["x"])])), eq("forgotten"));
+        // Above the forgotten versions the name is as new; its old versions stay forgotten.
+        expect_that!(outcome_name(&state.apply(9999, &[tenant(&label(n), n + 20, &[])])), eq("applied"));
+        expect_that!(outcome_name(&state.apply(9999, &[tenant(&label(n), n, &["x"])])), eq("indeterminate"));
     }
-    expect_that!(code(&state.apply(9999, &[tenant(&label(11), 11, &["k"])])), eq("known"));
+    expect_that!(outcome_name(&state.apply(9999, &[tenant(&label(11), 11, &["k"])])), eq("already applied"));
     expect_that!(
-        code(&state.apply(9999, &[service("new", 1, 1)])),
-        eq("taken"),
-        "another kind has its own floor"
+        outcome_name(&state.apply(9999, &[service("new", 1, 1)])),
+        eq("applied"),
+        "each kind forgets for itself"
     );
 }
 
-/// Guards disk and memory: what is kept is bounded by the names, not by the changes ever made.
+/// What is stored is bounded by the number of names, not by that of all changes ever made.
 #[gtest]
-fn size_does_not_grow_with_the_number_of_changes() {
+fn encoded_size_is_bounded() {
     let (mut state, mut rng) = (ConfigState::default(), fastrand::Rng::with_seed(11));
     let mut sizes = Vec::new();
     for index in 1..=60_000_u64 {
         let n = rng.u32(0..300);
         let key = rng.u32(0..1000);
-        let order = match rng.u32(0..6) {
-            0 => vec![dropped(ItemKind::Tenant, &format!("t{n}"), index)],
-            // Names that are met once.
-            1 => vec![dropped(ItemKind::Tenant, &format!("once{index}"), index)],
+        let change = match rng.u32(0..6) {
+            0 => vec![removed(ItemKind::Tenant, &format!("t{n}"), index)],
+            // Names that occur once.
+            1 => vec![removed(ItemKind::Tenant, &format!("once{index}"), index)],
             _ => (n..n + 5)
                 .map(|n| tenant(&format!("t{}", n % 300), index, &[&format!("key-{}-{key}", n % 300)]))
                 .collect(),
         };
-        assert_that!(code(&state.apply(index, &order)), eq("taken"));
+        assert_that!(outcome_name(&state.apply(index, &change)), eq("applied"));
         if matches!(index, 3_000 | 30_000 | 60_000) {
             sizes.push(state.encode().len());
             println!("{index} changes of 300 tenants: {} bytes encoded", sizes[sizes.len() - 1]);
-            // An overtaken number takes 3 x 9 bytes and a head at the most, an item here under 120.
+            // A superseded version takes at most 3 x 9 bytes and a header, an item here under 120.
             expect_that!(
                 sizes[sizes.len() - 1],
                 le(MAX_SUPERSEDED_VERSIONS * 28 + (300 + MAX_TOMBSTONES) * 120)
             );
         }
     }
-    // Full at 30,000: from there only the numbers themselves get longer.
+    // The history is full at 30,000; from there only the numbers themselves get longer.
     expect_that!(sizes[2] * 20, le(sizes[1] * 21));
     let back = ConfigState::decode(&state.encode()).expect("decoded");
     expect_that!(back, eq(&state));
 }
 
-/// Guards gatekeepers: a view of the kinds that changed is the same as a full one, in whatever order items come.
+/// A view with the changed kinds rebuilt equals one built anew, in whatever order the items come.
 #[gtest]
-fn a_view_of_the_changed_kinds_is_the_whole_view() {
+fn incremental_view_equals_full_view() {
     for seed in 0..20 {
-        let mut draw = Draw { rng: fastrand::Rng::with_seed(3000 + seed), clock: 0, bulk: false };
+        let mut generator =
+            ChangeGenerator { rng: fastrand::Rng::with_seed(3000 + seed), clock: 0, bulk: false };
         let (mut state, mut items, mut view) =
             (ConfigState::default(), ItemSet::default(), ActiveConfig::default());
         for index in 1..150 {
-            let ChangeOutcome::Applied(changed) = state.apply(index, &draw.order()) else { continue };
+            let ChangeOutcome::Applied(changed) = state.apply(index, &generator.change()) else { continue };
             merge(&mut items, changed.iter().map(|i| &**i));
             let kinds = changed.iter().map(|i| i.kind).collect();
             let parts: Vec<ActiveItem> =
@@ -492,32 +514,36 @@
             view = view.with_changed_kinds(parts.iter(), &kinds);
             assert_that!(view, eq(&ActiveConfig::from_item_set(&items)));
             let mut shuffled: Vec<&ConfigItem> = items.iter().collect();
-            draw.rng.shuffle(&mut shuffled);
+            generator.rng.shuffle(&mut shuffled);
             assert_that!(ActiveConfig::from_items(shuffled.into_iter()), eq(&view));
         }
     }
 }
 
-/// Guards an order that waited while a few names changed all the time (a cut of half a minute, hundreds of changes):
-/// sent for the first time or again, it has its answer, and another one under its number hasn't that.
+/// A change that was delayed while a few names changed all the time (a partition of half a minute, hundreds of changes)
+/// has a definite outcome, sent for the first time or again, and its rival of the same version has another one.
 #[gtest]
-fn an_order_that_hundreds_overtook_is_answered() {
+fn change_superseded_many_times_has_a_definite_outcome() {
     let mut state = ConfigState::default();
     let early = |content| [service("s", 1, content)];
-    expect_that!(code(&state.apply(1, &[service("s", 2, 0), service("t", 1, 0)])), eq("taken"));
+    expect_that!(outcome_name(&state.apply(1, &[service("s", 2, 0), service("t", 1, 0)])), eq("applied"));
     for index in 3..20_000 {
         expect_that!(
-            code(&state.apply(index, &[service("s", index, 0), service("t", index, 0)])),
-            eq("taken")
+            outcome_name(&state.apply(index, &[service("s", index, 0), service("t", index, 0)])),
+            eq("applied")
         );
     }
     let mut other = ConfigState::decode(&state.encode()).expect("decoded");
     for state in [&mut state, &mut other] {
-        expect_that!(code(&state.apply(20_000, &early(7))), eq("known"), "for the first time");
-        expect_that!(code(&state.apply(20_001, &early(7))), eq("known"), "again");
-        expect_that!(code(&state.apply(20_002, &early(8))), eq("conflict"), "its rival");
-        expect_that!(code(&state.apply(20_003, &[service("t", 3, 0)])), eq("known"));
-        expect_that!(code(&state.apply(20_004, &[service("t", 3, 1)])), eq("conflict"));
+        expect_that!(
+            outcome_name(&state.apply(20_000, &early(7))),
+            eq("already applied"),
+            "for the first time"
+        );
+        expect_that!(outcome_name(&state.apply(20_001, &early(7))), eq("already applied"), "again");
+        expect_that!(outcome_name(&state.apply(20_002, &early(8))), eq("conflict"), "its rival");
+        expect_that!(outcome_name(&state.apply(20_003, &[service("t", 3, 0)])), eq("already applied"));
+        expect_that!(outcome_name(&state.apply(20_004, &[service("t", 3, 1)])), eq("conflict"));
     }
     expect_that!(other, eq(&state));
 }
--- a/crates/gateway/src/configuration/tests.rs
+++ b/crates/gateway/src/configuration/tests.rs
@@ -1,13 +1,14 @@
-//! What operators may send, and what must be turned back.
+//! Which requests of operators are accepted, what is rejected, and the view and the replica at edge nodes.
 
 use super::active_config::ActiveItem;
-use super::change::{find_violations, validate_change};
+use super::change::{find_violations, validate_change, ChangeError};
 use super::replica::{ConfigReplica, ReplicaUpdate};
+use super::state::ConfigStateError;
 use super::{parse_change, ActiveConfig, ConfigItem, ItemKind, ItemSet};
 use googletest::prelude::*;
 use serde_json::{json, Value};
 
-fn call(body: &Value) -> Vec<ConfigItem> {
+fn parse(body: &Value) -> Vec<ConfigItem> {
     parse_change(body.to_string().as_bytes()).expect("readable")
 }
 
@@ -22,7 +23,7 @@
     json!({ "columns": columns, "records": records })
 }
 
-fn first() -> Value {
+fn first_change() -> Value {
     json!({ "upsert": {
         "route_set": routes(json!([route("r1", "a.example", "/x/", "s1", "r7"), route("r2", "a.example", "/x/y/", "s2", "r7")])),
         "tenant_set": { "columns": ["label", "credentials", "rate_per_s", "burst_size", "revision"],
@@ -33,19 +34,19 @@
     }, "remove": { "route_set": [] } })
 }
 
-fn held(calls: &[Value]) -> ItemSet {
+fn item_set(calls: &[Value]) -> ItemSet {
     let mut items = ItemSet::default();
     for body in calls {
-        for item in validate_change(&items, &call(body)).expect("valid") {
+        for item in validate_change(&items, &parse(body)).expect("valid") {
             items.merge(item);
         }
     }
     items
 }
 
-/// Guards against every kind of call that PROTOCOL calls invalid, each with a message that names the place.
+/// Every kind of request that PROTOCOL calls invalid is rejected, with a message that names the place.
 #[gtest]
-fn every_invalid_kind_is_refused_whole() {
+fn every_kind_of_invalid_change_is_rejected() {
     let with = |change: &dyn Fn(&mut Value)| {
         let mut record = route("r9", "a.example", "/z/", "s1", "r9");
         change(&mut record);
@@ -70,14 +71,14 @@
             "records": [["t9", ["k3"], "r9"]] } } }),
         ),
     ];
-    let items = held(&[first()]);
+    let items = item_set(&[first_change()]);
     for (what, body) in cases {
         let judged =
-            parse_change(body.to_string().as_bytes()).and_then(|call| validate_change(&items, &call));
+            parse_change(body.to_string().as_bytes()).and_then(|change| validate_change(&items, &change));
         let error = judged.expect_err(what).to_string();
         expect_that!(error, contains_substring(what), "{body}");
     }
-    let whole = first().to_string();
+    let whole = first_change().to_string();
     for end in 1..whole.len() {
         expect_that!(parse_change(&whole.as_bytes()[..end]), err(anything()));
     }
@@ -86,9 +87,9 @@
     expect_that!(parse_change(ragged.to_string().as_bytes()), err(anything()));
 }
 
-/// Guards a call of which one part would be dropped unseen and yet acknowledged.
+/// A name that occurs twice would be ignored silently once, and yet acknowledged.
 #[gtest]
-fn what_is_said_twice_is_not_read() {
+fn duplicate_names_are_rejected() {
     let read = |text: &str| parse_change(text.as_bytes()).map(|items| items.len()).map_err(|e| e.to_string());
     let one = r#""tenant_set":[{"label":"t1","revision":"r1"}]"#;
     let other = r#""tenant_set":[{"label":"t2","revision":"r1"}]"#;
@@ -105,64 +106,64 @@
     ] {
         expect_that!(read(&text), err(contains_substring("comes twice")), "{text}");
     }
-    // All that JSON can say is read as before.
+    // Everything else that JSON can express is read.
     let all = r#"{"a":[null,true,false,0,-1,18446744073709551615,-9223372036854775808,1.5,1e300,"x\u00e4\n",{},[]]}"#;
     let strict = crate::json_path::parse(all.as_bytes()).expect("JSON");
     expect_that!(strict, eq(&serde_json::from_str::<Value>(all).expect("JSON")));
 }
 
-/// Guards valid calls: what changes hands within one call, and what arrives again.
+/// Valid: a credential or service that moves within one change, and a change that arrives again.
 #[gtest]
-fn nothing_valid_is_refused() {
-    let mut items = held(&[first()]);
+fn valid_changes_are_accepted() {
+    let mut items = item_set(&[first_change()]);
     let moved = json!({ "upsert": { "tenant_set": { "columns": ["label", "credentials", "revision"],
         "records": [["t2", ["k3", "k1"], "r9"], ["t1", ["k2"], "r9"]] } } });
     let both = json!({ "upsert": { "route_set": routes(json!([route("r3", "b.example", "/", "s3", "r9")])),
         "service_set": { "columns": ["label", "revision"], "records": [["s3", "r9"]] } } });
     for body in [&moved, &both] {
-        for item in validate_change(&items, &call(body)).expect("valid") {
+        for item in validate_change(&items, &parse(body)).expect("valid") {
             items.merge(item);
         }
     }
-    // The first call again: it has no effect, though t1 and t2 would share a key with what stands now.
-    expect_that!(validate_change(&items, &call(&first())), ok(is_empty()));
-    // A service that a route still names can't go alone, but it can go with its route.
+    // The first change again has no effect, though its t1 and t2 would share a credential with the current ones.
+    expect_that!(validate_change(&items, &parse(&first_change())), ok(is_empty()));
+    // A service that a route names can't be removed alone, but together with the route.
     let alone = json!({ "remove": { "service_set": [{ "label": "s3", "revision": "r10" }] } });
-    expect_that!(validate_change(&items, &call(&alone)), err(anything()));
+    expect_that!(validate_change(&items, &parse(&alone)), err(anything()));
     let with = json!({ "remove": { "service_set": [{ "label": "s3", "revision": "r10" }],
         "route_set": [{ "label": "r3", "revision": "r10" }] } });
-    expect_that!(validate_change(&items, &call(&with)), ok(len(eq(2))));
+    expect_that!(validate_change(&items, &parse(&with)), ok(len(eq(2))));
 }
 
-/// Guards operators whose calls would be refused for ever once two of them gave a key to two tenants at once.
+/// Two operators gave one credential to two tenants at once; later changes must not be rejected for that.
 #[gtest]
-fn what_two_operators_put_wrong_together_blocks_nobody() {
-    let mut items = held(&[first()]);
+fn existing_violation_does_not_block_other_changes() {
+    let mut items = item_set(&[first_change()]);
     let key = |tenant: &str, revision: &str| {
         json!({ "upsert": { "tenant_set": { "columns": ["label", "credentials", "revision"],
             "records": [[tenant, ["k9"], revision]] } } })
     };
-    let (one, other) = (call(&key("t1", "r11")), call(&key("t2", "r12")));
+    let (one, other) = (parse(&key("t1", "r11")), parse(&key("t2", "r12")));
     expect_that!(validate_change(&items, &one), ok(anything()));
     expect_that!(validate_change(&items, &other), ok(anything()));
     for item in one.into_iter().chain(other) {
         items.merge(item);
     }
     expect_that!(find_violations(&items), len(eq(1)));
-    // The newer version has the key, and other calls go on.
+    // The newer version gets the credential, and other changes are accepted.
     expect_that!(
-        &*ActiveConfig::from_item_set(&items).tenant_by_credential("k9").expect("held").label,
+        &*ActiveConfig::from_item_set(&items).tenant_by_credential("k9").expect("there").label,
         eq("t2")
     );
     let more =
         json!({ "upsert": { "route_set": routes(json!([route("r4", "c.example", "/", "s1", "r13")])) } });
-    expect_that!(validate_change(&items, &call(&more)), ok(len(eq(1))));
+    expect_that!(validate_change(&items, &parse(&more)), ok(len(eq(1))));
 }
 
 #[gtest]
-fn copies_that_saw_the_same_items_in_any_order_are_equal() {
-    let mut all: Vec<ConfigItem> = call(&first());
-    all.extend(call(
+fn merging_is_independent_of_order() {
+    let mut all: Vec<ConfigItem> = parse(&first_change());
+    all.extend(parse(
         &json!({ "upsert": { "route_set": routes(json!([route("r1", "a.example", "/x/", "s2", "r8")])) },
         "remove": { "route_set": [{ "label": "r2", "revision": "r9" }] } }),
     ));
@@ -182,22 +183,25 @@
 }
 
 #[gtest]
-fn what_is_read_back_can_be_sent_again_and_differs_in_nothing() {
-    let items = held(&[first()]);
+fn rendered_configuration_can_be_sent_again_unchanged() {
+    let items = item_set(&[first_change()]);
     let read = items.to_json();
-    let again = call(&json!({ "upsert": read }));
-    let mut copy = ItemSet::default();
+    let again = parse(&json!({ "upsert": read }));
+    let mut replica = ItemSet::default();
     for item in again {
-        copy.merge(item);
+        replica.merge(item);
     }
-    expect_that!(copy.digest(), eq(items.digest()));
-    expect_that!(copy.to_json(), eq(&read));
-    expect_that!(copy.body(ItemKind::Saturation, "").expect("held")["idle_cutoff"], eq(&json!("15000ms")));
+    expect_that!(replica.digest(), eq(items.digest()));
+    expect_that!(replica.to_json(), eq(&read));
+    expect_that!(
+        replica.body(ItemKind::Saturation, "").expect("there")["idle_cutoff"],
+        eq(&json!("15000ms"))
+    );
 }
 
 #[gtest]
-fn the_longest_prefix_of_a_host_has_a_request() {
-    let view = ActiveConfig::from_item_set(&held(&[first()]));
+fn longest_matching_prefix_wins() {
+    let view = ActiveConfig::from_item_set(&item_set(&[first_change()]));
     let label = |host, path| view.match_route(host, path).map(|r| r.label.to_string());
     expect_that!(label("a.example", "/x/y/z"), some(eq("r2")));
     expect_that!(label("A.example:8080", "/x/z"), some(eq("r1")));
@@ -205,43 +209,100 @@
     expect_that!(label("b.example", "/x/"), none());
 }
 
-/// Guards gatekeepers, which keep parts and no items: they serve by the same as who folds the items.
+/// The replica, which has no items, gives the same view as the items.
 #[gtest]
-fn a_gatekeepers_copy_serves_by_what_stands() {
-    let mut items = held(&[first()]);
-    let mut copy = ConfigReplica::default();
-    expect_that!(copy.apply_update(None, 3, items.iter().cloned().collect()), eq(ReplicaUpdate::Applied));
+fn replica_serves_the_active_items() {
+    let mut items = item_set(&[first_change()]);
+    let mut replica = ConfigReplica::default();
+    expect_that!(replica.apply_update(None, 3, items.iter().cloned().collect()), eq(ReplicaUpdate::Applied));
     expect_that!(
-        ActiveConfig::from_active_items(copy.active_items()),
+        ActiveConfig::from_active_items(replica.active_items()),
         eq(&ActiveConfig::from_item_set(&items))
     );
-    let change = call(&json!({ "upsert": {
+    let change = parse(&json!({ "upsert": {
             "route_set": routes(json!([route("r1", "A.example", "/x/", "s2", "r8")])),
             "tenant_set": { "columns": ["label", "credentials", "rank", "revision"], "records": [["t1", ["k2", "k4"], 1, "r8"]] },
             "saturation": { "body_max_bytes": 9, "revision": "r8" } },
         "remove": { "route_set": [{ "label": "r2", "revision": "r9" }], "tenant_set": [{ "label": "t2", "revision": "r9" }] } }));
-    expect_that!(copy.apply_update(Some(3), 5, change.clone()), eq(ReplicaUpdate::Applied));
+    expect_that!(replica.apply_update(Some(3), 5, change.clone()), eq(ReplicaUpdate::Applied));
     for item in change {
         items.merge(item);
     }
-    let view = ActiveConfig::from_active_items(copy.active_items());
+    let view = ActiveConfig::from_active_items(replica.active_items());
     expect_that!(view, eq(&ActiveConfig::from_item_set(&items)));
     expect_that!(view.tenant_by_credential("k1"), none());
     expect_that!(view.tenant_by_credential("k3"), none());
-    expect_that!(&*view.tenant_by_credential("k4").expect("held").label, eq("t1"));
+    expect_that!(&*view.tenant_by_credential("k4").expect("there").label, eq("t1"));
     expect_that!(view.client_limits.max_body_bytes, eq(9));
     expect_that!(view.match_route("a.example", "/x/y/").map(|r| &*r.label), some(eq("r1")));
-    // What stands anew as a whole: nothing of before is left.
-    expect_that!(copy.apply_update(None, 7, call(&first())), eq(ReplicaUpdate::Applied));
+    // A full update: nothing of before is left.
+    expect_that!(replica.apply_update(None, 7, parse(&first_change())), eq(ReplicaUpdate::Applied));
     expect_that!(
-        ActiveConfig::from_active_items(copy.active_items()),
-        eq(&ActiveConfig::from_item_set(&held(&[first()])))
+        ActiveConfig::from_active_items(replica.active_items()),
+        eq(&ActiveConfig::from_item_set(&item_set(&[first_change()])))
     );
 }
 
-/// Guards the memory of gatekeepers, which hold tens of thousands of these.
+/// Edge nodes have tens of thousands of these in memory.
 #[gtest]
-fn a_part_is_small() {
+fn active_items_are_small() {
     expect_that!(size_of::<ActiveItem>(), le(40));
     expect_that!(size_of::<super::active_config::Tenant>(), le(56));
 }
+
+/// Operators get these texts over HTTP and in logs.
+#[gtest]
+fn error_texts_are_pinned() {
+    let (path, column) = ("$.upsert".to_string(), "label".to_string());
+    let duplicate = ChangeError::DuplicateColumn { path: path.clone(), column };
+    expect_that!(duplicate.to_string(), eq("$.upsert: the column label comes twice"));
+    let length = ChangeError::RecordLengthMismatch { path: path.clone(), values: 1, columns: 2 };
+    expect_that!(length.to_string(), eq("$.upsert: 1 values for 2 columns"));
+    let unknown = ChangeError::UnknownService { route: "r1".into(), service: "s1".into() };
+    expect_that!(unknown.to_string(), eq("route r1 names the unknown service s1"));
+    let mismatch = ChangeError::VersionContentMismatch { set: "tenant_set", label: "t1".into(), version: 7 };
+    expect_that!(mismatch.to_string(), eq(r#"tenant_set "t1": r7 has another content"#));
+    let shared = ChangeError::SharedCredential("t1".into(), "t2".into());
+    expect_that!(shared.to_string(), eq("tenants t1 and t2 share a key"));
+    expect_that!(
+        [
+            ChangeError::UnknownList(path.clone()),
+            ChangeError::MissingService(path.clone()),
+            ChangeError::ZeroTotalGain(path.clone()),
+            ChangeError::DurationTooLong(path.clone()),
+            ChangeError::UnknownRouteClass(path.clone()),
+            ChangeError::InvalidPathPrefix(path),
+        ]
+        .map(|e| e.to_string()),
+        elements_are![
+            eq("$.upsert: unknown list"),
+            eq("$.upsert: neither a service nor a mixture"),
+            eq("$.upsert: gains add up to 0"),
+            eq("$.upsert: over ten minutes"),
+            eq("$.upsert: neither idempotent nor effectful"),
+            eq("$.upsert: does not begin and end with a slash"),
+        ]
+    );
+    let inconsistent = ConfigStateError::Inconsistent { set: "tenant_set", label: "t1".into() };
+    expect_that!(
+        [
+            ConfigStateError::Empty,
+            ConfigStateError::Format(9),
+            ConfigStateError::Unreadable("why".into()),
+            ConfigStateError::UnexpectedRecordCount,
+            ConfigStateError::MissingRecords(3),
+            ConfigStateError::Surplus(4),
+            inconsistent,
+        ]
+        .map(|e| e.to_string()),
+        elements_are![
+            eq("an encoded state is empty"),
+            eq("an encoded state of the unknown format 9"),
+            eq("an encoded state can't be read: why"),
+            eq("an encoded state can't be read: an odd frame"),
+            eq("an encoded state can't be read: 3 records are missing"),
+            eq("an encoded state is followed by 4 more bytes"),
+            eq(r#"an encoded state contradicts itself at tenant_set "t1""#),
+        ]
+    );
+}
--- a/crates/gateway/src/storage/open.rs
+++ b/crates/gateway/src/storage/open.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Is there a database with its write-ahead log? Neither of them, or an empty log alone, is what an interrupted creation
-/// leaves; any other half is refused, so that a damaged disk is never taken for a new one.
+/// Is there a database with its write-ahead log? Neither of them, or an empty log alone, is what an interrupted
+/// creation leaves; any other half is refused, so that a damaged disk is never taken for a new one.
 fn database_exists(folder: &Path) -> Result<bool, StorageError> {
     match (file_size(folder, DATABASE_FILE)?, file_size(folder, WAL_FILE)?) {
         (None, None | Some(0)) => Ok(false),
--- a/crates/gateway/src/storage/snapshots.rs
+++ b/crates/gateway/src/storage/snapshots.rs
@@ -2,8 +2,9 @@
 //! installing it is short and log entries never wait for megabytes.
 //!
 //! Staged rows have numbers of their own (see [`snapshot_row_range`]) and count for nothing until
-//! [`LogWrite::Snapshot`](crate::consensus::LogWrite::Snapshot) names their snapshot: reading takes only rows in the range of
-//! the installed one. Rows of snapshots that were replaced or never installed are stale; each write deletes a few.
+//! [`LogWrite::Snapshot`](crate::consensus::LogWrite::Snapshot) names their snapshot: reading takes only rows in the
+//! range of the installed one. Rows of snapshots that were replaced or never installed are stale; each write deletes a
+//! few.
 
 use super::schema::{encode, snapshot_row_range, stored_snapshot_row_range, to_sql_integer};
 use super::schema::{ROWS_PER_SNAPSHOT, SNAPSHOT_CHUNK_BYTES};
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -199,8 +199,8 @@
     }
 }
 
-/// A file of which later writes reached the disk in part, each whole, torn or not at all; the first `whole` bytes are as
-/// after them.
+/// A file of which later writes reached the disk in part, each whole, torn or not at all; the first `whole` bytes are
+/// as after them.
 fn torn_file(rng: &mut fastrand::Rng, old: &[u8], new: &[u8], whole: usize) -> Vec<u8> {
     let keep = [old.len(), new.len(), old.len().max(new.len())][rng.usize(..3)];
     let mut file = new[..whole].to_vec();
