--- a/crates/gateway/src/configuration/change.rs
+++ b/crates/gateway/src/configuration/change.rs
@@ -86,10 +86,10 @@
     let root = JsonNode::root(&value);
     root.object()?;
     let mut items = Vec::new();
-    if let Some(upserts) = root.get("upsert") {
+    if let Some(upserts) = root.optional("upsert") {
         for_each_set(&upserts, |kind, set| parse_upserts(kind, set, &mut items))?;
     }
-    if let Some(removals) = root.get("remove") {
+    if let Some(removals) = root.optional("remove") {
         for_each_set(&removals, |kind, set| parse_removals(kind, set, &mut items))?;
     }
     Ok(items)
@@ -103,7 +103,7 @@
     for (name, value) in sets.object()? {
         let Some(kind) = kind_of_set(name) else { return Err(ChangeError::UnknownList(name.clone())) };
         if !value.is_null() {
-            parse(kind, &sets.need(name)?)?;
+            parse(kind, &sets.required(name)?)?;
         }
     }
     Ok(())
@@ -129,7 +129,8 @@
 fn parse_removals(kind: ItemKind, set: &JsonNode, items: &mut Vec<ConfigItem>) -> Result<(), ChangeError> {
     for_each_row(set, |row, _| {
         let row = JsonNode::root(row);
-        let (label, version) = (row.need("label")?.name()?, row.need("revision")?.version()?);
+        let (label, version) =
+            (row.required("label")?.as_non_empty_str()?, row.required("revision")?.as_version()?);
         items.push(ConfigItem { kind, label: label.into(), version, body: None });
         Ok(())
     })
@@ -142,20 +143,20 @@
     mut visit: impl FnMut(&Value, String) -> Result<(), ChangeError>,
 ) -> Result<(), ChangeError> {
     if set.value().is_array() {
-        for object in set.list()? {
+        for object in set.elements()? {
             object.object()?;
             visit(object.value(), object.path())?;
         }
         return Ok(());
     }
-    let columns = set.need("columns")?.list()?;
-    let columns: Vec<&str> = columns.iter().map(JsonNode::name).collect::<Result<_, _>>()?;
+    let columns = set.required("columns")?.elements()?;
+    let columns: Vec<&str> = columns.iter().map(JsonNode::as_non_empty_str).collect::<Result<_, _>>()?;
     let mut seen = BTreeSet::new();
     if let Some(duplicate) = columns.iter().find(|name| !seen.insert(**name)) {
         return Err(ChangeError::DuplicateColumn { path: set.path(), column: (*duplicate).into() });
     }
-    for record in set.need("records")?.list()? {
-        let values = record.list()?;
+    for record in set.required("records")?.elements()? {
+        let values = record.elements()?;
         if values.len() != columns.len() {
             let (path, values, columns) = (record.path(), values.len(), columns.len());
             return Err(ChangeError::RecordLengthMismatch { path, values, columns });
@@ -170,8 +171,9 @@
 /// `path`: of the item in the request; the paths in `item` begin at the item.
 fn parse_item(kind: ItemKind, item: &JsonNode, path: String) -> Result<ConfigItem, ChangeError> {
     let parse = || -> Result<ConfigItem, ChangeError> {
-        let version = item.need("revision")?.version()?;
-        let label = if kind == ItemKind::Saturation { "" } else { item.need("label")?.name()? };
+        let version = item.required("revision")?.as_version()?;
+        let label =
+            if kind == ItemKind::Saturation { "" } else { item.required("label")?.as_non_empty_str()? };
         match kind {
             ItemKind::Route => check_route(item, &path)?,
             ItemKind::Tenant => check_tenant(item)?,
@@ -191,42 +193,42 @@
     match error {
         error if path.is_empty() => error,
         JsonPathError::Missing(at) => JsonPathError::Missing(format!("{path}{}", &at[1..])),
-        JsonPathError::Not(at, what) => JsonPathError::Not(format!("{path}{}", &at[1..]), what),
+        JsonPathError::Invalid(at, what) => JsonPathError::Invalid(format!("{path}{}", &at[1..]), what),
         error => error,
     }
 }
 
 fn check_route(route: &JsonNode, path: &str) -> Result<(), ChangeError> {
-    route.need("hostname")?.name()?;
-    let prefix = route.need("path_prefix")?.text()?;
+    route.required("hostname")?.as_non_empty_str()?;
+    let prefix = route.required("path_prefix")?.as_str()?;
     if !(prefix.starts_with('/') && prefix.ends_with('/')) {
         return Err(ChangeError::InvalidPathPrefix(path.into()));
     }
-    if !matches!(route.need("route_class")?.text()?, "idempotent" | "effectful") {
+    if !matches!(route.required("route_class")?.as_str()?, "idempotent" | "effectful") {
         return Err(ChangeError::UnknownRouteClass(path.into()));
     }
     for name in ["cutoff", "target"] {
-        if route.get(name).map(|t| t.time()).transpose()?.is_some_and(|t| t > MAX_ROUTE_TIMEOUT) {
+        if route.optional(name).map(|t| t.as_duration()).transpose()?.is_some_and(|t| t > MAX_ROUTE_TIMEOUT) {
             return Err(ChangeError::DurationTooLong(format!("{path}.{name}")));
         }
     }
     for name in ["rank", "max_attempts"] {
-        route.get(name).map(|n| n.amount()).transpose()?;
+        route.optional(name).map(|n| n.as_non_negative()).transpose()?;
     }
-    route.get("unkeyed").map(|t| t.truth()).transpose()?;
-    match (route.get("mixture"), route.get("service_ref")) {
+    route.optional("unkeyed").map(|t| t.as_bool()).transpose()?;
+    match (route.optional("mixture"), route.optional("service_ref")) {
         (Some(mixture), _) => {
             let mut sum = 0.0;
-            for share in mixture.list()? {
-                share.need("service_ref")?.name()?;
-                sum += share.need("gain")?.amount()?;
+            for share in mixture.elements()? {
+                share.required("service_ref")?.as_non_empty_str()?;
+                sum += share.required("gain")?.as_non_negative()?;
             }
             if sum <= 0.0 {
                 return Err(ChangeError::ZeroTotalGain(path.into()));
             }
         }
         (None, Some(service)) => {
-            service.name()?;
+            service.as_non_empty_str()?;
         }
         (None, None) => return Err(ChangeError::MissingService(path.into())),
     }
@@ -234,29 +236,29 @@
 }
 
 fn check_tenant(tenant: &JsonNode) -> Result<(), ChangeError> {
-    if let Some(keys) = tenant.get("credentials") {
-        for key in keys.list()? {
-            key.name()?;
+    if let Some(keys) = tenant.optional("credentials") {
+        for key in keys.elements()? {
+            key.as_non_empty_str()?;
         }
     }
     for name in ["rank", "rate_per_s", "burst_size"] {
-        tenant.get(name).map(|n| n.amount()).transpose()?;
+        tenant.optional(name).map(|n| n.as_non_negative()).transpose()?;
     }
     Ok(())
 }
 
 fn check_service(service: &JsonNode) -> Result<(), ChangeError> {
-    service.get("probe_path").map(|p| p.text()).transpose()?;
-    service.get("conn_limit").map(|n| n.amount()).transpose()?;
+    service.optional("probe_path").map(|p| p.as_str()).transpose()?;
+    service.optional("conn_limit").map(|n| n.as_non_negative()).transpose()?;
     Ok(())
 }
 
 fn check_client_limits(limits: &JsonNode) -> Result<(), ChangeError> {
     for name in ["header_max_bytes", "body_max_bytes"] {
-        limits.get(name).map(|n| n.amount()).transpose()?;
+        limits.optional(name).map(|n| n.as_non_negative()).transpose()?;
     }
     for name in ["header_deadline", "idle_cutoff"] {
-        limits.get(name).map(|t| t.time()).transpose()?;
+        limits.optional(name).map(|t| t.as_duration()).transpose()?;
     }
     Ok(())
 }
--- a/crates/gateway/src/configuration/content_hash.rs
+++ b/crates/gateway/src/configuration/content_hash.rs
@@ -39,9 +39,9 @@
     let text = value.as_str();
     let normalized = match (name, text, value) {
         ("cutoff" | "target" | "header_deadline" | "idle_cutoff", Some(text), _) => {
-            json_path::time(text).map(normalize_duration)
+            json_path::parse_duration(text).map(normalize_duration)
         }
-        ("revision", Some(text), _) => json_path::version(text).map(|n| Value::String(format!("r{n}"))),
+        ("revision", Some(text), _) => json_path::parse_version(text).map(|n| Value::String(format!("r{n}"))),
         ("hostname", Some(text), _) => Some(Value::String(text.to_ascii_lowercase())),
         ("credentials", _, Value::Array(keys)) => {
             let mut keys: Vec<&str> = keys.iter().filter_map(Value::as_str).collect();
@@ -87,7 +87,7 @@
         None => text.push_str("dropped"),
         Some(body) => canonical_fields(&mut text, body.iter().filter(|(_, value)| !value.is_null())),
     }
-    whinstall::ground::hash(&text)
+    whinstall::identifiers::fnv1a(&text)
 }
 
 fn append(text: &mut String, part: std::fmt::Arguments) {
