--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -1,7 +1,11 @@
-//! Owns the core's side of gatekeepers: who of them there is, what each was told, what it lacks. Each connection goes on from
-//! what was told on it: one that lags is told nothing further until it has heard, and then what stands, not all that
-//! came between. It must never give a whole configuration, or the list of workers, while out of touch with most of the
-//! core: whoever has just started would take it for the newest.
+//! Connections that edge nodes and other core nodes opened to this core node, and what each edge node is sent on its
+//! connection: the configuration, the workers, the edge directory, and the core nodes.
+//!
+//! A session continues from what was sent on its connection. One that lags is sent nothing more until it has caught up
+//! ([`InFlightWindow`]), and then the current state, not each change between.
+//!
+//! Invariant: a full configuration or worker list is sent only in contact with a majority of the core, because an edge
+//! node that has just started takes it for the newest.
 
 use super::in_flight_window::{estimated_bytes, InFlightWindow};
 use super::{ConnectionId, CoreNode, Effect, TICK};
@@ -12,308 +16,427 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// How many gatekeepers there are is told no sooner than this after the start: seconds.
-const COUNT_AFTER: f64 = 2.0;
-/// The whole list of workers is told again to the same one no sooner than this, and twice as late each time that it did
-/// not help, up to a limit: seconds.
-const WHOLE_EVERY: f64 = 2.0;
-const WHOLE_LAST: f64 = 32.0;
-/// Lists of workers that differ in the same way for so long lack something: seconds.
-const DIFFERS: f64 = 0.9;
-/// Whole states are begun so fast: bytes a second. What it takes to make them leaves most of a processor.
-const WHOLES: f64 = 20e6;
-/// So fast goes the list of gatekeepers, to all of them together: bytes a second.
-const LISTS: f64 = 1e6;
-/// What is under way to gatekeepers may take this part of the memory: one over so many; differences, too.
-const MEMORY_PART: usize = 8;
-/// At least so many bytes of differences may be under way to one.
-const LEAST: usize = 16 * 1024;
+/// The number of edge nodes is reported no sooner than this after the start, when all have had time to connect: seconds.
+const EDGE_COUNT_DELAY_SECS: f64 = 2.0;
+/// The first pause before a diverged edge node is sent all workers again; it doubles each time that this did not help:
+/// seconds.
+const MIN_RESEND_INTERVAL_SECS: f64 = 2.0;
+/// The longest such pause: seconds.
+const MAX_RESEND_INTERVAL_SECS: f64 = 32.0;
+/// Workers that differ in the same way for this long have diverged: seconds.
+const DIVERGENCE_TIMEOUT_SECS: f64 = 0.9;
+/// An edge node whose pings show an older configuration this often in a row has lost an update.
+const STALE_PINGS_BEFORE_RESEND: u32 = 2;
+/// Full states are sent at this rate, to all edge nodes together: bytes a second. Making them then leaves most of a
+/// processor.
+const FULL_STATE_BYTES_PER_SEC: f64 = 20e6;
+/// The edge directory is sent at this rate, to all edge nodes together: bytes a second.
+const DIRECTORY_BYTES_PER_SEC: f64 = 1e6;
+/// Full states in flight may take the memory limit divided by this; differences in flight as much again.
+const IN_FLIGHT_MEMORY_DIVISOR: usize = 8;
+/// An edge node may always have this much of differences in flight: bytes.
+const MIN_DIFFERENCES_IN_FLIGHT_BYTES: usize = 16 * 1024;
 
-/// Who is at the other end of a connection.
+/// The state of configuration and workers that a node holds.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct HeldState {
+    /// Log index of the last entry that changed the configuration.
+    pub(super) config_index: u64,
+    /// Digest of the worker registry.
+    pub(super) workers_digest: u64,
+}
+
+/// How an edge node's workers differ from those here.
+#[derive(Clone, Copy, Debug)]
+struct WorkersDivergence {
+    /// The two digests, XORed; 0: equal.
+    difference: u64,
+    /// Since when they differ in this way: seconds.
+    since_secs: f64,
+    /// When all workers were sent for it last: seconds.
+    resent_secs: f64,
+    /// The pause before they are sent again: seconds.
+    resend_interval_secs: f64,
+}
+
+impl WorkersDivergence {
+    fn new(now: f64) -> Self {
+        WorkersDivergence {
+            difference: 0,
+            since_secs: now,
+            resent_secs: f64::NEG_INFINITY,
+            resend_interval_secs: MIN_RESEND_INTERVAL_SECS,
+        }
+    }
+
+    /// Takes in the difference at a ping. Once both nodes have the same updates, it is more than an update on its way to
+    /// one of them and stays the same.
+    fn observe(&mut self, now: f64, difference: u64) {
+        if difference == 0 || difference != self.difference {
+            (self.difference, self.since_secs) = (difference, now);
+            self.resend_interval_secs = MIN_RESEND_INTERVAL_SECS;
+        }
+    }
+
+    fn is_lasting(&self, now: f64) -> bool {
+        self.difference != 0 && now - self.since_secs >= DIVERGENCE_TIMEOUT_SECS
+    }
+
+    fn is_resend_due(&self, now: f64) -> bool {
+        now - self.resent_secs > self.resend_interval_secs
+    }
+
+    fn record_resend(&mut self, now: f64) {
+        self.resent_secs = now;
+        self.resend_interval_secs = (2.0 * self.resend_interval_secs).min(MAX_RESEND_INTERVAL_SECS);
+    }
+}
+
+/// The node at the other end of a connection that it opened.
 #[derive(Clone, Debug)]
 pub(super) struct PeerSession {
     pub(super) node: String,
-    pub(super) life: u64,
-    pub(super) member: Option<IpAddr>,
-    link: InFlightWindow,
-    /// The configuration and the digest of workers that it holds, as it said last.
-    holds: Option<(u64, u64)>,
-    /// Does its configuration go on from what is applied here?
-    told: bool,
-    /// Pings in a row that showed an older configuration.
-    behind: u32,
-    /// Its workers are those as of this change; none: it has to be told all.
-    workers: Option<u64>,
-    /// The same of gatekeepers.
-    gates: Option<u64>,
-    /// How its workers differ, and since when in the same way.
-    differs: (u64, f64),
-    /// When it was told all workers for that, and how long it waits for the next time.
-    whole: (f64, f64),
+    pub(super) incarnation: u64,
+    /// The address of a core node; `None`: an edge node.
+    pub(super) core_ip: Option<IpAddr>,
+    window: InFlightWindow,
+    /// What it held at its last ping.
+    held: Option<HeldState>,
+    /// Whether its configuration follows from what was sent: it needs differences only.
+    has_config: bool,
+    /// Pings in a row that showed an older configuration than was sent.
+    stale_pings: u32,
+    /// Its workers are those as of this change; `None`: it needs all.
+    workers_change: Option<u64>,
+    /// Its edge directory is as of this change; `None`: it needs all.
+    directory_change: Option<u64>,
+    divergence: WorkersDivergence,
 }
 
-/// How fast gatekeepers are told what is large.
+/// The pace at which edge nodes are sent what is large.
 #[derive(Default)]
 pub(super) struct TransferPacing {
-    /// Bytes of whole states that may yet be begun in this tick.
-    wholes: f64,
-    /// Bytes under way.
-    under_way: usize,
-    /// The connection that the list of gatekeepers was told on last.
-    listed: ConnectionId,
-    /// Bytes of it that may yet be said in this tick.
-    lists: f64,
+    /// Bytes of full state that may still be sent in this tick; below 0 after a larger one.
+    full_state_budget: f64,
+    /// Estimated bytes in flight on all connections.
+    bytes_in_flight: usize,
+    /// The connection that was last sent the edge directory: the next one goes on from here.
+    last_directory_conn: ConnectionId,
+    /// Bytes of the edge directory that may still be sent in this tick.
+    directory_budget: f64,
 }
 
-/// What this machine may tell at a moment.
+/// What this node may send at a moment.
+#[derive(Clone, Copy, Debug)]
 struct SendPermissions {
-    /// Whole states?
-    whole: bool,
-    /// What is news?
-    news: bool,
-    /// Bytes of differences under way to one.
-    most: usize,
+    /// Full states.
+    full_state: bool,
+    /// Differences of the workers.
+    worker_updates: bool,
+    /// Bytes of differences that may be in flight to one edge node.
+    window_bytes: usize,
 }
 
 impl CoreNode {
-    /// Somebody says who it is.
-    pub(super) fn hello(
+    /// A node identified itself on a connection that it opened.
+    pub(super) fn open_session(
         &mut self,
         now: f64,
         conn: ConnectionId,
-        (node, life, core): (String, u64, bool),
-        me: NodeLocation,
+        (node, incarnation, is_core): (String, u64, bool),
+        location: NodeLocation,
         out: &mut Vec<Effect>,
     ) {
-        let member = core.then_some(me.ip);
+        let core_ip = is_core.then_some(location.ip);
         self.tell_members(out);
         out.push(Effect::Return(conn, PeerMessage::CoreNodes(self.shared.told())));
-        if core {
-            self.meet(vec![me], out);
+        if is_core {
+            self.meet(vec![location], out);
         } else {
-            self.gates.announce(now, &node, me);
+            self.gates.announce(now, &node, location);
         }
-        // What a gatekeeper holds comes with its first ping.
-        let caller = PeerSession {
+        let session = PeerSession {
             node,
-            life,
-            member,
-            link: InFlightWindow::default(),
-            holds: None,
-            told: false,
-            behind: 0,
-            workers: None,
-            gates: None,
-            differs: (0, now),
-            whole: (f64::NEG_INFINITY, WHOLE_EVERY),
+            incarnation,
+            core_ip,
+            window: InFlightWindow::default(),
+            // Comes with its first ping.
+            held: None,
+            has_config: false,
+            stale_pings: 0,
+            workers_change: None,
+            directory_change: None,
+            divergence: WorkersDivergence::new(now),
         };
-        self.callers.insert(conn, caller);
+        self.callers.insert(conn, session);
     }
 
-    /// Counts what is said on connections.
-    pub(super) fn count(&mut self, effects: &[Effect]) {
+    /// Counts messages that are sent on connections which others opened.
+    pub(super) fn record_sent(&mut self, effects: &[Effect]) {
         for effect in effects {
             let Effect::Return(conn, msg) = effect else { continue };
-            if let Some(caller) = self.callers.get_mut(conn) {
-                caller.link.record_sent(msg);
+            if let Some(session) = self.callers.get_mut(conn) {
+                session.window.record_sent(msg);
             }
         }
     }
 
-    fn leave(&self, now: f64) -> SendPermissions {
-        let news = self.shared.majority(now);
-        let whole = news && self.raft.is_attached(self.shared.ms(now));
-        let most = self.shared.settings.memory as usize / MEMORY_PART / self.callers.len().max(1);
-        SendPermissions { whole, news, most: most.max(LEAST) }
+    fn held_here(&self) -> HeldState {
+        HeldState { config_index: self.keeper.state.index(), workers_digest: self.roster.registry.digest() }
+    }
+
+    fn send_permissions(&self, now: f64) -> SendPermissions {
+        let has_majority = self.shared.majority(now);
+        let full_state = has_majority && self.raft.is_attached(self.shared.ms(now));
+        let window_bytes =
+            self.shared.settings.memory as usize / IN_FLIGHT_MEMORY_DIVISOR / self.callers.len().max(1);
+        SendPermissions {
+            full_state,
+            worker_updates: has_majority,
+            window_bytes: window_bytes.max(MIN_DIFFERENCES_IN_FLIGHT_BYTES),
+        }
     }
 
-    /// A ping: its sender hears what it lacks, who holds the counter, and whether it knows all workers.
-    pub(super) fn pinged(
+    /// A ping: an edge node is sent what it lacks, and a pong; a core node the local digests.
+    pub(super) fn handle_ping(
         &mut self,
         now: f64,
         conn: ConnectionId,
-        (config, workers, heard): (u64, u64, u64),
+        held: HeldState,
+        received: u64,
         out: &mut Vec<Effect>,
     ) {
-        let mine = (self.keeper.state.index(), self.roster.registry.digest());
-        let (leave, last) = (self.leave(now), self.roster.last_change());
-        let settled = leave.whole && self.roster.is_complete(now);
-        let Some(caller) = self.callers.get_mut(&conn) else { return };
-        if caller.member.is_some() {
-            out.push(Effect::Return(
-                conn,
-                PeerMessage::Ping { config_index: mine.0, workers_digest: mine.1, received: 0 },
-            ));
-            return;
+        let here = self.held_here();
+        let permissions = self.send_permissions(now);
+        let Some(session) = self.callers.get_mut(&conn) else { return };
+        if session.core_ip.is_some() {
+            let HeldState { config_index, workers_digest } = here;
+            let ping = PeerMessage::Ping { config_index, workers_digest, received: 0 };
+            return out.push(Effect::Return(conn, ping));
         }
-        caller.link.acknowledge(heard);
-        caller.holds = Some((config, workers));
-        let older = caller.told && config < mine.0 && caller.link.has_room_for_full_state(leave.most);
-        caller.behind = if older { caller.behind + 1 } else { 0 };
-        if caller.behind >= 2 {
-            tracing::info!(edge = caller.node, "resending full configuration to edge");
-            (caller.told, caller.behind) = (false, 0);
+        session.window.acknowledge(received);
+        session.held = Some(held);
+        session.detect_lost_configuration(here.config_index, held.config_index, permissions);
+        session.divergence.observe(now, here.workers_digest ^ held.workers_digest);
+        let knows_all_workers = permissions.full_state && self.roster.is_complete(now);
+        if knows_all_workers {
+            self.resend_diverged_workers(now, conn, permissions, out);
         }
-        // Once both have had the same news, a difference is more than news under way to one of them, and stays the same.
-        let by = mine.1 ^ workers;
-        if by == 0 || by != caller.differs.0 {
-            (caller.differs, caller.whole.1) = ((by, now), WHOLE_EVERY);
-        }
-        let (at, every) = caller.whole;
-        let same = caller.link.are_workers_acknowledged() && caller.workers == Some(last);
-        let lasts = by != 0 && same && now - caller.differs.1 >= DIFFERS;
-        if lasts && settled && now - at > every && caller.link.has_room_for_full_state(leave.most) {
-            tracing::info!(edge = caller.node, "resending full worker list to edge");
-            caller.whole = (now, (2.0 * every).min(WHOLE_LAST));
+        self.send_missing(conn, permissions, out);
+        out.push(Effect::Return(conn, self.pong(now, conn, knows_all_workers)));
+    }
+
+    /// Sends an edge node all workers, complete, if those that it holds have diverged.
+    fn resend_diverged_workers(
+        &mut self,
+        now: f64,
+        conn: ConnectionId,
+        permissions: SendPermissions,
+        out: &mut Vec<Effect>,
+    ) {
+        let last_change = self.roster.last_change();
+        let Some(session) = self.callers.get_mut(&conn) else { return };
+        let has_all_updates =
+            session.window.are_workers_acknowledged() && session.workers_change == Some(last_change);
+        if has_all_updates
+            && session.divergence.is_lasting(now)
+            && session.divergence.is_resend_due(now)
+            && session.window.has_room_for_full_state(permissions.window_bytes)
+        {
+            tracing::info!(edge = session.node, "resending full worker list to edge");
+            session.divergence.record_resend(now);
             let workers = self.roster.registry.workers().cloned().collect();
-            out.push(Effect::Return(conn, PeerMessage::WorkerSnapshot { workers, complete: settled }));
+            out.push(Effect::Return(conn, PeerMessage::WorkerSnapshot { workers, complete: true }));
         }
-        self.serve(conn, &leave, out);
-        let young = now - self.shared.started < COUNT_AFTER;
-        let gates = if young { 0 } else { self.gates.count() as u32 };
+    }
+
+    /// The answer to an edge node's ping. `knows_all_workers`: every live worker is known here.
+    fn pong(&self, now: f64, conn: ConnectionId, knows_all_workers: bool) -> PeerMessage {
+        let is_starting = now - self.shared.started < EDGE_COUNT_DELAY_SECS;
         let ms = self.shared.ms(now);
-        let holder = match self.raft.leader(ms) {
+        let quota_leader = match self.raft.leader(ms) {
             Some(leader) if leader == self.raft.me() => self.raft.holds_lease(ms).then_some(leader.ip),
             leader => leader.map(|l| l.ip),
         };
-        let core = self.shared.voters.len() as u32;
-        let settled = settled && self.callers.get(&conn).is_some_and(|c| c.workers == Some(last));
-        out.push(Effect::Return(
-            conn,
-            PeerMessage::Pong {
-                quota_leader: holder,
-                edge_count: gates,
-                core_count: core,
-                workers_complete: settled,
-            },
-        ));
+        let last_change = self.roster.last_change();
+        let was_sent_all = self.callers.get(&conn).is_some_and(|s| s.workers_change == Some(last_change));
+        PeerMessage::Pong {
+            quota_leader,
+            edge_count: if is_starting { 0 } else { self.gates.count() as u32 },
+            core_count: self.shared.voters.len() as u32,
+            workers_complete: knows_all_workers && was_sent_all,
+        }
     }
 
-    /// What a gatekeeper lacks, as far as its connection takes it.
-    fn serve(&mut self, conn: ConnectionId, leave: &SendPermissions, out: &mut Vec<Effect>) {
-        let mine = (self.keeper.state.index(), self.roster.registry.digest(), self.roster.last_change());
-        let (Some(caller), last) = (self.callers.get_mut(&conn), mine.2) else { return };
-        let Some((config, workers)) = caller.holds else { return };
-        if leave.whole {
-            // One that is back goes on from what it holds.
-            caller.told |= config >= mine.0;
-            caller.workers = caller.workers.or_else(|| (workers == mine.1).then_some(last));
+    /// Sends an edge node the configuration and the workers that it lacks, as far as its connection has room.
+    fn send_missing(&mut self, conn: ConnectionId, permissions: SendPermissions, out: &mut Vec<Effect>) {
+        let (here, last_change) = (self.held_here(), self.roster.last_change());
+        let Some(session) = self.callers.get_mut(&conn) else { return };
+        let Some(held) = session.held else { return };
+        if permissions.full_state {
+            // One that reconnected continues from what it holds.
+            session.has_config |= held.config_index >= here.config_index;
+            let is_current = held.workers_digest == here.workers_digest;
+            session.workers_change = session.workers_change.or_else(|| is_current.then_some(last_change));
         }
-        if let Some(known) =
-            caller.workers.filter(|n| *n < last && leave.news && caller.link.has_room(leave.most))
-        {
-            // Those that can't be told any more are told by the whole list.
-            let news = self.roster.changed_since(known);
-            caller.workers = news.is_some().then_some(last);
-            out.extend(news.map(|workers| Effect::Return(conn, PeerMessage::WorkerUpdates(workers))));
+        if let Some(known) = session.outdated_workers(last_change, permissions) {
+            // Without a difference it needs all of them.
+            let updates = self.roster.changed_since(known);
+            session.workers_change = updates.is_some().then_some(last_change);
+            out.extend(updates.map(|workers| Effect::Return(conn, PeerMessage::WorkerUpdates(workers))));
         }
-        let lacks = !caller.told || caller.workers.is_none();
-        let most = self.shared.settings.memory as usize / MEMORY_PART;
-        let room = self.pace.wholes > 0.0 && (self.pace.under_way == 0 || self.pace.under_way < most);
-        if !(lacks && leave.whole && room && caller.link.has_room_for_full_state(leave.most)) {
-            return;
+        let lacks_full_state = !session.has_config || session.workers_change.is_none();
+        let memory_bytes = self.shared.settings.memory as usize / IN_FLIGHT_MEMORY_DIVISOR;
+        let may_start = self.pace.full_state_budget > 0.0
+            && (self.pace.bytes_in_flight == 0 || self.pace.bytes_in_flight < memory_bytes);
+        let has_room = session.window.has_room_for_full_state(permissions.window_bytes);
+        if lacks_full_state && permissions.full_state && may_start && has_room {
+            self.send_full_state(conn, out);
         }
-        let mut whole = Vec::new();
+    }
+
+    /// Sends an edge node the full configuration, the full list of workers, or both: what it has not.
+    fn send_full_state(&mut self, conn: ConnectionId, out: &mut Vec<Effect>) {
+        let last_change = self.roster.last_change();
+        let Some(session) = self.callers.get_mut(&conn) else { return };
+        let mut messages = Vec::new();
         let state = &self.keeper.state;
-        if !std::mem::replace(&mut caller.told, true) && !state.is_empty() {
+        if !std::mem::replace(&mut session.has_config, true) && !state.is_empty() {
             let items: Vec<ConfigItem> = state.standing().map(|i| (**i).clone()).collect();
-            whole.push(PeerMessage::ConfigUpdate { previous: None, index: state.index(), items });
+            messages.push(PeerMessage::ConfigUpdate { previous: None, index: state.index(), items });
         }
-        if caller.workers.is_none() {
-            caller.workers = Some(last);
-            // Who lives and is not among them may be known elsewhere: none is taken away by this.
+        if session.workers_change.is_none() {
+            session.workers_change = Some(last_change);
+            // A live worker that is not among them may be known elsewhere: the edge node keeps it.
             let workers = self.roster.registry.workers().cloned().collect();
-            whole.push(PeerMessage::WorkerSnapshot { workers, complete: false });
+            messages.push(PeerMessage::WorkerSnapshot { workers, complete: false });
         }
-        let bytes: usize = whole.iter().map(estimated_bytes).sum();
-        self.pace.wholes -= bytes as f64;
-        self.pace.under_way += bytes;
-        out.extend(whole.into_iter().map(|msg| Effect::Return(conn, msg)));
+        let bytes: usize = messages.iter().map(estimated_bytes).sum();
+        self.pace.full_state_budget -= bytes as f64;
+        self.pace.bytes_in_flight += bytes;
+        out.extend(messages.into_iter().map(|msg| Effect::Return(conn, msg)));
     }
 
-    /// Workers' news goes to all gatekeepers that it is news to.
-    pub(super) fn tell_workers(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leave, last) = (self.leave(now), self.roster.last_change());
-        if !leave.news {
+    /// Sends changed workers to every edge node that lacks them and has room.
+    pub(super) fn send_worker_updates(&mut self, now: f64, out: &mut Vec<Effect>) {
+        let (permissions, last_change) = (self.send_permissions(now), self.roster.last_change());
+        if !permissions.worker_updates {
             return;
         }
-        let mut lacked: BTreeMap<u64, Option<Vec<Worker>>> = BTreeMap::new();
-        for (conn, caller) in &mut self.callers {
-            let Some(known) = caller.workers.filter(|n| *n < last && caller.link.has_room(leave.most)) else {
-                continue;
-            };
-            let news = lacked.entry(known).or_insert_with(|| self.roster.changed_since(known));
-            caller.workers = news.is_some().then_some(last);
+        // By the change that an edge node knows; most know the same.
+        let mut differences: BTreeMap<u64, Option<Vec<Worker>>> = BTreeMap::new();
+        for (conn, session) in &mut self.callers {
+            let Some(known) = session.outdated_workers(last_change, permissions) else { continue };
+            let updates = differences.entry(known).or_insert_with(|| self.roster.changed_since(known));
+            session.workers_change = updates.is_some().then_some(last_change);
             out.extend(
-                news.iter().map(|workers| Effect::Return(*conn, PeerMessage::WorkerUpdates(workers.clone()))),
+                updates
+                    .iter()
+                    .map(|workers| Effect::Return(*conn, PeerMessage::WorkerUpdates(workers.clone()))),
             );
         }
     }
 
-    /// What an entry changed goes to the gatekeepers that were told all before: it is committed.
-    pub(super) fn push_items(
+    /// Sends the change of a committed entry to every edge node that has the configuration before it. One whose connection
+    /// lags is sent the full configuration later.
+    pub(super) fn send_config_update(
         &mut self,
-        before: Index,
+        previous: Index,
         index: Index,
         items: Vec<ConfigItem>,
         out: &mut Vec<Effect>,
     ) {
-        let most = self.leave(self.shared.now).most;
-        let msg = PeerMessage::ConfigUpdate { previous: Some(before), index, items };
-        for (conn, caller) in self.callers.iter_mut().filter(|(_, c)| c.member.is_none() && c.told) {
-            caller.told = caller.link.has_room(most);
-            if caller.told {
+        let window_bytes = self.send_permissions(self.shared.now).window_bytes;
+        let msg = PeerMessage::ConfigUpdate { previous: Some(previous), index, items };
+        for (conn, session) in self.callers.iter_mut().filter(|(_, s)| s.is_edge() && s.has_config) {
+            session.has_config = session.window.has_room(window_bytes);
+            if session.has_config {
                 out.push(Effect::Return(*conn, msg.clone()));
             }
         }
     }
 
-    /// This machine has skipped entries: gatekeepers here are to be told all again.
-    pub(super) fn tell_anew(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.callers.values_mut().for_each(|c| c.told = false);
-        self.serve_all(now, out);
+    /// This node installed a snapshot: every edge node here needs the full configuration.
+    pub(super) fn resend_configuration(&mut self, now: f64, out: &mut Vec<Effect>) {
+        self.callers.values_mut().for_each(|s| s.has_config = false);
+        self.send_missing_to_all(now, out);
     }
 
-    fn serve_all(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (leave, last) = (self.leave(now), self.roster.last_change());
-        let lacks = |c: &PeerSession| c.member.is_none() && (!c.told || c.workers.is_none_or(|n| n < last));
-        let lacking = self.callers.iter().filter(|(_, c)| lacks(c)).map(|(conn, _)| *conn);
+    fn send_missing_to_all(&mut self, now: f64, out: &mut Vec<Effect>) {
+        let (permissions, last_change) = (self.send_permissions(now), self.roster.last_change());
+        let lacks_state = |s: &PeerSession| {
+            s.is_edge() && (!s.has_config || s.workers_change.is_none_or(|n| n < last_change))
+        };
+        let lacking = self.callers.iter().filter(|(_, s)| lacks_state(s)).map(|(conn, _)| *conn);
         for conn in lacking.collect::<Vec<_>>() {
-            self.serve(conn, &leave, out);
+            self.send_missing(conn, permissions, out);
         }
     }
 
-    /// Upkeep.
-    pub(super) fn tick_gates(&mut self, now: f64, out: &mut Vec<Effect>) {
+    /// Periodic work: sends what could not be sent before, at its pace.
+    pub(super) fn tick_sessions(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.gates.expire(now);
-        self.pace.wholes = (self.pace.wholes + WHOLES * TICK).min(WHOLES * TICK);
-        self.pace.under_way = self.callers.values().map(|c| c.link.bytes_in_flight()).sum();
-        // Those that came while this machine could not speak for all, or whose connections lagged.
-        self.serve_all(now, out);
-        self.tell_list(now, out);
+        let budget = FULL_STATE_BYTES_PER_SEC * TICK;
+        self.pace.full_state_budget = (self.pace.full_state_budget + budget).min(budget);
+        self.pace.bytes_in_flight = self.callers.values().map(|s| s.window.bytes_in_flight()).sum();
+        // For edge nodes that connected without contact with a majority, or whose connections lagged.
+        self.send_missing_to_all(now, out);
+        self.send_directory(now, out);
     }
 
-    /// The list of gatekeepers: each is told what is news to it, in turn.
-    fn tell_list(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.pace.lists = (self.pace.lists + LISTS * TICK).min(LISTS * TICK);
-        let (most, last, from) = (self.leave(now).most, self.gates.last_change(), self.pace.listed);
-        let behind = |c: &PeerSession| c.member.is_none() && c.gates != Some(last) && c.link.has_room(most);
-        let turn = self.callers.range(from + 1..).chain(self.callers.range(..=from));
-        let turn: Vec<ConnectionId> = turn.filter(|(_, c)| behind(c)).map(|(conn, _)| *conn).collect();
-        for conn in turn {
-            if self.pace.lists <= 0.0 {
+    /// Sends each edge node the changes of the edge directory, in turn and within the budget.
+    fn send_directory(&mut self, now: f64, out: &mut Vec<Effect>) {
+        let budget = DIRECTORY_BYTES_PER_SEC * TICK;
+        self.pace.directory_budget = (self.pace.directory_budget + budget).min(budget);
+        let window_bytes = self.send_permissions(now).window_bytes;
+        let (last_change, from) = (self.gates.last_change(), self.pace.last_directory_conn);
+        let lacks_changes = |s: &PeerSession| {
+            s.is_edge() && s.directory_change != Some(last_change) && s.window.has_room(window_bytes)
+        };
+        let in_turn = self.callers.range(from + 1..).chain(self.callers.range(..=from));
+        let in_turn: Vec<ConnectionId> =
+            in_turn.filter(|(_, s)| lacks_changes(s)).map(|(conn, _)| *conn).collect();
+        for conn in in_turn {
+            if self.pace.directory_budget <= 0.0 {
                 return;
             }
-            let Some(caller) = self.callers.get_mut(&conn) else { continue };
-            let msg = self.gates.update_since(caller.gates);
-            caller.gates = Some(last);
-            self.pace.lists -= estimated_bytes(&msg) as f64;
-            self.pace.listed = conn;
+            let Some(session) = self.callers.get_mut(&conn) else { continue };
+            let msg = self.gates.update_since(session.directory_change);
+            session.directory_change = Some(last_change);
+            self.pace.directory_budget -= estimated_bytes(&msg) as f64;
+            self.pace.last_directory_conn = conn;
             out.push(Effect::Return(conn, msg));
         }
     }
 }
 
+impl PeerSession {
+    pub(super) fn is_edge(&self) -> bool {
+        self.core_ip.is_none()
+    }
+
+    /// Notices that an update was lost: the edge node keeps reporting an older configuration than was sent, with no full
+    /// state on its way.
+    fn detect_lost_configuration(&mut self, here: u64, held: u64, permissions: SendPermissions) {
+        let is_stale =
+            self.has_config && held < here && self.window.has_room_for_full_state(permissions.window_bytes);
+        self.stale_pings = if is_stale { self.stale_pings + 1 } else { 0 };
+        if self.stale_pings >= STALE_PINGS_BEFORE_RESEND {
+            tracing::info!(edge = self.node, "resending full configuration to edge");
+            (self.has_config, self.stale_pings) = (false, 0);
+        }
+    }
+
+    /// The change up to which it knows the workers, if it lacks later ones that may be sent now.
+    fn outdated_workers(&self, last_change: u64, permissions: SendPermissions) -> Option<u64> {
+        self.workers_change.filter(|known| {
+            *known < last_change
+                && permissions.worker_updates
+                && self.window.has_room(permissions.window_bytes)
+        })
+    }
+}
+
 #[cfg(test)]
 #[path = "edge_sessions_tests.rs"]
 mod tests;
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -1,4 +1,4 @@
-//! What gatekeepers are told of core machines.
+//! What a core node sends to edge nodes on their connections: core nodes, configuration, workers, edge directory.
 
 use super::super::{ApiCommand, ConnectionId, CoreNode, Effect, Event, TICK};
 use crate::data_plane::{self, EdgeNode};
@@ -20,8 +20,8 @@
     PeerMessage::Hello { node: node.into(), incarnation: 1, location: me, is_core: core }
 }
 
-/// Core machines that the gatekeeper on connection 1 is told of by these.
-fn told(out: &[Effect]) -> Vec<IpAddr> {
+/// The core nodes that these effects send to the edge node on connection 1.
+fn core_nodes_sent(out: &[Effect]) -> Vec<IpAddr> {
     let of = |effect: &Effect| match effect {
         Effect::Return(1, PeerMessage::CoreNodes(members)) => members.iter().map(|m| m.ip).collect(),
         _ => Vec::new(),
@@ -29,10 +29,10 @@
     out.iter().flat_map(of).collect()
 }
 
-/// Guards a gatekeeper whose list names one machine, started beside it before that one heard of any other (an empty disk,
-/// cut off): it has to hear of the others, or it is alone once that one is replaced.
+/// An edge node with one seed connects to it before that seed knows any other core node (empty disk, partition). It must
+/// learn of the others later, or it is on its own once the seed is replaced.
 #[gtest]
-fn a_gatekeeper_hears_of_machines_that_are_heard_after_it_came() {
+fn edge_learns_of_core_nodes_heard_after_it_connected() {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.seeds, settings.cold_start) = (ip(3), vec![(ip(3), 80).into()], false);
     let held = LoadedState { disk: 7, fresh: true, ..LoadedState::default() };
@@ -40,8 +40,8 @@
     let mut out = Vec::new();
     core.start(&mut out);
     core.handle(1000.0, Event::Inbound(1, hello("edge-0", [10, 0, 2, 1].into(), false)), &mut out);
-    expect_that!(told(&out), elements_are![eq(&ip(3))]);
-    // Two others reach it at once; nothing was heard of them on a connection of its own yet.
+    expect_that!(core_nodes_sent(&out), elements_are![eq(&ip(3))]);
+    // Two others connect to the core node, which has not heard from them on a connection of its own yet.
     for n in [1, 2] {
         core.handle(1000.1, Event::Inbound(u64::from(n) + 1, hello("core", ip(n), true)), &mut out);
     }
@@ -53,31 +53,31 @@
     for now in ticks(1000.2) {
         core.handle(now, Event::Tick, &mut out);
     }
-    expect_that!(told(&out), unordered_elements_are![eq(&ip(1)), eq(&ip(2)), eq(&ip(3))]);
-    // And is not told the same again.
+    expect_that!(core_nodes_sent(&out), unordered_elements_are![eq(&ip(1)), eq(&ip(2)), eq(&ip(3))]);
+    // The same list is not sent again.
     out.clear();
     for now in ticks(1000.7) {
         core.handle(now, Event::Tick, &mut out);
     }
-    expect_that!(told(&out), is_empty());
+    expect_that!(core_nodes_sent(&out), is_empty());
 }
 
-/// A core machine and gatekeepers beside it, with what is said between them counted in bytes.
-struct Cell {
+/// A core node and edge nodes connected to it; the bytes that it sends are counted.
+struct CoreWithEdges {
     now: f64,
     core: CoreNode,
-    edges: Vec<Gate>,
+    edges: Vec<ConnectedEdge>,
     next: ConnectionId,
-    /// Bytes that the core said to gatekeepers, by the message's kind.
-    said: BTreeMap<&'static str, usize>,
+    /// Bytes sent to edge nodes, by kind of message.
+    sent_bytes: BTreeMap<&'static str, usize>,
 }
 
-struct Gate {
+struct ConnectedEdge {
     edge: EdgeNode,
     conn: ConnectionId,
-    /// What was said to it waits: it does not read.
-    lags: bool,
-    waits: Vec<PeerMessage>,
+    /// It does not read: messages to it queue up in `unread`.
+    is_lagging: bool,
+    unread: Vec<PeerMessage>,
 }
 
 fn settings() -> Settings {
@@ -86,13 +86,13 @@
     settings
 }
 
-fn kind(msg: &PeerMessage) -> &'static str {
+fn message_kind(msg: &PeerMessage) -> &'static str {
     match msg {
         PeerMessage::ConfigUpdate { previous: None, .. } => "configuration",
-        PeerMessage::ConfigUpdate { .. } => "change",
-        PeerMessage::WorkerUpdates(_) => "news",
+        PeerMessage::ConfigUpdate { .. } => "configuration update",
+        PeerMessage::WorkerUpdates(_) => "worker updates",
         PeerMessage::WorkerSnapshot { .. } => "workers",
-        PeerMessage::EdgeNodes { .. } => "gatekeepers",
+        PeerMessage::EdgeNodes { .. } => "edge directory",
         _ => "other",
     }
 }
@@ -110,28 +110,29 @@
     }
 }
 
-impl Cell {
+impl CoreWithEdges {
     fn new() -> Self {
         let core = CoreNode::new(1000.0, settings(), LoadedState::default()).expect("a core");
-        let mut cell = Cell { now: 1000.0, core, edges: Vec::new(), next: 1, said: BTreeMap::new() };
+        let mut cluster =
+            CoreWithEdges { now: 1000.0, core, edges: Vec::new(), next: 1, sent_bytes: BTreeMap::new() };
         let mut out = Vec::new();
-        cell.core.start(&mut out);
-        cell.carry_out(out);
-        cell.play(3.0);
-        assert!(cell.core.raft.leads());
-        cell
+        cluster.core.start(&mut out);
+        cluster.apply_effects(out);
+        cluster.run_for(3.0);
+        assert!(cluster.core.raft.leads());
+        cluster
     }
 
-    fn carry_out(&mut self, effects: Vec<Effect>) {
+    fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Persist(put) => self.event(Event::Disk(put.number)),
                 Effect::Return(conn, msg) => {
-                    *self.said.entry(kind(&msg)).or_default() += encode(&msg).len();
+                    *self.sent_bytes.entry(message_kind(&msg)).or_default() += encode(&msg).len();
                     let Some(n) = self.edges.iter().position(|g| g.conn == conn) else { continue };
-                    match self.edges[n].lags {
-                        true => self.edges[n].waits.push(msg),
-                        false => self.tell(n, data_plane::Event::Core(ip(1), msg)),
+                    match self.edges[n].is_lagging {
+                        true => self.edges[n].unread.push(msg),
+                        false => self.deliver(n, data_plane::Event::Core(ip(1), msg)),
                     }
                 }
                 _ => {}
@@ -142,10 +143,10 @@
     fn event(&mut self, event: Event) {
         let mut out = Vec::new();
         self.core.handle(self.now, event, &mut out);
-        self.carry_out(out);
+        self.apply_effects(out);
     }
 
-    fn tell(&mut self, n: usize, event: data_plane::Event) {
+    fn deliver(&mut self, n: usize, event: data_plane::Event) {
         let mut out = Vec::new();
         self.edges[n].edge.handle(self.now, event, &mut out);
         for effect in out {
@@ -155,8 +156,8 @@
         }
     }
 
-    /// A gatekeeper starts, or opens its connection again.
-    fn joins(&mut self, n: Option<usize>) -> usize {
+    /// Starts an edge node (`None`) or reconnects this one.
+    fn connect(&mut self, n: Option<usize>) -> usize {
         self.next += 1;
         let conn = self.next;
         let n = n.unwrap_or_else(|| {
@@ -167,26 +168,26 @@
             settings.seeds.push((ip(2), 80).into());
             let mut edge = EdgeNode::new(settings, n as u64 + 1);
             edge.start(&mut Vec::new());
-            self.edges.push(Gate { edge, conn, lags: false, waits: Vec::new() });
+            self.edges.push(ConnectedEdge { edge, conn, is_lagging: false, unread: Vec::new() });
             n
         });
         if self.edges[n].conn != conn {
             self.event(Event::Closed(self.edges[n].conn));
-            self.tell(n, data_plane::Event::LinkDown(ip(1)));
-            (self.edges[n].conn, self.edges[n].waits) = (conn, Vec::new());
+            self.deliver(n, data_plane::Event::LinkDown(ip(1)));
+            (self.edges[n].conn, self.edges[n].unread) = (conn, Vec::new());
         }
-        self.tell(n, data_plane::Event::LinkUp(ip(1)));
+        self.deliver(n, data_plane::Event::LinkUp(ip(1)));
         n
     }
 
-    fn play(&mut self, seconds: f64) {
+    fn run_for(&mut self, seconds: f64) {
         let until = self.now + seconds;
         while self.now < until {
             self.now += TICK;
             self.event(Event::Tick);
             for n in 0..self.edges.len() {
-                if !self.edges[n].lags {
-                    self.tell(n, data_plane::Event::Tick);
+                if !self.edges[n].is_lagging {
+                    self.deliver(n, data_plane::Event::Tick);
                 }
             }
         }
@@ -214,15 +215,15 @@
         self.event(Event::Call(version, ApiCommand::Amend(items)));
     }
 
-    fn beats(&mut self, n: usize, calls: u64) {
+    fn heartbeat(&mut self, n: usize, calls: u64) {
         self.event(Event::Call(1 << 20, ApiCommand::Beat(worker(n, calls))));
     }
 
-    fn said(&self, kind: &str) -> usize {
-        self.said.get(kind).copied().unwrap_or(0)
+    fn sent_bytes(&self, kind: &str) -> usize {
+        self.sent_bytes.get(kind).copied().unwrap_or(0)
     }
 
-    fn agree(&self) -> bool {
+    fn all_agree(&self) -> bool {
         let of = |e: &EdgeNode| match e.ping(ip(1)) {
             PeerMessage::Ping { config_index: config, workers_digest: workers, .. } => (config, workers),
             _ => (0, 0),
@@ -232,119 +233,124 @@
     }
 }
 
-/// Guards a gatekeeper that came before the core had listened for long enough: it hears that no worker is lacking.
+/// An edge node that connected before the core had listened for a worker's timeout is told later that its list is complete.
 #[gtest]
-fn that_all_workers_are_known_is_told_by_itself() {
-    let mut cell = Cell::new();
-    cell.configure(2);
-    let n = cell.joins(None);
-    cell.play(1.0);
-    expect_that!(cell.edges[n].edge.is_ready(cell.now), eq(false), "workers may be unheard of yet");
-    cell.play(8.0);
-    expect_that!(cell.edges[n].edge.is_ready(cell.now), eq(true));
+fn edge_is_told_once_all_workers_are_known() {
+    let mut cluster = CoreWithEdges::new();
+    cluster.configure(2);
+    let n = cluster.connect(None);
+    cluster.run_for(1.0);
+    expect_that!(cluster.edges[n].edge.is_ready(cluster.now), eq(false), "workers may be unheard of yet");
+    cluster.run_for(8.0);
+    expect_that!(cluster.edges[n].edge.is_ready(cluster.now), eq(true));
 }
 
-/// Guards the core at a start: what it tells of gatekeepers grows with each one that each hears of once, and no faster.
+/// The edge directory costs bytes for each pair of edge nodes once, and no more, as many connect at a start.
 #[gtest]
-fn each_gatekeeper_hears_of_each_other_once() {
-    let told = |many: usize| {
-        let mut cell = Cell::new();
+fn edge_directory_sends_each_edge_once_to_every_other() {
+    let directory_bytes = |many: usize| {
+        let mut cluster = CoreWithEdges::new();
         for _ in 0..many {
-            cell.joins(None);
-            cell.play(TICK);
+            cluster.connect(None);
+            cluster.run_for(TICK);
         }
-        cell.play(2.0);
-        expect_that!(cell.core.gates.count(), eq(many));
-        let all = cell.edges.iter().all(|g| g.edge.others() == many - 1);
+        cluster.run_for(2.0);
+        expect_that!(cluster.core.gates.count(), eq(many));
+        let all = cluster.edges.iter().all(|g| g.edge.others() == many - 1);
         expect_that!(all, eq(true), "{many}: all are known");
-        cell.said("gatekeepers")
+        cluster.sent_bytes("edge directory")
     };
     for many in [10, 40, 160] {
-        // An address takes 15 bytes at the most, each message some 20.
-        expect_that!(told(many), le(many * many * (15 + 20)), "{many}");
+        // An address takes at most 15 bytes, each message about 20.
+        expect_that!(directory_bytes(many), le(many * many * (15 + 20)), "{many}");
     }
 }
 
-/// Guards the core where links break: one that is back and knows all is told nothing again, nor is anybody of it.
+/// An edge node that reconnects and holds the current state is sent nothing again, and no other edge node hears of it.
 #[gtest]
-fn a_gatekeeper_that_is_back_is_no_newcomer() {
-    let mut cell = Cell::new();
-    cell.configure(50);
-    (0..20).for_each(|n| cell.beats(n, 1));
+fn reconnected_edge_is_sent_nothing_again() {
+    let mut cluster = CoreWithEdges::new();
+    cluster.configure(50);
+    (0..20).for_each(|n| cluster.heartbeat(n, 1));
     for _ in 0..10 {
-        cell.joins(None);
+        cluster.connect(None);
     }
-    cell.play(3.0);
-    expect_that!(cell.agree(), eq(true));
-    cell.said.clear();
+    cluster.run_for(3.0);
+    expect_that!(cluster.all_agree(), eq(true));
+    cluster.sent_bytes.clear();
     for round in 0..5 {
-        (0..20).for_each(|n| cell.beats(n, 2 + round));
+        (0..20).for_each(|n| cluster.heartbeat(n, 2 + round));
         (0..10).for_each(|n| {
-            cell.joins(Some(n));
+            cluster.connect(Some(n));
         });
-        cell.play(1.0);
+        cluster.run_for(1.0);
     }
-    expect_that!(cell.said("configuration") + cell.said("workers") + cell.said("news"), eq(0));
-    // Its connection is new, and so is what was said on it of the others: once, to itself.
-    expect_that!(cell.said("gatekeepers"), le(5 * 10 * (10 * 15 + 30)));
-    expect_that!(cell.agree(), eq(true));
+    expect_that!(
+        cluster.sent_bytes("configuration")
+            + cluster.sent_bytes("workers")
+            + cluster.sent_bytes("worker updates"),
+        eq(0)
+    );
+    // Only the edge directory starts anew with each connection.
+    expect_that!(cluster.sent_bytes("edge directory"), le(5 * 10 * (10 * 15 + 30)));
+    expect_that!(cluster.all_agree(), eq(true));
 }
 
-/// Guards the core's memory: one that does not read is told no more, and then what stands, not all that came between.
+/// Bounds the core's memory: an edge node that does not read is sent no more, and afterwards the current state.
 #[gtest]
-fn a_link_that_lags_is_not_filled_further() {
-    let mut cell = Cell::new();
-    cell.core.shared.settings.memory = 1 << 20;
-    cell.configure(20);
-    let n = cell.joins(None);
-    cell.play(3.0);
-    cell.edges[n].lags = true;
+fn lagging_connection_is_not_filled_beyond_its_window() {
+    let mut cluster = CoreWithEdges::new();
+    cluster.core.shared.settings.memory = 1 << 20;
+    cluster.configure(20);
+    let n = cluster.connect(None);
+    cluster.run_for(3.0);
+    cluster.edges[n].is_lagging = true;
     let mut most = 0;
     for round in 0..200 {
-        (0..20).for_each(|n| cell.beats(20 * round + n, 1));
-        cell.change(round as u64 + 2);
-        cell.play(TICK);
-        most = most.max(cell.edges[n].waits.iter().map(|m| encode(m).len()).sum::<usize>());
+        (0..20).for_each(|n| cluster.heartbeat(20 * round + n, 1));
+        cluster.change(round as u64 + 2);
+        cluster.run_for(TICK);
+        most = most.max(cluster.edges[n].unread.iter().map(|m| encode(m).len()).sum::<usize>());
     }
-    // 131 KB by the memory, and what one message may go beyond it.
+    // 131 KB by the memory limit, and up to one message beyond it.
     expect_that!(most, all![gt(50_000), le(140_000)]);
     // It reads again.
-    cell.edges[n].lags = false;
-    cell.said.clear();
-    for msg in std::mem::take(&mut cell.edges[n].waits) {
-        cell.tell(n, data_plane::Event::Core(ip(1), msg));
+    cluster.edges[n].is_lagging = false;
+    cluster.sent_bytes.clear();
+    for msg in std::mem::take(&mut cluster.edges[n].unread) {
+        cluster.deliver(n, data_plane::Event::Core(ip(1), msg));
     }
-    cell.play(3.0);
-    expect_that!(cell.agree(), eq(true));
-    expect_that!(cell.said("configuration"), gt(0), "it had missed changes");
+    cluster.run_for(3.0);
+    expect_that!(cluster.all_agree(), eq(true));
+    expect_that!(cluster.sent_bytes("configuration"), gt(0), "it had missed changes");
 }
 
-/// Guards the links at many workers: while news goes round, lists differ all the time, and none is told whole.
+/// While updates spread, digests differ all the time; the full list is sent only once a difference lasts.
 #[gtest]
-fn whole_lists_are_told_only_where_something_is_lacked() {
-    let mut cell = Cell::new();
-    (0..300).for_each(|n| cell.beats(n, 1));
+fn full_worker_list_is_sent_only_on_lasting_divergence() {
+    let mut cluster = CoreWithEdges::new();
+    (0..300).for_each(|n| cluster.heartbeat(n, 1));
     for _ in 0..5 {
-        cell.joins(None);
+        cluster.connect(None);
     }
-    cell.play(8.0);
-    cell.said.clear();
-    // Another core machine's news reaches the gatekeepers ahead of this one each time.
+    cluster.run_for(8.0);
+    cluster.sent_bytes.clear();
+    // Another core node's updates reach the edge nodes first each time.
     for round in 0..200 {
         let news = PeerMessage::WorkerUpdates(vec![worker(300 + round, 1)]);
         for n in 0..5 {
-            cell.tell(n, data_plane::Event::Core(ip(2), news.clone()));
+            cluster.deliver(n, data_plane::Event::Core(ip(2), news.clone()));
         }
-        cell.play(TICK);
-        cell.event(Event::Call(1 << 20, ApiCommand::Beat(worker(300 + round, 1))));
-        (0..300).for_each(|n| cell.beats(n, 2 + round as u64));
+        cluster.run_for(TICK);
+        cluster.event(Event::Call(1 << 20, ApiCommand::Beat(worker(300 + round, 1))));
+        (0..300).for_each(|n| cluster.heartbeat(n, 2 + round as u64));
     }
-    cell.play(2.0);
-    expect_that!(cell.agree(), eq(true));
-    expect_that!(cell.said("workers"), eq(0));
-    // One that holds a worker which nobody knows is told all, once.
-    cell.tell(0, data_plane::Event::Core(ip(2), PeerMessage::WorkerUpdates(vec![worker(9999, 1)])));
-    cell.play(5.0);
-    expect_that!(cell.agree(), eq(true));
-    expect_that!(cell.said("workers"), all![gt(0), lt(100 * 600)]);
+    cluster.run_for(2.0);
+    expect_that!(cluster.all_agree(), eq(true));
+    expect_that!(cluster.sent_bytes("workers"), eq(0));
+    // One that holds a worker which nobody else knows is sent the full list.
+    cluster.deliver(0, data_plane::Event::Core(ip(2), PeerMessage::WorkerUpdates(vec![worker(9999, 1)])));
+    cluster.run_for(5.0);
+    expect_that!(cluster.all_agree(), eq(true));
+    expect_that!(cluster.sent_bytes("workers"), all![gt(0), lt(100 * 600)]);
 }
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -30,8 +30,9 @@
 use configuration_service::ConfigurationService;
 pub use context::CoreContext;
 use edge_directory::EdgeDirectory;
-use edge_sessions::{PeerSession, TransferPacing};
-use quota_lease::QuotaLease;
+use edge_sessions::{HeldState, PeerSession, TransferPacing};
+use quota_counter::EdgeIdentity;
+use quota_lease::{CeilingLog, QuotaLease};
 use replicated_log::LogDriver;
 use serde_json::{json, Value};
 use status::MemberStates;
@@ -210,7 +211,7 @@
         self.shared.now = now;
         let before = out.len();
         self.take(now, event, out);
-        self.count(&out[before..]);
+        self.record_sent(&out[before..]);
     }
 
     fn take(&mut self, now: f64, event: Event, out: &mut Vec<Effect>) {
@@ -229,7 +230,7 @@
             Event::Call(call, command) => self.call(now, call, command, out),
             Event::Disk(put) => self.log_synced(now, put, out),
             Event::Ending => {
-                self.seat.end();
+                self.seat.release();
                 let ms = self.shared.ms(now);
                 self.raft.transfer(ms);
                 self.log_out(now, out);
@@ -313,10 +314,10 @@
 
     fn inbound(&mut self, now: f64, conn: ConnectionId, msg: PeerMessage, out: &mut Vec<Effect>) {
         if let PeerMessage::Hello { node, incarnation: life, location: me, is_core: core } = msg {
-            return self.hello(now, conn, (node, life, core), me, out);
+            return self.open_session(now, conn, (node, life, core), me, out);
         }
         let Some(caller) = self.callers.get(&conn).cloned() else { return };
-        if caller.member.is_none() {
+        if caller.is_edge() {
             self.gates.record_contact(now, &caller.node);
         }
         match msg {
@@ -344,14 +345,14 @@
                 // Some may be unknown here: the digests will differ, and the whole list comes.
                 self.roster.record_peer_heartbeats(now, &heard);
             }
-            PeerMessage::Ping { config_index: config, workers_digest: workers, received: heard } => {
-                self.pinged(now, conn, (config, workers, heard), out)
+            PeerMessage::Ping { config_index, workers_digest, received } => {
+                self.handle_ping(now, conn, HeldState { config_index, workers_digest }, received, out)
             }
             PeerMessage::QuotaSync { request_id: ask, term, usage: charges } => {
                 let limits = |name: &str| limit(&self.keeper.state, name);
                 let lease = self.raft.holds_lease(self.shared.ms(now)).then(|| self.raft.term());
-                let gate = (caller.node.as_str(), caller.life);
-                let totals = self.seat.sync(now, lease, gate, term, &charges, &limits);
+                let edge = EdgeIdentity { node: &caller.node, incarnation: caller.incarnation };
+                let totals = self.seat.sync(now, lease, edge, term, &charges, &limits);
                 let (held, totals, term) = (totals.is_some(), totals.unwrap_or_default(), self.raft.term());
                 out.push(Effect::Return(
                     conn,
@@ -367,7 +368,7 @@
         let MergedWorkers { changed, contested } = self.roster.merge(now, workers, &mut self.shared.journal);
         self.persist_workers(&changed, out);
         if !changed.is_empty() {
-            self.tell_workers(now, out);
+            self.send_worker_updates(now, out);
         }
         // Somebody took for silent what was heard of here since.
         let tell = if first { changed } else { contested };
@@ -465,12 +466,12 @@
         self.keeper.tick(now, &mut self.shared, out);
         let silent = self.roster.tick(now, &mut self.shared, out);
         self.persist_workers(&silent, out);
-        self.tick_gates(now, out);
+        self.tick_sessions(now, out);
         let limits = |name: &str| limit(&self.keeper.state, name);
         let lease = self.raft.holds_lease(self.shared.ms(now)).then(|| self.raft.term());
-        let free = self.log_side.recording.is_none();
-        let record = self.record.as_deref();
-        if let Some(shares) = self.seat.tick(now, lease, (record, free), &mut self.shared, &limits) {
+        let log =
+            CeilingLog { last_record: self.record.as_deref(), can_record: self.log_side.recording.is_none() };
+        if let Some(shares) = self.seat.tick(now, lease, log, &mut self.shared, &limits) {
             self.record_shares(now, shares);
             self.log_out(now, out);
         }
@@ -484,7 +485,7 @@
         self.shared.settings = settings;
         let before = out.len();
         self.meet(seeds, out);
-        self.count(&out[before..]);
+        self.record_sent(&out[before..]);
     }
 }
 
--- a/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
@@ -1,13 +1,15 @@
-//! What the counter keeps by change against the same made anew: sums over gatekeepers, and the record of ceilings that
-//! the core folds from changes; by seeds, over lives that end, silences, changes of holder and lost answers.
+//! What the quota counter updates incrementally against the same computed anew: totals over edge nodes, and the record of
+//! ceilings that the core folds from changes. Over seeded runs with incarnations that end, silences, changes of leader and
+//! lost answers.
 
-use crate::control_plane::quota_counter::{PreviousLeaders, QuotaCounter, QuotaCounterConfig};
+use crate::control_plane::quota_counter::{EdgeIdentity, PreviousLeaders, QuotaCounter, QuotaCounterConfig};
 use crate::protocol::ShareCeilings;
 use crate::protocol::{TenantLimit, TenantUsage};
 use googletest::prelude::*;
 use std::collections::BTreeMap;
 
-const TERMS: QuotaCounterConfig = QuotaCounterConfig { overdue: 0.7, lapse: 15.0, every: 0.25 };
+const CONFIG: QuotaCounterConfig =
+    QuotaCounterConfig { contact_timeout_secs: 0.7, share_expiry_secs: 15.0, sync_interval_secs: 0.25 };
 const TENANTS: [&str; 4] = ["ann", "bob", "cem", "dan"];
 
 fn limits(name: &str) -> Option<TenantLimit> {
@@ -15,98 +17,114 @@
     Some(TenantLimit { rate, burst: 2.0 * rate })
 }
 
-/// A gatekeeper's tenant, as it was told.
+/// What an edge node holds of a tenant, by the last answer.
 #[derive(Clone, Copy, Default)]
-struct Held {
+struct ReceivedGrant {
     charged: i64,
-    until: i64,
-    share: f32,
+    charge_limit: i64,
+    standing_share: f32,
 }
 
 #[derive(Default)]
-struct Gate {
-    life: u64,
+struct EdgeModel {
+    incarnation: u64,
     term: u64,
-    held: BTreeMap<&'static str, Held>,
+    grants: BTreeMap<&'static str, ReceivedGrant>,
 }
 
-struct Course {
+struct RandomRun {
     rng: fastrand::Rng,
     now: f64,
     counter: QuotaCounter,
-    gates: Vec<Gate>,
-    kept: ShareCeilings,
-    writing: Option<ShareCeilings>,
+    edges: Vec<EdgeModel>,
+    committed: ShareCeilings,
+    uncommitted: Option<ShareCeilings>,
 }
 
-impl Course {
+impl RandomRun {
     fn new(seed: u64) -> Self {
-        let kept = ShareCeilings::default();
-        let counter = QuotaCounter::new(TERMS, 1, 0.0, PreviousLeaders::Recorded(&kept));
-        let gates = (0..6).map(|_| Gate::default()).collect();
-        Course { rng: fastrand::Rng::with_seed(seed), now: 0.0, counter, gates, kept, writing: None }
+        let committed = ShareCeilings::default();
+        let counter = QuotaCounter::new(CONFIG, 1, 0.0, PreviousLeaders::Recorded(&committed));
+        let edges = (0..6).map(|_| EdgeModel::default()).collect();
+        RandomRun {
+            rng: fastrand::Rng::with_seed(seed),
+            now: 0.0,
+            counter,
+            edges,
+            committed,
+            uncommitted: None,
+        }
     }
 
     fn sync(&mut self, n: usize) {
         let rng = &mut self.rng;
-        let gate = &mut self.gates[n];
+        let edge = &mut self.edges[n];
         let mut charges = Vec::new();
         for tenant in TENANTS {
             if rng.f64() < 0.4 {
-                let held = gate.held.entry(tenant).or_default();
-                let most = (held.until - held.charged).max(0) + i64::from(rng.u8(..) < 9);
-                held.charged += rng.i64(0..=most);
+                let grant = edge.grants.entry(tenant).or_default();
+                let most = (grant.charge_limit - grant.charged).max(0) + i64::from(rng.u8(..) < 9);
+                grant.charged += rng.i64(0..=most);
                 charges.push(TenantUsage {
                     tenant: tenant.into(),
-                    charged: held.charged,
+                    charged: grant.charged,
                     demand: if rng.u8(..) < 40 { 0.0 } else { 9.0 * rng.f32() * rng.f32() },
-                    standing_share: held.share,
-                    unused_grant: (held.until - held.charged).max(0) as u32,
+                    standing_share: grant.standing_share,
+                    unused_grant: (grant.charge_limit - grant.charged).max(0) as u32,
                     waiting: u32::from(rng.u8(..) < 80),
                 });
             }
         }
         let caller = format!("g{n}");
-        let totals = self.counter.sync(self.now, (&caller, gate.life), gate.term, &charges, &limits);
+        let totals = self.counter.sync(
+            self.now,
+            EdgeIdentity { node: &caller, incarnation: edge.incarnation },
+            edge.term,
+            &charges,
+            &limits,
+        );
         let heard = rng.u8(..) < 230;
         if let Some(totals) = totals.filter(|_| heard) {
-            if gate.term < self.counter.term() {
-                gate.held.values_mut().for_each(|h| (h.until, h.share) = (h.charged, 0.0));
-                gate.term = self.counter.term();
+            if edge.term < self.counter.term() {
+                edge.grants.values_mut().for_each(|h| (h.charge_limit, h.standing_share) = (h.charged, 0.0));
+                edge.term = self.counter.term();
             }
-            for (told, tenant) in
+            for (received, tenant) in
                 totals.iter().filter_map(|t| Some((t, TENANTS.iter().find(|n| **n == t.tenant)?)))
             {
-                let held = gate.held.entry(tenant).or_default();
-                (held.until, held.share) = (told.charge_limit, told.standing_share);
+                let grant = edge.grants.entry(tenant).or_default();
+                (grant.charge_limit, grant.standing_share) = (received.charge_limit, received.standing_share);
             }
         }
     }
 
     fn step(&mut self) {
         self.now += 0.3 * self.rng.f64().powi(3);
-        let n = self.rng.usize(0..self.gates.len());
+        let n = self.rng.usize(0..self.edges.len());
         match self.rng.u32(0..400) {
             0 => {
-                // The next holder goes by what is kept; the last record got through or not.
-                let last = self.writing.take().filter(|_| self.rng.bool());
-                last.iter().for_each(|record| self.kept.apply(record));
+                // The next leader goes by the committed record; the last one is committed or not.
+                let last = self.uncommitted.take().filter(|_| self.rng.bool());
+                last.iter().for_each(|record| self.committed.apply(record));
                 let known = match self.rng.u8(..) < 200 {
-                    true => PreviousLeaders::Recorded(&self.kept),
+                    true => PreviousLeaders::Recorded(&self.committed),
                     false => PreviousLeaders::Unrecorded,
                 };
-                self.counter = QuotaCounter::new(TERMS, self.counter.term() + 1, self.now, known);
+                self.counter = QuotaCounter::new(CONFIG, self.counter.term() + 1, self.now, known);
+            }
+            1..=6 => {
+                self.edges[n] =
+                    EdgeModel { incarnation: self.edges[n].incarnation + 1, ..EdgeModel::default() }
             }
-            1..=6 => self.gates[n] = Gate { life: self.gates[n].life + 1, ..Gate::default() },
             7 => self.now += 18.0 * self.rng.f64(),
             8..=40 => self.counter.tick(self.now, &limits),
-            41..=80 if self.writing.is_none() && self.counter.changed() => {
-                self.writing = Some(self.counter.shares());
+            41..=80 if self.uncommitted.is_none() && self.counter.has_unrecorded_changes() => {
+                self.uncommitted = Some(self.counter.next_record());
             }
             81..=160 => {
-                if let Some(record) = self.writing.take() {
-                    self.counter.recorded(record.sequence);
-                    self.kept.apply(&record);
+                if let Some(record) = self.uncommitted.take() {
+                    self.counter.record_committed(record.sequence);
+                    self.committed.apply(&record);
                 }
             }
             _ => self.sync(n),
@@ -114,38 +132,38 @@
     }
 }
 
-/// Guards the bound against sums that drift from what gatekeepers hold.
+/// Totals that drift from what edge nodes hold would break the rate bound.
 #[gtest]
-fn kept_sums_equal_walked_ones_after_any_course() {
+fn incremental_totals_equal_recomputed_totals() {
     for seed in 0..60 {
-        let mut course = Course::new(seed);
+        let mut run = RandomRun::new(seed);
         for step in 0..1500 {
-            course.step();
-            assert_eq!(course.counter.sums(), course.counter.walked(), "seed {seed}, step {step}");
+            run.step();
+            assert_eq!(run.counter.totals(), run.counter.recomputed_totals(), "seed {seed}, step {step}");
         }
     }
 }
 
-/// Guards the next holder: what the core folds from changes is what the holder would tell whole.
+/// The next leader relies on it: what the core folds from changes equals the full record.
 #[gtest]
-fn a_record_folded_from_changes_is_the_whole_one() {
-    let mut told = 0;
+fn folded_changes_equal_the_full_record() {
+    let mut compared = 0;
     for seed in 100..160 {
-        let mut course = Course::new(seed);
+        let mut run = RandomRun::new(seed);
         for step in 0..1500 {
-            course.step();
-            if course.writing.is_none() && step % 7 == 0 {
-                let mut folded = course.kept.clone();
-                let mut changed = course.counter.clone();
-                folded.apply(&changed.shares());
-                let whole = course.counter.whole();
+            run.step();
+            if run.uncommitted.is_none() && step % 7 == 0 {
+                let mut folded = run.committed.clone();
+                let mut changed = run.counter.clone();
+                folded.apply(&changed.next_record());
+                let whole = run.counter.full_record();
                 let filled = |s: &ShareCeilings| {
                     s.edges.iter().filter(|g| !g.ceilings.is_empty()).cloned().collect::<Vec<_>>()
                 };
                 assert_eq!(filled(&folded), filled(&whole), "seed {seed}, step {step}");
-                told += usize::from(!filled(&whole).is_empty());
+                compared += usize::from(!filled(&whole).is_empty());
             }
         }
     }
-    expect_that!(told, gt(1000));
+    expect_that!(compared, gt(1000));
 }
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -268,13 +268,13 @@
                 let changed = self.keeper.apply(place, &order, parts, out);
                 if let Some((before, items)) = changed {
                     let items: Vec<ConfigItem> = items.iter().map(|i| (**i).clone()).collect();
-                    self.push_items(before, entry.index, items, out);
+                    self.send_config_update(before, entry.index, items, out);
                 }
             }
             LogCommand::Shares(shares) => {
                 if self.log_side.recording == Some(place) {
                     self.log_side.recording = None;
-                    self.seat.recorded(&shares);
+                    self.seat.record_committed(&shares);
                 }
                 match &mut self.record {
                     Some(record) => Arc::make_mut(record).apply(&shares),
@@ -298,7 +298,7 @@
                 self.shared.journal.append(now, JournalEvent::CaughtUp);
                 (self.keeper.state, self.keeper.applied, self.record) = (state, snapshot.index, shares);
                 (self.log_side.bytes, self.log_side.snapshot) = (0, snapshot.data.len());
-                self.tell_anew(now, out);
+                self.resend_configuration(now, out);
             }
             // Of another release: this machine can't go on with the others.
             Err(error) => {
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -122,7 +122,7 @@
             return Some(&self.shared.settings.node);
         }
         // The newest connection from there.
-        let callers = self.callers.values().rev().find(|c| c.member == Some(ip));
+        let callers = self.callers.values().rev().find(|c| c.core_ip == Some(ip));
         callers.map(|c| c.node.as_str())
     }
 
