--- a/crates/gateway/src/control_plane/edge_directory.rs
+++ b/crates/gateway/src/control_plane/edge_directory.rs
@@ -1,6 +1,6 @@
 //! The edge nodes that were heard from lately, with a change log from which each session is sent the differences.
 //!
-//! An edge node that reconnects from the same location is no change. One that is not heard from for [`EXPIRY_SECS`] is
+//! An edge node that reconnects from the same location is no change. One that is not heard from for `EXPIRY_SECS` is
 //! removed; its address stays in the change log for as long again, so that sessions learn of the removal.
 
 use super::change_tracker::ChangeTracker;
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Removes edge nodes that were not heard from for [`EXPIRY_SECS`], and forgets removals that are as old.
+    /// Removes edge nodes that were not heard from for `EXPIRY_SECS`, and forgets removals that are as old.
     pub fn expire(&mut self, now: f64) {
         let expired = self.edges.iter().filter(|(_, e)| now - e.last_heard_secs >= EXPIRY_SECS);
         for node in expired.map(|(node, _)| node.clone()).collect::<Vec<_>>() {
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -16,7 +16,8 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// The number of edge nodes is reported no sooner than this after the start, when all have had time to connect: seconds.
+/// The number of edge nodes is reported no sooner than this after the start, when all have had time to connect:
+/// seconds.
 const EDGE_COUNT_DELAY_SECS: f64 = 2.0;
 /// The first pause before a diverged edge node is sent all workers again; it doubles each time that this did not help:
 /// seconds.
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Takes in the difference at a ping. Once both nodes have the same updates, it is more than an update on its way to
-    /// one of them and stays the same.
+    /// Takes in the difference at a ping. Once both nodes have the same updates, it is more than an update on its way
+    /// to one of them and stays the same.
     fn observe(&mut self, now: f64, difference: u64) {
         if difference == 0 || difference != self.difference {
             (self.difference, self.since_secs) = (difference, now);
@@ -337,8 +338,8 @@
         }
     }
 
-    /// Sends the change of a committed entry to every edge node that has the configuration before it. One whose connection
-    /// lags is sent the full configuration later.
+    /// Sends the change of a committed entry to every edge node that has the configuration before it. One whose
+    /// connection lags is sent the full configuration later.
     pub(super) fn send_config_update(
         &mut self,
         previous: Index,
@@ -415,8 +416,8 @@
         self.core_ip.is_none()
     }
 
-    /// Notices that an update was lost: the edge node keeps reporting an older configuration than was sent, with no full
-    /// state on its way.
+    /// Notices that an update was lost: the edge node keeps reporting an older configuration than was sent, with no
+    /// full state on its way.
     fn detect_lost_configuration(&mut self, here: u64, held: u64, permissions: SendPermissions) {
         let is_stale =
             self.has_config && held < here && self.window.has_room_for_full_state(permissions.window_bytes);
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -29,8 +29,8 @@
     out.iter().flat_map(of).collect()
 }
 
-/// An edge node with one seed connects to it before that seed knows any other core node (empty disk, partition). It must
-/// learn of the others later, or it is on its own once the seed is replaced.
+/// An edge node with one seed connects to it before that seed knows any other core node (empty disk, partition). It
+/// must learn of the others later, or it is on its own once the seed is replaced.
 #[gtest]
 fn edge_learns_of_core_nodes_heard_after_it_connected() {
     let mut settings = Settings::read(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
@@ -233,7 +233,8 @@
     }
 }
 
-/// An edge node that connected before the core had listened for a worker's timeout is told later that its list is complete.
+/// An edge node that connected before the core had listened for a worker's timeout is told later that its list is
+/// complete.
 #[gtest]
 fn edge_is_told_once_all_workers_are_known() {
     let mut cluster = CoreWithEdges::new();
--- a/crates/gateway/src/control_plane/quota_counter/edge_account.rs
+++ b/crates/gateway/src/control_plane/quota_counter/edge_account.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// From when on it may spend its standing shares, if it stays silent. It counts from when it sent the last sync that
-    /// it got an answer to, which may be the one before.
+    /// From when on it may spend its standing shares, if it stays silent. It counts from when it sent the last sync
+    /// that it got an answer to, which may be the one before.
     pub fn spends_shares_from_secs(&self, config: &QuotaCounterConfig) -> f64 {
         let grace = config.contact_timeout_secs - config.sync_interval_secs - MAX_ANSWER_DELAY_SECS;
         self.last_sync_secs + grace.max(0.0)
--- a/crates/gateway/src/control_plane/quota_counter/grant.rs
+++ b/crates/gateway/src/control_plane/quota_counter/grant.rs
@@ -1,8 +1,8 @@
 //! What a sync changes for one edge node and tenant: its usage is accounted, then its grant and standing share are
 //! computed.
 //!
-//! Grants are the edge node's fair part of the bucket, by demand. Standing shares aim at a part of the rate by demand, and
-//! are bounded by what other edge nodes hold and by the committed ceiling.
+//! Grants are the edge node's fair part of the bucket, by demand. Standing shares aim at a part of the rate by demand,
+//! and are bounded by what other edge nodes hold and by the committed ceiling.
 
 use super::allocation::{from_fixed_point, Allocation};
 use super::{QuotaCounter, TenantId};
@@ -11,8 +11,8 @@
 
 /// Every edge node is taken to have this demand beside its own, for tenants that arrive there next: requests a second.
 const MIN_DEMAND_PER_SEC: f64 = 0.3;
-/// Shares go by demand, with this part of the mean over edge nodes in contact added to each: demand at one node varies by
-/// chance.
+/// Shares go by demand, with this part of the mean over edge nodes in contact added to each: demand at one node varies
+/// by chance.
 const EVEN_DEMAND_PART: f64 = 1.0;
 /// This part of the rate is left out of the shares aimed at, so that one can rise at once while others fall later.
 const UNSHARED_RATE_PART: f64 = 0.05;
@@ -26,8 +26,8 @@
 const MIN_CEILING_PART: f64 = 1e-4;
 
 impl QuotaCounter {
-    /// Accounts one edge node's usage of one tenant, and computes what it may charge from now on. The tenant's bucket is
-    /// refilled already.
+    /// Accounts one edge node's usage of one tenant, and computes what it may charge from now on. The tenant's bucket
+    /// is refilled already.
     pub(super) fn account_usage(
         &mut self,
         now: f64,
@@ -66,9 +66,9 @@
         if allocation.is_reported {
             let charged = usage.charged - allocation.charged;
             bucket.window_total += charged.max(0) as f64;
-            // What it was granted, and neither charged nor holds, comes back. What it charged beyond its grant, it charged
-            // to its standing share: some of that was reserved; the rest it had saved up, which the quota's slack allows
-            // and for which there must be no debt.
+            // What it was granted, and neither charged nor holds, comes back. What it charged beyond its grant, it
+            // charged to its standing share: some of that was reserved; the rest it had saved up, which the quota's
+            // slack allows and for which there must be no debt.
             let granted = allocation.granted + allocation.granted_to_waiting;
             let returned = granted - charged - unused;
             let unreserved = (-returned as f64 - allocation.reserved_units).max(0.0);
--- a/crates/gateway/src/control_plane/quota_counter/mod.rs
+++ b/crates/gateway/src/control_plane/quota_counter/mod.rs
@@ -4,9 +4,10 @@
 //! Invariants:
 //! - Over any span of t seconds no more than burst + rate x t units are spent (with the slack that docs/system.md
 //!   names): unused grants, and what edge nodes out of contact may spend by their shares, count against the bucket.
-//! - The shares of all incarnations of edge nodes sum to the rate at most, over all leaders. A share rises only up to the
-//!   ceiling that a majority of the core has stored ([`QuotaCounter::record_committed`]); a new leader reserves what
-//!   earlier leaders gave until the incarnation that holds it syncs, is superseded by another, or its shares expire.
+//! - The shares of all incarnations of edge nodes sum to the rate at most, over all leaders. A share rises only up to
+//!   the ceiling that a majority of the core has stored ([`QuotaCounter::record_committed`]); a new leader reserves
+//!   what earlier leaders gave until the incarnation that holds it syncs, is superseded by another, or its shares
+//!   expire.
 //!
 //! Pure: the caller passes the time, `now`, in seconds of its own clock.
 
@@ -69,10 +70,11 @@
 pub enum PreviousLeaders<'a> {
     /// There was none: all buckets start full.
     None,
-    /// There was one, and this is its newest record that a majority of the core has stored. Buckets start with one unit.
+    /// There was one, and this is its newest record that a majority of the core has stored. Buckets start with one
+    /// unit.
     Recorded(&'a ShareCeilings),
-    /// There was one whose record may be lost: until all its shares have expired, only what edge nodes report is granted.
-    /// The quota lease never starts a counter so, as the log keeps the record; tests use it as the worst case.
+    /// There was one whose record may be lost: until all its shares have expired, only what edge nodes report is
+    /// granted. The quota lease never starts a counter so, as the log keeps the record; tests use it as the worst case.
     Unrecorded,
 }
 
@@ -167,7 +169,8 @@
         from_fixed_point(account.totals.unreported_ceilings).min(unreported)
     }
 
-    /// Refills a tenant's bucket by its rate, less what unknown holders may spend, and starts a new window if it is due.
+    /// Refills a tenant's bucket by its rate, less what unknown holders may spend, and starts a new window if it is
+    /// due.
     fn refill(&mut self, now: f64, tenant: TenantId, limit: &TenantLimit) {
         let unknown_share = self.unknown_share_rate(now, tenant, limit.rate);
         let window = (now / limit.window_secs()).floor() as i64;
@@ -288,9 +291,9 @@
         }
     }
 
-    /// An edge node reports its usage and `seen_term`, the highest term of a leader that answered it. Returns its grants
-    /// for the tenants that it reported and that have a limit; `None`: there is a later leader, and this one must not
-    /// answer.
+    /// An edge node reports its usage and `seen_term`, the highest term of a leader that answered it. Returns its
+    /// grants for the tenants that it reported and that have a limit; `None`: there is a later leader, and this one
+    /// must not answer.
     pub fn sync(
         &mut self,
         now: f64,
@@ -316,7 +319,8 @@
         Some(grants)
     }
 
-    /// Brings an edge node's account up to date as it syncs; an earlier incarnation of it ends. Returns its shared name.
+    /// Brings an edge node's account up to date as it syncs; an earlier incarnation of it ends. Returns its shared
+    /// name.
     fn register_contact(
         &mut self,
         now: f64,
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -1,5 +1,5 @@
-//! The quota counter against the edge nodes' admission, over seeded runs with faults: incarnations that end, leaders that
-//! are lost, partitions, delayed answers. The rate bound is counted exactly.
+//! The quota counter against the edge nodes' admission, over seeded runs with faults: incarnations that end, leaders
+//! that are lost, partitions, delayed answers. The rate bound is counted exactly.
 
 use crate::control_plane::quota_counter::{EdgeIdentity, PreviousLeaders, QuotaCounter, QuotaCounterConfig};
 use crate::data_plane::quota_admission::{self, AdmissionDecision, GrantState, QuotaAdmission};
@@ -318,8 +318,8 @@
     }
 }
 
-/// Runs with faults; at the end all nodes are back. Returns the part of the bound that was used at most, and the part of
-/// the demand within the quota that is served after the faults.
+/// Runs with faults; at the end all nodes are back. Returns the part of the bound that was used at most, and the part
+/// of the demand within the quota that is served after the faults.
 fn run_seed(seed: u64) -> (f64, f64, TenantLimit, usize) {
     let mut model = ClusterModel::new(seed, SLACK);
     model.run_faults();
--- a/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
@@ -1,6 +1,6 @@
-//! What the quota counter updates incrementally against the same computed anew: totals over edge nodes, and the record of
-//! ceilings that the core folds from changes. Over seeded runs with incarnations that end, silences, changes of leader and
-//! lost answers.
+//! What the quota counter updates incrementally against the same computed anew: totals over edge nodes, and the record
+//! of ceilings that the core folds from changes. Over seeded runs with incarnations that end, silences, changes of
+//! leader and lost answers.
 
 use crate::control_plane::quota_counter::{EdgeIdentity, PreviousLeaders, QuotaCounter, QuotaCounterConfig};
 use crate::protocol::ShareCeilings;
@@ -156,12 +156,12 @@
                 let mut folded = run.committed.clone();
                 let mut changed = run.counter.clone();
                 folded.apply(&changed.next_record());
-                let whole = run.counter.full_record();
+                let full = run.counter.full_record();
                 let filled = |s: &ShareCeilings| {
                     s.edges.iter().filter(|g| !g.ceilings.is_empty()).cloned().collect::<Vec<_>>()
                 };
-                assert_eq!(filled(&folded), filled(&whole), "seed {seed}, step {step}");
-                compared += usize::from(!filled(&whole).is_empty());
+                assert_eq!(filled(&folded), filled(&full), "seed {seed}, step {step}");
+                compared += usize::from(!filled(&full).is_empty());
             }
         }
     }
--- a/crates/gateway/src/control_plane/quota_lease.rs
+++ b/crates/gateway/src/control_plane/quota_lease.rs
@@ -51,9 +51,9 @@
         QuotaLease { config, counter: None, recorded_secs: f64::NEG_INFINITY, is_released: false }
     }
 
-    /// Counts an edge node's usage and returns its grants. `leader_term` is the term in which this node holds the leader
-    /// lease, if it does; `seen_term` the highest term of a leader that answered the edge node. `None`: this node does
-    /// not hold the quota lease, or there is a later leader.
+    /// Counts an edge node's usage and returns its grants. `leader_term` is the term in which this node holds the
+    /// leader lease, if it does; `seen_term` the highest term of a leader that answered the edge node. `None`: this
+    /// node does not hold the quota lease, or there is a later leader.
     pub fn sync(
         &mut self,
         now: f64,
@@ -79,8 +79,8 @@
         (self.is_released, self.counter) = (true, None);
     }
 
-    /// Periodic work: acquires and loses the quota lease with the leader lease, and runs the counter's own periodic work.
-    /// Returns share ceilings that are to be recorded now.
+    /// Periodic work: acquires and loses the quota lease with the leader lease, and runs the counter's own periodic
+    /// work. Returns share ceilings that are to be recorded now.
     pub fn tick(
         &mut self,
         now: f64,
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -21,7 +21,8 @@
 
 /// A worker times out after this many missed heartbeats.
 const MISSED_HEARTBEATS: f64 = 4.0;
-/// Unresponsive and departed workers are remembered for this long, so that delayed heartbeats don't revive them: seconds.
+/// Unresponsive and departed workers are remembered for this long, so that delayed heartbeats don't revive them:
+/// seconds.
 const ENDED_WORKER_KEEP_SECS: f64 = 60.0;
 /// Heartbeats received here are reported to the peers this often: seconds.
 const HEARTBEAT_REPORT_INTERVAL_SECS: f64 = 0.5;
@@ -221,8 +222,8 @@
         Some(changed.filter_map(|id| self.registry.get(id).cloned()).collect())
     }
 
-    /// Whether every live worker is known here: this node has been in contact with a majority of the core for a worker's
-    /// whole timeout, so each has sent a heartbeat that reached it.
+    /// Whether every live worker is known here: this node has been in contact with a majority of the core for a
+    /// worker's whole timeout, so each has sent a heartbeat that reached it.
     pub fn is_complete(&self, now: f64) -> bool {
         self.in_majority_since_secs.is_some_and(|since| now - since > self.worker_timeout_secs())
     }
--- a/crates/gateway/src/discovery/registry.rs
+++ b/crates/gateway/src/discovery/registry.rs
@@ -1,8 +1,8 @@
 //! The worker registry: the latest report of every worker incarnation.
 //!
-//! A report replaces an older one by [`Worker::supersedes`], a total order that does not depend on when reports arrive;
-//! so replicas that received the same reports agree, in whatever order they came. Pure: the caller passes the time, in
-//! seconds of its own clock.
+//! Which of two reports of a worker is later goes by heartbeat number and phase ([`Worker::supersedes`]), not by when they
+//! arrive, so replicas that received the same heartbeats agree, in whatever order these came. Pure: the caller passes the
+//! time, in seconds of its own clock.
 
 use super::worker::{Worker, WorkerPhase};
 use std::collections::BTreeMap;
@@ -38,7 +38,8 @@
 }
 
 impl WorkerRegistry {
-    /// A digest of the live workers (serving or draining) and their phases, for anti-entropy: equal where they are equal.
+    /// A digest of the live workers (serving or draining) and their phases, for anti-entropy: equal where they are
+    /// equal.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -91,8 +92,8 @@
         MergeOutcome::Changed
     }
 
-    /// Another core node received heartbeats of this worker up to `call_count`. Ignored for a worker that is unknown here
-    /// or no longer live: its full report follows from a node that has it.
+    /// Another core node received heartbeats of this worker up to `call_count`. Ignored for a worker that is unknown
+    /// here or no longer live: its full report follows from a node that has it.
     pub fn record_heartbeat(&mut self, now: f64, id: &str, call_count: u64) {
         let Some(known) = self.workers.get_mut(id) else { return };
         if known.worker.is_live() && call_count > known.worker.call_count {
@@ -105,8 +106,8 @@
         self.workers.values_mut().for_each(|w| w.last_heard_secs = now);
     }
 
-    /// Marks live workers that were not heard from for more than `timeout_secs` as unresponsive, and returns them; their
-    /// entries are kept for `keep_secs`.
+    /// Marks live workers that were not heard from for more than `timeout_secs` as unresponsive, and returns them;
+    /// their entries are kept for `keep_secs`.
     pub fn expire(&mut self, now: f64, timeout_secs: f64, keep_secs: f64) -> Vec<Worker> {
         let timed_out =
             self.workers.values().filter(|w| w.worker.is_live() && now - w.last_heard_secs > timeout_secs);
--- a/crates/gateway/src/discovery/worker.rs
+++ b/crates/gateway/src/discovery/worker.rs
@@ -50,9 +50,9 @@
         self.phase <= WorkerPhase::Draining
     }
 
-    /// Whether this report is later than `other`, of the same incarnation. Within an incarnation `Departed` is final and
-    /// draining is never taken back, whichever report arrives last; otherwise the later heartbeat counts, and of the same
-    /// heartbeat the later phase.
+    /// Whether this report is to replace `other`, of the same incarnation. `Departed` is final. Whatever the
+    /// heartbeat numbers, `Draining` replaces `Serving` and `Unresponsive`, and `Serving` never replaces `Draining`.
+    /// Otherwise the later heartbeat counts, and of the same heartbeat the later phase.
     pub(super) fn supersedes(&self, other: &Worker) -> bool {
         match (other.phase, self.phase) {
             (WorkerPhase::Departed, _) => false,
--- a/crates/gateway/src/protocol/quota.rs
+++ b/crates/gateway/src/protocol/quota.rs
@@ -1,13 +1,13 @@
-//! What an edge node and the quota leader exchange for each tenant, and the terms that both go by: a tenant's limit, and
-//! when an edge node may spend its standing share.
+//! What an edge node and the quota leader exchange for each tenant, and the terms that both go by: a tenant's limit,
+//! and when an edge node may spend its standing share.
 
 use crate::settings::Settings;
 use serde::{Deserialize, Serialize};
 
 /// An edge node reports its usage at least this often, in seconds.
 pub const QUOTA_SYNC_INTERVAL_SECS: f64 = 0.25;
-/// An edge node that had no answer from the quota leader for this long, in seconds, spends its standing share instead of
-/// grants. The leader counts with the same time: an edge node that it has not heard for this long is out of contact.
+/// An edge node that had no answer from the quota leader for this long, in seconds, spends its standing share instead
+/// of grants. The leader counts with the same time: an edge node that it has not heard for this long is out of contact.
 pub const QUOTA_CONTACT_TIMEOUT_SECS: f64 = 0.7;
 
 /// Standing shares outlast this many of the quota's horizons.
