--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -152,7 +152,7 @@
         if ip == self.context.me.ip {
             return Some(&self.context.settings.node);
         }
-        let newest = self.sessions.values().rev().find(|session| session.member == Some(ip));
+        let newest = self.sessions.values().rev().find(|session| session.core_ip == Some(ip));
         newest.map(|session| session.node.as_str())
     }
 
