--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -8,7 +8,7 @@
 //! node that has just started takes it for the newest.
 
 use super::in_flight_window::{estimated_bytes, InFlightWindow};
-use super::{ConnectionId, CoreNode, Effect, TICK};
+use super::{ConnectionId, CoreNode, Effect, TICK_SECS};
 use crate::configuration::ConfigItem;
 use crate::consensus::Index;
 use crate::discovery::Worker;
@@ -149,12 +149,12 @@
         out: &mut Vec<Effect>,
     ) {
         let core_ip = is_core.then_some(location.ip);
-        self.tell_members(out);
-        out.push(Effect::Return(conn, PeerMessage::CoreNodes(self.shared.told())));
+        self.advertise_core_nodes(out);
+        out.push(Effect::SendToSession(conn, PeerMessage::CoreNodes(self.context.advertised_nodes())));
         if is_core {
-            self.meet(vec![location], out);
+            self.learn_core_nodes(vec![location], out);
         } else {
-            self.gates.announce(now, &node, location);
+            self.edges.announce(now, &node, location);
         }
         let session = PeerSession {
             node,
@@ -169,28 +169,32 @@
             directory_change: None,
             divergence: WorkersDivergence::new(now),
         };
-        self.callers.insert(conn, session);
+        self.sessions.insert(conn, session);
     }
 
     /// Counts messages that are sent on connections which others opened.
     pub(super) fn record_sent(&mut self, effects: &[Effect]) {
         for effect in effects {
-            let Effect::Return(conn, msg) = effect else { continue };
-            if let Some(session) = self.callers.get_mut(conn) {
+            let Effect::SendToSession(conn, msg) = effect else { continue };
+            if let Some(session) = self.sessions.get_mut(conn) {
                 session.window.record_sent(msg);
             }
         }
     }
 
     fn held_here(&self) -> HeldState {
-        HeldState { config_index: self.keeper.state.index(), workers_digest: self.roster.registry.digest() }
+        HeldState {
+            config_index: self.configuration.state.last_change_index(),
+            workers_digest: self.membership.registry.digest(),
+        }
     }
 
     fn send_permissions(&self, now: f64) -> SendPermissions {
-        let has_majority = self.shared.majority(now);
-        let full_state = has_majority && self.raft.is_attached(self.shared.ms(now));
-        let window_bytes =
-            self.shared.settings.memory as usize / IN_FLIGHT_MEMORY_DIVISOR / self.callers.len().max(1);
+        let has_majority = self.context.has_majority(now);
+        let full_state = has_majority && self.raft.is_attached(self.context.log_time(now));
+        let window_bytes = self.context.settings.memory_bytes as usize
+            / IN_FLIGHT_MEMORY_DIVISOR
+            / self.sessions.len().max(1);
         SendPermissions {
             full_state,
             worker_updates: has_majority,
@@ -209,22 +213,22 @@
     ) {
         let here = self.held_here();
         let permissions = self.send_permissions(now);
-        let Some(session) = self.callers.get_mut(&conn) else { return };
+        let Some(session) = self.sessions.get_mut(&conn) else { return };
         if session.core_ip.is_some() {
             let HeldState { config_index, workers_digest } = here;
             let ping = PeerMessage::Ping { config_index, workers_digest, received: 0 };
-            return out.push(Effect::Return(conn, ping));
+            return out.push(Effect::SendToSession(conn, ping));
         }
         session.window.acknowledge(received);
         session.held = Some(held);
         session.detect_lost_configuration(here.config_index, held.config_index, permissions);
         session.divergence.observe(now, here.workers_digest ^ held.workers_digest);
-        let knows_all_workers = permissions.full_state && self.roster.is_complete(now);
+        let knows_all_workers = permissions.full_state && self.membership.is_complete(now);
         if knows_all_workers {
             self.resend_diverged_workers(now, conn, permissions, out);
         }
         self.send_missing(conn, permissions, out);
-        out.push(Effect::Return(conn, self.pong(now, conn, knows_all_workers)));
+        out.push(Effect::SendToSession(conn, self.pong(now, conn, knows_all_workers)));
     }
 
     /// Sends an edge node all workers, complete, if those that it holds have diverged.
@@ -235,8 +239,8 @@
         permissions: SendPermissions,
         out: &mut Vec<Effect>,
     ) {
-        let last_change = self.roster.last_change();
-        let Some(session) = self.callers.get_mut(&conn) else { return };
+        let last_change = self.membership.last_change();
+        let Some(session) = self.sessions.get_mut(&conn) else { return };
         let has_all_updates =
             session.window.are_workers_acknowledged() && session.workers_change == Some(last_change);
         if has_all_updates
@@ -246,33 +250,33 @@
         {
             tracing::info!(edge = session.node, "resending full worker list to edge");
             session.divergence.record_resend(now);
-            let workers = self.roster.registry.workers().cloned().collect();
-            out.push(Effect::Return(conn, PeerMessage::WorkerSnapshot { workers, complete: true }));
+            let workers = self.membership.registry.workers().cloned().collect();
+            out.push(Effect::SendToSession(conn, PeerMessage::WorkerSnapshot { workers, complete: true }));
         }
     }
 
     /// The answer to an edge node's ping. `knows_all_workers`: every live worker is known here.
     fn pong(&self, now: f64, conn: ConnectionId, knows_all_workers: bool) -> PeerMessage {
-        let is_starting = now - self.shared.started < EDGE_COUNT_DELAY_SECS;
-        let ms = self.shared.ms(now);
+        let is_starting = now - self.context.started < EDGE_COUNT_DELAY_SECS;
+        let ms = self.context.log_time(now);
         let quota_leader = match self.raft.leader(ms) {
-            Some(leader) if leader == self.raft.me() => self.raft.holds_lease(ms).then_some(leader.ip),
+            Some(leader) if leader == self.raft.id() => self.raft.holds_lease(ms).then_some(leader.ip),
             leader => leader.map(|l| l.ip),
         };
-        let last_change = self.roster.last_change();
-        let was_sent_all = self.callers.get(&conn).is_some_and(|s| s.workers_change == Some(last_change));
+        let last_change = self.membership.last_change();
+        let was_sent_all = self.sessions.get(&conn).is_some_and(|s| s.workers_change == Some(last_change));
         PeerMessage::Pong {
             quota_leader,
-            edge_count: if is_starting { 0 } else { self.gates.count() as u32 },
-            core_count: self.shared.voters.len() as u32,
+            edge_count: if is_starting { 0 } else { self.edges.count() as u32 },
+            core_count: self.context.voters.len() as u32,
             workers_complete: knows_all_workers && was_sent_all,
         }
     }
 
     /// Sends an edge node the configuration and the workers that it lacks, as far as its connection has room.
     fn send_missing(&mut self, conn: ConnectionId, permissions: SendPermissions, out: &mut Vec<Effect>) {
-        let (here, last_change) = (self.held_here(), self.roster.last_change());
-        let Some(session) = self.callers.get_mut(&conn) else { return };
+        let (here, last_change) = (self.held_here(), self.membership.last_change());
+        let Some(session) = self.sessions.get_mut(&conn) else { return };
         let Some(held) = session.held else { return };
         if permissions.full_state {
             // One that reconnected continues from what it holds.
@@ -282,14 +286,17 @@
         }
         if let Some(known) = session.outdated_workers(last_change, permissions) {
             // Without a difference it needs all of them.
-            let updates = self.roster.changed_since(known);
+            let updates = self.membership.changed_since(known);
             session.workers_change = updates.is_some().then_some(last_change);
-            out.extend(updates.map(|workers| Effect::Return(conn, PeerMessage::WorkerUpdates(workers))));
+            out.extend(
+                updates.map(|workers| Effect::SendToSession(conn, PeerMessage::WorkerUpdates(workers))),
+            );
         }
         let lacks_full_state = !session.has_config || session.workers_change.is_none();
-        let memory_bytes = self.shared.settings.memory as usize / IN_FLIGHT_MEMORY_DIVISOR;
-        let may_start = self.pace.full_state_budget > 0.0
-            && (self.pace.bytes_in_flight == 0 || self.pace.bytes_in_flight < memory_bytes);
+        let memory_bytes = self.context.settings.memory_bytes as usize / IN_FLIGHT_MEMORY_DIVISOR;
+        let may_start = self.transfer_pacing.full_state_budget > 0.0
+            && (self.transfer_pacing.bytes_in_flight == 0
+                || self.transfer_pacing.bytes_in_flight < memory_bytes);
         let has_room = session.window.has_room_for_full_state(permissions.window_bytes);
         if lacks_full_state && permissions.full_state && may_start && has_room {
             self.send_full_state(conn, out);
@@ -298,42 +305,46 @@
 
     /// Sends an edge node the full configuration, the full list of workers, or both: what it has not.
     fn send_full_state(&mut self, conn: ConnectionId, out: &mut Vec<Effect>) {
-        let last_change = self.roster.last_change();
-        let Some(session) = self.callers.get_mut(&conn) else { return };
+        let last_change = self.membership.last_change();
+        let Some(session) = self.sessions.get_mut(&conn) else { return };
         let mut messages = Vec::new();
-        let state = &self.keeper.state;
+        let state = &self.configuration.state;
         if !std::mem::replace(&mut session.has_config, true) && !state.is_empty() {
-            let items: Vec<ConfigItem> = state.standing().map(|i| (**i).clone()).collect();
-            messages.push(PeerMessage::ConfigUpdate { previous: None, index: state.index(), items });
+            let items: Vec<ConfigItem> = state.active_items().map(|i| (**i).clone()).collect();
+            messages.push(PeerMessage::ConfigUpdate {
+                previous: None,
+                index: state.last_change_index(),
+                items,
+            });
         }
         if session.workers_change.is_none() {
             session.workers_change = Some(last_change);
             // A live worker that is not among them may be known elsewhere: the edge node keeps it.
-            let workers = self.roster.registry.workers().cloned().collect();
+            let workers = self.membership.registry.workers().cloned().collect();
             messages.push(PeerMessage::WorkerSnapshot { workers, complete: false });
         }
         let bytes: usize = messages.iter().map(estimated_bytes).sum();
-        self.pace.full_state_budget -= bytes as f64;
-        self.pace.bytes_in_flight += bytes;
-        out.extend(messages.into_iter().map(|msg| Effect::Return(conn, msg)));
+        self.transfer_pacing.full_state_budget -= bytes as f64;
+        self.transfer_pacing.bytes_in_flight += bytes;
+        out.extend(messages.into_iter().map(|msg| Effect::SendToSession(conn, msg)));
     }
 
     /// Sends changed workers to every edge node that lacks them and has room.
     pub(super) fn send_worker_updates(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (permissions, last_change) = (self.send_permissions(now), self.roster.last_change());
+        let (permissions, last_change) = (self.send_permissions(now), self.membership.last_change());
         if !permissions.worker_updates {
             return;
         }
         // By the change that an edge node knows; most know the same.
         let mut differences: BTreeMap<u64, Option<Vec<Worker>>> = BTreeMap::new();
-        for (conn, session) in &mut self.callers {
+        for (conn, session) in &mut self.sessions {
             let Some(known) = session.outdated_workers(last_change, permissions) else { continue };
-            let updates = differences.entry(known).or_insert_with(|| self.roster.changed_since(known));
+            let updates = differences.entry(known).or_insert_with(|| self.membership.changed_since(known));
             session.workers_change = updates.is_some().then_some(last_change);
             out.extend(
                 updates
                     .iter()
-                    .map(|workers| Effect::Return(*conn, PeerMessage::WorkerUpdates(workers.clone()))),
+                    .map(|workers| Effect::SendToSession(*conn, PeerMessage::WorkerUpdates(workers.clone()))),
             );
         }
     }
@@ -347,28 +358,28 @@
         items: Vec<ConfigItem>,
         out: &mut Vec<Effect>,
     ) {
-        let window_bytes = self.send_permissions(self.shared.now).window_bytes;
+        let window_bytes = self.send_permissions(self.context.now).window_bytes;
         let msg = PeerMessage::ConfigUpdate { previous: Some(previous), index, items };
-        for (conn, session) in self.callers.iter_mut().filter(|(_, s)| s.is_edge() && s.has_config) {
+        for (conn, session) in self.sessions.iter_mut().filter(|(_, s)| s.is_edge() && s.has_config) {
             session.has_config = session.window.has_room(window_bytes);
             if session.has_config {
-                out.push(Effect::Return(*conn, msg.clone()));
+                out.push(Effect::SendToSession(*conn, msg.clone()));
             }
         }
     }
 
     /// This node installed a snapshot: every edge node here needs the full configuration.
     pub(super) fn resend_configuration(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.callers.values_mut().for_each(|s| s.has_config = false);
+        self.sessions.values_mut().for_each(|s| s.has_config = false);
         self.send_missing_to_all(now, out);
     }
 
     fn send_missing_to_all(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let (permissions, last_change) = (self.send_permissions(now), self.roster.last_change());
+        let (permissions, last_change) = (self.send_permissions(now), self.membership.last_change());
         let lacks_state = |s: &PeerSession| {
             s.is_edge() && (!s.has_config || s.workers_change.is_none_or(|n| n < last_change))
         };
-        let lacking = self.callers.iter().filter(|(_, s)| lacks_state(s)).map(|(conn, _)| *conn);
+        let lacking = self.sessions.iter().filter(|(_, s)| lacks_state(s)).map(|(conn, _)| *conn);
         for conn in lacking.collect::<Vec<_>>() {
             self.send_missing(conn, permissions, out);
         }
@@ -376,10 +387,12 @@
 
     /// Periodic work: sends what could not be sent before, at its pace.
     pub(super) fn tick_sessions(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.gates.expire(now);
-        let budget = FULL_STATE_BYTES_PER_SEC * TICK;
-        self.pace.full_state_budget = (self.pace.full_state_budget + budget).min(budget);
-        self.pace.bytes_in_flight = self.callers.values().map(|s| s.window.bytes_in_flight()).sum();
+        self.edges.expire(now);
+        let budget = FULL_STATE_BYTES_PER_SEC * TICK_SECS;
+        self.transfer_pacing.full_state_budget =
+            (self.transfer_pacing.full_state_budget + budget).min(budget);
+        self.transfer_pacing.bytes_in_flight =
+            self.sessions.values().map(|s| s.window.bytes_in_flight()).sum();
         // For edge nodes that connected without contact with a majority, or whose connections lagged.
         self.send_missing_to_all(now, out);
         self.send_directory(now, out);
@@ -387,26 +400,26 @@
 
     /// Sends each edge node the changes of the edge directory, in turn and within the budget.
     fn send_directory(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let budget = DIRECTORY_BYTES_PER_SEC * TICK;
-        self.pace.directory_budget = (self.pace.directory_budget + budget).min(budget);
+        let budget = DIRECTORY_BYTES_PER_SEC * TICK_SECS;
+        self.transfer_pacing.directory_budget = (self.transfer_pacing.directory_budget + budget).min(budget);
         let window_bytes = self.send_permissions(now).window_bytes;
-        let (last_change, from) = (self.gates.last_change(), self.pace.last_directory_conn);
+        let (last_change, from) = (self.edges.last_change(), self.transfer_pacing.last_directory_conn);
         let lacks_changes = |s: &PeerSession| {
             s.is_edge() && s.directory_change != Some(last_change) && s.window.has_room(window_bytes)
         };
-        let in_turn = self.callers.range(from + 1..).chain(self.callers.range(..=from));
+        let in_turn = self.sessions.range(from + 1..).chain(self.sessions.range(..=from));
         let in_turn: Vec<ConnectionId> =
             in_turn.filter(|(_, s)| lacks_changes(s)).map(|(conn, _)| *conn).collect();
         for conn in in_turn {
-            if self.pace.directory_budget <= 0.0 {
+            if self.transfer_pacing.directory_budget <= 0.0 {
                 return;
             }
-            let Some(session) = self.callers.get_mut(&conn) else { continue };
-            let msg = self.gates.update_since(session.directory_change);
+            let Some(session) = self.sessions.get_mut(&conn) else { continue };
+            let msg = self.edges.update_since(session.directory_change);
             session.directory_change = Some(last_change);
-            self.pace.directory_budget -= estimated_bytes(&msg) as f64;
-            self.pace.last_directory_conn = conn;
-            out.push(Effect::Return(conn, msg));
+            self.transfer_pacing.directory_budget -= estimated_bytes(&msg) as f64;
+            self.transfer_pacing.last_directory_conn = conn;
+            out.push(Effect::SendToSession(conn, msg));
         }
     }
 }
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -357,7 +357,8 @@
     expect_that!(cluster.all_agree(), eq(true));
     expect_that!(cluster.sent_bytes("workers"), eq(0));
     // One that holds a worker which nobody else knows is sent the full list.
-    cluster.deliver(0, data_plane::Event::CoreMessage(ip(2), PeerMessage::WorkerUpdates(vec![worker(9999, 1)])));
+    cluster
+        .deliver(0, data_plane::Event::CoreMessage(ip(2), PeerMessage::WorkerUpdates(vec![worker(9999, 1)])));
     cluster.run_for(5.0);
     expect_that!(cluster.all_agree(), eq(true));
     expect_that!(cluster.sent_bytes("workers"), all![gt(0), lt(100 * 600)]);
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -155,7 +155,7 @@
         self.context.now = now;
         let first = out.len();
         self.dispatch(now, event, out);
-        self.count(&out[first..]);
+        self.record_sent(&out[first..]);
     }
 
     fn dispatch(&mut self, now: f64, event: Event, out: &mut Vec<Effect>) {
@@ -176,7 +176,7 @@
 
     /// Gives up the quota lease, hands over leadership, and lets the others do without this node's vote.
     fn shut_down(&mut self, now: f64, out: &mut Vec<Effect>) {
-        self.quota_lease.end();
+        self.quota_lease.release();
         let log_time = self.context.log_time(now);
         self.raft.transfer_leadership(log_time);
         self.process_raft_outputs(now, out);
--- a/crates/gateway/src/control_plane/peer_messages.rs
+++ b/crates/gateway/src/control_plane/peer_messages.rs
@@ -2,6 +2,8 @@
 //! on the connections that they opened. Consensus messages are passed on to `replicated_log`,
 //! an edge's state to `edge_sessions`.
 
+use super::edge_sessions::HeldState;
+use super::quota_counter::EdgeIdentity;
 use super::worker_membership::MergedWorkers;
 use super::{tenant_limit, ConnectionId, CoreNode, Effect};
 use crate::consensus::Term;
@@ -11,15 +13,6 @@
 use crate::storage::WriteBatch;
 use std::net::IpAddr;
 
-/// Usage that an edge reports to the quota leader.
-struct QuotaReport<'a> {
-    edge: &'a str,
-    incarnation: u64,
-    /// The highest term that the edge knows.
-    known_term: Term,
-    usage: &'a [TenantUsage],
-}
-
 impl CoreNode {
     /// The outbound connection to a core node is up: introduce this node, then send the core nodes and workers known
     /// here.
@@ -83,10 +76,10 @@
         out: &mut Vec<Effect>,
     ) {
         if let PeerMessage::Hello { node, incarnation, location, is_core } = message {
-            return self.hello(now, conn, (node, incarnation, is_core), location, out);
+            return self.open_session(now, conn, (node, incarnation, is_core), location, out);
         }
         let Some(session) = self.sessions.get(&conn).cloned() else { return };
-        if session.member.is_none() {
+        if session.core_ip.is_none() {
             self.edges.record_contact(now, &session.node);
         }
         match message {
@@ -115,12 +108,11 @@
             // A worker that is unknown here is skipped: the digests then differ, and anti-entropy brings it.
             PeerMessage::Heartbeats(heartbeats) => self.membership.record_peer_heartbeats(now, &heartbeats),
             PeerMessage::Ping { config_index, workers_digest, received } => {
-                self.pinged(now, conn, (config_index, workers_digest, received), out)
+                self.handle_ping(now, conn, HeldState { config_index, workers_digest }, received, out)
             }
             PeerMessage::QuotaSync { request_id, term, usage } => {
-                let (edge, incarnation) = (session.node.as_str(), session.life);
-                let report = QuotaReport { edge, incarnation, known_term: term, usage: &usage };
-                let grants = self.sync_quota(now, request_id, &report);
+                let edge = EdgeIdentity { node: &session.node, incarnation: session.incarnation };
+                let grants = self.sync_quota(now, request_id, edge, term, &usage);
                 out.push(Effect::SendToSession(conn, grants));
             }
             _ => {}
@@ -128,11 +120,17 @@
     }
 
     /// Counts an edge's usage; the response grants nothing unless this node holds the quota lease.
-    fn sync_quota(&mut self, now: f64, request_id: u64, report: &QuotaReport) -> PeerMessage {
+    fn sync_quota(
+        &mut self,
+        now: f64,
+        request_id: u64,
+        edge: EdgeIdentity,
+        known_term: Term,
+        usage: &[TenantUsage],
+    ) -> PeerMessage {
         let lease = self.leased_term(now);
         let limits = |tenant: &str| tenant_limit(&self.configuration.state, tenant);
-        let edge = (report.edge, report.incarnation);
-        let grants = self.quota_lease.sync(now, lease, edge, report.known_term, report.usage, &limits);
+        let grants = self.quota_lease.sync(now, lease, edge, known_term, usage, &limits);
         PeerMessage::QuotaGrants {
             request_id,
             term: self.raft.term(),
@@ -172,32 +170,26 @@
 
     /// A worker that called this node: edges and the other core nodes learn what changed.
     pub(super) fn merge_reported_worker(&mut self, now: f64, worker: Worker, out: &mut Vec<Effect>) {
-        let (changed, _) = self.merge_workers(now, vec![worker], out);
+        let MergedWorkers { changed, .. } = self.merge_workers(now, vec![worker], out);
         self.send_worker_updates_to_peers(&changed, out);
     }
 
     /// Workers that another core node sent: edges learn what changed. The core nodes learn only of workers that the
     /// sender holds as unresponsive although this node has heard of them since.
     fn merge_relayed_workers(&mut self, now: f64, workers: Vec<Worker>, out: &mut Vec<Effect>) {
-        let (_, contested) = self.merge_workers(now, workers, out);
+        let MergedWorkers { contested, .. } = self.merge_workers(now, workers, out);
         self.send_worker_updates_to_peers(&contested, out);
     }
 
     /// Merges workers into the registry, persists what changed and sends it to the edges. Returns what changed, and
     /// what the sender wrongly holds as unresponsive.
-    fn merge_workers(
-        &mut self,
-        now: f64,
-        workers: Vec<Worker>,
-        out: &mut Vec<Effect>,
-    ) -> (Vec<Worker>, Vec<Worker>) {
-        let MergedWorkers { changed, contested } =
-            self.membership.merge(now, workers, &mut self.context.journal);
-        self.persist_workers(&changed, out);
-        if !changed.is_empty() {
-            self.tell_workers(now, out);
+    fn merge_workers(&mut self, now: f64, workers: Vec<Worker>, out: &mut Vec<Effect>) -> MergedWorkers {
+        let merged = self.membership.merge(now, workers, &mut self.context.journal);
+        self.persist_workers(&merged.changed, out);
+        if !merged.changed.is_empty() {
+            self.send_worker_updates(now, out);
         }
-        (changed, contested)
+        merged
     }
 
     fn send_worker_updates_to_peers(&self, workers: &[Worker], out: &mut Vec<Effect>) {
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -21,21 +21,17 @@
 
 /// The admission of the edge node of this number, with this slack.
 fn quota_with((overshoot, margin): (f64, f64), edge_node: usize) -> QuotaAdmission {
-    let QuotaCounterConfig {
-        sync_interval_secs: every,
-        contact_timeout_secs: overdue,
-        share_expiry_secs: lapse,
-    } = CONFIG;
-    let terms = quota_admission::QuotaAdmissionConfig {
-        every,
-        overdue,
-        lapse,
-        overshoot,
-        margin,
-        horizon: HORIZON_SECS,
+    let QuotaCounterConfig { sync_interval_secs, contact_timeout_secs, share_expiry_secs } = CONFIG;
+    let config = quota_admission::QuotaAdmissionConfig {
+        sync_interval_secs,
+        sync_timeout_secs: contact_timeout_secs,
+        share_lifetime_secs: share_expiry_secs,
+        overshoot_ratio: overshoot,
+        overshoot_requests: margin,
+        horizon_secs: HORIZON_SECS,
     };
-    let mut quota = QuotaAdmission::new(terms, &format!("edge-{edge_node}"));
-    quota.gates(8);
+    let mut quota = QuotaAdmission::new(config, &format!("edge-{edge_node}"));
+    quota.set_edge_count(8);
     quota
 }
 
@@ -241,7 +237,7 @@
         let edge_node = &mut self.edges[n];
         let mut answered = 0;
         while let Some((_, number, term, totals)) = edge_node.answers.pop_front_if(|a| a.0 <= now) {
-            if edge_node.unreachable_until <= now && edge_node.quota.told(now, number, term, &totals) {
+            if edge_node.unreachable_until <= now && edge_node.quota.on_grants(now, number, term, &totals) {
                 answered = number;
             }
         }
@@ -251,29 +247,31 @@
             decide.extend(over.then_some(if *number <= answered {
                 GrantState::Answered
             } else {
-                GrantState::InVain
+                GrantState::TimedOut
             }));
             !over
         });
         for _ in &decide {
-            edge_node.quota.waited(&tenant);
+            edge_node.quota.grant_wait_ended(&tenant);
         }
         let mut arrivals = edge_node.demand * STEP_SECS;
         while arrivals > 0.0 {
             if self.rng.f64() < arrivals.min(1.0) {
-                decide.push(GrantState::Not);
+                decide.push(GrantState::NotRequested);
                 self.asked.push(now);
             }
             arrivals -= 1.0;
         }
         for asked in decide {
             match edge_node.quota.admit(now, &tenant, &limit, asked) {
-                AdmissionDecision::Pass => self.admitted_at.push(now),
-                AdmissionDecision::Ask => edge_node.waiting.push((now + 0.06, edge_node.quota.next_number())),
-                AdmissionDecision::Refuse(_) => {}
+                AdmissionDecision::Admit => self.admitted_at.push(now),
+                AdmissionDecision::WaitForGrant => {
+                    edge_node.waiting.push((now + 0.06, edge_node.quota.next_request_id()))
+                }
+                AdmissionDecision::Reject(_) => {}
             }
         }
-        if let Some((number, charges)) = edge_node.quota.sync(now) {
+        if let Some((number, charges)) = edge_node.quota.begin_sync(now) {
             if edge_node.unreachable_until <= now {
                 self.syncs.push((
                     now + out,
@@ -423,25 +421,28 @@
         }]
     };
     // No leader has answered yet.
-    expect_that!(quota.admit(1.0, &tenant, &limit, GrantState::Not), eq(AdmissionDecision::Refuse(0.25)));
-    let (first, _) = quota.sync(1.0).expect("a sync");
-    expect_that!(quota.told(1.01, first, 5, &total(1, 2.0)), eq(true));
-    expect_that!(quota.admit(1.02, &tenant, &limit, GrantState::Answered), eq(AdmissionDecision::Pass));
-    let (second, _) = quota.sync(1.3).expect("a sync");
+    expect_that!(
+        quota.admit(1.0, &tenant, &limit, GrantState::NotRequested),
+        eq(AdmissionDecision::Reject(0.25))
+    );
+    let (first, _) = quota.begin_sync(1.0).expect("a sync");
+    expect_that!(quota.on_grants(1.01, first, 5, &total(1, 2.0)), eq(true));
+    expect_that!(quota.admit(1.02, &tenant, &limit, GrantState::Answered), eq(AdmissionDecision::Admit));
+    let (second, _) = quota.begin_sync(1.3).expect("a sync");
     // The same request id, but from an earlier leader: grant and share are ignored, and it is no contact.
-    expect_that!(quota.told(1.31, second, 4, &total(500, 90.0)), eq(false));
+    expect_that!(quota.on_grants(1.31, second, 4, &total(500, 90.0)), eq(false));
     expect_that!(quota.term(), eq(5));
     expect_that!(
         quota.admit(1.32, &tenant, &limit, GrantState::Answered),
-        eq(AdmissionDecision::Refuse(0.25))
+        eq(AdmissionDecision::Reject(0.25))
     );
-    expect_that!(quota.is_apart(1.75), eq(true));
-    let (_, charges) = quota.sync(2.1).expect("a sync");
+    expect_that!(quota.is_disconnected(1.75), eq(true));
+    let (_, charges) = quota.begin_sync(2.1).expect("a sync");
     expect_that!((charges[0].charged, charges[0].standing_share, charges[0].unused_grant), eq((1, 2.0, 0)));
     // What a newer leader does not confirm is void.
-    let (third, _) = quota.sync(3.0).expect("a sync");
-    expect_that!(quota.told(3.01, third, 6, &[]), eq(true));
-    let (_, charges) = quota.sync(3.3).expect("a sync");
+    let (third, _) = quota.begin_sync(3.0).expect("a sync");
+    expect_that!(quota.on_grants(3.01, third, 6, &[]), eq(true));
+    let (_, charges) = quota.begin_sync(3.3).expect("a sync");
     expect_that!((charges[0].standing_share, charges[0].unused_grant), eq((0.0, 0)));
 }
 
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -333,7 +333,7 @@
                 let applied = self.configuration.apply(position, &change, &self.raft, &mut self.context, out);
                 if let Some(applied) = applied {
                     let items: Vec<ConfigItem> = applied.items.iter().map(|i| (**i).clone()).collect();
-                    self.push_items(applied.previous, position.index, items, out);
+                    self.send_config_update(applied.previous, position.index, items, out);
                 }
             }
             LogCommand::Shares(ceilings) => self.apply_ceilings(position, ceilings),
@@ -343,7 +343,7 @@
     fn apply_ceilings(&mut self, position: LogPosition, ceilings: Arc<ShareCeilings>) {
         if self.log_driver.proposed_ceilings == Some(position) {
             self.log_driver.proposed_ceilings = None;
-            self.quota_lease.recorded(&ceilings);
+            self.quota_lease.record_committed(&ceilings);
         }
         match &mut self.recorded_ceilings {
             Some(recorded) => Arc::make_mut(recorded).apply(&ceilings),
@@ -370,7 +370,7 @@
                 self.recorded_ceilings = decoded.ceilings;
                 self.log_driver.applied_bytes = 0;
                 self.log_driver.snapshot_bytes = snapshot.data.len();
-                self.tell_anew(now, out);
+                self.resend_configuration(now, out);
             }
             Err(error) => {
                 tracing::error!(%error, "snapshot can't be decoded");
--- a/crates/gateway/src/control_plane/upkeep.rs
+++ b/crates/gateway/src/control_plane/upkeep.rs
@@ -1,5 +1,6 @@
 //! Periodic work of the core role, and reloaded settings.
 
+use super::quota_lease::CeilingLog;
 use super::{replicated_log, tenant_limit, CoreNode, Effect};
 use crate::control_plane::event_journal::JournalEvent;
 use crate::protocol::{NodeLocation, PeerMessage};
@@ -30,7 +31,7 @@
         self.configuration.tick(&mut self.context, out);
         let silent = self.membership.tick(now, &mut self.context, out);
         self.persist_workers(&silent, out);
-        self.tick_gates(now, out);
+        self.tick_sessions(now, out);
         self.tick_quota_lease(now, out);
     }
 
@@ -63,9 +64,11 @@
     fn tick_quota_lease(&mut self, now: f64, out: &mut Vec<Effect>) {
         let lease = self.leased_term(now);
         let limits = |tenant: &str| tenant_limit(&self.configuration.state, tenant);
-        let may_propose = !self.log_driver.is_proposing_ceilings();
-        let recorded = self.recorded_ceilings.as_deref();
-        let ceilings = self.quota_lease.tick(now, lease, (recorded, may_propose), &mut self.context, &limits);
+        let log = CeilingLog {
+            last_record: self.recorded_ceilings.as_deref(),
+            can_record: !self.log_driver.is_proposing_ceilings(),
+        };
+        let ceilings = self.quota_lease.tick(now, lease, log, &mut self.context, &limits);
         if let Some(ceilings) = ceilings {
             self.propose_ceilings(now, ceilings);
             self.process_raft_outputs(now, out);
@@ -79,6 +82,6 @@
         self.context.settings = settings;
         let first = out.len();
         self.learn_core_nodes(seeds, out);
-        self.count(&out[first..]);
+        self.record_sent(&out[first..]);
     }
 }
