--- a/crates/simulation/tests/scenarios/long_days.rs
+++ b/crates/simulation/tests/scenarios/long_days.rs
@@ -172,23 +172,26 @@
     days
 }
 
-/// A day of any of these.
-pub fn random_long_day(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
+/// Draws what the random days have in common: how many registers the operators write, and the network's delay.
+pub fn draw_load_and_delay(
+    rng: &mut fastrand::Rng,
+    load: OperatorLoad,
+    plan: DeploymentPlan,
+) -> DeploymentPlan {
+    let labels = 2 + rng.usize(0..6);
+    let delay = if rng.u8(0..3) == 0 { 0.006 } else { 0.0005 };
+    let operator_load =
+        OperatorLoad { twin_fraction: 0.4, resend_fraction: 0.4, lost_fraction: 0.15, labels, ..load };
+    DeploymentPlan { delay, jitter: delay / 2.0, spread: 0.3, operator_load, ..plan }
+}
+
+/// A day with random faults of any kind, one after the other.
+pub fn random_long_day(_: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let cores = [3, 3, 3, 4, 5][rng.usize(0..5)];
-    let operator_load = OperatorLoad {
-        operators: 4,
-        twin_fraction: 0.4,
-        resend_fraction: 0.4,
-        lost_fraction: 0.15,
-        labels: 2 + rng.usize(0..6),
-        ..OperatorLoad::default()
-    };
-    let far = if rng.u8(0..3) == 0 { 0.006 } else { 0.0005 };
-    let plan = control(cores, (cores - 1) / 2);
-    let plan =
-        DeploymentPlan { length: 50.0, delay: far, jitter: far / 2.0, spread: 0.3, operator_load, ..plan };
+    let load = OperatorLoad { operators: 4, ..OperatorLoad::default() };
+    let plan = DeploymentPlan { length: 50.0, ..control(cores, (cores - 1) / 2) };
+    let plan = draw_load_and_delay(rng, load, plan);
     let days = random_faults(rng, &plan);
-    let _ = seed;
     (plan, days)
 }
 
--- a/crates/simulation/tests/scenarios/worst_days.rs
+++ b/crates/simulation/tests/scenarios/worst_days.rs
@@ -2,7 +2,7 @@
 //! day, within what may be lost at once; what loses nothing comes at any moment beside it. And the long run over
 //! thousands of seeds.
 
-use super::long_days::{concurrent_changes, random_long_day};
+use super::long_days::{concurrent_changes, draw_load_and_delay, random_long_day};
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
 use whinstall_simulation::network::NodeRef;
@@ -10,7 +10,7 @@
 use whinstall_simulation::partitions::{Direction, Participant, Partition};
 use whinstall_simulation::severe_faults::SevereFault;
 use whinstall_simulation::trials::{control, play, severe, told, trial, FaultSchedule};
-use whinstall_simulation::DeploymentPlan;
+use whinstall_simulation::{DeploymentPlan, World};
 
 /// What comes back counts as lost for so long: seconds, as the settings have it.
 const RESYNC: f64 = 4.0;
@@ -214,24 +214,9 @@
 fn random_worst_day(_: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
     let cores = [3, 3, 4, 5][rng.usize(0..4)];
     let losses = (cores - 1) / 2;
-    let operator_load = OperatorLoad {
-        operators: 3,
-        at_once: 1 + rng.usize(0..2),
-        pause: 1.5,
-        twin_fraction: 0.4,
-        resend_fraction: 0.4,
-        lost_fraction: 0.15,
-        labels: 2 + rng.usize(0..6),
-        ..OperatorLoad::default()
-    };
-    let far = if rng.u8(0..3) == 0 { 0.006 } else { 0.0005 };
-    let plan = DeploymentPlan {
-        delay: far,
-        jitter: far / 2.0,
-        spread: 0.3,
-        operator_load,
-        ..control(cores, losses)
-    };
+    let at_once = 1 + rng.usize(0..2);
+    let load = OperatorLoad { operators: 3, at_once, pause: 1.5, ..OperatorLoad::default() };
+    let plan = draw_load_and_delay(rng, load, control(cores, losses));
     let mut kinds: Vec<usize> = (0..KINDS).collect();
     rng.shuffle(&mut kinds);
     kinds.truncate(3 + rng.usize(0..4));
@@ -307,71 +292,115 @@
     );
 }
 
+/// Which seeds a long run plays, and how.
+struct LongRun {
+    first_seed: u64,
+    seed_count: u64,
+    /// If not 0: each day holds this many further changes, eight at once.
+    change_count: u64,
+    scenario: fn(u64, &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule),
+    threads: u64,
+}
+
+/// Sums over the days of a long run, and the seeds that broke a rule.
+#[derive(Default)]
+struct LongRunResult {
+    failed: Vec<(u64, Vec<String>)>,
+    orders: u64,
+    confirmed: u64,
+    reads: u64,
+    quota_leader_changes: u64,
+    settled_secs: u64,
+}
+
+impl LongRun {
+    fn from_environment() -> Self {
+        let number =
+            |name: &str, default| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default);
+        let spread = std::env::var("DAYS").is_ok_and(|days| days == "spread");
+        LongRun {
+            first_seed: number("FIRST", 100_000),
+            seed_count: number("SEEDS", 200),
+            change_count: number("CHANGES", 0),
+            scenario: if spread { random_long_day } else { random_worst_day },
+            threads: number("THREADS", 4).max(1),
+        }
+    }
+
+    /// Plays one seed's day; `None` if it panicked.
+    fn play_seed(&self, seed: u64) -> Option<World> {
+        let (mut plan, days) = (self.scenario)(seed, &mut fastrand::Rng::with_seed(seed));
+        if self.change_count > 0 {
+            plan.operator_load = OperatorLoad {
+                labels: plan.operator_load.labels,
+                until: plan.length - 12.0,
+                ..concurrent_changes(self.change_count as usize)
+            };
+        }
+        if self.seed_count == 1 {
+            let days: String = days.iter().map(|d| format!("{d:?}\n")).collect();
+            println!("{plan:?}\n{days}");
+        }
+        std::panic::catch_unwind(|| play(seed, plan, &days)).ok()
+    }
+
+    fn run(&self) -> LongRunResult {
+        let next = std::sync::atomic::AtomicU64::new(self.first_seed);
+        let result = std::sync::Mutex::new(LongRunResult::default());
+        std::thread::scope(|scope| {
+            for _ in 0..self.threads {
+                scope.spawn(|| loop {
+                    let seed = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+                    if seed >= self.first_seed + self.seed_count {
+                        return;
+                    }
+                    let world = self.play_seed(seed);
+                    result.lock().expect("the counts").add(seed, world);
+                });
+            }
+        });
+        result.into_inner().expect("the counts")
+    }
+}
+
+impl LongRunResult {
+    fn add(&mut self, seed: u64, world: Option<World>) {
+        let Some(world) = world else {
+            println!("seed {seed} panicked");
+            self.failed.push((seed, vec!["PANIC: see above".to_owned()]));
+            return;
+        };
+        let records = &world.operator_records;
+        self.orders += records.orders.len() as u64;
+        self.confirmed += records.orders.iter().filter(|o| o.confirmed.is_some()).count() as u64;
+        self.reads += records.reads.len() as u64;
+        self.quota_leader_changes += world.invariants.quota_leader_changes;
+        self.settled_secs += world.invariants.settled_for as u64;
+        if !world.auditor.violations.is_empty() {
+            println!("seed {seed}: {}", world.auditor.violations[0]);
+            self.failed.push((seed, world.auditor.violations));
+        }
+    }
+}
+
 /// `SEEDS=2000 THREADS=4 cargo test --release -p whinstall-simulation long_run -- --ignored --nocapture`; `FIRST`: the first seed;
 /// `CHANGES`: each day holds so many more changes, eight at once; `DAYS=spread`: those of `random_long_days`. A single
 /// seed's day is printed.
 #[test]
 #[ignore = "thousands of seeds: run by hand"]
 fn long_run() {
-    let number =
-        |name: &str, default| std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default);
-    let (first, many_seeds, changes) = (number("FIRST", 100_000), number("SEEDS", 200), number("CHANGES", 0));
-    let spread = std::env::var("DAYS").is_ok_and(|days| days == "spread");
-    let story = if spread { random_long_day } else { random_worst_day };
-    let threads = number("THREADS", 4).max(1);
-    let next = std::sync::atomic::AtomicU64::new(first);
-    let all = std::sync::Mutex::new((Vec::new(), [0u64; 5]));
-    std::thread::scope(|scope| {
-        for _ in 0..threads {
-            scope.spawn(|| loop {
-                let seed = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                if seed >= first + many_seeds {
-                    return;
-                }
-                let (mut plan, days) = story(seed, &mut fastrand::Rng::with_seed(seed));
-                if changes > 0 {
-                    plan.operator_load = OperatorLoad {
-                        labels: plan.operator_load.labels,
-                        until: plan.length - 12.0,
-                        ..concurrent_changes(changes as usize)
-                    };
-                }
-                let told =
-                    (many_seeds == 1).then(|| days.iter().map(|d| format!("{d:?}\n")).collect::<String>());
-                told.into_iter().for_each(|days| println!("{plan:?}\n{days}"));
-                let done = std::panic::catch_unwind(|| play(seed, plan, &days));
-                let mut all = all.lock().expect("the counts");
-                let Ok(world) = done else {
-                    println!("seed {seed} panicked");
-                    all.0.push((seed, vec!["PANIC: see above".to_owned()]));
-                    continue;
-                };
-                let o = &world.operator_records.orders;
-                let confirmed = o.iter().filter(|o| o.confirmed.is_some()).count();
-                let counts = [
-                    o.len() as u64,
-                    confirmed as u64,
-                    world.operator_records.reads.len() as u64,
-                    world.invariants.quota_leader_changes,
-                ];
-                for (sum, n) in
-                    all.1.iter_mut().zip(counts.into_iter().chain([world.invariants.settled_for as u64]))
-                {
-                    *sum += n;
-                }
-                if !world.auditor.violations.is_empty() {
-                    println!("seed {seed}: {}", world.auditor.violations[0]);
-                    all.0.push((seed, world.auditor.violations));
-                }
-            });
-        }
-    });
-    let (mut failed, [orders, confirmed, reads, holders, settled]) = all.into_inner().expect("the counts");
-    failed.sort();
+    let run = LongRun::from_environment();
+    let mut result = run.run();
+    result.failed.sort();
     println!(
-        "{many_seeds} seeds: {orders} orders, {confirmed} confirmed, {reads} reads, {holders} changes of the \
-         counter's holder, {settled} s settled, {} seeds failed",
-        failed.len()
+        "{} seeds: {} orders, {} confirmed, {} reads, {} changes of the counter's holder, {} s settled, {} seeds failed",
+        run.seed_count,
+        result.orders,
+        result.confirmed,
+        result.reads,
+        result.quota_leader_changes,
+        result.settled_secs,
+        result.failed.len()
     );
-    assert!(failed.is_empty(), "{}", told(&failed, many_seeds));
+    assert!(result.failed.is_empty(), "{}", told(&result.failed, run.seed_count));
 }
