--- a/crates/simulation/src/edge_invariants.rs
+++ b/crates/simulation/src/edge_invariants.rs
@@ -6,30 +6,66 @@
 use super::World;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
+/// What an edge node shows at one check.
+struct ObservedEdge {
+    edge: usize,
+    incarnation: u64,
+    is_ready: bool,
+    /// Contents of the operators' routes, by register.
+    routes: BTreeMap<usize, u64>,
+}
+
 impl World {
+    /// Checks one edge node. `due` must be served by nodes that were in contact with a settled core for long enough,
+    /// `due_outer` by those that were in contact with a majority, settled or not.
     pub(crate) fn check_edge(
         &mut self,
         n: usize,
         most: Option<&BTreeSet<usize>>,
         (due, due_outer): (&[ExpectedVersion], &[ExpectedVersion]),
     ) {
-        let (now, node) = (self.now, &self.edges[n]);
-        let Some(edge) = &node.edge else {
+        let Some(observed) = self.observe_edge(n) else {
             self.invariants.edge_reach_since.remove(&n);
             self.invariants.edge_outer_since.remove(&n);
             return;
         };
-        let incarnation = node.incarnation;
-        let reaches = |core: &usize| self.can_exchange(Participant::Edge(n), Participant::Core(*core));
-        let steady =
-            most.is_some_and(|most| most.iter().all(reaches)) && !node.frozen && now > node.faulty_until;
-        let clock = 1000.0 + (now - node.booted_at) * node.clock_rate;
-        let ready = edge.is_ready(clock);
+        self.update_edge_contact(n, most);
+        let mut violations = Vec::new();
+        self.check_edge_readiness(&observed, &mut violations);
+        self.check_edge_progress(&observed, &mut violations);
+        let now = self.now;
+        let in_touch = |since: &HashMap<usize, f64>| since.get(&n).is_some_and(|at| now - *at > CONTACT);
+        let in_touch_settled = in_touch(&self.invariants.edge_reach_since);
+        let in_touch_outer = in_touch(&self.invariants.edge_outer_since);
+        for (_, due) in
+            [(in_touch_settled, due), (in_touch_outer, due_outer)].iter().filter(|(held, _)| *held)
+        {
+            self.check_edge_is_current(&observed, due, &mut violations);
+        }
+        for content in observed.routes.values() {
+            self.check_not_rejected(*content, "served");
+        }
+        self.auditor.violations.extend(violations);
+    }
+
+    fn observe_edge(&self, n: usize) -> Option<ObservedEdge> {
+        let node = &self.edges[n];
+        let edge = node.edge.as_ref()?;
+        let clock = 1000.0 + (self.now - node.booted_at) * node.clock_rate;
         let routes = edge.active_config.routes().filter_map(|r| {
             let label = r.label.strip_prefix("x-")?.parse::<usize>().ok()?;
             Some((label, content(&r.path_prefix)?))
         });
-        let shown: BTreeMap<usize, u64> = routes.collect();
+        let (incarnation, is_ready) = (node.incarnation, edge.is_ready(clock));
+        Some(ObservedEdge { edge: n, incarnation, is_ready, routes: routes.collect() })
+    }
+
+    /// Notes since when the node reaches the whole majority.
+    fn update_edge_contact(&mut self, n: usize, most: Option<&BTreeSet<usize>>) {
+        let (now, node) = (self.now, &self.edges[n]);
+        let reaches = |core: &usize| self.can_exchange(Participant::Edge(n), Participant::Core(*core));
+        let steady =
+            most.is_some_and(|most| most.iter().all(reaches)) && !node.frozen && now > node.faulty_until;
         match steady && self.invariants.settled_since.is_some() {
             true => drop(self.invariants.edge_reach_since.entry(n).or_insert(now)),
             false => drop(self.invariants.edge_reach_since.remove(&n)),
@@ -38,60 +74,71 @@
             true => drop(self.invariants.edge_outer_since.entry(n).or_insert(now)),
             false => drop(self.invariants.edge_outer_since.remove(&n)),
         }
-        let mut wrong = Vec::new();
+    }
+
+    /// READY: a node is ready only once this incarnation heard a core node that was not cut off.
+    fn check_edge_readiness(&mut self, observed: &ObservedEdge, violations: &mut Vec<String>) {
+        let (now, n, incarnation) = (self.now, observed.edge, observed.incarnation);
         if !self.invariants.edges_in_contact.contains(&(n, incarnation))
-            && ready
+            && observed.is_ready
             && self.invariants.reported.insert((incarnation, format!("ready {n}")))
         {
-            wrong.push(format!("READY {now:.3}: edge {n}, which met only a core machine that is cut off"));
+            violations
+                .push(format!("READY {now:.3}: edge {n}, which met only a core machine that is cut off"));
         }
-        for (label, content) in &shown {
+    }
+
+    /// BACK: an incarnation never goes back to a lower version, or drops a register. BEHIND: a ready node never serves a
+    /// lower version than an earlier incarnation did.
+    fn check_edge_progress(&mut self, observed: &ObservedEdge, violations: &mut Vec<String>) {
+        let (now, n, incarnation) = (self.now, observed.edge, observed.incarnation);
+        for (label, content) in &observed.routes {
             let Some(order) = self.operator_records.orders.get(*content as usize) else { continue };
             let version = order.version;
-            self.invariants.check_content(now, *label, version, *content, "served", &mut wrong);
+            self.invariants.check_content(now, *label, version, *content, "served", violations);
             let held = self.invariants.served.entry((n, incarnation, *label)).or_default();
             if *held > version {
-                wrong.push(format!("BACK {now:.3}: edge {n} serves x-{label} by r{version} after r{held}"));
+                violations
+                    .push(format!("BACK {now:.3}: edge {n} serves x-{label} by r{version} after r{held}"));
             }
             *held = version;
             let ever = self.invariants.served_ever.entry((n, *label)).or_default();
-            if ready
+            if observed.is_ready
                 && *ever > version
                 && self.invariants.reported.insert((*ever, format!("ever {n} {label}")))
             {
                 let text = format!("BEHIND {now:.3}: edge {n}, ready, serves x-{label} by r{version}");
-                wrong.push(format!("{text}, a former life by r{ever}"));
+                violations.push(format!("{text}, a former life by r{ever}"));
             }
             *ever = version.max(*ever);
         }
-        let gone = self.invariants.served.iter().filter(|((e, l, label), v)| {
-            (*e, *l) == (n, incarnation) && **v > 0 && !shown.contains_key(label)
+        let dropped = self.invariants.served.iter().filter(|((e, l, label), v)| {
+            (*e, *l) == (n, incarnation) && **v > 0 && !observed.routes.contains_key(label)
         });
-        let gone: Vec<usize> = gone.map(|((_, _, label), _)| *label).collect();
-        for label in gone {
-            wrong.push(format!("BACK {now:.3}: edge {n} serves x-{label} no more"));
+        let dropped: Vec<usize> = dropped.map(|((_, _, label), _)| *label).collect();
+        for label in dropped {
+            violations.push(format!("BACK {now:.3}: edge {n} serves x-{label} no more"));
             self.invariants.served.remove(&(n, incarnation, label));
         }
-        let in_touch = |since: &HashMap<usize, f64>| since.get(&n).is_some_and(|at| now - *at > CONTACT);
-        for (held, due) in [
-            (in_touch(&self.invariants.edge_reach_since), due),
-            (in_touch(&self.invariants.edge_outer_since), due_outer),
-        ] {
-            for (label, version, at) in due.iter().filter(|_| held) {
-                let served = self.invariants.served.get(&(n, incarnation, *label)).copied().unwrap_or(0);
-                if served < *version
-                    && self.invariants.reported.insert((*version, format!("settle {n} {label}")))
-                {
-                    wrong.push(format!(
-                        "SETTLE {now:.3}: edge {n} serves x-{label} by r{served}, r{version} since {at:.3}"
-                    ));
-                }
+    }
+
+    /// SETTLE: the node serves each of these versions or a higher one.
+    fn check_edge_is_current(
+        &mut self,
+        observed: &ObservedEdge,
+        due: &[ExpectedVersion],
+        violations: &mut Vec<String>,
+    ) {
+        let (now, n, incarnation) = (self.now, observed.edge, observed.incarnation);
+        for (label, version, at) in due {
+            let served = self.invariants.served.get(&(n, incarnation, *label)).copied().unwrap_or(0);
+            if served < *version && self.invariants.reported.insert((*version, format!("settle {n} {label}")))
+            {
+                violations.push(format!(
+                    "SETTLE {now:.3}: edge {n} serves x-{label} by r{served}, r{version} since {at:.3}"
+                ));
             }
         }
-        for content in shown.values() {
-            self.check_not_rejected(*content, "served");
-        }
-        self.auditor.violations.extend(wrong);
     }
 
     /// The highest number of each register that was confirmed so long ago, but not before.
