--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -7,7 +7,7 @@
 
 impl World {
     pub fn send_client_request(&mut self) {
-        let hot = if self.now < self.hot_tenant.0 { self.hot_tenant.1 } else { 1.0 };
+        let hot = if self.now < self.hot_tenant.until { self.hot_tenant.factor } else { 1.0 };
         let big = 0.4 * hot;
         let all = big + 0.6;
         let wait = -(1.0 - self.rng.f64()).ln() / (self.plan.rate * all);
--- a/crates/simulation/src/control_calls.rs
+++ b/crates/simulation/src/control_calls.rs
@@ -72,8 +72,8 @@
             self.change_responded(order, core, status);
         }
         let operator = matches!(call.by, CallOrigin::Change { .. } | CallOrigin::Read { .. });
-        let deaf = Some(self.lost_responses.1)
-            .filter(|_| self.now < self.lost_responses.0 && self.is_operator_call(&call));
+        let deaf = Some(self.lost_responses.fraction)
+            .filter(|_| self.now < self.lost_responses.until && self.is_operator_call(&call));
         let part = deaf
             .or(Some(self.plan.operator_load.lost_fraction).filter(|_| operator))
             .filter(|_| !self.operator.done);
--- a/crates/simulation/src/edge_invariants.rs
+++ b/crates/simulation/src/edge_invariants.rs
@@ -144,8 +144,8 @@
     /// The highest number of each register that was confirmed so long ago, but not before.
     pub(crate) fn confirmed_orders(&self, since: f64, ago: f64) -> Vec<ExpectedVersion> {
         let mut newest: BTreeMap<usize, (u64, f64)> = BTreeMap::new();
-        for o in self.operator_records.orders.iter().filter(|o| o.sort == ChangeValidity::Proper) {
-            let at = o.confirmed.filter(|at| *at >= since && self.now - at > ago + EVERY);
+        for o in self.operator_records.orders.iter().filter(|o| o.validity == ChangeValidity::Proper) {
+            let at = o.confirmed_at.filter(|at| *at >= since && self.now - at > ago + EVERY);
             let Some(at) = at else { continue };
             for label in &o.labels {
                 let held = newest.entry(*label).or_insert((o.version, at));
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -3,6 +3,7 @@
 
 use super::network::NodeRef;
 use super::severe_faults::SevereFault;
+use super::world::TenantSurge;
 use super::{SimulationEvent, World};
 use whinstall_gateway::consensus::{LogWrite, Snapshot};
 use whinstall_gateway::control_plane::{self, CoreNode};
@@ -31,13 +32,13 @@
         dark: bool,
     },
     /// Cut off from the other core machines.
-    CutCore {
+    PartitionCore {
         core: usize,
         secs: f64,
         one_way: bool,
     },
     /// Cut off from the core.
-    CutEdge {
+    PartitionEdge {
         edge: usize,
         secs: f64,
     },
@@ -51,7 +52,7 @@
         secs: f64,
     },
     /// All core processes are killed at the same moment.
-    KillAllCore {
+    KillAllCores {
         down: f64,
     },
     /// Every machine loses power; the disks of some are lost.
@@ -70,7 +71,7 @@
     /// What operators call their worst days.
     Severe(SevereFault),
     /// One tenant sends this many times its usual.
-    Hot {
+    TenantSurge {
         times: f64,
         secs: f64,
     },
@@ -252,13 +253,13 @@
                     self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
                 }
             }
-            Fault::CutCore { core, secs, one_way } => {
+            Fault::PartitionCore { core, secs, one_way } => {
                 self.links.cut_core(*core, *one_way, true);
                 self.mark_core_disturbed();
                 self.unsettled_until = self.unsettled_until.max(self.now + secs + contact);
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
-            Fault::CutEdge { edge, secs } => {
+            Fault::PartitionEdge { edge, secs } => {
                 self.links.cut_edge(*edge, true);
                 self.mark_edge_faulty_for(*edge, secs + contact);
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
@@ -278,7 +279,7 @@
                 }
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
-            Fault::KillAllCore { down } => {
+            Fault::KillAllCores { down } => {
                 // One that was removed, or was lost for good, has no process that could come back.
                 for n in self.listed_cores() {
                     self.kill(NodeRef::Core(n), false);
@@ -307,7 +308,9 @@
             }
             Fault::DrainWorker { worker } => self.workers[*worker].leaves(),
             Fault::Severe(severe) => self.inject_severe_fault(severe.clone()),
-            Fault::Hot { times, secs } => self.hot_tenant = (self.now + secs, *times),
+            Fault::TenantSurge { times, secs } => {
+                self.hot_tenant = TenantSurge { until: self.now + secs, factor: *times }
+            }
         }
     }
 
@@ -325,12 +328,12 @@
     }
 
     pub fn end_fault(&mut self, fault: Fault) {
-        if matches!(fault, Fault::CutCore { .. }) {
+        if matches!(fault, Fault::PartitionCore { .. }) {
             self.mark_core_disturbed();
         }
         match fault {
-            Fault::CutCore { core, one_way, .. } => self.links.cut_core(core, one_way, false),
-            Fault::CutEdge { edge, .. } => self.links.cut_edge(edge, false),
+            Fault::PartitionCore { core, one_way, .. } => self.links.cut_core(core, one_way, false),
+            Fault::PartitionEdge { edge, .. } => self.links.cut_edge(edge, false),
             Fault::Freeze { who, .. } => self.set_frozen(who, false),
             _ => {}
         }
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -204,7 +204,7 @@
             let rival = o.rival.map(|r| &self.operator_records.orders[r]);
             // Of two under one number one is owed an answer.
             let beaten = rival.is_some_and(|r| !r.unanswered() || r.began < o.began);
-            if o.sort == ChangeValidity::Invalid || beaten {
+            if o.validity == ChangeValidity::Invalid || beaten {
                 continue;
             }
             let Some(reach) = self.invariants.reach_since.get(&(o.operator + 1)) else { continue };
@@ -219,7 +219,7 @@
         self.operator_records.waiting = waiting;
         let reach = self.invariants.reach_since.get(&0).copied();
         if let Some((began, reach)) = self.operator.waits.zip(reach) {
-            let since = began.max(settled).max(reach).max(self.lost_responses.0);
+            let since = began.max(settled).max(reach).max(self.lost_responses.until);
             if self.now > since + ACK + 0.05 && self.invariants.overdue_changes.insert(usize::MAX) {
                 let now = self.now;
                 self.auditor
@@ -234,11 +234,11 @@
         if self.plan.operator_load.operators == 0 {
             return;
         }
-        let proper = self.operator_records.orders.iter().filter(|o| o.sort == ChangeValidity::Proper);
+        let proper = self.operator_records.orders.iter().filter(|o| o.validity == ChangeValidity::Proper);
         let writes: Vec<Write> = proper
             .map(|o| Write {
                 from: o.began,
-                to: o.confirmed.unwrap_or(f64::INFINITY),
+                to: o.confirmed_at.unwrap_or(f64::INFINITY),
                 labels: o.labels.clone(),
                 number: o.version,
                 content: o.content,
--- a/crates/simulation/src/misbehaving_core.rs
+++ b/crates/simulation/src/misbehaving_core.rs
@@ -20,13 +20,13 @@
 impl World {
     /// Answers a call as the spoiled machine would; `false`: it goes on as usual.
     pub fn misbehaving_response(&mut self, n: usize, call: &ControlCall, command: &ApiCommand) -> bool {
-        let Some(spoiled) = self.plan.spoiled else { return false };
+        let Some(misbehaviour) = self.plan.misbehaviour else { return false };
         let Some(core) = self.cores[n].core.as_ref() else { return false };
         let now = 1000.0 + (self.now - self.cores[n].booted_at) * self.cores[n].clock_rate;
         let hears = core.raft.leader(core.context.log_time(now)).is_some();
         let led = core.raft.is_leader() || !hears && self.invariants.was_quota_leader(n);
         let state = &core.configuration.state;
-        let answer = match (spoiled, command) {
+        let answer = match (misbehaviour, command) {
             (Misbehaviour::LeaderReads, ApiCommand::Read) if led => Some((200, state.to_json())),
             (Misbehaviour::FollowerReads, ApiCommand::Read) if !core.raft.is_leader() => {
                 Some((200, state.to_json()))
--- a/crates/simulation/src/operator_sessions.rs
+++ b/crates/simulation/src/operator_sessions.rs
@@ -61,7 +61,7 @@
         self.operator_records.issued += 1;
         self.operator_records.version += 1;
         let (version, draw) = (self.operator_records.version, self.rng.f64());
-        let sort = match draw {
+        let validity = match draw {
             _ if draw < invalid => ChangeValidity::Invalid,
             _ if draw < invalid + shared => ChangeValidity::SharedKey,
             _ => ChangeValidity::Proper,
@@ -77,13 +77,13 @@
         };
         let first = self.rng.usize(0..labels);
         let ours = some(&mut self.rng, first);
-        let one = self.record_change(operator, sort, ours.clone(), version, version);
-        let twin =
-            sort == ChangeValidity::SharedKey || sort == ChangeValidity::Proper && self.rng.f64() < twins;
+        let one = self.record_change(operator, validity, ours.clone(), version, version);
+        let twin = validity == ChangeValidity::SharedKey
+            || validity == ChangeValidity::Proper && self.rng.f64() < twins;
         if twin {
             let other = self.rng.usize(0..self.plan.operator_load.operators);
             let theirs = if self.rng.bool() { ours } else { some(&mut self.rng, first) };
-            let two = self.record_change(other, sort, theirs, version, version);
+            let two = self.record_change(other, validity, theirs, version, version);
             (self.operator_records.orders[one].rival, self.operator_records.orders[two].rival) =
                 (Some(two), Some(one));
             let core = self.rng.usize(0..64);
@@ -104,31 +104,31 @@
     pub(crate) fn record_change(
         &mut self,
         operator: usize,
-        sort: ChangeValidity,
+        validity: ChangeValidity,
         labels: Vec<usize>,
         version: u64,
         key: u64,
     ) -> usize {
         let content = self.operator_records.orders.len() as u64;
-        let items = items(sort, &labels, version, content, key, self.plan.operator_load.note);
-        let (taken, confirmed, refused, rival) = (None, None, None, None);
+        let items = items(validity, &labels, version, content, key, self.plan.operator_load.note);
+        let (accepted_at, confirmed_at, rejected, rival) = (None, None, None, None);
         let began = self.now;
-        let (open, given_up, tries) = (true, false, 0);
+        let (open, given_up, attempts) = (true, false, 0);
         self.operator_records.orders.push(SentChange {
             operator,
-            sort,
+            validity,
             labels,
             version,
             content,
             items,
             began,
-            taken,
-            confirmed,
-            refused,
+            accepted_at,
+            confirmed_at,
+            rejected,
             rival,
             open,
             given_up,
-            tries,
+            attempts,
         });
         self.operator_records.waiting.push(content as usize);
         content as usize
@@ -140,29 +140,30 @@
         let now = self.now;
         let o = &self.operator_records.orders[order];
         let rival = o.rival.map(|r| &self.operator_records.orders[r]);
-        let who = format!("order {order} (r{} of {:?}, {:?}) at core {core}", o.version, o.labels, o.sort);
+        let who =
+            format!("order {order} (r{} of {:?}, {:?}) at core {core}", o.version, o.labels, o.validity);
         let mut wrong = None;
         match status {
-            200 if o.sort == ChangeValidity::Invalid => {
+            200 if o.validity == ChangeValidity::Invalid => {
                 wrong = Some(format!("INVALID {now:.3}: {who} was confirmed"))
             }
             200 => {
-                if let Some((at, status)) = o.refused.filter(|r| r.1 == 409) {
+                if let Some((at, status)) = o.rejected.filter(|r| r.1 == 409) {
                     wrong = Some(format!("NUMBER {now:.3}: {who} is confirmed, {status} at {at:.3}"));
                 }
-                if let Some(at) = rival.and_then(|r| r.taken) {
+                if let Some(at) = rival.and_then(|r| r.accepted_at) {
                     let (what, other) =
-                        (if o.sort == ChangeValidity::Proper { "NUMBER" } else { "KEY" }, o.rival);
+                        (if o.validity == ChangeValidity::Proper { "NUMBER" } else { "KEY" }, o.rival);
                     wrong = Some(format!(
                         "{what} {now:.3}: {who} is confirmed, its rival {other:?} was at {at:.3}"
                     ));
                 }
             }
             400 | 409 => {
-                if let Some(at) = o.taken {
+                if let Some(at) = o.accepted_at {
                     wrong = Some(format!("REFUSED {now:.3}: {who} gets {status}, confirmed at {at:.3}"));
                 }
-                let proper = match o.sort {
+                let proper = match o.validity {
                     ChangeValidity::Proper => status == 409 && rival.is_some(),
                     ChangeValidity::Invalid | ChangeValidity::SharedKey => status == 400,
                 };
@@ -177,8 +178,8 @@
         let o = &mut self.operator_records.orders[order];
         match status {
             200 => {
-                let first = o.taken.replace(o.taken.unwrap_or(now)).is_none();
-                for label in o.labels.clone().into_iter().filter(|_| o.sort == ChangeValidity::Proper) {
+                let first = o.accepted_at.replace(o.accepted_at.unwrap_or(now)).is_none();
+                for label in o.labels.clone().into_iter().filter(|_| o.validity == ChangeValidity::Proper) {
                     let (version, content) = (o.version, o.content);
                     self.invariants.check_content(
                         now,
@@ -194,7 +195,7 @@
                 }
             }
             400 | 409 => {
-                o.refused.get_or_insert((now, status));
+                o.rejected.get_or_insert((now, status));
             }
             _ => {}
         }
@@ -209,7 +210,7 @@
         }
         let first = std::mem::take(&mut o.open);
         if status == 200 {
-            o.confirmed.get_or_insert(self.now);
+            o.confirmed_at.get_or_insert(self.now);
             if first && self.rng.f64() < self.plan.operator_load.resend_fraction {
                 let late = 8.0 * self.rng.f64() * self.rng.f64();
                 self.schedule_after(late, SimulationEvent::OperatorTurn(OperatorStep::Again(order)));
@@ -230,10 +231,10 @@
     pub fn change_failed(&mut self, call: ControlCall) {
         let CallOrigin::Change { order, again, .. } = call.by else { return };
         let o = &mut self.operator_records.orders[order];
-        o.tries += 1;
+        o.attempts += 1;
         // Twins may stay without a clear answer, and so may what is sent again.
-        let enough = if o.confirmed.is_some() { 40 } else { 25 };
-        if (again || o.rival.is_some()) && o.tries > enough {
+        let enough = if o.confirmed_at.is_some() { 40 } else { 25 };
+        if (again || o.rival.is_some()) && o.attempts > enough {
             o.given_up = true;
             return self.schedule_next_change(again, order);
         }
@@ -293,7 +294,7 @@
     pub fn check_not_rejected(&mut self, content: u64, seen: &str) {
         let now = self.now;
         let Some(o) = self.operator_records.orders.get(content as usize) else { return };
-        if let Some((at, status)) = o.refused {
+        if let Some((at, status)) = o.rejected {
             if self.invariants.reported.insert((content, seen.into())) {
                 let text = format!("REFUSED {now:.3}: order {content} stands as {seen}, {status} at {at:.3}");
                 self.auditor.violations.push(text);
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub struct SentChange {
     pub operator: usize,
-    pub sort: ChangeValidity,
+    pub validity: ChangeValidity,
     pub labels: Vec<usize>,
     pub version: u64,
     /// Differs from that of all other orders.
@@ -78,23 +78,23 @@
     pub items: Vec<ConfigItem>,
     pub began: f64,
     /// When a 200 first left a core machine.
-    pub taken: Option<f64>,
+    pub accepted_at: Option<f64>,
     /// When its operator first heard a 200.
-    pub confirmed: Option<f64>,
+    pub confirmed_at: Option<f64>,
     /// When a core machine first refused it.
-    pub refused: Option<(f64, u16)>,
+    pub rejected: Option<(f64, u16)>,
     /// The other one under the same number, or with the same key.
     pub rival: Option<usize>,
     /// Was no answer heard yet?
     pub open: bool,
     pub given_up: bool,
-    pub(crate) tries: u32,
+    pub(crate) attempts: u32,
 }
 
 impl SentChange {
     /// Did no clear answer leave the core yet? One that is lost on its way counts as an answer.
     pub fn unanswered(&self) -> bool {
-        self.taken.is_none() && self.refused.is_none() && !self.given_up
+        self.accepted_at.is_none() && self.rejected.is_none() && !self.given_up
     }
 }
 
@@ -132,14 +132,14 @@
 }
 
 pub(crate) fn items(
-    sort: ChangeValidity,
+    validity: ChangeValidity,
     labels: &[usize],
     version: u64,
     content: u64,
     key: u64,
     note: usize,
 ) -> Vec<ConfigItem> {
-    let body = match sort {
+    let body = match validity {
         ChangeValidity::Proper => {
             let prefix = |l: &usize| format!("/{l}/{content}/");
             let mut all: Vec<_> =
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -17,8 +17,8 @@
     pub quota: f64,
     pub lost_answers: f64,
     /// Core machines start within so long of each other, these that much later still.
-    pub spread: f64,
-    pub late: Vec<(usize, f64)>,
+    pub start_spread: f64,
+    pub start_delays: Vec<(usize, f64)>,
     /// Seconds that each step takes in which a new disk is made: the mark, its sync, the database.
     pub disk_creation_step: f64,
     /// No tenant has a quota.
@@ -36,7 +36,7 @@
     /// The list of addresses that a machine gets at its start is so old: seconds.
     pub seed_delay: f64,
     /// A fault that is put in.
-    pub spoiled: Option<Misbehaviour>,
+    pub misbehaviour: Option<Misbehaviour>,
 }
 
 impl Default for DeploymentPlan {
@@ -52,8 +52,8 @@
             length: 24.0,
             quota: 20.0,
             lost_answers: 0.01,
-            spread: 0.0,
-            late: Vec::new(),
+            start_spread: 0.0,
+            start_delays: Vec::new(),
             disk_creation_step: 0.0,
             unlimited: false,
             operator_load: OperatorLoad::default(),
@@ -63,7 +63,7 @@
             disk_rate: 50e6,
             resync: 4.0,
             seed_delay: 0.0,
-            spoiled: None,
+            misbehaviour: None,
         }
     }
 }
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -5,25 +5,26 @@
 use super::network::NodeRef;
 use super::partitions::{Direction, Participant, Partition};
 pub use super::snapshot_crashes::{CrashTarget, PendingCrash, SnapshotCrash, SnapshotStage};
+use super::world::ResponseLoss;
 use super::{SimulationEvent, World};
 use whinstall_gateway::control_plane;
 
 /// A trouble of such a day.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SevereFault {
-    Cut {
+    Partition {
         cut: Partition,
         secs: f64,
     },
     /// Cut off is whichever core machine answered last as the counter, with some of the others' callers.
-    CutHolder {
+    PartitionQuotaLeader {
         edges: Vec<usize>,
         workers: Vec<usize>,
         operators: Vec<usize>,
         secs: f64,
     },
     /// The same, from all others or from the next core machine only, one way or both.
-    CutLeader {
+    PartitionLeader {
         way: Direction,
         pair: bool,
         secs: f64,
@@ -42,24 +43,24 @@
         seeds: Vec<usize>,
     },
     /// SIGTERM, gone within a second; a successor with an empty disk at a new address starts so much later.
-    Replace {
+    ReplaceCore {
         core: usize,
         later: f64,
     },
     /// The same for whichever answered last as the counter.
-    ReplaceHolder {
+    ReplaceQuotaLeader {
         later: f64,
     },
     /// A spare at a new address.
-    Add,
+    AddCore,
     /// SIGTERM, gone within a second, for good.
-    Remove {
+    RemoveCore {
         core: usize,
     },
     /// The same for whichever answered last as the counter.
-    RemoveHolder,
+    RemoveQuotaLeader,
     /// Loses power with its disk for good: no successor.
-    Dies {
+    LoseCore {
         core: usize,
     },
     /// Syncs take so long for a while.
@@ -76,38 +77,38 @@
     /// Some lose power at a moment of the next snapshot.
     AtSnapshot(SnapshotCrash),
     /// The machine that confirms the next order loses power right after, and `more` others; its disk, too, if `wipe`.
-    HitAfterAck {
+    CrashAfterAck {
         down: f64,
         wipe: bool,
         more: usize,
     },
     /// SIGTERM, gone within a second, back with its disk so much later.
-    Term {
+    RestartGracefully {
         core: usize,
         down: f64,
     },
     /// Loses power with its disk for good; a successor at a new address starts so much later.
-    Succeed {
+    LoseAndReplaceCore {
         core: usize,
         later: f64,
     },
     /// The settings of these name other seeds; read while they run.
-    Reread {
+    ReloadSettings {
         who: Vec<NodeRef>,
         seeds: Vec<usize>,
     },
     /// A part of the answers to operators is lost for a while.
-    AcksLost {
+    LoseResponses {
         part: f64,
         secs: f64,
     },
     /// A part of a machine's connections are reset.
-    Reset {
+    ResetConnections {
         who: NodeRef,
         part: f64,
     },
     /// Gets a fifth of its time for a while.
-    Drag {
+    Throttle {
         core: usize,
         secs: f64,
     },
@@ -117,7 +118,7 @@
         secs: f64,
     },
     /// This, at whichever core machine answered last as the counter.
-    AtHolder(Box<Fault>),
+    AtQuotaLeader(Box<Fault>),
     /// All core machines lose power, and all gatekeepers if `edges`; some disks are lost.
     Blackout {
         down: f64,
@@ -130,11 +131,13 @@
     /// The same at this core machine.
     fn at(mut self, at: usize) -> Self {
         match &mut self {
-            Fault::KillCore { core, .. } | Fault::StallDisk { core, .. } | Fault::CutCore { core, .. } => {
-                *core = at
-            }
+            Fault::KillCore { core, .. }
+            | Fault::StallDisk { core, .. }
+            | Fault::PartitionCore { core, .. } => *core = at,
             Fault::Freeze { who, .. } => *who = NodeRef::Core(at),
-            Fault::Severe(SevereFault::Term { core, .. } | SevereFault::Drag { core, .. }) => *core = at,
+            Fault::Severe(
+                SevereFault::RestartGracefully { core, .. } | SevereFault::Throttle { core, .. },
+            ) => *core = at,
             Fault::Severe(SevereFault::DiskFull { core, .. } | SevereFault::SlowDisk { core, .. }) => {
                 *core = at
             }
@@ -166,12 +169,12 @@
     /// Injects a fault of the operators' worst days.
     pub fn inject_severe_fault(&mut self, severe: SevereFault) {
         match severe {
-            SevereFault::Cut { cut, secs } => self.cut(cut, secs),
-            SevereFault::CutHolder { edges, workers, operators, secs } => {
+            SevereFault::Partition { cut, secs } => self.cut(cut, secs),
+            SevereFault::PartitionQuotaLeader { edges, workers, operators, secs } => {
                 let holder = self.invariants.quota_leader().unwrap_or(0);
                 self.cut(Partition::side(&[holder], &edges, &workers, &operators, Direction::Both), secs);
             }
-            SevereFault::CutLeader { way, pair, secs } => self.cut_leader(way, pair, secs),
+            SevereFault::PartitionLeader { way, pair, secs } => self.cut_leader(way, pair, secs),
             SevereFault::RestartCore { core, down, power, wipe, seeds } => {
                 self.restart_core(core, down, power, wipe, seeds)
             }
@@ -181,12 +184,12 @@
                 self.mark_edge_faulty_for(edge, down + 3.0);
                 self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(edge)));
             }
-            SevereFault::Replace { core, later } => self.replace_core(core, later),
-            SevereFault::ReplaceHolder { later } => self.replace_core(self.listed_quota_leader(), later),
-            SevereFault::Add => self.add_core(),
-            SevereFault::Remove { core } => self.terminate_core(core),
-            SevereFault::RemoveHolder => self.terminate_core(self.listed_quota_leader()),
-            SevereFault::Dies { core } => {
+            SevereFault::ReplaceCore { core, later } => self.replace_core(core, later),
+            SevereFault::ReplaceQuotaLeader { later } => self.replace_core(self.listed_quota_leader(), later),
+            SevereFault::AddCore => self.add_core(),
+            SevereFault::RemoveCore { core } => self.terminate_core(core),
+            SevereFault::RemoveQuotaLeader => self.terminate_core(self.listed_quota_leader()),
+            SevereFault::LoseCore { core } => {
                 self.lose_core(core);
                 self.mark_core_faulty_for(0.0, self.plan.resync);
             }
@@ -195,28 +198,30 @@
             SevereFault::BlackoutAfterAck { down, edges } => {
                 self.arm_crash(PendingCrash::Blackout { down, edges })
             }
-            SevereFault::HitAfterAck { down, wipe, more } => {
+            SevereFault::CrashAfterAck { down, wipe, more } => {
                 self.arm_crash(PendingCrash::Hit { down, wipe, more })
             }
-            SevereFault::Term { core, down } => self.restart_core_gracefully(core, down),
-            SevereFault::Succeed { core, later } => self.lose_and_replace_core(core, later),
-            SevereFault::Reread { who, seeds } => {
+            SevereFault::RestartGracefully { core, down } => self.restart_core_gracefully(core, down),
+            SevereFault::LoseAndReplaceCore { core, later } => self.lose_and_replace_core(core, later),
+            SevereFault::ReloadSettings { who, seeds } => {
                 who.into_iter().for_each(|who| self.reload_settings(who, &seeds))
             }
-            SevereFault::AcksLost { part, secs } => self.lost_responses = (self.now + secs, part),
-            SevereFault::Reset { who, part } => {
+            SevereFault::LoseResponses { part, secs } => {
+                self.lost_responses = ResponseLoss { until: self.now + secs, fraction: part }
+            }
+            SevereFault::ResetConnections { who, part } => {
                 self.reset_some(who, part);
                 match who {
                     NodeRef::Core(_) => self.mark_core_faulty_for(0.0, 3.0),
                     NodeRef::Edge(n) => self.mark_edge_faulty_for(n, 3.0),
                 }
             }
-            SevereFault::Drag { core, secs } => self.throttle_core(core, secs),
+            SevereFault::Throttle { core, secs } => self.throttle_core(core, secs),
             SevereFault::DiskFull { core, secs } => {
                 self.cores[core].disk.full_until = self.now + secs;
                 self.mark_core_faulty_for(secs, 3.0);
             }
-            SevereFault::AtHolder(fault) => self.inject_fault(fault.at(self.listed_quota_leader())),
+            SevereFault::AtQuotaLeader(fault) => self.inject_fault(fault.at(self.listed_quota_leader())),
             SevereFault::Blackout { down, wipe, edges } => self.blackout(down, &wipe, edges),
         }
     }
@@ -261,7 +266,7 @@
     /// Ends a core node; a successor with an empty disk starts `later` seconds after.
     fn replace_core(&mut self, core: usize, later: f64) {
         self.terminate_core(core);
-        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::AddCore)));
     }
 
     /// A core node loses power and its disk.
@@ -276,7 +281,7 @@
         self.invariants.removed_at.insert(core, self.now);
         self.mark_core_faulty_for(later, 4.0);
         self.rewrite_seed_lists();
-        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::AddCore)));
     }
 
     /// Stalls the disk for `each` seconds, again and again until `secs` are over.
@@ -293,7 +298,7 @@
     fn throttle_core(&mut self, core: usize, secs: f64) {
         self.inject_fault(Fault::Freeze { who: NodeRef::Core(core), secs: 0.16 });
         if secs > 0.2 {
-            let rest = SevereFault::Drag { core, secs: secs - 0.2 };
+            let rest = SevereFault::Throttle { core, secs: secs - 0.2 };
             self.schedule_after(0.2, SimulationEvent::Fault(Fault::Severe(rest)));
         }
     }
--- a/crates/simulation/src/snapshot_crashes.rs
+++ b/crates/simulation/src/snapshot_crashes.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SnapshotStage {
     /// A part of it is on its way to a machine's disk, ahead of it.
-    Ahead,
+    ChunkWritten,
     /// It is itself, and the log is cut with it.
-    Cut,
+    LogCompacted,
     /// A piece of it is on its way to another machine.
-    Sent,
+    ChunkSent,
 }
 
 /// Who loses power then.
@@ -30,13 +30,13 @@
 /// A loss of power at a moment of a snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotCrash {
-    pub moment: SnapshotStage,
+    pub stage: SnapshotStage,
     /// The so-manieth time that it comes, from now.
     pub nth: usize,
-    pub struck: CrashTarget,
+    pub target: CrashTarget,
     pub down: f64,
     /// Once those are back, `resync_bound` later, the next machine loses its disk.
-    pub then: bool,
+    pub wipe_next: bool,
 }
 
 /// What waits for an order to be confirmed.
@@ -53,12 +53,12 @@
             .log_writes
             .iter()
             .any(|w| matches!(w, whinstall_gateway::consensus::LogWrite::Snapshot { .. }));
-        let moment = match (&put.snapshot_chunk, cut) {
-            (Some(_), _) => SnapshotStage::Ahead,
-            (None, true) => SnapshotStage::Cut,
+        let stage = match (&put.snapshot_chunk, cut) {
+            (Some(_), _) => SnapshotStage::ChunkWritten,
+            (None, true) => SnapshotStage::LogCompacted,
             (None, false) => return,
         };
-        self.snapshot_stage_reached(moment, n, n);
+        self.snapshot_stage_reached(stage, n, n);
     }
 
     /// Something is said on a connection: a piece of a snapshot?
@@ -75,32 +75,32 @@
             return;
         };
         if let (NodeRef::Core(from), false) = (key.from, data.is_empty()) {
-            self.snapshot_stage_reached(SnapshotStage::Sent, from, key.to);
+            self.snapshot_stage_reached(SnapshotStage::ChunkSent, from, key.to);
         }
     }
 
-    pub(crate) fn snapshot_stage_reached(&mut self, moment: SnapshotStage, owner: usize, receiver: usize) {
-        *self.invariants.snapshot_stages.entry(moment as usize).or_default() += 1;
+    pub(crate) fn snapshot_stage_reached(&mut self, stage: SnapshotStage, owner: usize, receiver: usize) {
+        *self.invariants.snapshot_stages.entry(stage as usize).or_default() += 1;
         let mut waiting = std::mem::take(&mut self.invariants.pending_snapshot_crashes);
-        for at in waiting.iter_mut().filter(|at| at.moment == moment) {
+        for at in waiting.iter_mut().filter(|at| at.stage == stage) {
             at.nth = at.nth.saturating_sub(1);
         }
-        let due = waiting.iter().position(|at| at.moment == moment && at.nth == 0);
+        let due = waiting.iter().position(|at| at.stage == stage && at.nth == 0);
         let due = due.map(|n| waiting.remove(n));
         self.invariants.pending_snapshot_crashes = waiting;
-        let Some(SnapshotCrash { struck, down, then, .. }) = due else { return };
+        let Some(SnapshotCrash { target, down, wipe_next, .. }) = due else { return };
         self.invariants.snapshot_crashes += 1;
         // Somewhere in the write, or on the way.
         let late = 0.01 * self.rng.f64();
-        let core = if struck == CrashTarget::Receiver { receiver } else { owner };
-        let lost = match struck {
+        let core = if target == CrashTarget::Receiver { receiver } else { owner };
+        let lost = match target {
             CrashTarget::All => {
                 super::faults::Fault::Severe(SevereFault::Blackout { down, wipe: Vec::new(), edges: false })
             }
             _ => super::faults::Fault::KillCore { core, down, power: true, wipe: false },
         };
         self.schedule_after(late, SimulationEvent::Fault(lost));
-        if then {
+        if wipe_next {
             let next = self.listed_core_from(core + 1);
             let wiped = super::faults::Fault::KillCore { core: next, down: 0.5, power: true, wipe: true };
             self.schedule_after(late + down + 0.2 + self.plan.resync, SimulationEvent::Fault(wiped));
--- a/crates/simulation/src/trials.rs
+++ b/crates/simulation/src/trials.rs
@@ -37,7 +37,7 @@
 
 /// A core machine cut off with a gatekeeper, workers and an operator on its side.
 pub fn cut(at: f64, cores: &[usize], way: Direction, secs: f64) -> (f64, Fault) {
-    severe(at, SevereFault::Cut { cut: Partition::side(cores, &[0], &[0, 4], &[1], way), secs })
+    severe(at, SevereFault::Partition { cut: Partition::side(cores, &[0], &[0, 4], &[1], way), secs })
 }
 
 /// Killed with its disk for good or for a while.
@@ -105,7 +105,7 @@
                 "seed {seed} differs when played again"
             );
         }
-        confirmed += world.operator_records.orders.iter().filter(|o| o.confirmed.is_some()).count();
+        confirmed += world.operator_records.orders.iter().filter(|o| o.confirmed_at.is_some()).count();
         reads += world.operator_records.reads.len();
         took.extend(&world.repairs.took);
         if !world.auditor.violations.is_empty() {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -16,6 +16,25 @@
 use whinstall_gateway::control_plane;
 use whinstall_gateway::data_plane;
 
+/// One tenant sends `factor` times its usual load until this time.
+#[derive(Clone, Copy, Debug)]
+pub struct TenantSurge {
+    /// When the surge ends, in simulated seconds.
+    pub until: f64,
+    /// The tenant's load, as a multiple of its usual load.
+    pub factor: f64,
+}
+
+/// A fraction of the responses to operators is lost until this time.
+#[derive(Clone, Copy, Debug)]
+pub struct ResponseLoss {
+    /// When the loss ends, in simulated seconds.
+    pub until: f64,
+    /// The fraction that is lost, from 0 to 1.
+    pub fraction: f64,
+}
+
+/// The simulated cluster.
 pub struct World {
     pub plan: DeploymentPlan,
     pub now: f64,
@@ -33,9 +52,9 @@
     pub operator: Operator,
     pub auditor: Auditor,
     pub unsettled_until: f64,
-    pub hot_tenant: (f64, f64),
+    pub hot_tenant: TenantSurge,
     /// Until then such a part of the answers to operators is lost.
-    pub lost_responses: (f64, f64),
+    pub lost_responses: ResponseLoss,
     pub operator_records: OperatorRecords,
     pub invariants: InvariantMonitor,
     pub repairs: RepairTimes,
@@ -89,8 +108,8 @@
             operator: Operator::default(),
             auditor,
             unsettled_until: 0.0,
-            hot_tenant: (0.0, 1.0),
-            lost_responses: (0.0, 0.0),
+            hot_tenant: TenantSurge { until: 0.0, factor: 1.0 },
+            lost_responses: ResponseLoss { until: 0.0, fraction: 0.0 },
             operator_records: OperatorRecords::default(),
             invariants: InvariantMonitor::default(),
             repairs: RepairTimes::default(),
@@ -99,8 +118,9 @@
             rng,
         };
         for n in 0..world.cores.len() {
-            let late: f64 = world.plan.late.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
-            let spread = if world.plan.spread > 0.0 { world.plan.spread * world.rng.f64() } else { 0.0 };
+            let late: f64 = world.plan.start_delays.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
+            let spread =
+                if world.plan.start_spread > 0.0 { world.plan.start_spread * world.rng.f64() } else { 0.0 };
             world.schedule_at(0.01 + spread + late, SimulationEvent::Boot(NodeRef::Core(n)));
         }
         for n in 0..world.edges.len() {
--- a/crates/simulation/tests/scenarios/basic_faults.rs
+++ b/crates/simulation/tests/scenarios/basic_faults.rs
@@ -48,7 +48,7 @@
 #[gtest]
 fn quotas_hold_across_edges_while_one_tenant_sends_ten_times_its_load() {
     for world in
-        run_seeds(10..20, &DeploymentPlan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })])
+        run_seeds(10..20, &DeploymentPlan::default(), &[(8.0, Fault::TenantSurge { times: 10.0, secs: 8.0 })])
     {
         expect_that!(world.auditor.served(8.0, 16.0, "key-free"), ge(0.9));
     }
@@ -57,9 +57,9 @@
 #[gtest]
 fn quotas_hold_with_partitioned_edges_and_lost_quota_leader() {
     let faults = [
-        (7.0, Fault::Hot { times: 10.0, secs: 12.0 }),
-        (9.0, Fault::CutEdge { edge: 0, secs: 6.0 }),
-        (9.0, Fault::CutEdge { edge: 1, secs: 4.0 }),
+        (7.0, Fault::TenantSurge { times: 10.0, secs: 12.0 }),
+        (9.0, Fault::PartitionEdge { edge: 0, secs: 6.0 }),
+        (9.0, Fault::PartitionEdge { edge: 1, secs: 4.0 }),
         (10.0, Fault::KillCore { core: 0, down: 2.5, power: true, wipe: false }),
         (15.0, Fault::KillCore { core: 1, down: 1.0, power: false, wipe: false }),
     ];
@@ -69,10 +69,10 @@
 #[gtest]
 fn quotas_hold_after_all_quota_state_is_lost() {
     let faults = [
-        (7.0, Fault::Hot { times: 10.0, secs: 12.0 }),
-        (9.0, Fault::KillAllCore { down: 0.8 }),
-        (9.5, Fault::CutEdge { edge: 2, secs: 5.0 }),
-        (14.0, Fault::KillAllCore { down: 0.4 }),
+        (7.0, Fault::TenantSurge { times: 10.0, secs: 12.0 }),
+        (9.0, Fault::KillAllCores { down: 0.8 }),
+        (9.5, Fault::PartitionEdge { edge: 2, secs: 5.0 }),
+        (14.0, Fault::KillAllCores { down: 0.4 }),
     ];
     for world in run_seeds(50..60, &DeploymentPlan::default(), &faults) {
         // Gatekeepers serve on with what they know, within their shares.
@@ -82,7 +82,7 @@
 
 #[gtest]
 fn partitioned_edge_keeps_serving_tenants_within_quota() {
-    let faults = [(8.0, Fault::CutEdge { edge: 0, secs: 10.0 })];
+    let faults = [(8.0, Fault::PartitionEdge { edge: 0, secs: 10.0 })];
     for world in run_seeds(70..94, &DeploymentPlan { quota: 60.0, ..DeploymentPlan::default() }, &faults) {
         expect_that!(world.auditor.served(8.0, 18.0, "key-big"), ge(0.93));
     }
@@ -111,7 +111,7 @@
 #[gtest]
 fn partitioned_stalled_or_wiped_core_neither_acknowledges_alone_nor_loses_workers() {
     let faults = [
-        (6.0, Fault::CutCore { core: 0, secs: 5.0, one_way: false }),
+        (6.0, Fault::PartitionCore { core: 0, secs: 5.0, one_way: false }),
         (12.0, Fault::StallDisk { core: 1, secs: 3.0 }),
         (15.5, Fault::KillCore { core: 2, down: 1.5, power: true, wipe: true }),
     ];
@@ -123,10 +123,10 @@
 #[gtest]
 fn one_way_partitions_and_process_pauses_violate_no_invariant() {
     let faults = [
-        (6.0, Fault::CutCore { core: 1, secs: 4.0, one_way: true }),
+        (6.0, Fault::PartitionCore { core: 1, secs: 4.0, one_way: true }),
         (11.0, Fault::Freeze { who: NodeRef::Core(0), secs: 3.0 }),
         (15.0, Fault::Freeze { who: NodeRef::Edge(1), secs: 2.0 }),
-        (9.0, Fault::Hot { times: 8.0, secs: 9.0 }),
+        (9.0, Fault::TenantSurge { times: 8.0, secs: 9.0 }),
     ];
     run_seeds(140..152, &DeploymentPlan::default(), &faults);
 }
@@ -159,21 +159,22 @@
             at,
             match rng.usize(0..11) {
                 0 => Fault::KillCore { core, down: secs, power, wipe: rng.bool() },
-                1 => Fault::CutCore { core, secs, one_way: rng.bool() },
+                1 => Fault::PartitionCore { core, secs, one_way: rng.bool() },
                 2 => Fault::StallDisk { core, secs },
                 3 => Fault::Freeze { who: NodeRef::Core(core), secs },
-                4 => Fault::KillAllCore { down: 0.3 + 0.6 * rng.f64() },
+                4 => Fault::KillAllCores { down: 0.3 + 0.6 * rng.f64() },
                 5 => Fault::PowerOffAll { down: 1.0, wipe: vec![core] },
                 6 => Fault::KillEdge { edge, down: secs },
-                7 => Fault::CutEdge { edge, secs },
-                8 => Fault::Hot { times: 3.0 + 8.0 * rng.f64(), secs },
+                7 => Fault::PartitionEdge { edge, secs },
+                8 => Fault::TenantSurge { times: 3.0 + 8.0 * rng.f64(), secs },
                 9 => Fault::DrainWorker { worker: rng.usize(0..6) },
                 _ => Fault::Freeze { who: NodeRef::Edge(edge), secs },
             },
         ));
         // Core machines count as lost for a while after their return: the next comes after that.
         at += secs + if rng.bool() { 4.0 } else { 4.5 + 2.0 * rng.f64() };
-        faults.push((at - 2.0, Fault::CutEdge { edge: (edge + 1) % plan.edges, secs: 1.0 + rng.f64() }));
+        faults
+            .push((at - 2.0, Fault::PartitionEdge { edge: (edge + 1) % plan.edges, secs: 1.0 + rng.f64() }));
     }
     faults
 }
--- a/crates/simulation/tests/scenarios/bootstrap.rs
+++ b/crates/simulation/tests/scenarios/bootstrap.rs
@@ -8,7 +8,7 @@
 
 fn plan(cores: usize) -> DeploymentPlan {
     let losses = (cores - 1) / 2;
-    DeploymentPlan { spread: 0.3, length: 20.0, ..control(cores, losses) }
+    DeploymentPlan { start_spread: 0.3, length: 20.0, ..control(cores, losses) }
 }
 
 #[gtest]
@@ -21,7 +21,7 @@
     trial(10_100..10_108, |seed, rng| {
         let cores = 2 + seed as usize % 5;
         let late = vec![(rng.usize(0..cores), 5.0 * rng.f64()), (rng.usize(0..cores), 2.0)];
-        (DeploymentPlan { late, length: 24.0, ..plan(cores) }, Vec::new())
+        (DeploymentPlan { start_delays: late, length: 24.0, ..plan(cores) }, Vec::new())
     });
 }
 
@@ -40,7 +40,7 @@
     trial(10_300..10_308, |seed, rng| {
         let cores = 3 + seed as usize % 4;
         let (core, at) = (rng.usize(0..3), 0.02 + 0.5 * rng.f64());
-        (plan(cores), vec![severe(at, SevereFault::Dies { core })])
+        (plan(cores), vec![severe(at, SevereFault::LoseCore { core })])
     });
 }
 
@@ -66,7 +66,7 @@
         // One, two, all; the mark is there, synced by the time it has to outlive a loss of power.
         hit.truncate([1, 2, cores][seed as usize / 6 % 3]);
         let days = stopped(rng, &hit, 2.0 * MAKING + 0.001);
-        (DeploymentPlan { disk_creation_step: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
+        (DeploymentPlan { disk_creation_step: MAKING, start_spread: 0.0, length: 24.0, ..plan(cores) }, days)
     });
 }
 
@@ -76,7 +76,7 @@
         let cores = 3 + seed as usize % 4;
         let hit = rng.usize(0..3);
         let days = stopped(rng, &[hit], 0.0);
-        (DeploymentPlan { disk_creation_step: MAKING, spread: 0.0, length: 24.0, ..plan(cores) }, days)
+        (DeploymentPlan { disk_creation_step: MAKING, start_spread: 0.0, length: 24.0, ..plan(cores) }, days)
     });
 }
 
--- a/crates/simulation/tests/scenarios/concurrent_changes.rs
+++ b/crates/simulation/tests/scenarios/concurrent_changes.rs
@@ -24,9 +24,9 @@
             at,
             match rng.usize(0..6) {
                 0 => Fault::StallDisk { core, secs },
-                1 => Fault::KillAllCore { down: 0.3 + 0.5 * rng.f64() },
+                1 => Fault::KillAllCores { down: 0.3 + 0.5 * rng.f64() },
                 2 => Fault::Freeze { who: whinstall_simulation::network::NodeRef::Core(core), secs },
-                3 => Fault::CutCore { core, secs, one_way: rng.bool() },
+                3 => Fault::PartitionCore { core, secs, one_way: rng.bool() },
                 n => Fault::KillCore { core, down: secs, power: n == 4, wipe: false },
             },
         ));
--- a/crates/simulation/tests/scenarios/configuration_bounds.rs
+++ b/crates/simulation/tests/scenarios/configuration_bounds.rs
@@ -57,8 +57,8 @@
         let holder = n % 2 == 1;
         match n {
             2 => days.push(wiped(at, plan.cores, later)),
-            _ if holder => days.push(severe(at, SevereFault::ReplaceHolder { later })),
-            _ => days.push(severe(at, SevereFault::Replace { core: n / 2, later })),
+            _ if holder => days.push(severe(at, SevereFault::ReplaceQuotaLeader { later })),
+            _ => days.push(severe(at, SevereFault::ReplaceCore { core: n / 2, later })),
         }
         at += later + resync_elapsed(&plan);
     }
@@ -71,14 +71,14 @@
     let cores = plan.cores;
     let holder = rng.bool();
     let removed = 6.0 + resync_elapsed(&plan);
-    let remove = if holder { SevereFault::RemoveHolder } else { SevereFault::Remove { core: 0 } };
+    let remove = if holder { SevereFault::RemoveQuotaLeader } else { SevereFault::RemoveCore { core: 0 } };
     let lost = removed + 0.9 + 1.5 * rng.f64();
     let down = 0.3 + rng.f64();
     let again = lost + down + resync_elapsed(&plan);
-    let mut days = vec![severe(6.0, SevereFault::Add), severe(removed, remove)];
+    let mut days = vec![severe(6.0, SevereFault::AddCore), severe(removed, remove)];
     // Whoever is left: the new one, and the last of the first ones unless that was the holder.
     days.push(wiped(lost, cores, down));
-    days.push(severe(again, SevereFault::ReplaceHolder { later: 0.5 }));
+    days.push(severe(again, SevereFault::ReplaceQuotaLeader { later: 0.5 }));
     days.push(wiped(again + 0.5 + resync_elapsed(&plan), cores + 1, 0.5));
     (plan, days)
 }
--- a/crates/simulation/tests/scenarios/core_repair.rs
+++ b/crates/simulation/tests/scenarios/core_repair.rs
@@ -14,7 +14,7 @@
 }
 
 fn replace(at: f64, core: usize, later: f64) -> (f64, Fault) {
-    severe(at, SevereFault::Replace { core, later })
+    severe(at, SevereFault::ReplaceCore { core, later })
 }
 
 fn blackout(at: f64, wipe: &[usize], edges: bool) -> (f64, Fault) {
@@ -58,7 +58,7 @@
         let later = 1.5 * rng.f64();
         let each = later + RESYNC + 0.1;
         let mut days: Vec<_> = (0..3).map(|n| replace(6.0 + n as f64 * each, n, later)).collect();
-        days.push(severe(6.0 + 3.0 * each, SevereFault::Dies { core: 3 + rng.usize(0..3) }));
+        days.push(severe(6.0 + 3.0 * each, SevereFault::LoseCore { core: 3 + rng.usize(0..3) }));
         (DeploymentPlan { length: 40.0, ..plan(3, 1) }, days)
     });
 }
@@ -80,9 +80,9 @@
     trial(13_500..13_506, |seed, rng| {
         let core = seed as usize % 3;
         let days = vec![
-            severe(6.0, SevereFault::Add),
-            severe(6.5 + RESYNC, SevereFault::Remove { core }),
-            severe(11.7 + RESYNC, SevereFault::Dies { core: (core + 1) % 3 }),
+            severe(6.0, SevereFault::AddCore),
+            severe(6.5 + RESYNC, SevereFault::RemoveCore { core }),
+            severe(11.7 + RESYNC, SevereFault::LoseCore { core: (core + 1) % 3 }),
             (16.5 + RESYNC, Fault::KillCore { core: 3, down: 0.5 + rng.f64(), power: false, wipe: false }),
         ];
         (plan(3, 1), days)
@@ -116,8 +116,9 @@
 #[gtest]
 fn quota_leader_replaced_twice_then_a_disk_lost() {
     trial(13_800..13_805, |_, rng| {
-        let leaves =
-            |at, rng: &mut fastrand::Rng| severe(at, SevereFault::ReplaceHolder { later: 0.8 * rng.f64() });
+        let leaves = |at, rng: &mut fastrand::Rng| {
+            severe(at, SevereFault::ReplaceQuotaLeader { later: 0.8 * rng.f64() })
+        };
         let days =
             vec![leaves(6.0, rng), leaves(6.8 + RESYNC + 0.1, rng), wiped(17.0, 3 + rng.usize(0..2), 1.0)];
         (plan(3, 1), days)
@@ -174,7 +175,7 @@
 fn removed_core_does_not_restart_with_the_others() {
     // Seed 860086 of the worst days, the story's fault: all were killed, and two that had been replaced came back with the
     // others, as members with disks that no later loss of power struck.
-    for all_back in [Fault::KillAllCore { down: 0.5 }, Fault::PowerOffAll { down: 0.5, wipe: Vec::new() }] {
+    for all_back in [Fault::KillAllCores { down: 0.5 }, Fault::PowerOffAll { down: 0.5, wipe: Vec::new() }] {
         let days = vec![replace(6.0, 1, 0.5), (12.0, all_back)];
         let world = play(13_970, DeploymentPlan { length: 24.0, ..plan(3, 1) }, &days);
         expect_that!(world.auditor.violations, is_empty());
--- a/crates/simulation/tests/scenarios/digest_tests.rs
+++ b/crates/simulation/tests/scenarios/digest_tests.rs
@@ -13,7 +13,7 @@
 fn digest_line(world: &World) -> String {
     let d = &world.digest;
     let (acknowledged, runs) = world.auditor.counts();
-    let orders = world.operator_records.orders.iter().filter(|o| o.confirmed.is_some()).count();
+    let orders = world.operator_records.orders.iter().filter(|o| o.confirmed_at.is_some()).count();
     // By core machine that runs: the term, the entry that is committed, the entry that changed the configuration last.
     let cores = world.cores.iter().filter_map(|c| c.core.as_ref());
     let logs: Vec<_> = cores
@@ -36,7 +36,7 @@
 #[gtest]
 fn simulated_days_have_known_digests() {
     let cut_off = [
-        (6.0, Fault::CutCore { core: 0, secs: 5.0, one_way: false }),
+        (6.0, Fault::PartitionCore { core: 0, secs: 5.0, one_way: false }),
         (12.0, Fault::StallDisk { core: 1, secs: 3.0 }),
         (15.5, Fault::KillCore { core: 2, down: 1.5, power: true, wipe: true }),
     ];
@@ -54,7 +54,10 @@
             "calm",
             run_day(0, DeploymentPlan { lost_answers: 0.0, quota: 40.0, ..DeploymentPlan::default() }, &[]),
         ),
-        ("tenfold", run_day(10, DeploymentPlan::default(), &[(8.0, Fault::Hot { times: 10.0, secs: 8.0 })])),
+        (
+            "tenfold",
+            run_day(10, DeploymentPlan::default(), &[(8.0, Fault::TenantSurge { times: 10.0, secs: 8.0 })]),
+        ),
         ("cut off, hung, wiped", run_day(120, DeploymentPlan::default(), &cut_off)),
         (
             "two of five disks",
--- a/crates/simulation/tests/scenarios/long_days.rs
+++ b/crates/simulation/tests/scenarios/long_days.rs
@@ -57,7 +57,7 @@
     trial(14_200..14_203, |_, rng| {
         let wipe = if rng.bool() { vec![rng.usize(0..3)] } else { Vec::new() };
         let dark = |at, wipe| severe(at, SevereFault::Blackout { down: 0.8, wipe, edges: true });
-        let days = vec![dark(8.0, Vec::new()), dark(14.0, wipe), (20.0, Fault::KillAllCore { down: 0.5 })];
+        let days = vec![dark(8.0, Vec::new()), dark(14.0, wipe), (20.0, Fault::KillAllCores { down: 0.5 })];
         (plan(300), days)
     });
 }
@@ -91,7 +91,7 @@
         (2.1, Fault::KillCore { core: away, down: 20.0, power: rng.bool(), wipe: false }),
         wiped(26.2, (away + 1) % 3, 0.5),
         severe(30.9, dark),
-        (36.2, Fault::KillAllCore { down: 0.5 }),
+        (36.2, Fault::KillAllCores { down: 0.5 }),
     ];
     (DeploymentPlan { length: 46.0, operator_load, ..control(3, 1) }, days)
 }
@@ -121,10 +121,18 @@
         let side = Partition::side(&[core], &[edge], &[rng.usize(0..6)], &[1 + rng.usize(0..3)], way);
         let long = 6.0 + 14.0 * rng.f64();
         let (fault, lasts) = match rng.usize(0..14) {
-            0 | 1 => (Fault::Severe(SevereFault::Cut { cut: side, secs: long }), long),
+            0 | 1 => (Fault::Severe(SevereFault::Partition { cut: side, secs: long }), long),
             2 => {
                 let (edges, workers, operators) = (vec![edge], vec![0], vec![2]);
-                (Fault::Severe(SevereFault::CutHolder { edges, workers, operators, secs: long }), long)
+                (
+                    Fault::Severe(SevereFault::PartitionQuotaLeader {
+                        edges,
+                        workers,
+                        operators,
+                        secs: long,
+                    }),
+                    long,
+                )
             }
             3 => {
                 // Restarted in the middle of its cut, with a gatekeeper beside it.
@@ -132,14 +140,14 @@
                 let edge_seeds = seeds.clone();
                 days.push(severe(at + 3.0, SevereFault::RestartCore { core, down: 0.5, power, wipe, seeds }));
                 days.push(severe(at + 4.0, SevereFault::RestartEdge { edge, down: 0.5, seeds: edge_seeds }));
-                (Fault::Severe(SevereFault::Cut { cut: side, secs: long }), long)
+                (Fault::Severe(SevereFault::Partition { cut: side, secs: long }), long)
             }
             4 | 5 if next < 12 => {
                 let later = 2.0 * rng.f64();
                 listed.retain(|n| *n != core);
                 listed.push(next);
                 next += 1;
-                (Fault::Severe(SevereFault::Replace { core, later }), later.max(1.0))
+                (Fault::Severe(SevereFault::ReplaceCore { core, later }), later.max(1.0))
             }
             6 => {
                 let wipe = if rng.bool() { vec![core] } else { Vec::new() };
@@ -152,7 +160,7 @@
             }
             7 => (Fault::Severe(SevereFault::SlowDisk { core, each: 0.1 + 0.3 * rng.f64(), secs }), secs),
             8 => (Fault::StallDisk { core, secs }, secs),
-            9 => (Fault::KillAllCore { down: 0.3 + 0.6 * rng.f64() }, 1.0),
+            9 => (Fault::KillAllCores { down: 0.3 + 0.6 * rng.f64() }, 1.0),
             10 => (Fault::Freeze { who: whinstall_simulation::network::NodeRef::Core(core), secs }, secs),
             11 if plan.cores == 3 => {
                 let cut = Partition {
@@ -160,7 +168,7 @@
                     others: Some(vec![Participant::Core((core + 1) % 3)]),
                     way,
                 };
-                (Fault::Severe(SevereFault::Cut { cut, secs }), secs)
+                (Fault::Severe(SevereFault::Partition { cut, secs }), secs)
             }
             12 => (Fault::KillEdge { edge, down: secs }, secs),
             _ => (Fault::KillCore { core, down: secs, power, wipe }, secs),
@@ -182,7 +190,7 @@
     let delay = if rng.u8(0..3) == 0 { 0.006 } else { 0.0005 };
     let operator_load =
         OperatorLoad { twin_fraction: 0.4, resend_fraction: 0.4, lost_fraction: 0.15, labels, ..load };
-    DeploymentPlan { delay, jitter: delay / 2.0, spread: 0.3, operator_load, ..plan }
+    DeploymentPlan { delay, jitter: delay / 2.0, start_spread: 0.3, operator_load, ..plan }
 }
 
 /// A day with random faults of any kind, one after the other.
--- a/crates/simulation/tests/scenarios/misbehaving_core.rs
+++ b/crates/simulation/tests/scenarios/misbehaving_core.rs
@@ -10,12 +10,12 @@
 
 /// What is found broken over some seeds, by kind.
 fn violation_kinds(
-    spoiled: Option<Misbehaviour>,
+    misbehaviour: Option<Misbehaviour>,
     plan: &DeploymentPlan,
     days: &FaultSchedule,
 ) -> Vec<String> {
     let kinds = (16_000..16_004).flat_map(|seed| {
-        let world = play(seed, DeploymentPlan { spoiled, ..plan.clone() }, days);
+        let world = play(seed, DeploymentPlan { misbehaviour, ..plan.clone() }, days);
         world.auditor.violations
     });
     kinds.map(|text| text.split([' ', ':']).next().unwrap_or_default().to_owned()).collect()
@@ -38,7 +38,7 @@
 /// Whoever leads is cut off, with an operator on its side.
 fn leader_partitioned() -> FaultSchedule {
     let (edges, workers, operators) = (vec![0], vec![0], vec![1, 2]);
-    vec![severe(6.0, SevereFault::CutHolder { edges, workers, operators, secs: 8.0 })]
+    vec![severe(6.0, SevereFault::PartitionQuotaLeader { edges, workers, operators, secs: 8.0 })]
 }
 
 #[gtest]
--- a/crates/simulation/tests/scenarios/partitions.rs
+++ b/crates/simulation/tests/scenarios/partitions.rs
@@ -27,7 +27,7 @@
     trial(11_200..11_206, |_, rng| {
         let holder = |at, secs| {
             let (edges, workers, operators) = (vec![0], vec![0, 4], vec![1]);
-            severe(at, SevereFault::CutHolder { edges, workers, operators, secs })
+            severe(at, SevereFault::PartitionQuotaLeader { edges, workers, operators, secs })
         };
         (control(3, 1), vec![holder(6.0, 8.0 + 2.0 * rng.f64()), holder(20.0, 6.0)])
     });
@@ -55,8 +55,10 @@
         // The counter is with the second; the third, that gave its word, is gone for a moment and has forgotten what
         // it didn't write down.
         let kill = |at, core, down| (at, Fault::KillCore { core, down, power: false, wipe: false });
-        let mut days =
-            vec![kill(5.0, 0, 0.6), severe(8.0, SevereFault::Cut { cut: Partition::pair(0, 1), secs: 12.0 })];
+        let mut days = vec![
+            kill(5.0, 0, 0.6),
+            severe(8.0, SevereFault::Partition { cut: Partition::pair(0, 1), secs: 12.0 }),
+        ];
         for n in 0..5 {
             days.push(kill(10.0 + 2.0 * n as f64 + 0.9 * rng.f64(), 2, 0.02 + 0.2 * rng.f64()));
         }
@@ -105,12 +107,12 @@
         let mut side = Partition::side(&[0, 1], &[0], &[0, 4], &[1], Direction::Both);
         side.inside.extend(spares);
         let days = vec![
-            severe(6.0, SevereFault::Cut { cut: side, secs: 16.0 }),
+            severe(6.0, SevereFault::Partition { cut: side, secs: 16.0 }),
             severe(
                 9.0,
                 SevereFault::RestartCore { core: 1, down: 0.5, power: true, wipe: true, seeds: vec![0, 1] },
             ),
-            severe(12.0 + rng.f64(), SevereFault::Add),
+            severe(12.0 + rng.f64(), SevereFault::AddCore),
         ];
         (DeploymentPlan { length: 40.0, ..control(5, 2) }, days)
     });
@@ -124,7 +126,7 @@
         let way = [Direction::Out, Direction::In, Direction::Both][seed as usize % 3];
         let (pair, cores) = (seed % 2 == 0, 3 + 2 * usize::from(seed % 9 > 6));
         let plan = control(cores, (cores - 1) / 2);
-        (plan, vec![severe(6.0, SevereFault::CutLeader { way, pair, secs: 20.0 })])
+        (plan, vec![severe(6.0, SevereFault::PartitionLeader { way, pair, secs: 20.0 })])
     });
 }
 
@@ -138,7 +140,7 @@
             others: Some(vec![Participant::Core((one + 1) % 3)]),
             way,
         };
-        (control(3, 1), vec![severe(6.0, SevereFault::Cut { cut, secs: 20.0 })])
+        (control(3, 1), vec![severe(6.0, SevereFault::Partition { cut, secs: 20.0 })])
     });
 }
 
@@ -147,7 +149,7 @@
 #[gtest]
 fn changes_are_confirmed_while_a_link_flaps() {
     let confirmed = |world: &whinstall_simulation::World| {
-        let mut at: Vec<f64> = world.operator_records.orders.iter().filter_map(|o| o.confirmed).collect();
+        let mut at: Vec<f64> = world.operator_records.orders.iter().filter_map(|o| o.confirmed_at).collect();
         at.extend([6.0, 46.0]);
         at.retain(|at| (6.0..=46.0).contains(at));
         at.sort_by(f64::total_cmp);
@@ -164,8 +166,9 @@
             0 => Partition::side(&[one], &[0], &[0, 4], &[1], way),
             _ => Partition { inside: vec![Participant::Core(one)], others: Some(next), way },
         };
-        let days = (0..10)
-            .map(|n| severe(6.0 + 4.0 * f64::from(n), SevereFault::Cut { cut: cut.clone(), secs: 2.0 }));
+        let days = (0..10).map(|n| {
+            severe(6.0 + 4.0 * f64::from(n), SevereFault::Partition { cut: cut.clone(), secs: 2.0 })
+        });
         (DeploymentPlan { length: 60.0, ..control(3, 1) }, days.collect())
     };
     whinstall_simulation::trials::trial_with(11_950..11_956, story, confirmed);
--- a/crates/simulation/tests/scenarios/quota_counter.rs
+++ b/crates/simulation/tests/scenarios/quota_counter.rs
@@ -54,7 +54,7 @@
 fn tenants_are_served_soon_after_most_edges_then_all_cores_were_killed() {
     let faults = [
         (8.0, Fault::KillManyEdges { edges: 8, down: 1.2, dark: false }),
-        (8.6, Fault::KillAllCore { down: 0.5 }),
+        (8.6, Fault::KillAllCores { down: 0.5 }),
     ];
     expect_served(&run_seeds(5040..5050, &plan(), &faults), 11.2, 20.0);
 }
@@ -75,7 +75,7 @@
     let mut faults = Vec::new();
     for round in 0..3 {
         let at = 7.0 + 3.0 * f64::from(round);
-        faults.push((at, Fault::KillAllCore { down: 0.6 }));
+        faults.push((at, Fault::KillAllCores { down: 0.6 }));
         faults.push((at + 0.8, Fault::KillManyEdges { edges: 7, down: 0.8, dark: round == 1 }));
     }
     expect_served(&run_seeds(5080..5086, &plan(), &faults), 16.6, 22.0);
@@ -87,9 +87,9 @@
     let hot = |quota| DeploymentPlan { quota, rate: 90.0, ..plan() };
     for (seeds, quota) in [(5100..5106, 39.0), (5110..5116, 15.0)] {
         let mut faults = power_off_core(9.0, 0.97);
-        faults.push((7.0, Fault::Hot { times: 10.0, secs: 14.0 }));
-        faults.push((8.2, Fault::CutEdge { edge: 8, secs: 6.0 }));
-        faults.push((8.9, Fault::CutEdge { edge: 7, secs: 3.0 }));
+        faults.push((7.0, Fault::TenantSurge { times: 10.0, secs: 14.0 }));
+        faults.push((8.2, Fault::PartitionEdge { edge: 8, secs: 6.0 }));
+        faults.push((8.9, Fault::PartitionEdge { edge: 7, secs: 3.0 }));
         faults.push((10.3, Fault::KillManyEdges { edges: 6, down: 1.0, dark: true }));
         faults.push((13.0, Fault::KillCore { core: 0, down: 2.0, power: true, wipe: true }));
         faults.push((14.1, Fault::KillManyEdges { edges: 6, down: 0.8, dark: false }));
--- a/crates/simulation/tests/scenarios/snapshots.rs
+++ b/crates/simulation/tests/scenarios/snapshots.rs
@@ -24,23 +24,29 @@
 }
 
 fn crash_at_stage(
-    moment: SnapshotStage,
+    stage: SnapshotStage,
     nth: usize,
-    struck: CrashTarget,
+    target: CrashTarget,
     down: f64,
-    then: bool,
+    wipe_next: bool,
 ) -> SevereFault {
-    SevereFault::AtSnapshot(SnapshotCrash { moment, nth, struck, down, then })
+    SevereFault::AtSnapshot(SnapshotCrash { stage, nth, target, down, wipe_next })
 }
 
 #[gtest]
 fn power_loss_between_chunks_of_a_snapshot_write() {
     trial(14_500..14_503, |seed, rng| {
-        let struck = if seed % 3 == 2 { CrashTarget::All } else { CrashTarget::Owner };
-        let lost = |from: f64, rng: &mut fastrand::Rng, then| {
+        let target = if seed % 3 == 2 { CrashTarget::All } else { CrashTarget::Owner };
+        let lost = |from: f64, rng: &mut fastrand::Rng, wipe_next| {
             severe(
                 from,
-                crash_at_stage(SnapshotStage::Ahead, 1 + rng.usize(0..6), struck, 0.3 + rng.f64(), then),
+                crash_at_stage(
+                    SnapshotStage::ChunkWritten,
+                    1 + rng.usize(0..6),
+                    target,
+                    0.3 + rng.f64(),
+                    wipe_next,
+                ),
             )
         };
         (plan(), vec![lost(4.0, rng, false), lost(8.0, rng, true)])
@@ -50,11 +56,17 @@
 #[gtest]
 fn power_loss_between_snapshot_and_log_compaction() {
     trial(14_600..14_603, |seed, rng| {
-        let struck = if seed % 3 == 2 { CrashTarget::All } else { CrashTarget::Owner };
-        let lost = |from: f64, rng: &mut fastrand::Rng, then| {
+        let target = if seed % 3 == 2 { CrashTarget::All } else { CrashTarget::Owner };
+        let lost = |from: f64, rng: &mut fastrand::Rng, wipe_next| {
             severe(
                 from,
-                crash_at_stage(SnapshotStage::Cut, 1 + rng.usize(0..3), struck, 0.3 + rng.f64(), then),
+                crash_at_stage(
+                    SnapshotStage::LogCompacted,
+                    1 + rng.usize(0..3),
+                    target,
+                    0.3 + rng.f64(),
+                    wipe_next,
+                ),
             )
         };
         (plan(), vec![lost(4.0, rng, false), lost(8.0, rng, true)])
@@ -63,10 +75,10 @@
 
 /// A machine lost its disk; while its snapshot is on the way the sender, the receiver or all lose power, then again.
 pub(super) fn crashes_while_sending(seed: u64, rng: &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule) {
-    let struck = [CrashTarget::Owner, CrashTarget::Receiver, CrashTarget::All][seed as usize % 3];
+    let target = [CrashTarget::Owner, CrashTarget::Receiver, CrashTarget::All][seed as usize % 3];
     let core = rng.usize(0..3);
-    let lost = |rng: &mut fastrand::Rng, then| {
-        crash_at_stage(SnapshotStage::Sent, 1 + rng.usize(0..5), struck, 0.8, then)
+    let lost = |rng: &mut fastrand::Rng, wipe_next| {
+        crash_at_stage(SnapshotStage::ChunkSent, 1 + rng.usize(0..5), target, 0.8, wipe_next)
     };
     // The rest of it is sent again.
     let days = vec![wiped(6.0, core, 0.5), severe(6.1, lost(rng, false)), severe(7.0, lost(rng, true))];
--- a/crates/simulation/tests/scenarios/worst_days.rs
+++ b/crates/simulation/tests/scenarios/worst_days.rs
@@ -55,18 +55,18 @@
         let way = [Direction::Both, Direction::Both, Direction::Out, Direction::In][self.rng.usize(0..4)];
         let worker = self.rng.usize(0..6);
         let side = Partition::side(&[core], &[edge], &[worker], &[1 + self.rng.usize(0..3)], way);
-        let cut = |secs| SevereFault::Cut { cut: side.clone(), secs };
+        let cut = |secs| SevereFault::Partition { cut: side.clone(), secs };
         let others: Vec<usize> = self.listed.iter().copied().filter(|n| *n != core).collect();
         let restart =
             |core, wipe, down| SevereFault::RestartCore { core, down, power, wipe, seeds: vec![core] };
         let kill = |core, down, wipe| Fault::KillCore { core, down, power, wipe };
-        let holder = |fault| SevereFault::AtHolder(Box::new(fault));
+        let holder = |fault| SevereFault::AtQuotaLeader(Box::new(fault));
         let stays = self.next >= 20;
         match kind {
             0 | 1 => self.add(0.0, cut(long)),
             2 => {
                 let (edges, workers, operators) = (vec![edge], vec![worker], vec![2]);
-                self.add(0.0, SevereFault::CutHolder { edges, workers, operators, secs: long });
+                self.add(0.0, SevereFault::PartitionQuotaLeader { edges, workers, operators, secs: long });
             }
             3 => {
                 // Restarted in the middle of its cut, with a gatekeeper beside it that knows no other.
@@ -76,7 +76,10 @@
                 // Its list is put right again before that one may be lost.
                 self.add(
                     long,
-                    SevereFault::Reread { who: vec![NodeRef::Edge(edge)], seeds: self.listed.clone() },
+                    SevereFault::ReloadSettings {
+                        who: vec![NodeRef::Edge(edge)],
+                        seeds: self.listed.clone(),
+                    },
                 );
             }
             4 => {
@@ -85,7 +88,7 @@
                 let seeds: Vec<usize> = std::iter::once(core).chain(others.iter().copied()).take(3).collect();
                 let who =
                     (0..self.edges).map(NodeRef::Edge).chain(self.listed.iter().map(|n| NodeRef::Core(*n)));
-                self.add(1.0, SevereFault::Reread { who: who.collect(), seeds: seeds.clone() });
+                self.add(1.0, SevereFault::ReloadSettings { who: who.collect(), seeds: seeds.clone() });
                 for edge in 0..self.edges {
                     let down = self.span(0.2, 1.0);
                     self.add(2.0, SevereFault::RestartEdge { edge, down, seeds: seeds.clone() });
@@ -105,21 +108,21 @@
             }
             6 if !stays => {
                 let later = self.span(0.0, 2.0);
-                self.add(0.0, SevereFault::Replace { core, later });
+                self.add(0.0, SevereFault::ReplaceCore { core, later });
                 self.record_replacement(core);
                 return 1.0 + later;
             }
             7 if !stays => {
                 // Planned: the successor first.
-                self.add(0.0, SevereFault::Add);
+                self.add(0.0, SevereFault::AddCore);
                 let joined = RESYNC + self.span(0.1, 1.0);
-                self.add(joined, SevereFault::Remove { core });
+                self.add(joined, SevereFault::RemoveCore { core });
                 self.record_replacement(core);
                 return joined + 1.0;
             }
             8 if !stays => {
                 let later = self.span(0.0, 2.0);
-                self.add(0.0, SevereFault::Succeed { core, later });
+                self.add(0.0, SevereFault::LoseAndReplaceCore { core, later });
                 self.record_replacement(core);
                 return later;
             }
@@ -134,7 +137,7 @@
             }
             12 | 13 => {
                 let more = self.losses - 1;
-                self.add(0.0, SevereFault::HitAfterAck { down: secs, wipe, more });
+                self.add(0.0, SevereFault::CrashAfterAck { down: secs, wipe, more });
                 return 2.6 + secs;
             }
             14 => self.add(0.0, SevereFault::SlowDisk { core, each: 0.12, secs: long }),
@@ -145,19 +148,19 @@
                 self.add(0.0, SevereFault::DiskFull { core, secs: long });
                 self.days.push((self.at + secs, kill(core, 0.5, false)));
             }
-            18 => self.days.push((self.at, Fault::KillAllCore { down: secs.min(1.5) })),
+            18 => self.days.push((self.at, Fault::KillAllCores { down: secs.min(1.5) })),
             19 => self.days.push((self.at, Fault::Freeze { who: NodeRef::Core(core), secs })),
-            20 => self.add(0.0, SevereFault::Drag { core, secs: long }),
+            20 => self.add(0.0, SevereFault::Throttle { core, secs: long }),
             21 => {
                 let (inside, others) = (vec![Participant::Core(core)], Some(others.into_iter().take(1)));
                 let others = others.map(|o| o.map(Participant::Core).collect());
-                self.add(0.0, SevereFault::Cut { cut: Partition { inside, others, way }, secs: long });
+                self.add(0.0, SevereFault::Partition { cut: Partition { inside, others, way }, secs: long });
             }
             22 => {
                 let fault = match self.rng.usize(0..5) {
                     0 => Fault::StallDisk { core, secs },
                     1 => Fault::Freeze { who: NodeRef::Core(core), secs },
-                    2 => Fault::Severe(SevereFault::Term { core, down: secs }),
+                    2 => Fault::Severe(SevereFault::RestartGracefully { core, down: secs }),
                     _ => kill(core, secs, wipe),
                 };
                 self.add(0.0, holder(fault));
@@ -166,7 +169,7 @@
                 // Each is asked to end, one after the other, and comes back.
                 let (each, down) = (self.span(1.5, 3.5), self.span(0.1, 1.0));
                 for (n, core) in self.listed.clone().into_iter().enumerate() {
-                    self.add(each * n as f64, SevereFault::Term { core, down });
+                    self.add(each * n as f64, SevereFault::RestartGracefully { core, down });
                 }
                 return each * self.listed.len() as f64 + 1.0;
             }
@@ -192,19 +195,19 @@
         let part = self.span(0.2, 1.0);
         let who = if dark { NodeRef::Core(core) } else { NodeRef::Edge(edge) };
         let fault = match self.rng.usize(0..8) {
-            0 | 1 => Fault::Severe(SevereFault::AcksLost { part: 0.7, secs: 2.0 * secs }),
-            2 | 3 => Fault::Severe(SevereFault::Reset { who, part }),
+            0 | 1 => Fault::Severe(SevereFault::LoseResponses { part: 0.7, secs: 2.0 * secs }),
+            2 | 3 => Fault::Severe(SevereFault::ResetConnections { who, part }),
             4 => {
                 let seeds = self.listed.iter().copied().filter(|_| self.rng.bool()).collect();
                 let seeds: Vec<usize> = [seeds, self.listed[..=self.losses].to_vec()].concat();
                 let all =
                     (0..self.edges).map(NodeRef::Edge).chain(self.listed.iter().map(|n| NodeRef::Core(*n)));
                 let who = all.filter(|_| self.rng.f64() < part).collect();
-                Fault::Severe(SevereFault::Reread { who, seeds })
+                Fault::Severe(SevereFault::ReloadSettings { who, seeds })
             }
             5 => Fault::KillManyEdges { edges: 1 + edge, down: secs.min(1.5), dark },
             6 => Fault::KillEdge { edge, down: secs },
-            _ => Fault::CutEdge { edge, secs },
+            _ => Fault::PartitionEdge { edge, secs },
         };
         (self.at, fault)
     }
@@ -372,7 +375,7 @@
         };
         let records = &world.operator_records;
         self.orders += records.orders.len() as u64;
-        self.confirmed += records.orders.iter().filter(|o| o.confirmed.is_some()).count() as u64;
+        self.confirmed += records.orders.iter().filter(|o| o.confirmed_at.is_some()).count() as u64;
         self.reads += records.reads.len() as u64;
         self.quota_leader_changes += world.invariants.quota_leader_changes;
         self.settled_secs += world.invariants.settled_for as u64;
