--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -1,4 +1,4 @@
-//! The auditor: what RULES forbids, by what workers, clients and the operator saw.
+//! The auditor: checks the rules of the system by what workers, clients and the primary operator see.
 
 use super::{DeploymentPlan, WorkerAttempt};
 use std::collections::{BTreeMap, HashMap};
@@ -19,6 +19,7 @@
     arrivals: u32,
 }
 
+/// Checks what workers, clients and operators see, and records each violation as a line of text.
 pub struct Auditor {
     asked: Vec<AuditedRequest>,
     quotas: HashMap<&'static str, f64>,
@@ -40,6 +41,7 @@
 }
 
 impl Auditor {
+    /// An auditor that knows the tenants' quotas from the plan.
     pub fn new(plan: &DeploymentPlan) -> Self {
         Auditor {
             asked: Vec::new(),
@@ -57,23 +59,28 @@
         }
     }
 
+    /// Records a client's request and returns its number.
     pub fn asked(&mut self, at: f64, _: usize, _: u64, key: &'static str, path: &'static str) -> u64 {
         self.asked.push(AuditedRequest { at, key, path, runs: 0, answer: None, arrivals: 0 });
         self.asked.len() as u64 - 1
     }
 
+    /// An edge node had no route or no tenant for this request.
     pub fn turned_back(&mut self, request: u64) {
         self.asked[request as usize].answer = Some(404);
     }
 
+    /// This incarnation of an edge node ended.
     pub fn edge_died(&mut self, edge: usize, incarnation: u64) {
         self.seen.remove(&(edge, incarnation));
     }
 
+    /// Records which service the alternating route names as of this version.
     pub fn sent(&mut self, version: u64, service: &str) {
         self.flips.insert(version, service.into());
     }
 
+    /// Records the removals that a change asks for, acknowledged or not.
     pub fn told(&mut self, items: &[ConfigItem]) {
         for item in items.iter().filter(|i| i.body.is_none()) {
             let held = self.drops.entry((item.kind, item.label.clone())).or_default();
@@ -81,6 +88,7 @@
         }
     }
 
+    /// Records the items of a change that was acknowledged to the primary operator.
     pub fn acknowledged(&mut self, at: f64, items: &[ConfigItem]) {
         self.acked.extend(items.iter().map(|i| (at, i.clone())));
     }
@@ -90,10 +98,12 @@
         !self.acked.is_empty()
     }
 
+    /// A core node acknowledged that this worker drains.
     pub fn leaving(&mut self, worker: &str, at: f64) {
         self.leaving.insert(worker.into(), at);
     }
 
+    /// An attempt reaches a worker: none may, long after the worker's drain was acknowledged (DRAIN).
     pub fn arrives(&mut self, now: f64, hit: &WorkerAttempt, worker: &str, in_touch: bool) {
         let asked = &mut self.asked[hit.request as usize];
         asked.arrivals += 1;
@@ -106,6 +116,8 @@
         }
     }
 
+    /// A worker starts a request: at most once if it has effects (TWICE), never after a rejection (REFUSED), and only
+    /// at a service that the configuration allowed (CONFIG).
     pub fn runs(&mut self, now: f64, hit: &WorkerAttempt, service: &str, calm: bool) {
         let asked = &mut self.asked[hit.request as usize];
         asked.runs += 1;
@@ -155,6 +167,7 @@
         (self.acked.len(), self.asked.iter().map(|a| u64::from(a.runs)).sum())
     }
 
+    /// An edge node answers a request: once, in time, and without a rejection of what has run.
     pub fn answered(&mut self, now: f64, request: u64, answer: &FinalResponse, ran_all_the_while: bool) {
         let asked = &mut self.asked[request as usize];
         let status = match answer {
@@ -181,6 +194,7 @@
         self.read_at = now;
     }
 
+    /// Records what the final read returned.
     pub fn read_back(&mut self, body: &serde_json::Value) {
         self.read = Some(body.clone());
     }
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -6,6 +6,7 @@
 use whinstall_gateway::data_plane::requests::{AttemptReport, FinalResponse, IncomingRequest};
 
 impl World {
+    /// A client sends a request to a ready edge node, and the next request is scheduled.
     pub fn send_client_request(&mut self) {
         let hot = if self.now < self.hot_tenant.until { self.hot_tenant.factor } else { 1.0 };
         let big = 0.4 * hot;
@@ -55,6 +56,7 @@
         }
     }
 
+    /// An edge node sends an attempt to a worker.
     pub fn attempt_dispatched(
         &mut self,
         n: usize,
@@ -81,6 +83,7 @@
         self.schedule_after(within, SimulationEvent::AttemptEnded(hit, Ending::Timeout, false));
     }
 
+    /// An edge node cancels an attempt.
     pub fn attempt_cancelled(&mut self, n: usize, incarnation: u64, id: RequestId, attempt: u32) {
         let Some(request) = self.asked.get(&(n, incarnation, id.clone())).copied() else { return };
         let hit =
@@ -88,6 +91,7 @@
         self.schedule_after(0.0, SimulationEvent::AttemptEnded(hit, Ending::Cancelled, false));
     }
 
+    /// The outcome of an attempt reaches its edge node, if that incarnation still runs.
     pub fn attempt_ended(&mut self, hit: WorkerAttempt, ending: Ending, misdirected: bool) {
         if !self.open.remove(&(hit.edge, hit.incarnation, hit.id.clone(), hit.attempt)) {
             return;
@@ -110,6 +114,7 @@
         });
     }
 
+    /// An edge node answers a client.
     pub fn answered(&mut self, n: usize, incarnation: u64, id: RequestId, answer: FinalResponse) {
         if let Some(request) = self.asked.get(&(n, incarnation, id)) {
             let calm = self.now > self.edges[n].faulty_until;
--- a/crates/simulation/src/control_calls.rs
+++ b/crates/simulation/src/control_calls.rs
@@ -6,6 +6,7 @@
 use whinstall_gateway::discovery::WorkerPhase;
 
 impl World {
+    /// Sends a call to a listed core node; it times out after one second.
     pub fn call(&mut self, core: usize, by: CallOrigin) {
         let id = self.rng.u64(..);
         let core = self.listed_core_from(core);
@@ -16,6 +17,7 @@
         self.schedule_after(1.0, SimulationEvent::CallTimedOut(id));
     }
 
+    /// A call reaches a core node, if that runs and is not partitioned from the sender.
     pub fn call_arrives(&mut self, core: usize, call: ControlCall) {
         if self.cores[core].core.is_none() {
             return;
@@ -58,6 +60,7 @@
         matches!(self.sender(&call.by), Participant::Operator(_))
     }
 
+    /// A core node responds to a call; the response may be lost on its way.
     pub fn core_responded(&mut self, core: usize, call: u64, status: u16, body: &serde_json::Value) {
         let Some(id) = self.pending.remove(&(core, call)) else { return };
         self.digest.reply(self.now, core, status);
@@ -100,6 +103,7 @@
         self.schedule_after(delay, SimulationEvent::CallAnswered(call, status));
     }
 
+    /// A response reaches the sender of the call.
     pub fn call_returned(&mut self, call: ControlCall, status: u16) {
         if self.calls.remove(&call.id).is_none() {
             return;
@@ -137,6 +141,7 @@
         }
     }
 
+    /// A call timed out or got no definite response: it is retried at the next core node.
     pub fn call_failed(&mut self, call: ControlCall) {
         let pause = 0.1 + 0.2 * self.rng.f64();
         match call.by.clone() {
--- a/crates/simulation/src/core_health.rs
+++ b/crates/simulation/src/core_health.rs
@@ -17,10 +17,12 @@
         self.links.reaches(a, b) && self.links.reaches(b, a)
     }
 
+    /// Whether packets pass both ways between two core nodes.
     pub fn cores_connected(&self, a: usize, b: usize) -> bool {
         a == b || self.can_exchange(Participant::Core(a), Participant::Core(b))
     }
 
+    /// The core nodes on the operators' list.
     pub fn listed_cores(&self) -> Vec<usize> {
         (0..self.cores.len()).filter(|n| self.cores[*n].listed).collect()
     }
@@ -45,7 +47,7 @@
         joined.into_iter().chain(lately).collect()
     }
 
-    /// The largest set of core machines that run, reach each other and have disks that work, if most are in it.
+    /// The largest set of core nodes that run, reach each other and have disks that work, if most are in it.
     pub fn connected_majority(&self) -> Option<BTreeSet<usize>> {
         let (listed, joined, leaving) =
             (self.listed_cores(), self.joined_cores(), self.joined_and_leaving_cores());
@@ -86,13 +88,13 @@
         }
     }
 
-    /// Seconds that a core machine has been out of contact with most of the core.
+    /// Seconds that a core node has been out of contact with most of the core.
     pub fn isolated_for(&self, n: usize) -> Option<f64> {
         let since = self.invariants.isolated_since.get(&n).filter(|_| self.is_isolated(n));
         since.map(|at| self.now - at)
     }
 
-    /// A gatekeeper hears a core machine.
+    /// A edge node hears a core node.
     pub fn note_contact(&mut self, edge: usize, core: usize) {
         if self.isolated_for(core).is_none_or(|secs| secs <= LEASE) {
             self.invariants.edges_in_contact.insert((edge, self.edges[edge].incarnation));
--- a/crates/simulation/src/core_membership.rs
+++ b/crates/simulation/src/core_membership.rs
@@ -87,6 +87,7 @@
         self.seed_list_changed();
     }
 
+    /// A process that was asked to end has ended, unless it restarted since.
     pub fn process_exited(&mut self, n: usize, incarnation: u64) {
         if self.cores[n].incarnation == incarnation && self.cores[n].core.is_some() {
             self.kill(NodeRef::Core(n), false);
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -1,5 +1,5 @@
-//! Counts what is observable in a simulated day without names of the program: events, messages and their bytes, answers
-//! to calls. The order of all of it goes into one hash. It must never draw from the world's random numbers.
+//! Counts what is observable in a simulated day without names of the program: events, messages and their bytes, responses
+//! to calls. Their order goes into one hash. It draws no random number, so that it does not change a day.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     /// Messages that processes sent over connections, and their encoded bytes.
     pub messages: u64,
     pub bytes: u64,
-    /// Answers of core machines to calls of workers and operators, by status.
+    /// Answers of core nodes to calls of workers and operators, by status.
     pub replies: BTreeMap<u16, u64>,
     /// Times of events, times and lengths of messages, times, machines and statuses of answers, in order (FNV-1a).
     pub hash: u64,
@@ -43,7 +43,7 @@
         self.add([2, now.to_bits(), bytes as u64]);
     }
 
-    /// A core machine answers a call.
+    /// A core node answers a call.
     pub fn reply(&mut self, now: f64, core: usize, status: u16) {
         *self.replies.entry(status).or_default() += 1;
         self.add([3, now.to_bits(), (core as u64) << 16 | u64::from(status)]);
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -31,7 +31,7 @@
     Fault(Fault),
     Repair(Fault),
     Boot(NodeRef),
-    /// The next step of making a core machine's new disk, in this life; is it told that the system starts first?
+    /// The next step of making a core node's new disk, in this life; is it told that the system starts first?
     CreatingDisk(usize, u64, bool),
     InvariantCheck,
     OperatorTurn(OperatorStep),
@@ -42,7 +42,7 @@
     SeedListsChange,
 }
 
-/// A call to a core machine under way.
+/// A call to a core node under way.
 #[derive(Clone, Debug)]
 pub struct ControlCall {
     pub id: u64,
@@ -50,19 +50,20 @@
     pub by: CallOrigin,
 }
 
+/// Who sends a call to a core node, and what for.
 #[derive(Clone, Debug)]
 pub enum CallOrigin {
     Heartbeat(usize),
     Departure(usize),
     PrimaryChange(Vec<ConfigItem>),
     PrimaryRead,
-    /// One of the clerks' orders; `again`: beside the clerk's own run of orders.
+    /// One of the operators' orders; `again`: beside the operator's own run of orders.
     Change {
         order: usize,
         operator: usize,
         again: bool,
     },
-    /// A clerk reads.
+    /// An operator reads.
     Read {
         operator: usize,
         from: f64,
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,4 +1,4 @@
-//! The troubles that a story may hold, and the simulated disk: what is synced, what is on its way, what a loss of power
+//! The faults that a scenario may hold, and the simulated disk: what is synced, what is in flight, and what a loss of power
 //! or of the disk leaves.
 
 use super::network::NodeRef;
@@ -11,7 +11,7 @@
 use whinstall_gateway::settings::Settings;
 use whinstall_gateway::storage::{LoadedState, SnapshotId, WriteBatch};
 
-/// A trouble.
+/// A fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Killed; back after so many seconds. `power`: unsynced writes go; `wipe`: the disk, too.
@@ -31,7 +31,7 @@
         down: f64,
         dark: bool,
     },
-    /// Cut off from the other core machines.
+    /// Cut off from the other core nodes.
     PartitionCore {
         core: usize,
         secs: f64,
@@ -77,7 +77,7 @@
     },
 }
 
-/// A core machine's disk.
+/// A core node's disk.
 #[derive(Default)]
 pub struct SimulatedDisk {
     pub held: LoadedState,
@@ -226,12 +226,13 @@
         );
     }
 
-    /// The rules that a gatekeeper keeps while it is in touch wait for so long.
+    /// The rules that a edge node keeps while it is in touch wait for so long.
     pub fn mark_edge_faulty_for(&mut self, edge: usize, secs: f64) {
         let faulty_until = &mut self.edges[edge].faulty_until;
         *faulty_until = faulty_until.max(self.now + secs);
     }
 
+    /// Injects a fault now, and schedules its end.
     pub fn inject_fault(&mut self, fault: Fault) {
         let contact = 3.0;
         match &fault {
@@ -314,6 +315,7 @@
         }
     }
 
+    /// Stops a process, or lets it run again with the events that it missed.
     pub fn set_frozen(&mut self, who: NodeRef, frozen: bool) {
         match who {
             NodeRef::Core(n) => {
@@ -327,6 +329,7 @@
         }
     }
 
+    /// Ends a partition or a freeze.
     pub fn end_fault(&mut self, fault: Fault) {
         if matches!(fault, Fault::PartitionCore { .. }) {
             self.mark_core_disturbed();
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,6 +1,6 @@
-//! Owns the check that what callers saw is linearizable: the configuration as registers that hold a number and a
-//! content each; an order writes several at once, each only over a lower number; a read tells them all. It must never
-//! look at anything but invocations, answers and their times.
+//! Checks that what callers saw is linearizable. The configuration is a set of registers that hold a version and a content
+//! each; a change writes several at once, each only over a lower version; a read returns them all. The check looks only at
+//! invocations, responses and their times.
 //!
 //! The check is complete: a history passes if and only if one order of all operations explains it. Values only rise,
 //! so that order exists if and only if what must go ahead of what has no cycle.
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The auditor's watch over the control side: is the core settled, who is apart, who may answer what. It looks at
-//! answers, readiness and views, never into a core machine.
+//! The invariants of the control plane: whether the core is settled, which node is isolated, and who may respond with what.
+//! It looks at responses, readiness and served configurations, never into a core node.
 
 use super::history::{self, Write};
 use super::operators::ChangeValidity;
@@ -36,11 +36,11 @@
     /// The same, settled or not; and since when most of the core is joined.
     pub(crate) edge_outer_since: HashMap<usize, f64>,
     pub(crate) majority_since: Option<f64>,
-    /// The highest number that any life of a gatekeeper served by.
+    /// The highest number that any life of a edge node served by.
     pub(crate) served_ever: HashMap<(usize, usize), u64>,
-    /// Lives of gatekeepers that heard a core machine that was not cut off.
+    /// Lives of edge nodes that heard a core node that was not cut off.
     pub(crate) edges_in_contact: HashSet<(usize, u64)>,
-    /// Numbers that gatekeepers served by.
+    /// Numbers that edge nodes served by.
     pub(crate) served: HashMap<(usize, u64, usize), u64>,
     pub(crate) contents: HashMap<(usize, u64), u64>,
     pub(crate) overdue_changes: HashSet<usize>,
@@ -97,7 +97,7 @@
 }
 
 impl World {
-    /// A core machine answers an operator.
+    /// A core node answers an operator.
     pub fn operator_answered(&mut self, core: usize, status: u16) {
         let now = self.now;
         if let Some(for_s) = self.isolated_for(core).filter(|s| *s > LEASE + EVERY) {
@@ -108,12 +108,12 @@
         }
     }
 
-    /// A core machine answers a worker's call: one that is cut off can't tell those who send to it.
+    /// A core node answers a worker's call: one that is cut off can't tell those who send to it.
     pub fn worker_answered(&mut self, core: usize, status: u16) {
         self.check_handout(core, Some("a worker's acknowledgement").filter(|_| status == 200));
     }
 
-    /// A core machine hands something out that only one in touch with most may.
+    /// A core node hands something out that only one in touch with most may.
     pub fn check_handout(&mut self, core: usize, what: Option<&str>) {
         let now = self.now;
         let Some(what) = what else { return };
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A core machine answers a gatekeeper as the counter.
+    /// A core node answers a edge node as the counter.
     pub fn quota_leader_responded(&mut self, core: usize, term: u64) {
         // One machine a term, and none answers once a later one has.
         let incarnation = self.cores[core].incarnation;
@@ -152,6 +152,7 @@
         seen.push((now, core));
     }
 
+    /// Checks the core and each edge node, and schedules the next check.
     pub fn check_invariants(&mut self) {
         self.schedule_after(EVERY, SimulationEvent::InvariantCheck);
         let (now, most) = (self.now, self.connected_majority());
--- a/crates/simulation/src/misbehaving_core.rs
+++ b/crates/simulation/src/misbehaving_core.rs
@@ -1,12 +1,12 @@
-//! Faults that are put into the core machines of the cluster, to show that the auditor and the check of the history see
-//! them: a machine that answers by what it holds itself, without a word to the others.
+//! Faults put into core nodes on purpose, to show that the auditor and the history check detect them: a node that responds
+//! by its own state without asking the others.
 
 use crate::{ControlCall, World};
 use whinstall_gateway::configuration::state::ChangeOutcome;
 use whinstall_gateway::configuration::ConfigChange;
 use whinstall_gateway::control_plane::ApiCommand;
 
-/// What is wrong with the core machines.
+/// What is wrong with the core nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Misbehaviour {
     /// One that leads, or led last before it was cut off, answers reads by what it holds.
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: connections to core machines with delay and order, cuts that hold bytes up, resets.
+//! The simulated network: ordered connections to core nodes with delays, partitions that hold bytes up, and resets.
 
 use super::partitions::{Participant, Partition};
 use super::{core_ip, SimulationEvent, World};
@@ -24,7 +24,7 @@
     }
 }
 
-/// A connection: who opened it, to which core machine.
+/// A connection: who opened it, to which core node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkKey {
     pub from: NodeRef,
@@ -54,6 +54,7 @@
 }
 
 impl SimulatedLinks {
+    /// Partitions a core node from the others, or heals this (`cut` is false).
     pub fn cut_core(&mut self, core: usize, one_way: bool, cut: bool) {
         match cut {
             true => self.cut_cores.push((core, one_way)),
@@ -61,6 +62,7 @@
         }
     }
 
+    /// Partitions an edge node from all core nodes, or heals this (`cut` is false).
     pub fn cut_edge(&mut self, edge: usize, cut: bool) {
         match cut {
             true => self.cut_edges.insert(edge),
@@ -68,7 +70,7 @@
         };
     }
 
-    /// Do packets pass from the opener to the core machine (`forth`), or back?
+    /// Do packets pass from the opener to the core node (`forth`), or back?
     fn passes(&self, key: LinkKey, forth: bool) -> bool {
         let (from, to) = (key.from.into(), Participant::Core(key.to));
         if forth {
@@ -118,6 +120,7 @@
         }
     }
 
+    /// A process wants a connection to the core node at this address.
     pub fn connect(&mut self, from: NodeRef, ip: IpAddr) {
         let Some(to) = (0..self.cores.len()).find(|n| core_ip(*n) == ip) else { return };
         let key = LinkKey { from, to };
@@ -126,6 +129,7 @@
         self.schedule_after(0.001, SimulationEvent::Dial(key, incarnation));
     }
 
+    /// A process closes its connection to the core node at this address.
     pub fn disconnect(&mut self, from: NodeRef, ip: IpAddr) {
         let Some(to) = (0..self.cores.len()).find(|n| core_ip(*n) == ip) else { return };
         let key = LinkKey { from, to };
@@ -133,6 +137,7 @@
         self.drop_link(key);
     }
 
+    /// Tries to open a connection that is still wanted.
     pub fn dial(&mut self, key: LinkKey, incarnation: u64) {
         if self.alive(key.from) != Some(incarnation) || !self.links.wanted.contains(&key) {
             return;
@@ -147,6 +152,7 @@
         }
     }
 
+    /// A connection opens, if both ends still run.
     pub fn dial_up(&mut self, key: LinkKey, incarnation: u64) {
         if self.alive(key.from) != Some(incarnation) || self.alive(NodeRef::Core(key.to)).is_none() {
             return self.schedule_after(0.25, SimulationEvent::Dial(key, incarnation));
@@ -180,11 +186,13 @@
         }
     }
 
+    /// Sends a message on the connection that this process opened.
     pub fn send_message(&mut self, from: NodeRef, ip: IpAddr, msg: PeerMessage) {
         let Some(to) = (0..self.cores.len()).find(|n| core_ip(*n) == ip) else { return };
         self.push(LinkKey { from, to }, true, msg);
     }
 
+    /// A core node sends a message back on a connection that was opened to it.
     pub fn send_response(&mut self, conn: u64, msg: PeerMessage) {
         let key = self.links.up.iter().find(|(_, l)| l.conn == conn).map(|(k, _)| *k);
         if let Some(key) = key {
@@ -221,6 +229,7 @@
         self.schedule_at(at, SimulationEvent::DeliverMessages(key, conn, forth));
     }
 
+    /// Delivers the next message of one direction, unless a partition or a freeze holds it up.
     pub fn deliver_next(&mut self, key: LinkKey, conn: u64, forth: bool) {
         let passes = self.links.passes(key, forth);
         let frozen = match (key.from, forth) {
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -11,6 +11,7 @@
 use whinstall_gateway::protocol::PeerMessage;
 use whinstall_gateway::settings::{LossTolerance, Settings};
 
+/// A core node: its process, disk and clock.
 pub struct SimulatedCore {
     pub core: Option<CoreNode>,
     pub incarnation: u64,
@@ -27,17 +28,19 @@
     pub seeds: Vec<usize>,
 }
 
+/// An edge node: its process and clock.
 pub struct SimulatedEdge {
     pub edge: Option<EdgeNode>,
     pub incarnation: u64,
     pub booted_at: f64,
     pub clock_rate: f64,
     pub frozen: bool,
-    /// In trouble until then, for the rules that hold in touch.
+    /// In fault until then, for the rules that hold in touch.
     pub faulty_until: f64,
     pub seeds: Vec<usize>,
 }
 
+/// The address of a core node.
 pub fn core_ip(n: usize) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(10, 0, 1, n as u8 + 1))
 }
@@ -47,6 +50,7 @@
 }
 
 impl World {
+    /// The settings file of a node, as its next start would read it.
     pub fn settings(&self, who: NodeRef) -> Settings {
         let (n, core) = match who {
             NodeRef::Core(n) => (n, true),
@@ -122,6 +126,7 @@
         }
     }
 
+    /// Hands an event to a core node's state machine, or defers it while the process is frozen.
     pub fn core_event(&mut self, n: usize, event: control_plane::Event) {
         let node = &mut self.cores[n];
         let now = 1000.0 + (self.now - node.booted_at) * node.clock_rate;
@@ -174,6 +179,7 @@
         self.core_event(n, control_plane::Event::Persisted(put));
     }
 
+    /// Calls an edge node's state machine, unless its process is frozen, and carries out the effects.
     pub fn edge_call(&mut self, n: usize, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<data_plane::Effect>)) {
         let node = &mut self.edges[n];
         let now = 1000.0 + (self.now - node.booted_at) * node.clock_rate;
@@ -231,7 +237,7 @@
         self.schedule_after(next, SimulationEvent::EdgeTick(n, incarnation));
     }
 
-    /// A message counts as said to a core machine.
+    /// A message counts as said to a core node.
     pub fn deliver(&mut self, key: LinkKey, conn: u64, forth: bool, msg: PeerMessage) {
         match (key.from, forth) {
             (_, true) => self.core_event(key.to, control_plane::Event::SessionMessage(conn, msg)),
--- a/crates/simulation/src/operator_sessions.rs
+++ b/crates/simulation/src/operator_sessions.rs
@@ -6,6 +6,7 @@
 use crate::operators::{items, registers, ChangeValidity, OperatorStep, SentChange};
 
 impl World {
+    /// Schedules the first steps of all operators.
     pub fn start_operators(&mut self) {
         let operator_load = self.plan.operator_load.clone();
         for operator in 0..operator_load.operators {
@@ -25,6 +26,7 @@
         }
     }
 
+    /// Takes an operator's next step.
     pub fn operator_turn(&mut self, turn: OperatorStep) {
         match turn {
             // Services that orders name must stand.
@@ -134,7 +136,7 @@
         content as usize
     }
 
-    /// A core machine answers an order: what it says counts, heard or not.
+    /// A core node answers an order: what it says counts, heard or not.
     pub fn change_responded(&mut self, order: usize, core: usize, status: u16) {
         self.operator_records.answers += 1;
         let now = self.now;
@@ -242,6 +244,7 @@
         self.retry_call(call, pause);
     }
 
+    /// A core node answered a read: checks its contents and keeps them until they reach the operator.
     pub fn read_answered(&mut self, call: u64, body: &serde_json::Value) {
         let held = registers(self.plan.operator_load.labels, body);
         for (label, held) in held.iter().enumerate() {
@@ -276,7 +279,7 @@
         self.operator_records.heard.insert(call, held);
     }
 
-    /// A clerk hears what stands.
+    /// An operator hears what stands.
     pub fn read_returned(&mut self, call: u64, operator: usize, from: f64) {
         let Some(held) = self.operator_records.heard.remove(&call) else { return };
         self.operator_records.reads.push(Read { from, to: self.now, held });
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -1,5 +1,5 @@
-//! Operators in number: orders under way at once, twins under one number, answers lost on their way, the same order
-//! sent again long after, invalid ones, reads all the while. They know what comes back on their sockets and no more.
+//! Concurrent operators: how much they do, the changes that they sent, and what they heard. They know only what comes back
+//! on their sockets.
 
 use crate::history::{Held, Read};
 use whinstall_gateway::configuration::{parse_change, ConfigItem};
@@ -10,13 +10,13 @@
     pub operators: usize,
     /// Orders that one has under way at once.
     pub at_once: usize,
-    /// Orders in all, twins not counted.
+    /// Orders in all, conflicting changes not counted.
     pub orders: usize,
     pub from: f64,
     pub until: f64,
     /// Seconds between an answer and the next order, at the most.
     pub pause: f64,
-    /// Parts of the orders: with a twin of other content, whose answer is lost, sent again when confirmed, invalid,
+    /// Parts of the orders: with a conflicting change of other content, whose answer is lost, sent again when confirmed, invalid,
     /// with a key that another order gives to another tenant.
     pub twin_fraction: f64,
     pub lost_fraction: f64,
@@ -57,6 +57,7 @@
     }
 }
 
+/// What a core node should make of a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ChangeValidity {
     Proper,
@@ -77,11 +78,11 @@
     pub content: u64,
     pub items: Vec<ConfigItem>,
     pub began: f64,
-    /// When a 200 first left a core machine.
+    /// When a 200 first left a core node.
     pub accepted_at: Option<f64>,
     /// When its operator first heard a 200.
     pub confirmed_at: Option<f64>,
-    /// When a core machine first refused it.
+    /// When a core node first refused it.
     pub rejected: Option<(f64, u16)>,
     /// The other one under the same number, or with the same key.
     pub rival: Option<usize>,
@@ -98,7 +99,7 @@
     }
 }
 
-/// What a clerk is to do.
+/// What an operator is to do.
 #[derive(Clone, Debug)]
 pub enum OperatorStep {
     Next(usize),
@@ -121,6 +122,7 @@
     pub answers: u64,
 }
 
+/// The label of a register's route.
 pub fn label(n: usize) -> String {
     format!("x-{n}")
 }
--- a/crates/simulation/src/partitions.rs
+++ b/crates/simulation/src/partitions.rs
@@ -1,5 +1,4 @@
-//! Who can be cut from whom: the parties of a simulated cluster and the cuts between chosen sides. It must never know
-//! what the parties say.
+//! Participants of the simulated cluster, and network partitions between chosen sides of them.
 
 /// Anybody who sends packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -29,7 +28,7 @@
 }
 
 impl Partition {
-    /// These core machines with a gatekeeper, two workers and an operator on their side.
+    /// These core nodes with a edge node, two workers and an operator on their side.
     pub fn side(
         cores: &[usize],
         edges: &[usize],
@@ -44,7 +43,7 @@
         Partition { inside: cores.chain(edges).chain(workers).chain(operators).collect(), others: None, way }
     }
 
-    /// Two core machines that don't reach each other, though others reach both.
+    /// Two core nodes that don't reach each other, though others reach both.
     pub fn pair(one: usize, other: usize) -> Self {
         Partition {
             inside: vec![Participant::Core(one)],
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a simulated deployment is like. It must never change while a run is under way.
+//! What a simulated deployment is like; fixed for the whole run.
 
 use super::misbehaving_core::Misbehaviour;
 use super::operators::OperatorLoad;
@@ -28,7 +28,7 @@
     pub steps: Option<u64>,
     /// Services with two kilobytes of fields each that stand from the first change on.
     pub bulk: usize,
-    /// Seconds that a sync of a core machine's disk takes, and bytes that it writes in one.
+    /// Seconds that a sync of a core node's disk takes, and bytes that it writes in one.
     pub sync: f64,
     pub disk_rate: f64,
     /// What a machine that comes back may take, as the settings have it: seconds.
--- a/crates/simulation/src/primary_operator.rs
+++ b/crates/simulation/src/primary_operator.rs
@@ -17,6 +17,7 @@
 }
 
 impl World {
+    /// Ends all changes and lets every operator read once more.
     pub fn read_back(&mut self) {
         self.operator.done = true;
         for operator in 0..self.plan.operator_load.operators {
@@ -25,6 +26,7 @@
         self.call(0, CallOrigin::PrimaryRead);
     }
 
+    /// Sends the primary operator's next change, until the plan's number of changes is reached.
     pub fn submit_primary_change(&mut self) {
         if self.operator.done {
             return;
--- a/crates/simulation/src/repair_times.rs
+++ b/crates/simulation/src/repair_times.rs
@@ -1,5 +1,5 @@
-//! How long it takes until a core machine that starts holds all again: it votes, and has applied what was committed
-//! anywhere when it could begin. Looks into core machines, so it tells times and never what is right.
+//! How long it takes until a core node that starts holds all again: it votes, and has applied what was committed
+//! anywhere when it could begin. Looks into core nodes, so it tells times and never what is right.
 
 use super::World;
 use std::collections::BTreeMap;
@@ -25,6 +25,7 @@
         known.max().unwrap_or(0)
     }
 
+    /// A core node restarted or joined: measures how long its repair takes.
     pub fn repair_started(&mut self, n: usize) {
         if self.cores[n].incarnation == 1 && !self.invariants.joining.contains_key(&n) {
             return;
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -1,5 +1,5 @@
-//! The operators' worst days: cuts between sides, machines replaced, starts beside a machine that is cut off, slow
-//! disks. Steps of time of day are not among them: no state machine is told the time of day.
+//! The operators' worst days: partitions between sides, replaced nodes, restarts beside a partitioned node, slow and full
+//! disks. Steps of the wall clock are not among them, because no state machine reads it.
 
 use super::faults::Fault;
 use super::network::NodeRef;
@@ -9,21 +9,21 @@
 use super::{SimulationEvent, World};
 use whinstall_gateway::control_plane;
 
-/// A trouble of such a day.
+/// A fault of such a day.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SevereFault {
     Partition {
         cut: Partition,
         secs: f64,
     },
-    /// Cut off is whichever core machine answered last as the counter, with some of the others' callers.
+    /// Cut off is whichever core node answered last as the counter, with some of the others' callers.
     PartitionQuotaLeader {
         edges: Vec<usize>,
         workers: Vec<usize>,
         operators: Vec<usize>,
         secs: f64,
     },
-    /// The same, from all others or from the next core machine only, one way or both.
+    /// The same, from all others or from the next core node only, one way or both.
     PartitionLeader {
         way: Direction,
         pair: bool,
@@ -117,9 +117,9 @@
         core: usize,
         secs: f64,
     },
-    /// This, at whichever core machine answered last as the counter.
+    /// This, at whichever core node answered last as the counter.
     AtQuotaLeader(Box<Fault>),
-    /// All core machines lose power, and all gatekeepers if `edges`; some disks are lost.
+    /// All core nodes lose power, and all edge nodes if `edges`; some disks are lost.
     Blackout {
         down: f64,
         wipe: Vec<usize>,
@@ -128,7 +128,7 @@
 }
 
 impl Fault {
-    /// The same at this core machine.
+    /// The same at this core node.
     fn at(mut self, at: usize) -> Self {
         match &mut self {
             Fault::KillCore { core, .. }
@@ -159,6 +159,7 @@
         self.schedule_after(secs, SimulationEvent::PartitionHeals(cut));
     }
 
+    /// Ends a partition.
     pub fn heal_partition(&mut self, cut: &Partition) {
         if let Some(at) = self.links.cuts.iter().position(|c| c == cut) {
             self.links.cuts.remove(at);
--- a/crates/simulation/src/trials.rs
+++ b/crates/simulation/src/trials.rs
@@ -1,4 +1,4 @@
-//! Runs of a story over many seeds; says of each seed what is broken.
+//! Plays a scenario over many seeds and reports the violations of each seed.
 
 use super::faults::Fault;
 use super::operators::OperatorLoad;
@@ -6,7 +6,7 @@
 use super::severe_faults::SevereFault;
 use super::{DeploymentPlan, SimulationEvent, World};
 
-/// Troubles and when they come.
+/// Faults and when they come.
 pub type FaultSchedule = Vec<(f64, Fault)>;
 
 /// A deployment whose control side is under way all day, its traffic light.
@@ -31,11 +31,12 @@
     }
 }
 
+/// A severe fault at this time.
 pub fn severe(at: f64, severe: SevereFault) -> (f64, Fault) {
     (at, Fault::Severe(severe))
 }
 
-/// A core machine cut off with a gatekeeper, workers and an operator on its side.
+/// A core node cut off with a edge node, workers and an operator on its side.
 pub fn cut(at: f64, cores: &[usize], way: Direction, secs: f64) -> (f64, Fault) {
     severe(at, SevereFault::Partition { cut: Partition::side(cores, &[0], &[0, 4], &[1], way), secs })
 }
@@ -45,6 +46,7 @@
     (at, Fault::KillCore { core, down, power: true, wipe: true })
 }
 
+/// Plays one day with these faults, and makes the final checks.
 pub fn play(seed: u64, plan: DeploymentPlan, days: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
     for (at, fault) in days {
@@ -73,7 +75,7 @@
     format!("{} starts until all is held again: {}, longest {}", took.len(), tell(middle), tell(most))
 }
 
-/// Plays a story on each seed; all that is broken is told, with the seeds. Returned: how many orders were confirmed.
+/// Plays a scenario on each seed; all that is broken is told, with the seeds. Returned: how many orders were confirmed.
 pub fn trial(
     seeds: std::ops::Range<u64>,
     story: impl Fn(u64, &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule),
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -25,11 +25,13 @@
     pub(crate) departing: bool,
 }
 
+/// The services that workers serve.
 pub const SERVICES: [&str; 3] = ["planer", "lathe", "drill"];
 const SLOTS: usize = 3;
 const QUEUE: usize = 4;
 
 impl SimulatedWorker {
+    /// A worker that serves.
     pub fn new(n: usize, service: usize, zone: &str) -> Self {
         SimulatedWorker {
             id: format!("i-{n}").into(),
@@ -48,6 +50,7 @@
         }
     }
 
+    /// The worker starts to drain.
     pub fn leaves(&mut self) {
         self.phase = WorkerPhase::Draining;
     }
@@ -68,6 +71,7 @@
         }
     }
 
+    /// A worker sends its heartbeat.
     pub fn send_heartbeat(&mut self, n: usize) {
         if !self.workers[n].alive {
             return;
@@ -77,6 +81,7 @@
         self.call(core, CallOrigin::Heartbeat(n));
     }
 
+    /// A drained worker deregisters and ends; its address goes to a new worker of another service.
     pub fn send_departure(&mut self, n: usize) {
         let core = self.workers[n].core;
         self.call(core, CallOrigin::Departure(n));
@@ -133,6 +138,7 @@
         self.schedule_after(work, SimulationEvent::WorkerFinishes(n, hit));
     }
 
+    /// A worker finishes a request and starts the next one in its queue.
     pub fn finish_work(&mut self, n: usize, hit: WorkerAttempt) {
         let lost = self.rng.f64() < self.plan.lost_answers;
         let w = &mut self.workers[n];
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -62,6 +62,7 @@
 }
 
 impl World {
+    /// A cluster by this plan, with the first events scheduled; all draws come from the seed.
     pub fn new(seed: u64, plan: DeploymentPlan) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         // The one draw that the core makes by itself, for when it claims the counter.
@@ -140,12 +141,14 @@
         world
     }
 
+    /// Schedules an event at this simulated time, but not in the past.
     pub fn schedule_at(&mut self, at: f64, ev: SimulationEvent) {
         self.next += 1;
         let at = at.max(self.now);
         self.queue.insert(((at * 1e6) as u64, self.next), ev);
     }
 
+    /// Schedules an event this many seconds from now.
     pub fn schedule_after(&mut self, secs: f64, ev: SimulationEvent) {
         self.schedule_at(self.now + secs, ev);
     }
--- a/crates/simulation/tests/scenarios/basic_faults.rs
+++ b/crates/simulation/tests/scenarios/basic_faults.rs
@@ -1,4 +1,4 @@
-//! What must hold in troubles, each told by seeds.
+//! What must hold in faults, each told by seeds.
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
@@ -75,7 +75,7 @@
         (14.0, Fault::KillAllCores { down: 0.4 }),
     ];
     for world in run_seeds(50..60, &DeploymentPlan::default(), &faults) {
-        // Gatekeepers serve on with what they know, within their shares.
+        // Edge nodes serve on with what they know, within their shares.
         expect_that!(world.auditor.served(9.0, 11.0, "key-free"), ge(0.9));
     }
 }
@@ -146,7 +146,7 @@
     }
 }
 
-/// Draws troubles within what may be lost at once.
+/// Draws faults within what may be lost at once.
 pub(super) fn random_faults(rng: &mut fastrand::Rng, plan: &DeploymentPlan) -> Vec<(f64, Fault)> {
     let mut faults = Vec::new();
     let mut at = 5.0 + rng.f64();
--- a/crates/simulation/tests/scenarios/bootstrap.rs
+++ b/crates/simulation/tests/scenarios/bootstrap.rs
@@ -1,4 +1,4 @@
-//! The first start: any number of core machines, in any order, some late, a seed that dies before the system began.
+//! The first start: any number of core nodes, in any order, some late, a seed that dies before the system began.
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
@@ -80,7 +80,7 @@
     });
 }
 
-/// Guards a gatekeeper that connects before the core knows that it has heard of every worker, where a service that a route
+/// Guards a edge node that connects before the core knows that it has heard of every worker, where a service that a route
 /// names has none: it has to hear later that nothing is lacking.
 #[gtest]
 fn edge_is_ready_when_a_service_has_no_worker() {
--- a/crates/simulation/tests/scenarios/core_repair.rs
+++ b/crates/simulation/tests/scenarios/core_repair.rs
@@ -173,7 +173,7 @@
 
 #[gtest]
 fn removed_core_does_not_restart_with_the_others() {
-    // Seed 860086 of the worst days, the story's fault: all were killed, and two that had been replaced came back with the
+    // Seed 860086 of the worst days, the scenario's fault: all were killed, and two that had been replaced came back with the
     // others, as members with disks that no later loss of power struck.
     for all_back in [Fault::KillAllCores { down: 0.5 }, Fault::PowerOffAll { down: 0.5, wipe: Vec::new() }] {
         let days = vec![replace(6.0, 1, 0.5), (12.0, all_back)];
--- a/crates/simulation/tests/scenarios/digest_tests.rs
+++ b/crates/simulation/tests/scenarios/digest_tests.rs
@@ -14,7 +14,7 @@
     let d = &world.digest;
     let (acknowledged, runs) = world.auditor.counts();
     let orders = world.operator_records.orders.iter().filter(|o| o.confirmed_at.is_some()).count();
-    // By core machine that runs: the term, the entry that is committed, the entry that changed the configuration last.
+    // By core node that runs: the term, the entry that is committed, the entry that changed the configuration last.
     let cores = world.cores.iter().filter_map(|c| c.core.as_ref());
     let logs: Vec<_> = cores
         .map(|c| (c.raft.term(), c.raft.commit_index(), c.configuration.state.last_change_index()))
--- a/crates/simulation/tests/scenarios/long_days.rs
+++ b/crates/simulation/tests/scenarios/long_days.rs
@@ -1,5 +1,5 @@
 //! Point 4 of the operators: hundreds of changes, then restarts of those that were away, were wiped, or of all; and
-//! drawn days, each trouble at its own time.
+//! drawn days, each fault at its own time.
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
@@ -108,7 +108,7 @@
     expect_that!(trial(14_800..14_820, three_thousand_changes), ge(20 * 2800));
 }
 
-/// Troubles of every kind, within what may be lost at once.
+/// Faults of every kind, within what may be lost at once.
 fn random_faults(rng: &mut fastrand::Rng, plan: &DeploymentPlan) -> FaultSchedule {
     let (mut days, mut next) = (FaultSchedule::new(), plan.cores);
     let mut listed: Vec<usize> = (0..plan.cores).collect();
@@ -135,7 +135,7 @@
                 )
             }
             3 => {
-                // Restarted in the middle of its cut, with a gatekeeper beside it.
+                // Restarted in the middle of its cut, with a edge node beside it.
                 let seeds = vec![core];
                 let edge_seeds = seeds.clone();
                 days.push(severe(at + 3.0, SevereFault::RestartCore { core, down: 0.5, power, wipe, seeds }));
--- a/crates/simulation/tests/scenarios/misbehaving_core.rs
+++ b/crates/simulation/tests/scenarios/misbehaving_core.rs
@@ -1,4 +1,4 @@
-//! Faults that are put into the core machines of the cluster, to show that the auditor and the check of the history see
+//! Faults that are put into the core nodes of the cluster, to show that the auditor and the check of the history see
 //! them: a machine that answers by what it holds itself, without a word to the others.
 
 use googletest::prelude::*;
--- a/crates/simulation/tests/scenarios/partitions.rs
+++ b/crates/simulation/tests/scenarios/partitions.rs
@@ -1,4 +1,4 @@
-//! Point 1 of the operators: a core machine cut off for some twenty seconds, with callers on its side.
+//! Point 1 of the operators: a core node cut off for some twenty seconds, with callers on its side.
 
 use googletest::prelude::*;
 use whinstall_simulation::faults::Fault;
@@ -76,7 +76,7 @@
     });
 }
 
-/// A gatekeeper's seeds begin with the one that is cut off, and it reaches only that one.
+/// A edge node's seeds begin with the one that is cut off, and it reaches only that one.
 fn edge_beside_partitioned_core(seed: u64, unlimited: bool) -> (DeploymentPlan, Vec<(f64, Fault)>) {
     let core = seed as usize % 3;
     let seeds = vec![core, (core + 1) % 3, (core + 2) % 3];
@@ -194,7 +194,7 @@
     whinstall_simulation::trials::trial_with(11_970..11_976, story, acked);
 }
 
-/// Gatekeepers that start anew beside a machine that is cut off, again and again, with nothing but its address.
+/// Edge nodes that start anew beside a machine that is cut off, again and again, with nothing but its address.
 #[gtest]
 fn edges_restarted_beside_a_partitioned_core_keep_their_progress() {
     trial(11_980..11_984, |seed, rng| {
--- a/crates/simulation/tests/scenarios/status_reports.rs
+++ b/crates/simulation/tests/scenarios/status_reports.rs
@@ -6,7 +6,7 @@
 use whinstall_simulation::trials::control;
 use whinstall_simulation::{SimulationEvent, World};
 
-/// What a core machine tells, if it runs.
+/// What a core node tells, if it runs.
 fn status(world: &World, n: usize) -> Option<Value> {
     let node = &world.cores[n];
     let now = 1000.0 + (world.now - node.booted_at) * node.clock_rate;
--- a/crates/simulation/tests/scenarios/worst_days.rs
+++ b/crates/simulation/tests/scenarios/worst_days.rs
@@ -1,4 +1,4 @@
-//! The worst days: every kind of trouble that the operators' list has for the control side, each twice and more in one
+//! The worst days: every kind of fault that the operators' list has for the control side, each twice and more in one
 //! day, within what may be lost at once; what loses nothing comes at any moment beside it. And the long run over
 //! thousands of seeds.
 
@@ -69,7 +69,7 @@
                 self.add(0.0, SevereFault::PartitionQuotaLeader { edges, workers, operators, secs: long });
             }
             3 => {
-                // Restarted in the middle of its cut, with a gatekeeper beside it that knows no other.
+                // Restarted in the middle of its cut, with a edge node beside it that knows no other.
                 self.add(0.0, cut(long));
                 self.add(2.0, restart(core, wipe, secs.min(2.0)));
                 self.add(3.0, SevereFault::RestartEdge { edge, down: 0.5, seeds: vec![core] });
@@ -83,7 +83,7 @@
                 );
             }
             4 => {
-                // New seeds begin with the one that is cut off, and gatekeepers on both sides are restarted.
+                // New seeds begin with the one that is cut off, and edge nodes on both sides are restarted.
                 self.add(0.0, cut(long));
                 let seeds: Vec<usize> = std::iter::once(core).chain(others.iter().copied()).take(3).collect();
                 let who =
@@ -250,7 +250,7 @@
 /// A day that broke a rule in a long run; each is kept with its cause.
 #[gtest]
 fn edge_starts_just_before_the_cores_lose_power() {
-    // Seed 800276, the auditor's fault: it looked every tenth of a second whether a gatekeeper could have met the core, and this one
+    // Seed 800276, the auditor's fault: it looked every tenth of a second whether a edge node could have met the core, and this one
     // met it in between. It goes by what was heard now.
     trial(15_100..15_103, |_, _| {
         let dark = SevereFault::Blackout { down: 0.8, wipe: Vec::new(), edges: false };
