--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -35,8 +35,11 @@
     drops: HashMap<(ItemKind, String), u64>,
     /// Newest flip version that an edge's life was seen to serve by.
     seen: HashMap<(usize, u64), u64>,
+    /// The violations found so far, in order of time.
     pub violations: Vec<String>,
+    /// The configuration that the final read returned.
     pub read: Option<serde_json::Value>,
+    /// When the final read was last attempted.
     pub read_at: f64,
 }
 
--- a/crates/simulation/src/digest.rs
+++ b/crates/simulation/src/digest.rs
@@ -10,6 +10,7 @@
     pub events: u64,
     /// Messages that processes sent over connections, and their encoded bytes.
     pub messages: u64,
+    /// The encoded bytes of those messages.
     pub bytes: u64,
     /// Answers of core nodes to calls of workers and operators, by status.
     pub replies: BTreeMap<u16, u64>,
--- a/crates/simulation/src/event.rs
+++ b/crates/simulation/src/event.rs
@@ -10,33 +10,57 @@
 /// What is to happen.
 #[derive(Debug)]
 pub enum SimulationEvent {
+    /// A core node's timer fires, in this incarnation.
     CoreTick(usize, u64),
+    /// An edge node's timer fires, in this incarnation.
     EdgeTick(usize, u64),
+    /// A process tries to open a connection, in this incarnation.
     Dial(LinkKey, u64),
+    /// A connection opens, in this incarnation of the opener.
     DialUp(LinkKey, u64),
+    /// The next message of a connection, by its number, is due; `true`: on its way to the core node.
     DeliverMessages(LinkKey, u64, bool),
+    /// Silent connections are closed.
     LinkCheck,
+    /// A core node's disk has synced all writes up to this sequence number, in this incarnation.
     DiskDone(usize, u64, u64),
+    /// A worker sends its heartbeat.
     HeartbeatDue(usize),
+    /// A call reaches a core node.
     CallArrives(usize, ControlCall),
+    /// A response with this status reaches the sender of the call.
     CallAnswered(ControlCall, u16),
+    /// No response came in time.
     CallTimedOut(u64),
+    /// A drained worker deregisters and ends.
     WorkerDeparts(usize),
+    /// A client sends a request.
     ClientRequest,
+    /// An attempt reaches its worker's address.
     AttemptArrives(WorkerAttempt),
+    /// A worker finishes a request.
     WorkerFinishes(usize, WorkerAttempt),
+    /// A load report of the first edge node reaches the second.
     LoadReportArrives(usize, usize, LoadReport),
+    /// The outcome of an attempt reaches its edge node; `true`: another worker had the address.
     AttemptEnded(WorkerAttempt, whinstall::Ending, bool),
+    /// The primary operator sends its next change.
     OperatorActs,
+    /// A fault begins.
     Fault(Fault),
+    /// A fault ends.
     Repair(Fault),
+    /// A process starts.
     Boot(NodeRef),
     /// The next step of making a core node's new disk, in this life; is it told that the system starts first?
     CreatingDisk(usize, u64, bool),
+    /// The invariants are checked.
     InvariantCheck,
+    /// One of the concurrent operators takes a step.
     OperatorTurn(OperatorStep),
     /// A process that was asked to end is gone.
     ProcessExited(usize, u64),
+    /// A partition ends.
     PartitionHeals(Partition),
     /// The operator's list changed: files are written anew.
     SeedListsChange,
@@ -45,27 +69,39 @@
 /// A call to a core node under way.
 #[derive(Clone, Debug)]
 pub struct ControlCall {
+    /// The number of the call.
     pub id: u64,
+    /// The core node that is called.
     pub core: usize,
+    /// Who calls, and what for.
     pub by: CallOrigin,
 }
 
 /// Who sends a call to a core node, and what for.
 #[derive(Clone, Debug)]
 pub enum CallOrigin {
+    /// A worker's heartbeat.
     Heartbeat(usize),
+    /// A worker deregisters.
     Departure(usize),
+    /// A change of the primary operator.
     PrimaryChange(Vec<ConfigItem>),
+    /// The final read of the primary operator.
     PrimaryRead,
     /// One of the operators' orders; `again`: beside the operator's own run of orders.
     Change {
+        /// Index of the change.
         order: usize,
+        /// usize,
         operator: usize,
+        /// Whether it is sent beside the operator's sequence of changes.
         again: bool,
     },
     /// An operator reads.
     Read {
+        /// usize,
         operator: usize,
+        /// When the read began.
         from: f64,
     },
 }
@@ -73,11 +109,18 @@
 /// One attempt of a request at a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerAttempt {
+    /// The edge node that sent it.
     pub edge: usize,
+    /// The incarnation of the edge node.
     pub incarnation: u64,
+    /// The request.
     pub id: whinstall::RequestId,
+    /// The number of the attempt.
     pub attempt: u32,
+    /// The worker that it was meant for.
     pub worker: usize,
+    /// The worker's identifier at the edge node.
     pub host: whinstall::HostId,
+    /// The auditor's number of the request.
     pub request: u64,
 }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -11,76 +11,47 @@
 use whinstall_gateway::settings::Settings;
 use whinstall_gateway::storage::{LoadedState, SnapshotId, WriteBatch};
 
-/// A fault.
+/// A fault that is injected into a simulated day.
+///
+/// Fields that recur: `secs` is how long it lasts and `down` after how many seconds a process comes back; `power` means
+/// that unsynced writes may be lost, `wipe` that the disk is lost, `dark` that the other ends hear nothing of it.
+#[allow(missing_docs)] // The fields are explained above.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Killed; back after so many seconds. `power`: unsynced writes go; `wipe`: the disk, too.
-    KillCore {
-        core: usize,
-        down: f64,
-        power: bool,
-        wipe: bool,
-    },
-    KillEdge {
-        edge: usize,
-        down: f64,
-    },
+    KillCore { core: usize, down: f64, power: bool, wipe: bool },
+    /// An edge node is killed.
+    KillEdge { edge: usize, down: f64 },
     /// The first so many are killed at once; `dark`: those at the other ends hear nothing of it.
-    KillManyEdges {
-        edges: usize,
-        down: f64,
-        dark: bool,
-    },
+    KillManyEdges { edges: usize, down: f64, dark: bool },
     /// Cut off from the other core nodes.
-    PartitionCore {
-        core: usize,
-        secs: f64,
-        one_way: bool,
-    },
+    PartitionCore { core: usize, secs: f64, one_way: bool },
     /// Cut off from the core.
-    PartitionEdge {
-        edge: usize,
-        secs: f64,
-    },
-    StallDisk {
-        core: usize,
-        secs: f64,
-    },
+    PartitionEdge { edge: usize, secs: f64 },
+    /// No write of the disk completes for a while.
+    StallDisk { core: usize, secs: f64 },
     /// A process does not run for a while.
-    Freeze {
-        who: NodeRef,
-        secs: f64,
-    },
+    Freeze { who: NodeRef, secs: f64 },
     /// All core processes are killed at the same moment.
-    KillAllCores {
-        down: f64,
-    },
+    KillAllCores { down: f64 },
     /// Every machine loses power; the disks of some are lost.
-    PowerOffAll {
-        down: f64,
-        wipe: Vec<usize>,
-    },
-    CrashWorker {
-        worker: usize,
-        dark: bool,
-    },
+    PowerOffAll { down: f64, wipe: Vec<usize> },
+    /// A worker is killed, for good.
+    CrashWorker { worker: usize, dark: bool },
     /// Says that it leaves, and leaves.
-    DrainWorker {
-        worker: usize,
-    },
+    DrainWorker { worker: usize },
     /// What operators call their worst days.
     Severe(SevereFault),
     /// One tenant sends this many times its usual.
-    TenantSurge {
-        times: f64,
-        secs: f64,
-    },
+    TenantSurge { times: f64, secs: f64 },
 }
 
 /// A core node's disk.
 #[derive(Default)]
 pub struct SimulatedDisk {
+    /// What is synced.
     pub held: LoadedState,
+    /// Writes that are not synced yet, in order.
     pub writing: Vec<WriteBatch>,
     /// What is there of a snapshot that is not written yet.
     ahead: Option<(SnapshotId, Vec<u8>)>,
@@ -90,7 +61,9 @@
     making: bool,
     /// Is the mark of the first start there, and is it synced?
     mark: Option<bool>,
+    /// When the writes so far are synced.
     pub free_at: f64,
+    /// No write completes before this time.
     pub stalled_until: f64,
     /// It takes no more bytes until then, whatever is restarted.
     pub full_until: f64,
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -11,19 +11,26 @@
 /// An order. `to` is infinite where no answer was heard: it may take effect at any time after `from`.
 #[derive(Clone, Debug)]
 pub struct Write {
+    /// f64,
     pub from: f64,
+    /// When it was answered.
     pub to: f64,
     /// Registers it writes, all with this number and content.
     pub labels: Vec<usize>,
+    /// The version.
     pub number: u64,
+    /// The content; differs between changes.
     pub content: u64,
 }
 
 /// A read that was answered.
 #[derive(Clone, Debug)]
 pub struct Read {
+    /// When it was sent.
     pub from: f64,
+    /// When it was answered.
     pub to: f64,
+    /// What each register held.
     pub held: Vec<Held>,
 }
 
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -44,6 +44,7 @@
     pub(crate) served: HashMap<(usize, u64, usize), u64>,
     pub(crate) contents: HashMap<(usize, u64), u64>,
     pub(crate) overdue_changes: HashSet<usize>,
+    /// What was reported already, so that it is reported once.
     pub reported: HashSet<(u64, String)>,
     /// Who answered as the counter lately.
     pub(crate) quota_leaders: Vec<(f64, usize)>,
@@ -57,12 +58,15 @@
     pub pending_snapshot_crashes: Vec<super::severe_faults::SnapshotCrash>,
     /// How often each moment of a snapshot came, and how many losses came at one.
     pub snapshot_stages: BTreeMap<usize, u64>,
+    /// How many crashes came at a stage of a snapshot.
     pub snapshot_crashes: u64,
     /// What waits for the next order to be confirmed, until then.
     pub armed_crash: Option<(f64, PendingCrash)>,
+    /// How often another node responded as the quota leader.
     pub quota_leader_changes: u64,
     /// Who counted in each term: machine and life.
     pub(crate) quota_leader_by_term: BTreeMap<u64, (usize, u64)>,
+    /// Seconds for which the core was settled.
     pub settled_for: f64,
 }
 
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -2,6 +2,8 @@
 //! themselves, with simulated workers, clients and operators, and an auditor that checks the rules. Each run is determined
 //! by its plan, its faults and its seed.
 
+#![deny(missing_docs)]
+
 pub mod auditor;
 pub mod clients;
 pub mod control_calls;
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -11,7 +11,9 @@
 /// A process of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum NodeRef {
+    /// A core node.
     Core(usize),
+    /// An edge node.
     Edge(usize),
 }
 
@@ -27,7 +29,9 @@
 /// A connection: who opened it, to which core node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkKey {
+    /// The process that opened it.
     pub from: NodeRef,
+    /// The core node that it leads to.
     pub to: usize,
 }
 
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -13,30 +13,43 @@
 
 /// A core node: its process, disk and clock.
 pub struct SimulatedCore {
+    /// The state machine, while the process runs.
     pub core: Option<CoreNode>,
+    /// How often the process started.
     pub incarnation: u64,
+    /// The node's disk.
     pub disk: SimulatedDisk,
+    /// When the process last started.
     pub booted_at: f64,
+    /// Seconds of the node's clock in a simulated second.
     pub clock_rate: f64,
+    /// Whether the process is stopped.
     pub frozen: bool,
-    /// What came while it was frozen, in order.
+    /// Events that came while it was frozen, in order.
     pub backlog: Vec<control_plane::Event>,
+    /// Whether its next start is its first, with the whole system starting.
     pub cold: bool,
-    /// On the operator's list.
+    /// Whether it is on the operators' list.
     pub listed: bool,
-    /// Its `seed_list`.
+    /// The core nodes in its `seed_list`.
     pub seeds: Vec<usize>,
 }
 
 /// An edge node: its process and clock.
 pub struct SimulatedEdge {
+    /// The state machine, while the process runs.
     pub edge: Option<EdgeNode>,
+    /// How often the process started.
     pub incarnation: u64,
+    /// When the process last started.
     pub booted_at: f64,
+    /// Seconds of the node's clock in a simulated second.
     pub clock_rate: f64,
+    /// Whether the process is stopped.
     pub frozen: bool,
-    /// In fault until then, for the rules that hold in touch.
+    /// It counts as faulty until then, for the rules that hold only in contact with the core.
     pub faulty_until: f64,
+    /// The core nodes in its `seed_list`.
     pub seeds: Vec<usize>,
 }
 
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -7,24 +7,32 @@
 /// How much operators do.
 #[derive(Clone, Debug)]
 pub struct OperatorLoad {
+    /// How many operators there are.
     pub operators: usize,
     /// Orders that one has under way at once.
     pub at_once: usize,
     /// Orders in all, conflicting changes not counted.
     pub orders: usize,
+    /// When the first changes are sent.
     pub from: f64,
+    /// No change is sent after this time.
     pub until: f64,
     /// Seconds between an answer and the next order, at the most.
     pub pause: f64,
     /// Parts of the orders: with a conflicting change of other content, whose answer is lost, sent again when confirmed, invalid,
     /// with a key that another order gives to another tenant.
     pub twin_fraction: f64,
+    /// Fraction of the responses that are lost on their way.
     pub lost_fraction: f64,
+    /// Fraction of the confirmed changes that are sent again.
     pub resend_fraction: f64,
+    /// Fraction of the changes that are invalid.
     pub invalid_fraction: f64,
+    /// Fraction of the changes whose key another change gives to another tenant.
     pub shared_key_fraction: f64,
     /// Part of the orders that are under way at two machines from the start.
     pub duplicate_fraction: f64,
+    /// How many registers the changes write.
     pub labels: usize,
     /// Seconds between two reads of one operator; 0: none but the last.
     pub reads: f64,
@@ -60,6 +68,7 @@
 /// What a core node should make of a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ChangeValidity {
+    /// It is valid, and is confirmed unless a rival was.
     Proper,
     /// Names a service that is nowhere.
     Invalid,
@@ -70,13 +79,19 @@
 /// An order, and what was heard of it.
 #[derive(Clone, Debug)]
 pub struct SentChange {
+    /// The operator that sent it.
     pub operator: usize,
+    /// What a core node should make of it.
     pub validity: ChangeValidity,
+    /// The registers that it writes.
     pub labels: Vec<usize>,
+    /// Its version.
     pub version: u64,
     /// Differs from that of all other orders.
     pub content: u64,
+    /// Its items.
     pub items: Vec<ConfigItem>,
+    /// When it was first sent.
     pub began: f64,
     /// When a 200 first left a core node.
     pub accepted_at: Option<f64>,
@@ -88,6 +103,7 @@
     pub rival: Option<usize>,
     /// Was no answer heard yet?
     pub open: bool,
+    /// Whether its operator stopped asking.
     pub given_up: bool,
     pub(crate) attempts: u32,
 }
@@ -102,16 +118,22 @@
 /// What an operator is to do.
 #[derive(Clone, Debug)]
 pub enum OperatorStep {
+    /// This operator sends its next change.
     Next(usize),
+    /// This change is sent once more.
     Again(usize),
+    /// This operator reads.
     Read(usize),
 }
 
 /// The operators' records.
 #[derive(Default)]
 pub struct OperatorRecords {
+    /// The changes that were sent.
     pub orders: Vec<SentChange>,
+    /// The reads that were answered.
     pub reads: Vec<Read>,
+    /// Whether an operator read after the last change.
     pub read_at_end: bool,
     /// What answers to reads on their way say, by call.
     pub heard: std::collections::HashMap<u64, Vec<Held>>,
@@ -119,6 +141,7 @@
     pub waiting: Vec<usize>,
     pub(crate) version: u64,
     pub(crate) issued: usize,
+    /// How many answers to changes left the core.
     pub answers: u64,
 }
 
--- a/crates/simulation/src/partitions.rs
+++ b/crates/simulation/src/partitions.rs
@@ -3,15 +3,20 @@
 /// Anybody who sends packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Participant {
+    /// A core node.
     Core(usize),
+    /// An edge node.
     Edge(usize),
+    /// A worker.
     Worker(usize),
+    /// An operator; 0 is the primary one.
     Operator(usize),
 }
 
 /// Which packets a cut holds up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
+    /// Those in both directions.
     Both,
     /// What the inside says.
     Out,
@@ -22,8 +27,11 @@
 /// A cut between `inside` and all others, or only these others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Partition {
+    /// The participants on one side.
     pub inside: Vec<Participant>,
+    /// The other side, if not all others.
     pub others: Option<Vec<Participant>>,
+    /// Which packets are held up.
     pub way: Direction,
 }
 
--- a/crates/simulation/src/plan.rs
+++ b/crates/simulation/src/plan.rs
@@ -6,23 +6,35 @@
 /// What a deployment is like.
 #[derive(Clone, Debug)]
 pub struct DeploymentPlan {
+    /// How many core nodes there are at the start.
     pub cores: usize,
+    /// How many core nodes may be lost at once.
     pub losses: usize,
+    /// How many edge nodes there are.
     pub edges: usize,
+    /// How many workers each service has.
     pub workers: usize,
+    /// Requests of clients in a second.
     pub rate: f64,
+    /// The least delay of a packet, in seconds.
     pub delay: f64,
+    /// What a random delay adds at the most, in seconds.
     pub jitter: f64,
+    /// The length of the day, in seconds.
     pub length: f64,
+    /// The large tenant's rate per second, and its burst.
     pub quota: f64,
+    /// The fraction of workers' responses that are lost.
     pub lost_answers: f64,
     /// Core machines start within so long of each other, these that much later still.
     pub start_spread: f64,
+    /// Core nodes that start later than the others, by so many seconds.
     pub start_delays: Vec<(usize, f64)>,
     /// Seconds that each step takes in which a new disk is made: the mark, its sync, the database.
     pub disk_creation_step: f64,
     /// No tenant has a quota.
     pub unlimited: bool,
+    /// What the concurrent operators do.
     pub operator_load: OperatorLoad,
     /// How many changes the first operator makes.
     pub steps: Option<u64>,
@@ -30,6 +42,7 @@
     pub bulk: usize,
     /// Seconds that a sync of a core node's disk takes, and bytes that it writes in one.
     pub sync: f64,
+    /// Bytes that a core node's disk writes in a second.
     pub disk_rate: f64,
     /// What a machine that comes back may take, as the settings have it: seconds.
     pub resync: f64,
--- a/crates/simulation/src/primary_operator.rs
+++ b/crates/simulation/src/primary_operator.rs
@@ -10,9 +10,11 @@
     pub(crate) step: u64,
     pub(crate) version: u64,
     pub(crate) core: usize,
+    /// The status of the final read.
     pub read: Option<u16>,
     /// Since when its change has no answer.
     pub waits: Option<f64>,
+    /// Whether no more changes are sent.
     pub done: bool,
 }
 
--- a/crates/simulation/src/repair_times.rs
+++ b/crates/simulation/src/repair_times.rs
@@ -15,6 +15,7 @@
 #[derive(Default)]
 pub struct RepairTimes {
     pending: BTreeMap<usize, Repair>,
+    /// Seconds that each completed repair took.
     pub took: Vec<f64>,
 }
 
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -9,122 +9,62 @@
 use super::{SimulationEvent, World};
 use whinstall_gateway::control_plane;
 
-/// A fault of such a day.
+/// A fault of the operators' worst days.
+///
+/// Fields that recur: `secs` is how long it lasts, `down` after how many seconds a process comes back and `later` after how
+/// many a successor starts; `power` means that unsynced writes may be lost, `wipe` that disks are lost, `seeds` are the
+/// nodes in the new `seed_list`, `part` is a fraction.
+#[allow(missing_docs)] // The fields are explained above.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SevereFault {
-    Partition {
-        cut: Partition,
-        secs: f64,
-    },
+    /// A partition between these sides.
+    Partition { cut: Partition, secs: f64 },
     /// Cut off is whichever core node answered last as the counter, with some of the others' callers.
-    PartitionQuotaLeader {
-        edges: Vec<usize>,
-        workers: Vec<usize>,
-        operators: Vec<usize>,
-        secs: f64,
-    },
+    PartitionQuotaLeader { edges: Vec<usize>, workers: Vec<usize>, operators: Vec<usize>, secs: f64 },
     /// The same, from all others or from the next core node only, one way or both.
-    PartitionLeader {
-        way: Direction,
-        pair: bool,
-        secs: f64,
-    },
+    PartitionLeader { way: Direction, pair: bool, secs: f64 },
     /// Killed, back with a `seed_list` of these.
-    RestartCore {
-        core: usize,
-        down: f64,
-        power: bool,
-        wipe: bool,
-        seeds: Vec<usize>,
-    },
-    RestartEdge {
-        edge: usize,
-        down: f64,
-        seeds: Vec<usize>,
-    },
+    RestartCore { core: usize, down: f64, power: bool, wipe: bool, seeds: Vec<usize> },
+    /// The same for an edge node.
+    RestartEdge { edge: usize, down: f64, seeds: Vec<usize> },
     /// SIGTERM, gone within a second; a successor with an empty disk at a new address starts so much later.
-    ReplaceCore {
-        core: usize,
-        later: f64,
-    },
+    ReplaceCore { core: usize, later: f64 },
     /// The same for whichever answered last as the counter.
-    ReplaceQuotaLeader {
-        later: f64,
-    },
+    ReplaceQuotaLeader { later: f64 },
     /// A spare at a new address.
     AddCore,
     /// SIGTERM, gone within a second, for good.
-    RemoveCore {
-        core: usize,
-    },
+    RemoveCore { core: usize },
     /// The same for whichever answered last as the counter.
     RemoveQuotaLeader,
     /// Loses power with its disk for good: no successor.
-    LoseCore {
-        core: usize,
-    },
+    LoseCore { core: usize },
     /// Syncs take so long for a while.
-    SlowDisk {
-        core: usize,
-        each: f64,
-        secs: f64,
-    },
+    SlowDisk { core: usize, each: f64, secs: f64 },
     /// As `Blackout`, right after the next order is confirmed, at times with the disk of the machine that confirmed it.
-    BlackoutAfterAck {
-        down: f64,
-        edges: bool,
-    },
+    BlackoutAfterAck { down: f64, edges: bool },
     /// Some lose power at a moment of the next snapshot.
     AtSnapshot(SnapshotCrash),
     /// The machine that confirms the next order loses power right after, and `more` others; its disk, too, if `wipe`.
-    CrashAfterAck {
-        down: f64,
-        wipe: bool,
-        more: usize,
-    },
+    CrashAfterAck { down: f64, wipe: bool, more: usize },
     /// SIGTERM, gone within a second, back with its disk so much later.
-    RestartGracefully {
-        core: usize,
-        down: f64,
-    },
+    RestartGracefully { core: usize, down: f64 },
     /// Loses power with its disk for good; a successor at a new address starts so much later.
-    LoseAndReplaceCore {
-        core: usize,
-        later: f64,
-    },
+    LoseAndReplaceCore { core: usize, later: f64 },
     /// The settings of these name other seeds; read while they run.
-    ReloadSettings {
-        who: Vec<NodeRef>,
-        seeds: Vec<usize>,
-    },
+    ReloadSettings { who: Vec<NodeRef>, seeds: Vec<usize> },
     /// A part of the answers to operators is lost for a while.
-    LoseResponses {
-        part: f64,
-        secs: f64,
-    },
+    LoseResponses { part: f64, secs: f64 },
     /// A part of a machine's connections are reset.
-    ResetConnections {
-        who: NodeRef,
-        part: f64,
-    },
+    ResetConnections { who: NodeRef, part: f64 },
     /// Gets a fifth of its time for a while.
-    Throttle {
-        core: usize,
-        secs: f64,
-    },
+    Throttle { core: usize, secs: f64 },
     /// The disk takes no more bytes for a while, whatever is restarted.
-    DiskFull {
-        core: usize,
-        secs: f64,
-    },
+    DiskFull { core: usize, secs: f64 },
     /// This, at whichever core node answered last as the counter.
     AtQuotaLeader(Box<Fault>),
     /// All core nodes lose power, and all edge nodes if `edges`; some disks are lost.
-    Blackout {
-        down: f64,
-        wipe: Vec<usize>,
-        edges: bool,
-    },
+    Blackout { down: f64, wipe: Vec<usize>, edges: bool },
 }
 
 impl Fault {
--- a/crates/simulation/src/snapshot_crashes.rs
+++ b/crates/simulation/src/snapshot_crashes.rs
@@ -30,19 +30,26 @@
 /// A loss of power at a moment of a snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotCrash {
+    /// The stage at which it comes.
     pub stage: SnapshotStage,
     /// The so-manieth time that it comes, from now.
     pub nth: usize,
+    /// Who loses power.
     pub target: CrashTarget,
+    /// f64,
+    /// How long those stay down, in seconds.
     pub down: f64,
     /// Once those are back, `resync_bound` later, the next machine loses its disk.
     pub wipe_next: bool,
 }
 
 /// What waits for an order to be confirmed.
+#[allow(missing_docs)] // The fields are as in SevereFault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PendingCrash {
+    /// All core nodes lose power, and all edge nodes if `edges`.
     Blackout { down: f64, edges: bool },
+    /// The core node that confirmed it loses power, and `more` others.
     Hit { down: f64, wipe: bool, more: usize },
 }
 
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -10,17 +10,29 @@
 
 /// A worker.
 pub struct SimulatedWorker {
+    /// Its identifier in heartbeats.
     pub id: Arc<str>,
+    /// Index of its service in [`SERVICES`].
     pub service: usize,
+    /// The zone that it reports.
     pub zone: String,
+    /// Its address.
     pub address: SocketAddr,
+    /// Whether it runs.
     pub alive: bool,
+    /// Whether its address does not answer at all.
     pub dark: bool,
+    /// The phase that it reports.
     pub phase: WorkerPhase,
+    /// How many heartbeats it sent.
     pub calls: u64,
+    /// The core node that it calls.
     pub core: usize,
+    /// How many requests it runs.
     pub busy: usize,
+    /// Attempts that wait for a slot.
     pub queue: VecDeque<WorkerAttempt>,
+    /// When a core node acknowledged its drain.
     pub acked: Option<f64>,
     pub(crate) departing: bool,
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -36,28 +36,47 @@
 
 /// The simulated cluster.
 pub struct World {
+    /// The deployment.
     pub plan: DeploymentPlan,
+    /// Simulated seconds since the start.
     pub now: f64,
+    /// All random draws but the core nodes' own.
     pub rng: fastrand::Rng,
     queue: BTreeMap<(u64, u64), SimulationEvent>,
     next: u64,
+    /// Core nodes, also those that are gone.
     pub cores: Vec<SimulatedCore>,
+    /// Edge nodes.
     pub edges: Vec<SimulatedEdge>,
+    /// Workers, also those that are gone.
     pub workers: Vec<SimulatedWorker>,
+    /// The network.
     pub links: SimulatedLinks,
+    /// Calls that wait for a response, by number.
     pub calls: HashMap<u64, ControlCall>,
+    /// Calls that reached a core node and have no response yet.
     pub pending: HashMap<(usize, u64), u64>,
+    /// Attempts that have no outcome yet.
     pub open: HashSet<(usize, u64, whinstall::RequestId, u32)>,
+    /// The auditor's numbers of requests.
     pub asked: HashMap<(usize, u64, whinstall::RequestId), u64>,
+    /// The primary operator.
     pub operator: Operator,
+    /// The auditor of the data plane.
     pub auditor: Auditor,
+    /// The core counts as faulty until then.
     pub unsettled_until: f64,
+    /// The surge of one tenant.
     pub hot_tenant: TenantSurge,
     /// Until then such a part of the answers to operators is lost.
     pub lost_responses: ResponseLoss,
+    /// What the concurrent operators sent and heard.
     pub operator_records: OperatorRecords,
+    /// The monitor of the control plane.
     pub invariants: InvariantMonitor,
+    /// How long repairs took.
     pub repairs: RepairTimes,
+    /// What was observable so far.
     pub digest: Digest,
 }
 
