--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,6 +1,7 @@
 //! The faults that a scenario may hold, and the simulated disk: what is synced, what is in flight, and what a loss of power
 //! or of the disk leaves.
 
+use super::invariants::CONTACT;
 use super::network::NodeRef;
 use super::severe_faults::SevereFault;
 use super::world::TenantSurge;
@@ -207,75 +208,45 @@
 
     /// Injects a fault now, and schedules its end.
     pub fn inject_fault(&mut self, fault: Fault) {
-        let contact = 3.0;
         match &fault {
             Fault::KillCore { core, down, power, wipe } => {
                 self.kill(NodeRef::Core(*core), *power);
                 self.cores[*core].disk.crash(*power, *wipe, &mut self.rng);
-                self.unsettled_until = self.unsettled_until.max(self.now + down + contact);
+                self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT);
                 self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Core(*core)));
             }
-            Fault::KillEdge { edge, down } => {
-                self.kill(NodeRef::Edge(*edge), false);
-                self.mark_edge_faulty_for(*edge, down + contact);
-                self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(*edge)));
-            }
+            Fault::KillEdge { edge, down } => self.kill_edge(*edge, *down, false),
             Fault::KillManyEdges { edges, down, dark } => {
-                for n in 0..*edges {
-                    self.kill(NodeRef::Edge(n), *dark);
-                    self.mark_edge_faulty_for(n, down + contact);
-                    self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
-                }
+                (0..*edges).for_each(|n| self.kill_edge(n, *down, *dark))
             }
             Fault::PartitionCore { core, secs, one_way } => {
                 self.links.cut_core(*core, *one_way, true);
                 self.mark_core_disturbed();
-                self.unsettled_until = self.unsettled_until.max(self.now + secs + contact);
+                self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT);
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::PartitionEdge { edge, secs } => {
                 self.links.cut_edge(*edge, true);
-                self.mark_edge_faulty_for(*edge, secs + contact);
+                self.mark_edge_faulty_for(*edge, secs + CONTACT);
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::StallDisk { core, secs } => {
                 self.cores[*core].disk.stalled_until = self.now + secs;
                 self.mark_core_disturbed();
-                self.unsettled_until = self.unsettled_until.max(self.now + secs + contact);
+                self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT);
             }
             Fault::Freeze { who, secs } => {
                 self.set_frozen(*who, true);
                 match who {
                     NodeRef::Core(_) => {
-                        self.unsettled_until = self.unsettled_until.max(self.now + secs + contact)
+                        self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT)
                     }
-                    NodeRef::Edge(n) => self.mark_edge_faulty_for(*n, secs + contact),
+                    NodeRef::Edge(n) => self.mark_edge_faulty_for(*n, secs + CONTACT),
                 }
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
-            Fault::KillAllCores { down } => {
-                // One that was removed, or was lost for good, has no process that could come back.
-                for n in self.listed_cores() {
-                    self.kill(NodeRef::Core(n), false);
-                    self.cores[n].disk.crash(false, false, &mut self.rng);
-                    self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Core(n)));
-                }
-                self.unsettled_until = self.unsettled_until.max(self.now + down + contact);
-            }
-            Fault::PowerOffAll { down, wipe } => {
-                for n in self.listed_cores() {
-                    self.kill(NodeRef::Core(n), true);
-                    self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
-                    let late = self.rng.f64() * 0.2;
-                    self.schedule_after(*down + late, SimulationEvent::Boot(NodeRef::Core(n)));
-                }
-                for n in 0..self.edges.len() {
-                    self.kill(NodeRef::Edge(n), true);
-                    self.mark_edge_faulty_for(n, down + contact);
-                    self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
-                }
-                self.unsettled_until = self.unsettled_until.max(self.now + down + contact);
-            }
+            Fault::KillAllCores { down } => self.kill_all_cores(*down),
+            Fault::PowerOffAll { down, wipe } => self.power_off_all(*down, wipe),
             Fault::CrashWorker { worker, dark } => {
                 self.workers[*worker].alive = false;
                 self.workers[*worker].dark = *dark;
@@ -288,6 +259,37 @@
         }
     }
 
+    fn kill_edge(&mut self, n: usize, down: f64, dark: bool) {
+        self.kill(NodeRef::Edge(n), dark);
+        self.mark_edge_faulty_for(n, down + CONTACT);
+        self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(n)));
+    }
+
+    /// Kills the processes of all listed core nodes: one that was removed, or was lost for good, has none that could come
+    /// back.
+    fn kill_all_cores(&mut self, down: f64) {
+        for n in self.listed_cores() {
+            self.kill(NodeRef::Core(n), false);
+            self.cores[n].disk.crash(false, false, &mut self.rng);
+            self.schedule_after(down, SimulationEvent::Boot(NodeRef::Core(n)));
+        }
+        self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT);
+    }
+
+    /// Every machine loses power; the disks in `wipe` are lost.
+    fn power_off_all(&mut self, down: f64, wipe: &[usize]) {
+        for n in self.listed_cores() {
+            self.kill(NodeRef::Core(n), true);
+            self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
+            let late = self.rng.f64() * 0.2;
+            self.schedule_after(down + late, SimulationEvent::Boot(NodeRef::Core(n)));
+        }
+        for n in 0..self.edges.len() {
+            self.kill_edge(n, down, true);
+        }
+        self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT);
+    }
+
     /// Stops a process, or lets it run again with the events that it missed.
     pub fn set_frozen(&mut self, who: NodeRef, frozen: bool) {
         match who {
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -137,27 +137,32 @@
             plan,
             rng,
         };
-        for n in 0..world.cores.len() {
-            let late: f64 = world.plan.start_delays.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
+        world.schedule_first_events();
+        world
+    }
+
+    /// Schedules the start of all processes, the recurring checks, and the first steps of workers, clients and operators.
+    fn schedule_first_events(&mut self) {
+        for n in 0..self.cores.len() {
+            let late: f64 = self.plan.start_delays.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
             let spread =
-                if world.plan.start_spread > 0.0 { world.plan.start_spread * world.rng.f64() } else { 0.0 };
-            world.schedule_at(0.01 + spread + late, SimulationEvent::Boot(NodeRef::Core(n)));
+                if self.plan.start_spread > 0.0 { self.plan.start_spread * self.rng.f64() } else { 0.0 };
+            self.schedule_at(0.01 + spread + late, SimulationEvent::Boot(NodeRef::Core(n)));
         }
-        for n in 0..world.edges.len() {
-            world.schedule_at(0.02, SimulationEvent::Boot(NodeRef::Edge(n)));
+        for n in 0..self.edges.len() {
+            self.schedule_at(0.02, SimulationEvent::Boot(NodeRef::Edge(n)));
         }
-        for n in 0..world.workers.len() {
-            let after = 0.3 + world.rng.f64();
-            world.schedule_at(after, SimulationEvent::HeartbeatDue(n));
+        for n in 0..self.workers.len() {
+            let after = 0.3 + self.rng.f64();
+            self.schedule_at(after, SimulationEvent::HeartbeatDue(n));
         }
-        world.schedule_at(0.2, SimulationEvent::LinkCheck);
-        world.schedule_at(1.0, SimulationEvent::OperatorActs);
-        world.schedule_at(4.0, SimulationEvent::ClientRequest);
-        if world.plan.operator_load.operators > 0 {
-            world.schedule_at(0.1, SimulationEvent::InvariantCheck);
-            world.start_operators();
+        self.schedule_at(0.2, SimulationEvent::LinkCheck);
+        self.schedule_at(1.0, SimulationEvent::OperatorActs);
+        self.schedule_at(4.0, SimulationEvent::ClientRequest);
+        if self.plan.operator_load.operators > 0 {
+            self.schedule_at(0.1, SimulationEvent::InvariantCheck);
+            self.start_operators();
         }
-        world
     }
 
     /// Schedules an event at this simulated time, but not in the past.
