--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,8 +1,10 @@
-//! The troubles that a story may hold, and the simulated disk: what is synced, what is on its way, what a loss of power
+//! The faults that a scenario may hold, and the simulated disk: what is synced, what is in flight, and what a loss of power
 //! or of the disk leaves.
 
+use super::invariants::CONTACT;
 use super::network::NodeRef;
 use super::severe_faults::SevereFault;
+use super::world::TenantSurge;
 use super::{SimulationEvent, World};
 use whinstall_gateway::consensus::{LogWrite, Snapshot};
 use whinstall_gateway::control_plane::{self, CoreNode};
@@ -10,76 +12,47 @@
 use whinstall_gateway::settings::Settings;
 use whinstall_gateway::storage::{LoadedState, SnapshotId, WriteBatch};
 
-/// A trouble.
+/// A fault that is injected into a simulated day.
+///
+/// Fields that recur: `secs` is how long it lasts and `down` after how many seconds a process comes back; `power` means
+/// that unsynced writes may be lost, `wipe` that the disk is lost, `dark` that the other ends hear nothing of it.
+#[allow(missing_docs)] // The fields are explained above.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Killed; back after so many seconds. `power`: unsynced writes go; `wipe`: the disk, too.
-    KillCore {
-        core: usize,
-        down: f64,
-        power: bool,
-        wipe: bool,
-    },
-    KillEdge {
-        edge: usize,
-        down: f64,
-    },
+    KillCore { core: usize, down: f64, power: bool, wipe: bool },
+    /// An edge node is killed.
+    KillEdge { edge: usize, down: f64 },
     /// The first so many are killed at once; `dark`: those at the other ends hear nothing of it.
-    KillManyEdges {
-        edges: usize,
-        down: f64,
-        dark: bool,
-    },
-    /// Cut off from the other core machines.
-    CutCore {
-        core: usize,
-        secs: f64,
-        one_way: bool,
-    },
+    KillManyEdges { edges: usize, down: f64, dark: bool },
+    /// Cut off from the other core nodes.
+    PartitionCore { core: usize, secs: f64, one_way: bool },
     /// Cut off from the core.
-    CutEdge {
-        edge: usize,
-        secs: f64,
-    },
-    StallDisk {
-        core: usize,
-        secs: f64,
-    },
+    PartitionEdge { edge: usize, secs: f64 },
+    /// No write of the disk completes for a while.
+    StallDisk { core: usize, secs: f64 },
     /// A process does not run for a while.
-    Freeze {
-        who: NodeRef,
-        secs: f64,
-    },
+    Freeze { who: NodeRef, secs: f64 },
     /// All core processes are killed at the same moment.
-    KillAllCore {
-        down: f64,
-    },
+    KillAllCores { down: f64 },
     /// Every machine loses power; the disks of some are lost.
-    PowerOffAll {
-        down: f64,
-        wipe: Vec<usize>,
-    },
-    CrashWorker {
-        worker: usize,
-        dark: bool,
-    },
+    PowerOffAll { down: f64, wipe: Vec<usize> },
+    /// A worker is killed, for good.
+    CrashWorker { worker: usize, dark: bool },
     /// Says that it leaves, and leaves.
-    DrainWorker {
-        worker: usize,
-    },
+    DrainWorker { worker: usize },
     /// What operators call their worst days.
     Severe(SevereFault),
     /// One tenant sends this many times its usual.
-    Hot {
-        times: f64,
-        secs: f64,
-    },
+    TenantSurge { times: f64, secs: f64 },
 }
 
-/// A core machine's disk.
+/// A core node's disk.
 #[derive(Default)]
 pub struct SimulatedDisk {
+    /// What is synced.
     pub held: LoadedState,
+    /// Writes that are not synced yet, in order.
     pub writing: Vec<WriteBatch>,
     /// What is there of a snapshot that is not written yet.
     ahead: Option<(SnapshotId, Vec<u8>)>,
@@ -89,7 +62,9 @@
     making: bool,
     /// Is the mark of the first start there, and is it synced?
     mark: Option<bool>,
+    /// When the writes so far are synced.
     pub free_at: f64,
+    /// No write completes before this time.
     pub stalled_until: f64,
     /// It takes no more bytes until then, whatever is restarted.
     pub full_until: f64,
@@ -225,92 +200,97 @@
         );
     }
 
-    /// The rules that a gatekeeper keeps while it is in touch wait for so long.
+    /// The rules that a edge node keeps while it is in touch wait for so long.
     pub fn mark_edge_faulty_for(&mut self, edge: usize, secs: f64) {
         let faulty_until = &mut self.edges[edge].faulty_until;
         *faulty_until = faulty_until.max(self.now + secs);
     }
 
+    /// Injects a fault now, and schedules its end.
     pub fn inject_fault(&mut self, fault: Fault) {
-        let contact = 3.0;
         match &fault {
             Fault::KillCore { core, down, power, wipe } => {
                 self.kill(NodeRef::Core(*core), *power);
                 self.cores[*core].disk.crash(*power, *wipe, &mut self.rng);
-                self.unsettled_until = self.unsettled_until.max(self.now + down + contact);
+                self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT);
                 self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Core(*core)));
             }
-            Fault::KillEdge { edge, down } => {
-                self.kill(NodeRef::Edge(*edge), false);
-                self.mark_edge_faulty_for(*edge, down + contact);
-                self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(*edge)));
-            }
+            Fault::KillEdge { edge, down } => self.kill_edge(*edge, *down, false),
             Fault::KillManyEdges { edges, down, dark } => {
-                for n in 0..*edges {
-                    self.kill(NodeRef::Edge(n), *dark);
-                    self.mark_edge_faulty_for(n, down + contact);
-                    self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
-                }
+                (0..*edges).for_each(|n| self.kill_edge(n, *down, *dark))
             }
-            Fault::CutCore { core, secs, one_way } => {
+            Fault::PartitionCore { core, secs, one_way } => {
                 self.links.cut_core(*core, *one_way, true);
                 self.mark_core_disturbed();
-                self.unsettled_until = self.unsettled_until.max(self.now + secs + contact);
+                self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT);
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
-            Fault::CutEdge { edge, secs } => {
+            Fault::PartitionEdge { edge, secs } => {
                 self.links.cut_edge(*edge, true);
-                self.mark_edge_faulty_for(*edge, secs + contact);
+                self.mark_edge_faulty_for(*edge, secs + CONTACT);
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::StallDisk { core, secs } => {
                 self.cores[*core].disk.stalled_until = self.now + secs;
                 self.mark_core_disturbed();
-                self.unsettled_until = self.unsettled_until.max(self.now + secs + contact);
+                self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT);
             }
             Fault::Freeze { who, secs } => {
                 self.set_frozen(*who, true);
                 match who {
                     NodeRef::Core(_) => {
-                        self.unsettled_until = self.unsettled_until.max(self.now + secs + contact)
+                        self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT)
                     }
-                    NodeRef::Edge(n) => self.mark_edge_faulty_for(*n, secs + contact),
+                    NodeRef::Edge(n) => self.mark_edge_faulty_for(*n, secs + CONTACT),
                 }
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
-            Fault::KillAllCore { down } => {
-                // One that was removed, or was lost for good, has no process that could come back.
-                for n in self.listed_cores() {
-                    self.kill(NodeRef::Core(n), false);
-                    self.cores[n].disk.crash(false, false, &mut self.rng);
-                    self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Core(n)));
-                }
-                self.unsettled_until = self.unsettled_until.max(self.now + down + contact);
-            }
-            Fault::PowerOffAll { down, wipe } => {
-                for n in self.listed_cores() {
-                    self.kill(NodeRef::Core(n), true);
-                    self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
-                    let late = self.rng.f64() * 0.2;
-                    self.schedule_after(*down + late, SimulationEvent::Boot(NodeRef::Core(n)));
-                }
-                for n in 0..self.edges.len() {
-                    self.kill(NodeRef::Edge(n), true);
-                    self.mark_edge_faulty_for(n, down + contact);
-                    self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Edge(n)));
-                }
-                self.unsettled_until = self.unsettled_until.max(self.now + down + contact);
-            }
+            Fault::KillAllCores { down } => self.kill_all_cores(*down),
+            Fault::PowerOffAll { down, wipe } => self.power_off_all(*down, wipe),
             Fault::CrashWorker { worker, dark } => {
                 self.workers[*worker].alive = false;
                 self.workers[*worker].dark = *dark;
             }
             Fault::DrainWorker { worker } => self.workers[*worker].leaves(),
             Fault::Severe(severe) => self.inject_severe_fault(severe.clone()),
-            Fault::Hot { times, secs } => self.hot_tenant = (self.now + secs, *times),
+            Fault::TenantSurge { times, secs } => {
+                self.hot_tenant = TenantSurge { until: self.now + secs, factor: *times }
+            }
+        }
+    }
+
+    fn kill_edge(&mut self, n: usize, down: f64, dark: bool) {
+        self.kill(NodeRef::Edge(n), dark);
+        self.mark_edge_faulty_for(n, down + CONTACT);
+        self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(n)));
+    }
+
+    /// Kills the processes of all listed core nodes: one that was removed, or was lost for good, has none that could come
+    /// back.
+    fn kill_all_cores(&mut self, down: f64) {
+        for n in self.listed_cores() {
+            self.kill(NodeRef::Core(n), false);
+            self.cores[n].disk.crash(false, false, &mut self.rng);
+            self.schedule_after(down, SimulationEvent::Boot(NodeRef::Core(n)));
+        }
+        self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT);
+    }
+
+    /// Every machine loses power; the disks in `wipe` are lost.
+    fn power_off_all(&mut self, down: f64, wipe: &[usize]) {
+        for n in self.listed_cores() {
+            self.kill(NodeRef::Core(n), true);
+            self.cores[n].disk.crash(true, wipe.contains(&n), &mut self.rng);
+            let late = self.rng.f64() * 0.2;
+            self.schedule_after(down + late, SimulationEvent::Boot(NodeRef::Core(n)));
+        }
+        for n in 0..self.edges.len() {
+            self.kill_edge(n, down, true);
         }
+        self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT);
     }
 
+    /// Stops a process, or lets it run again with the events that it missed.
     pub fn set_frozen(&mut self, who: NodeRef, frozen: bool) {
         match who {
             NodeRef::Core(n) => {
@@ -324,13 +304,14 @@
         }
     }
 
+    /// Ends a partition or a freeze.
     pub fn end_fault(&mut self, fault: Fault) {
-        if matches!(fault, Fault::CutCore { .. }) {
+        if matches!(fault, Fault::PartitionCore { .. }) {
             self.mark_core_disturbed();
         }
         match fault {
-            Fault::CutCore { core, one_way, .. } => self.links.cut_core(core, one_way, false),
-            Fault::CutEdge { edge, .. } => self.links.cut_edge(edge, false),
+            Fault::PartitionCore { core, one_way, .. } => self.links.cut_core(core, one_way, false),
+            Fault::PartitionEdge { edge, .. } => self.links.cut_edge(edge, false),
             Fault::Freeze { who, .. } => self.set_frozen(who, false),
             _ => {}
         }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,6 +1,6 @@
-//! Owns the check that what callers saw is linearizable: the configuration as registers that hold a number and a
-//! content each; an order writes several at once, each only over a lower number; a read tells them all. It must never
-//! look at anything but invocations, answers and their times.
+//! Checks that what callers saw is linearizable. The configuration is a set of registers that hold a version and a content
+//! each; a change writes several at once, each only over a lower version; a read returns them all. The check looks only at
+//! invocations, responses and their times.
 //!
 //! The check is complete: a history passes if and only if one order of all operations explains it. Values only rise,
 //! so that order exists if and only if what must go ahead of what has no cycle.
@@ -11,19 +11,26 @@
 /// An order. `to` is infinite where no answer was heard: it may take effect at any time after `from`.
 #[derive(Clone, Debug)]
 pub struct Write {
+    /// f64,
     pub from: f64,
+    /// When it was answered.
     pub to: f64,
     /// Registers it writes, all with this number and content.
     pub labels: Vec<usize>,
+    /// The version.
     pub number: u64,
+    /// The content; differs between changes.
     pub content: u64,
 }
 
 /// A read that was answered.
 #[derive(Clone, Debug)]
 pub struct Read {
+    /// When it was sent.
     pub from: f64,
+    /// When it was answered.
     pub to: f64,
+    /// What each register held.
     pub held: Vec<Held>,
 }
 
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The auditor's watch over the control side: is the core settled, who is apart, who may answer what. It looks at
-//! answers, readiness and views, never into a core machine.
+//! The invariants of the control plane: whether the core is settled, which node is isolated, and who may respond with what.
+//! It looks at responses, readiness and served configurations, never into a core node.
 
 use super::history::{self, Write};
 use super::operators::ChangeValidity;
@@ -36,14 +36,15 @@
     /// The same, settled or not; and since when most of the core is joined.
     pub(crate) edge_outer_since: HashMap<usize, f64>,
     pub(crate) majority_since: Option<f64>,
-    /// The highest number that any life of a gatekeeper served by.
+    /// The highest number that any life of a edge node served by.
     pub(crate) served_ever: HashMap<(usize, usize), u64>,
-    /// Lives of gatekeepers that heard a core machine that was not cut off.
+    /// Lives of edge nodes that heard a core node that was not cut off.
     pub(crate) edges_in_contact: HashSet<(usize, u64)>,
-    /// Numbers that gatekeepers served by.
+    /// Numbers that edge nodes served by.
     pub(crate) served: HashMap<(usize, u64, usize), u64>,
     pub(crate) contents: HashMap<(usize, u64), u64>,
     pub(crate) overdue_changes: HashSet<usize>,
+    /// What was reported already, so that it is reported once.
     pub reported: HashSet<(u64, String)>,
     /// Who answered as the counter lately.
     pub(crate) quota_leaders: Vec<(f64, usize)>,
@@ -57,12 +58,15 @@
     pub pending_snapshot_crashes: Vec<super::severe_faults::SnapshotCrash>,
     /// How often each moment of a snapshot came, and how many losses came at one.
     pub snapshot_stages: BTreeMap<usize, u64>,
+    /// How many crashes came at a stage of a snapshot.
     pub snapshot_crashes: u64,
     /// What waits for the next order to be confirmed, until then.
     pub armed_crash: Option<(f64, PendingCrash)>,
+    /// How often another node responded as the quota leader.
     pub quota_leader_changes: u64,
     /// Who counted in each term: machine and life.
     pub(crate) quota_leader_by_term: BTreeMap<u64, (usize, u64)>,
+    /// Seconds for which the core was settled.
     pub settled_for: f64,
 }
 
@@ -97,7 +101,7 @@
 }
 
 impl World {
-    /// A core machine answers an operator.
+    /// A core node answers an operator.
     pub fn operator_answered(&mut self, core: usize, status: u16) {
         let now = self.now;
         if let Some(for_s) = self.isolated_for(core).filter(|s| *s > LEASE + EVERY) {
@@ -108,12 +112,12 @@
         }
     }
 
-    /// A core machine answers a worker's call: one that is cut off can't tell those who send to it.
+    /// A core node answers a worker's call: one that is cut off can't tell those who send to it.
     pub fn worker_answered(&mut self, core: usize, status: u16) {
         self.check_handout(core, Some("a worker's acknowledgement").filter(|_| status == 200));
     }
 
-    /// A core machine hands something out that only one in touch with most may.
+    /// A core node hands something out that only one in touch with most may.
     pub fn check_handout(&mut self, core: usize, what: Option<&str>) {
         let now = self.now;
         let Some(what) = what else { return };
@@ -123,7 +127,7 @@
         }
     }
 
-    /// A core machine answers a gatekeeper as the counter.
+    /// A core node answers a edge node as the counter.
     pub fn quota_leader_responded(&mut self, core: usize, term: u64) {
         // One machine a term, and none answers once a later one has.
         let incarnation = self.cores[core].incarnation;
@@ -152,6 +156,7 @@
         seen.push((now, core));
     }
 
+    /// Checks the core and each edge node, and schedules the next check.
     pub fn check_invariants(&mut self) {
         self.schedule_after(EVERY, SimulationEvent::InvariantCheck);
         let (now, most) = (self.now, self.connected_majority());
@@ -204,7 +209,7 @@
             let rival = o.rival.map(|r| &self.operator_records.orders[r]);
             // Of two under one number one is owed an answer.
             let beaten = rival.is_some_and(|r| !r.unanswered() || r.began < o.began);
-            if o.sort == ChangeValidity::Invalid || beaten {
+            if o.validity == ChangeValidity::Invalid || beaten {
                 continue;
             }
             let Some(reach) = self.invariants.reach_since.get(&(o.operator + 1)) else { continue };
@@ -219,7 +224,7 @@
         self.operator_records.waiting = waiting;
         let reach = self.invariants.reach_since.get(&0).copied();
         if let Some((began, reach)) = self.operator.waits.zip(reach) {
-            let since = began.max(settled).max(reach).max(self.lost_responses.0);
+            let since = began.max(settled).max(reach).max(self.lost_responses.until);
             if self.now > since + ACK + 0.05 && self.invariants.overdue_changes.insert(usize::MAX) {
                 let now = self.now;
                 self.auditor
@@ -234,11 +239,11 @@
         if self.plan.operator_load.operators == 0 {
             return;
         }
-        let proper = self.operator_records.orders.iter().filter(|o| o.sort == ChangeValidity::Proper);
+        let proper = self.operator_records.orders.iter().filter(|o| o.validity == ChangeValidity::Proper);
         let writes: Vec<Write> = proper
             .map(|o| Write {
                 from: o.began,
-                to: o.confirmed.unwrap_or(f64::INFINITY),
+                to: o.confirmed_at.unwrap_or(f64::INFINITY),
                 labels: o.labels.clone(),
                 number: o.version,
                 content: o.content,
--- a/crates/simulation/src/partitions.rs
+++ b/crates/simulation/src/partitions.rs
@@ -1,18 +1,22 @@
-//! Who can be cut from whom: the parties of a simulated cluster and the cuts between chosen sides. It must never know
-//! what the parties say.
+//! Participants of the simulated cluster, and network partitions between chosen sides of them.
 
 /// Anybody who sends packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Participant {
+    /// A core node.
     Core(usize),
+    /// An edge node.
     Edge(usize),
+    /// A worker.
     Worker(usize),
+    /// An operator; 0 is the primary one.
     Operator(usize),
 }
 
 /// Which packets a cut holds up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
+    /// Those in both directions.
     Both,
     /// What the inside says.
     Out,
@@ -23,13 +27,16 @@
 /// A cut between `inside` and all others, or only these others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Partition {
+    /// The participants on one side.
     pub inside: Vec<Participant>,
+    /// The other side, if not all others.
     pub others: Option<Vec<Participant>>,
+    /// Which packets are held up.
     pub way: Direction,
 }
 
 impl Partition {
-    /// These core machines with a gatekeeper, two workers and an operator on their side.
+    /// These core nodes with a edge node, two workers and an operator on their side.
     pub fn side(
         cores: &[usize],
         edges: &[usize],
@@ -44,7 +51,7 @@
         Partition { inside: cores.chain(edges).chain(workers).chain(operators).collect(), others: None, way }
     }
 
-    /// Two core machines that don't reach each other, though others reach both.
+    /// Two core nodes that don't reach each other, though others reach both.
     pub fn pair(one: usize, other: usize) -> Self {
         Partition {
             inside: vec![Participant::Core(one)],
--- a/crates/simulation/src/primary_operator.rs
+++ b/crates/simulation/src/primary_operator.rs
@@ -10,13 +10,16 @@
     pub(crate) step: u64,
     pub(crate) version: u64,
     pub(crate) core: usize,
+    /// The status of the final read.
     pub read: Option<u16>,
     /// Since when its change has no answer.
     pub waits: Option<f64>,
+    /// Whether no more changes are sent.
     pub done: bool,
 }
 
 impl World {
+    /// Ends all changes and lets every operator read once more.
     pub fn read_back(&mut self) {
         self.operator.done = true;
         for operator in 0..self.plan.operator_load.operators {
@@ -25,6 +28,7 @@
         self.call(0, CallOrigin::PrimaryRead);
     }
 
+    /// Sends the primary operator's next change, until the plan's number of changes is reached.
     pub fn submit_primary_change(&mut self) {
         if self.operator.done {
             return;
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -1,140 +1,83 @@
-//! The operators' worst days: cuts between sides, machines replaced, starts beside a machine that is cut off, slow
-//! disks. Steps of time of day are not among them: no state machine is told the time of day.
+//! The operators' worst days: partitions between sides, replaced nodes, restarts beside a partitioned node, slow and full
+//! disks. Steps of the wall clock are not among them, because no state machine reads it.
 
 use super::faults::Fault;
 use super::network::NodeRef;
 use super::partitions::{Direction, Participant, Partition};
 pub use super::snapshot_crashes::{CrashTarget, PendingCrash, SnapshotCrash, SnapshotStage};
+use super::world::ResponseLoss;
 use super::{SimulationEvent, World};
 use whinstall_gateway::control_plane;
 
-/// A trouble of such a day.
+/// A fault of the operators' worst days.
+///
+/// Fields that recur: `secs` is how long it lasts, `down` after how many seconds a process comes back and `later` after how
+/// many a successor starts; `power` means that unsynced writes may be lost, `wipe` that disks are lost, `seeds` are the
+/// nodes in the new `seed_list`, `part` is a fraction.
+#[allow(missing_docs)] // The fields are explained above.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SevereFault {
-    Cut {
-        cut: Partition,
-        secs: f64,
-    },
-    /// Cut off is whichever core machine answered last as the counter, with some of the others' callers.
-    CutHolder {
-        edges: Vec<usize>,
-        workers: Vec<usize>,
-        operators: Vec<usize>,
-        secs: f64,
-    },
-    /// The same, from all others or from the next core machine only, one way or both.
-    CutLeader {
-        way: Direction,
-        pair: bool,
-        secs: f64,
-    },
+    /// A partition between these sides.
+    Partition { cut: Partition, secs: f64 },
+    /// Cut off is whichever core node answered last as the counter, with some of the others' callers.
+    PartitionQuotaLeader { edges: Vec<usize>, workers: Vec<usize>, operators: Vec<usize>, secs: f64 },
+    /// The same, from all others or from the next core node only, one way or both.
+    PartitionLeader { way: Direction, pair: bool, secs: f64 },
     /// Killed, back with a `seed_list` of these.
-    RestartCore {
-        core: usize,
-        down: f64,
-        power: bool,
-        wipe: bool,
-        seeds: Vec<usize>,
-    },
-    RestartEdge {
-        edge: usize,
-        down: f64,
-        seeds: Vec<usize>,
-    },
+    RestartCore { core: usize, down: f64, power: bool, wipe: bool, seeds: Vec<usize> },
+    /// The same for an edge node.
+    RestartEdge { edge: usize, down: f64, seeds: Vec<usize> },
     /// SIGTERM, gone within a second; a successor with an empty disk at a new address starts so much later.
-    Replace {
-        core: usize,
-        later: f64,
-    },
+    ReplaceCore { core: usize, later: f64 },
     /// The same for whichever answered last as the counter.
-    ReplaceHolder {
-        later: f64,
-    },
+    ReplaceQuotaLeader { later: f64 },
     /// A spare at a new address.
-    Add,
+    AddCore,
     /// SIGTERM, gone within a second, for good.
-    Remove {
-        core: usize,
-    },
+    RemoveCore { core: usize },
     /// The same for whichever answered last as the counter.
-    RemoveHolder,
+    RemoveQuotaLeader,
     /// Loses power with its disk for good: no successor.
-    Dies {
-        core: usize,
-    },
+    LoseCore { core: usize },
     /// Syncs take so long for a while.
-    SlowDisk {
-        core: usize,
-        each: f64,
-        secs: f64,
-    },
+    SlowDisk { core: usize, each: f64, secs: f64 },
     /// As `Blackout`, right after the next order is confirmed, at times with the disk of the machine that confirmed it.
-    BlackoutAfterAck {
-        down: f64,
-        edges: bool,
-    },
+    BlackoutAfterAck { down: f64, edges: bool },
     /// Some lose power at a moment of the next snapshot.
     AtSnapshot(SnapshotCrash),
     /// The machine that confirms the next order loses power right after, and `more` others; its disk, too, if `wipe`.
-    HitAfterAck {
-        down: f64,
-        wipe: bool,
-        more: usize,
-    },
+    CrashAfterAck { down: f64, wipe: bool, more: usize },
     /// SIGTERM, gone within a second, back with its disk so much later.
-    Term {
-        core: usize,
-        down: f64,
-    },
+    RestartGracefully { core: usize, down: f64 },
     /// Loses power with its disk for good; a successor at a new address starts so much later.
-    Succeed {
-        core: usize,
-        later: f64,
-    },
+    LoseAndReplaceCore { core: usize, later: f64 },
     /// The settings of these name other seeds; read while they run.
-    Reread {
-        who: Vec<NodeRef>,
-        seeds: Vec<usize>,
-    },
+    ReloadSettings { who: Vec<NodeRef>, seeds: Vec<usize> },
     /// A part of the answers to operators is lost for a while.
-    AcksLost {
-        part: f64,
-        secs: f64,
-    },
+    LoseResponses { part: f64, secs: f64 },
     /// A part of a machine's connections are reset.
-    Reset {
-        who: NodeRef,
-        part: f64,
-    },
+    ResetConnections { who: NodeRef, part: f64 },
     /// Gets a fifth of its time for a while.
-    Drag {
-        core: usize,
-        secs: f64,
-    },
+    Throttle { core: usize, secs: f64 },
     /// The disk takes no more bytes for a while, whatever is restarted.
-    DiskFull {
-        core: usize,
-        secs: f64,
-    },
-    /// This, at whichever core machine answered last as the counter.
-    AtHolder(Box<Fault>),
-    /// All core machines lose power, and all gatekeepers if `edges`; some disks are lost.
-    Blackout {
-        down: f64,
-        wipe: Vec<usize>,
-        edges: bool,
-    },
+    DiskFull { core: usize, secs: f64 },
+    /// This, at whichever core node answered last as the counter.
+    AtQuotaLeader(Box<Fault>),
+    /// All core nodes lose power, and all edge nodes if `edges`; some disks are lost.
+    Blackout { down: f64, wipe: Vec<usize>, edges: bool },
 }
 
 impl Fault {
-    /// The same at this core machine.
+    /// The same at this core node.
     fn at(mut self, at: usize) -> Self {
         match &mut self {
-            Fault::KillCore { core, .. } | Fault::StallDisk { core, .. } | Fault::CutCore { core, .. } => {
-                *core = at
-            }
+            Fault::KillCore { core, .. }
+            | Fault::StallDisk { core, .. }
+            | Fault::PartitionCore { core, .. } => *core = at,
             Fault::Freeze { who, .. } => *who = NodeRef::Core(at),
-            Fault::Severe(SevereFault::Term { core, .. } | SevereFault::Drag { core, .. }) => *core = at,
+            Fault::Severe(
+                SevereFault::RestartGracefully { core, .. } | SevereFault::Throttle { core, .. },
+            ) => *core = at,
             Fault::Severe(SevereFault::DiskFull { core, .. } | SevereFault::SlowDisk { core, .. }) => {
                 *core = at
             }
@@ -156,6 +99,7 @@
         self.schedule_after(secs, SimulationEvent::PartitionHeals(cut));
     }
 
+    /// Ends a partition.
     pub fn heal_partition(&mut self, cut: &Partition) {
         if let Some(at) = self.links.cuts.iter().position(|c| c == cut) {
             self.links.cuts.remove(at);
@@ -166,12 +110,12 @@
     /// Injects a fault of the operators' worst days.
     pub fn inject_severe_fault(&mut self, severe: SevereFault) {
         match severe {
-            SevereFault::Cut { cut, secs } => self.cut(cut, secs),
-            SevereFault::CutHolder { edges, workers, operators, secs } => {
+            SevereFault::Partition { cut, secs } => self.cut(cut, secs),
+            SevereFault::PartitionQuotaLeader { edges, workers, operators, secs } => {
                 let holder = self.invariants.quota_leader().unwrap_or(0);
                 self.cut(Partition::side(&[holder], &edges, &workers, &operators, Direction::Both), secs);
             }
-            SevereFault::CutLeader { way, pair, secs } => self.cut_leader(way, pair, secs),
+            SevereFault::PartitionLeader { way, pair, secs } => self.cut_leader(way, pair, secs),
             SevereFault::RestartCore { core, down, power, wipe, seeds } => {
                 self.restart_core(core, down, power, wipe, seeds)
             }
@@ -181,12 +125,12 @@
                 self.mark_edge_faulty_for(edge, down + 3.0);
                 self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(edge)));
             }
-            SevereFault::Replace { core, later } => self.replace_core(core, later),
-            SevereFault::ReplaceHolder { later } => self.replace_core(self.listed_quota_leader(), later),
-            SevereFault::Add => self.add_core(),
-            SevereFault::Remove { core } => self.terminate_core(core),
-            SevereFault::RemoveHolder => self.terminate_core(self.listed_quota_leader()),
-            SevereFault::Dies { core } => {
+            SevereFault::ReplaceCore { core, later } => self.replace_core(core, later),
+            SevereFault::ReplaceQuotaLeader { later } => self.replace_core(self.listed_quota_leader(), later),
+            SevereFault::AddCore => self.add_core(),
+            SevereFault::RemoveCore { core } => self.terminate_core(core),
+            SevereFault::RemoveQuotaLeader => self.terminate_core(self.listed_quota_leader()),
+            SevereFault::LoseCore { core } => {
                 self.lose_core(core);
                 self.mark_core_faulty_for(0.0, self.plan.resync);
             }
@@ -195,28 +139,30 @@
             SevereFault::BlackoutAfterAck { down, edges } => {
                 self.arm_crash(PendingCrash::Blackout { down, edges })
             }
-            SevereFault::HitAfterAck { down, wipe, more } => {
+            SevereFault::CrashAfterAck { down, wipe, more } => {
                 self.arm_crash(PendingCrash::Hit { down, wipe, more })
             }
-            SevereFault::Term { core, down } => self.restart_core_gracefully(core, down),
-            SevereFault::Succeed { core, later } => self.lose_and_replace_core(core, later),
-            SevereFault::Reread { who, seeds } => {
+            SevereFault::RestartGracefully { core, down } => self.restart_core_gracefully(core, down),
+            SevereFault::LoseAndReplaceCore { core, later } => self.lose_and_replace_core(core, later),
+            SevereFault::ReloadSettings { who, seeds } => {
                 who.into_iter().for_each(|who| self.reload_settings(who, &seeds))
             }
-            SevereFault::AcksLost { part, secs } => self.lost_responses = (self.now + secs, part),
-            SevereFault::Reset { who, part } => {
+            SevereFault::LoseResponses { part, secs } => {
+                self.lost_responses = ResponseLoss { until: self.now + secs, fraction: part }
+            }
+            SevereFault::ResetConnections { who, part } => {
                 self.reset_some(who, part);
                 match who {
                     NodeRef::Core(_) => self.mark_core_faulty_for(0.0, 3.0),
                     NodeRef::Edge(n) => self.mark_edge_faulty_for(n, 3.0),
                 }
             }
-            SevereFault::Drag { core, secs } => self.throttle_core(core, secs),
+            SevereFault::Throttle { core, secs } => self.throttle_core(core, secs),
             SevereFault::DiskFull { core, secs } => {
                 self.cores[core].disk.full_until = self.now + secs;
                 self.mark_core_faulty_for(secs, 3.0);
             }
-            SevereFault::AtHolder(fault) => self.inject_fault(fault.at(self.listed_quota_leader())),
+            SevereFault::AtQuotaLeader(fault) => self.inject_fault(fault.at(self.listed_quota_leader())),
             SevereFault::Blackout { down, wipe, edges } => self.blackout(down, &wipe, edges),
         }
     }
@@ -261,7 +207,7 @@
     /// Ends a core node; a successor with an empty disk starts `later` seconds after.
     fn replace_core(&mut self, core: usize, later: f64) {
         self.terminate_core(core);
-        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::AddCore)));
     }
 
     /// A core node loses power and its disk.
@@ -276,7 +222,7 @@
         self.invariants.removed_at.insert(core, self.now);
         self.mark_core_faulty_for(later, 4.0);
         self.rewrite_seed_lists();
-        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::Add)));
+        self.schedule_after(later, SimulationEvent::Fault(Fault::Severe(SevereFault::AddCore)));
     }
 
     /// Stalls the disk for `each` seconds, again and again until `secs` are over.
@@ -293,7 +239,7 @@
     fn throttle_core(&mut self, core: usize, secs: f64) {
         self.inject_fault(Fault::Freeze { who: NodeRef::Core(core), secs: 0.16 });
         if secs > 0.2 {
-            let rest = SevereFault::Drag { core, secs: secs - 0.2 };
+            let rest = SevereFault::Throttle { core, secs: secs - 0.2 };
             self.schedule_after(0.2, SimulationEvent::Fault(Fault::Severe(rest)));
         }
     }
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -10,26 +10,40 @@
 
 /// A worker.
 pub struct SimulatedWorker {
+    /// Its identifier in heartbeats.
     pub id: Arc<str>,
+    /// Index of its service in [`SERVICES`].
     pub service: usize,
+    /// The zone that it reports.
     pub zone: String,
+    /// Its address.
     pub address: SocketAddr,
+    /// Whether it runs.
     pub alive: bool,
+    /// Whether its address does not answer at all.
     pub dark: bool,
+    /// The phase that it reports.
     pub phase: WorkerPhase,
+    /// How many heartbeats it sent.
     pub calls: u64,
+    /// The core node that it calls.
     pub core: usize,
+    /// How many requests it runs.
     pub busy: usize,
+    /// Attempts that wait for a slot.
     pub queue: VecDeque<WorkerAttempt>,
+    /// When a core node acknowledged its drain.
     pub acked: Option<f64>,
     pub(crate) departing: bool,
 }
 
+/// The services that workers serve.
 pub const SERVICES: [&str; 3] = ["planer", "lathe", "drill"];
 const SLOTS: usize = 3;
 const QUEUE: usize = 4;
 
 impl SimulatedWorker {
+    /// A worker that serves.
     pub fn new(n: usize, service: usize, zone: &str) -> Self {
         SimulatedWorker {
             id: format!("i-{n}").into(),
@@ -48,6 +62,7 @@
         }
     }
 
+    /// The worker starts to drain.
     pub fn leaves(&mut self) {
         self.phase = WorkerPhase::Draining;
     }
@@ -68,6 +83,7 @@
         }
     }
 
+    /// A worker sends its heartbeat.
     pub fn send_heartbeat(&mut self, n: usize) {
         if !self.workers[n].alive {
             return;
@@ -77,6 +93,7 @@
         self.call(core, CallOrigin::Heartbeat(n));
     }
 
+    /// A drained worker deregisters and ends; its address goes to a new worker of another service.
     pub fn send_departure(&mut self, n: usize) {
         let core = self.workers[n].core;
         self.call(core, CallOrigin::Departure(n));
@@ -133,6 +150,7 @@
         self.schedule_after(work, SimulationEvent::WorkerFinishes(n, hit));
     }
 
+    /// A worker finishes a request and starts the next one in its queue.
     pub fn finish_work(&mut self, n: usize, hit: WorkerAttempt) {
         let lost = self.rng.f64() < self.plan.lost_answers;
         let w = &mut self.workers[n];
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -16,33 +16,72 @@
 use whinstall_gateway::control_plane;
 use whinstall_gateway::data_plane;
 
+/// One tenant sends `factor` times its usual load until this time.
+#[derive(Clone, Copy, Debug)]
+pub struct TenantSurge {
+    /// When the surge ends, in simulated seconds.
+    pub until: f64,
+    /// The tenant's load, as a multiple of its usual load.
+    pub factor: f64,
+}
+
+/// A fraction of the responses to operators is lost until this time.
+#[derive(Clone, Copy, Debug)]
+pub struct ResponseLoss {
+    /// When the loss ends, in simulated seconds.
+    pub until: f64,
+    /// The fraction that is lost, from 0 to 1.
+    pub fraction: f64,
+}
+
+/// The simulated cluster.
 pub struct World {
+    /// The deployment.
     pub plan: DeploymentPlan,
+    /// Simulated seconds since the start.
     pub now: f64,
+    /// All random draws but the core nodes' own.
     pub rng: fastrand::Rng,
     queue: BTreeMap<(u64, u64), SimulationEvent>,
     next: u64,
+    /// Core nodes, also those that are gone.
     pub cores: Vec<SimulatedCore>,
+    /// Edge nodes.
     pub edges: Vec<SimulatedEdge>,
+    /// Workers, also those that are gone.
     pub workers: Vec<SimulatedWorker>,
+    /// The network.
     pub links: SimulatedLinks,
+    /// Calls that wait for a response, by number.
     pub calls: HashMap<u64, ControlCall>,
+    /// Calls that reached a core node and have no response yet.
     pub pending: HashMap<(usize, u64), u64>,
+    /// Attempts that have no outcome yet.
     pub open: HashSet<(usize, u64, whinstall::RequestId, u32)>,
+    /// The auditor's numbers of requests.
     pub asked: HashMap<(usize, u64, whinstall::RequestId), u64>,
+    /// The primary operator.
     pub operator: Operator,
+    /// The auditor of the data plane.
     pub auditor: Auditor,
+    /// The core counts as faulty until then.
     pub unsettled_until: f64,
-    pub hot_tenant: (f64, f64),
+    /// The surge of one tenant.
+    pub hot_tenant: TenantSurge,
     /// Until then such a part of the answers to operators is lost.
-    pub lost_responses: (f64, f64),
+    pub lost_responses: ResponseLoss,
+    /// What the concurrent operators sent and heard.
     pub operator_records: OperatorRecords,
+    /// The monitor of the control plane.
     pub invariants: InvariantMonitor,
+    /// How long repairs took.
     pub repairs: RepairTimes,
+    /// What was observable so far.
     pub digest: Digest,
 }
 
 impl World {
+    /// A cluster by this plan, with the first events scheduled; all draws come from the seed.
     pub fn new(seed: u64, plan: DeploymentPlan) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         // The one draw that the core makes by itself, for when it claims the counter.
@@ -89,8 +128,8 @@
             operator: Operator::default(),
             auditor,
             unsettled_until: 0.0,
-            hot_tenant: (0.0, 1.0),
-            lost_responses: (0.0, 0.0),
+            hot_tenant: TenantSurge { until: 0.0, factor: 1.0 },
+            lost_responses: ResponseLoss { until: 0.0, fraction: 0.0 },
             operator_records: OperatorRecords::default(),
             invariants: InvariantMonitor::default(),
             repairs: RepairTimes::default(),
@@ -98,34 +137,42 @@
             plan,
             rng,
         };
-        for n in 0..world.cores.len() {
-            let late: f64 = world.plan.late.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
-            let spread = if world.plan.spread > 0.0 { world.plan.spread * world.rng.f64() } else { 0.0 };
-            world.schedule_at(0.01 + spread + late, SimulationEvent::Boot(NodeRef::Core(n)));
+        world.schedule_first_events();
+        world
+    }
+
+    /// Schedules the start of all processes, the recurring checks, and the first steps of workers, clients and operators.
+    fn schedule_first_events(&mut self) {
+        for n in 0..self.cores.len() {
+            let late: f64 = self.plan.start_delays.iter().filter(|l| l.0 == n).map(|l| l.1).sum();
+            let spread =
+                if self.plan.start_spread > 0.0 { self.plan.start_spread * self.rng.f64() } else { 0.0 };
+            self.schedule_at(0.01 + spread + late, SimulationEvent::Boot(NodeRef::Core(n)));
         }
-        for n in 0..world.edges.len() {
-            world.schedule_at(0.02, SimulationEvent::Boot(NodeRef::Edge(n)));
+        for n in 0..self.edges.len() {
+            self.schedule_at(0.02, SimulationEvent::Boot(NodeRef::Edge(n)));
         }
-        for n in 0..world.workers.len() {
-            let after = 0.3 + world.rng.f64();
-            world.schedule_at(after, SimulationEvent::HeartbeatDue(n));
+        for n in 0..self.workers.len() {
+            let after = 0.3 + self.rng.f64();
+            self.schedule_at(after, SimulationEvent::HeartbeatDue(n));
         }
-        world.schedule_at(0.2, SimulationEvent::LinkCheck);
-        world.schedule_at(1.0, SimulationEvent::OperatorActs);
-        world.schedule_at(4.0, SimulationEvent::ClientRequest);
-        if world.plan.operator_load.operators > 0 {
-            world.schedule_at(0.1, SimulationEvent::InvariantCheck);
-            world.start_operators();
+        self.schedule_at(0.2, SimulationEvent::LinkCheck);
+        self.schedule_at(1.0, SimulationEvent::OperatorActs);
+        self.schedule_at(4.0, SimulationEvent::ClientRequest);
+        if self.plan.operator_load.operators > 0 {
+            self.schedule_at(0.1, SimulationEvent::InvariantCheck);
+            self.start_operators();
         }
-        world
     }
 
+    /// Schedules an event at this simulated time, but not in the past.
     pub fn schedule_at(&mut self, at: f64, ev: SimulationEvent) {
         self.next += 1;
         let at = at.max(self.now);
         self.queue.insert(((at * 1e6) as u64, self.next), ev);
     }
 
+    /// Schedules an event this many seconds from now.
     pub fn schedule_after(&mut self, secs: f64, ev: SimulationEvent) {
         self.schedule_at(self.now + secs, ev);
     }
