--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -118,7 +118,7 @@
         self.connection(&host, idle, ending, actions);
         self.opened(&customer, -1.0);
         if let Some((c, told)) = self.customers.get_mut(&customer).zip(metered) {
-            c.share.metered(self.now, told);
+            c.share.record_metered(self.now, told);
         }
         if ending == Ending::Ok {
             self.done.add(self.now, 1.0, DONE_S);
--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -158,7 +158,7 @@
             let length = Gateway::window_s(&self.s.plans[c.plan]);
             let until = (c.window as f64 + 2.0 - c.phase) * length;
             let units = c.own - c.former;
-            let told = self.guard.proven(&count_name('q', id, c.window)).max(0.0);
+            let told = self.guard.acknowledged_units(&count_name('q', id, c.window)).max(0.0);
             Spending { customer: id.clone(), window: c.window, units, told, until }
         });
         let spending = told.filter(|s| s.until > self.now).collect();
@@ -186,7 +186,7 @@
             let Some(c) = self.customers.get_mut(&key.0) else { continue };
             c.copied(&self.elsewhere, &key.0);
             if c.window == window {
-                self.guard.told_elsewhere(&count_name('q', &key.0, window), held.told);
+                self.guard.set_acknowledged_to_others(&count_name('q', &key.0, window), held.told);
             }
         }
         self.probe();
@@ -209,7 +209,7 @@
         }
         let excess = |(id, c): (&CustomerId, &Customer)| {
             let told = self.elsewhere.of(id, c.window).told;
-            let beyond = told + self.guard.proven(&count_name('q', id, c.window)) - c.total?;
+            let beyond = told + self.guard.acknowledged_units(&count_name('q', id, c.window)) - c.total?;
             (told > 0.0 && beyond >= PROBE_UNITS && c.calling == 0.0).then(|| (beyond, id.clone()))
         };
         let most = self.customers.iter().filter_map(excess).max_by(|a, b| a.0.total_cmp(&b.0));
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -444,11 +444,11 @@
     }
     /// This gateway's part of its quota where no total tells.
     pub(crate) fn part(&self, plan: &Plan) -> f64 {
-        self.share.part(plan.burst, self.width)
+        self.share.fraction(plan.burst, self.width)
     }
     /// Units that all gateways may have spent in so many seconds, where no total tells.
     pub(crate) fn guess(&self, plan: &Plan, own: f64, span: f64, now: f64) -> f64 {
-        self.share.guess(plan.rate, self.part(plan), own, span, now)
+        self.share.estimate_spent(plan.rate, self.part(plan), own, span, now)
     }
     /// Units known to be spent in this window: where the counter's total and the copies differ, the larger.
     pub(crate) fn spent(&self) -> f64 {
--- a/src/gateway/window.rs
+++ b/src/gateway/window.rs
@@ -3,7 +3,8 @@
 use crate::gateway::interface::*;
 use crate::gateway::rules::Actions;
 use crate::gateway::state::*;
-use crate::quota::Verdict;
+use crate::quota::share::QuotaLimits;
+use crate::quota::{CallOutcome, CustomerWindow, LateTotal, Verdict, WindowSpan};
 
 const SYNC_PART: f64 = 0.25; // sync after this part of the time that the rest lasts: dense near the limit
 const SYNCS_A_WINDOW: f64 = 4.0; // several syncs a window, at the least...
@@ -62,12 +63,12 @@
             let guess = c.guess(plan, c.own.min(c.asked.rate(now, ASKED_S) * turns), turns, now);
             let length = Self::window_s(plan);
             match known {
-                true => c.share.learn(length, turns / length - 1.0, c.own, c.spent()),
-                false => c.share.forget(turns / self.guard.settings().fade),
+                true => c.share.learn_window(length, turns / length - 1.0, c.own, c.spent()),
+                false => c.share.decay(turns / self.guard.settings().share_decay_secs),
             }
-            let used = c.share.light(now, plan.rate).filter(|_| self.misses < PACE_MISS);
-            let span = ((c.window as f64 - c.phase) * length, length);
-            self.guard.window_over(now, || count_name('q', id, c.window), span, used);
+            let used = c.share.light_use(now, plan.rate).filter(|_| self.misses < PACE_MISS);
+            let span = WindowSpan { start: (c.window as f64 - c.phase) * length, length_secs: length };
+            self.guard.window_finished(now, || count_name('q', id, c.window), span, used);
             let spent = if known { c.spent() } else { c.spent().max(guess) };
             // What a silent counter was not told says nothing of how much the pace leaves out.
             self.untold.add(now, c.unsynced.max(0.0) * (1.0 - self.misses), ASKED_S);
@@ -97,7 +98,7 @@
             return Ok(true);
         }
         let recent = now - c.told_at <= STALE_PART * Self::window_s(plan);
-        let trust = self.guard.troubled() && self.guard.on_trust(&count_name('q', id, c.window));
+        let trust = self.guard.has_fault() && self.guard.lacks_total(&count_name('q', id, c.window));
         let fresh = c.total.is_some() && recent && now - c.sync_at <= OVERDUE && !trust;
         let limit = c.limit(plan, now);
         let mut wanted = false;
@@ -114,23 +115,24 @@
         let room = limit - c.guess(plan, c.own, c.elapsed(plan, now), now).max(c.spent()) - cost;
         let even = gain * (ROOM_LEAST + room / plan.burst.max(1e-9));
         let drawn = fits && !fresh && c.own + cost > share;
-        let believed = c.share.believed(now);
+        let believed = c.share.meter_confidence(now);
         let below = share < cost.max(self.s.units_top);
         // No total to be had, or none to go by: fresh copies stand in, else what may be beyond is held back.
-        let (quota, top, asked) = ((plan.rate, plan.burst), self.s.units_top, c.asked.rate(now, ASKED_S));
-        let held = trust && c.share.is_held(now, asked, quota, c.width, top);
+        let limits = QuotaLimits { rate: plan.rate, burst: plan.burst };
+        let (top, asked) = (self.s.units_top, c.asked.rate(now, ASKED_S));
+        let held = trust && c.share.is_limited_to_allowance(now, asked, limits, c.width, top);
         let shared = if trust { self.elsewhere.part(c.width) } else { 0.0 };
         if fresh {
-            c.share.settle(now);
+            c.share.reset_allowance(now);
         } else if shared >= 1.0 || held && shared > 0.0 {
-            c.share.settle(now);
+            c.share.reset_allowance(now);
             return Ok(limit * shared - c.spent() >= cost * (self.rng.f64() * c.width).max(1.0));
         } else if held {
             let since = self.started.unwrap_or(now);
-            return Ok(fits && cost <= c.share.allowance(now, quota, c.width, top, since));
+            return Ok(fits && cost <= c.share.allowance(now, limits, c.width, top, since));
         }
         let ask = drawn && below && (even < 1.0 || believed < 0.5) && self.s.may_count;
-        let ask = ask && self.guard.opens_at(&count_name('q', id, c.window)) <= now;
+        let ask = ask && self.guard.next_call_at(&count_name('q', id, c.window)) <= now;
         let ask = ask && self.draw_call() && self.may_call();
         let chance = if below { even } else { believed * even };
         let fits = ask || fits && (!drawn || self.rng.f64() < chance);
@@ -150,9 +152,9 @@
         }
         c.unsynced += units;
         c.own = (c.own + units).max(0.0);
-        c.share.take(units);
+        c.share.spend_allowance(units);
         let known = c.total.is_some() && now - c.told_at <= STALE_PART * Self::window_s(plan);
-        self.guard.admitted(|| count_name('q', id, c.window), units, known);
+        self.guard.record_admitted(|| count_name('q', id, c.window), units, known);
         let window = Self::window_s(plan);
         let elapsed = c.elapsed(plan, now).max(0.05);
         let (limit, spent) = (c.limit(plan, now), c.spent());
@@ -185,7 +187,8 @@
         let untold = self.untold.rate(self.now, ASKED_S) / self.told.rate(self.now, ASKED_S).max(1e-9);
         let amount = amount * (1.0 + untold).min(UNTOLD_MOST);
         let name = count_name('q', id, c.window);
-        let told = self.guard.sent(self.now, &name, (id, c.window), amount, 2.0 * window + 1.0);
+        let of = CustomerWindow { customer: id.clone(), window: c.window };
+        let told = self.guard.call_sent(self.now, &name, of, amount, 2.0 * window + 1.0);
         let call = Call { customer: id.clone(), window: c.window, amount, open: false, asks };
         self.call(name, call, told, window, actions);
     }
@@ -210,10 +213,14 @@
         let late = delay > 0.5 * wait;
         let verdict = match told.open {
             true => Verdict::Withheld,
-            false => self.guard.ended(now, &name, told.amount, (ending, total), delay / wait),
+            false => {
+                let outcome = CallOutcome { ending, total, timeout_fraction: delay / wait };
+                self.guard.call_finished(now, &name, told.amount, outcome)
+            }
         };
         // A broken call or a spoilt answer says nothing of what the counter takes, nor does one lone silence.
-        let spoilt = ending == Ending::Reset || (ending == Ending::Timeout && self.guard.uncrowded(now));
+        let spoilt =
+            ending == Ending::Reset || (ending == Ending::Timeout && self.guard.answers_promptly(now));
         self.misses += 0.1 * (f64::from(u8::from(!ok || late)) - self.misses) * f64::from(u8::from(!spoilt));
         if ok && !late {
             self.answered = true;
@@ -244,9 +251,9 @@
         match verdict {
             Verdict::Total(total) => (c.total, c.told_at) = (Some(total), now),
             Verdict::NotAdded => c.unsynced += told.amount,
-            Verdict::Withheld | Verdict::Doubt => {}
+            Verdict::Withheld | Verdict::Undetermined => {}
         }
-        let again = if ok && !self.guard.asks(&name) { f64::INFINITY } else { now + 4.0 * SYNC_MIN };
+        let again = if ok && !self.guard.wants_call(&name) { f64::INFINITY } else { now + 4.0 * SYNC_MIN };
         c.sync_at = c.sync_at.min(again);
         Some((told, matches!(verdict, Verdict::Total(_))))
     }
@@ -254,8 +261,8 @@
     /// A call that was given up was answered after all: what it proves is the least that is spent.
     pub(super) fn counted_late(&mut self, name: CountName, total: f64, delay: f64) {
         let now = self.now;
-        let Some((id, window, least)) = self.guard.late(now, &name, total) else { return };
-        let Some(c) = self.customers.get_mut(&id).filter(|c| c.window == window) else { return };
+        let Some(LateTotal { of, least }) = self.guard.late_answer(now, &name, total) else { return };
+        let Some(c) = self.customers.get_mut(&of.customer).filter(|c| c.window == of.window) else { return };
         c.total = Some(c.total.map_or(least, |t| t.max(least)));
         c.told_at = c.told_at.max(now - delay);
     }
@@ -274,7 +281,7 @@
         let now = self.now;
         let Some(c) = self.customers.get_mut(id).filter(|_| self.s.may_count) else { return };
         if c.sync_at <= now {
-            c.sync_at = c.sync_at.max(self.guard.opens_at(&count_name('q', id, c.window)));
+            c.sync_at = c.sync_at.max(self.guard.next_call_at(&count_name('q', id, c.window)));
         }
         let (quota, open) = (c.sync_at <= now, c.open_at <= now);
         if quota && self.may_call() {
--- a/src/net/process/startup.rs
+++ b/src/net/process/startup.rs
@@ -302,8 +302,8 @@
 
 /// How long late answers of the counter are listened for: only the guard uses them.
 fn late_timeout(quota: &QuotaSettings) -> Duration {
-    if quota.guard {
-        Duration::from_secs_f64(quota.late)
+    if quota.is_guarded {
+        Duration::from_secs_f64(quota.late_answer_secs)
     } else {
         Duration::ZERO
     }
--- a/src/quota/bound.rs
+++ b/src/quota/bound.rs
@@ -1,63 +1,69 @@
-//! How far a customer can run past its quota while the counter cannot be relied on: the bound as a formula, its
-//! parts named, in units. It owns that arithmetic only; nothing here changes what is admitted. The derivation and
-//! the figures for the brief's plans are in docs/quota.md.
+//! The error bound: how many units beyond its quota a customer can be admitted while the counter is unavailable.
+//!
+//! A formula with its terms named, in quota units. Nothing here takes part in admission; tests and docs/quota.md, which
+//! has the derivation, compare measured overshoot with it.
 
-/// What the bound needs of a customer and of the fleet.
+/// Shortest and longest window of a customer, in seconds: burst over rate, clamped (as the decision module does).
+const WINDOW_SECS: (f64, f64) = (0.5, 20.0);
+/// Rates and quotas are taken to be at least this, so that nothing is divided by zero.
+const MIN_DIVISOR: f64 = 1e-9;
+
+/// What the bound depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BoundInput {
-    /// Gatekeepers through which the customer comes.
+    /// Gatekeepers that serve the customer.
     pub width: f64,
-    /// Its quota, in units a second.
+    /// Its quota, in units per second.
     pub rate: f64,
-    /// Units of it that may be used at once.
+    /// Units of the quota that may be used at once.
     pub burst: f64,
-    /// What it asks over all gatekeepers, in units a second.
-    pub asks: f64,
-    /// Age of the last total as the trouble begins, in seconds: about the sync interval.
-    pub age: f64,
-    /// A total goes on being believed for this part of a window.
-    pub stale_part: f64,
-    /// Sum over its gatekeepers of the parts that they take for theirs; 1 where all learnt from the same totals.
-    pub parts: f64,
+    /// Its demand over all gatekeepers, in units per second.
+    pub demand: f64,
+    /// Age of the last window total as the fault begins, in seconds: about the sync interval.
+    pub total_age_secs: f64,
+    /// A total is believed for this fraction of a window.
+    pub stale_fraction: f64,
+    /// Sum over its gatekeepers of the quota shares that they assume; 1 where all learnt from the same totals.
+    pub share_sum: f64,
     /// Largest request, in units.
-    pub largest: f64,
+    pub largest_request: f64,
 }
 
-/// Units beyond the quota, by what lets them in.
+/// Units beyond the quota, by cause.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ErrorBound {
-    /// While the last totals are still believed, each gatekeeper misses what the others spend.
-    pub blind: f64,
-    /// Parts that sum to more than one.
-    pub parts: f64,
-    /// One request past its part at each gatekeeper.
-    pub grain: f64,
+    /// While the last totals are still believed, no gatekeeper sees what the others admit.
+    pub unseen: f64,
+    /// The assumed shares sum to more than one.
+    pub excess_shares: f64,
+    /// One request beyond its share at each gatekeeper.
+    pub granularity: f64,
 }
 
 impl ErrorBound {
-    /// The bound over `seconds` of trouble.
-    pub fn over(i: &BoundInput, seconds: f64) -> Self {
-        let width = i.width.max(1.0);
-        let window = (i.burst / i.rate.max(1e-9)).clamp(0.5, 20.0);
-        let blind_s = i.age + i.stale_part * window;
-        // Of what comes in the blind time, each gatekeeper sees its own: the others' share of it goes unseen, once
-        // for each of them, but no more than each could let in by what it believed to be left.
-        let unseen = (width - 1.0) / width * i.asks * blind_s;
+    /// The bound for a fault that lasts `duration_secs`.
+    pub fn over(input: &BoundInput, duration_secs: f64) -> Self {
+        let width = input.width.max(1.0);
+        let window_secs = (input.burst / input.rate.max(MIN_DIVISOR)).clamp(WINDOW_SECS.0, WINDOW_SECS.1);
+        let blind_secs = input.total_age_secs + input.stale_fraction * window_secs;
+        // Each gatekeeper sees what it admits itself. The rest goes unseen, once at each gatekeeper, but no gatekeeper
+        // admits more than it believed to be left.
+        let unseen = (width - 1.0) / width * input.demand * blind_secs;
         ErrorBound {
-            blind: unseen.min((width - 1.0) * i.burst),
-            parts: (i.parts - 1.0).max(0.0) * i.rate * seconds,
-            grain: width * i.largest,
+            unseen: unseen.min((width - 1.0) * input.burst),
+            excess_shares: (input.share_sum - 1.0).max(0.0) * input.rate * duration_secs,
+            granularity: width * input.largest_request,
         }
     }
 
-    /// All of it, in units.
+    /// The sum of all causes, in units.
     pub fn units(&self) -> f64 {
-        self.blind + self.parts + self.grain
+        self.unseen + self.excess_shares + self.granularity
     }
 
-    /// As a part of what the quota allows in `seconds`, its burst included.
-    pub fn part(&self, i: &BoundInput, seconds: f64) -> f64 {
-        self.units() / (i.rate * seconds + i.burst).max(1e-9)
+    /// The sum as a fraction of what the quota allows in `duration_secs`, its burst included.
+    pub fn fraction_of_quota(&self, input: &BoundInput, duration_secs: f64) -> f64 {
+        self.units() / (input.rate * duration_secs + input.burst).max(MIN_DIVISOR)
     }
 }
 
--- a/src/quota/breaker.rs
+++ b/src/quota/breaker.rs
@@ -1,68 +1,74 @@
-//! A circuit breaker for calls of one kind: closed while they are answered, open for a while after some in a row
-//! were not, then half open for one trial. Each failed trial doubles the wait, jittered by a draw of the caller's,
-//! so that many gatekeepers do not meet a returning counter at once. It owns that arithmetic only, and must never
-//! read a clock or draw a number itself.
+//! A circuit breaker for calls of one kind.
+//!
+//! Closed while calls are answered; open after a number of consecutive failures; half-open once its wait is over, when
+//! a single trial call may go out. Each failed trial doubles the wait, up to a maximum (exponential backoff). Waits are
+//! jittered, so that many gatekeepers do not all reach a counter at the moment it returns. The caller passes in time
+//! and random draws: the breaker reads no clock and has no generator.
 
-/// What a breaker is set by.
+/// Settings of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BreakerSettings {
-    /// Failures in a row that open it.
+    /// Consecutive failures that open it.
     pub failures: u32,
-    /// Seconds until its first trial.
-    pub first: f64,
-    /// The longest wait for a trial, in seconds.
-    pub most: f64,
+    /// Wait until the first trial call, in seconds, before jitter.
+    pub first_wait_secs: f64,
+    /// Upper bound of the wait, in seconds, before jitter.
+    pub max_wait_secs: f64,
 }
 
-/// One breaker.
+/// One circuit breaker. Times are seconds on the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Breaker {
     /// Failures since the last success.
-    failures: u32,
-    /// No call before this.
-    until: f64,
-    /// A trial is out.
-    trial: bool,
+    consecutive_failures: u32,
+    /// While open: no call before this.
+    open_until: f64,
+    /// While half-open: the trial call is in flight.
+    is_trial_in_flight: bool,
 }
 
+/// More doublings than this never matter, as the wait has reached its bound; keeps the power finite.
+const MAX_DOUBLINGS: u32 = 30;
+
 impl Breaker {
-    /// May a call go out at `now`? While it is half open, one at a time may.
-    pub fn admits(&self, now: f64, s: &BreakerSettings) -> bool {
-        !self.is_open(s) || (now >= self.until && !self.trial)
+    /// Whether a call may go out at `now`. A half-open breaker admits one at a time.
+    pub fn admits(&self, now: f64, settings: &BreakerSettings) -> bool {
+        !self.is_open(settings) || (now >= self.open_until && !self.is_trial_in_flight)
     }
 
-    /// When the next call may be tried; a time that has passed: now.
-    pub fn next(&self, s: &BreakerSettings) -> f64 {
-        if self.is_open(s) {
-            self.until
+    /// The time from which a call may go out; negative infinity while the breaker is closed.
+    pub fn next_call_at(&self, settings: &BreakerSettings) -> f64 {
+        if self.is_open(settings) {
+            self.open_until
         } else {
             f64::NEG_INFINITY
         }
     }
 
-    /// A call goes out.
-    pub fn sent(&mut self, s: &BreakerSettings) {
-        self.trial = self.is_open(s);
+    /// Records that a call goes out.
+    pub fn call_sent(&mut self, settings: &BreakerSettings) {
+        self.is_trial_in_flight = self.is_open(settings);
     }
 
-    /// A call was answered.
-    pub fn succeeded(&mut self) {
+    /// Records that a call was answered: closes the breaker and forgets its backoff.
+    pub fn call_succeeded(&mut self) {
         *self = Breaker::default();
     }
 
-    /// A call failed at `now`; `unit` in [0, 1) is the caller's draw: waits lie between half and one and a half.
-    pub fn failed(&mut self, now: f64, unit: f64, s: &BreakerSettings) {
-        self.failures = self.failures.saturating_add(1);
-        self.trial = false;
-        if let Some(doublings) = self.failures.checked_sub(s.failures) {
-            let wait = (s.first * 2f64.powi(doublings.min(30) as i32)).min(s.most.max(s.first));
-            self.until = now + wait * (0.5 + unit.clamp(0.0, 1.0));
+    /// Records that a call failed at `now`. `jitter` is a draw from [0, 1); the wait is scaled by 0.5 to 1.5 with it.
+    pub fn call_failed(&mut self, now: f64, jitter: f64, settings: &BreakerSettings) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        self.is_trial_in_flight = false;
+        if let Some(doublings) = self.consecutive_failures.checked_sub(settings.failures) {
+            let backoff = settings.first_wait_secs * 2f64.powi(doublings.min(MAX_DOUBLINGS) as i32);
+            let wait = backoff.min(settings.max_wait_secs.max(settings.first_wait_secs));
+            self.open_until = now + wait * (0.5 + jitter.clamp(0.0, 1.0));
         }
     }
 
-    /// Is it open, or half open?
-    pub fn is_open(&self, s: &BreakerSettings) -> bool {
-        self.failures >= s.failures.max(1)
+    /// Whether it is open or half-open.
+    pub fn is_open(&self, settings: &BreakerSettings) -> bool {
+        self.consecutive_failures >= settings.failures.max(1)
     }
 }
 
--- a/src/quota/ledger.rs
+++ b/src/quota/ledger.rs
@@ -1,174 +1,219 @@
-//! The books of one count (a name at the counter, which is one customer's window): what of this gatekeeper's adds
-//! the counter has surely taken, what it may have taken, the highest total that was ever proven, and what of that
-//! the counter has since lost. It turns what the counter answers into a total that the decision module may go by,
-//! and must never let one fall under what is known, count an add twice, or believe a total that cannot be.
+//! The ledger of one counter entry (one customer's window): reconciles the counter's answers with what this gatekeeper
+//! added.
 //!
-//! Units throughout are quota units; a total is exact to seven digits (PROTOCOL), so all comparisons have that much
-//! slack.
+//! It tracks which of this gatekeeper's adds the counter has surely taken, which it may have taken, the highest total
+//! that was proven, and how much of that the counter has since lost. Invariants:
+//!
+//! - The reported total never falls below what is known to be spent, so a counter that restarts from zero does not
+//!   open a second quota.
+//! - No add counts twice: what may have been taken is never sent again, and lost adds are sent again once.
+//! - One implausible answer changes nothing; only two in a row prove a new incarnation of the counter.
+//!
+//! Amounts are quota units. The counter's totals are exact to seven digits (PROTOCOL), so comparisons allow that much.
 
 use std::collections::VecDeque;
 
-/// Totals are exact to seven digits; amounts are sums of such.
-const EXACT: f64 = 1e-5;
-/// A total under this part of the highest known one has fallen: settling gives back far less.
-const FELL_PART: f64 = 0.5;
-/// Gatekeepers take back what they asked for first and then refused, now and then from the next window's count: less
-/// than this missing of a gatekeeper's own adds is no loss, in units.
-const LEAST: f64 = 4.0;
-/// No count of units is larger.
-const LARGEST: f64 = 1e12;
+/// Relative tolerance of comparisons: totals are exact to seven digits, and amounts are sums of such.
+const TOLERANCE: f64 = 1e-5;
+/// A total below this fraction of the highest known one has fallen. Settling estimates returns far less.
+const FALLEN_FRACTION: f64 = 0.5;
+/// Fewer missing units of this gatekeeper's adds are no loss: gatekeepers return what they reserved and then rejected,
+/// now and then from the next window's entry.
+const MIN_LOSS_UNITS: f64 = 4.0;
+/// Upper bound of a plausible total.
+const MAX_TOTAL: f64 = 1e12;
+/// Lower bound of the time over which a deficit fades, in seconds: no division by zero.
+const MIN_RESEND_SECS: f64 = 1e-3;
 
 /// What one answer proves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Proof {
-    /// The total over all gatekeepers, with what the counter lost put back.
+    /// The total over all gatekeepers, with what the counter lost added back.
     Total(f64),
-    /// The same, but the counter gave less than it must hold: it was replaced or flushed, or lied.
+    /// The same, but the counter answered less than it must hold: it was replaced, emptied, or the answer is wrong.
     Fallen(f64),
-    /// Nothing: no total can be so.
-    Spoilt,
+    /// Nothing: the total is implausible.
+    Implausible,
+}
+
+/// A call in flight.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct CallInFlight {
+    /// Units acknowledged as it was sent: its answer must hold them.
+    acknowledged: f64,
+    /// Lost units that it adds again.
+    resent: f64,
 }
 
-/// One count.
+/// An answer that contradicted the ledger, while no other has yet confirmed or refuted it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct Contradiction {
+    /// Units added by the calls so answered.
+    added: f64,
+    /// The deficit before it.
+    earlier_deficit: f64,
+}
+
+/// The ledger of one counter entry.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Line {
-    /// Adds of this gatekeeper that this incarnation of the counter has answered.
-    proven: f64,
-    /// Adds of this gatekeeper that may have been taken: nobody knows, and they are never sent again.
-    doubt: f64,
-    /// The highest total proven, lost parts put back.
-    high: f64,
-    /// Known to be spent, and missing at the counter.
+pub struct Ledger {
+    /// Adds of this gatekeeper that this incarnation of the counter has acknowledged.
+    acknowledged: f64,
+    /// Adds of this gatekeeper that may have been taken. They are never sent again.
+    undetermined: f64,
+    /// The highest total proven, with what was lost added back.
+    highest_total: f64,
+    /// Units known to be spent that the counter lacks.
     deficit: f64,
-    /// When the counter last lost something.
+    /// When the counter last lost units.
     fell_at: f64,
-    /// Of the deficit, adds of this gatekeeper that are to be told again.
-    retell: f64,
-    /// The calls that are out, in the order they went: what was proven as each did, and what each tells again.
-    out: VecDeque<(f64, f64)>,
-    /// The last answer contradicted the books, and no other has yet confirmed or refuted it: what was added with
-    /// it, and the deficit before it.
-    doubted: Option<(f64, f64)>,
+    /// Of the deficit, adds of this gatekeeper that are to be sent again.
+    to_resend: f64,
+    /// Calls in flight, in the order in which they were sent.
+    in_flight: VecDeque<CallInFlight>,
+    contradiction: Option<Contradiction>,
 }
 
-impl Line {
-    /// A call is about to add `amount`; returns what it must add: with it goes what a replaced counter has to be
-    /// told again.
-    pub fn tell(&mut self, amount: f64) -> f64 {
-        let again = std::mem::take(&mut self.retell);
-        self.out.push_back((self.proven, again));
-        amount + again
+impl Ledger {
+    /// Records a call about to add `amount`. Returns what it must add, which includes the units to be sent again.
+    pub fn call_sent(&mut self, amount: f64) -> f64 {
+        let resent = std::mem::take(&mut self.to_resend);
+        self.in_flight.push_back(CallInFlight { acknowledged: self.acknowledged, resent });
+        amount + resent
     }
 
-    /// The call was never taken: all of it is still to be told.
-    pub fn not_taken(&mut self) {
-        self.retell += self.out.pop_front().map_or(0.0, |x| x.1);
+    /// The oldest call in flight was never taken: all of it is still to be sent.
+    pub fn call_not_taken(&mut self) {
+        self.to_resend += self.finish_call().map_or(0.0, |call| call.resent);
     }
 
-    /// The call may have been taken: it counts as spent here, and is never told again.
-    pub fn in_doubt(&mut self, amount: f64) {
-        self.doubt += amount + self.out.pop_front().map_or(0.0, |x| x.1);
+    /// The oldest call in flight, which added `amount`, may have been taken: it counts as spent and is never sent
+    /// again.
+    pub fn call_undetermined(&mut self, amount: f64) {
+        self.undetermined += amount + self.finish_call().map_or(0.0, |call| call.resent);
     }
 
-    /// The call that added `amount` was answered with `total` at `now`; others tell what was lost again within
-    /// `span` seconds.
-    pub fn answered(&mut self, now: f64, amount: f64, total: f64, span: f64) -> Proof {
-        // Answers of calls that were out together may cross: each must hold what was proven before any of them.
-        let (before, retold) = self.out.pop_front().unwrap_or((self.proven, 0.0));
-        let before = before.min(self.proven);
-        let told = amount + retold;
-        if !total.is_finite() || total.abs() > LARGEST || total < -EXACT * (1.0 + self.high.abs()) {
-            // It may have been added all the same.
-            self.doubt += told;
-            return Proof::Spoilt;
+    /// The oldest call in flight, which added `amount`, was answered with `total` at `now`. Other gatekeepers send
+    /// again what was lost within `resend_secs`.
+    pub fn call_answered(&mut self, now: f64, amount: f64, total: f64, resend_secs: f64) -> Proof {
+        // Answers to calls that were in flight together may cross: each must hold what was acknowledged before any.
+        let call = self.finish_call();
+        let call = call.unwrap_or(CallInFlight { acknowledged: self.acknowledged, resent: 0.0 });
+        let acknowledged = call.acknowledged.min(self.acknowledged);
+        let added = amount + call.resent;
+        if !is_plausible(total) || total < -TOLERANCE * (1.0 + self.highest_total.abs()) {
+            // It may have been added nonetheless.
+            self.undetermined += added;
+            return Proof::Implausible;
         }
-        let slack = EXACT * (1.0 + self.high + told.abs());
-        let (with, missing) = self.doubted.unwrap_or((0.0, self.deficit));
-        let known = self.high - missing + amount;
-        let own = before + with + told;
-        let lacks_own = total + slack < FELL_PART * own && own - total >= LEAST;
-        if !lacks_own && total + slack >= FELL_PART * known {
-            // All is there. Where one answer had said otherwise, it was wrong and the books were right.
-            self.proven += with + told;
-            self.deficit = (missing - retold).max(0.0);
-            self.doubted = None;
-            // After a loss what was known and what was added here since is the least, whoever tells what again.
-            let least = if self.deficit > 0.0 { self.high + amount } else { 0.0 };
-            self.high = if self.deficit > 0.0 { least.max(total) } else { self.high.max(total) };
-            return Proof::Total(least.max(total + self.remaining(now, span)));
+        let slack = TOLERANCE * (1.0 + self.highest_total + added.abs());
+        let Contradiction { added: contradicted, earlier_deficit } =
+            self.contradiction.unwrap_or(Contradiction { added: 0.0, earlier_deficit: self.deficit });
+        let known = self.highest_total - earlier_deficit + amount;
+        let own = acknowledged + contradicted + added;
+        let lacks_own = total + slack < FALLEN_FRACTION * own && own - total >= MIN_LOSS_UNITS;
+        if !lacks_own && total + slack >= FALLEN_FRACTION * known {
+            // Nothing is missing. An answer that contradicted this was wrong and the ledger was right.
+            self.acknowledged += contradicted + added;
+            self.deficit = (earlier_deficit - call.resent).max(0.0);
+            self.contradiction = None;
+            return Proof::Total(self.raise_total(now, amount, total, resend_secs));
         }
-        // Less than it must hold. What was known stays spent, whatever this is. A second such answer on top of the
-        // first confirms the new incarnation; until then nothing is told again.
-        let whole = (self.high + amount).max(self.proven + with + told).max(total);
+        // Less than it must hold. What was known stays spent, whatever the cause.
+        let complete = (self.highest_total + amount).max(self.acknowledged + contradicted + added).max(total);
         if !lacks_own {
-            // Only others' adds are missing: they may have taken back what they had asked for and been refused. What
-            // was known counts for a while, and nothing is told again.
-            self.proven += with + told;
-            (self.deficit, self.fell_at, self.high, self.doubted) = (whole - total, now, whole, None);
-            return Proof::Total(whole);
+            // Only other gatekeepers' adds are missing: they may have returned what they reserved and then rejected.
+            // What was known counts for a while, and nothing is sent again.
+            self.acknowledged += contradicted + added;
+            self.contradiction = None;
+            self.record_loss(now, complete, total);
+            return Proof::Total(complete);
         }
-        if self.doubted.take().is_some() {
-            // Two in a row: a new incarnation, and maybe another one since the first of the two.
-            let held = if total + slack >= with + told { with + told } else { told };
-            self.retell += std::mem::replace(&mut self.proven, held) + (with + told - held);
+        if self.contradiction.take().is_some() {
+            // Two in a row: a new incarnation, and possibly another one between the two answers.
+            let held = if total + slack >= contradicted + added { contradicted + added } else { added };
+            self.to_resend += std::mem::replace(&mut self.acknowledged, held) + (contradicted + added - held);
         } else {
-            self.doubted = Some((told, missing));
+            // Until a second such answer confirms it nothing is sent again.
+            self.contradiction = Some(Contradiction { added, earlier_deficit });
         }
-        (self.deficit, self.fell_at, self.high) = (whole - total, now, whole);
-        Proof::Fallen(whole)
+        self.record_loss(now, complete, total);
+        Proof::Fallen(complete)
     }
 
-    /// A call that was given up was answered after all: its add of `amount` is proven, and `total` held then.
-    pub fn late(&mut self, amount: f64, total: f64) -> Option<f64> {
-        if !total.is_finite() || total.abs() > LARGEST || total + EXACT * (1.0 + amount.abs()) < amount {
+    /// A call that was recorded as undetermined was answered after all: its add of `amount` is acknowledged. Returns
+    /// the least that is spent; `None` where the total proves nothing.
+    pub fn late_answer(&mut self, amount: f64, total: f64) -> Option<f64> {
+        if !is_plausible(total) || total + TOLERANCE * (1.0 + amount.abs()) < amount {
             return None;
         }
-        self.doubt = (self.doubt - amount).max(0.0);
-        if total + EXACT * (1.0 + self.high) < self.proven + amount {
-            return None; // an answer from before the counter was replaced, or from another half
+        self.undetermined = (self.undetermined - amount).max(0.0);
+        if total + TOLERANCE * (1.0 + self.highest_total) < self.acknowledged + amount {
+            return None; // from before the counter was replaced, or from another view of a split counter
         }
-        self.proven += amount;
-        self.high = self.high.max(total);
-        Some(self.high)
-    }
-
-    /// What is known to be spent and is still missing at the counter. Other gatekeepers tell their part of it again
-    /// within `span` seconds, and no answer tells theirs from new adds: it fades over that time, so that no
-    /// customer pays for it twice.
-    fn remaining(&self, now: f64, span: f64) -> f64 {
-        let left = 1.0 - (now - self.fell_at) / span.max(1e-3);
-        self.deficit * left.clamp(0.0, 1.0)
+        self.acknowledged += amount;
+        self.highest_total = self.highest_total.max(total);
+        Some(self.highest_total)
     }
 
-    /// Adds of this gatekeeper that the counter has answered.
-    pub fn proven(&self) -> f64 {
-        self.proven
+    /// Adds of this gatekeeper that the counter has acknowledged.
+    pub fn acknowledged(&self) -> f64 {
+        self.acknowledged
     }
 
-    /// The same as the oldest call that is out went: its answer must hold them.
-    pub fn before(&self) -> f64 {
-        self.out.front().map_or(self.proven, |out| out.0.min(self.proven))
+    /// The same as the oldest call in flight was sent: its answer must hold them.
+    pub fn acknowledged_before_oldest_call(&self) -> f64 {
+        self.in_flight.front().map_or(self.acknowledged, |call| call.acknowledged.min(self.acknowledged))
     }
 
-    /// Units that surely or maybe were added by this gatekeeper.
+    /// Units that this gatekeeper surely or possibly added.
     pub fn own(&self) -> f64 {
-        self.proven + self.doubt + self.retell + self.out.iter().map(|x| x.1).sum::<f64>()
+        let resent = self.in_flight.iter().map(|call| call.resent).sum::<f64>();
+        self.acknowledged + self.undetermined + self.to_resend + resent
     }
 
     /// The highest total proven.
-    pub fn high(&self) -> f64 {
-        self.high
+    pub fn highest_total(&self) -> f64 {
+        self.highest_total
     }
 
-    /// Did the last answer contradict the books, with no other yet to confirm or refute it?
-    pub fn doubted(&self) -> bool {
-        self.doubted.is_some()
+    /// Whether the last answer contradicted the ledger, with no other yet to confirm or refute it.
+    pub fn has_contradiction(&self) -> bool {
+        self.contradiction.is_some()
     }
 
-    /// Units still to be told again to a counter that lost them.
-    pub fn to_retell(&self) -> f64 {
-        self.retell
+    /// Units to be sent again to a counter that lost them.
+    pub fn to_resend(&self) -> f64 {
+        self.to_resend
     }
+
+    fn finish_call(&mut self) -> Option<CallInFlight> {
+        self.in_flight.pop_front()
+    }
+
+    /// Raises the highest total by an answer that lacks nothing, and returns the total to go by. After a loss, what was
+    /// known and what was added here since is a lower bound, whoever sends what again.
+    fn raise_total(&mut self, now: f64, amount: f64, total: f64, resend_secs: f64) -> f64 {
+        let least = if self.deficit > 0.0 { self.highest_total + amount } else { 0.0 };
+        self.highest_total =
+            if self.deficit > 0.0 { least.max(total) } else { self.highest_total.max(total) };
+        least.max(total + self.remaining_deficit(now, resend_secs))
+    }
+
+    fn record_loss(&mut self, now: f64, complete: f64, total: f64) {
+        (self.deficit, self.fell_at, self.highest_total) = (complete - total, now, complete);
+    }
+
+    /// The deficit that still counts. Other gatekeepers send their part of it again within `resend_secs`, and no
+    /// answer tells these from new adds: so it fades over that time, and no customer pays for it twice.
+    fn remaining_deficit(&self, now: f64, resend_secs: f64) -> f64 {
+        let remaining = 1.0 - (now - self.fell_at) / resend_secs.max(MIN_RESEND_SECS);
+        self.deficit * remaining.clamp(0.0, 1.0)
+    }
+}
+
+fn is_plausible(total: f64) -> bool {
+    total.is_finite() && total.abs() <= MAX_TOTAL
 }
 
 #[cfg(test)]
--- a/src/quota/mode.rs
+++ b/src/quota/mode.rs
@@ -1,37 +1,37 @@
-//! In which mode a part of the counter is, from what calls to it came to: in step, late, lost, split, replaced or
-//! rejoined, each with a way in, a way out, and hysteresis. It owns the evidence of one part and its place in the
-//! state machine; it must never refuse a session, and it knows no single customer.
+//! The mode of one partition of the counter, from the outcomes of calls to it: a state machine with hysteresis.
 //!
 //! ```text
-//! in step ──> late (answers come after use)          ──┐
-//!    ^   ├──> lost (none comes)                      ──┤
-//!    │   ├──> split (some names answer, others never, ──┤──> rejoined ──> in step
-//!    │   │         or its totals miss what others use) │       │
-//!    │   └──> replaced (totals fall) ─────────────────┘       └──> back, held twice as long
+//! in step ──> late (answers come after the timeout)     ──┐
+//!    ^   ├──> lost (no answers)                          ──┤
+//!    │   ├──> split (some names answer, others never,    ──┤──> rejoined ──> in step
+//!    │   │         or its totals miss what others use)     │       │
+//!    │   └──> replaced (totals fall)                     ──┘       └──> relapse: probation twice as long
 //! ```
+//!
+//! It knows no customers and rejects nothing: the guard and the decision module act on the mode.
 
 use std::collections::BTreeMap;
 
-/// The mode of a part.
+/// The mode of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Mode {
-    /// Answers come in time, and totals hold what they must.
+    /// Healthy: answers come in time, and totals hold what they must.
     #[default]
     InStep,
-    /// Answers come, but after use.
+    /// Answers come, but after the timeout.
     Late,
-    /// No answer comes.
+    /// No answers come.
     Lost,
-    /// Some names are answered and others never, or totals miss what others use.
+    /// Some names are answered and others never, or totals miss what other gatekeepers use.
     Split,
-    /// Totals fell: another counter stands there, or this one was emptied.
+    /// Totals fell: the counter was replaced or emptied.
     Replaced,
-    /// Answers come in time again; watched for a while.
+    /// Answers come in time again; on probation before it counts as healthy.
     Rejoined,
 }
 
 impl Mode {
-    /// Its name on log lines and in reports.
+    /// Its name in log lines and reports, which `whinstall report` reads back.
     pub fn name(self) -> &'static str {
         match self {
             Mode::InStep => "in step",
@@ -44,169 +44,167 @@
     }
 }
 
-/// How a call came out, for its part.
+/// What the outcome of one call says about its partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
-    /// Answered in time, and what it said can be.
-    InTime,
-    /// Answered after it was given up.
-    Late,
-    /// Not answered, turned away or not connected.
-    Not,
-    /// Answered with less than the counter must hold, for the second time.
-    Fallen,
+pub enum CallEvidence {
+    /// Answered in time, with a plausible total.
+    Answered,
+    /// Answered after the timeout.
+    AnsweredLate,
+    /// Timed out, rejected, or not connected.
+    Unanswered,
+    /// Answered with less than the counter must hold, for the second time in a row.
+    TotalFell,
 }
 
-/// What the modes are set by; all in seconds.
+/// Settings of the modes, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ModeSettings {
-    /// Evidence counts for so long.
-    pub span: f64,
-    /// With no answer for so long, and calls made, the part is lost.
-    pub lost_after: f64,
-    /// Answers in time for so long end a trouble.
-    pub settle: f64,
-    /// A part that has rejoined is watched so long; doubled at each relapse...
-    pub watch: f64,
+    /// Evidence expires after this.
+    pub evidence_secs: f64,
+    /// A partition that leaves calls unanswered for this long is lost.
+    pub lost_after_secs: f64,
+    /// Answers in time for this long end a fault.
+    pub settle_secs: f64,
+    /// Probation of a partition that has rejoined; doubled at each relapse...
+    pub probation_secs: f64,
     /// ...up to this.
-    pub watch_most: f64,
+    pub max_probation_secs: f64,
+}
+
+/// Calls in a row with the same result, after which a name counts as answering or failing.
+const MIN_NAME_STREAK: u32 = 2;
+/// Names answered again after a failure indicate an overloaded counter, not a split one. In a split they are at most
+/// this fraction of the names that only fail or only answer.
+const MAX_MIXED_FRACTION: f64 = 0.2;
+/// Names that must fail, and names that must answer, for a split.
+const MIN_SPLIT_NAMES: i32 = 2;
+/// Bound on the names of which evidence is kept.
+const MAX_NAMES: usize = 256;
+/// Unanswered calls in a row needed for `Lost`.
+const MIN_UNANSWERED: u32 = 3;
+/// Late answers in a row needed for `Late`.
+const MIN_LATE: u32 = 3;
+/// Names whose totals fell needed for `Replaced`.
+const MIN_FALLEN_NAMES: usize = 2;
+/// More doublings of the probation than this never matter; keeps the power finite.
+const MAX_DOUBLINGS: u32 = 20;
+
+/// Recent calls of one name. Times are negative infinity before the first.
+#[derive(Clone, Copy, Debug)]
+struct NameEvidence {
+    /// Calls in a row with the result of the last one.
+    streak: u32,
+    answered_at: f64,
+    failed_at: f64,
+}
+
+impl Default for NameEvidence {
+    fn default() -> Self {
+        NameEvidence { streak: 0, answered_at: f64::NEG_INFINITY, failed_at: f64::NEG_INFINITY }
+    }
+}
+
+impl NameEvidence {
+    fn last_at(&self) -> f64 {
+        self.answered_at.max(self.failed_at)
+    }
+
+    fn record(&mut self, now: f64, is_answered: bool) {
+        let was_answered = self.answered_at >= self.failed_at;
+        self.streak = if was_answered == is_answered { self.streak.saturating_add(1) } else { 1 };
+        *(if is_answered { &mut self.answered_at } else { &mut self.failed_at }) = now;
+    }
 }
 
-/// The evidence of one part.
+/// A name whose total fell.
+#[derive(Clone, Copy, Debug)]
+struct FallenName {
+    name_hash: u64,
+    at: f64,
+}
+
+/// The mode of a partition and the evidence for it. Times are seconds on the caller's clock.
 #[derive(Clone, Debug, Default)]
-pub struct Evidence {
+pub struct ModeTracker {
     mode: Mode,
-    since: f64,
-    /// Last answer in time, and first failure since the last answer of any kind.
-    in_time: Option<f64>,
+    mode_since: f64,
+    /// The last answer in time.
+    answered_at: Option<f64>,
+    /// The first failure since the last answer of any kind.
     failing_since: Option<f64>,
-    /// Since when answers come, in time or not, after a time without.
+    /// When answers, in time or late, began again after a gap.
     answering_since: Option<f64>,
-    /// Last failure.
-    failed: Option<f64>,
-    /// Calls without an answer since the last one.
+    /// The last failure.
+    failed_at: Option<f64>,
+    /// Failures since the last answer.
     unanswered: u32,
     /// Late answers since the last one in time.
     late: u32,
-    /// What is known of each name met lately.
-    names: BTreeMap<u64, Name>,
-    /// Names whose totals fell, and when.
-    fell: Vec<(u64, f64)>,
-    /// Does the meter contradict the totals?
-    divided: bool,
+    /// By the hash of the name.
+    names: BTreeMap<u64, NameEvidence>,
+    fallen_names: Vec<FallenName>,
+    /// Whether totals miss what the meter or replicas say.
+    is_split_by_totals: bool,
+    /// Faults during probation since it was last healthy.
     relapses: u32,
 }
 
-/// One name.
-#[derive(Clone, Copy, Debug)]
-struct Name {
-    /// Calls in a row that came out as the last one did.
-    row: u32,
-    /// When one was last answered, and when one last was not.
-    answered: f64,
-    failed: f64,
-}
-
-impl Name {
-    fn at(&self) -> f64 {
-        self.answered.max(self.failed)
-    }
-
-    fn note(&mut self, now: f64, answered: bool) {
-        let before = self.answered >= self.failed;
-        self.row = if before == answered { self.row.saturating_add(1) } else { 1 };
-        *(if answered { &mut self.answered } else { &mut self.failed }) = now;
+impl ModeTracker {
+    /// The current mode.
+    pub fn mode(&self) -> Mode {
+        self.mode
     }
-}
-
-/// A name is failing, or answering, after so many calls in a row.
-const NAME_ROW: u32 = 2;
-/// Names that were answered after they had failed are the mark of a crowded counter, not of a split one: a split has
-/// no more of them than this part of those that only fail or only answer.
-const MIXED_PART: f64 = 0.2;
-/// Names that must fail, and names that must answer, for a split.
-const SPLIT_NAMES: i32 = 2;
-/// The evidence holds so many names at the most.
-const NAMES_MOST: usize = 256;
 
-impl Evidence {
-    /// The mode and since when.
-    pub fn mode(&self) -> (Mode, f64) {
-        (self.mode, self.since)
+    /// When the current mode began, in seconds on the caller's clock.
+    pub fn mode_since(&self) -> f64 {
+        self.mode_since
     }
 
-    /// Does the meter contradict its totals?
-    pub fn divided(&self) -> bool {
-        self.divided
+    /// Whether totals missed too much when last compared.
+    pub fn is_split_by_totals(&self) -> bool {
+        self.is_split_by_totals
     }
 
-    /// A call for a name (its hash) came out so.
-    pub fn came(&mut self, now: f64, name: u64, came: Came, s: &ModeSettings) {
-        if self.names.len() >= NAMES_MOST {
-            self.names.retain(|_, x| now - x.at() <= s.span);
-            if self.names.len() >= NAMES_MOST {
-                self.names.clear();
-            }
-        }
-        let entry = self.names.entry(name).or_insert(Name {
-            row: 0,
-            answered: f64::NEG_INFINITY,
-            failed: f64::NEG_INFINITY,
-        });
-        entry.note(now, came != Came::Not);
-        if came != Came::Not && (self.unanswered >= 3 || self.answering_since.is_none()) {
+    /// Records the outcome of a call of the name with this hash.
+    pub fn record_call(&mut self, now: f64, name_hash: u64, evidence: CallEvidence, settings: &ModeSettings) {
+        let is_answered = evidence != CallEvidence::Unanswered;
+        self.bound_names(now, settings);
+        self.names.entry(name_hash).or_default().record(now, is_answered);
+        if is_answered && (self.unanswered >= MIN_UNANSWERED || self.answering_since.is_none()) {
             self.answering_since = Some(now);
         }
-        match came {
-            Came::InTime => {
-                self.in_time = Some(now);
-                (self.failing_since, self.unanswered, self.late) = (None, 0, 0);
-            }
-            Came::Late => {
+        match evidence {
+            CallEvidence::Answered => self.record_in_time(now),
+            CallEvidence::AnsweredLate => {
                 (self.failing_since, self.unanswered) = (None, 0);
                 self.late += 1;
             }
-            Came::Not => {
+            CallEvidence::Unanswered => {
                 self.failing_since.get_or_insert(now);
-                self.failed = Some(now);
+                self.failed_at = Some(now);
                 self.unanswered += 1;
             }
-            Came::Fallen => {
-                self.in_time = Some(now);
-                (self.failing_since, self.unanswered, self.late) = (None, 0, 0);
-                self.fell.retain(|x| now - x.1 <= s.span && x.0 != name);
-                self.fell.push((name, now));
+            CallEvidence::TotalFell => {
+                self.record_in_time(now);
+                self.fallen_names.retain(|fallen| {
+                    now - fallen.at <= settings.evidence_secs && fallen.name_hash != name_hash
+                });
+                self.fallen_names.push(FallenName { name_hash, at: now });
             }
         }
-        self.step(now, s);
+        self.step(now, settings);
     }
 
-    /// The meter and the totals were compared.
-    pub fn compared(&mut self, now: f64, divided: bool, s: &ModeSettings) {
-        self.divided = divided;
-        self.step(now, s);
+    /// Records whether totals miss too much of what the meter or replicas say.
+    pub fn record_comparison(&mut self, now: f64, is_split: bool, settings: &ModeSettings) {
+        self.is_split_by_totals = is_split;
+        self.step(now, settings);
     }
 
-    /// Are some names answered and others never? Failures from before answers began to come again are the end of
-    /// another trouble.
-    pub fn split_by_name(&self, now: f64, s: &ModeSettings) -> bool {
-        let since = self.answering_since.unwrap_or(now).max(now - s.span);
-        let (mut failing, mut answering, mut mixed) = (0, 0, 0);
-        for x in self.names.values() {
-            let last = x.at() >= since && x.row >= NAME_ROW;
-            match x.answered >= x.failed {
-                true if x.failed >= since => mixed += 1,
-                true => answering += i32::from(last),
-                false => failing += i32::from(last && x.failed > since),
-            }
-        }
-        let rare = f64::from(mixed) <= MIXED_PART * f64::from(failing + answering);
-        failing >= SPLIT_NAMES && answering >= SPLIT_NAMES && rare
-    }
-
-    /// Moves on to the mode that the evidence at `now` calls for.
-    pub fn step(&mut self, now: f64, s: &ModeSettings) {
-        let next = self.next(now, s);
+    /// Enters the mode that the evidence at `now` implies.
+    pub fn step(&mut self, now: f64, settings: &ModeSettings) {
+        let next = self.next_mode(now, settings);
         if next == self.mode {
             return;
         }
@@ -215,38 +213,88 @@
             (Mode::Rejoined, _) => self.relapses += 1,
             _ => {}
         }
-        (self.mode, self.since) = (next, now);
+        (self.mode, self.mode_since) = (next, now);
+    }
+
+    fn bound_names(&mut self, now: f64, settings: &ModeSettings) {
+        if self.names.len() < MAX_NAMES {
+            return;
+        }
+        self.names.retain(|_, name| now - name.last_at() <= settings.evidence_secs);
+        if self.names.len() >= MAX_NAMES {
+            self.names.clear();
+        }
     }
 
-    fn next(&self, now: f64, s: &ModeSettings) -> Mode {
-        let fresh = |at: Option<f64>| at.is_some_and(|at| now - at <= s.span);
-        let lost = self.unanswered >= 3 && self.failing_since.is_some_and(|at| now - at >= s.lost_after);
-        let split = self.split_by_name(now, s);
-        let replaced = self.fell.iter().filter(|x| now - x.1 <= s.span).count() >= 2;
-        let trouble = match () {
-            () if lost => Some(Mode::Lost),
-            () if replaced => Some(Mode::Replaced),
-            () if self.divided || split => Some(Mode::Split),
-            () if self.late >= 3 && self.in_time.is_none_or(|at| now - at > s.settle) => Some(Mode::Late),
-            () => None,
-        };
-        let steady = fresh(self.in_time)
-            && self.failed.is_none_or(|at| now - at >= s.settle)
-            && now - self.since >= s.settle;
-        match (self.mode, trouble) {
-            // From one trouble to another, and into one; lost and split must show for themselves first.
-            (_, Some(mode)) => mode,
-            (Mode::InStep, None) => Mode::InStep,
-            (Mode::Rejoined, None) => {
-                let watch = (s.watch * 2f64.powi(self.relapses.min(20) as i32)).min(s.watch_most);
-                if now - self.since >= watch {
+    fn record_in_time(&mut self, now: f64) {
+        self.answered_at = Some(now);
+        (self.failing_since, self.unanswered, self.late) = (None, 0, 0);
+    }
+
+    /// Whether some names are answered and others never. Failures from before answers began again belong to an
+    /// earlier fault and do not count.
+    fn is_split_by_name(&self, now: f64, settings: &ModeSettings) -> bool {
+        let since = self.answering_since.unwrap_or(now).max(now - settings.evidence_secs);
+        let (mut failing, mut answering, mut mixed) = (0, 0, 0);
+        for name in self.names.values() {
+            let is_conclusive = name.last_at() >= since && name.streak >= MIN_NAME_STREAK;
+            if name.answered_at < name.failed_at {
+                failing += i32::from(is_conclusive && name.failed_at > since);
+            } else if name.failed_at >= since {
+                mixed += 1;
+            } else {
+                answering += i32::from(is_conclusive);
+            }
+        }
+        let is_mixed_rare = f64::from(mixed) <= MAX_MIXED_FRACTION * f64::from(failing + answering);
+        failing >= MIN_SPLIT_NAMES && answering >= MIN_SPLIT_NAMES && is_mixed_rare
+    }
+
+    /// The fault that the evidence implies, the gravest first.
+    fn fault(&self, now: f64, settings: &ModeSettings) -> Option<Mode> {
+        let is_recent = |fallen: &&FallenName| now - fallen.at <= settings.evidence_secs;
+        let is_lost = self.unanswered >= MIN_UNANSWERED
+            && self.failing_since.is_some_and(|at| now - at >= settings.lost_after_secs);
+        let is_late =
+            self.late >= MIN_LATE && self.answered_at.is_none_or(|at| now - at > settings.settle_secs);
+        if is_lost {
+            Some(Mode::Lost)
+        } else if self.fallen_names.iter().filter(is_recent).count() >= MIN_FALLEN_NAMES {
+            Some(Mode::Replaced)
+        } else if self.is_split_by_totals || self.is_split_by_name(now, settings) {
+            Some(Mode::Split)
+        } else if is_late {
+            Some(Mode::Late)
+        } else {
+            None
+        }
+    }
+
+    /// Whether answers in time have come for long enough to end a fault.
+    fn is_settled(&self, now: f64, settings: &ModeSettings) -> bool {
+        self.answered_at.is_some_and(|at| now - at <= settings.evidence_secs)
+            && self.failed_at.is_none_or(|at| now - at >= settings.settle_secs)
+            && now - self.mode_since >= settings.settle_secs
+    }
+
+    fn next_mode(&self, now: f64, settings: &ModeSettings) -> Mode {
+        if let Some(fault) = self.fault(now, settings) {
+            return fault;
+        }
+        match self.mode {
+            Mode::InStep => Mode::InStep,
+            Mode::Rejoined => {
+                let doublings = self.relapses.min(MAX_DOUBLINGS) as i32;
+                let probation =
+                    (settings.probation_secs * 2f64.powi(doublings)).min(settings.max_probation_secs);
+                if now - self.mode_since >= probation {
                     Mode::InStep
                 } else {
                     Mode::Rejoined
                 }
             }
-            (_, None) if steady => Mode::Rejoined,
-            (mode, None) => mode,
+            _ if self.is_settled(now, settings) => Mode::Rejoined,
+            mode => mode,
         }
     }
 }
--- a/src/quota/settings.rs
+++ b/src/quota/settings.rs
@@ -1,90 +1,107 @@
-//! The operators' settings of the counter's guard, read through the shared loader from a record `counter: {...}`.
-//! It owns their names, types, defaults and ranges; it must never decide anything with them. Without a file the
-//! defaults hold: the guard acts only where the counter is in trouble.
+//! Operators' settings of the counter guard: the record `counter: {...}` of a settings file.
+//!
+//! Field names of the record are the operators' and stay. Without a file the defaults hold, by which the guard acts
+//! only while the counter has a fault.
 
 use super::breaker::BreakerSettings;
 use super::mode::ModeSettings;
 use crate::config::{ConfigError, Reader};
 
-/// All the settings of the guard.
+/// All settings of the guard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// Is there a guard at all? Without one the counter's answers pass as they are.
-    pub guard: bool,
-    /// Parts that the counter splits names over, by FNV-1a of the name modulo their number; 1: not told.
-    pub parts: u32,
-    /// Counts (customers' windows) whose books are kept, at the most.
-    pub counts_most: usize,
-    /// Seconds over which a replaced counter is told again.
-    pub retell: f64,
-    /// Seconds that what was learnt of a customer's share outlives its last total by.
-    pub fade: f64,
-    /// Seconds that an answer after the wait is still listened for; 0: not.
-    pub late: f64,
-    /// Are totals compared with the meter, to notice a counter split in two views?
-    pub witness: bool,
-    /// Breaker of each count.
+    /// Whether the counter is guarded at all. Otherwise its answers are used as they are. `guard` in the file.
+    pub is_guarded: bool,
+    /// Partitions over which the counter spreads names, by FNV-1a of the name modulo their number. `parts` in the file.
+    pub partitions: u32,
+    /// Bound on the counter entries of which state is kept. `counts_most` in the file.
+    pub max_entries: usize,
+    /// Seconds within which gatekeepers send a replaced counter again what it lost. `retell` in the file.
+    pub resend_secs: f64,
+    /// Time constant with which a customer's learnt quota share decays once totals stop, in seconds. `fade` in the
+    /// file.
+    pub share_decay_secs: f64,
+    /// Seconds after the timeout for which an answer is still listened for; 0: not at all. `late` in the file.
+    pub late_answer_secs: f64,
+    /// Whether totals are compared with the meter, to detect a split counter. `witness` in the file.
+    pub compares_meter: bool,
+    /// Circuit breaker of each counter entry.
     pub breaker: BreakerSettings,
-    /// Modes of a part.
+    /// Modes of a partition.
     pub mode: ModeSettings,
 }
 
 impl Default for QuotaSettings {
     fn default() -> Self {
         QuotaSettings {
-            guard: true,
-            parts: 1,
-            counts_most: 20_000,
-            retell: 2.0,
-            fade: 30.0,
-            late: 1.0,
-            witness: true,
-            breaker: BreakerSettings { failures: 3, first: 0.1, most: 1.0 },
-            mode: ModeSettings { span: 1.5, lost_after: 0.3, settle: 0.5, watch: 2.0, watch_most: 30.0 },
+            is_guarded: true,
+            partitions: 1,
+            max_entries: 20_000,
+            resend_secs: 2.0,
+            share_decay_secs: 30.0,
+            late_answer_secs: 1.0,
+            compares_meter: true,
+            breaker: BreakerSettings { failures: 3, first_wait_secs: 0.1, max_wait_secs: 1.0 },
+            mode: ModeSettings {
+                evidence_secs: 1.5,
+                lost_after_secs: 0.3,
+                settle_secs: 0.5,
+                probation_secs: 2.0,
+                max_probation_secs: 30.0,
+            },
         }
     }
 }
 
 impl QuotaSettings {
-    /// Reads the record `counter` of a settings file; `None` where the file has none.
+    /// Reads the record `counter` of a settings file; `None` where the file has none. Errors are collected by the
+    /// reader.
     pub fn read(top: &Reader<'_>) -> Option<QuotaSettings> {
-        let r = top.record("counter")?;
-        let d = QuotaSettings::default();
-        let first = r.number("first_trial", d.breaker.first, (0.01, 10.0));
-        let watch = r.number("watch", d.mode.watch, (0.1, 60.0));
+        let record = top.record("counter")?;
+        let default = QuotaSettings::default();
+        let first_wait = record.number("first_trial", default.breaker.first_wait_secs, (0.01, 10.0));
+        let probation = record.number("watch", default.mode.probation_secs, (0.1, 60.0));
         let settings = QuotaSettings {
-            guard: r.flag("guard", d.guard),
-            parts: r.whole("parts", d.parts, (1, 64)),
-            counts_most: r.whole("counts_most", d.counts_most as u32, (16, 1_000_000)) as usize,
-            retell: r.number("retell", d.retell, (0.1, 60.0)),
-            fade: r.number("fade", d.fade, (1.0, 600.0)),
-            late: r.number("late", d.late, (0.0, 10.0)),
-            witness: r.flag("witness", d.witness),
+            is_guarded: record.flag("guard", default.is_guarded),
+            partitions: record.whole("parts", default.partitions, (1, 64)),
+            max_entries: record.whole("counts_most", default.max_entries as u32, (16, 1_000_000)) as usize,
+            resend_secs: record.number("retell", default.resend_secs, (0.1, 60.0)),
+            share_decay_secs: record.number("fade", default.share_decay_secs, (1.0, 600.0)),
+            late_answer_secs: record.number("late", default.late_answer_secs, (0.0, 10.0)),
+            compares_meter: record.flag("witness", default.compares_meter),
             breaker: BreakerSettings {
-                failures: r.whole("failures", d.breaker.failures, (1, 100)),
-                first,
-                most: r.number("last_trial", d.breaker.most, (0.01, 60.0)).max(first),
+                failures: record.whole("failures", default.breaker.failures, (1, 100)),
+                first_wait_secs: first_wait,
+                max_wait_secs: record
+                    .number("last_trial", default.breaker.max_wait_secs, (0.01, 60.0))
+                    .max(first_wait),
             },
             mode: ModeSettings {
-                span: r.number("span", d.mode.span, (0.2, 60.0)),
-                lost_after: r.number("lost_after", d.mode.lost_after, (0.05, 30.0)),
-                settle: r.number("settle", d.mode.settle, (0.05, 30.0)),
-                watch,
-                watch_most: r.number("watch_most", d.mode.watch_most, (0.1, 600.0)).max(watch),
+                evidence_secs: record.number("span", default.mode.evidence_secs, (0.2, 60.0)),
+                lost_after_secs: record.number("lost_after", default.mode.lost_after_secs, (0.05, 30.0)),
+                settle_secs: record.number("settle", default.mode.settle_secs, (0.05, 30.0)),
+                probation_secs: probation,
+                max_probation_secs: record
+                    .number("watch_most", default.mode.max_probation_secs, (0.1, 600.0))
+                    .max(probation),
             },
         };
-        r.finish();
+        record.finish();
         Some(settings)
     }
 
-    /// Reads a whole file that holds (at least) a `counter` record.
+    /// Reads a whole settings file; `None` where it has no record `counter`.
+    ///
+    /// # Errors
+    ///
+    /// Every error of the file, with its position.
     pub fn load(text: &str) -> Result<Option<QuotaSettings>, Vec<ConfigError>> {
         crate::config::load(text, QuotaSettings::read)
     }
 
-    /// What is in force, for `whinstall check`.
+    /// The settings in force, as `whinstall check` prints them.
     pub fn describe(&self) -> String {
-        if !self.guard {
+        if !self.is_guarded {
             return "counter: no guard; its answers pass as they are\n".into();
         }
         format!(
@@ -92,20 +109,20 @@
              late answers heard for {} s; totals {} with the meter\n\
              a count is tried again after {} failures, in {} s doubling to {} s\n\
              evidence of {} s; lost after {} s; settled after {} s; watched {} s doubling to {} s\n",
-            self.parts,
-            self.counts_most,
-            self.retell,
-            self.fade,
-            self.late,
-            if self.witness { "compared" } else { "not compared" },
+            self.partitions,
+            self.max_entries,
+            self.resend_secs,
+            self.share_decay_secs,
+            self.late_answer_secs,
+            if self.compares_meter { "compared" } else { "not compared" },
             self.breaker.failures,
-            self.breaker.first,
-            self.breaker.most,
-            self.mode.span,
-            self.mode.lost_after,
-            self.mode.settle,
-            self.mode.watch,
-            self.mode.watch_most,
+            self.breaker.first_wait_secs,
+            self.breaker.max_wait_secs,
+            self.mode.evidence_secs,
+            self.mode.lost_after_secs,
+            self.mode.settle_secs,
+            self.mode.probation_secs,
+            self.mode.max_probation_secs,
         )
     }
 }
--- a/src/quota/settings_tests.rs
+++ b/src/quota/settings_tests.rs
@@ -4,7 +4,10 @@
 fn settings_read_with_defaults_and_name_every_error() {
     assert_eq!(QuotaSettings::load("").unwrap(), None);
     let s = QuotaSettings::load("counter: { parts: 2, fade: 10 }").unwrap().unwrap();
-    assert_eq!((s.parts, s.fade, s.retell), (2, 10.0, QuotaSettings::default().retell));
+    assert_eq!(
+        (s.partitions, s.share_decay_secs, s.resend_secs),
+        (2, 10.0, QuotaSettings::default().resend_secs)
+    );
     assert!(s.describe().contains("2 part(s)"));
     let bad = "counter: {\n  parts: 0\n  span: \"x\"\n  guard: 1\n  pats: 2\n}";
     let said: Vec<String> = QuotaSettings::load(bad).unwrap_err().iter().map(ToString::to_string).collect();
--- a/src/quota/share.rs
+++ b/src/quota/share.rs
@@ -1,43 +1,62 @@
-//! What this gatekeeper takes for its part of a customer's quota, and for what all gatekeepers use of it, where no
-//! total of the counter tells: the share that it had in earlier totals, fading towards the even share as they age,
-//! and the meter in nodes' answers. It owns these estimates and how far each is believed; what is admitted on them
-//! is the decision module's alone.
-
-/// The even share counts for so much of a burst against earlier totals.
-const PART_PRIOR: f64 = 0.5;
-/// Time constant of the share in earlier totals, in seconds.
-const PART_S: f64 = 30.0;
-/// Part of its rate that a customer is taken to use, as if one unit here told so.
-const GUESS_USE: f64 = 0.5;
-/// Time constant of what the meter tells, in seconds: its periods are short...
-const METER_S: f64 = 3.0;
-/// ...and it is believed for about so long, in seconds.
-const METER_FADE: f64 = 15.0;
-/// The most that it is believed, in rates.
-const METER_MOST: f64 = 10.0;
-/// Under this part of its rate all that a customer uses is charged: beyond its quota some is served uncharged.
-const INSIDE: f64 = 0.9;
-/// What is asked here for more than this part of its rate is not surely inside its quota.
-const ASKED_INSIDE: f64 = 0.5;
-/// A whole request is to be earned within so many seconds, for the allowance to hold it back.
-const EARN_S: f64 = 10.0;
-/// Under this part its use is light. Of those just under their quota only the lulls would be compared, with totals
-/// that hold a fifth more.
-const LIGHT: f64 = 0.6;
-
-/// One customer's estimates at one gatekeeper.
+//! Estimates for one customer at one gatekeeper while no total of the counter is usable: this gatekeeper's share of the
+//! quota, the use over all gatekeepers, and the fallback allowance.
+//!
+//! The share is learnt from earlier totals and decays towards the even share as they age. The use over all gatekeepers
+//! comes from the meter in nodes' responses, which is believed for some seconds. What is admitted by these estimates is
+//! up to the decision module.
+
+/// Weight of the even share against learnt totals, as a fraction of the burst.
+const EVEN_SHARE_WEIGHT: f64 = 0.5;
+/// Time constant of the learnt share, in seconds.
+const SHARE_MEMORY_SECS: f64 = 30.0;
+/// A customer of which nothing is known is assumed to use this fraction of its rate, with the weight of one unit.
+const PRIOR_USE: f64 = 0.5;
+/// Time constant that smooths the meter, in seconds: its periods are short...
+const METER_MEMORY_SECS: f64 = 3.0;
+/// ...and the time constant with which confidence in it decays, in seconds.
+const METER_CONFIDENCE_SECS: f64 = 15.0;
+/// Upper bound of the metered use, as a multiple of the rate.
+const MAX_METERED_USE: f64 = 10.0;
+/// Confidence above which the metered use says whether a customer is inside its quota.
+const MIN_METER_CONFIDENCE: f64 = 0.5;
+/// Below this fraction of its rate all use is charged: beyond the quota some is served uncharged.
+const INSIDE_QUOTA_USE: f64 = 0.9;
+/// A customer that demands more than this fraction of its rate here alone is not surely inside its quota.
+const INSIDE_QUOTA_DEMAND: f64 = 0.5;
+/// The allowance limits a customer only where it earns its largest request within this, in seconds.
+const MAX_EARN_SECS: f64 = 10.0;
+/// Use below this fraction of the rate is light. Of customers just below their quota only lulls would be compared, with
+/// totals that hold a fifth more.
+const LIGHT_USE: f64 = 0.6;
+/// Smallest divisor: nothing is divided by zero.
+const MIN_DIVISOR: f64 = 1e-9;
+
+/// The limits of a customer's quota.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct QuotaLimits {
+    /// Units per second.
+    pub rate: f64,
+    /// Units that may be used at once.
+    pub burst: f64,
+}
+
+/// The estimates for one customer. Times are seconds on the caller's clock.
+///
+/// It is part of the state handed over at a hot restart: the serialized names are fixed.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize), serde(default))]
 pub struct Share {
-    /// Units spent through this gatekeeper in windows whose totals were known, the old ones fading.
-    mine: f64,
-    /// Units spent over all gatekeepers in the same.
-    ours: f64,
-    /// What the meter told of its use over all gatekeepers, as a part of its rate, smoothed.
-    metered: f64,
-    /// When that was last told, in seconds.
+    /// Units spent through this gatekeeper in windows with a known total, decaying.
+    #[cfg_attr(feature = "adapter", serde(rename = "mine"))]
+    own_units: f64,
+    /// Units spent over all gatekeepers in the same windows, decaying.
+    #[cfg_attr(feature = "adapter", serde(rename = "ours"))]
+    total_units: f64,
+    /// Use over all gatekeepers by the meter, as a fraction of the rate, smoothed.
+    #[cfg_attr(feature = "adapter", serde(rename = "metered"))]
+    metered_use: f64,
     metered_at: f64,
-    /// Units of the fallback allowance, and as of when.
+    /// Units of the fallback allowance as of `allowance_at`; `None` before it was first used.
     allowance: f64,
     allowance_at: Option<f64>,
 }
@@ -45,9 +64,9 @@
 impl Default for Share {
     fn default() -> Self {
         Share {
-            mine: 0.0,
-            ours: 0.0,
-            metered: 0.0,
+            own_units: 0.0,
+            total_units: 0.0,
+            metered_use: 0.0,
             metered_at: f64::NEG_INFINITY,
             allowance: 0.0,
             allowance_at: None,
@@ -56,95 +75,113 @@
 }
 
 impl Share {
-    /// This gatekeeper's part of the quota, 0 to 1: the even share over `width` gatekeepers until earlier totals
-    /// say more.
-    pub fn part(&self, burst: f64, width: f64) -> f64 {
-        let prior = PART_PRIOR * burst;
-        (self.mine + prior / width) / (self.ours + prior).max(1e-9)
+    /// This gatekeeper's fraction of the quota, 0 to 1: the even share over `width` gatekeepers until totals say more.
+    pub fn fraction(&self, burst: f64, width: f64) -> f64 {
+        let prior = EVEN_SHARE_WEIGHT * burst;
+        (self.own_units + prior / width) / (self.total_units + prior).max(MIN_DIVISOR)
     }
 
-    /// Units that all gatekeepers may have spent in `span` seconds, where no total tells: by what the meter told
-    /// lately, else by the `own` units spent here at a gatekeeper whose part is `part`. At one of very many
-    /// gatekeepers one unit tells next to nothing, and taken times their number it would empty a store that is
-    /// nearly full.
-    pub fn guess(&self, rate: f64, part: f64, own: f64, span: f64, now: f64) -> f64 {
-        let prior = (GUESS_USE * rate * span).max(1e-9);
-        let here = (1.0 + own) / (1.0 / prior + part);
-        here + self.believed(now) * (self.metered * rate * span - here)
+    /// Estimates the units that all gatekeepers spent in `span_secs`: by the meter as far as it is believed, otherwise by
+    /// the `own` units spent here, where this gatekeeper's fraction is `fraction`. With very many gatekeepers one unit
+    /// here means next to nothing; scaled by their number it would exhaust a quota that is nearly unused, hence the
+    /// prior.
+    pub fn estimate_spent(&self, rate: f64, fraction: f64, own: f64, span_secs: f64, now: f64) -> f64 {
+        let prior = (PRIOR_USE * rate * span_secs).max(MIN_DIVISOR);
+        let by_own = (1.0 + own) / (1.0 / prior + fraction);
+        by_own + self.meter_confidence(now) * (self.metered_use * rate * span_secs - by_own)
     }
 
     /// How far the meter is believed, 0 to 1.
-    pub fn believed(&self, now: f64) -> f64 {
-        ((self.metered_at - now) / METER_FADE).exp()
+    pub fn meter_confidence(&self, now: f64) -> f64 {
+        ((self.metered_at - now) / METER_CONFIDENCE_SECS).exp()
     }
 
-    /// Learns the part from a window of `length` seconds that is over, of whose `spent` units `own` were spent
-    /// here. Where none of its requests came through here in the `missed` windows since, the other gatekeepers are
-    /// taken to have gone on as before.
-    pub fn learn(&mut self, length: f64, missed: f64, own: f64, spent: f64) {
-        let fade = (-length / PART_S).exp();
-        self.mine = self.mine * fade.powf(1.0 + missed) + own.min(spent);
-        self.ours = self.ours * fade + spent;
+    /// Learns from a window of `length_secs` that is over, with `spent` units of which `own` were spent here. In the
+    /// `missed_windows` since, no request came through here: other gatekeepers are assumed to have gone on as before.
+    pub fn learn_window(&mut self, length_secs: f64, missed_windows: f64, own: f64, spent: f64) {
+        let decay = (-length_secs / SHARE_MEMORY_SECS).exp();
+        self.own_units = self.own_units * decay.powf(1.0 + missed_windows) + own.min(spent);
+        self.total_units = self.total_units * decay + spent;
     }
 
-    /// No total was known for `age`, as a part of the time that the share is believed without one: confidence
-    /// fades, and the part goes towards the even one.
-    pub fn forget(&mut self, age: f64) {
-        let kept = (-age.max(0.0)).exp();
-        (self.mine, self.ours) = (self.mine * kept, self.ours * kept);
+    /// No total was known for `age`, in units of the time constant: the fraction decays towards the even share.
+    pub fn decay(&mut self, age: f64) {
+        let decay = (-age.max(0.0)).exp();
+        self.own_units *= decay;
+        self.total_units *= decay;
     }
 
-    /// The meter told of its use over all gatekeepers in the last period, as a part of its rate.
-    pub fn metered(&mut self, now: f64, told: f64) {
-        let told = if told.is_finite() { told.clamp(0.0, METER_MOST) } else { 0.0 };
-        let kept = ((self.metered_at - now) / METER_S).exp();
-        (self.metered, self.metered_at) = (kept * self.metered + (1.0 - kept) * told, now);
+    /// Records the use over all gatekeepers in the last period by the meter, as a fraction of the rate.
+    pub fn record_metered(&mut self, now: f64, metered_use: f64) {
+        let newest = if metered_use.is_finite() { metered_use.clamp(0.0, MAX_METERED_USE) } else { 0.0 };
+        let decay = ((self.metered_at - now) / METER_MEMORY_SECS).exp();
+        self.metered_use = decay * self.metered_use + (1.0 - decay) * newest;
+        self.metered_at = now;
     }
 
-    /// The fallback allowance, in units: this gatekeeper's part of the rate, and of the burst or one request of the
-    /// `largest` units, whichever is more. Over all gatekeepers it adds up to the rate, and to no more at once than
-    /// the burst or a largest request each. It starts from nothing when a total last told, else at `since` (the
-    /// gatekeeper's start: a predecessor may have spent what there was): a customer not met before finds its even
-    /// share.
-    pub fn allowance(&mut self, now: f64, quota: (f64, f64), width: f64, largest: f64, since: f64) -> f64 {
-        let (rate, burst) = quota;
-        let part = self.part(burst, width);
-        let from = self.allowance_at.replace(now).unwrap_or(since);
-        let most = (burst * part).max(largest);
-        self.allowance = (self.allowance + rate * part * (now - from).max(0.0)).min(most);
+    /// The fallback allowance at `now`, in units: a token bucket with this gatekeeper's fraction of the rate, and of the
+    /// burst or one request of the `largest` units, whichever is more. Over all gatekeepers it adds up to the rate, and
+    /// to no more at once than the burst or a largest request each.
+    ///
+    /// It is empty when the last total was known, or else at `started`, the start of this process: a predecessor may
+    /// have spent what there was.
+    pub fn allowance(
+        &mut self,
+        now: f64,
+        limits: QuotaLimits,
+        width: f64,
+        largest: f64,
+        started: f64,
+    ) -> f64 {
+        let fraction = self.fraction(limits.burst, width);
+        let since = self.allowance_at.replace(now).unwrap_or(started);
+        let max = (limits.burst * fraction).max(largest);
+        self.allowance = (self.allowance + limits.rate * fraction * (now - since).max(0.0)).min(max);
         self.allowance
     }
 
-    /// A total tells at `now`: what is spent is known, and the allowance starts from nothing should that end.
-    pub fn settle(&mut self, now: f64) {
+    /// A total is known at `now`: the allowance is empty should totals stop.
+    pub fn reset_allowance(&mut self, now: f64) {
         (self.allowance, self.allowance_at) = (0.0, Some(now));
     }
 
-    /// Units were admitted: they are taken from the allowance, which owes nothing.
-    pub fn take(&mut self, units: f64) {
+    /// Takes admitted units from the allowance, which never goes below zero.
+    pub fn spend_allowance(&mut self, units: f64) {
         self.allowance = (self.allowance - units).max(0.0);
     }
 
-    /// What the meter tells of its use, as a part of its rate, where it is believed and all of that use is charged.
-    pub fn inside(&self, now: f64) -> Option<f64> {
-        Some(self.metered).filter(|m| *m < INSIDE && self.believed(now) > 0.5)
+    /// The metered use as a fraction of the rate, where it is believed and below the quota, so that all of it is
+    /// charged.
+    pub fn use_inside_quota(&self, now: f64) -> Option<f64> {
+        let is_believed = self.meter_confidence(now) > MIN_METER_CONFIDENCE;
+        Some(self.metered_use).filter(|metered_use| *metered_use < INSIDE_QUOTA_USE && is_believed)
     }
 
-    /// Is it to be held to its allowance while no total tells? Not where the meter shows it inside its quota and it
-    /// asks here (`asked` units a second, refused ones included) for no more than a part of its rate: the meter alone
-    /// takes a heavy customer that was just refused for a light one. Nor where its part here is so thin that a
-    /// request of the `largest` units takes long to earn: one of very many gatekeepers can hold no whole request
-    /// back, and the room that is guessed decides by chance.
-    pub fn is_held(&self, now: f64, asked: f64, quota: (f64, f64), width: f64, largest: f64) -> bool {
-        let (rate, burst) = quota;
-        let thin = rate * self.part(burst, width).max(1.0 / width) * EARN_S < largest;
-        !thin && (self.inside(now).is_none() || asked > ASKED_INSIDE * rate)
+    /// Whether the customer is limited to its allowance while no total is usable.
+    ///
+    /// Not where the meter shows it inside its quota and its `demand` here (units per second, rejected ones included) is
+    /// no more than a fraction of its rate; the meter alone takes a heavy customer that was just rejected for a light
+    /// one. Nor where the share here is so small that a request of the `largest` units takes long to earn: one of very
+    /// many gatekeepers has no complete request to hold back, and the estimated remainder decides at random.
+    pub fn is_limited_to_allowance(
+        &self,
+        now: f64,
+        demand: f64,
+        limits: QuotaLimits,
+        width: f64,
+        largest: f64,
+    ) -> bool {
+        let QuotaLimits { rate, burst } = limits;
+        let is_share_small = rate * self.fraction(burst, width).max(1.0 / width) * MAX_EARN_SECS < largest;
+        let is_demand_high = demand > INSIDE_QUOTA_DEMAND * rate;
+        !is_share_small && (self.use_inside_quota(now).is_none() || is_demand_high)
     }
 
-    /// What the meter tells of it where its use is so light that a meter that lags cannot have caught a lull of a heavy one: what
-    /// totals may be compared with, in units a second.
-    pub fn light(&self, now: f64, rate: f64) -> Option<f64> {
-        self.inside(now).filter(|m| *m < LIGHT).map(|part| part * rate)
+    /// The metered use in units per second, where it is so light that a meter that lags cannot have sampled a lull of a
+    /// heavy customer. Totals may be compared with it.
+    pub fn light_use(&self, now: f64, rate: f64) -> Option<f64> {
+        let metered_use = self.use_inside_quota(now)?;
+        (metered_use < LIGHT_USE).then_some(metered_use * rate)
     }
 }
 
--- a/src/quota/share_tests.rs
+++ b/src/quota/share_tests.rs
@@ -1,19 +1,21 @@
 use super::*;
 use proptest::prelude::*;
 
+const LIMITS: QuotaLimits = QuotaLimits { rate: 2.0, burst: 10.0 };
+
 #[test]
-fn a_share_is_even_then_learnt_then_fades_back() {
+fn the_fraction_is_even_then_learnt_then_decays() {
     let mut s = Share::default();
-    assert_eq!(s.part(10.0, 4.0), 0.25);
+    assert_eq!(s.fraction(10.0, 4.0), 0.25);
     for _ in 0..20 {
-        s.learn(4.0, 0.0, 9.0, 10.0);
+        s.learn_window(4.0, 0.0, 9.0, 10.0);
     }
-    let learnt = s.part(10.0, 4.0);
+    let learnt = s.fraction(10.0, 4.0);
     assert!((0.8..0.9).contains(&learnt), "{learnt}");
     let mut last = learnt;
     for _ in 0..10 {
-        s.forget(0.5);
-        let now = s.part(10.0, 4.0);
+        s.decay(0.5);
+        let now = s.fraction(10.0, 4.0);
         assert!(now < last && now > 0.25);
         last = now;
     }
@@ -21,20 +23,20 @@
 }
 
 #[test]
-fn the_meter_overrules_a_guess_while_it_is_fresh() {
+fn a_fresh_meter_overrules_the_estimate() {
     let mut s = Share::default();
-    let guessed = s.guess(2.0, 0.25, 3.0, 4.0, 0.0);
-    s.metered(0.0, 0.1);
-    assert!((s.guess(2.0, 0.25, 3.0, 4.0, 0.0) - 0.8).abs() < 1e-9);
-    assert_eq!(s.inside(0.0), Some(0.1));
-    assert!(s.guess(2.0, 0.25, 3.0, 4.0, 200.0) > 0.99 * guessed);
-    assert_eq!(s.inside(200.0), None);
-    assert!(!s.is_held(0.0, 0.5, (2.0, 10.0), 3.0, 4.0), "inside, and asks for a quarter here");
-    assert!(s.is_held(0.0, 1.5, (2.0, 10.0), 3.0, 4.0), "asks for more than half here alone");
-    assert!(!s.is_held(200.0, 1.5, (2.0, 10.0), 100.0, 4.0), "one of a hundred");
-    s.metered(201.0, 5.0);
-    assert!(s.is_held(201.0, 0.1, (2.0, 10.0), 3.0, 4.0), "far over");
-    assert_eq!(s.inside(201.0), None, "beyond its quota not all use is charged");
+    let guessed = s.estimate_spent(2.0, 0.25, 3.0, 4.0, 0.0);
+    s.record_metered(0.0, 0.1);
+    assert!((s.estimate_spent(2.0, 0.25, 3.0, 4.0, 0.0) - 0.8).abs() < 1e-9);
+    assert_eq!(s.use_inside_quota(0.0), Some(0.1));
+    assert!(s.estimate_spent(2.0, 0.25, 3.0, 4.0, 200.0) > 0.99 * guessed);
+    assert_eq!(s.use_inside_quota(200.0), None);
+    assert!(!s.is_limited_to_allowance(0.0, 0.5, LIMITS, 3.0, 4.0), "inside, and asks for a quarter here");
+    assert!(s.is_limited_to_allowance(0.0, 1.5, LIMITS, 3.0, 4.0), "asks for more than half here alone");
+    assert!(!s.is_limited_to_allowance(200.0, 1.5, LIMITS, 100.0, 4.0), "one of a hundred");
+    s.record_metered(201.0, 5.0);
+    assert!(s.is_limited_to_allowance(201.0, 0.1, LIMITS, 3.0, 4.0), "far over");
+    assert_eq!(s.use_inside_quota(201.0), None, "beyond its quota not all use is charged");
 }
 
 proptest! {
@@ -51,14 +53,14 @@
         let mut all = [Share::default(), Share::default(), Share::default()];
         let spent: f64 = learnt.iter().sum();
         for (s, own) in all.iter_mut().zip(&learnt) {
-            s.learn(4.0, 0.0, *own, spent);
+            s.learn_window(4.0, 0.0, *own, spent);
         }
         let (mut now, mut admitted) = (0.0, 0.0);
-        let at_once: f64 = all.iter().map(|s| (s.part(burst, 3.0) * burst).max(largest)).sum();
+        let at_once: f64 = all.iter().map(|s| (s.fraction(burst, 3.0) * burst).max(largest)).sum();
         for (gate, dt, units) in asks {
             now += dt;
-            if all[gate].allowance(now, (rate, burst), 3.0, largest, 0.0) >= units {
-                all[gate].take(units);
+            if all[gate].allowance(now, QuotaLimits { rate, burst }, 3.0, largest, 0.0) >= units {
+                all[gate].spend_allowance(units);
                 admitted += units;
             }
             prop_assert!(admitted <= rate * now + 1e-6, "starts from nothing");
@@ -69,7 +71,7 @@
     /// Gatekeepers that learn from the same totals take parts that sum to one, and go on doing so as these
     /// fade alike; one that lags behind by some windows makes the sum stray by what it misses.
     #[test]
-    fn parts_of_all_sum_to_one(
+    fn fractions_of_all_gatekeepers_sum_to_one(
         windows in prop::collection::vec(prop::collection::vec(0.0f64..10.0, 3), 1..30),
         age in 0.0f64..3.0,
     ) {
@@ -77,11 +79,11 @@
         for w in &windows {
             let spent: f64 = w.iter().sum();
             for (s, own) in all.iter_mut().zip(w) {
-                s.learn(4.0, 0.0, *own, spent);
+                s.learn_window(4.0, 0.0, *own, spent);
             }
         }
-        all.iter_mut().for_each(|s| s.forget(age));
-        let sum: f64 = all.iter().map(|s| s.part(10.0, 3.0)).sum();
+        all.iter_mut().for_each(|s| s.decay(age));
+        let sum: f64 = all.iter().map(|s| s.fraction(10.0, 3.0)).sum();
         prop_assert!((sum - 1.0).abs() < 1e-9, "{sum}");
     }
 }
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -1,6 +1,7 @@
 //! The guard as a whole, with time passed in.
 
 use super::*;
+use crate::identifiers::CustomerId;
 use std::sync::Arc;
 
 fn name(n: usize) -> CountName {
@@ -11,18 +12,31 @@
     CustomerId(Arc::from(format!("c{n}")))
 }
 
+fn window_of(n: usize) -> CustomerWindow {
+    CustomerWindow { customer: customer(n), window: 1 }
+}
+
+fn answered(total: f64, timeout_fraction: f64) -> CallOutcome {
+    CallOutcome { ending: Ending::Ok, total, timeout_fraction }
+}
+
 fn guard() -> Guard {
     Guard::new(QuotaSettings::default(), 0.3)
 }
 
 /// One call: what goes on the wire, and what the module hears.
 fn call(g: &mut Guard, t: f64, n: usize, amount: f64, ending: Ending, total: impl Fn(f64) -> f64) -> Verdict {
-    let told = g.sent(t, &name(n), (&customer(n), 1), amount, 10.0);
-    g.ended(t + 0.002, &name(n), amount, (ending, total(told)), 0.1)
+    let told = g.call_sent(t, &name(n), window_of(n), amount, 10.0);
+    g.call_finished(
+        t + 0.002,
+        &name(n),
+        amount,
+        CallOutcome { ending, total: total(told), timeout_fraction: 0.1 },
+    )
 }
 
 #[test]
-fn an_ordinary_answer_passes_as_it_is() {
+fn an_ordinary_answer_is_unchanged() {
     let mut g = guard();
     for n in 0..50 {
         let t = n as f64 * 0.1;
@@ -31,44 +45,45 @@
             Verdict::Total(2.0 * n as f64 + 1.0)
         );
     }
-    assert_eq!(g.modes(5.0), [(Mode::InStep, 0.0)]);
+    assert_eq!(g.modes(5.0), [PartitionMode { mode: Mode::InStep, since: 0.0 }]);
     assert_eq!(g.report(5.0).counts, 1);
 }
 
 #[test]
-fn a_failing_count_is_left_alone_for_a_while_and_others_are_not() {
+fn the_breaker_of_one_entry_does_not_affect_others() {
     let mut g = guard();
     for n in 0..3 {
-        assert_eq!(call(&mut g, n as f64 * 0.1, 1, 1.0, Ending::Timeout, |_| 0.0), Verdict::Doubt);
+        assert_eq!(call(&mut g, n as f64 * 0.1, 1, 1.0, Ending::Timeout, |_| 0.0), Verdict::Undetermined);
         call(&mut g, n as f64 * 0.1, 2, 1.0, Ending::Ok, |_| n as f64 + 1.0);
     }
-    assert!(g.opens_at(&name(1)) > 0.24, "open: {}", g.opens_at(&name(1)));
-    assert!(g.opens_at(&name(2)) < 0.0 && g.opens_at(&name(3)) < 0.0);
+    assert!(g.next_call_at(&name(1)) > 0.24, "open: {}", g.next_call_at(&name(1)));
+    assert!(g.next_call_at(&name(2)) < 0.0 && g.next_call_at(&name(3)) < 0.0);
     assert_eq!(g.report(0.3).open, 1);
-    assert_eq!(g.modes(0.3)[0].0, Mode::InStep, "one name alone is no split");
+    assert_eq!(g.modes(0.3)[0].mode, Mode::InStep, "one name alone is no split");
 }
 
 #[test]
-fn parts_have_modes_of_their_own() {
-    let mut g = Guard::new(QuotaSettings { parts: 2, ..QuotaSettings::default() }, 0.3);
-    let of = |g: &Guard, part| (0..100).filter(|&n| g.part_of(&name(n)) == part).take(4).collect::<Vec<_>>();
+fn partitions_have_separate_modes() {
+    let mut g = Guard::new(QuotaSettings { partitions: 2, ..QuotaSettings::default() }, 0.3);
+    let of =
+        |g: &Guard, part| (0..100).filter(|&n| g.partition_of(&name(n)) == part).take(4).collect::<Vec<_>>();
     let (good, bad) = (of(&g, 0), of(&g, 1));
     for step in 0..40 {
         let t = step as f64 * 0.05;
         call(&mut g, t, good[step % 4], 1.0, Ending::Ok, |_| 1.0 + step as f64);
         call(&mut g, t, bad[step % 4], 1.0, Ending::Timeout, |_| 0.0);
     }
-    let modes: Vec<Mode> = g.modes(2.0).iter().map(|m| m.0).collect();
+    let modes: Vec<Mode> = g.modes(2.0).iter().map(|m| m.mode).collect();
     assert_eq!(modes, [Mode::InStep, Mode::Lost]);
-    assert!(g.on_trust(&name(bad[0])) && !g.on_trust(&name(good[0])));
-    g.admitted(|| name(bad[0]), 3.0, false);
-    g.admitted(|| name(good[0]), 3.0, false);
+    assert!(g.lacks_total(&name(bad[0])) && !g.lacks_total(&name(good[0])));
+    g.record_admitted(|| name(bad[0]), 3.0, false);
+    g.record_admitted(|| name(good[0]), 3.0, false);
     let report = g.report(2.0);
     assert_eq!((report.parts[0].on_trust, report.parts[1].on_trust), (0.0, 3.0));
 }
 
 #[test]
-fn a_counter_that_starts_from_nought_is_told_again_and_named() {
+fn a_counter_that_restarts_from_zero_is_detected_and_gets_lost_units_again() {
     let mut g = guard();
     // Four customers, of each of which this gatekeeper told 5 and others 5.
     let mut held = [0.0f64; 4];
@@ -77,9 +92,9 @@
         let mut given = [0.0; 4];
         for n in 0..4 {
             t += 0.02;
-            let told = g.sent(t, &name(n), (&customer(n), 1), add, 60.0);
+            let told = g.call_sent(t, &name(n), window_of(n), add, 60.0);
             held[n] += told;
-            match g.ended(t, &name(n), add, (Ending::Ok, held[n]), 0.1) {
+            match g.call_finished(t, &name(n), add, answered(held[n], 0.1)) {
                 Verdict::Total(total) => given[n] = total,
                 other => panic!("{other:?}"),
             }
@@ -95,24 +110,26 @@
         let least = 10.0 + 1.0 + n as f64;
         assert!(given.iter().all(|x| *x >= least - 1e-6 && *x < least + 6.0), "round {n}: {given:?}");
     }
-    assert_eq!(g.modes(t)[0].0, Mode::Replaced);
+    assert_eq!(g.modes(t)[0].mode, Mode::Replaced);
     let retold = g.report(t).parts[0].retold;
     assert!((20.0..=24.1).contains(&retold), "each of this gatekeeper's adds once: {retold}");
     // What others told was lost with the counter; they tell theirs, and the totals are whole again.
     held.iter_mut().for_each(|h| *h += 5.0);
     t += 3.0;
     let mut g2 = g.clone();
-    let told = g2.sent(t, &name(0), (&customer(0), 1), 0.0, 60.0);
+    let told = g2.call_sent(t, &name(0), window_of(0), 0.0, 60.0);
     assert_eq!(told, 0.0, "nothing is told twice");
-    assert!(matches!(g2.ended(t, &name(0), 0.0, (Ending::Ok, held[0]), 0.1), Verdict::Total(x) if x < 16.5));
+    assert!(
+        matches!(g2.call_finished(t, &name(0), 0.0, answered(held[0], 0.1)), Verdict::Total(x) if x < 16.5)
+    );
 }
 
 #[test]
-fn spoilt_answers_change_nothing() {
+fn implausible_answers_change_nothing() {
     let mut g = guard();
     call(&mut g, 0.0, 1, 4.0, Ending::Ok, |_| 10.0);
     for (n, lie) in [f64::NAN, f64::INFINITY, -7.0, 1e200].into_iter().enumerate() {
-        assert_eq!(call(&mut g, 0.1 + n as f64, 1, 0.0, Ending::Ok, |_| lie), Verdict::Doubt);
+        assert_eq!(call(&mut g, 0.1 + n as f64, 1, 0.0, Ending::Ok, |_| lie), Verdict::Undetermined);
     }
     assert_eq!(call(&mut g, 6.0, 1, 0.0, Ending::Ok, |_| 10.0), Verdict::Total(10.0));
     assert_eq!(g.report(6.0).parts[0].spoilt, 4);
@@ -122,51 +139,51 @@
 fn a_late_answer_is_used_once() {
     let mut g = guard();
     call(&mut g, 0.0, 1, 4.0, Ending::Ok, |_| 4.0);
-    assert_eq!(call(&mut g, 0.1, 1, 2.0, Ending::Timeout, |_| 0.0), Verdict::Doubt);
-    assert_eq!(g.late(0.3, &name(1), 9.0), Some((customer(1), 1, 9.0)));
-    assert_eq!(g.late(0.4, &name(1), 9.0), None, "nothing is waited for any more");
-    assert_eq!(g.late(0.4, &name(7), 9.0), None, "an answer to no call of ours");
-    assert_eq!(call(&mut g, 0.5, 1, 1.0, Ending::Timeout, |_| 0.0), Verdict::Doubt);
-    assert_eq!(g.late(0.6, &name(1), 0.5), None, "less than it must hold proves nothing");
+    assert_eq!(call(&mut g, 0.1, 1, 2.0, Ending::Timeout, |_| 0.0), Verdict::Undetermined);
+    assert_eq!(g.late_answer(0.3, &name(1), 9.0), Some(LateTotal { of: window_of(1), least: 9.0 }));
+    assert_eq!(g.late_answer(0.4, &name(1), 9.0), None, "nothing is waited for any more");
+    assert_eq!(g.late_answer(0.4, &name(7), 9.0), None, "an answer to no call of ours");
+    assert_eq!(call(&mut g, 0.5, 1, 1.0, Ending::Timeout, |_| 0.0), Verdict::Undetermined);
+    assert_eq!(g.late_answer(0.6, &name(1), 0.5), None, "less than it must hold proves nothing");
 }
 
 #[test]
-fn a_counter_in_two_views_is_noticed_by_the_meter_and_its_totals_withheld() {
+fn a_split_counter_is_detected_by_the_meter_and_its_totals_withheld() {
     let mut g = guard();
     let mut verdicts = Vec::new();
     for w in 0..40 {
         let t = w as f64 * 0.5;
         let n = CountName(Arc::from(format!("q{w}:1")));
-        let told = g.sent(t, &n, (&customer(1), w), 3.0, 10.0);
+        let told = g.call_sent(t, &n, CustomerWindow { customer: customer(1), window: w }, 3.0, 10.0);
         // From the tenth window on the totals hold only this half.
-        verdicts.push(g.ended(t + 0.4, &n, 3.0, (Ending::Ok, if w < 10 { 6.0 } else { told }), 0.1));
-        g.window_over(t + 0.5, || n.clone(), (t, 0.5), Some(15.0));
+        verdicts.push(g.call_finished(t + 0.4, &n, 3.0, answered(if w < 10 { 6.0 } else { told }, 0.1)));
+        g.window_finished(t + 0.5, || n.clone(), WindowSpan { start: t, length_secs: 0.5 }, Some(15.0));
     }
     assert!(verdicts[..10].iter().all(|v| *v == Verdict::Total(6.0)));
     let noticed = verdicts.iter().position(|v| *v == Verdict::Withheld).expect("noticed");
     assert!((11..25).contains(&noticed), "{noticed}");
-    assert_eq!(g.modes(20.0)[0].0, Mode::Split);
+    assert_eq!(g.modes(20.0)[0].mode, Mode::Split);
 }
 
 #[test]
-fn a_crowded_counter_is_told_from_one_that_lacks_some_names() {
+fn an_overloaded_counter_differs_from_one_that_lacks_some_names() {
     let mut g = guard();
-    assert!(!g.uncrowded(0.0), "nothing is known");
+    assert!(!g.answers_promptly(0.0), "nothing is known");
     for n in 0..40 {
         call(&mut g, n as f64 * 0.01, n % 2, 1.0, [Ending::Ok, Ending::Timeout][n % 2], |_| 1e3);
     }
-    assert!(g.uncrowded(0.5) && !g.uncrowded(1.5), "prompt answers, for a while");
+    assert!(g.answers_promptly(0.5) && !g.answers_promptly(1.5), "prompt answers, for a while");
     for n in 0..40 {
         let t = 0.5 + n as f64 * 0.01;
-        g.sent(t, &name(3), (&customer(3), 1), 1.0, 10.0);
-        g.ended(t + 0.02, &name(3), 1.0, (Ending::Ok, 1e4), 0.8);
+        g.call_sent(t, &name(3), window_of(3), 1.0, 10.0);
+        g.call_finished(t + 0.02, &name(3), 1.0, answered(1e4, 0.8));
     }
-    assert!(!g.uncrowded(0.95), "all wait");
+    assert!(!g.answers_promptly(0.95), "all wait");
 }
 
 #[test]
-fn books_are_bounded_and_shrink() {
-    let mut g = Guard::new(QuotaSettings { counts_most: 64, ..QuotaSettings::default() }, 0.3);
+fn entries_are_bounded_and_expire() {
+    let mut g = Guard::new(QuotaSettings { max_entries: 64, ..QuotaSettings::default() }, 0.3);
     for n in 0..1000 {
         call(&mut g, n as f64 * 0.001, n, 1.0, Ending::Ok, |t| t);
         assert!(g.report(0.0).counts <= 64);
@@ -176,10 +193,10 @@
 }
 
 #[test]
-fn no_guard_passes_all_as_it_was() {
-    let mut g = Guard::new(QuotaSettings { guard: false, ..QuotaSettings::default() }, 0.3);
+fn without_a_guard_answers_are_unchanged() {
+    let mut g = Guard::new(QuotaSettings { is_guarded: false, ..QuotaSettings::default() }, 0.3);
     assert_eq!(call(&mut g, 0.0, 1, 4.0, Ending::Ok, |_| 10.0), Verdict::Total(10.0));
     assert_eq!(call(&mut g, 0.1, 1, 4.0, Ending::Ok, |_| 1.0), Verdict::Total(1.0));
-    assert_eq!(call(&mut g, 0.2, 1, 4.0, Ending::Timeout, |_| 1.0), Verdict::Doubt);
-    assert_eq!((g.opens_at(&name(1)) < 0.0, g.report(1.0).counts), (true, 0));
+    assert_eq!(call(&mut g, 0.2, 1, 4.0, Ending::Timeout, |_| 1.0), Verdict::Undetermined);
+    assert_eq!((g.next_call_at(&name(1)) < 0.0, g.report(1.0).counts), (true, 0));
 }
--- a/src/quota/witness.rs
+++ b/src/quota/witness.rs
@@ -1,114 +1,131 @@
-//! Whether the counter's totals hold what all gatekeepers use, from the one other witness that a gatekeeper has:
-//! the meter in nodes' answers. A counter that is split in two views, each with its own gatekeepers, answers every
-//! call in time and with totals that never fall; they only miss the other half. It owns sums over customers and
-//! must never judge one customer by them: the meter comes seconds late.
+//! Detects a split counter: whether its totals hold what all gatekeepers use.
 //!
-//! Where gatekeepers hold copies of each other's books there is a better one: what the counter has answered to others
-//! before a call went out, its answer must hold. One answer that does not is a proof, no sample.
+//! A counter that is split in two views, each with its own gatekeepers, answers every call in time and with totals that
+//! never fall; they only miss the other half. Two independent sources reveal it:
+//!
+//! - [`MeterComparison`]: the meter in nodes' responses, summed over customers. It lags by seconds, so it says nothing
+//!   about a single customer.
+//! - [`ReplicaComparison`]: where gatekeepers replicate their usage, the counter's answer to a call must hold what it
+//!   had acknowledged to other gatekeepers before that call went out. This is proof, where the meter is a sample.
+
+/// Time constant of the meter comparison, in seconds.
+const METER_MEMORY_SECS: f64 = 6.0;
+/// Metered units in memory below which the comparison has no result.
+const METER_MIN_UNITS: f64 = 25.0;
+/// Totals that hold a smaller fraction of the metered use are split...
+const METER_SPLIT_BELOW: f64 = 0.78;
+/// ...until they hold this fraction again (hysteresis).
+const METER_HEALED_FROM: f64 = 0.9;
 
-/// The sums forget over so many seconds.
-const MEMORY_S: f64 = 6.0;
-/// Units metered, in the memory, from which they tell anything.
-const ENOUGH: f64 = 25.0;
-/// Totals that hold less than this part of what the meter tells are divided...
-const ENTER: f64 = 0.78;
-/// ...until they hold this part again.
-const LEAVE: f64 = 0.9;
+/// Time constant of the replica comparison, in seconds.
+const REPLICA_MEMORY_SECS: f64 = 2.0;
+/// Units acknowledged to other gatekeepers, in memory, below which the comparison has no result.
+const REPLICA_MIN_UNITS: f64 = 12.0;
+/// Answers in memory, the older ones weighing less, below which it has none: one odd answer is not enough.
+const REPLICA_MIN_ANSWERS: f64 = 1.7;
+/// Totals that hold a smaller fraction of what was acknowledged are split. Less than this is missing where gatekeepers
+/// return units that they reserved and then rejected, or settle an estimate.
+const REPLICA_SPLIT_BELOW: f64 = 0.8;
+/// They are split until they hold this fraction again...
+const REPLICA_HEALED_FROM: f64 = 0.9;
+/// ...or until there was nothing to compare for this long, in seconds.
+const REPLICA_QUIET_SECS: f64 = 12.0;
 
-/// What should be held and what is, over a memory that fades, and whether too much of it is missing.
+/// Expected and counted units with exponential decay, and whether too many are missing.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Sums {
-    whole: f64,
-    held: f64,
-    at: f64,
-    divided: bool,
+struct DecayingComparison {
+    expected: f64,
+    counted: f64,
+    updated_at: f64,
+    is_split: bool,
 }
 
-impl Sums {
-    /// One more comparison; returns what is left of the older ones.
-    fn add(&mut self, now: f64, memory: f64, whole: f64, held: f64) -> f64 {
-        let kept = ((self.at - now).min(0.0) / memory).exp();
-        (self.whole, self.held) = (self.whole * kept + whole, self.held * kept + held);
-        self.at = now;
-        kept
+impl DecayingComparison {
+    /// Adds one comparison; returns the factor by which the older ones have decayed.
+    fn add(&mut self, now: f64, memory_secs: f64, expected: f64, counted: f64) -> f64 {
+        let decay = ((self.updated_at - now).min(0.0) / memory_secs).exp();
+        self.expected = self.expected * decay + expected;
+        self.counted = self.counted * decay + counted;
+        self.updated_at = now;
+        decay
     }
 
-    /// Too much is missing where less than `enter` of the whole is held, until `leave` is again.
-    fn judge(&mut self, enter: f64, leave: f64) {
-        self.divided = self.held / self.whole < if self.divided { leave } else { enter };
+    /// Updates `is_split`: set where less than `split_below` of what is expected is counted, cleared from
+    /// `healed_from` on.
+    fn judge(&mut self, split_below: f64, healed_from: f64) {
+        let threshold = if self.is_split { healed_from } else { split_below };
+        self.is_split = self.counted / self.expected < threshold;
     }
 }
 
-/// Totals against the meter.
+/// Totals compared with the meter in nodes' responses.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Witness {
-    sums: Sums,
+pub struct MeterComparison {
+    sums: DecayingComparison,
 }
 
-impl Witness {
-    /// A window of a customer inside its quota is over: units that the meter tells of it, and units that the
-    /// counter's last total held of it.
-    pub fn window(&mut self, now: f64, metered: f64, counted: f64) -> bool {
+impl MeterComparison {
+    /// Adds the finished window of a customer inside its quota: its metered units, and those that the counter's last
+    /// total held. Returns whether the counter appears to be split. Values that are not finite are ignored.
+    pub fn add_window(&mut self, now: f64, metered: f64, counted: f64) -> bool {
         if metered.is_finite() && counted.is_finite() && metered > 0.0 {
-            self.sums.add(now, MEMORY_S, metered, counted.clamp(0.0, 2.0 * metered));
+            self.sums.add(now, METER_MEMORY_SECS, metered, counted.clamp(0.0, 2.0 * metered));
         }
-        if self.sums.whole >= ENOUGH {
-            self.sums.judge(ENTER, LEAVE);
+        if self.sums.expected >= METER_MIN_UNITS {
+            self.sums.judge(METER_SPLIT_BELOW, METER_HEALED_FROM);
         }
-        self.sums.divided
+        self.sums.is_split
     }
 
-    /// Did the totals miss too much when last compared?
-    pub fn divided(&self) -> bool {
-        self.sums.divided
+    /// Whether the counter appeared to be split at the last comparison.
+    pub fn is_split(&self) -> bool {
+        self.sums.is_split
     }
 
-    /// Part of the metered use that the totals hold, where enough was metered.
-    pub fn part(&self) -> Option<f64> {
-        (self.sums.whole >= ENOUGH).then(|| self.sums.held / self.sums.whole)
+    /// The fraction of the metered use that totals hold; `None` while too little was metered.
+    pub fn counted_fraction(&self) -> Option<f64> {
+        (self.sums.expected >= METER_MIN_UNITS).then(|| self.sums.counted / self.sums.expected)
     }
 }
 
-/// Answers are held against the copies over so many seconds.
-const COPIES_MEMORY_S: f64 = 2.0;
-/// Units that others were told, in the memory, from which they tell anything.
-const COPIES_ENOUGH: f64 = 12.0;
-/// With so many answers, the older ones counting less...
-const ANSWERS: f64 = 1.7;
-/// ...that hold less than this part of what the counter had answered to all, it is divided: gatekeepers take back
-/// what they asked for first and then refused, and settle what was guessed, which is less...
-const COPIES_ENTER: f64 = 0.8;
-/// ...until they hold this part again, or nothing was to be held against anything for so long.
-const COPIES_LEAVE: f64 = 0.9;
-const QUIET_S: f64 = 12.0;
+/// Units that the counter had acknowledged as a call went out: a lower bound of its answer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AcknowledgedUnits {
+    /// To this gatekeeper.
+    pub own: f64,
+    /// To the others, by the replicas of their usage.
+    pub others: f64,
+}
 
-/// A part's totals against what copies of others' books say it was told.
+/// A partition's totals compared with what replicas say it acknowledged.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Copied {
-    sums: Sums,
+pub struct ReplicaComparison {
+    sums: DecayingComparison,
+    /// Units acknowledged to others, and the number of answers, with the same decay.
     others: f64,
     answers: f64,
 }
 
-impl Copied {
-    /// A call was answered: the counter held `total` without what that call added. As the call went out, it had
-    /// answered `own` units of this gatekeeper and `others` of the other ones.
-    pub fn answered(&mut self, now: f64, total: f64, (own, others): (f64, f64)) {
-        let known = own + others;
-        if !(total.is_finite() && known.is_finite()) || others <= 0.0 || known <= 0.0 {
+impl ReplicaComparison {
+    /// Adds the answer to a call: `total` without what that call itself added. Ignored where nothing was acknowledged
+    /// to others, or a value is not finite.
+    pub fn add_answer(&mut self, now: f64, total: f64, acknowledged: AcknowledgedUnits) {
+        let AcknowledgedUnits { own, others } = acknowledged;
+        let expected = own + others;
+        if !(total.is_finite() && expected.is_finite()) || others <= 0.0 || expected <= 0.0 {
             return;
         }
-        let kept = self.sums.add(now, COPIES_MEMORY_S, known, total.clamp(0.0, known));
-        self.others = self.others * kept + others;
-        self.answers = self.answers * kept + 1.0;
-        if self.others >= COPIES_ENOUGH && self.answers >= ANSWERS {
-            self.sums.judge(COPIES_ENTER, COPIES_LEAVE);
+        let decay = self.sums.add(now, REPLICA_MEMORY_SECS, expected, total.clamp(0.0, expected));
+        self.others = self.others * decay + others;
+        self.answers = self.answers * decay + 1.0;
+        if self.others >= REPLICA_MIN_UNITS && self.answers >= REPLICA_MIN_ANSWERS {
+            self.sums.judge(REPLICA_SPLIT_BELOW, REPLICA_HEALED_FROM);
         }
     }
 
-    /// Do totals lack what others were told?
-    pub fn divided(&self, now: f64) -> bool {
-        self.sums.divided && now - self.sums.at <= QUIET_S
+    /// Whether totals lack what was acknowledged to others, and this was compared lately.
+    pub fn is_split(&self, now: f64) -> bool {
+        self.sums.is_split && now - self.sums.updated_at <= REPLICA_QUIET_SECS
     }
 }
 
--- a/tests/quota_model.rs
+++ b/tests/quota_model.rs
@@ -674,9 +674,17 @@
 /// total a quarter of a window old, and a largest request at each gatekeeper let in by chance.
 fn stated() -> f64 {
     let (rate, burst) = (2.4, 10.0);
-    let (width, age, stale_part) = (WIDTH as f64, 0.25 * burst / rate, 0.34);
-    let input =
-        BoundInput { width, rate, burst, asks: 3.0 * rate, age, stale_part, parts: 1.0, largest: 4.0 };
+    let (width, total_age_secs, stale_fraction) = (WIDTH as f64, 0.25 * burst / rate, 0.34);
+    let input = BoundInput {
+        width,
+        rate,
+        burst,
+        demand: 3.0 * rate,
+        total_age_secs,
+        stale_fraction,
+        share_sum: 1.0,
+        largest_request: 4.0,
+    };
     ErrorBound::over(&input, FOR).units() / (rate * FOR)
 }
 
@@ -732,7 +740,7 @@
 
 /// Even shares only, as before the guard.
 fn without_guard() -> With {
-    With { quota: Some(QuotaSettings { guard: false, ..QuotaSettings::default() }), copies: false }
+    With { quota: Some(QuotaSettings { is_guarded: false, ..QuotaSettings::default() }), copies: false }
 }
 
 fn with_copies() -> With {
