--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -4,7 +4,7 @@
 //! Workers are not in the replicated log: their reports merge in any order (see [`WorkerRegistry`]) and are spread
 //! best-effort. Two invariants:
 //! - A worker's announced shutdown is acknowledged only once enough core nodes hold it in memory that no tolerated loss
-//!   of nodes can forget it ([`CoreContext::may_hold_all`]).
+//!   of nodes can forget it ([`CoreContext::survives_tolerated_losses`]).
 //! - A worker is declared unresponsive only by a node that was itself in contact with a majority of the core for the
 //!   whole of the worker's timeout ([`WorkerMembership::is_complete`]).
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,6 +2,7 @@
 //! `core` role ([`control_plane`]) keeps the configuration, the workers and the quota counter. docs/ARCHITECTURE.md has
 //! the layers, and which module may use which.
 #![forbid(unsafe_code)]
+#![deny(missing_docs)]
 
 pub mod cli;
 pub mod configuration;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -81,7 +81,7 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
 //! ```
 #![forbid(unsafe_code)]
-#![warn(missing_docs)]
+#![deny(missing_docs)]
 
 pub mod config;
 pub mod fleet;
