--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -30,7 +30,7 @@
     leaving: HashMap<String, f64>,
     /// Services of the route that flips, by version.
     flips: BTreeMap<u64, String>,
-    acked: Vec<(f64, ConfigItem)>,
+    acknowledged_items: Vec<(f64, ConfigItem)>,
     /// Newest version at which an item was told to be dropped, acknowledged or not.
     drops: HashMap<(ItemKind, String), u64>,
     /// Newest flip version that an edge's life was seen to serve by.
@@ -53,7 +53,7 @@
             further: HashMap::new(),
             leaving: HashMap::new(),
             flips: BTreeMap::new(),
-            acked: Vec::new(),
+            acknowledged_items: Vec::new(),
             drops: HashMap::new(),
             seen: HashMap::new(),
             violations: Vec::new(),
@@ -93,12 +93,12 @@
 
     /// Records the items of a change that was acknowledged to the primary operator.
     pub fn acknowledged(&mut self, at: f64, items: &[ConfigItem]) {
-        self.acked.extend(items.iter().map(|i| (at, i.clone())));
+        self.acknowledged_items.extend(items.iter().map(|i| (at, i.clone())));
     }
 
     /// Was anything acknowledged yet?
     pub fn begun(&self) -> bool {
-        !self.acked.is_empty()
+        !self.acknowledged_items.is_empty()
     }
 
     /// A core node acknowledged that this worker drains.
@@ -138,7 +138,7 @@
         // By which versions may this have been sent there?
         let (sent, edge) = (asked.at, (hit.edge, hit.incarnation));
         let settled = self
-            .acked
+            .acknowledged_items
             .iter()
             .filter(|(at, i)| sent > at + SETTLE && i.kind == ItemKind::Route && i.label == "r-flip");
         let settled = settled.map(|(_, i)| i.version).max().filter(|_| calm).unwrap_or(0);
@@ -167,7 +167,7 @@
 
     /// Orders that were acknowledged to the first operator, as items; runs of requests at workers.
     pub fn counts(&self) -> (usize, u64) {
-        (self.acked.len(), self.asked.iter().map(|a| u64::from(a.runs)).sum())
+        (self.acknowledged_items.len(), self.asked.iter().map(|a| u64::from(a.runs)).sum())
     }
 
     /// An edge node answers a request: once, in time, and without a rejection of what has run.
@@ -267,7 +267,7 @@
             return;
         };
         let mut newest: BTreeMap<(ItemKind, String), ConfigItem> = BTreeMap::new();
-        for (_, item) in self.acked.iter().filter(|(at, _)| *at < self.read_at) {
+        for (_, item) in self.acknowledged_items.iter().filter(|(at, _)| *at < self.read_at) {
             let held = newest.entry((item.kind, item.label.clone())).or_insert_with(|| item.clone());
             if held.version < item.version {
                 *held = item.clone();
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -33,7 +33,7 @@
         let request = self.auditor.asked(self.now, n, self.edges[n].incarnation, key, path);
         let id = RequestId(request.to_string().into());
         let incarnation = self.edges[n].incarnation;
-        self.asked.insert((n, incarnation, id.clone()), request);
+        self.request_numbers.insert((n, incarnation, id.clone()), request);
         let mut turned = false;
         self.edge_call(n, |edge, now, out| {
             let view = Arc::clone(&edge.active_config);
@@ -66,7 +66,7 @@
         worker: HostId,
         within: f64,
     ) {
-        let Some(request) = self.asked.get(&(n, incarnation, id.clone())).copied() else { return };
+        let Some(request) = self.request_numbers.get(&(n, incarnation, id.clone())).copied() else { return };
         let Some(index) = self.workers.iter().position(|w| w.id == worker.0) else { return };
         let hit = WorkerAttempt {
             edge: n,
@@ -77,7 +77,7 @@
             host: worker,
             request,
         };
-        self.open.insert((n, incarnation, id, attempt));
+        self.open_attempts.insert((n, incarnation, id, attempt));
         let delay = self.delay();
         self.schedule_after(delay, SimulationEvent::AttemptArrives(hit.clone()));
         self.schedule_after(within, SimulationEvent::AttemptEnded(hit, Ending::Timeout, false));
@@ -85,7 +85,7 @@
 
     /// An edge node cancels an attempt.
     pub fn attempt_cancelled(&mut self, n: usize, incarnation: u64, id: RequestId, attempt: u32) {
-        let Some(request) = self.asked.get(&(n, incarnation, id.clone())).copied() else { return };
+        let Some(request) = self.request_numbers.get(&(n, incarnation, id.clone())).copied() else { return };
         let hit =
             WorkerAttempt { edge: n, incarnation, id, attempt, worker: 0, host: HostId("".into()), request };
         self.schedule_after(0.0, SimulationEvent::AttemptEnded(hit, Ending::Cancelled, false));
@@ -93,14 +93,14 @@
 
     /// The outcome of an attempt reaches its edge node, if that incarnation still runs.
     pub fn attempt_ended(&mut self, hit: WorkerAttempt, ending: Ending, misdirected: bool) {
-        if !self.open.remove(&(hit.edge, hit.incarnation, hit.id.clone(), hit.attempt)) {
+        if !self.open_attempts.remove(&(hit.edge, hit.incarnation, hit.id.clone(), hit.attempt)) {
             return;
         }
         if self.edges[hit.edge].incarnation != hit.incarnation || self.edges[hit.edge].edge.is_none() {
             return;
         }
         if self.edges[hit.edge].frozen {
-            self.open.insert((hit.edge, hit.incarnation, hit.id.clone(), hit.attempt));
+            self.open_attempts.insert((hit.edge, hit.incarnation, hit.id.clone(), hit.attempt));
             return self.schedule_after(0.05, SimulationEvent::AttemptEnded(hit, ending, misdirected));
         }
         let whole = (ending == Ending::Ok).then_some(true);
@@ -116,7 +116,7 @@
 
     /// An edge node answers a client.
     pub fn answered(&mut self, n: usize, incarnation: u64, id: RequestId, answer: FinalResponse) {
-        if let Some(request) = self.asked.get(&(n, incarnation, id)) {
+        if let Some(request) = self.request_numbers.get(&(n, incarnation, id)) {
             let calm = self.now > self.edges[n].faulty_until;
             self.auditor.answered(self.now, *request, &answer, calm);
         }
--- a/crates/simulation/src/control_calls.rs
+++ b/crates/simulation/src/control_calls.rs
@@ -91,8 +91,10 @@
             self.auditor.read_back(body);
         }
         if let (CallOrigin::Heartbeat(n), 200) = (&call.by, status) {
-            if self.workers[*n].phase == WorkerPhase::Draining && self.workers[*n].acked.is_none() {
-                self.workers[*n].acked = Some(self.now);
+            if self.workers[*n].phase == WorkerPhase::Draining
+                && self.workers[*n].drain_acknowledged_at.is_none()
+            {
+                self.workers[*n].drain_acknowledged_at = Some(self.now);
                 self.auditor.leaving(&self.workers[*n].id, self.now);
             }
         }
@@ -116,8 +118,8 @@
         }
         match call.by {
             CallOrigin::Heartbeat(n) => {
-                let leaving =
-                    self.workers[n].phase == WorkerPhase::Draining && self.workers[n].acked.is_some();
+                let leaving = self.workers[n].phase == WorkerPhase::Draining
+                    && self.workers[n].drain_acknowledged_at.is_some();
                 if leaving && !self.workers[n].departing {
                     self.workers[n].departing = true;
                     self.schedule_after(2.8, SimulationEvent::WorkerDeparts(n));
--- a/crates/simulation/src/core_membership.rs
+++ b/crates/simulation/src/core_membership.rs
@@ -64,7 +64,7 @@
             clock_rate,
             seeds,
             frozen: false,
-            cold: false,
+            first_start: false,
             listed: true,
             backlog,
         };
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -251,7 +251,7 @@
                 self.workers[*worker].alive = false;
                 self.workers[*worker].dark = *dark;
             }
-            Fault::DrainWorker { worker } => self.workers[*worker].leaves(),
+            Fault::DrainWorker { worker } => self.workers[*worker].start_drain(),
             Fault::Severe(severe) => self.inject_severe_fault(severe.clone()),
             Fault::TenantSurge { times, secs } => {
                 self.hot_tenant = TenantSurge { until: self.now + secs, factor: *times }
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -28,7 +28,7 @@
     /// Events that came while it was frozen, in order.
     pub backlog: Vec<control_plane::Event>,
     /// Whether its next start is its first, with the whole system starting.
-    pub cold: bool,
+    pub first_start: bool,
     /// Whether it is on the operators' list.
     pub listed: bool,
     /// The core nodes in its `seed_list`.
@@ -74,7 +74,7 @@
         settings.node = format!("{}-{n}", if core { "core" } else { "edge" });
         settings.ip = if core { core_ip(n) } else { IpAddr::V4(Ipv4Addr::new(10, 0, 2, n as u8 + 1)) };
         settings.zone = zone(n);
-        settings.cold_start = if core { self.cores[n].cold } else { self.edges[n].incarnation == 0 };
+        settings.cold_start = if core { self.cores[n].first_start } else { self.edges[n].incarnation == 0 };
         settings.seeds = self.seeds(who);
         settings.envelope.resync_bound = std::time::Duration::from_secs_f64(self.plan.resync);
         settings.tolerance = LossTolerance { machines: self.plan.losses, zones: 0, regions: 0 };
@@ -96,7 +96,7 @@
                 node.booted_at = self.now;
                 node.frozen = false;
                 node.backlog.clear();
-                node.cold = false;
+                node.first_start = false;
                 if self.plan.disk_creation_step > 0.0 && node.disk.makes() {
                     let making = SimulationEvent::CreatingDisk(n, node.incarnation, settings.cold_start);
                     return self.schedule_after(self.plan.disk_creation_step, making);
--- a/crates/simulation/src/primary_operator.rs
+++ b/crates/simulation/src/primary_operator.rs
@@ -20,7 +20,7 @@
 
 impl World {
     /// Ends all changes and lets every operator read once more.
-    pub fn read_back(&mut self) {
+    pub fn request_final_reads(&mut self) {
         self.operator.done = true;
         for operator in 0..self.plan.operator_load.operators {
             self.operator_turn(super::operators::OperatorStep::Read(operator));
--- a/crates/simulation/src/trials.rs
+++ b/crates/simulation/src/trials.rs
@@ -54,7 +54,7 @@
     }
     let length = world.plan.length;
     world.play(length - 4.0);
-    world.read_back();
+    world.request_final_reads();
     world.play(length);
     world.auditor.close();
     world.check_history();
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -33,7 +33,7 @@
     /// Attempts that wait for a slot.
     pub queue: VecDeque<WorkerAttempt>,
     /// When a core node acknowledged its drain.
-    pub acked: Option<f64>,
+    pub drain_acknowledged_at: Option<f64>,
     pub(crate) departing: bool,
 }
 
@@ -57,13 +57,13 @@
             core: n,
             busy: 0,
             queue: VecDeque::new(),
-            acked: None,
+            drain_acknowledged_at: None,
             departing: false,
         }
     }
 
     /// The worker starts to drain.
-    pub fn leaves(&mut self) {
+    pub fn start_drain(&mut self) {
         self.phase = WorkerPhase::Draining;
     }
 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -57,9 +57,9 @@
     /// Calls that reached a core node and have no response yet.
     pub pending: HashMap<(usize, u64), u64>,
     /// Attempts that have no outcome yet.
-    pub open: HashSet<(usize, u64, whinstall::RequestId, u32)>,
+    pub open_attempts: HashSet<(usize, u64, whinstall::RequestId, u32)>,
     /// The auditor's numbers of requests.
-    pub asked: HashMap<(usize, u64, whinstall::RequestId), u64>,
+    pub request_numbers: HashMap<(usize, u64, whinstall::RequestId), u64>,
     /// The primary operator.
     pub operator: Operator,
     /// The auditor of the data plane.
@@ -96,7 +96,7 @@
             clock_rate: clock_rate(),
             frozen: false,
             backlog: Vec::new(),
-            cold: true,
+            first_start: true,
             listed: true,
             seeds: seeds.clone(),
         });
@@ -123,8 +123,8 @@
             links: SimulatedLinks::default(),
             calls: HashMap::new(),
             pending: HashMap::new(),
-            open: HashSet::new(),
-            asked: HashMap::new(),
+            open_attempts: HashSet::new(),
+            request_numbers: HashMap::new(),
             operator: Operator::default(),
             auditor,
             unsettled_until: 0.0,
--- a/crates/simulation/tests/scenarios/basic_faults.rs
+++ b/crates/simulation/tests/scenarios/basic_faults.rs
@@ -12,7 +12,7 @@
     }
     let length = world.plan.length;
     world.play(length - 3.0);
-    world.read_back();
+    world.request_final_reads();
     world.play(length);
     world.auditor.close();
     world
--- a/crates/simulation/tests/scenarios/partitions.rs
+++ b/crates/simulation/tests/scenarios/partitions.rs
@@ -180,8 +180,11 @@
 fn draining_workers_are_acknowledged_only_by_cores_in_the_majority() {
     let acked = |world: &whinstall_simulation::World| {
         // Two leave beside those that are in touch; the others' calls reach the machine that is cut off only.
-        let late = [1, 5].into_iter().find(|n| world.workers[*n].acked.is_none_or(|at| at > 17.0));
-        late.map(|n| format!("LEAVING: worker {n} was acknowledged at {:?}", world.workers[n].acked))
+        let late =
+            [1, 5].into_iter().find(|n| world.workers[*n].drain_acknowledged_at.is_none_or(|at| at > 17.0));
+        late.map(|n| {
+            format!("LEAVING: worker {n} was acknowledged at {:?}", world.workers[n].drain_acknowledged_at)
+        })
     };
     let story = |seed: u64, _: &mut fastrand::Rng| {
         let drains = [(9.0, 0), (10.0, 1), (11.0, 4), (12.0, 5)];
