--- a/crates/capacity/src/bench.rs
+++ b/crates/capacity/src/bench.rs
@@ -1,10 +1,11 @@
-//! Owns what one gatekeeper adds to a request and how many it bears: the real edge role before workers that answer at
-//! once, against the same client and workers without it, through the same loopback. It must never compare figures of
-//! different clients.
+//! Measures the latency that one edge adds and the load it bears.
+//!
+//! The real edge role runs before workers that answer at once; the same client also calls these workers directly,
+//! through the same loopback, in alternating rounds.
 
 use super::children::Process;
 use super::cluster::{port, start_with, Core};
-use super::machine::{Machine, Watch};
+use super::machine::{LoadMonitor, MachineLoad};
 use super::operator::{self, Operator, Sizes, ROUTES_A_HOST};
 use super::plan::Comparison;
 use super::workers::{self, percentile};
@@ -19,7 +20,7 @@
 use tokio::net::TcpStream;
 
 /// Requests of so many seconds at the start of a round aren't counted: connections open in them.
-const WARM_S: f64 = 0.5;
+const WARM_UP_S: f64 = 0.5;
 
 /// What a process of clients is to do.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -31,7 +32,8 @@
     /// For so long: seconds...
     pub seconds: f64,
     /// ...after so many that aren't counted.
-    pub warm_s: f64,
+    #[serde(rename = "warm_s")]
+    pub warm_up_s: f64,
     /// Connections, where there is no rate.
     pub connections: usize,
     /// The requests are spread over so many routes and tenants.
@@ -113,7 +115,7 @@
 
 /// One figure of the two ways.
 #[derive(Clone, Debug, Serialize)]
-pub struct Compared {
+pub struct EdgeComparison {
     /// Routes, tenants of the configuration.
     pub sizes: (u32, u32),
     /// Requests a second of each tenant; 0: no limit.
@@ -121,7 +123,7 @@
     /// Requests a second that were asked for; 0: as many as come back.
     pub rate: f64,
     /// How busy the machine was.
-    pub machine: Machine,
+    pub machine: MachineLoad,
     /// The rounds, as they came.
     pub rounds: Vec<Round>,
     /// Requests a second that came back through it, and those that failed in all.
@@ -200,7 +202,7 @@
 pub async fn run(job: Job) -> Result<(), CapacityError> {
     let pool: Pool = RefCell::new(job.to.iter().map(|_| Vec::new()).collect());
     let begun = tokio::time::Instant::now();
-    let counted = begun + Duration::from_secs_f64(job.warm_s);
+    let counted = begun + Duration::from_secs_f64(job.warm_up_s);
     let end = counted + Duration::from_secs_f64(job.seconds);
     let run = Rc::new(Run { job, pool, report: RefCell::default(), times: RefCell::default(), counted });
     if run.job.rate > 0.0 {
@@ -236,7 +238,7 @@
     let mut report = run.report.borrow_mut();
     report.seconds = run.job.seconds;
     report.ms = [0.5, 0.9, 0.99, 0.999, 1.0].map(|part| percentile(&times, part));
-    children::say(&serde_json::to_string(&*report).unwrap_or_default());
+    children::send_line(&serde_json::to_string(&*report).unwrap_or_default());
     Ok(())
 }
 
@@ -248,25 +250,25 @@
 
 fn ready(at: SocketAddr) -> bool {
     use std::io::{Read, Write};
-    let ask = || -> std::io::Result<bool> {
+    let request = || -> std::io::Result<bool> {
         let mut stream = std::net::TcpStream::connect(at)?;
         stream.set_read_timeout(Some(Duration::from_secs(1)))?;
         stream.write_all(b"GET /whinstall/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")?;
-        let mut heard = [0; 16];
-        stream.read_exact(&mut heard)?;
-        Ok(heard.starts_with(b"HTTP/1.1 200"))
+        let mut received = [0; 16];
+        stream.read_exact(&mut received)?;
+        Ok(received.starts_with(b"HTTP/1.1 200"))
     };
-    ask().unwrap_or(false)
+    request().unwrap_or(false)
 }
 
 /// Compares at each rate (0: as many as come back on 64 connections), in an empty folder.
-pub fn compare(folder: &Path, plan: &Comparison) -> Result<Vec<Compared>, CapacityError> {
-    let Comparison { sizes, limit, ref rates, seconds, beat_ms, .. } = *plan;
+pub fn compare(folder: &Path, plan: &Comparison) -> Result<Vec<EdgeComparison>, CapacityError> {
+    let Comparison { sizes, limit, ref rates, seconds, heartbeat_ms, .. } = *plan;
     let (routes, tenants) = sizes;
-    let core = Core::start(folder, 1, 1, beat_ms)?;
-    let set = operator::whole(Sizes { routes, tenants, keys: 1, services: 1, rate: limit });
+    let core = Core::start(folder, 1, 1, heartbeat_ms)?;
+    let set = operator::full_configuration(Sizes { routes, tenants, keys: 1, services: 1, rate: limit });
     Operator::new(core.controls.clone()).amend(&set, Duration::from_secs(60))?;
-    let told = workers::Job {
+    let job = workers::Job {
         name: "i".into(),
         group: 9,
         workers: 8,
@@ -274,12 +276,12 @@
         zones: 1,
         capacity: 4000,
         controls: core.controls.clone(),
-        beat_ms,
-        replaced_per_s: 0.0,
-        fresh: false,
+        heartbeat_ms,
+        replacements_per_s: 0.0,
+        connects_per_call: false,
         serve: true,
     };
-    let workers = start_with(folder, "workers", "workers", &told)?;
+    let workers = start_with(folder, "workers", "workers", &job)?;
     let line = workers.line(Instant::now() + Duration::from_secs(10))?;
     let bare: Vec<SocketAddr> =
         serde_json::from_str(&line).map_err(|e| CapacityError::Child(format!("workers: {e}")))?;
@@ -304,12 +306,12 @@
             to,
             rate: *rate,
             seconds,
-            warm_s: WARM_S,
+            warm_up_s: WARM_UP_S,
             connections: 64,
             routes,
             tenants,
         };
-        let (watch, mut rounds) = (Watch::begin(), Vec::new());
+        let (watch, mut rounds) = (LoadMonitor::begin(), Vec::new());
         let (mut took, mut spent, mut waited, mut after) = (0.0, 0.0, 0.0, before);
         for _ in 0..plan.rounds {
             let bare = clients(folder, &job(bare.clone()))?;
@@ -324,8 +326,8 @@
         let served: u64 = rounds.iter().map(|r| r.through.served).sum();
         let failed: u64 = rounds.iter().map(|r| r.through.failed).sum();
         // The first part of a second is not counted among the requests, but its work is done.
-        let requests = (served + failed) as f64 * (seconds + WARM_S) / seconds;
-        found.push(Compared {
+        let requests = (served + failed) as f64 * (seconds + WARM_UP_S) / seconds;
+        found.push(EdgeComparison {
             sizes,
             limit,
             rate: *rate,
--- a/crates/capacity/src/children.rs
+++ b/crates/capacity/src/children.rs
@@ -1,5 +1,6 @@
-//! Owns the processes that a measurement starts: each ends when its standard input does, so none outlives who started
-//! it. What they use is read from `/proc`, of these processes only. It must never end a process that it did not start.
+//! Child processes of a measurement and their resource usage, read from `/proc`.
+//!
+//! Each child ends when its standard input does, so none outlives its parent.
 
 use super::CapacityError;
 use serde::{Deserialize, Serialize};
@@ -16,9 +17,9 @@
     SystemTime::UNIX_EPOCH.elapsed().map_or(0.0, |d| d.as_secs_f64())
 }
 
-/// What comes on standard input, line by line; it ends when the input does.
-pub fn orders() -> UnboundedReceiver<String> {
-    let (sender, orders) = unbounded_channel();
+/// The lines of standard input; the channel closes at its end.
+pub fn commands() -> UnboundedReceiver<String> {
+    let (sender, commands) = unbounded_channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
             if sender.send(line).is_err() {
@@ -26,11 +27,11 @@
             }
         }
     });
-    orders
+    commands
 }
 
-/// A line for who started this process.
-pub fn say(line: &str) {
+/// Writes a line to the parent process (standard output).
+pub fn send_line(line: &str) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}");
     let _ = out.flush();
@@ -48,16 +49,16 @@
     });
 }
 
-/// What a process has used.
+/// Resource usage of a process since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Usage {
     /// Processor seconds, over its threads.
     pub cpu_s: f64,
-    /// Seconds that its threads were ready to run and did not: others had the processors.
+    /// Seconds that its threads were runnable but not running.
     pub waited_s: f64,
     /// Resident memory: bytes.
     pub rss: u64,
-    /// The most that it was: bytes.
+    /// Peak resident memory: bytes.
     pub peak: u64,
     /// Descriptors.
     pub descriptors: usize,
@@ -70,10 +71,10 @@
     line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
 }
 
-/// A process that was started here.
+/// A child process, killed on drop if it does not exit by itself.
 pub struct Process {
     child: Child,
-    /// What it is called in reports.
+    /// Its name in reports.
     pub name: String,
     lines: mpsc::Receiver<String>,
 }
@@ -108,27 +109,27 @@
         Ok(Process { child, name: name.into(), lines })
     }
 
-    /// Its number.
+    /// Process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Orders something.
-    pub fn order(&mut self, order: &str) -> Result<(), CapacityError> {
-        let told = self.child.stdin.as_mut().map(|input| writeln!(input, "{order}"));
-        match told {
+    /// Writes a command to its standard input; fails once it has ended.
+    pub fn send_command(&mut self, command: &str) -> Result<(), CapacityError> {
+        let written = self.child.stdin.as_mut().map(|input| writeln!(input, "{command}"));
+        match written {
             Some(Ok(())) => Ok(()),
             _ => Err(CapacityError::Child(format!("{} has ended", self.name))),
         }
     }
 
-    /// Its next line.
+    /// Its next line of output; an error if none comes before `until`.
     pub fn line(&self, until: Instant) -> Result<String, CapacityError> {
         let left = until.saturating_duration_since(Instant::now());
         self.lines.recv_timeout(left).map_err(|_| CapacityError::Child(format!("{} is silent", self.name)))
     }
 
-    /// Has it ended by itself?
+    /// Has it exited?
     pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
@@ -139,22 +140,22 @@
         field(&status, "VmRSS:") * 1024
     }
 
-    /// Asks it to end (SIGTERM).
-    pub fn ask_to_end(&self) -> Result<(), CapacityError> {
-        let asked = Command::new("sh").args(["-c", &format!("kill -TERM {}", self.pid())]).status();
-        match asked {
+    /// Requests a graceful shutdown (SIGTERM).
+    pub fn terminate(&self) -> Result<(), CapacityError> {
+        let status = Command::new("sh").args(["-c", &format!("kill -TERM {}", self.pid())]).status();
+        match status {
             Ok(status) if status.success() => Ok(()),
             _ => Err(CapacityError::Child(format!("{} can't be asked to end", self.name))),
         }
     }
 
-    /// Kills it.
+    /// Kills it (SIGKILL) and waits for its exit.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// What it has used so far.
+    /// Its resource usage so far.
     pub fn usage(&self) -> Usage {
         let at =
             |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.pid())).unwrap_or_default();
@@ -171,12 +172,12 @@
         }
     }
 
-    /// Seconds that its threads ran and that they waited to run, where the system tells.
+    /// Seconds that its threads ran and waited to run, where `schedstat` is available.
     fn processor(&self) -> Option<(f64, f64)> {
         let (mut ran, mut waited) = (0.0, 0.0);
         for task in std::fs::read_dir(format!("/proc/{}/task", self.pid())).ok()?.flatten() {
-            let told = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
-            let mut words = told.split_whitespace().filter_map(|w| w.parse::<f64>().ok());
+            let schedstat = std::fs::read_to_string(task.path().join("schedstat")).ok()?;
+            let mut words = schedstat.split_whitespace().filter_map(|w| w.parse::<f64>().ok());
             (ran, waited) = (ran + words.next()? / 1e9, waited + words.next()? / 1e9);
         }
         (ran > 0.0).then_some((ran, waited))
@@ -206,11 +207,11 @@
     }
 }
 
-/// Bytes that these processes sent and received on connections that they opened to `port`, as the system's `ss` tells;
+/// Bytes that these processes sent and received on connections that they opened to `port`, from `ss`;
 /// `None` where it is missing.
 pub fn sent_to_port(port: u16, pids: &[u32]) -> Option<Vec<(u32, u64)>> {
-    let told = Command::new("ss").args(["-tinpOH", "state", "established"]).output().ok()?;
-    let text = String::from_utf8_lossy(&told.stdout);
+    let output = Command::new("ss").args(["-tinpOH", "state", "established"]).output().ok()?;
+    let text = String::from_utf8_lossy(&output.stdout);
     let mut sums: Vec<(u32, u64)> = pids.iter().map(|pid| (*pid, 0)).collect();
     for line in text.lines() {
         let words: Vec<&str> = line.split_whitespace().collect();
--- a/crates/capacity/src/cluster.rs
+++ b/crates/capacity/src/cluster.rs
@@ -1,9 +1,9 @@
-//! Owns one measurement: a real core of its own, with hollow gatekeepers, workers and an operator before it, for some
-//! seconds, and what each process used by then. It must never reach for a process that it did not start.
+//! One measurement: a real core with simulated edges, simulated workers and an operator client, run for some seconds,
+//! and the resource usage of each process.
 
 use super::children::{self, address, Process, Usage};
-use super::files::{self, Parts};
-use super::machine::{Machine, Watch};
+use super::files::{self, DatabaseUsage};
+use super::machine::{LoadMonitor, MachineLoad};
 use super::operator::{self, Operator, Sizes};
 use super::{simulated_edges, workers, CapacityError};
 use serde::Serialize;
@@ -12,17 +12,18 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// What is measured.
+/// A case to measure.
 #[derive(Clone, Debug, Serialize)]
-pub struct Cell {
-    /// Cells of a group differ in their size only.
+pub struct Case {
+    /// Cases of a group differ in their size only.
     pub group: String,
     /// What the size counts.
     pub by: String,
     /// The size.
     pub size: f64,
-    /// Gatekeepers.
-    pub gates: usize,
+    /// Edges.
+    #[serde(rename = "gates")]
+    pub edges: usize,
     /// Zones.
     pub zones: usize,
     /// Core machines.
@@ -39,42 +40,49 @@
     pub keys: u32,
     /// Requests a second of each tenant; 0: no limit.
     pub rate: u32,
-    /// Requests a second at each gatekeeper.
+    /// Requests a second at each edge.
     pub requests_per_s: f64,
-    /// Do gatekeepers tell each other what is out?
-    pub tell: bool,
+    /// Do edges exchange load reports?
+    #[serde(rename = "tell")]
+    pub exchanges_load_reports: bool,
     /// Changes of configuration a second.
     pub changes_per_s: f64,
-    /// Workers a second that leave and come back as others.
-    pub replaced_per_s: f64,
+    /// Workers a second that are replaced by new ones.
+    #[serde(rename = "replaced_per_s")]
+    pub replacements_per_s: f64,
     /// Do workers open a new connection for each call?
-    pub fresh: bool,
+    #[serde(rename = "fresh")]
+    pub connects_per_call: bool,
     /// Time between two heartbeats: milliseconds.
-    pub beat_ms: u64,
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_ms: u64,
     /// Seconds that are measured.
     pub seconds: f64,
     /// Seconds that run before.
-    pub warm_s: f64,
-    /// Most gatekeepers in a process: more share a core, and wait for each other.
-    pub together: usize,
+    #[serde(rename = "warm_s")]
+    pub warm_up_s: f64,
+    /// Upper bound of edges in a process: more share a core, and wait for each other.
+    #[serde(rename = "together")]
+    pub edges_per_process: usize,
 }
 
-impl Cell {
+impl Case {
     /// What the configuration is to hold.
     pub fn sizes(&self) -> Sizes {
-        let Cell { routes, tenants, keys, services, rate, .. } = *self;
+        let Case { routes, tenants, keys, services, rate, .. } = *self;
         Sizes { routes, tenants, keys, services, rate }
     }
 }
 
-/// What a core machine used.
+/// Resource usage of a core machine.
 #[derive(Clone, Debug, Serialize)]
-pub struct CoreUse {
-    /// Did it hold the counter (and lead)?
-    pub holder: bool,
+pub struct CoreUsage {
+    /// Did it lead the quota counter?
+    #[serde(rename = "holder")]
+    pub is_leader: bool,
     /// Cores.
     pub cpu: f64,
-    /// Cores that it was ready to take and others had.
+    /// Cores that it waited for (runnable but not running).
     pub waited: f64,
     /// Resident bytes at the end, and the most.
     pub memory: (u64, u64),
@@ -83,19 +91,19 @@
     /// Bytes of its files at the end.
     pub disk: u64,
     /// What they hold by cause; missing where they can't be read.
-    pub parts: Option<Parts>,
+    pub parts: Option<DatabaseUsage>,
     /// Bytes a second handed to files.
     pub written_per_s: f64,
     /// Bytes a second on its connections to other core machines, both ways; missing without `ss`.
     pub peers_per_s: Option<f64>,
 }
 
-/// What one gatekeeper used, in the mean.
+/// Mean resource usage of one edge.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct GateUse {
+pub struct EdgeUsage {
     /// Cores; of those that don't count their messages.
     pub cpu: f64,
-    /// Cores that those were ready to take and others had.
+    /// Cores that those waited for.
     pub waited: f64,
     /// Resident bytes of its part of a process, at the end and the most.
     pub memory: (f64, f64),
@@ -109,14 +117,15 @@
     pub requests: [f64; 4],
 }
 
-/// A measurement.
+/// The result of a case.
 #[derive(Clone, Debug, Serialize)]
-pub struct Measured {
-    /// What was asked for.
-    pub cell: Cell,
+pub struct Measurement {
+    /// The case that was measured.
+    #[serde(rename = "cell")]
+    pub case: Case,
     /// How busy the machine was in the seconds that were measured.
-    pub machine: Machine,
-    /// What did not come about.
+    pub machine: MachineLoad,
+    /// Faults during the measurement.
     pub faults: Vec<String>,
     /// Seconds to the acknowledgement of the first configuration, and its bytes.
     pub first: (f64, usize),
@@ -125,12 +134,14 @@
     /// Seconds that were measured.
     pub seconds: f64,
     /// The core machines.
-    pub core: Vec<CoreUse>,
-    /// A gatekeeper.
-    pub gate: GateUse,
-    /// Cores that all hollow gatekeepers took together.
-    pub hollow_cpu: f64,
-    /// The hollow workers.
+    pub core: Vec<CoreUsage>,
+    /// Mean of the edges.
+    #[serde(rename = "gate")]
+    pub edge: EdgeUsage,
+    /// Cores that all simulated edges took together.
+    #[serde(rename = "hollow_cpu")]
+    pub edges_cpu: f64,
+    /// The simulated workers.
     pub workers: workers::Report,
     /// Milliseconds from each change's sending to its acknowledgement: median, most.
     pub ack_ms: (f64, f64),
@@ -139,25 +150,26 @@
     /// Changes that were sent, and those that were in force everywhere by the end.
     pub changes: (usize, usize),
     /// Links that went down, and most seconds that a tick came late.
-    pub downs: u64,
+    #[serde(rename = "downs")]
+    pub link_downs: u64,
     /// See `downs`.
     pub late_s: f64,
 }
 
-/// Where the core's processes are.
+/// A running core.
 pub struct Core {
     folder: PathBuf,
     /// Its machines.
     pub processes: Vec<Process>,
-    /// Where workers and operators call.
+    /// Control addresses.
     pub controls: Vec<SocketAddr>,
-    /// The port for own messages.
-    pub inner: u16,
+    /// The port of the internal protocol.
+    pub internal_port: u16,
     zones: usize,
-    beat_ms: u64,
+    heartbeat_ms: u64,
 }
 
-/// A port that nobody uses now.
+/// A port that is free now.
 pub fn port() -> Result<u16, CapacityError> {
     let listener = TcpListener::bind("127.0.0.1:0").map_err(CapacityError::Socket)?;
     Ok(listener.local_addr().map_err(CapacityError::Socket)?.port())
@@ -165,15 +177,15 @@
 
 impl Core {
     /// Waits until all gatekeepers of these processes are ready; an error if the core takes too much memory meanwhile.
-    pub fn wait_ready(&self, gates: &[Process], within: Duration) -> Result<(), CapacityError> {
+    pub fn wait_ready(&self, edges: &[Process], within: Duration) -> Result<(), CapacityError> {
         let until = Instant::now() + within;
-        for gate in gates {
+        for edge in edges {
             loop {
-                match gate.line(Instant::now() + Duration::from_millis(100)) {
+                match edge.line(Instant::now() + Duration::from_millis(100)) {
                     Ok(line) if line == "ready" => break,
                     Ok(_) => {}
                     Err(error) if Instant::now() >= until => return Err(error),
-                    Err(_) => self.bear()?,
+                    Err(_) => self.check_memory()?,
                 }
             }
         }
@@ -181,18 +193,30 @@
     }
 
     /// An error if a machine takes too much memory.
-    fn bear(&self) -> Result<(), CapacityError> {
-        match self.processes.iter().find(|a| a.memory() > MEMORY_MOST) {
-            Some(process) => Err(CapacityError::Memory(process.name.clone(), MEMORY_MOST)),
+    fn check_memory(&self) -> Result<(), CapacityError> {
+        match self.processes.iter().find(|a| a.memory() > MAX_CORE_MEMORY_BYTES) {
+            Some(process) => Err(CapacityError::Memory(process.name.clone(), MAX_CORE_MEMORY_BYTES)),
             None => Ok(()),
         }
     }
 
     /// Starts `count` core machines with empty disks below `folder`.
-    pub fn start(folder: &Path, count: usize, zones: usize, beat_ms: u64) -> Result<Self, CapacityError> {
-        let (inner, control) = (port()?, port()?);
+    pub fn start(
+        folder: &Path,
+        count: usize,
+        zones: usize,
+        heartbeat_ms: u64,
+    ) -> Result<Self, CapacityError> {
+        let (internal_port, control) = (port()?, port()?);
         let controls = (0..count).map(|i| SocketAddr::new(address(1, i), control)).collect();
-        let mut core = Core { folder: folder.into(), processes: Vec::new(), controls, inner, zones, beat_ms };
+        let mut core = Core {
+            folder: folder.into(),
+            processes: Vec::new(),
+            controls,
+            internal_port,
+            zones,
+            heartbeat_ms,
+        };
         for number in 0..count {
             let data = core.data(number);
             std::fs::create_dir_all(&data).map_err(|e| CapacityError::File(data.display().to_string(), e))?;
@@ -209,7 +233,7 @@
         Ok(core)
     }
 
-    /// Starts a machine again that was killed; the system as a whole does not start for the first time.
+    /// Restarts a machine that was killed, without `cold_start`.
     pub fn start_again(&mut self, number: usize) -> Result<(), CapacityError> {
         let more = format!("control_port = \"{}\"\n", self.controls[number]);
         let text = self.settings(1, number, &more).replace("cold_start = true", "cold_start = false");
@@ -244,11 +268,11 @@
             _ => "machine_class = \"edge\"".into(),
         };
         let lost = self.controls.len().saturating_sub(1) / 2;
-        let (inner, beat) = (self.inner, self.beat_ms);
+        let (internal_port, beat) = (self.internal_port, self.heartbeat_ms);
         format!(
             "[self]\nnode_name = \"m-{group}-{number}\"\nip_addr = \"{ip}\"\nzone_name = \"z{zone}\"\nregion_name = \"r0\"\n\
              cold_start = true\n{place}\n[self.saturation]\nmemory_cap_mb = 256\nfile_handles = 20000\n\
-             [network]\ninternal_ports = [{inner}, {inner}]\nseed_list = [{}]\n[network.endpoints]\n{endpoints}\
+             [network]\ninternal_ports = [{internal_port}, {internal_port}]\nseed_list = [{}]\n[network.endpoints]\n{endpoints}\
              [network.zones]\n{}\n[substrate]\nheartbeat = \"{beat}ms\"\n[constraints.tolerance]\nmachine_losses = {lost}\n\
              [constraints.envelope]\nretry_slack = 62\nquota_margin = 20\n",
             seeds.join(", "),
@@ -257,79 +281,79 @@
     }
 }
 
-fn job(folder: &Path, name: &str, job: &impl Serialize) -> Result<String, CapacityError> {
+fn write_job(folder: &Path, name: &str, job: &impl Serialize) -> Result<String, CapacityError> {
     let path = folder.join(format!("{name}.json"));
     let text = serde_json::to_string(job).unwrap_or_default();
     std::fs::write(&path, text).map_err(|e| CapacityError::File(path.display().to_string(), e))?;
     Ok(path.display().to_string())
 }
 
-/// Starts a process with a job of its own.
+/// Starts a process of this program with a job file.
 pub fn start_with(
     folder: &Path,
     kind: &str,
     name: &str,
-    told: &impl Serialize,
+    job: &impl Serialize,
 ) -> Result<Process, CapacityError> {
-    let path = job(folder, name, told)?;
+    let path = write_job(folder, name, job)?;
     Process::start(name, &[kind, &path], None, &folder.join(format!("{name}.log")))
 }
 
-/// No core machine may take more memory in a measurement: bytes. The machine is not ours alone.
-const MEMORY_MOST: u64 = 3_000_000_000;
+/// Upper bound of the resident memory of a core machine; beyond it the measurement is aborted.
+const MAX_CORE_MEMORY_BYTES: u64 = 3_000_000_000;
 
 /// In which processes the gatekeepers run: how many in each; the first one's count their messages.
-fn split(gates: usize, together: usize) -> Vec<usize> {
-    let counting = (gates / 2).clamp(1, 4);
-    let rest = gates - counting;
-    let processes = rest.div_ceil(together);
+fn split(edges: usize, edges_per_process: usize) -> Vec<usize> {
+    let counting = (edges / 2).clamp(1, 4);
+    let rest = edges - counting;
+    let processes = rest.div_ceil(edges_per_process);
     let each = |i| rest / processes + usize::from(i < rest % processes);
     std::iter::once(counting).chain((0..processes).map(each)).collect()
 }
 
-/// Starts the hollow workers of a cell.
-pub fn starting_workers(
+/// Starts the simulated workers of a case.
+pub fn start_workers(
     folder: &Path,
-    cell: &Cell,
+    case: &Case,
     controls: &[SocketAddr],
 ) -> Result<Vec<Process>, CapacityError> {
-    let processes = cell.workers.div_ceil(4000);
+    let processes = case.workers.div_ceil(4000);
     let mut started = Vec::new();
     for number in 0..processes {
-        let told = workers::Job {
+        let job = workers::Job {
             name: format!("i-{number}"),
             group: 9 + number as u8,
-            workers: cell.workers / processes + usize::from(number < cell.workers % processes),
-            services: cell.services,
-            zones: cell.zones,
+            workers: case.workers / processes + usize::from(number < case.workers % processes),
+            services: case.services,
+            zones: case.zones,
             capacity: 8,
             controls: controls.to_vec(),
-            beat_ms: cell.beat_ms,
-            replaced_per_s: cell.replaced_per_s / processes as f64,
-            fresh: cell.fresh,
+            heartbeat_ms: case.heartbeat_ms,
+            replacements_per_s: case.replacements_per_s / processes as f64,
+            connects_per_call: case.connects_per_call,
             serve: false,
         };
-        started.push(start_with(folder, "workers", &format!("workers-{number}"), &told)?);
+        started.push(start_with(folder, "workers", &format!("workers-{number}"), &job)?);
     }
     Ok(started)
 }
 
-/// Starts its hollow gatekeepers.
-pub fn starting_gates(folder: &Path, cell: &Cell, core: &Core) -> Result<Vec<Process>, CapacityError> {
+/// Starts its simulated edges.
+pub fn start_edges(folder: &Path, case: &Case, core: &Core) -> Result<Vec<Process>, CapacityError> {
     let mut first = 0;
     let mut started = Vec::new();
-    for (number, gates) in split(cell.gates, cell.together).into_iter().enumerate() {
-        let told = simulated_edges::Job {
-            settings: (first..first + gates).map(|i| core.settings(2, i, "")).collect(),
-            requests_per_s: cell.requests_per_s,
-            tenants: cell.tenants,
-            routes: cell.routes,
+    for (number, edges) in split(case.edges, case.edges_per_process).into_iter().enumerate() {
+        let job = simulated_edges::Job {
+            settings: (first..first + edges).map(|i| core.settings(2, i, "")).collect(),
+            requests_per_s: case.requests_per_s,
+            tenants: case.tenants,
+            routes: case.routes,
             work_ms: 100,
-            tell: cell.tell,
-            counted: if number == 0 { gates } else { 0 },
+            exchanges_load_reports: case.exchanges_load_reports,
+            counted: if number == 0 { edges } else { 0 },
         };
-        first += gates;
-        started.push(start_with(folder, "edges", &format!("hollow-{number}"), &told)?);
+        first += edges;
+        started.push(start_with(folder, "edges", &format!("hollow-{number}"), &job)?);
     }
     Ok(started)
 }
@@ -353,72 +377,72 @@
 
 /// Sends as many changes as come to what is measured, however long each takes; of each: its number, when it was sent,
 /// seconds to its acknowledgement.
-fn changing(cell: &Cell, operator: &mut Operator, faults: &mut Vec<String>) -> Vec<(u64, f64, f64)> {
+fn send_changes(case: &Case, operator: &mut Operator, faults: &mut Vec<String>) -> Vec<(u64, f64, f64)> {
     let begun = Instant::now();
     let mut sent = Vec::new();
-    let wanted = (cell.changes_per_s * cell.seconds).round() as usize;
+    let wanted = (case.changes_per_s * case.seconds).round() as usize;
     while sent.len() < wanted {
         let number = sent.len() as u64 + 2;
         let at = children::epoch();
-        match operator.amend(&operator::change(number), Duration::from_secs(20)) {
+        match operator.amend(&operator::probe_change(number), Duration::from_secs(20)) {
             Ok(took) => sent.push((number, at, took)),
             Err(error) => {
                 faults.push(format!("change {number}: {error}"));
                 break;
             }
         }
-        let next = Duration::from_secs_f64(sent.len() as f64 / cell.changes_per_s);
+        let next = Duration::from_secs_f64(sent.len() as f64 / case.changes_per_s);
         std::thread::sleep(next.saturating_sub(begun.elapsed()));
     }
-    std::thread::sleep(Duration::from_secs_f64(cell.seconds).saturating_sub(begun.elapsed()));
+    std::thread::sleep(Duration::from_secs_f64(case.seconds).saturating_sub(begun.elapsed()));
     sent
 }
 
-/// Measures a cell, in a folder of its own that is empty.
-pub fn measure(folder: &Path, cell: &Cell) -> Result<Measured, CapacityError> {
+/// Measures a case in an empty folder.
+pub fn measure(folder: &Path, case: &Case) -> Result<Measurement, CapacityError> {
     let mut faults = Vec::new();
-    let core = Core::start(folder, cell.core, cell.zones, cell.beat_ms)?;
+    let core = Core::start(folder, case.core, case.zones, case.heartbeat_ms)?;
     let mut operator = Operator::new(core.controls.clone());
-    let body = operator::whole(cell.sizes());
+    let body = operator::full_configuration(case.sizes());
     let first = (operator.amend(&body, Duration::from_secs(60))?, body.len());
     drop(body);
-    let mut hands = starting_workers(folder, cell, &core.controls)?;
+    let mut worker_processes = start_workers(folder, case, &core.controls)?;
     let begun = Instant::now();
-    let mut gates = starting_gates(folder, cell, &core)?;
-    match core.wait_ready(&gates, Duration::from_secs(60)) {
+    let mut edges = start_edges(folder, case, &core)?;
+    match core.wait_ready(&edges, Duration::from_secs(60)) {
         Err(error @ CapacityError::Memory(..)) => return Err(error),
         Err(error) => faults.push(format!("not all gatekeepers are ready after 60 s: {error}")),
         Ok(()) => {}
     }
     let ready_s = begun.elapsed().as_secs_f64();
-    gates.iter_mut().try_for_each(|g| g.order("ask"))?;
-    std::thread::sleep(Duration::from_secs_f64(cell.warm_s));
+    edges.iter_mut().try_for_each(|g| g.send_command("ask"))?;
+    std::thread::sleep(Duration::from_secs_f64(case.warm_up_s));
     let pids: Vec<u32> = core.processes.iter().map(Process::pid).collect();
-    let (links, links_at) = (children::sent_to_port(core.inner, &pids), Instant::now());
-    gates.iter_mut().chain(&mut hands).try_for_each(|p| p.order("begin"))?;
-    let (at, before, watch) = (Instant::now(), usages(&core.processes, &gates), Watch::begin());
-    let sent = changing(cell, &mut operator, &mut faults);
+    let (links, links_at) = (children::sent_to_port(core.internal_port, &pids), Instant::now());
+    edges.iter_mut().chain(&mut worker_processes).try_for_each(|p| p.send_command("begin"))?;
+    let (at, before, watch) = (Instant::now(), process_usages(&core.processes, &edges), LoadMonitor::begin());
+    let sent = send_changes(case, &mut operator, &mut faults);
     let (seconds, after, machine) =
-        (at.elapsed().as_secs_f64(), usages(&core.processes, &gates), watch.end());
+        (at.elapsed().as_secs_f64(), process_usages(&core.processes, &edges), watch.end());
     if !sent.is_empty() {
         // The last one may be on its way still.
         std::thread::sleep(Duration::from_secs(2));
     }
-    gates.iter_mut().chain(&mut hands).try_for_each(|p| p.order("end"))?;
+    edges.iter_mut().chain(&mut worker_processes).try_for_each(|p| p.send_command("end"))?;
     let links_s = links_at.elapsed().as_secs_f64();
-    let links_after = children::sent_to_port(core.inner, &pids);
-    let told: Vec<simulated_edges::Report> = gates.iter().map(report).collect::<Result<_, _>>()?;
-    let worked: Vec<workers::Report> = hands.iter().map(report).collect::<Result<_, _>>()?;
-    drop((gates, hands));
+    let links_after = children::sent_to_port(core.internal_port, &pids);
+    let told: Vec<simulated_edges::Report> = edges.iter().map(report).collect::<Result<_, _>>()?;
+    let worked: Vec<workers::Report> = worker_processes.iter().map(report).collect::<Result<_, _>>()?;
+    drop((edges, worker_processes));
 
     let mut syncs: BTreeMap<&str, u64> = BTreeMap::new();
     told.iter().flat_map(|t| &t.syncs).for_each(|(ip, n)| *syncs.entry(ip).or_default() += n);
-    let holder = syncs.iter().max_by_key(|(_, n)| **n).map(|(ip, _)| (*ip).to_owned());
+    let leader = syncs.iter().max_by_key(|(_, n)| **n).map(|(ip, _)| (*ip).to_owned());
     let uses = core.processes.iter().enumerate().map(|(i, _)| {
         let (was, is) = (before[i], after[i]);
         let peers = |links: &Option<Vec<(u32, u64)>>| links.as_ref().map(|l| l[i].1 as f64);
-        CoreUse {
-            holder: holder.as_deref() == Some(address(1, i).to_string().as_str()),
+        CoreUsage {
+            is_leader: leader.as_deref() == Some(address(1, i).to_string().as_str()),
             cpu: (is.cpu_s - was.cpu_s) / seconds,
             waited: (is.waited_s - was.waited_s) / seconds,
             memory: (is.rss, is.peak),
@@ -429,10 +453,10 @@
             peers_per_s: peers(&links_after).zip(peers(&links)).map(|(b, a)| (b - a).max(0.0) / links_s),
         }
     });
-    let mut uses: Vec<CoreUse> = uses.collect();
+    let mut uses: Vec<CoreUsage> = uses.collect();
     let n = core.processes.len();
     let spent = |i: usize| (after[n + i].cpu_s - before[n + i].cpu_s) / seconds;
-    let hollow_cpu = (0..told.len()).map(spent).sum();
+    let edges_cpu = (0..told.len()).map(spent).sum();
     let folders: Vec<PathBuf> = (0..n).map(|i| core.data(i)).collect();
     // Files are read once nobody writes them any more.
     drop(core);
@@ -443,38 +467,38 @@
         }
     }
     let mut in_force: BTreeMap<u64, (usize, f64)> = BTreeMap::new();
-    for (number, (gates, at)) in told.iter().flat_map(|t| &t.in_force) {
+    for (number, (edges, at)) in told.iter().flat_map(|t| &t.in_force) {
         let sum = in_force.entry(*number).or_default();
-        *sum = (sum.0 + gates, sum.1.max(*at));
+        *sum = (sum.0 + edges, sum.1.max(*at));
     }
     let everywhere = sent.iter().filter_map(|(number, at, _)| {
-        in_force.get(number).filter(|(gates, _)| *gates == cell.gates).map(|(_, last)| (last - at) * 1e3)
+        in_force.get(number).filter(|(edges, _)| *edges == case.edges).map(|(_, last)| (last - at) * 1e3)
     });
     let everywhere: Vec<f64> = everywhere.collect();
-    Ok(Measured {
-        cell: cell.clone(),
+    Ok(Measurement {
+        case: case.clone(),
         machine,
         faults,
         first,
         ready_s,
         seconds,
         core: uses,
-        gate: gate_use(&told, &before[n..], &after[n..], seconds),
-        hollow_cpu,
-        workers: workers_use(worked),
+        edge: edge_usage(&told, &before[n..], &after[n..], seconds),
+        edges_cpu,
+        workers: total_worker_report(worked),
         ack_ms: spread(sent.iter().map(|s| s.2 * 1e3).collect()),
         changes: (sent.len(), everywhere.len()),
         in_force_ms: spread(everywhere),
-        downs: told.iter().map(|t| t.downs).sum(),
+        link_downs: told.iter().map(|t| t.link_downs).sum(),
         late_s: told.iter().map(|t| t.late_s).fold(0.0, f64::max),
     })
 }
 
-fn usages(processes: &[Process], gates: &[Process]) -> Vec<Usage> {
-    processes.iter().chain(gates).map(Process::usage).collect()
+fn process_usages(processes: &[Process], edges: &[Process]) -> Vec<Usage> {
+    processes.iter().chain(edges).map(Process::usage).collect()
 }
 
-fn workers_use(all: Vec<workers::Report>) -> workers::Report {
+fn total_worker_report(all: Vec<workers::Report>) -> workers::Report {
     let mut sum = workers::Report::default();
     for w in all {
         sum.seconds = sum.seconds.max(w.seconds);
@@ -488,29 +512,34 @@
 }
 
 /// What one gatekeeper used: processor and memory of those that don't count, messages of those that do.
-fn gate_use(told: &[simulated_edges::Report], before: &[Usage], after: &[Usage], seconds: f64) -> GateUse {
+fn edge_usage(
+    told: &[simulated_edges::Report],
+    before: &[Usage],
+    after: &[Usage],
+    seconds: f64,
+) -> EdgeUsage {
     let plain = usize::from(told.len() > 1);
-    let mut gate = GateUse::default();
-    let gates: usize = told[plain..].iter().map(|t| t.gates).sum();
-    let each = 1.0 / gates.max(1) as f64;
+    let mut edge = EdgeUsage::default();
+    let edges: usize = told[plain..].iter().map(|t| t.edges).sum();
+    let each = 1.0 / edges.max(1) as f64;
     for (was, is) in before.iter().zip(after).skip(plain) {
-        gate.cpu += (is.cpu_s - was.cpu_s) / seconds * each;
-        gate.waited += (is.waited_s - was.waited_s) / seconds * each;
-        gate.memory.0 += is.rss as f64 * each;
-        gate.memory.1 += is.peak as f64 * each;
+        edge.cpu += (is.cpu_s - was.cpu_s) / seconds * each;
+        edge.waited += (is.waited_s - was.waited_s) / seconds * each;
+        edge.memory.0 += is.rss as f64 * each;
+        edge.memory.1 += is.peak as f64 * each;
     }
     for t in told.iter().filter(|t| t.counted > 0) {
         let each = 1.0 / (t.counted as f64 * t.seconds.max(1e-3));
         for (kind, tally) in &t.kinds {
             let (messages, bytes) = (tally.messages as f64 * each, tally.bytes as f64 * each);
-            gate.kinds.insert(kind.clone(), (messages, bytes));
-            (gate.messages, gate.bytes) = (gate.messages + messages, gate.bytes + bytes);
+            edge.kinds.insert(kind.clone(), (messages, bytes));
+            (edge.messages, edge.bytes) = (edge.messages + messages, edge.bytes + bytes);
         }
     }
-    let all: usize = told.iter().map(|t| t.gates).sum();
+    let all: usize = told.iter().map(|t| t.edges).sum();
     for t in told {
         let each = 1.0 / (all.max(1) as f64 * t.seconds.max(1e-3));
-        (0..4).for_each(|i| gate.requests[i] += t.requests[i] as f64 * each);
+        (0..4).for_each(|i| edge.requests[i] += t.requests[i] as f64 * each);
     }
-    gate
+    edge
 }
--- a/crates/capacity/src/files.rs
+++ b/crates/capacity/src/files.rs
@@ -1,5 +1,5 @@
-//! Owns what a core machine's files hold by cause: log, snapshot, workers. It reads them after the process that wrote them
-//! has ended, and must never open those of a process that runs.
+//! Disk usage of a core machine by content (log, snapshot, workers), read from its database after the process has
+//! ended.
 
 use rusqlite::Connection;
 use serde::Serialize;
@@ -8,7 +8,7 @@
 
 /// Entries and bytes of the files, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Parts {
+pub struct DatabaseUsage {
     /// Entries of the log, and their bytes.
     pub log: (u64, u64),
     /// Bytes of the snapshot.
@@ -19,13 +19,13 @@
     pub free: u64,
 }
 
-fn parts(folder: &Path) -> rusqlite::Result<Parts> {
+fn parts(folder: &Path) -> rusqlite::Result<DatabaseUsage> {
     let db = Connection::open(folder.join(DATABASE_FILE))?;
     db.pragma_update(None, "locking_mode", "EXCLUSIVE")?;
     let pair = |sql: &str| db.query_row(sql, [], |row| Ok((row.get::<_, i64>(0)?, row.get::<_, i64>(1)?)));
     let counted = |(entries, bytes): (i64, i64)| (entries.max(0) as u64, bytes.max(0) as u64);
     let pragma = |name: &str| db.pragma_query_value(None, name, |row| row.get::<_, i64>(0));
-    Ok(Parts {
+    Ok(DatabaseUsage {
         log: counted(pair("SELECT count(*), coalesce(sum(length(entry)), 0) FROM log")?),
         snapshot: counted(pair("SELECT count(*), coalesce(sum(length(data)), 0) FROM snapshot_part")?).1,
         workers: counted(pair(
@@ -35,7 +35,7 @@
     })
 }
 
-/// What the files in a folder hold, or why that can't be told.
-pub fn read(folder: &Path) -> Result<Parts, String> {
+/// Reads the database in a folder; an error if it cannot be read.
+pub fn read(folder: &Path) -> Result<DatabaseUsage, String> {
     parts(folder).map_err(|e| format!("{}: {e}", folder.display()))
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,5 +1,4 @@
-//! Owns the lines that measured figures are fitted by, with how far the figures lie from them. It must never leave a
-//! figure out.
+//! Least-squares fits (line and power law) of measured figures by size, with their relative error.
 
 use serde::Serialize;
 
@@ -60,7 +59,7 @@
 }
 
 /// Weights, means and slope of a weighted least square.
-fn least(points: impl Iterator<Item = (f64, f64, f64)> + Clone) -> Option<(f64, f64)> {
+fn weighted_least_squares(points: impl Iterator<Item = (f64, f64, f64)> + Clone) -> Option<(f64, f64)> {
     let weight: f64 = points.clone().map(|(_, _, w)| w).sum();
     let mean_x = points.clone().map(|(x, _, w)| w * x).sum::<f64>() / weight;
     let mean_y = points.clone().map(|(_, y, w)| w * y).sum::<f64>() / weight;
@@ -71,17 +70,17 @@
     (slope.is_finite() && base.is_finite()).then_some((base, slope))
 }
 
-fn missed(points: &[(f64, f64)], fitted: impl Fn(f64) -> f64) -> f64 {
+fn relative_rms_error(points: &[(f64, f64)], fitted: impl Fn(f64) -> f64) -> f64 {
     let parts = points.iter().map(|(x, y)| ((fitted(*x) - y) / y.abs().max(1e-12)).powi(2));
     (parts.sum::<f64>() / points.len() as f64).sqrt()
 }
 
 /// The line through these, each weighed by one over its own square.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
-    let most = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
-    let weighed = points.iter().map(|(x, y)| (*x, *y, 1.0 / y.abs().max(most * 1e-3).max(1e-12).powi(2)));
-    let (base, slope) = least(weighed)?;
-    let error = missed(points, |x| base + slope * x);
+    let largest = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
+    let weighed = points.iter().map(|(x, y)| (*x, *y, 1.0 / y.abs().max(largest * 1e-3).max(1e-12).powi(2)));
+    let (base, slope) = weighted_least_squares(weighed)?;
+    let error = relative_rms_error(points, |x| base + slope * x);
     Some(Line { base, slope, error, points: points.len() })
 }
 
@@ -90,7 +89,7 @@
     if points.iter().any(|(x, y)| *x <= 0.0 || *y <= 0.0) {
         return None;
     }
-    let (base, exponent) = least(points.iter().map(|(x, y)| (x.ln(), y.ln(), 1.0)))?;
+    let (base, exponent) = weighted_least_squares(points.iter().map(|(x, y)| (x.ln(), y.ln(), 1.0)))?;
     let factor = base.exp();
-    Some(Power { factor, exponent, error: missed(points, |x| factor * x.powf(exponent)) })
+    Some(Power { factor, exponent, error: relative_rms_error(points, |x| factor * x.powf(exponent)) })
 }
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,13 +1,14 @@
-//! Owns the measurement of how each role grows: `whinstall-capacity` (docs/CAPACITY.md). It starts a real core, hollow
-//! gatekeepers, workers and an operator on loopback, at several sizes, and writes figures (JSON), a summary (Markdown)
-//! and plots (SVG). It must never outlive its time or touch what it did not start.
+//! Measures how the resource use of each role grows with the size of the system (docs/CAPACITY.md).
+//!
+//! Starts a real core, simulated edges, simulated workers and an operator client on loopback, at several sizes, and
+//! writes the figures (JSON), a summary (Markdown) and plots (SVG). Child processes end with their standard input.
 
 mod bench;
 mod children;
 mod cluster;
+mod fault_recovery;
 mod files;
 mod fit;
-mod losses;
 mod machine;
 mod operator;
 mod plan;
@@ -19,7 +20,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Why a measurement can't be had.
+/// Why a measurement failed.
 #[derive(Debug, displaydoc::Display)]
 pub enum CapacityError {
     /// {0}: {1}
@@ -38,6 +39,19 @@
     Drawing(String, String),
 }
 
+impl std::error::Error for CapacityError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            CapacityError::File(_, error) | CapacityError::Socket(error) => Some(error),
+            CapacityError::Child(_)
+            | CapacityError::Refused(..)
+            | CapacityError::Unanswered(..)
+            | CapacityError::Memory(..)
+            | CapacityError::Drawing(..) => None,
+        }
+    }
+}
+
 const USAGE: &str = "whinstall-capacity --out DIR
 
 Measures on this machine how the gateway's roles grow, with real processes on loopback, and ends by itself.";
@@ -57,7 +71,7 @@
     }
 }
 
-/// Runs a process of a measurement.
+/// Runs a child process with the job in a file.
 fn child<J, F>(path: &str, run: impl FnOnce(J) -> F) -> ExitCode
 where
     J: serde::de::DeserializeOwned,
@@ -84,26 +98,26 @@
     options.optopt("", "only", "only what has this in its line of the list, parted by commas", "PART,...");
     options.optflag("", "small", "a few gatekeepers for a few seconds: does the tool work?");
     options.optflag("", "list", "print what would be measured");
-    let told = match options.parse(arguments) {
-        Ok(told) => told,
+    let matches = match options.parse(arguments) {
+        Ok(matches) => matches,
         Err(error) => {
             eprintln!("whinstall-capacity: {error}\n\n{}", options.usage(USAGE));
             return ExitCode::from(2);
         }
     };
-    let only: Vec<String> = told
+    let only: Vec<String> = matches
         .opt_str("only")
         .unwrap_or_default()
         .split(',')
         .filter(|p| !p.is_empty())
         .map(Into::into)
         .collect();
-    let plan = plan::Plan::new(told.opt_present("small"), &only);
-    if told.opt_present("list") {
+    let plan = plan::Plan::new(matches.opt_present("small"), &only);
+    if matches.opt_present("list") {
         plan.list();
         return ExitCode::SUCCESS;
     }
-    let Some(out) = told.opt_str("out").map(PathBuf::from) else {
+    let Some(out) = matches.opt_str("out").map(PathBuf::from) else {
         eprintln!("{}", options.usage(USAGE));
         return ExitCode::from(2);
     };
@@ -116,14 +130,14 @@
     }
 }
 
-/// A folder that is gone again at the end.
+/// A temporary folder that is removed on drop.
 struct Scratch(PathBuf);
 
 impl Scratch {
     fn new(name: &str) -> Result<Self, CapacityError> {
         let path = std::env::temp_dir().join(format!("whinstall-capacity-{}-{name}", std::process::id()));
-        let made = std::fs::remove_dir_all(&path).or(Ok(())).and_then(|()| std::fs::create_dir_all(&path));
-        made.map_err(|e| CapacityError::File(path.display().to_string(), e))?;
+        let created = std::fs::remove_dir_all(&path).or(Ok(())).and_then(|()| std::fs::create_dir_all(&path));
+        created.map_err(|e| CapacityError::File(path.display().to_string(), e))?;
         Ok(Scratch(path))
     }
 }
@@ -136,43 +150,43 @@
 
 fn run(plan: &plan::Plan, out: &Path) -> Result<(), CapacityError> {
     std::fs::create_dir_all(out).map_err(|e| CapacityError::File(out.display().to_string(), e))?;
-    let mut found = report::Found::default();
-    for (number, cell) in plan.cells.iter().enumerate() {
-        eprintln!("{}/{}: {} at {} {}", number + 1, plan.cells.len(), cell.group, cell.size, cell.by);
+    let mut results = report::Results::default();
+    for (number, case) in plan.cases.iter().enumerate() {
+        eprintln!("{}/{}: {} at {} {}", number + 1, plan.cases.len(), case.group, case.size, case.by);
         let scratch = Scratch::new(&number.to_string())?;
-        match cluster::measure(&scratch.0, cell) {
-            Ok(measured) => found.measured.push(measured),
+        match cluster::measure(&scratch.0, case) {
+            Ok(measured) => results.measured.push(measured),
             Err(error) => {
                 eprintln!("  not measured: {error}");
-                found.failed.push((cell.clone(), error.to_string()));
+                results.failed.push((case.clone(), error.to_string()));
             }
         }
         // What is known so far outlives a measurement that is ended from outside.
-        found.write(out)?;
+        results.write(out)?;
     }
-    for (number, cell) in plan.losses.iter().enumerate() {
-        eprintln!("loss {}/{}: at {} {}", number + 1, plan.losses.len(), cell.size, cell.by);
+    for (number, case) in plan.fault_recovery.iter().enumerate() {
+        eprintln!("loss {}/{}: at {} {}", number + 1, plan.fault_recovery.len(), case.size, case.by);
         let scratch = Scratch::new(&format!("loss-{number}"))?;
-        match losses::measure(&scratch.0, cell) {
-            Ok(lost) => found.lost.push(lost),
+        match fault_recovery::measure(&scratch.0, case) {
+            Ok(lost) => results.lost.push(lost),
             Err(error) => {
                 eprintln!("  not measured: {error}");
-                found.failed.push((cell.clone(), error.to_string()));
+                results.failed.push((case.clone(), error.to_string()));
             }
         }
-        found.write(out)?;
+        results.write(out)?;
     }
     for (number, comparison) in plan.comparisons.iter().enumerate() {
         eprintln!("comparison {}/{}", number + 1, plan.comparisons.len());
         let scratch = Scratch::new(&format!("bench-{number}"))?;
         match bench::compare(&scratch.0, comparison) {
-            Ok(compared) => found.compared.extend(compared),
+            Ok(compared) => results.compared.extend(compared),
             Err(error) => {
                 eprintln!("  not compared: {error}");
-                found.uncompared.push(error.to_string());
+                results.uncompared.push(error.to_string());
             }
         }
-        found.write(out)?;
+        results.write(out)?;
     }
-    found.draw(out)
+    results.draw(out)
 }
--- a/crates/capacity/src/operator.rs
+++ b/crates/capacity/src/operator.rs
@@ -1,5 +1,4 @@
-//! Owns the operator of a measurement: configurations of a wanted size, sent as real ones are, and the time to their
-//! acknowledgement. It must never take a refusal for an acknowledgement.
+//! Operator client: sends configurations of a given size and times their acknowledgement.
 
 use super::simulated_edges::PROBE;
 use super::CapacityError;
@@ -8,7 +7,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How large a configuration is.
+/// Size of a configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct Sizes {
     /// Routes.
@@ -23,7 +22,7 @@
     pub rate: u32,
 }
 
-/// Routes share a host by so many.
+/// Routes of a host.
 pub const ROUTES_A_HOST: u32 = 10;
 
 fn probe(number: u64) -> Value {
@@ -54,8 +53,8 @@
     "service_ref",
 ];
 
-/// A call that sets everything. The probe's number is 1.
-pub fn whole(sizes: Sizes) -> String {
+/// The body of a request that sets everything. The probe's number is 1.
+pub fn full_configuration(sizes: Sizes) -> String {
     let Sizes { routes, tenants, keys, services, rate } = sizes;
     let key = |i: u32, k: u32| if k == 0 { format!("key-{i}") } else { format!("{k:04}{i:0>16}") };
     let mut records: Vec<Value> = (0..routes)
@@ -95,37 +94,37 @@
     .to_string()
 }
 
-/// A call that changes the probe only.
-pub fn change(number: u64) -> String {
+/// The body of a request that changes the probe route only.
+pub fn probe_change(number: u64) -> String {
     json!({ "upsert": { "route_set": { "columns": ROUTE, "records": [probe(number)] } } }).to_string()
 }
 
-/// Calls the core.
+/// An operator client with the addresses of the core.
 pub struct Operator {
     controls: Vec<SocketAddr>,
     next: usize,
 }
 
 impl Operator {
-    /// One that knows these addresses.
+    /// A client of these control addresses.
     pub fn new(controls: Vec<SocketAddr>) -> Self {
         Operator { controls, next: 0 }
     }
 
-    /// Does this machine answer what stands?
-    pub fn reads(at: SocketAddr) -> bool {
-        let ask = || -> std::io::Result<bool> {
+    /// Does this machine serve the committed configuration?
+    pub fn serves_configuration(at: SocketAddr) -> bool {
+        let request = || -> std::io::Result<bool> {
             let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(1))?;
             stream.set_read_timeout(Some(Duration::from_secs(5)))?;
             stream.write_all(
                 b"GET /whinstall/configuration/read HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n",
             )?;
-            let mut heard = Vec::new();
-            stream.read_to_end(&mut heard)?;
-            let stands = heard.windows(7).any(|w| w == b"\"probe\"");
-            Ok(heard.starts_with(b"HTTP/1.1 200") && stands)
+            let mut received = Vec::new();
+            stream.read_to_end(&mut received)?;
+            let stands = received.windows(7).any(|w| w == b"\"probe\"");
+            Ok(received.starts_with(b"HTTP/1.1 200") && stands)
         };
-        ask().unwrap_or(false)
+        request().unwrap_or(false)
     }
 
     fn call(to: SocketAddr, body: &str, within: Duration) -> std::io::Result<(u16, String)> {
@@ -139,30 +138,30 @@
         );
         stream.write_all(head.as_bytes())?;
         stream.write_all(body.as_bytes())?;
-        let mut heard = Vec::new();
-        stream.read_to_end(&mut heard)?;
-        let text = String::from_utf8_lossy(&heard).into_owned();
+        let mut received = Vec::new();
+        stream.read_to_end(&mut received)?;
+        let text = String::from_utf8_lossy(&received).into_owned();
         let status = text.split(' ').nth(1).and_then(|s| s.parse().ok());
         Ok((status.ok_or(std::io::ErrorKind::InvalidData)?, text))
     }
 
-    /// Sends this until it is acknowledged: to the next machine after each failure, where a 307 says, with a pause that
+    /// Sends this until it is acknowledged: to the next machine after each failure, where a 307 says, with a backoff that
     /// grows. Seconds that it took.
     pub fn amend(&mut self, body: &str, within: Duration) -> Result<f64, CapacityError> {
         let begun = Instant::now();
-        let (mut pause, mut told) = (Duration::from_millis(50), String::from("nothing"));
-        let patience = Duration::from_secs(1 + body.len() as u64 / 200_000);
+        let (mut backoff, mut last_heard) = (Duration::from_millis(50), String::from("nothing"));
+        let call_timeout = Duration::from_secs(1 + body.len() as u64 / 200_000);
         let mut to = self.controls[self.next % self.controls.len()];
         while begun.elapsed() < within {
-            let answer = Self::call(to, body, patience);
+            let answer = Self::call(to, body, call_timeout);
             match answer {
                 Ok((200..=299, _)) => return Ok(begun.elapsed().as_secs_f64()),
                 Ok((307, text)) => {
-                    let place = text.lines().find_map(|l| {
+                    let location = text.lines().find_map(|l| {
                         l.to_ascii_lowercase().strip_prefix("location: http://").map(str::to_owned)
                     });
-                    if let Some(place) = place.and_then(|p| p.split('/').next()?.trim().parse().ok()) {
-                        to = place;
+                    if let Some(address) = location.and_then(|p| p.split('/').next()?.trim().parse().ok()) {
+                        to = address;
                         continue;
                     }
                 }
@@ -172,14 +171,16 @@
                         text.lines().last().unwrap_or_default().into(),
                     ));
                 }
-                Ok((status, text)) => told = format!("{status} {}", text.lines().last().unwrap_or_default()),
-                Err(error) => told = error.to_string(),
+                Ok((status, text)) => {
+                    last_heard = format!("{status} {}", text.lines().last().unwrap_or_default())
+                }
+                Err(error) => last_heard = error.to_string(),
             }
             self.next += 1;
             to = self.controls[self.next % self.controls.len()];
-            std::thread::sleep(pause);
-            pause = (pause * 2).min(Duration::from_millis(400));
+            std::thread::sleep(backoff);
+            backoff = (backoff * 2).min(Duration::from_millis(400));
         }
-        Err(CapacityError::Unanswered(within.as_secs_f64(), told))
+        Err(CapacityError::Unanswered(within.as_secs_f64(), last_heard))
     }
 }
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -1,4 +1,4 @@
-//! Owns the drawings of figures by size, as SVG. It must never change a figure.
+//! SVG plots of figures by size, on logarithmic axes.
 
 use super::fit::Fit;
 use super::CapacityError;
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -1,85 +1,84 @@
-//! Owns what is written of measurements: all figures as JSON, the same for reading as Markdown, and plots. It must never
-//! leave out a measurement that failed.
+//! Output of the results: all figures as JSON, a Markdown summary, and plots. Failed measurements are listed too.
 
-use super::bench::{Compared, Spread};
-use super::cluster::{Cell, CoreUse, Measured};
-use super::files::Parts;
+use super::bench::{EdgeComparison, Spread};
+use super::cluster::{Case, CoreUsage, Measurement};
+use super::fault_recovery::{FaultImpact, FaultRecovery};
+use super::files::DatabaseUsage;
 use super::fit::Fit;
-use super::losses::{Loss, Lost};
-use super::machine::Machine;
+use super::machine::MachineLoad;
 use super::{plot, CapacityError};
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// All that was found.
+/// The results of a run.
 #[derive(Default)]
-pub struct Found {
+pub struct Results {
     /// Measurements.
-    pub measured: Vec<Measured>,
-    /// Those that came to nothing, and why.
-    pub failed: Vec<(Cell, String)>,
-    /// Losses of core machines.
-    pub lost: Vec<Lost>,
-    /// Comparisons of one gatekeeper with none.
-    pub compared: Vec<Compared>,
-    /// Why some came to nothing.
+    pub measured: Vec<Measurement>,
+    /// Cases that failed, with the error.
+    pub failed: Vec<(Case, String)>,
+    /// Fault recovery of core machines.
+    pub lost: Vec<FaultRecovery>,
+    /// Comparisons of one edge with direct calls.
+    pub compared: Vec<EdgeComparison>,
+    /// Errors of failed comparisons.
     pub uncompared: Vec<String>,
 }
 
 /// A metric of a measurement: its name, its unit, how it is read; `None`: not measured here.
-type Metric = (&'static str, &'static str, fn(&Measured) -> Option<f64>);
+type Metric = (&'static str, &'static str, fn(&Measurement) -> Option<f64>);
 
-fn holder(m: &Measured) -> Option<&CoreUse> {
-    m.core.iter().find(|c| c.holder)
+fn leader(m: &Measurement) -> Option<&CoreUsage> {
+    m.core.iter().find(|c| c.is_leader)
 }
 
-fn others(m: &Measured, value: impl Fn(&CoreUse) -> f64) -> Option<f64> {
-    m.core.iter().filter(|c| !c.holder).map(value).max_by(f64::total_cmp)
+fn others(m: &Measurement, value: impl Fn(&CoreUsage) -> f64) -> Option<f64> {
+    m.core.iter().filter(|c| !c.is_leader).map(value).max_by(f64::total_cmp)
 }
 
-fn some(value: f64) -> Option<f64> {
+fn positive(value: f64) -> Option<f64> {
     (value > 0.0).then_some(value)
 }
 
 const METRICS: [Metric; 21] = [
-    ("gatekeeper processor", "cores", |m| some(m.gate.cpu)),
-    ("gatekeeper memory", "bytes", |m| some(m.gate.memory.0)),
-    ("gatekeeper memory, most", "bytes", |m| some(m.gate.memory.1)),
-    ("gatekeeper messages", "messages/s", |m| some(m.gate.messages)),
-    ("gatekeeper bytes", "bytes/s", |m| some(m.gate.bytes)),
-    ("leader processor", "cores", |m| holder(m).map(|c| c.cpu)),
+    ("gatekeeper processor", "cores", |m| positive(m.edge.cpu)),
+    ("gatekeeper memory", "bytes", |m| positive(m.edge.memory.0)),
+    ("gatekeeper memory, most", "bytes", |m| positive(m.edge.memory.1)),
+    ("gatekeeper messages", "messages/s", |m| positive(m.edge.messages)),
+    ("gatekeeper bytes", "bytes/s", |m| positive(m.edge.bytes)),
+    ("leader processor", "cores", |m| leader(m).map(|c| c.cpu)),
     ("follower processor", "cores", |m| others(m, |c| c.cpu)),
-    ("leader memory", "bytes", |m| holder(m).map(|c| c.memory.1 as f64)),
+    ("leader memory", "bytes", |m| leader(m).map(|c| c.memory.1 as f64)),
     ("follower memory", "bytes", |m| others(m, |c| c.memory.1 as f64)),
     ("core disk", "bytes", |m| m.core.iter().map(|c| c.disk as f64).max_by(f64::total_cmp)),
-    ("core log", "bytes", |m| holder(m)?.parts.map(|p| p.log.1 as f64)),
-    ("core snapshot", "bytes", |m| holder(m)?.parts.map(|p| p.snapshot as f64)),
-    ("core list of workers", "bytes", |m| holder(m)?.parts.map(|p| p.workers.1 as f64)),
-    ("all gatekeepers ready", "s", |m| some(m.ready_s)),
+    ("core log", "bytes", |m| leader(m)?.parts.map(|p| p.log.1 as f64)),
+    ("core snapshot", "bytes", |m| leader(m)?.parts.map(|p| p.snapshot as f64)),
+    ("core list of workers", "bytes", |m| leader(m)?.parts.map(|p| p.workers.1 as f64)),
+    ("all gatekeepers ready", "s", |m| positive(m.ready_s)),
     ("core written", "bytes/s", |m| m.core.iter().map(|c| c.written_per_s).max_by(f64::total_cmp)),
     ("core descriptors", "descriptors", |m| {
         m.core.iter().map(|c| c.descriptors as f64).max_by(f64::total_cmp)
     }),
     ("core to core", "bytes/s", |m| m.core.iter().map(|c| c.peers_per_s).sum()),
-    ("call acknowledged", "ms", |m| some(m.ack_ms.0)),
-    ("change in force everywhere", "ms", |m| some(m.in_force_ms.0)),
-    ("heartbeat, 99th percentile", "ms", |m| some(m.workers.ms.1)),
-    ("first configuration acknowledged", "s", |m| some(m.first.0)),
+    ("call acknowledged", "ms", |m| positive(m.ack_ms.0)),
+    ("change in force everywhere", "ms", |m| positive(m.in_force_ms.0)),
+    ("heartbeat, 99th percentile", "ms", |m| positive(m.workers.ms.1)),
+    ("first configuration acknowledged", "s", |m| positive(m.first.0)),
 ];
 
-impl Found {
+impl Results {
     /// Every metric of every group that was measured at two sizes or more.
     fn fits(&self) -> Vec<(&'static str, Fit)> {
-        let groups: BTreeSet<&str> = self.measured.iter().map(|m| m.cell.group.as_str()).collect();
+        let groups: BTreeSet<&str> = self.measured.iter().map(|m| m.case.group.as_str()).collect();
         let mut fits = Vec::new();
         for group in groups {
-            let of: Vec<&Measured> = self.measured.iter().filter(|m| m.cell.group == group).collect();
+            let of: Vec<&Measurement> = self.measured.iter().filter(|m| m.case.group == group).collect();
             for (name, unit, value) in METRICS {
-                let points = of.iter().filter_map(|m| Some((m.cell.size, value(m)?)));
+                let points = of.iter().filter_map(|m| Some((m.case.size, value(m)?)));
                 let points: Vec<(f64, f64)> = points.filter(|p| p.1.is_finite()).collect();
                 if points.len() >= 2 {
-                    fits.push((name, Fit::new(group, unit, &of[0].cell.by, points)));
+                    fits.push((name, Fit::new(group, unit, &of[0].case.by, points)));
                 }
             }
         }
@@ -89,7 +88,8 @@
     /// Writes `capacity.json` and `capacity.md`.
     pub fn write(&self, out: &Path) -> Result<(), CapacityError> {
         let fits = self.fits();
-        let told: Vec<_> = fits.iter().map(|(metric, fit)| json!({ "metric": metric, "fit": fit })).collect();
+        let fits_json: Vec<_> =
+            fits.iter().map(|(metric, fit)| json!({ "metric": metric, "fit": fit })).collect();
         let failed: Vec<_> = self.failed.iter().map(|(c, e)| json!({ "cell": c, "error": e })).collect();
         let all = json!({
             "program": env!("CARGO_PKG_VERSION"),
@@ -98,7 +98,7 @@
             "lost": self.lost,
             "compared": self.compared,
             "uncompared": self.uncompared,
-            "fits": told,
+            "fits": fits_json,
         });
         let text = serde_json::to_string_pretty(&all).unwrap_or_default();
         for (name, text) in [("capacity.json", text), ("capacity.md", self.summary(&fits))] {
@@ -125,22 +125,22 @@
         let mut text = String::from("# Figures of `whinstall-capacity`\n");
         let titles = "group;size;ready s;gate mcores;gate MB (most);gate msg/s;gate B/s;leader cores;follower cores;leader MB;\
                       disk KB;core to core B/s;descriptors;ack ms;in force;in force ms;beats/s;beats failed;log KB;snapshot KB;workers KB;waited;busy;load;faults";
-        table(&mut text, "Measured", titles, self.measured.iter().map(measured_row));
-        for (cell, error) in &self.failed {
-            text += &format!("\nNot measured: {} at {} {}: {error}\n", cell.group, cell.size, cell.by);
+        table(&mut text, "Measured", titles, self.measured.iter().map(measurement_row));
+        for (case, error) in &self.failed {
+            text += &format!("\nNot measured: {} at {} {}: {error}\n", case.group, case.size, case.by);
         }
         let kinds = self.measured.iter().flat_map(|m| {
             let row = |(kind, (messages, bytes)): (&String, &(f64, f64))| {
-                let size = m.cell.size.to_string();
+                let size = m.case.size.to_string();
                 vec![
-                    m.cell.group.clone(),
+                    m.case.group.clone(),
                     size,
                     kind.clone(),
                     format!("{messages:.2}"),
                     format!("{bytes:.1}"),
                 ]
             };
-            m.gate.kinds.iter().map(row)
+            m.edge.kinds.iter().map(row)
         });
         let titles = "group;size;kind;a second;bytes a second";
         table(&mut text, "Kinds of messages, for each gatekeeper", titles, kinds);
@@ -149,11 +149,16 @@
         let titles =
             "tenants;routes;machines;acknowledged;in force everywhere;no holder;back with its disk;handed over: acknowledged;\
                       in force;no holder;two killed: acknowledged;in force;no holder;refilled;disk KB;busy;load";
-        table(&mut text, "Losses of core machines, seconds", titles, self.lost.iter().map(lost_row));
+        table(
+            &mut text,
+            "Losses of core machines, seconds",
+            titles,
+            self.lost.iter().map(fault_recovery_row),
+        );
         let titles =
             "routes;tenants;limit;rate;served/s;failed;bare p50 ms;bare p99;through p50;through p99;added p50;\
                       added p99;ratio p50;ratio p99;idle mcores;cores;waited for;ms a request;MB;descriptors;busy;load";
-        table(&mut text, "One gatekeeper against none", titles, self.compared.iter().map(compared_row));
+        table(&mut text, "One gatekeeper against none", titles, self.compared.iter().map(comparison_row));
         for error in &self.uncompared {
             text += &format!("\nNot compared: {error}\n");
         }
@@ -170,24 +175,25 @@
     }
 }
 
-fn measured_row(m: &Measured) -> Vec<String> {
+fn measurement_row(m: &Measurement) -> Vec<String> {
     let metric = |name: &str, by: f64, digits: usize| {
         let found = METRICS.iter().find(|x| x.0 == name).and_then(|x| (x.2)(m));
         found.map_or("-".into(), |value| format!("{:.digits$}", value / by))
     };
-    let parts = holder(m).and_then(|c| c.parts);
-    let part =
-        |value: fn(&Parts) -> u64| parts.map_or("-".into(), |p| format!("{:.1}", value(&p) as f64 / 1e3));
+    let parts = leader(m).and_then(|c| c.parts);
+    let part = |value: fn(&DatabaseUsage) -> u64| {
+        parts.map_or("-".into(), |p| format!("{:.1}", value(&p) as f64 / 1e3))
+    };
     let waited = m.core.iter().map(|c| c.waited).fold(0.0, f64::max);
     let [cores, load] = busy(&m.machine);
     vec![
-        m.cell.group.clone(),
-        format!("{} {}", m.cell.size, m.cell.by),
+        m.case.group.clone(),
+        format!("{} {}", m.case.size, m.case.by),
         format!("{:.1}", m.ready_s),
-        format!("{:.2}", m.gate.cpu * 1e3),
-        format!("{:.2} ({:.2})", m.gate.memory.0 / 1e6, m.gate.memory.1 / 1e6),
-        format!("{:.1}", m.gate.messages),
-        format!("{:.0}", m.gate.bytes),
+        format!("{:.2}", m.edge.cpu * 1e3),
+        format!("{:.2} ({:.2})", m.edge.memory.0 / 1e6, m.edge.memory.1 / 1e6),
+        format!("{:.1}", m.edge.messages),
+        format!("{:.0}", m.edge.bytes),
         metric("leader processor", 1.0, 4),
         metric("follower processor", 1.0, 4),
         metric("leader memory", 1e6, 1),
@@ -218,11 +224,11 @@
     vec![metric.into(), unit, cause, by, line.0, line.1, power.0, power.1]
 }
 
-fn lost_row(l: &Lost) -> Vec<String> {
+fn fault_recovery_row(l: &FaultRecovery) -> Vec<String> {
     let time = |t: Option<f64>| t.map_or("not in 30".into(), |t| format!("{t:.2}"));
-    let loss = |l: &Loss| [time(l.acknowledged_s), time(l.in_force_s), time(Some(l.uncounted_s))];
+    let loss = |l: &FaultImpact| [time(l.acknowledged_s), time(l.in_force_s), time(Some(l.uncounted_s))];
     let two = l.two_killed.as_ref().map_or(["-", "-", "-"].map(Into::into), loss);
-    let sizes = [l.cell.tenants.to_string(), l.cell.routes.to_string(), l.cell.core.to_string()];
+    let sizes = [l.case.tenants.to_string(), l.case.routes.to_string(), l.case.core.to_string()];
     let mut row: Vec<String> = sizes.into_iter().chain(loss(&l.killed)).collect();
     row.push(time(l.back_s));
     row.extend(loss(&l.handed_over).into_iter().chain(two));
@@ -232,11 +238,11 @@
 }
 
 /// Cores that the machine used, and its load.
-fn busy(machine: &Machine) -> [String; 2] {
+fn busy(machine: &MachineLoad) -> [String; 2] {
     [format!("{:.1}", machine.busy), format!("{:.1}", machine.load)]
 }
 
-fn compared_row(c: &Compared) -> Vec<String> {
+fn comparison_row(c: &EdgeComparison) -> Vec<String> {
     let ms = |s: &Spread| format!("{:.3} ({:.3} to {:.3})", s.median, s.least, s.most);
     let added = &c.added;
     let mut row = vec![
--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -1,6 +1,7 @@
-//! Owns the hollow gatekeepers: many of the real state machines in one process, each with its own links to a real core
-//! and its own address, without clients. The one place where this tool meets the edge's own types. It must never
-//! leave out work that a gatekeeper does for control.
+//! Simulated edges: many real edge state machines in one process, without clients.
+//!
+//! Each has its own address and its own links to a real core. They do all the work that a real edge does for the control
+//! plane.
 
 use super::operator::ROUTES_A_HOST;
 use super::{children, CapacityError};
@@ -23,7 +24,7 @@
 /// The host and path of the route whose `target` tells which change is in force.
 pub const PROBE: (&str, &str) = ("probe.example", "/probe/");
 
-/// What a process of hollow gatekeepers is to do.
+/// What a process of simulated edges is to do.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Job {
     /// Settings of each, in TOML.
@@ -36,15 +37,16 @@
     pub routes: u32,
     /// A worker takes so long for a request: milliseconds.
     pub work_ms: u64,
-    /// Are the others told what is out?
-    pub tell: bool,
-    /// So many of them count what they say and hear.
+    /// Are load reports sent to the other edges?
+    #[serde(rename = "tell")]
+    pub exchanges_load_reports: bool,
+    /// Number of edges that count their messages.
     pub counted: usize,
 }
 
 /// Messages and bytes, with the length ahead, without the heads of packets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct MessageCount {
     /// Messages.
     pub messages: u64,
     /// Bytes.
@@ -54,14 +56,15 @@
 /// What such a process has seen between `begin` and `end`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// Gatekeepers in it.
-    pub gates: usize,
-    /// Those that counted.
+    /// Edges in it.
+    #[serde(rename = "gates")]
+    pub edges: usize,
+    /// Edges that counted their messages.
     pub counted: usize,
     /// Seconds.
     pub seconds: f64,
     /// By kind, with `said` or `heard` ahead, over those that counted.
-    pub kinds: BTreeMap<String, Tally>,
+    pub kinds: BTreeMap<String, MessageCount>,
     /// Syncs by the core machine that they were said to, over those that counted: the most go to the holder.
     pub syncs: BTreeMap<String, u64>,
     /// By number of a change: gatekeepers that have it in force, and when the last one had (seconds of the epoch).
@@ -71,8 +74,9 @@
     /// The longest that one of those that count had no totals of a holder, from the first on: seconds.
     pub uncounted_s: f64,
     /// Links that went down.
-    pub downs: u64,
-    /// Most seconds that a tick came late.
+    #[serde(rename = "downs")]
+    pub link_downs: u64,
+    /// Largest delay of a tick: seconds.
     pub late_s: f64,
 }
 
@@ -82,14 +86,14 @@
     clock: whinstall_gateway::runtime::Clock,
 }
 
-struct Gate {
+struct SimulatedEdge {
     edge: EdgeLoop,
     links: PeerLinks,
     load_reports: LoadReportSocket,
     counts: bool,
     next: Cell<u64>,
     counted_at: Cell<f64>,
-    out: RefCell<HashMap<(RequestId, u32), tokio::task::AbortHandle>>,
+    in_flight: RefCell<HashMap<(RequestId, u32), tokio::task::AbortHandle>>,
     run: Rc<Run>,
 }
 
@@ -102,7 +106,7 @@
     bytes.get(at + 1..at + 1 + length).and_then(|name| std::str::from_utf8(name).ok()).unwrap_or("?")
 }
 
-impl EdgeDriver for Gate {
+impl EdgeDriver for SimulatedEdge {
     fn edge(&self) -> &EdgeLoop {
         &self.edge
     }
@@ -117,7 +121,7 @@
             }
             Effect::Dispatch { id, attempt, worker, .. } => self.dispatch(id, attempt, worker),
             Effect::CancelAttempt(id, attempt) => {
-                let begun = self.out.borrow_mut().remove(&(id.clone(), attempt));
+                let begun = self.in_flight.borrow_mut().remove(&(id.clone(), attempt));
                 if let Some(begun) = begun {
                     begun.abort();
                 }
@@ -130,7 +134,7 @@
                 };
                 self.run.report.borrow_mut().requests[place] += 1;
             }
-            Effect::SendLoadReport(to, load) if self.run.job.tell => {
+            Effect::SendLoadReport(to, load) if self.run.job.exchanges_load_reports => {
                 let Some(bytes) = self.load_reports.send(&to, &load) else { return };
                 to.iter().for_each(|_| self.count_datagram("said", bytes));
             }
@@ -139,7 +143,7 @@
     }
 }
 
-impl Gate {
+impl SimulatedEdge {
     fn count(&self, way: &str, msg: &PeerMessage, to: IpAddr) {
         if !self.counts {
             return;
@@ -173,17 +177,17 @@
             LinkEvent::Up => this.handle(Event::LinkUp(ip)),
             LinkEvent::Received(msg) => {
                 this.count("heard", &msg, ip);
-                this.heard(Event::CoreMessage(ip, msg));
+                this.handle_core_message(Event::CoreMessage(ip, msg));
             }
             LinkEvent::Down => {
-                this.run.report.borrow_mut().downs += 1;
+                this.run.report.borrow_mut().link_downs += 1;
                 this.handle(Event::LinkDown(ip));
             }
         });
     }
 
-    /// Takes what the core said, and looks whether another configuration is in force.
-    fn heard(self: &Rc<Self>, event: Event) {
+    /// Handles a message of the core, and records when a new configuration is in force.
+    fn handle_core_message(self: &Rc<Self>, event: Event) {
         let before = Arc::clone(&self.edge.node.borrow().active_config);
         self.handle(event);
         let view = Arc::clone(&self.edge.node.borrow().active_config);
@@ -196,30 +200,30 @@
         let (was, is) = (number(&before), number(&view));
         let mut report = self.run.report.borrow_mut();
         for number in was + 1..=is {
-            let (gates, at) = report.in_force.entry(number).or_default();
-            (*gates, *at) = (*gates + 1, children::epoch());
+            let (edges, at) = report.in_force.entry(number).or_default();
+            (*edges, *at) = (*edges + 1, children::epoch());
         }
     }
 
-    /// An attempt: a worker that takes its time and answers.
+    /// Simulates an attempt: the worker answers after `work_ms`.
     fn dispatch(self: &Rc<Self>, id: RequestId, attempt: u32, worker: HostId) {
         let this = Rc::clone(self);
         let key = (id.clone(), attempt);
         let work = Duration::from_millis(self.run.job.work_ms);
         let begun = tokio::task::spawn_local(async move {
             tokio::time::sleep(work).await;
-            this.out.borrow_mut().remove(&(id.clone(), attempt));
+            this.in_flight.borrow_mut().remove(&(id.clone(), attempt));
             this.update(|edge, now, out| {
                 let (id, worker, ending) = (&id, &worker, Ending::Ok);
                 let report = AttemptReport { id, attempt, worker, ending, response_ok: Some(true) };
                 edge.on_attempt_end(now, report, out);
             });
         });
-        self.out.borrow_mut().insert(key, begun.abort_handle());
+        self.in_flight.borrow_mut().insert(key, begun.abort_handle());
     }
 
-    /// One request, of a tenant and to a route that are drawn.
-    fn ask(self: &Rc<Self>) {
+    /// Starts a request with a random tenant and route.
+    fn start_request(self: &Rc<Self>) {
         let job = &self.run.job;
         let view = Arc::clone(&self.edge.node.borrow().active_config);
         let number = fastrand::u32(..job.routes.max(1));
@@ -234,7 +238,7 @@
         self.update(|edge, now, out| edge.on_request(now, arrival, out));
     }
 
-    async fn hear_others(self: Rc<Self>) {
+    async fn receive_load_reports(self: Rc<Self>) {
         self.load_reports
             .receive(|received| {
                 self.count_datagram("heard", received.length);
@@ -246,20 +250,20 @@
     }
 
     async fn tick(self: Rc<Self>) {
-        run_ticks(self, |gate, late| {
-            let mut report = gate.run.report.borrow_mut();
+        run_ticks(self, |simulated, late| {
+            let mut report = simulated.run.report.borrow_mut();
             report.late_s = report.late_s.max(late);
         })
         .await;
     }
 
-    async fn ask_on(self: Rc<Self>) {
+    async fn generate_requests(self: Rc<Self>) {
         let rate = self.run.job.requests_per_s;
         let mut at = tokio::time::Instant::now();
         loop {
             at += Duration::from_secs_f64(-(1.0 - fastrand::f64()).ln() / rate);
             tokio::time::sleep_until(at).await;
-            self.ask();
+            self.start_request();
         }
     }
 
@@ -268,52 +272,52 @@
     }
 }
 
-/// Runs hollow gatekeepers until standard input ends; `begin` and `end` on it bound what is reported.
+/// Runs simulated edges until standard input ends; `begin` and `end` on it bound what is reported.
 pub async fn run(job: Job) -> Result<(), CapacityError> {
     let run =
         Rc::new(Run { job, report: RefCell::default(), clock: whinstall_gateway::runtime::Clock::start() });
-    let mut gates = Vec::new();
+    let mut edges = Vec::new();
     for (number, text) in run.job.settings.iter().enumerate() {
         let settings = Settings::from_toml(text).map_err(|e| CapacityError::Child(e.to_string()))?;
         let port = settings.internal_port;
         let load_reports = LoadReportSocket::bind(settings.ip, port).await.map_err(CapacityError::Socket)?;
-        let gate = Rc::new(Gate {
+        let simulated = Rc::new(SimulatedEdge {
             edge: EdgeLoop::new(EdgeNode::new(settings, fastrand::u64(..)), run.clock),
             links: PeerLinks::new(port),
             load_reports,
             counts: number < run.job.counted,
             next: Cell::new(1),
             counted_at: Cell::new(f64::INFINITY),
-            out: RefCell::default(),
+            in_flight: RefCell::default(),
             run: Rc::clone(&run),
         });
-        gate.update(|edge, _, out| edge.start(out));
-        tokio::task::spawn_local(Rc::clone(&gate).hear_others());
-        tokio::task::spawn_local(Rc::clone(&gate).tick());
-        gates.push(gate);
+        simulated.update(|edge, _, out| edge.start(out));
+        tokio::task::spawn_local(Rc::clone(&simulated).receive_load_reports());
+        tokio::task::spawn_local(Rc::clone(&simulated).tick());
+        edges.push(simulated);
         // Real ones don't start in the same millisecond either.
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    let mut orders = children::orders();
+    let mut commands = children::commands();
     let (mut ready, mut begun) = (false, tokio::time::Instant::now());
     loop {
-        let order = tokio::select! {
-            order = orders.recv() => match order {
-                Some(order) => order,
+        let command = tokio::select! {
+            command = commands.recv() => match command {
+                Some(command) => command,
                 None => return Ok(()),
             },
             () = tokio::time::sleep(Duration::from_millis(50)), if !ready => {
-                ready = gates.iter().all(|g| g.is_ready());
+                ready = edges.iter().all(|g| g.is_ready());
                 if ready {
-                    children::say("ready");
+                    children::send_line("ready");
                 }
                 continue;
             }
         };
-        match order.as_str() {
+        match command.as_str() {
             // Requests run ahead of what is measured, so that nothing is learned in it.
-            "ask" if run.job.requests_per_s > 0.0 => gates.iter().for_each(|gate| {
-                tokio::task::spawn_local(Rc::clone(gate).ask_on());
+            "ask" if run.job.requests_per_s > 0.0 => edges.iter().for_each(|simulated| {
+                tokio::task::spawn_local(Rc::clone(simulated).generate_requests());
             }),
             "begin" => {
                 *run.report.borrow_mut() = Report::default();
@@ -321,9 +325,9 @@
             }
             "end" => {
                 let mut report = run.report.borrow_mut();
-                (report.gates, report.counted) = (gates.len(), run.job.counted.min(gates.len()));
+                (report.edges, report.counted) = (edges.len(), run.job.counted.min(edges.len()));
                 report.seconds = begun.elapsed().as_secs_f64();
-                children::say(&serde_json::to_string(&*report).unwrap_or_default());
+                children::send_line(&serde_json::to_string(&*report).unwrap_or_default());
             }
             _ => {}
         }
--- a/crates/capacity/src/workers.rs
+++ b/crates/capacity/src/workers.rs
@@ -1,5 +1,5 @@
-//! Owns the hollow workers: they call the core as real ones do and, where asked to, take requests and answer at once. It
-//! must never call more often than the platform's heartbeat.
+//! Simulated workers: they call the core as real ones do (at the platform's heartbeat interval) and, where asked to,
+//! serve requests and answer at once.
 
 use super::{children, CapacityError};
 use serde::{Deserialize, Serialize};
@@ -11,17 +11,17 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::{timeout, Instant};
 
-/// A call is over within this.
-const CALL_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a process of hollow workers is to do.
+/// What a process of simulated workers is to do.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Job {
     /// What the ids of these begin with.
     pub name: String,
     /// Group of the loopback network that their addresses are of.
     pub group: u8,
-    /// How many.
+    /// Number of workers.
     pub workers: usize,
     /// Services that they are spread over.
     pub services: usize,
@@ -32,11 +32,14 @@
     /// Where the core is called.
     pub controls: Vec<SocketAddr>,
     /// Time between two heartbeats: milliseconds.
-    pub beat_ms: u64,
-    /// Workers a second, over all of this process, that leave and come back as others.
-    pub replaced_per_s: f64,
+    #[serde(rename = "beat_ms")]
+    pub heartbeat_ms: u64,
+    /// Workers a second, over all of this process, that are replaced by new ones.
+    #[serde(rename = "replaced_per_s")]
+    pub replacements_per_s: f64,
     /// Is a new connection opened for each call?
-    pub fresh: bool,
+    #[serde(rename = "fresh")]
+    pub connects_per_call: bool,
     /// Do they listen and answer requests?
     pub serve: bool,
 }
@@ -62,7 +65,7 @@
     job: Job,
     report: RefCell<Report>,
     times: RefCell<Vec<f64>>,
-    lives: Cell<u64>,
+    incarnations: Cell<u64>,
 }
 
 struct Worker {
@@ -75,7 +78,7 @@
     stream: Option<TcpStream>,
 }
 
-/// Part of the values that lies below, of sorted ones.
+/// The value below which `part` of the sorted values lie; 0 without values.
 pub fn percentile(sorted: &[f64], part: f64) -> f64 {
     let at = ((sorted.len() as f64 * part).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
     sorted.get(at).copied().unwrap_or(0.0)
@@ -110,9 +113,9 @@
 }
 
 impl Run {
-    fn made(&self, number: usize, address: SocketAddr) -> Worker {
-        let life = self.lives.get();
-        self.lives.set(life + 1);
+    fn new_worker(&self, number: usize, address: SocketAddr) -> Worker {
+        let life = self.incarnations.get();
+        self.incarnations.set(life + 1);
         let job = &self.job;
         Worker {
             id: format!("{}-{life}", job.name),
@@ -153,14 +156,14 @@
             let status = answer(&mut stream, &mut read).await?;
             std::io::Result::Ok((status, stream))
         };
-        let ended = timeout(CALL_WITHIN, exchange).await;
+        let ended = timeout(CALL_TIMEOUT, exchange).await;
         let mut report = self.report.borrow_mut();
         report.bytes = (report.bytes.0 + text.len() as u64, report.bytes.1 + read.len() as u64);
         match ended {
             Ok(Ok((status, stream))) if (200..300).contains(&status) => {
                 report.taken += 1;
                 self.times.borrow_mut().push(begun.elapsed().as_secs_f64() * 1e3);
-                worker.stream = Some(stream).filter(|_| !self.job.fresh);
+                worker.stream = Some(stream).filter(|_| !self.job.connects_per_call);
                 true
             }
             _ => {
@@ -171,9 +174,9 @@
         }
     }
 
-    async fn live(self: Rc<Self>, number: usize, address: SocketAddr, replaced_every: Option<f64>) {
-        let beat = Duration::from_millis(self.job.beat_ms);
-        let mut worker = self.made(number, address);
+    async fn run_worker(self: Rc<Self>, number: usize, address: SocketAddr, replaced_every: Option<f64>) {
+        let beat = Duration::from_millis(self.job.heartbeat_ms);
+        let mut worker = self.new_worker(number, address);
         let mut at = Instant::now() + beat.mul_f64(fastrand::f64());
         let life = |every: f64| Instant::now() + Duration::from_secs_f64(every * (0.5 + fastrand::f64()));
         // Those that were there before are of any age.
@@ -183,7 +186,7 @@
             if ends.is_some_and(|end| Instant::now() >= end) {
                 self.call(&mut worker, "heartbeat", "decaying").await;
                 self.call(&mut worker, "departure", "").await;
-                worker = self.made(number, address);
+                worker = self.new_worker(number, address);
                 ends = replaced_every.map(life);
                 self.report.borrow_mut().replaced += 1;
             }
@@ -217,11 +220,15 @@
     }
 }
 
-/// Runs hollow workers until standard input ends; `begin` and `end` on it bound what is reported. Where they serve, their
+/// Runs simulated workers until standard input ends; `begin` and `end` on it bound what is reported. Where they serve, their
 /// addresses are the first line.
 pub async fn run(job: Job) -> Result<(), CapacityError> {
-    let run =
-        Rc::new(Run { job, report: RefCell::default(), times: RefCell::default(), lives: Cell::new(0) });
+    let run = Rc::new(Run {
+        job,
+        report: RefCell::default(),
+        times: RefCell::default(),
+        incarnations: Cell::new(0),
+    });
     let mut addresses = Vec::new();
     for number in 0..run.job.workers {
         let mut address = SocketAddr::new(children::address(run.job.group, number), 8080);
@@ -235,17 +242,17 @@
             });
         }
         addresses.push(address);
-        let each = run.job.workers as f64 / run.job.replaced_per_s;
-        let every = (run.job.replaced_per_s > 0.0).then_some(each);
-        tokio::task::spawn_local(Rc::clone(&run).live(number, address, every));
+        let each = run.job.workers as f64 / run.job.replacements_per_s;
+        let every = (run.job.replacements_per_s > 0.0).then_some(each);
+        tokio::task::spawn_local(Rc::clone(&run).run_worker(number, address, every));
     }
     if run.job.serve {
-        children::say(&serde_json::to_string(&addresses).unwrap_or_default());
+        children::send_line(&serde_json::to_string(&addresses).unwrap_or_default());
     }
-    let mut orders = children::orders();
+    let mut commands = children::commands();
     let mut begun = Instant::now();
-    while let Some(order) = orders.recv().await {
-        match order.as_str() {
+    while let Some(command) = commands.recv().await {
+        match command.as_str() {
             "begin" => {
                 begun = Instant::now();
                 *run.report.borrow_mut() = Report::default();
@@ -257,7 +264,7 @@
                 let mut report = run.report.borrow_mut();
                 report.seconds = begun.elapsed().as_secs_f64();
                 report.ms = (percentile(&times, 0.5), percentile(&times, 0.99), percentile(&times, 1.0));
-                children::say(&serde_json::to_string(&*report).unwrap_or_default());
+                children::send_line(&serde_json::to_string(&*report).unwrap_or_default());
             }
             _ => {}
         }
