--- a/crates/capacity/src/bench.rs
+++ b/crates/capacity/src/bench.rs
@@ -3,7 +3,7 @@
 //! The real edge role runs before workers that answer at once; the same client also calls these workers directly,
 //! through the same loopback, in alternating rounds.
 
-use super::children::Process;
+use super::children::{Process, Usage};
 use super::cluster::{port, start_with, Core};
 use super::machine::{LoadMonitor, MachineLoad};
 use super::operator::{self, Operator, Sizes, ROUTES_A_HOST};
@@ -58,9 +58,9 @@
 /// The two ways, one right after the other.
 #[derive(Clone, Debug, Serialize)]
 pub struct Round {
-    /// Without the gatekeeper.
+    /// Direct.
     pub bare: Report,
-    /// Through it.
+    /// Through the edge.
     pub through: Report,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// What the gatekeeper adds, at the median of requests and at the 99th percentile. Rounds of the two ways take turns, and
+/// Latency that the edge adds, at the median of requests and at the 99th percentile. Rounds of the two ways take turns, and
 /// each is compared with its own twin, so that what else the machine does meanwhile strikes both alike.
 #[derive(Clone, Debug, Serialize)]
 pub struct Added {
@@ -242,13 +242,13 @@
     Ok(())
 }
 
-fn clients(folder: &Path, job: &Job) -> Result<Report, CapacityError> {
+fn run_clients(folder: &Path, job: &Job) -> Result<Report, CapacityError> {
     let clients = start_with(folder, "clients", "clients", job)?;
     let line = clients.line(Instant::now() + Duration::from_secs_f64(job.seconds + 20.0))?;
     serde_json::from_str(&line).map_err(|e| CapacityError::Child(format!("clients: {e}")))
 }
 
-fn ready(at: SocketAddr) -> bool {
+fn is_ready(at: SocketAddr) -> bool {
     use std::io::{Read, Write};
     let request = || -> std::io::Result<bool> {
         let mut stream = std::net::TcpStream::connect(at)?;
@@ -261,13 +261,12 @@
     request().unwrap_or(false)
 }
 
-/// Compares at each rate (0: as many as come back on 64 connections), in an empty folder.
-pub fn compare(folder: &Path, plan: &Comparison) -> Result<Vec<EdgeComparison>, CapacityError> {
-    let Comparison { sizes, limit, ref rates, seconds, heartbeat_ms, .. } = *plan;
-    let (routes, tenants) = sizes;
-    let core = Core::start(folder, 1, 1, heartbeat_ms)?;
-    let set = operator::full_configuration(Sizes { routes, tenants, keys: 1, services: 1, rate: limit });
-    Operator::new(core.controls.clone()).amend(&set, Duration::from_secs(60))?;
+/// Starts workers that serve requests; with their addresses.
+fn start_serving_workers(
+    folder: &Path,
+    core: &Core,
+    heartbeat_ms: u64,
+) -> Result<(Process, Vec<SocketAddr>), CapacityError> {
     let job = workers::Job {
         name: "i".into(),
         group: 9,
@@ -283,65 +282,89 @@
     };
     let workers = start_with(folder, "workers", "workers", &job)?;
     let line = workers.line(Instant::now() + Duration::from_secs(10))?;
-    let bare: Vec<SocketAddr> =
-        serde_json::from_str(&line).map_err(|e| CapacityError::Child(format!("workers: {e}")))?;
+    let addresses = serde_json::from_str(&line).map_err(|e| CapacityError::Child(format!("workers: {e}")))?;
+    Ok((workers, addresses))
+}
+
+/// Starts a real edge and waits until it is ready; with the address that clients call.
+fn start_edge(folder: &Path, core: &Core) -> Result<(Process, SocketAddr), CapacityError> {
     let at = |port| SocketAddr::new(children::address(2, 0), port);
     let (front, ready_at) = (at(port()?), at(port()?));
-    let ends = format!("front_http = \"{front}\"\nready_port = \"{ready_at}\"\n");
-    let settings = core.write("edge", &core.settings(2, 0, &ends))?;
+    let endpoints = format!("front_http = \"{front}\"\nready_port = \"{ready_at}\"\n");
+    let settings = core.write("edge", &core.settings(2, 0, &endpoints))?;
     let edge = Process::start("edge", &["role", "edge"], Some(&settings), &folder.join("edge.log"))?;
     let until = Instant::now() + Duration::from_secs(40);
-    while !ready(ready_at) {
+    while !is_ready(ready_at) {
         if Instant::now() > until {
             return Err(CapacityError::Child("the gatekeeper is not ready after 40 s".into()));
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    let (begun, before) = (Instant::now(), edge.usage());
-    std::thread::sleep(Duration::from_secs_f64(seconds));
-    let idle_cpu = (edge.usage().cpu_s - before.cpu_s) / begun.elapsed().as_secs_f64();
-    let mut found = Vec::new();
-    for rate in rates {
-        let job = |to: Vec<SocketAddr>| Job {
-            to,
-            rate: *rate,
-            seconds,
-            warm_up_s: WARM_UP_S,
-            connections: 64,
-            routes,
-            tenants,
-        };
-        let (watch, mut rounds) = (LoadMonitor::begin(), Vec::new());
-        let (mut took, mut spent, mut waited, mut after) = (0.0, 0.0, 0.0, before);
-        for _ in 0..plan.rounds {
-            let bare = clients(folder, &job(bare.clone()))?;
-            let (begun, before) = (Instant::now(), edge.usage());
-            let through = clients(folder, &job(vec![front]))?;
+    Ok((edge, front))
+}
+
+/// A running edge with workers behind it.
+struct Setup<'a> {
+    folder: &'a Path,
+    plan: &'a Comparison,
+    edge: Process,
+    front: SocketAddr,
+    workers: Vec<SocketAddr>,
+    idle_cpu: f64,
+}
+
+impl Setup<'_> {
+    /// Compares at one rate.
+    fn compare_at(&self, rate: f64) -> Result<EdgeComparison, CapacityError> {
+        let Comparison { sizes, limit, seconds, .. } = *self.plan;
+        let (routes, tenants) = sizes;
+        let job = |to| Job { to, rate, seconds, warm_up_s: WARM_UP_S, connections: 64, routes, tenants };
+        let (monitor, mut rounds) = (LoadMonitor::begin(), Vec::new());
+        let (mut took, mut spent, mut waited) = (0.0, 0.0, 0.0);
+        let mut after = Usage::default();
+        for _ in 0..self.plan.rounds {
+            let bare = run_clients(self.folder, &job(self.workers.clone()))?;
+            let (begun, before) = (Instant::now(), self.edge.usage());
+            let through = run_clients(self.folder, &job(vec![self.front]))?;
             took += begun.elapsed().as_secs_f64();
-            after = edge.usage();
+            after = self.edge.usage();
             spent += after.cpu_s - before.cpu_s;
             waited += after.waited_s - before.waited_s;
             rounds.push(Round { bare, through });
         }
         let served: u64 = rounds.iter().map(|r| r.through.served).sum();
         let failed: u64 = rounds.iter().map(|r| r.through.failed).sum();
-        // The first part of a second is not counted among the requests, but its work is done.
+        // Requests of the warm-up are not counted, but their processor time is.
         let requests = (served + failed) as f64 * (seconds + WARM_UP_S) / seconds;
-        found.push(EdgeComparison {
+        Ok(EdgeComparison {
             sizes,
             limit,
-            rate: *rate,
-            machine: watch.end(),
+            rate,
+            machine: monitor.end(),
             served: (served as f64 / (seconds * rounds.len().max(1) as f64), failed),
             added: Added::new(&rounds),
             rounds,
-            idle_cpu,
+            idle_cpu: self.idle_cpu,
             cpu: spent / took,
             waited: waited / took,
             cpu_ms: spent / requests.max(1.0) * 1e3,
             memory: after.peak,
             descriptors: after.descriptors,
-        });
+        })
     }
-    Ok(found)
+}
+
+/// Compares at each rate (0: as many as come back on 64 connections), in an empty folder.
+pub fn compare(folder: &Path, plan: &Comparison) -> Result<Vec<EdgeComparison>, CapacityError> {
+    let Comparison { sizes: (routes, tenants), limit, seconds, heartbeat_ms, .. } = *plan;
+    let core = Core::start(folder, 1, 1, heartbeat_ms)?;
+    let body = operator::full_configuration(Sizes { routes, tenants, keys: 1, services: 1, rate: limit });
+    Operator::new(core.controls.clone()).amend(&body, Duration::from_secs(60))?;
+    let (_workers, workers) = start_serving_workers(folder, &core, heartbeat_ms)?;
+    let (edge, front) = start_edge(folder, &core)?;
+    let (begun, before) = (Instant::now(), edge.usage());
+    std::thread::sleep(Duration::from_secs_f64(seconds));
+    let idle_cpu = (edge.usage().cpu_s - before.cpu_s) / begun.elapsed().as_secs_f64();
+    let setup = Setup { folder, plan, edge, front, workers, idle_cpu };
+    plan.rates.iter().map(|rate| setup.compare_at(*rate)).collect()
 }
--- a/crates/capacity/src/cluster.rs
+++ b/crates/capacity/src/cluster.rs
@@ -84,7 +84,7 @@
     pub cpu: f64,
     /// Cores that it waited for (runnable but not running).
     pub waited: f64,
-    /// Resident bytes at the end, and the most.
+    /// Resident bytes at the end, and their peak.
     pub memory: (u64, u64),
     /// Descriptors at the end.
     pub descriptors: usize,
@@ -105,7 +105,7 @@
     pub cpu: f64,
     /// Cores that those waited for.
     pub waited: f64,
-    /// Resident bytes of its part of a process, at the end and the most.
+    /// Resident bytes of its part of a process, at the end and at their peak.
     pub memory: (f64, f64),
     /// Messages and bytes a second, by kind.
     pub kinds: BTreeMap<String, (f64, f64)>,
@@ -129,7 +129,7 @@
     pub faults: Vec<String>,
     /// Seconds to the acknowledgement of the first configuration, and its bytes.
     pub first: (f64, usize),
-    /// Seconds until all gatekeepers were ready.
+    /// Seconds until all edges were ready.
     pub ready_s: f64,
     /// Seconds that were measured.
     pub seconds: f64,
@@ -143,9 +143,9 @@
     pub edges_cpu: f64,
     /// The simulated workers.
     pub workers: workers::Report,
-    /// Milliseconds from each change's sending to its acknowledgement: median, most.
+    /// Milliseconds from each change's sending to its acknowledgement: median, maximum.
     pub ack_ms: (f64, f64),
-    /// And until it was in force at the last gatekeeper: median, most.
+    /// And until it was in force at the last edge: median, maximum.
     pub in_force_ms: (f64, f64),
     /// Changes that were sent, and those that were in force everywhere by the end.
     pub changes: (usize, usize),
@@ -176,7 +176,7 @@
 }
 
 impl Core {
-    /// Waits until all gatekeepers of these processes are ready; an error if the core takes too much memory meanwhile.
+    /// Waits until all edges of these processes are ready; an error if the core takes too much memory meanwhile.
     pub fn wait_ready(&self, edges: &[Process], within: Duration) -> Result<(), CapacityError> {
         let until = Instant::now() + within;
         for edge in edges {
@@ -255,7 +255,7 @@
         Ok(path)
     }
 
-    /// Settings of the `number`th machine of a group of addresses: 1, the core; others, gatekeepers.
+    /// Settings of the `number`th machine of a group of addresses: 1, the core; others, edges.
     pub fn settings(&self, group: u8, number: usize, endpoints: &str) -> String {
         let (ip, zone) = (address(group, number), number % self.zones.max(1));
         let seeds: Vec<String> = self.controls.iter().take(3).map(|c| format!("\"{c}\"")).collect();
@@ -302,7 +302,7 @@
 /// Upper bound of the resident memory of a core machine; beyond it the measurement is aborted.
 const MAX_CORE_MEMORY_BYTES: u64 = 3_000_000_000;
 
-/// In which processes the gatekeepers run: how many in each; the first one's count their messages.
+/// Edges of each process; those of the first one count their messages.
 fn split(edges: usize, edges_per_process: usize) -> Vec<usize> {
     let counting = (edges / 2).clamp(1, 4);
     let rest = edges - counting;
@@ -358,7 +358,7 @@
     Ok(started)
 }
 
-/// Median and most.
+/// Median and maximum.
 fn spread(mut values: Vec<f64>) -> (f64, f64) {
     values.sort_by(f64::total_cmp);
     (workers::percentile(&values, 0.5), workers::percentile(&values, 1.0))
@@ -375,17 +375,25 @@
     serde_json::from_str(&line).map_err(|e| CapacityError::Child(format!("{}: {e}", process.name)))
 }
 
-/// Sends as many changes as come to what is measured, however long each takes; of each: its number, when it was sent,
-/// seconds to its acknowledgement.
-fn send_changes(case: &Case, operator: &mut Operator, faults: &mut Vec<String>) -> Vec<(u64, f64, f64)> {
+/// A change of the configuration that was acknowledged.
+struct SentChange {
+    number: u64,
+    /// Seconds of the epoch.
+    sent_at: f64,
+    /// Seconds from its sending to its acknowledgement.
+    acknowledged_s: f64,
+}
+
+/// Sends the changes of a case one after another, at its rate or more slowly; ends early at the first failure.
+fn send_changes(case: &Case, operator: &mut Operator, faults: &mut Vec<String>) -> Vec<SentChange> {
     let begun = Instant::now();
     let mut sent = Vec::new();
     let wanted = (case.changes_per_s * case.seconds).round() as usize;
     while sent.len() < wanted {
         let number = sent.len() as u64 + 2;
-        let at = children::epoch();
+        let sent_at = children::epoch();
         match operator.amend(&operator::probe_change(number), Duration::from_secs(20)) {
-            Ok(took) => sent.push((number, at, took)),
+            Ok(acknowledged_s) => sent.push(SentChange { number, sent_at, acknowledged_s }),
             Err(error) => {
                 faults.push(format!("change {number}: {error}"));
                 break;
@@ -398,6 +406,108 @@
     sent
 }
 
+/// What was observed between `begin` and `end`.
+struct Observation {
+    machine: MachineLoad,
+    seconds: f64,
+    /// Usage of the core machines, then of the edge processes, at the beginning...
+    before: Vec<Usage>,
+    /// ...and at the end.
+    after: Vec<Usage>,
+    changes: Vec<SentChange>,
+    /// Of each core machine; missing without `ss`.
+    peer_bytes_per_s: Option<Vec<f64>>,
+    edge_reports: Vec<simulated_edges::Report>,
+    worker_reports: Vec<workers::Report>,
+}
+
+impl Observation {
+    /// Address of the core machine that led the quota counter: most syncs went there.
+    fn leader(&self) -> Option<String> {
+        let mut syncs: BTreeMap<&str, u64> = BTreeMap::new();
+        let all = self.edge_reports.iter().flat_map(|r| &r.syncs);
+        all.for_each(|(ip, n)| *syncs.entry(ip).or_default() += n);
+        syncs.iter().max_by_key(|(_, n)| **n).map(|(ip, _)| (*ip).to_owned())
+    }
+
+    /// Usage of each core machine, without the content of its files.
+    fn core_usages(&self, core: &Core) -> Vec<CoreUsage> {
+        let leader = self.leader();
+        let usage = |i: usize| {
+            let (was, is) = (self.before[i], self.after[i]);
+            CoreUsage {
+                is_leader: leader.as_deref() == Some(address(1, i).to_string().as_str()),
+                cpu: (is.cpu_s - was.cpu_s) / self.seconds,
+                waited: (is.waited_s - was.waited_s) / self.seconds,
+                memory: (is.rss, is.peak),
+                descriptors: is.descriptors,
+                disk: children::folder_bytes(&core.data(i)),
+                parts: None,
+                written_per_s: (is.written - was.written) as f64 / self.seconds,
+                peers_per_s: self.peer_bytes_per_s.as_ref().map(|rates| rates[i]),
+            }
+        };
+        (0..core.processes.len()).map(usage).collect()
+    }
+
+    /// Milliseconds from the sending of each change to its activation at the last of `edges` edges; changes that were
+    /// not active everywhere are left out.
+    fn activation_ms(&self, edges: usize) -> Vec<f64> {
+        let mut in_force: BTreeMap<u64, (usize, f64)> = BTreeMap::new();
+        for (number, (edges, at)) in self.edge_reports.iter().flat_map(|r| &r.in_force) {
+            let sum = in_force.entry(*number).or_default();
+            *sum = (sum.0 + edges, sum.1.max(*at));
+        }
+        let everywhere = self.changes.iter().filter_map(|change| {
+            let (_, last) = in_force.get(&change.number).filter(|(count, _)| *count == edges)?;
+            Some((last - change.sent_at) * 1e3)
+        });
+        everywhere.collect()
+    }
+}
+
+/// Sends the changes of a case and collects usages and reports meanwhile.
+fn observe(
+    case: &Case,
+    core: &Core,
+    operator: &mut Operator,
+    mut edges: Vec<Process>,
+    mut worker_processes: Vec<Process>,
+    faults: &mut Vec<String>,
+) -> Result<Observation, CapacityError> {
+    let pids: Vec<u32> = core.processes.iter().map(Process::pid).collect();
+    let (links, links_at) = (children::sent_to_port(core.internal_port, &pids), Instant::now());
+    edges.iter_mut().chain(&mut worker_processes).try_for_each(|p| p.send_command("begin"))?;
+    let (at, before, monitor) =
+        (Instant::now(), process_usages(&core.processes, &edges), LoadMonitor::begin());
+    let changes = send_changes(case, operator, faults);
+    let (seconds, after, machine) =
+        (at.elapsed().as_secs_f64(), process_usages(&core.processes, &edges), monitor.end());
+    if !changes.is_empty() {
+        // The last change may still be in flight.
+        std::thread::sleep(Duration::from_secs(2));
+    }
+    edges.iter_mut().chain(&mut worker_processes).try_for_each(|p| p.send_command("end"))?;
+    let links_s = links_at.elapsed().as_secs_f64();
+    let links_after = children::sent_to_port(core.internal_port, &pids);
+    let peer_bytes_per_s = links.zip(links_after).map(|(before, after)| {
+        let pairs = before.iter().zip(&after);
+        pairs.map(|(was, is)| (is.1 as f64 - was.1 as f64).max(0.0) / links_s).collect()
+    });
+    let edge_reports = edges.iter().map(report).collect::<Result<_, _>>()?;
+    let worker_reports = worker_processes.iter().map(report).collect::<Result<_, _>>()?;
+    Ok(Observation {
+        machine,
+        seconds,
+        before,
+        after,
+        changes,
+        peer_bytes_per_s,
+        edge_reports,
+        worker_reports,
+    })
+}
+
 /// Measures a case in an empty folder.
 pub fn measure(folder: &Path, case: &Case) -> Result<Measurement, CapacityError> {
     let mut faults = Vec::new();
@@ -406,7 +516,7 @@
     let body = operator::full_configuration(case.sizes());
     let first = (operator.amend(&body, Duration::from_secs(60))?, body.len());
     drop(body);
-    let mut worker_processes = start_workers(folder, case, &core.controls)?;
+    let worker_processes = start_workers(folder, case, &core.controls)?;
     let begun = Instant::now();
     let mut edges = start_edges(folder, case, &core)?;
     match core.wait_ready(&edges, Duration::from_secs(60)) {
@@ -417,80 +527,39 @@
     let ready_s = begun.elapsed().as_secs_f64();
     edges.iter_mut().try_for_each(|g| g.send_command("ask"))?;
     std::thread::sleep(Duration::from_secs_f64(case.warm_up_s));
-    let pids: Vec<u32> = core.processes.iter().map(Process::pid).collect();
-    let (links, links_at) = (children::sent_to_port(core.internal_port, &pids), Instant::now());
-    edges.iter_mut().chain(&mut worker_processes).try_for_each(|p| p.send_command("begin"))?;
-    let (at, before, watch) = (Instant::now(), process_usages(&core.processes, &edges), LoadMonitor::begin());
-    let sent = send_changes(case, &mut operator, &mut faults);
-    let (seconds, after, machine) =
-        (at.elapsed().as_secs_f64(), process_usages(&core.processes, &edges), watch.end());
-    if !sent.is_empty() {
-        // The last one may be on its way still.
-        std::thread::sleep(Duration::from_secs(2));
-    }
-    edges.iter_mut().chain(&mut worker_processes).try_for_each(|p| p.send_command("end"))?;
-    let links_s = links_at.elapsed().as_secs_f64();
-    let links_after = children::sent_to_port(core.internal_port, &pids);
-    let told: Vec<simulated_edges::Report> = edges.iter().map(report).collect::<Result<_, _>>()?;
-    let worked: Vec<workers::Report> = worker_processes.iter().map(report).collect::<Result<_, _>>()?;
-    drop((edges, worker_processes));
-
-    let mut syncs: BTreeMap<&str, u64> = BTreeMap::new();
-    told.iter().flat_map(|t| &t.syncs).for_each(|(ip, n)| *syncs.entry(ip).or_default() += n);
-    let leader = syncs.iter().max_by_key(|(_, n)| **n).map(|(ip, _)| (*ip).to_owned());
-    let uses = core.processes.iter().enumerate().map(|(i, _)| {
-        let (was, is) = (before[i], after[i]);
-        let peers = |links: &Option<Vec<(u32, u64)>>| links.as_ref().map(|l| l[i].1 as f64);
-        CoreUsage {
-            is_leader: leader.as_deref() == Some(address(1, i).to_string().as_str()),
-            cpu: (is.cpu_s - was.cpu_s) / seconds,
-            waited: (is.waited_s - was.waited_s) / seconds,
-            memory: (is.rss, is.peak),
-            descriptors: is.descriptors,
-            disk: children::folder_bytes(&core.data(i)),
-            parts: None,
-            written_per_s: (is.written - was.written) as f64 / seconds,
-            peers_per_s: peers(&links_after).zip(peers(&links)).map(|(b, a)| (b - a).max(0.0) / links_s),
-        }
-    });
-    let mut uses: Vec<CoreUsage> = uses.collect();
-    let n = core.processes.len();
-    let spent = |i: usize| (after[n + i].cpu_s - before[n + i].cpu_s) / seconds;
-    let edges_cpu = (0..told.len()).map(spent).sum();
-    let folders: Vec<PathBuf> = (0..n).map(|i| core.data(i)).collect();
-    // Files are read once nobody writes them any more.
+    let observed = observe(case, &core, &mut operator, edges, worker_processes, &mut faults)?;
+
+    let mut core_usages = observed.core_usages(&core);
+    let machines = core.processes.len();
+    let folders: Vec<PathBuf> = (0..machines).map(|i| core.data(i)).collect();
+    // The databases are opened only after the processes that write them have ended.
     drop(core);
-    for (used, folder) in uses.iter_mut().zip(folders) {
+    for (usage, folder) in core_usages.iter_mut().zip(folders) {
         match files::read(&folder) {
-            Ok(parts) => used.parts = Some(parts),
+            Ok(parts) => usage.parts = Some(parts),
             Err(error) => faults.push(error),
         }
     }
-    let mut in_force: BTreeMap<u64, (usize, f64)> = BTreeMap::new();
-    for (number, (edges, at)) in told.iter().flat_map(|t| &t.in_force) {
-        let sum = in_force.entry(*number).or_default();
-        *sum = (sum.0 + edges, sum.1.max(*at));
-    }
-    let everywhere = sent.iter().filter_map(|(number, at, _)| {
-        in_force.get(number).filter(|(edges, _)| *edges == case.edges).map(|(_, last)| (last - at) * 1e3)
-    });
-    let everywhere: Vec<f64> = everywhere.collect();
+    let (before, after) = (&observed.before[machines..], &observed.after[machines..]);
+    let spent = before.iter().zip(after).map(|(was, is)| (is.cpu_s - was.cpu_s) / observed.seconds);
+    let activation_ms = observed.activation_ms(case.edges);
+    let reports = &observed.edge_reports;
     Ok(Measurement {
         case: case.clone(),
-        machine,
+        machine: observed.machine,
         faults,
         first,
         ready_s,
-        seconds,
-        core: uses,
-        edge: edge_usage(&told, &before[n..], &after[n..], seconds),
-        edges_cpu,
-        workers: total_worker_report(worked),
-        ack_ms: spread(sent.iter().map(|s| s.2 * 1e3).collect()),
-        changes: (sent.len(), everywhere.len()),
-        in_force_ms: spread(everywhere),
-        link_downs: told.iter().map(|t| t.link_downs).sum(),
-        late_s: told.iter().map(|t| t.late_s).fold(0.0, f64::max),
+        seconds: observed.seconds,
+        core: core_usages,
+        edge: edge_usage(reports, before, after, observed.seconds),
+        edges_cpu: spent.sum(),
+        ack_ms: spread(observed.changes.iter().map(|c| c.acknowledged_s * 1e3).collect()),
+        changes: (observed.changes.len(), activation_ms.len()),
+        in_force_ms: spread(activation_ms),
+        link_downs: reports.iter().map(|r| r.link_downs).sum(),
+        late_s: reports.iter().map(|r| r.late_s).fold(0.0, f64::max),
+        workers: total_worker_report(observed.worker_reports),
     })
 }
 
@@ -511,16 +580,16 @@
     sum
 }
 
-/// What one gatekeeper used: processor and memory of those that don't count, messages of those that do.
+/// Mean usage of one edge: processor and memory of the processes that don't count messages, messages of the one that does.
 fn edge_usage(
-    told: &[simulated_edges::Report],
+    reports: &[simulated_edges::Report],
     before: &[Usage],
     after: &[Usage],
     seconds: f64,
 ) -> EdgeUsage {
-    let plain = usize::from(told.len() > 1);
+    let plain = usize::from(reports.len() > 1);
     let mut edge = EdgeUsage::default();
-    let edges: usize = told[plain..].iter().map(|t| t.edges).sum();
+    let edges: usize = reports[plain..].iter().map(|t| t.edges).sum();
     let each = 1.0 / edges.max(1) as f64;
     for (was, is) in before.iter().zip(after).skip(plain) {
         edge.cpu += (is.cpu_s - was.cpu_s) / seconds * each;
@@ -528,7 +597,7 @@
         edge.memory.0 += is.rss as f64 * each;
         edge.memory.1 += is.peak as f64 * each;
     }
-    for t in told.iter().filter(|t| t.counted > 0) {
+    for t in reports.iter().filter(|t| t.counted > 0) {
         let each = 1.0 / (t.counted as f64 * t.seconds.max(1e-3));
         for (kind, tally) in &t.kinds {
             let (messages, bytes) = (tally.messages as f64 * each, tally.bytes as f64 * each);
@@ -536,8 +605,8 @@
             (edge.messages, edge.bytes) = (edge.messages + messages, edge.bytes + bytes);
         }
     }
-    let all: usize = told.iter().map(|t| t.edges).sum();
-    for t in told {
+    let all: usize = reports.iter().map(|t| t.edges).sum();
+    for t in reports {
         let each = 1.0 / (all.max(1) as f64 * t.seconds.max(1e-3));
         (0..4).for_each(|i| edge.requests[i] += t.requests[i] as f64 * each);
     }
--- a/crates/capacity/src/fault_recovery.rs
+++ b/crates/capacity/src/fault_recovery.rs
@@ -130,16 +130,56 @@
         self.core.start_again(number)?;
         Ok(until(started, || Operator::serves_configuration(self.core.controls[number])))
     }
+
+    /// Shuts the leader down gracefully, and restarts it.
+    fn hand_over(&mut self, leader: usize) -> Result<FaultImpact, CapacityError> {
+        let impact = self.inject_fault(|core| core.processes[leader].terminate())?;
+        let terminated = Instant::now();
+        while !self.core.processes[leader].has_ended() && terminated.elapsed() < GRACE {
+            std::thread::sleep(Duration::from_millis(20));
+        }
+        self.core.processes[leader].kill();
+        self.restart(leader)?;
+        Ok(impact)
+    }
+
+    /// Kills the leader and another machine at once, and restarts both.
+    fn kill_two(&mut self) -> Result<FaultImpact, CapacityError> {
+        let leader = self.leader()?;
+        let both = [leader, (leader + 1) % self.core.processes.len()];
+        let impact = self.inject_fault(|core| {
+            both.iter().for_each(|n| core.processes[*n].kill());
+            Ok(())
+        })?;
+        both.iter().try_for_each(|n| self.restart(*n).map(drop))?;
+        Ok(impact)
+    }
+
+    /// Restarts a machine with an empty disk; seconds until it serves the configuration and its files hold at least half
+    /// of `configuration_bytes`.
+    fn refill(&mut self, number: usize, configuration_bytes: u64) -> Result<Option<f64>, CapacityError> {
+        self.core.processes[number].kill();
+        let data = self.core.data(number);
+        let emptied = std::fs::remove_dir_all(&data).and_then(|()| std::fs::create_dir_all(&data));
+        emptied.map_err(|e| CapacityError::File(data.display().to_string(), e))?;
+        let started = Instant::now();
+        self.core.start_again(number)?;
+        let control = self.core.controls[number];
+        Ok(until(started, || {
+            2 * children::folder_bytes(&data) >= configuration_bytes
+                && Operator::serves_configuration(control)
+        }))
+    }
 }
 
 /// Measures a case in an empty folder.
 pub fn measure(folder: &Path, case: &Case) -> Result<FaultRecovery, CapacityError> {
-    let watch = LoadMonitor::begin();
+    let monitor = LoadMonitor::begin();
     let core = Core::start(folder, case.core, case.zones, case.heartbeat_ms)?;
     let mut operator = Operator::new(core.controls.clone());
     let configuration = operator::full_configuration(case.sizes());
     operator.amend(&configuration, 2 * MAX_WAIT)?;
-    let _hands = cluster::start_workers(folder, case, &core.controls)?;
+    let _workers = cluster::start_workers(folder, case, &core.controls)?;
     let edges = cluster::start_edges(folder, case, &core)?;
     core.wait_ready(&edges, Duration::from_secs(60))?;
     let mut run = Run { case, core, operator, edges, number: 1 };
@@ -153,40 +193,13 @@
     let disk = children::folder_bytes(&run.core.data(leader));
 
     let leader = run.leader()?;
-    let handed_over = run.inject_fault(|core| core.processes[leader].terminate())?;
-    let terminated = Instant::now();
-    while !run.core.processes[leader].has_ended() && terminated.elapsed() < GRACE {
-        std::thread::sleep(Duration::from_millis(20));
-    }
-    run.core.processes[leader].kill();
-    run.restart(leader)?;
-
-    let mut two_killed = None;
-    if case.core >= 5 {
-        let (leader, machines) = (run.leader()?, run.core.processes.len());
-        let both = [leader, (leader + 1) % machines];
-        two_killed = Some(run.inject_fault(|core| {
-            both.iter().for_each(|n| core.processes[*n].kill());
-            Ok(())
-        })?);
-        both.iter().try_for_each(|n| run.restart(*n).map(drop))?;
-    }
-
+    let handed_over = run.hand_over(leader)?;
+    let two_killed = if case.core >= 5 { Some(run.kill_two()?) } else { None };
     let other = (leader + 1) % run.core.processes.len();
-    run.core.processes[other].kill();
-    let data = run.core.data(other);
-    let emptied = std::fs::remove_dir_all(&data).and_then(|()| std::fs::create_dir_all(&data));
-    emptied.map_err(|e| CapacityError::File(data.display().to_string(), e))?;
-    let started = Instant::now();
-    run.core.start_again(other)?;
-    let control = run.core.controls[other];
-    let refilled_s = until(started, || {
-        2 * children::folder_bytes(&data) >= configuration.len() as u64
-            && Operator::serves_configuration(control)
-    });
+    let refilled_s = run.refill(other, configuration.len() as u64)?;
     Ok(FaultRecovery {
         case: case.clone(),
-        machine: watch.end(),
+        machine: monitor.end(),
         killed,
         back_s,
         handed_over,
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -5,7 +5,7 @@
 /// A straight line, fitted so that the parts by which the figures miss it are least.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Its value at nought.
+    /// Its value at zero.
     pub base: f64,
     /// What each further unit adds.
     pub slope: f64,
@@ -39,7 +39,7 @@
     pub points: Vec<(f64, f64)>,
     /// The line; missing with fewer than two sizes.
     pub line: Option<Line>,
-    /// The power; missing with fewer than two sizes or a figure that is not above nought.
+    /// The power; missing with fewer than two sizes or a figure that is not positive.
     pub power: Option<Power>,
 }
 
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -75,6 +75,11 @@
 }
 
 fn full() -> Vec<Case> {
+    [edge_cases(), worker_cases(), configuration_cases(), core_cases()].concat()
+}
+
+/// The size is the number of edges.
+fn edge_cases() -> Vec<Case> {
     let mut cases = cases_by_edges("idle", &EDGE_COUNTS, |c| c);
     cases.extend(cases_by_edges("changes", &EDGE_COUNTS, |c| Case { changes_per_s: 1.0, ..c }));
     cases.extend(cases_by_edges("replaced", &EDGE_COUNTS[..3], |c| Case {
@@ -88,6 +93,12 @@
         ..asked(c)
     }));
     cases.extend(cases_by_edges("requests, told", &[11, 30, 87], asked));
+    cases
+}
+
+/// The size is the number of workers.
+fn worker_cases() -> Vec<Case> {
+    let mut cases = Vec::new();
     for workers in [34, 450, 2000, 14_000] {
         cases.push(Case {
             workers,
@@ -108,6 +119,29 @@
             ..connects_per_call
         });
     }
+    cases
+}
+
+/// Few edges that change slowly.
+fn few_edges(case: Case) -> Case {
+    Case { edges: 4, changes_per_s: 0.5, seconds: 20.0, ..case }
+}
+
+/// Everything of the operators' plan in two years, with few edges.
+fn full_size() -> Case {
+    Case {
+        routes: 4600,
+        tenants: 37_000,
+        services: 310,
+        workers: 14_000,
+        edges_per_process: 1,
+        ..case("whole", "gatekeepers", 4.0)
+    }
+}
+
+/// The size is that of the configuration.
+fn configuration_cases() -> Vec<Case> {
+    let mut cases = Vec::new();
     for tenants in [20, 100, 400, 1600] {
         let charged = case("charges", "tenants", f64::from(tenants));
         cases.push(Case {
@@ -122,38 +156,35 @@
         let many = case("services", "services", services as f64);
         cases.push(Case { services, workers: 620, ..many });
     }
-    let few = |c: Case| Case { edges: 4, changes_per_s: 0.5, seconds: 20.0, ..c };
     for tenants in [100, 4000, 12_000, 37_000] {
-        cases.push(few(Case { tenants, ..case("tenants held", "tenants", f64::from(tenants)) }));
+        cases.push(few_edges(Case { tenants, ..case("tenants held", "tenants", f64::from(tenants)) }));
     }
     for keys in [1, 2, 4, 8] {
         let many = case("keys held", "keys of each of 4000 tenants", f64::from(keys));
-        cases.push(few(Case { tenants: 4000, keys, ..many }));
+        cases.push(few_edges(Case { tenants: 4000, keys, ..many }));
     }
     for routes in [20, 500, 1500, 4600] {
-        cases.push(few(Case {
+        cases.push(few_edges(Case {
             routes,
             services: 310,
             workers: 310,
             ..case("routes held", "routes", f64::from(routes))
         }));
     }
-    let full_size = Case {
-        routes: 4600,
-        tenants: 37_000,
-        services: 310,
-        workers: 14_000,
-        edges_per_process: 1,
-        ..case("whole", "gatekeepers", 4.0)
-    };
-    cases.push(few(full_size.clone()));
+    cases.push(few_edges(full_size()));
+    cases
+}
+
+/// The size is the number of core machines, or of edges that start at once.
+fn core_cases() -> Vec<Case> {
+    let mut cases = Vec::new();
     for core in [3, 5, 8] {
         let more = case("members", "core machines", core as f64);
         cases.push(Case { core, edges: 87, zones: 10, changes_per_s: 1.0, ..more });
     }
-    // A start of all with the whole configuration, as far as memory reaches: few in a process, as they share a core.
+    // All edges start at once with the full configuration, up to the limits of memory.
     for edges in [4, 11, 30, 87] {
-        let all = Case { edges, workers: 310, edges_per_process: 8, ..full_size.clone() };
+        let all = Case { edges, workers: 310, edges_per_process: 8, ..full_size() };
         cases.push(Case { group: "starts".into(), size: edges as f64, ..all });
     }
     cases
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -26,8 +26,17 @@
     pub uncompared: Vec<String>,
 }
 
-/// A metric of a measurement: its name, its unit, how it is read; `None`: not measured here.
-type Metric = (&'static str, &'static str, fn(&Measurement) -> Option<f64>);
+/// A metric of a measurement.
+struct Metric {
+    name: &'static str,
+    unit: &'static str,
+    /// `None` where it was not measured.
+    value: fn(&Measurement) -> Option<f64>,
+}
+
+const fn metric(name: &'static str, unit: &'static str, value: fn(&Measurement) -> Option<f64>) -> Metric {
+    Metric { name, unit, value }
+}
 
 fn leader(m: &Measurement) -> Option<&CoreUsage> {
     m.core.iter().find(|c| c.is_leader)
@@ -42,29 +51,29 @@
 }
 
 const METRICS: [Metric; 21] = [
-    ("gatekeeper processor", "cores", |m| positive(m.edge.cpu)),
-    ("gatekeeper memory", "bytes", |m| positive(m.edge.memory.0)),
-    ("gatekeeper memory, most", "bytes", |m| positive(m.edge.memory.1)),
-    ("gatekeeper messages", "messages/s", |m| positive(m.edge.messages)),
-    ("gatekeeper bytes", "bytes/s", |m| positive(m.edge.bytes)),
-    ("leader processor", "cores", |m| leader(m).map(|c| c.cpu)),
-    ("follower processor", "cores", |m| others(m, |c| c.cpu)),
-    ("leader memory", "bytes", |m| leader(m).map(|c| c.memory.1 as f64)),
-    ("follower memory", "bytes", |m| others(m, |c| c.memory.1 as f64)),
-    ("core disk", "bytes", |m| m.core.iter().map(|c| c.disk as f64).max_by(f64::total_cmp)),
-    ("core log", "bytes", |m| leader(m)?.parts.map(|p| p.log.1 as f64)),
-    ("core snapshot", "bytes", |m| leader(m)?.parts.map(|p| p.snapshot as f64)),
-    ("core list of workers", "bytes", |m| leader(m)?.parts.map(|p| p.workers.1 as f64)),
-    ("all gatekeepers ready", "s", |m| positive(m.ready_s)),
-    ("core written", "bytes/s", |m| m.core.iter().map(|c| c.written_per_s).max_by(f64::total_cmp)),
-    ("core descriptors", "descriptors", |m| {
+    metric("gatekeeper processor", "cores", |m| positive(m.edge.cpu)),
+    metric("gatekeeper memory", "bytes", |m| positive(m.edge.memory.0)),
+    metric("gatekeeper memory, most", "bytes", |m| positive(m.edge.memory.1)),
+    metric("gatekeeper messages", "messages/s", |m| positive(m.edge.messages)),
+    metric("gatekeeper bytes", "bytes/s", |m| positive(m.edge.bytes)),
+    metric("leader processor", "cores", |m| leader(m).map(|c| c.cpu)),
+    metric("follower processor", "cores", |m| others(m, |c| c.cpu)),
+    metric("leader memory", "bytes", |m| leader(m).map(|c| c.memory.1 as f64)),
+    metric("follower memory", "bytes", |m| others(m, |c| c.memory.1 as f64)),
+    metric("core disk", "bytes", |m| m.core.iter().map(|c| c.disk as f64).max_by(f64::total_cmp)),
+    metric("core log", "bytes", |m| leader(m)?.parts.map(|p| p.log.1 as f64)),
+    metric("core snapshot", "bytes", |m| leader(m)?.parts.map(|p| p.snapshot as f64)),
+    metric("core list of workers", "bytes", |m| leader(m)?.parts.map(|p| p.workers.1 as f64)),
+    metric("all gatekeepers ready", "s", |m| positive(m.ready_s)),
+    metric("core written", "bytes/s", |m| m.core.iter().map(|c| c.written_per_s).max_by(f64::total_cmp)),
+    metric("core descriptors", "descriptors", |m| {
         m.core.iter().map(|c| c.descriptors as f64).max_by(f64::total_cmp)
     }),
-    ("core to core", "bytes/s", |m| m.core.iter().map(|c| c.peers_per_s).sum()),
-    ("call acknowledged", "ms", |m| positive(m.ack_ms.0)),
-    ("change in force everywhere", "ms", |m| positive(m.in_force_ms.0)),
-    ("heartbeat, 99th percentile", "ms", |m| positive(m.workers.ms.1)),
-    ("first configuration acknowledged", "s", |m| positive(m.first.0)),
+    metric("core to core", "bytes/s", |m| m.core.iter().map(|c| c.peers_per_s).sum()),
+    metric("call acknowledged", "ms", |m| positive(m.ack_ms.0)),
+    metric("change in force everywhere", "ms", |m| positive(m.in_force_ms.0)),
+    metric("heartbeat, 99th percentile", "ms", |m| positive(m.workers.ms.1)),
+    metric("first configuration acknowledged", "s", |m| positive(m.first.0)),
 ];
 
 impl Results {
@@ -74,7 +83,7 @@
         let mut fits = Vec::new();
         for group in groups {
             let of: Vec<&Measurement> = self.measured.iter().filter(|m| m.case.group == group).collect();
-            for (name, unit, value) in METRICS {
+            for Metric { name, unit, value } in METRICS {
                 let points = of.iter().filter_map(|m| Some((m.case.size, value(m)?)));
                 let points: Vec<(f64, f64)> = points.filter(|p| p.1.is_finite()).collect();
                 if points.len() >= 2 {
@@ -177,7 +186,7 @@
 
 fn measurement_row(m: &Measurement) -> Vec<String> {
     let metric = |name: &str, by: f64, digits: usize| {
-        let found = METRICS.iter().find(|x| x.0 == name).and_then(|x| (x.2)(m));
+        let found = METRICS.iter().find(|x| x.name == name).and_then(|x| (x.value)(m));
         found.map_or("-".into(), |value| format!("{:.digits$}", value / by))
     };
     let parts = leader(m).and_then(|c| c.parts);
--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -65,13 +65,13 @@
     pub seconds: f64,
     /// By kind, with `said` or `heard` ahead, over those that counted.
     pub kinds: BTreeMap<String, MessageCount>,
-    /// Syncs by the core machine that they were said to, over those that counted: the most go to the holder.
+    /// Syncs by the core machine that they were sent to, over those that counted: most go to the leader.
     pub syncs: BTreeMap<String, u64>,
-    /// By number of a change: gatekeepers that have it in force, and when the last one had (seconds of the epoch).
+    /// By number of a change: edges that have it in force, and when the last one had (seconds of the epoch).
     pub in_force: BTreeMap<u64, (usize, f64)>,
     /// Requests: asked, answered by a worker, beyond the quota, refused or failed.
     pub requests: [u64; 4],
-    /// The longest that one of those that count had no totals of a holder, from the first on: seconds.
+    /// Longest time between two quota grants of a leader, over those that count: seconds.
     pub uncounted_s: f64,
     /// Links that went down.
     #[serde(rename = "downs")]
@@ -272,30 +272,36 @@
     }
 }
 
-/// Runs simulated edges until standard input ends; `begin` and `end` on it bound what is reported.
+/// Starts one edge.
+async fn start_edge(run: &Rc<Run>, number: usize) -> Result<Rc<SimulatedEdge>, CapacityError> {
+    let settings = Settings::from_toml(&run.job.settings[number]);
+    let settings = settings.map_err(|e| CapacityError::Child(e.to_string()))?;
+    let port = settings.internal_port;
+    let load_reports = LoadReportSocket::bind(settings.ip, port).await.map_err(CapacityError::Socket)?;
+    let simulated = Rc::new(SimulatedEdge {
+        edge: EdgeLoop::new(EdgeNode::new(settings, fastrand::u64(..)), run.clock),
+        links: PeerLinks::new(port),
+        load_reports,
+        counts: number < run.job.counted,
+        next: Cell::new(1),
+        counted_at: Cell::new(f64::INFINITY),
+        in_flight: RefCell::default(),
+        run: Rc::clone(run),
+    });
+    simulated.update(|edge, _, out| edge.start(out));
+    tokio::task::spawn_local(Rc::clone(&simulated).receive_load_reports());
+    tokio::task::spawn_local(Rc::clone(&simulated).tick());
+    Ok(simulated)
+}
+
+/// Runs simulated edges until standard input ends; the commands `begin` and `end` bound what is reported.
 pub async fn run(job: Job) -> Result<(), CapacityError> {
     let run =
         Rc::new(Run { job, report: RefCell::default(), clock: whinstall_gateway::runtime::Clock::start() });
     let mut edges = Vec::new();
-    for (number, text) in run.job.settings.iter().enumerate() {
-        let settings = Settings::from_toml(text).map_err(|e| CapacityError::Child(e.to_string()))?;
-        let port = settings.internal_port;
-        let load_reports = LoadReportSocket::bind(settings.ip, port).await.map_err(CapacityError::Socket)?;
-        let simulated = Rc::new(SimulatedEdge {
-            edge: EdgeLoop::new(EdgeNode::new(settings, fastrand::u64(..)), run.clock),
-            links: PeerLinks::new(port),
-            load_reports,
-            counts: number < run.job.counted,
-            next: Cell::new(1),
-            counted_at: Cell::new(f64::INFINITY),
-            in_flight: RefCell::default(),
-            run: Rc::clone(&run),
-        });
-        simulated.update(|edge, _, out| edge.start(out));
-        tokio::task::spawn_local(Rc::clone(&simulated).receive_load_reports());
-        tokio::task::spawn_local(Rc::clone(&simulated).tick());
-        edges.push(simulated);
-        // Real ones don't start in the same millisecond either.
+    for number in 0..run.job.settings.len() {
+        edges.push(start_edge(&run, number).await?);
+        // Spreads the starts, as with real machines.
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
     let mut commands = children::commands();
