--- a/crates/capacity/src/bench.rs
+++ b/crates/capacity/src/bench.rs
@@ -3,11 +3,12 @@
 //! The real edge role runs before workers that answer at once; the same client also calls these workers directly,
 //! through the same loopback, in alternating rounds.
 
+use super::arrays::serialize_as_array;
 use super::children::{Process, Usage};
 use super::cluster::{port, start_with, Core};
 use super::machine::{LoadMonitor, MachineLoad};
 use super::operator::{self, Operator, Sizes, ROUTES_A_HOST};
-use super::plan::Comparison;
+use super::plan::{Comparison, RoutesAndTenants};
 use super::workers::{self, percentile};
 use super::{children, CapacityError};
 use serde::{Deserialize, Serialize};
@@ -19,30 +20,30 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Requests of so many seconds at the start of a round aren't counted: connections open in them.
+/// Warm-up of a round in which connections open; its requests are not counted.
 const WARM_UP_S: f64 = 0.5;
 
-/// What a process of clients is to do.
+/// The job of a client process.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Job {
-    /// To whom: one is drawn for each request.
+    /// Targets, one chosen at random for each request.
     pub to: Vec<SocketAddr>,
-    /// Requests a second, whatever becomes of earlier ones; 0: as many as come back on `connections`.
+    /// Requests a second, sent regardless of earlier ones (open loop); 0: closed loop on `connections`.
     pub rate: f64,
-    /// For so long: seconds...
+    /// Seconds that are counted...
     pub seconds: f64,
-    /// ...after so many that aren't counted.
+    /// ...after these seconds of warm-up.
     #[serde(rename = "warm_s")]
     pub warm_up_s: f64,
     /// Connections, where there is no rate.
     pub connections: usize,
-    /// The requests are spread over so many routes and tenants.
+    /// Number of routes and tenants that the requests are spread over.
     pub routes: u32,
     /// See `routes`.
     pub tenants: u32,
 }
 
-/// What became of the requests.
+/// Results of a client process.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
     /// Answered with 200.
@@ -55,7 +56,7 @@
     pub ms: [f64; 5],
 }
 
-/// The two ways, one right after the other.
+/// Both ways, one right after the other.
 #[derive(Clone, Debug, Serialize)]
 pub struct Round {
     /// Direct.
@@ -84,25 +85,48 @@
     }
 }
 
-/// Latency that the edge adds, at the median of requests and at the 99th percentile. Rounds of the two ways take turns, and
-/// each is compared with its own twin, so that what else the machine does meanwhile strikes both alike.
+/// A figure at the median of requests and at the 99th percentile.
+#[derive(Clone, Copy, Debug)]
+pub struct P50AndP99 {
+    /// At the median.
+    pub p50: Spread,
+    /// At the 99th percentile.
+    pub p99: Spread,
+}
+
+serialize_as_array!(P50AndP99 { p50, p99 });
+
+/// Requests through the edge.
+#[derive(Clone, Copy, Debug)]
+pub struct Served {
+    /// Served requests a second.
+    pub per_s: f64,
+    /// Failed requests, in all.
+    pub failed: u64,
+}
+
+serialize_as_array!(Served { per_s, failed });
+
+/// Latency that the edge adds. Rounds of the two ways take turns, and
+/// each is compared with the other of its pair, so that other load of the machine affects both alike.
 #[derive(Clone, Debug, Serialize)]
 pub struct Added {
     /// Milliseconds without it.
-    pub bare_ms: (Spread, Spread),
+    pub bare_ms: P50AndP99,
     /// Milliseconds through it.
-    pub through_ms: (Spread, Spread),
+    pub through_ms: P50AndP99,
     /// Milliseconds added.
-    pub added_ms: (Spread, Spread),
+    pub added_ms: P50AndP99,
     /// Through it over without it.
-    pub ratio: (Spread, Spread),
+    pub ratio: P50AndP99,
 }
 
 impl Added {
     fn new(rounds: &[Round]) -> Self {
         let both = |value: &dyn Fn(f64, f64) -> f64| {
             let at = |i: usize| Spread::new(rounds, |r| value(r.bare.ms[i], r.through.ms[i]));
-            (at(0), at(2))
+            // `Report::ms` holds the median first and the 99th percentile third.
+            P50AndP99 { p50: at(0), p99: at(2) }
         };
         Added {
             bare_ms: both(&|bare, _| bare),
@@ -116,8 +140,8 @@
 /// One figure of the two ways.
 #[derive(Clone, Debug, Serialize)]
 pub struct EdgeComparison {
-    /// Routes, tenants of the configuration.
-    pub sizes: (u32, u32),
+    /// Size of the configuration.
+    pub sizes: RoutesAndTenants,
     /// Requests a second of each tenant; 0: no limit.
     pub limit: u32,
     /// Requests a second that were asked for; 0: as many as come back.
@@ -126,18 +150,18 @@
     pub machine: MachineLoad,
     /// The rounds, as they came.
     pub rounds: Vec<Round>,
-    /// Requests a second that came back through it, and those that failed in all.
-    pub served: (f64, u64),
-    /// Cores that it took before, with no requests: its part in control.
+    /// Requests through the edge.
+    pub served: Served,
+    /// Cores that it took without requests: its control-plane work.
     pub idle_cpu: f64,
     /// Cores that it took.
     pub cpu: f64,
-    /// Cores that it was ready to take and others had: with this above a tenth of `cpu`, times of the clock are the
-    /// machine's more than its own.
+    /// Cores that it waited for (runnable but not running); above a tenth of `cpu`, timings reflect the machine's load
+    /// more than the edge.
     pub waited: f64,
-    /// Milliseconds of its processor a request.
+    /// Processor milliseconds for each request.
     pub cpu_ms: f64,
-    /// Resident bytes, most.
+    /// Peak resident bytes.
     pub memory: u64,
     /// Its descriptors.
     pub descriptors: usize,
@@ -145,15 +169,15 @@
     pub added: Added,
 }
 
-/// Connections that rest, by whom they lead to.
+/// Idle connections by target.
 type Pool = RefCell<Vec<Vec<TcpStream>>>;
 
-async fn one(job: &Job, pool: &Pool, number: u64) -> std::io::Result<bool> {
+async fn send_request(job: &Job, pool: &Pool, number: u64) -> std::io::Result<bool> {
     let which = fastrand::usize(..job.to.len());
     let route = fastrand::u32(..job.routes.max(1));
     let tenant = fastrand::u32(..job.tenants.max(1));
-    let rested = pool.borrow_mut()[which].pop();
-    let mut stream = match rested {
+    let idle = pool.borrow_mut()[which].pop();
+    let mut stream = match idle {
         Some(stream) => stream,
         None => {
             let stream = TcpStream::connect(job.to[which]).await?;
@@ -167,7 +191,7 @@
     );
     stream.write_all(text.as_bytes()).await?;
     let mut read = Vec::with_capacity(1024);
-    let status = workers::answer(&mut stream, &mut read).await?;
+    let status = workers::read_response(&mut stream, &mut read).await?;
     pool.borrow_mut()[which].push(stream);
     Ok(status == 200)
 }
@@ -183,7 +207,7 @@
 impl Run {
     async fn send(self: Rc<Self>, number: u64) {
         let sent = tokio::time::Instant::now();
-        let served = one(&self.job, &self.pool, number).await.unwrap_or(false);
+        let served = send_request(&self.job, &self.pool, number).await.unwrap_or(false);
         if sent < self.counted {
             return;
         }
@@ -198,7 +222,7 @@
     }
 }
 
-/// Runs clients for as long as the job says; the report is its one line.
+/// Runs clients for the duration of the job; writes the report as one line.
 pub async fn run(job: Job) -> Result<(), CapacityError> {
     let pool: Pool = RefCell::new(job.to.iter().map(|_| Vec::new()).collect());
     let begun = tokio::time::Instant::now();
@@ -317,7 +341,7 @@
     /// Compares at one rate.
     fn compare_at(&self, rate: f64) -> Result<EdgeComparison, CapacityError> {
         let Comparison { sizes, limit, seconds, .. } = *self.plan;
-        let (routes, tenants) = sizes;
+        let RoutesAndTenants { routes, tenants } = sizes;
         let job = |to| Job { to, rate, seconds, warm_up_s: WARM_UP_S, connections: 64, routes, tenants };
         let (monitor, mut rounds) = (LoadMonitor::begin(), Vec::new());
         let (mut took, mut spent, mut waited) = (0.0, 0.0, 0.0);
@@ -341,7 +365,7 @@
             limit,
             rate,
             machine: monitor.end(),
-            served: (served as f64 / (seconds * rounds.len().max(1) as f64), failed),
+            served: Served { per_s: served as f64 / (seconds * rounds.len().max(1) as f64), failed },
             added: Added::new(&rounds),
             rounds,
             idle_cpu: self.idle_cpu,
@@ -356,7 +380,7 @@
 
 /// Compares at each rate (0: as many as come back on 64 connections), in an empty folder.
 pub fn compare(folder: &Path, plan: &Comparison) -> Result<Vec<EdgeComparison>, CapacityError> {
-    let Comparison { sizes: (routes, tenants), limit, seconds, heartbeat_ms, .. } = *plan;
+    let Comparison { sizes: RoutesAndTenants { routes, tenants }, limit, seconds, heartbeat_ms, .. } = *plan;
     let core = Core::start(folder, 1, 1, heartbeat_ms)?;
     let body = operator::full_configuration(Sizes { routes, tenants, keys: 1, services: 1, rate: limit });
     Operator::new(core.controls.clone()).amend(&body, Duration::from_secs(60))?;
--- a/crates/capacity/src/children.rs
+++ b/crates/capacity/src/children.rs
@@ -37,7 +37,7 @@
     let _ = out.flush();
 }
 
-/// Ends this process when its standard input ends.
+/// Exits this process at the end of its standard input.
 pub fn end_with_input() {
     std::thread::spawn(|| {
         for line in std::io::stdin().lock().lines() {
--- a/crates/capacity/src/cluster.rs
+++ b/crates/capacity/src/cluster.rs
@@ -1,10 +1,12 @@
 //! One measurement: a real core with simulated edges, simulated workers and an operator client, run for some seconds,
 //! and the resource usage of each process.
 
+use super::arrays::serialize_as_array;
 use super::children::{self, address, Process, Usage};
 use super::files::{self, DatabaseUsage};
 use super::machine::{LoadMonitor, MachineLoad};
 use super::operator::{self, Operator, Sizes};
+use super::simulated_edges::Activation;
 use super::{simulated_edges, workers, CapacityError};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -67,13 +69,79 @@
 }
 
 impl Case {
-    /// What the configuration is to hold.
+    /// Size of its configuration.
     pub fn sizes(&self) -> Sizes {
         let Case { routes, tenants, keys, services, rate, .. } = *self;
         Sizes { routes, tenants, keys, services, rate }
     }
 }
 
+/// Resident bytes.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Memory {
+    /// At the end.
+    pub at_end: u64,
+    /// At their peak.
+    pub peak: u64,
+}
+
+serialize_as_array!(Memory { at_end, peak });
+
+/// Mean resident bytes of one edge.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct MeanMemory {
+    /// At the end.
+    pub at_end: f64,
+    /// At their peak.
+    pub peak: f64,
+}
+
+serialize_as_array!(MeanMemory { at_end, peak });
+
+/// Messages and bytes a second.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct MessageRate {
+    /// Messages a second.
+    pub messages: f64,
+    /// Bytes a second.
+    pub bytes: f64,
+}
+
+serialize_as_array!(MessageRate { messages, bytes });
+
+/// The first configuration.
+#[derive(Clone, Copy, Debug)]
+pub struct FirstConfiguration {
+    /// Seconds to its acknowledgement.
+    pub acknowledged_s: f64,
+    /// Its bytes.
+    pub bytes: usize,
+}
+
+serialize_as_array!(FirstConfiguration { acknowledged_s, bytes });
+
+/// Median and maximum of some values.
+#[derive(Clone, Copy, Debug)]
+pub struct MedianMax {
+    /// Half of the values lie below.
+    pub median: f64,
+    /// The largest.
+    pub max: f64,
+}
+
+serialize_as_array!(MedianMax { median, max });
+
+/// Changes of the configuration.
+#[derive(Clone, Copy, Debug)]
+pub struct ChangeCount {
+    /// Acknowledged changes.
+    pub sent: usize,
+    /// Those that were in force everywhere by the end.
+    pub in_force: usize,
+}
+
+serialize_as_array!(ChangeCount { sent, in_force });
+
 /// Resource usage of a core machine.
 #[derive(Clone, Debug, Serialize)]
 pub struct CoreUsage {
@@ -85,7 +153,7 @@
     /// Cores that it waited for (runnable but not running).
     pub waited: f64,
     /// Resident bytes at the end, and their peak.
-    pub memory: (u64, u64),
+    pub memory: Memory,
     /// Descriptors at the end.
     pub descriptors: usize,
     /// Bytes of its files at the end.
@@ -106,9 +174,9 @@
     /// Cores that those waited for.
     pub waited: f64,
     /// Resident bytes of its part of a process, at the end and at their peak.
-    pub memory: (f64, f64),
+    pub memory: MeanMemory,
     /// Messages and bytes a second, by kind.
-    pub kinds: BTreeMap<String, (f64, f64)>,
+    pub kinds: BTreeMap<String, MessageRate>,
     /// Messages a second, both ways.
     pub messages: f64,
     /// Bytes a second, both ways, without heads of packets.
@@ -128,7 +196,7 @@
     /// Faults during the measurement.
     pub faults: Vec<String>,
     /// Seconds to the acknowledgement of the first configuration, and its bytes.
-    pub first: (f64, usize),
+    pub first: FirstConfiguration,
     /// Seconds until all edges were ready.
     pub ready_s: f64,
     /// Seconds that were measured.
@@ -144,11 +212,11 @@
     /// The simulated workers.
     pub workers: workers::Report,
     /// Milliseconds from each change's sending to its acknowledgement: median, maximum.
-    pub ack_ms: (f64, f64),
+    pub ack_ms: MedianMax,
     /// And until it was in force at the last edge: median, maximum.
-    pub in_force_ms: (f64, f64),
+    pub in_force_ms: MedianMax,
     /// Changes that were sent, and those that were in force everywhere by the end.
-    pub changes: (usize, usize),
+    pub changes: ChangeCount,
     /// Links that went down, and most seconds that a tick came late.
     #[serde(rename = "downs")]
     pub link_downs: u64,
@@ -338,7 +406,7 @@
     Ok(started)
 }
 
-/// Starts its simulated edges.
+/// Starts the simulated edges of a case.
 pub fn start_edges(folder: &Path, case: &Case, core: &Core) -> Result<Vec<Process>, CapacityError> {
     let mut first = 0;
     let mut started = Vec::new();
@@ -359,9 +427,9 @@
 }
 
 /// Median and maximum.
-fn spread(mut values: Vec<f64>) -> (f64, f64) {
+fn spread(mut values: Vec<f64>) -> MedianMax {
     values.sort_by(f64::total_cmp);
-    (workers::percentile(&values, 0.5), workers::percentile(&values, 1.0))
+    MedianMax { median: workers::percentile(&values, 0.5), max: workers::percentile(&values, 1.0) }
 }
 
 /// What a process answers to `end`.
@@ -439,7 +507,7 @@
                 is_leader: leader.as_deref() == Some(address(1, i).to_string().as_str()),
                 cpu: (is.cpu_s - was.cpu_s) / self.seconds,
                 waited: (is.waited_s - was.waited_s) / self.seconds,
-                memory: (is.rss, is.peak),
+                memory: Memory { at_end: is.rss, peak: is.peak },
                 descriptors: is.descriptors,
                 disk: children::folder_bytes(&core.data(i)),
                 parts: None,
@@ -453,14 +521,15 @@
     /// Milliseconds from the sending of each change to its activation at the last of `edges` edges; changes that were
     /// not active everywhere are left out.
     fn activation_ms(&self, edges: usize) -> Vec<f64> {
-        let mut in_force: BTreeMap<u64, (usize, f64)> = BTreeMap::new();
-        for (number, (edges, at)) in self.edge_reports.iter().flat_map(|r| &r.in_force) {
+        let mut in_force: BTreeMap<u64, Activation> = BTreeMap::new();
+        for (number, activation) in self.edge_reports.iter().flat_map(|r| &r.in_force) {
             let sum = in_force.entry(*number).or_default();
-            *sum = (sum.0 + edges, sum.1.max(*at));
+            sum.edges += activation.edges;
+            sum.last_at = sum.last_at.max(activation.last_at);
         }
         let everywhere = self.changes.iter().filter_map(|change| {
-            let (_, last) = in_force.get(&change.number).filter(|(count, _)| *count == edges)?;
-            Some((last - change.sent_at) * 1e3)
+            let activation = in_force.get(&change.number).filter(|a| a.edges == edges)?;
+            Some((activation.last_at - change.sent_at) * 1e3)
         });
         everywhere.collect()
     }
@@ -514,7 +583,8 @@
     let core = Core::start(folder, case.core, case.zones, case.heartbeat_ms)?;
     let mut operator = Operator::new(core.controls.clone());
     let body = operator::full_configuration(case.sizes());
-    let first = (operator.amend(&body, Duration::from_secs(60))?, body.len());
+    let acknowledged_s = operator.amend(&body, Duration::from_secs(60))?;
+    let first = FirstConfiguration { acknowledged_s, bytes: body.len() };
     drop(body);
     let worker_processes = start_workers(folder, case, &core.controls)?;
     let begun = Instant::now();
@@ -555,7 +625,7 @@
         edge: edge_usage(reports, before, after, observed.seconds),
         edges_cpu: spent.sum(),
         ack_ms: spread(observed.changes.iter().map(|c| c.acknowledged_s * 1e3).collect()),
-        changes: (observed.changes.len(), activation_ms.len()),
+        changes: ChangeCount { sent: observed.changes.len(), in_force: activation_ms.len() },
         in_force_ms: spread(activation_ms),
         link_downs: reports.iter().map(|r| r.link_downs).sum(),
         late_s: reports.iter().map(|r| r.late_s).fold(0.0, f64::max),
@@ -580,7 +650,8 @@
     sum
 }
 
-/// Mean usage of one edge: processor and memory of the processes that don't count messages, messages of the one that does.
+/// Mean usage of one edge: processor and memory of the processes that don't count messages, messages of the one that
+/// does.
 fn edge_usage(
     reports: &[simulated_edges::Report],
     before: &[Usage],
@@ -594,14 +665,14 @@
     for (was, is) in before.iter().zip(after).skip(plain) {
         edge.cpu += (is.cpu_s - was.cpu_s) / seconds * each;
         edge.waited += (is.waited_s - was.waited_s) / seconds * each;
-        edge.memory.0 += is.rss as f64 * each;
-        edge.memory.1 += is.peak as f64 * each;
+        edge.memory.at_end += is.rss as f64 * each;
+        edge.memory.peak += is.peak as f64 * each;
     }
     for t in reports.iter().filter(|t| t.counted > 0) {
         let each = 1.0 / (t.counted as f64 * t.seconds.max(1e-3));
         for (kind, tally) in &t.kinds {
             let (messages, bytes) = (tally.messages as f64 * each, tally.bytes as f64 * each);
-            edge.kinds.insert(kind.clone(), (messages, bytes));
+            edge.kinds.insert(kind.clone(), MessageRate { messages, bytes });
             (edge.messages, edge.bytes) = (edge.messages + messages, edge.bytes + bytes);
         }
     }
--- a/crates/capacity/src/fault_recovery.rs
+++ b/crates/capacity/src/fault_recovery.rs
@@ -1,8 +1,8 @@
 //! Measures recovery from the loss of core machines.
 //!
-//! In order: the leader is killed and restarted with its disk, the next leader is shut down gracefully, with five
-//! machines or more the leader and another one are killed at once (a region failure), and a machine is restarted with an
-//! empty disk.
+//! In order: the leader is killed and restarted with its disk; the next leader is shut down gracefully; with five
+//! machines or more the leader and another one are killed at once (a region failure); a machine is restarted with
+//! an empty disk.
 
 use super::children::{self, Process};
 use super::cluster::{self, Case, Core};
@@ -46,8 +46,8 @@
     pub handed_over: FaultImpact,
     /// Of five or more: the leader and another one are killed at once.
     pub two_killed: Option<FaultImpact>,
-    /// Seconds from another one's restart with an empty disk until it serves the configuration and its files hold half as many
-    /// bytes as the first configuration at least.
+    /// Seconds from another one's restart with an empty disk until it serves the configuration and its files hold at
+    /// least half as many bytes as the first configuration.
     pub refilled_s: Option<f64>,
     /// Bytes of a core machine's files.
     pub disk: u64,
@@ -116,7 +116,7 @@
         std::thread::sleep(Duration::from_secs(2));
         let reports = self.collect_reports()?;
         let in_force = reports.iter().filter_map(|r| r.in_force.get(&self.number));
-        let last = in_force.fold((0, 0.0_f64), |sum, (edges, at)| (sum.0 + edges, sum.1.max(*at)));
+        let last = in_force.fold((0, 0.0_f64), |sum, a| (sum.0 + a.edges, sum.1.max(a.last_at)));
         Ok(FaultImpact {
             acknowledged_s: acknowledged.map(|at| at - injected_at),
             in_force_s: (last.0 == self.case.edges).then_some(last.1 - injected_at),
@@ -155,8 +155,8 @@
         Ok(impact)
     }
 
-    /// Restarts a machine with an empty disk; seconds until it serves the configuration and its files hold at least half
-    /// of `configuration_bytes`.
+    /// Restarts a machine with an empty disk; seconds until it serves the configuration and its files hold at least
+    /// half of `configuration_bytes`.
     fn refill(&mut self, number: usize, configuration_bytes: u64) -> Result<Option<f64>, CapacityError> {
         self.core.processes[number].kill();
         let data = self.core.data(number);
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -2,16 +2,16 @@
 
 use serde::Serialize;
 
-/// A straight line, fitted so that the parts by which the figures miss it are least.
+/// A straight line, fitted for the least relative error.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
     /// Its value at zero.
     pub base: f64,
     /// What each further unit adds.
     pub slope: f64,
-    /// Root mean square of the parts by which the figures miss it (0.1: a tenth).
+    /// Root mean square of the relative errors (0.1: a tenth).
     pub error: f64,
-    /// How many figures it was fitted by; with two it can't miss.
+    /// Number of points; with two the fit is exact.
     pub points: usize,
 }
 
@@ -26,7 +26,7 @@
     pub error: f64,
 }
 
-/// A cause's figures by size, and what they are fitted by.
+/// A cause's figures by size, and their fits.
 #[derive(Clone, Debug, Serialize)]
 pub struct Fit {
     /// What was measured.
@@ -51,14 +51,14 @@
 }
 
 impl Fit {
-    /// Fits these points.
+    /// Fits both a line and a power law.
     pub fn new(cause: &str, unit: &str, by: &str, points: Vec<(f64, f64)>) -> Self {
         let (line, power) = (line(&points), power(&points));
         Fit { cause: cause.into(), unit: unit.into(), by: by.into(), points, line, power }
     }
 }
 
-/// Weights, means and slope of a weighted least square.
+/// Base and slope of the weighted least-squares line through (x, y, weight).
 fn weighted_least_squares(points: impl Iterator<Item = (f64, f64, f64)> + Clone) -> Option<(f64, f64)> {
     let weight: f64 = points.clone().map(|(_, _, w)| w).sum();
     let mean_x = points.clone().map(|(x, _, w)| w * x).sum::<f64>() / weight;
@@ -75,7 +75,7 @@
     (parts.sum::<f64>() / points.len() as f64).sqrt()
 }
 
-/// The line through these, each weighed by one over its own square.
+/// Fits a line; each point is weighted by the inverse square of its value.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
     let largest = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
     let weighed = points.iter().map(|(x, y)| (*x, *y, 1.0 / y.abs().max(largest * 1e-3).max(1e-12).powi(2)));
@@ -84,7 +84,7 @@
     Some(Line { base, slope, error, points: points.len() })
 }
 
-/// The power through these.
+/// Fits a power law.
 pub fn power(points: &[(f64, f64)]) -> Option<Power> {
     if points.iter().any(|(x, y)| *x <= 0.0 || *y <= 0.0) {
         return None;
--- a/crates/capacity/src/machine.rs
+++ b/crates/capacity/src/machine.rs
@@ -3,16 +3,16 @@
 use serde::Serialize;
 use std::time::Instant;
 
-/// How busy the machine was over some seconds, with what is measured in it.
+/// Load of the machine over some seconds, with the measurement's own processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct MachineLoad {
     /// Processors.
     pub cores: usize,
-    /// Processors that ran something, in the mean.
+    /// Mean number of busy processors.
     pub busy: f64,
-    /// Threads that ran or wanted to, over the minute before the end.
+    /// Load average over the last minute.
     pub load: f64,
-    /// Part of the time in which some thread was ready and had no processor; missing where the system doesn't tell.
+    /// Part of the time in which some runnable thread had no processor; missing without `/proc/pressure/cpu`.
     pub pressure: Option<f64>,
 }
 
@@ -36,7 +36,7 @@
     [0, 1, 2, 5, 6].iter().filter_map(|i| ticks.get(*i)).sum::<f64>() / 100.0
 }
 
-/// Seconds in which some thread was ready and had no processor.
+/// Seconds in which some runnable thread had no processor.
 fn stalled_s() -> Option<f64> {
     let text = read_or_empty("/proc/pressure/cpu");
     let some = text.lines().find(|l| l.starts_with("some"))?;
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -3,6 +3,7 @@
 //! Starts a real core, simulated edges, simulated workers and an operator client on loopback, at several sizes, and
 //! writes the figures (JSON), a summary (Markdown) and plots (SVG). Child processes end with their standard input.
 
+mod arrays;
 mod bench;
 mod children;
 mod cluster;
--- a/crates/capacity/src/operator.rs
+++ b/crates/capacity/src/operator.rs
@@ -145,8 +145,10 @@
         Ok((status.ok_or(std::io::ErrorKind::InvalidData)?, text))
     }
 
-    /// Sends this until it is acknowledged: to the next machine after each failure, where a 307 says, with a backoff that
-    /// grows. Seconds that it took.
+    /// Sends `body` until it is acknowledged, and returns the seconds that this took.
+    ///
+    /// A 307 is followed; other failures are retried at the next machine with exponential backoff. A refused
+    /// configuration is an error at once.
     pub fn amend(&mut self, body: &str, within: Duration) -> Result<f64, CapacityError> {
         let begun = Instant::now();
         let (mut backoff, mut last_heard) = (Duration::from_millis(50), String::from("nothing"));
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -2,12 +2,24 @@
 //!
 //! Sizes are chosen to use at most half of a machine with 31 GB of memory and 16 cores.
 
+use super::arrays::serialize_as_array;
 use super::cluster::Case;
 
+/// Size of the configuration of a comparison.
+#[derive(Clone, Copy, Debug)]
+pub struct RoutesAndTenants {
+    /// Routes.
+    pub routes: u32,
+    /// Tenants.
+    pub tenants: u32,
+}
+
+serialize_as_array!(RoutesAndTenants { routes, tenants });
+
 /// A comparison of requests through one edge with direct ones.
 pub struct Comparison {
-    /// Routes, tenants.
-    pub sizes: (u32, u32),
+    /// Size of the configuration.
+    pub sizes: RoutesAndTenants,
     /// Requests a second of each tenant; 0: no limit.
     pub limit: u32,
     /// Requests a second; 0: as many as come back.
@@ -24,7 +36,7 @@
     /// Its line of the list.
     fn name(&self) -> String {
         let limited = if self.limit > 0 { "limited" } else { "not limited" };
-        format!("bench at {} routes, {} tenants, {limited}", self.sizes.0, self.sizes.1)
+        format!("bench at {} routes, {} tenants, {limited}", self.sizes.routes, self.sizes.tenants)
     }
 }
 
@@ -107,17 +119,12 @@
         });
     }
     for workers in [340, 2000, 14_000] {
-        let news = case("replaced, many workers", "workers", workers as f64);
-        cases.push(Case { workers, services: 310.min(workers), replacements_per_s: 5.0, ..news });
+        let base = case("replaced, many workers", "workers", workers as f64);
+        cases.push(Case { workers, services: 310.min(workers), replacements_per_s: 5.0, ..base });
     }
     for workers in [34, 450, 2000, 14_000] {
-        let connects_per_call = case("heartbeats, a connection each", "workers", workers as f64);
-        cases.push(Case {
-            workers,
-            services: 310.min(workers),
-            connects_per_call: true,
-            ..connects_per_call
-        });
+        let base = case("heartbeats, a connection each", "workers", workers as f64);
+        cases.push(Case { workers, services: 310.min(workers), connects_per_call: true, ..base });
     }
     cases
 }
@@ -208,14 +215,14 @@
 }
 
 impl Plan {
-    /// The full plan or the small form, restricted to what has one of these in its line of the list, if there are any (`bench` for the
-    /// comparisons).
+    /// The full plan or the small form; with parts in `only`, restricted to what has one of them in its line of the list
+    /// (`bench` for the comparisons).
     pub fn new(is_small: bool, only: &[String]) -> Self {
         let wanted = |name: &str| only.is_empty() || only.iter().any(|part| name.contains(part.as_str()));
         let is_case_selected = |c: &Case| wanted(&format!("{} at {} {}", c.group, c.size, c.by));
         let cases = if is_small { small() } else { full() };
-        let one = |sizes, limit, rates: &[f64], rounds, seconds, heartbeat_ms| Comparison {
-            sizes,
+        let one = |(routes, tenants), limit, rates: &[f64], rounds, seconds, heartbeat_ms| Comparison {
+            sizes: RoutesAndTenants { routes, tenants },
             limit,
             rates: rates.to_vec(),
             rounds,
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -1,7 +1,7 @@
 //! Output of the results: all figures as JSON, a Markdown summary, and plots. Failed measurements are listed too.
 
 use super::bench::{EdgeComparison, Spread};
-use super::cluster::{Case, CoreUsage, Measurement};
+use super::cluster::{Case, CoreUsage, Measurement, MessageRate};
 use super::fault_recovery::{FaultImpact, FaultRecovery};
 use super::files::DatabaseUsage;
 use super::fit::Fit;
@@ -52,28 +52,28 @@
 
 const METRICS: [Metric; 21] = [
     metric("gatekeeper processor", "cores", |m| positive(m.edge.cpu)),
-    metric("gatekeeper memory", "bytes", |m| positive(m.edge.memory.0)),
-    metric("gatekeeper memory, most", "bytes", |m| positive(m.edge.memory.1)),
+    metric("gatekeeper memory", "bytes", |m| positive(m.edge.memory.at_end)),
+    metric("gatekeeper memory, most", "bytes", |m| positive(m.edge.memory.peak)),
     metric("gatekeeper messages", "messages/s", |m| positive(m.edge.messages)),
     metric("gatekeeper bytes", "bytes/s", |m| positive(m.edge.bytes)),
     metric("leader processor", "cores", |m| leader(m).map(|c| c.cpu)),
     metric("follower processor", "cores", |m| others(m, |c| c.cpu)),
-    metric("leader memory", "bytes", |m| leader(m).map(|c| c.memory.1 as f64)),
-    metric("follower memory", "bytes", |m| others(m, |c| c.memory.1 as f64)),
+    metric("leader memory", "bytes", |m| leader(m).map(|c| c.memory.peak as f64)),
+    metric("follower memory", "bytes", |m| others(m, |c| c.memory.peak as f64)),
     metric("core disk", "bytes", |m| m.core.iter().map(|c| c.disk as f64).max_by(f64::total_cmp)),
-    metric("core log", "bytes", |m| leader(m)?.parts.map(|p| p.log.1 as f64)),
+    metric("core log", "bytes", |m| leader(m)?.parts.map(|p| p.log.bytes as f64)),
     metric("core snapshot", "bytes", |m| leader(m)?.parts.map(|p| p.snapshot as f64)),
-    metric("core list of workers", "bytes", |m| leader(m)?.parts.map(|p| p.workers.1 as f64)),
+    metric("core list of workers", "bytes", |m| leader(m)?.parts.map(|p| p.workers.bytes as f64)),
     metric("all gatekeepers ready", "s", |m| positive(m.ready_s)),
     metric("core written", "bytes/s", |m| m.core.iter().map(|c| c.written_per_s).max_by(f64::total_cmp)),
     metric("core descriptors", "descriptors", |m| {
         m.core.iter().map(|c| c.descriptors as f64).max_by(f64::total_cmp)
     }),
     metric("core to core", "bytes/s", |m| m.core.iter().map(|c| c.peers_per_s).sum()),
-    metric("call acknowledged", "ms", |m| positive(m.ack_ms.0)),
-    metric("change in force everywhere", "ms", |m| positive(m.in_force_ms.0)),
+    metric("call acknowledged", "ms", |m| positive(m.ack_ms.median)),
+    metric("change in force everywhere", "ms", |m| positive(m.in_force_ms.median)),
     metric("heartbeat, 99th percentile", "ms", |m| positive(m.workers.ms.1)),
-    metric("first configuration acknowledged", "s", |m| positive(m.first.0)),
+    metric("first configuration acknowledged", "s", |m| positive(m.first.acknowledged_s)),
 ];
 
 impl Results {
@@ -139,7 +139,8 @@
             text += &format!("\nNot measured: {} at {} {}: {error}\n", case.group, case.size, case.by);
         }
         let kinds = self.measured.iter().flat_map(|m| {
-            let row = |(kind, (messages, bytes)): (&String, &(f64, f64))| {
+            let row = |(kind, rate): (&String, &MessageRate)| {
+                let MessageRate { messages, bytes } = rate;
                 let size = m.case.size.to_string();
                 vec![
                     m.case.group.clone(),
@@ -200,7 +201,7 @@
         format!("{} {}", m.case.size, m.case.by),
         format!("{:.1}", m.ready_s),
         format!("{:.2}", m.edge.cpu * 1e3),
-        format!("{:.2} ({:.2})", m.edge.memory.0 / 1e6, m.edge.memory.1 / 1e6),
+        format!("{:.2} ({:.2})", m.edge.memory.at_end / 1e6, m.edge.memory.peak / 1e6),
         format!("{:.1}", m.edge.messages),
         format!("{:.0}", m.edge.bytes),
         metric("leader processor", 1.0, 4),
@@ -210,13 +211,13 @@
         metric("core to core", 1.0, 0),
         metric("core descriptors", 1.0, 0),
         metric("call acknowledged", 1.0, 1),
-        format!("{} of {}", m.changes.1, m.changes.0),
+        format!("{} of {}", m.changes.in_force, m.changes.sent),
         metric("change in force everywhere", 1.0, 1),
         format!("{:.0}", m.workers.taken as f64 / m.workers.seconds.max(1e-3)),
         m.workers.failed.to_string(),
-        part(|p| p.log.1),
+        part(|p| p.log.bytes),
         part(|p| p.snapshot),
-        part(|p| p.workers.1),
+        part(|p| p.workers.bytes),
         format!("{waited:.3}"),
         cores,
         load,
@@ -255,20 +256,20 @@
     let ms = |s: &Spread| format!("{:.3} ({:.3} to {:.3})", s.median, s.least, s.most);
     let added = &c.added;
     let mut row = vec![
-        c.sizes.0.to_string(),
-        c.sizes.1.to_string(),
+        c.sizes.routes.to_string(),
+        c.sizes.tenants.to_string(),
         if c.limit > 0 { "yes".into() } else { "no".into() },
         c.rate.to_string(),
-        format!("{:.0}", c.served.0),
-        c.served.1.to_string(),
-        ms(&added.bare_ms.0),
-        ms(&added.bare_ms.1),
-        ms(&added.through_ms.0),
-        ms(&added.through_ms.1),
-        ms(&added.added_ms.0),
-        ms(&added.added_ms.1),
-        ms(&added.ratio.0),
-        ms(&added.ratio.1),
+        format!("{:.0}", c.served.per_s),
+        c.served.failed.to_string(),
+        ms(&added.bare_ms.p50),
+        ms(&added.bare_ms.p99),
+        ms(&added.through_ms.p50),
+        ms(&added.through_ms.p99),
+        ms(&added.added_ms.p50),
+        ms(&added.added_ms.p99),
+        ms(&added.ratio.p50),
+        ms(&added.ratio.p99),
         format!("{:.2}", c.idle_cpu * 1e3),
         format!("{:.3}", c.cpu),
         format!("{:.3}", c.waited),
--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -1,7 +1,7 @@
 //! Simulated edges: many real edge state machines in one process, without clients.
 //!
-//! Each has its own address and its own links to a real core. They do all the work that a real edge does for the control
-//! plane.
+//! Each has its own address and its own links to a real core. They do all the work that a real edge does for the
+//! control plane.
 
 use super::operator::ROUTES_A_HOST;
 use super::{children, CapacityError};
@@ -24,7 +24,7 @@
 /// The host and path of the route whose `target` tells which change is in force.
 pub const PROBE: (&str, &str) = ("probe.example", "/probe/");
 
-/// What a process of simulated edges is to do.
+/// The job of a process of simulated edges.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Job {
     /// Settings of each, in TOML.
@@ -53,6 +53,15 @@
     pub bytes: u64,
 }
 
+/// The activation of a change.
+#[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
+pub struct Activation {
+    /// Edges that have it in force.
+    pub edges: usize,
+    /// When the last one had: seconds of the epoch.
+    pub last_at: f64,
+}
+
 /// What such a process has seen between `begin` and `end`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Report {
@@ -67,8 +76,8 @@
     pub kinds: BTreeMap<String, MessageCount>,
     /// Syncs by the core machine that they were sent to, over those that counted: most go to the leader.
     pub syncs: BTreeMap<String, u64>,
-    /// By number of a change: edges that have it in force, and when the last one had (seconds of the epoch).
-    pub in_force: BTreeMap<u64, (usize, f64)>,
+    /// By number of the change.
+    pub in_force: BTreeMap<u64, Activation>,
     /// Requests: asked, answered by a worker, beyond the quota, refused or failed.
     pub requests: [u64; 4],
     /// Longest time between two quota grants of a leader, over those that count: seconds.
@@ -200,8 +209,9 @@
         let (was, is) = (number(&before), number(&view));
         let mut report = self.run.report.borrow_mut();
         for number in was + 1..=is {
-            let (edges, at) = report.in_force.entry(number).or_default();
-            (*edges, *at) = (*edges + 1, children::epoch());
+            let activation = report.in_force.entry(number).or_default();
+            activation.edges += 1;
+            activation.last_at = children::epoch();
         }
     }
 
--- a/crates/capacity/src/workers.rs
+++ b/crates/capacity/src/workers.rs
@@ -14,10 +14,10 @@
 /// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a process of simulated workers is to do.
+/// The job of a process of simulated workers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Job {
-    /// What the ids of these begin with.
+    /// Prefix of the ids.
     pub name: String,
     /// Group of the loopback network that their addresses are of.
     pub group: u8,
@@ -55,7 +55,7 @@
     pub failed: u64,
     /// Workers that were replaced.
     pub replaced: u64,
-    /// Bytes of calls, and of answers.
+    /// Bytes of requests, and of responses.
     pub bytes: (u64, u64),
     /// Milliseconds to the acknowledgement: median, 99th percentile, longest.
     pub ms: (f64, f64, f64),
@@ -84,13 +84,13 @@
     sorted.get(at).copied().unwrap_or(0.0)
 }
 
-/// Reads one answer with its body; its status.
-pub async fn answer(stream: &mut TcpStream, read: &mut Vec<u8>) -> std::io::Result<u16> {
+/// Reads one response with its body and returns its status.
+pub async fn read_response(stream: &mut TcpStream, read: &mut Vec<u8>) -> std::io::Result<u16> {
     read.clear();
-    let cut = || std::io::Error::from(std::io::ErrorKind::UnexpectedEof);
+    let truncated = || std::io::Error::from(std::io::ErrorKind::UnexpectedEof);
     loop {
         if stream.read_buf(read).await? == 0 {
-            return Err(cut());
+            return Err(truncated());
         }
         let Some(end) = read.windows(4).position(|w| w == b"\r\n\r\n") else { continue };
         let head = String::from_utf8_lossy(&read[..end]).to_ascii_lowercase();
@@ -98,14 +98,14 @@
             head.split("content-length: ").nth(1).and_then(|l| l.lines().next()?.trim().parse().ok());
         while read.len() < end + 4 + length.unwrap_or(0) {
             if stream.read_buf(read).await? == 0 {
-                return Err(cut());
+                return Err(truncated());
             }
         }
-        return head.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or_else(cut);
+        return head.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or_else(truncated);
     }
 }
 
-/// From an address of its own: thousands that call from one would run out of ports.
+/// Connects from an address of its own: thousands of callers at one address would run out of ports.
 async fn connect(from: IpAddr, to: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::new(from, 0))?;
@@ -114,11 +114,11 @@
 
 impl Run {
     fn new_worker(&self, number: usize, address: SocketAddr) -> Worker {
-        let life = self.incarnations.get();
-        self.incarnations.set(life + 1);
+        let incarnation = self.incarnations.get();
+        self.incarnations.set(incarnation + 1);
         let job = &self.job;
         Worker {
-            id: format!("{}-{life}", job.name),
+            id: format!("{}-{incarnation}", job.name),
             service: format!("s{}", number % job.services.max(1)),
             zone: format!("z{}", number % job.zones.max(1)),
             address,
@@ -153,7 +153,7 @@
             };
             stream.set_nodelay(true)?;
             stream.write_all(text.as_bytes()).await?;
-            let status = answer(&mut stream, &mut read).await?;
+            let status = read_response(&mut stream, &mut read).await?;
             std::io::Result::Ok((status, stream))
         };
         let ended = timeout(CALL_TIMEOUT, exchange).await;
@@ -178,16 +178,16 @@
         let beat = Duration::from_millis(self.job.heartbeat_ms);
         let mut worker = self.new_worker(number, address);
         let mut at = Instant::now() + beat.mul_f64(fastrand::f64());
-        let life = |every: f64| Instant::now() + Duration::from_secs_f64(every * (0.5 + fastrand::f64()));
-        // Those that were there before are of any age.
-        let mut ends = replaced_every.map(|every| life(every * fastrand::f64()));
+        let lifetime = |every: f64| Instant::now() + Duration::from_secs_f64(every * (0.5 + fastrand::f64()));
+        // The first workers start at a random age.
+        let mut ends = replaced_every.map(|every| lifetime(every * fastrand::f64()));
         loop {
             tokio::time::sleep_until(at).await;
             if ends.is_some_and(|end| Instant::now() >= end) {
                 self.call(&mut worker, "heartbeat", "decaying").await;
                 self.call(&mut worker, "departure", "").await;
                 worker = self.new_worker(number, address);
-                ends = replaced_every.map(life);
+                ends = replaced_every.map(lifetime);
                 self.report.borrow_mut().replaced += 1;
             }
             let taken = self.call(&mut worker, "heartbeat", "settled").await;
--- a/crates/capacity/tests/capacity.rs
+++ b/crates/capacity/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! The tool that measures how the roles grow, in its small form: it works, ends by itself, leaves nothing running, and
-//! its figures are whole. No figure of time is judged.
+//! Runs the capacity tool in its small form and checks that it ends by itself and that its figures are complete.
+//! No timing is judged.
 
 use googletest::prelude::*;
 use serde_json::Value;
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn the_small_form_measures_every_cause_and_leaves_nothing_behind() {
+fn small_form_ends_by_itself_with_complete_figures() {
     let scratch =
         Scratch(std::env::temp_dir().join(format!("whinstall-capacity-test-{}", std::process::id())));
     let ran = Command::new(env!("CARGO_BIN_EXE_whinstall-capacity"))
@@ -40,8 +40,8 @@
         expect_that!(m["faults"].as_array().expect("a list").len(), eq(0), "{what}: {}", m["faults"]);
         let machines = m["core"].as_array().expect("a list").len();
         expect_that!(machines, eq(number(m, "/cell/core") as usize));
-        let holders = m["core"].as_array().into_iter().flatten().filter(|c| c["holder"] == true);
-        expect_that!(holders.count(), eq(1), "one holder: {what}");
+        let leaders = m["core"].as_array().into_iter().flatten().filter(|c| c["holder"] == true);
+        expect_that!(leaders.count(), eq(1), "one leader: {what}");
         for (path, least) in [
             ("/first/1", 1000.0),
             ("/gate/cpu", 1e-9),
@@ -76,19 +76,31 @@
     expect_that!(kinds.contains_key("said Sync"), eq(true), "{kinds:?}");
     expect_that!(kinds.keys().any(|k| k.ends_with('?')), eq(false), "each message has its kind: {kinds:?}");
 
-    let held = &measured[3];
-    expect_that!(number(held, "/first/1"), gt(number(loaded, "/first/1")), "more tenants, routes and keys");
-    expect_that!(number(held, "/changes/0"), eq(3.0));
-    expect_that!(&held["changes"][0], eq(&held["changes"][1]), "of five machines, too");
+    let with_five_core_machines = &measured[3];
+    expect_that!(
+        number(with_five_core_machines, "/first/1"),
+        gt(number(loaded, "/first/1")),
+        "more tenants, routes and keys"
+    );
+    expect_that!(number(with_five_core_machines, "/changes/0"), eq(3.0));
+    expect_that!(
+        &with_five_core_machines["changes"][0],
+        eq(&with_five_core_machines["changes"][1]),
+        "of five machines, too"
+    );
 
-    let lost = &all["lost"][0];
-    for loss in ["killed", "handed_over", "two_killed"] {
+    let recovery = &all["lost"][0];
+    for fault in ["killed", "handed_over", "two_killed"] {
         for time in ["acknowledged_s", "in_force_s", "uncounted_s"] {
-            expect_that!(number(lost, &format!("/{loss}/{time}")), gt(0.0), "{loss}, {time}: {lost}");
+            expect_that!(
+                number(recovery, &format!("/{fault}/{time}")),
+                gt(0.0),
+                "{fault}, {time}: {recovery}"
+            );
         }
     }
     for time in ["back_s", "refilled_s"] {
-        expect_that!(number(lost, &format!("/{time}")), gt(0.0), "{time}: {lost}");
+        expect_that!(number(recovery, &format!("/{time}")), gt(0.0), "{time}: {recovery}");
     }
 
     let compared = &all["compared"][0];
@@ -117,7 +129,7 @@
     }
     let plots = std::fs::read_dir(&scratch.0).expect("a folder").flatten();
     let plots = plots.filter(|e| e.path().extension().is_some_and(|x| x == "svg"));
-    let whole = plots.map(|e| std::fs::read_to_string(e.path()).expect("a plot"));
-    let whole = whole.filter(|text| text.contains("<svg") && text.trim_end().ends_with("</svg>"));
-    expect_that!(whole.count(), ge(8));
+    let complete = plots.map(|e| std::fs::read_to_string(e.path()).expect("a plot"));
+    let complete = complete.filter(|text| text.contains("<svg") && text.trim_end().ends_with("</svg>"));
+    expect_that!(complete.count(), ge(8));
 }
