--- a/crates/capacity/src/cluster.rs
+++ b/crates/capacity/src/cluster.rs
@@ -287,7 +287,7 @@
         };
         for number in 0..count {
             let data = core.data(number);
-            std::fs::create_dir_all(&data).map_err(|e| CapacityError::File(data.display().to_string(), e))?;
+            std::fs::create_dir_all(&data).map_err(CapacityError::file(&data))?;
             let more = format!("control_port = \"{}\"\n", core.controls[number]);
             let path = core.write(&format!("core-{number}"), &core.settings(1, number, &more))?;
             let log = core.folder.join(format!("core-{number}.log"));
@@ -319,7 +319,7 @@
     /// Writes a file of settings.
     pub fn write(&self, name: &str, text: &str) -> Result<PathBuf, CapacityError> {
         let path = self.folder.join(format!("{name}.toml"));
-        std::fs::write(&path, text).map_err(|e| CapacityError::File(path.display().to_string(), e))?;
+        std::fs::write(&path, text).map_err(CapacityError::file(&path))?;
         Ok(path)
     }
 
@@ -352,7 +352,7 @@
 fn write_job(folder: &Path, name: &str, job: &impl Serialize) -> Result<String, CapacityError> {
     let path = folder.join(format!("{name}.json"));
     let text = serde_json::to_string(job).unwrap_or_default();
-    std::fs::write(&path, text).map_err(|e| CapacityError::File(path.display().to_string(), e))?;
+    std::fs::write(&path, text).map_err(CapacityError::file(&path))?;
     Ok(path.display().to_string())
 }
 
--- a/crates/capacity/src/fault_recovery.rs
+++ b/crates/capacity/src/fault_recovery.rs
@@ -161,7 +161,7 @@
         self.core.processes[number].kill();
         let data = self.core.data(number);
         let emptied = std::fs::remove_dir_all(&data).and_then(|()| std::fs::create_dir_all(&data));
-        emptied.map_err(|e| CapacityError::File(data.display().to_string(), e))?;
+        emptied.map_err(CapacityError::file(&data))?;
         let started = Instant::now();
         self.core.start_again(number)?;
         let control = self.core.controls[number];
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -40,6 +40,13 @@
     Drawing(String, String),
 }
 
+impl CapacityError {
+    /// Maps an I/O error at a path.
+    fn file(path: &Path) -> impl FnOnce(std::io::Error) -> Self + '_ {
+        move |error| CapacityError::File(path.display().to_string(), error)
+    }
+}
+
 impl std::error::Error for CapacityError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
@@ -138,7 +145,7 @@
     fn new(name: &str) -> Result<Self, CapacityError> {
         let path = std::env::temp_dir().join(format!("whinstall-capacity-{}-{name}", std::process::id()));
         let created = std::fs::remove_dir_all(&path).or(Ok(())).and_then(|()| std::fs::create_dir_all(&path));
-        created.map_err(|e| CapacityError::File(path.display().to_string(), e))?;
+        created.map_err(CapacityError::file(&path))?;
         Ok(Scratch(path))
     }
 }
@@ -150,7 +157,7 @@
 }
 
 fn run(plan: &plan::Plan, out: &Path) -> Result<(), CapacityError> {
-    std::fs::create_dir_all(out).map_err(|e| CapacityError::File(out.display().to_string(), e))?;
+    std::fs::create_dir_all(out).map_err(CapacityError::file(out))?;
     let mut results = report::Results::default();
     for (number, case) in plan.cases.iter().enumerate() {
         eprintln!("{}/{}: {} at {} {}", number + 1, plan.cases.len(), case.group, case.size, case.by);
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -112,7 +112,7 @@
         let text = serde_json::to_string_pretty(&all).unwrap_or_default();
         for (name, text) in [("capacity.json", text), ("capacity.md", self.summary(&fits))] {
             let path = out.join(name);
-            std::fs::write(&path, text).map_err(|e| CapacityError::File(path.display().to_string(), e))?;
+            std::fs::write(&path, text).map_err(CapacityError::file(&path))?;
         }
         Ok(())
     }
--- a/crates/capacity/src/simulated_edges.rs
+++ b/crates/capacity/src/simulated_edges.rs
@@ -89,6 +89,14 @@
     pub late_s: f64,
 }
 
+impl Report {
+    fn add(&mut self, kind: String, bytes: usize) {
+        let count = self.kinds.entry(kind).or_default();
+        count.messages += 1;
+        count.bytes += bytes as u64;
+    }
+}
+
 struct Run {
     job: Job,
     report: RefCell<Report>,
@@ -168,15 +176,12 @@
         if name == "Sync" && way == "said" {
             *report.syncs.entry(to.to_string()).or_default() += 1;
         }
-        let tally = report.kinds.entry(format!("{way} {name}")).or_default();
-        (tally.messages, tally.bytes) = (tally.messages + 1, tally.bytes + bytes.len() as u64);
+        report.add(format!("{way} {name}"), bytes.len());
     }
 
     fn count_datagram(&self, way: &str, bytes: usize) {
         if self.counts {
-            let mut report = self.run.report.borrow_mut();
-            let tally = report.kinds.entry(format!("{way} Load (datagram)")).or_default();
-            (tally.messages, tally.bytes) = (tally.messages + 1, tally.bytes + bytes as u64);
+            self.run.report.borrow_mut().add(format!("{way} Load (datagram)"), bytes);
         }
     }
 
