--- a/crates/simulation/tests/scenarios/worst_days.rs
+++ b/crates/simulation/tests/scenarios/worst_days.rs
@@ -250,7 +250,7 @@
 /// A day that broke a rule in a long run; each is kept with its cause.
 #[gtest]
 fn edge_starts_just_before_the_cores_lose_power() {
-    // Seed 800276, the auditor's fault: it looked every tenth of a second whether a edge node could have met the core, and this one
+    // Seed 800276, the auditor's fault: it looked every tenth of a second whether an edge node could have met the core, and this one
     // met it in between. It goes by what was heard now.
     trial(15_100..15_103, |_, _| {
         let dark = SevereFault::Blackout { down: 0.8, wipe: Vec::new(), edges: false };
@@ -288,7 +288,7 @@
         wall_clock_readers,
         unordered_elements_are![
             eq("gateway/src/runtime/signals.rs"),
-            eq("gateway/src/storage/mod.rs"),
+            eq("gateway/src/storage/create.rs"),
             eq("gateway/src/runtime/edge_server.rs"),
             eq("capacity/src/children.rs")
         ]
