--- a/crates/gateway/tests/docs.rs
+++ b/crates/gateway/tests/docs.rs
@@ -1,18 +1,12 @@
 //! docs/GLOSSARY.md names only what the code has.
 
+#[path = "common/files.rs"]
+mod files;
+
+use files::files_below;
 use googletest::prelude::*;
 use std::path::{Path, PathBuf};
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path()) {
-        match entry.is_dir() {
-            true if entry.ends_with("target") => {}
-            true => sources(&entry, found),
-            false => found.push(entry),
-        }
-    }
-}
-
 /// Whether some source defines a type of this name, or is a module or a crate of this name.
 fn is_defined(name: &str, files: &[(PathBuf, String)]) -> bool {
     let definitions = ["struct", "enum", "type", "trait"].map(|kind| format!("{kind} {name}"));
@@ -36,11 +30,14 @@
 fn every_type_in_the_glossary_exists() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let page = std::fs::read_to_string(root.join("docs/GLOSSARY.md")).expect("the page");
-    let mut paths = Vec::new();
-    sources(&root.join("src"), &mut paths);
-    sources(&root.join("crates"), &mut paths);
+    let is_built = |path: &Path| {
+        let relative = path.strip_prefix(&root).expect("below the root");
+        relative.components().any(|part| part.as_os_str() == "target")
+    };
+    let folders = ["src", "crates"].map(|folder| root.join(folder));
+    let paths = folders.iter().flat_map(|folder| files_below(folder)).filter(|path| !is_built(path));
     let text = |path: PathBuf| std::fs::read_to_string(&path).ok().map(|text| (path, text));
-    let files: Vec<(PathBuf, String)> = paths.into_iter().filter_map(text).collect();
+    let files: Vec<(PathBuf, String)> = paths.filter_map(text).collect();
     let mut checked = 0;
     for row in page.lines().filter(|line| line.starts_with("| ") && !line.starts_with("| ---")) {
         let last = row.trim_end_matches('|').rsplit('|').next().unwrap_or_default();
--- a/crates/gateway/tests/layers.rs
+++ b/crates/gateway/tests/layers.rs
@@ -1,5 +1,9 @@
 //! The layers of docs/ARCHITECTURE.md: a module uses only what its row in the table of modules names.
 
+#[path = "common/files.rs"]
+mod files;
+
+use files::files_below;
 use googletest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -29,15 +33,6 @@
     rows.map(module).collect()
 }
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path()) {
-        match entry.is_dir() {
-            true => sources(&entry, found),
-            false => found.push(entry),
-        }
-    }
-}
-
 fn is_test(path: &Path) -> bool {
     let name = path.file_stem().and_then(|stem| stem.to_str()).unwrap_or_default();
     let in_model = path.components().any(|part| part.as_os_str() == "model");
@@ -46,8 +41,7 @@
 
 /// The top-level modules of a crate that its modules use by `crate::`, but for tests.
 fn used(source_root: &Path, modules: &BTreeSet<String>) -> Uses {
-    let mut files = Vec::new();
-    sources(source_root, &mut files);
+    let files = files_below(source_root);
     let mut used = Uses::new();
     for file in files.iter().filter(|file| !is_test(file)) {
         let relative = file.strip_prefix(source_root).expect("below the root");
--- a/crates/gateway/tests/log_lines.rs
+++ b/crates/gateway/tests/log_lines.rs
@@ -1,16 +1,11 @@
 //! Every message that the programs can log has its row in docs/system-operators.md.
 
-use googletest::prelude::*;
-use std::path::{Path, PathBuf};
+#[path = "common/files.rs"]
+mod files;
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder").map(|e| e.expect("an entry").path()) {
-        match entry.is_dir() {
-            true => sources(&entry, found),
-            false => found.push(entry),
-        }
-    }
-}
+use files::files_below;
+use googletest::prelude::*;
+use std::path::Path;
 
 /// The arguments of a macro call, from behind its bracket.
 fn arguments(text: &str) -> Vec<&str> {
@@ -41,10 +36,8 @@
 fn every_log_message_is_documented() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = std::fs::read_to_string(root.join("../../docs/system-operators.md")).expect("the page");
-    let mut files = Vec::new();
-    sources(&root.join("src"), &mut files);
     let mut messages = 0;
-    for file in files {
+    for file in files_below(&root.join("src")) {
         let text = std::fs::read_to_string(&file).expect("a source");
         for level in ["error", "warn", "info", "debug"] {
             let call = format!("tracing::{level}!(");
