--- a/crates/gateway/src/data_plane/request_state.rs
+++ b/crates/gateway/src/data_plane/request_state.rs
@@ -32,7 +32,7 @@
 pub enum DispatchDecision {
     /// It is sent to the worker.
     Send(u32),
-    /// It must not be sent. The caller ends it at once as one that never left ([`Ending::Moot`]).
+    /// It must not be sent. The caller ends it at once as one that never left ([`Ending::NotSent`]).
     Withhold(u32),
 }
 
--- a/crates/gateway/src/data_plane/request_state_tests.rs
+++ b/crates/gateway/src/data_plane/request_state_tests.rs
@@ -182,7 +182,7 @@
                 Written::Nothing => {
                     steps
                         .extend([Written::Partial, Written::Complete].map(|written| Step::Write(n, written)));
-                    steps.extend([Ending::ConnectFailed, Ending::Moot].map(|e| Step::AttemptEnds(n, e)));
+                    steps.extend([Ending::ConnectFailed, Ending::NotSent].map(|e| Step::AttemptEnds(n, e)));
                 }
                 written => {
                     steps.extend((written == Written::Partial).then_some(Step::Write(n, Written::Complete)));
@@ -371,7 +371,7 @@
                 Ok(())
             }
             DispatchDecision::Withhold(attempt) => {
-                let ended = self.state.end_attempt(attempt, Ending::Moot, None);
+                let ended = self.state.end_attempt(attempt, Ending::NotSent, None);
                 self.has_actions_pending = true;
                 self.record_response(ended.and_then(|e| e.response), fault)
             }
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -76,7 +76,7 @@
 impl<'a> AttemptReport<'a> {
     /// An attempt of which no byte was sent.
     fn not_sent(id: &'a RequestId, attempt: u32, worker: &'a HostId) -> Self {
-        AttemptReport { id, attempt, worker, ending: Ending::Moot, response_ok: None }
+        AttemptReport { id, attempt, worker, ending: Ending::NotSent, response_ok: None }
     }
 }
 
@@ -171,13 +171,16 @@
                         out.push(Effect::CancelAttempt(id, attempt));
                     }
                 }
-                Action::Refuse { id, stay_away } => {
-                    let retry_after_secs = stay_away.map_or(RETRY_AFTER_SECS, |s| s.as_secs_f64());
+                Action::Refuse { id, retry_after } => {
+                    let retry_after_secs = retry_after.map_or(RETRY_AFTER_SECS, |s| s.as_secs_f64());
                     self.give_up(&id, retry_after_secs, out);
                 }
                 Action::Fail { id } => self.give_up(&id, RETRY_AFTER_SECS, out),
-                Action::Close { host } => out.push(Effect::CloseIdleConnections(host)),
-                Action::Count { .. } | Action::Probe { .. } | Action::Timer { .. } | Action::Subscribe => {}
+                Action::CloseIdle { host } => out.push(Effect::CloseIdleConnections(host)),
+                Action::AddToCounter { .. }
+                | Action::Probe { .. }
+                | Action::SetTimer { .. }
+                | Action::Subscribe => {}
             }
         }
     }
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -216,7 +216,7 @@
                     (Ending::Reset, None),
                     (Ending::Full, None),
                     (Ending::ConnectFailed, None),
-                    (Ending::Moot, None),
+                    (Ending::NotSent, None),
                 ][self.rng.usize(0..7)];
                 self.end_attempt(&id, attempt, ending, response_ok);
             }
--- a/crates/gateway/src/data_plane/upstream_service.rs
+++ b/crates/gateway/src/data_plane/upstream_service.rs
@@ -47,11 +47,11 @@
     fn to_module_class(&self) -> Class {
         Class {
             name: self.name(),
-            aim: self.latency_target,
-            gain: 1.0 / f64::from(self.priority + 1),
-            late_worth: 0.1,
+            latency_target: self.latency_target,
+            value: 1.0 / f64::from(self.priority + 1),
+            late_value_fraction: 0.1,
             idempotency: if self.is_idempotent { Idempotency::Repeatable } else { Idempotency::Once },
-            key_window: Duration::ZERO,
+            key_retention: Duration::ZERO,
         }
     }
 }
@@ -90,13 +90,13 @@
         name: ONLY_PLAN.into(),
         rate: 0.0,
         burst: 1.0,
-        at_once: 0,
+        max_concurrent: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        tolerance: 0.0,
+        ceiling_tolerance: 0.0,
         price: 1.0,
-        excess_worth: 0.0,
-        beyond_costs: 1.0,
+        excess_value_fraction: 0.0,
+        excess_cost_fraction: 1.0,
     };
     Settings {
         replicas: edge_count.max(1),
@@ -104,22 +104,22 @@
         zone: zone.into(),
         classes: Vec::new(),
         plans: vec![plan],
-        may_count: false,
-        count_wait: Duration::from_millis(50),
-        post_paid: false,
-        units_top: 1.0,
+        uses_counter: false,
+        counter_timeout: Duration::from_millis(50),
+        units_are_estimates: false,
+        max_units: 1.0,
         may_cancel: true,
-        may_duplicate: true,
+        may_hedge: true,
         may_probe: false,
         max_attempts: MAX_ATTEMPTS,
-        retry_after: true,
+        sends_retry_after: true,
         max_retry_after: Duration::from_secs(1),
-        on_request: false,
+        subscribes_to_hosts: false,
         load_reports: LoadReports::Off,
-        cold_share: WARMUP_CAPACITY_SHARE,
-        tip_multiple: 2.0,
-        fall: Duration::from_secs(1),
-        warm_after: Duration::from_secs_f64(WARMUP_SECS),
+        cold_capacity_fraction: WARMUP_CAPACITY_SHARE,
+        overload_factor: 2.0,
+        overload_duration: Duration::from_secs(1),
+        warmup: Duration::from_secs_f64(WARMUP_SECS),
         cross_zone_price: 1.0,
         probe_price: 0.0,
     }
@@ -135,7 +135,7 @@
     pub fn new(name: Arc<str>, zone: &str, ordinal: u32, edge_count: u32, seed: u64) -> Self {
         let settings = module_settings(zone, ordinal, edge_count);
         let mut module = Gateway::new(settings.clone(), seed);
-        module.compare(CANDIDATES_COMPARED);
+        module.set_candidate_count(CANDIDATES_COMPARED);
         UpstreamService {
             name,
             module,
@@ -150,7 +150,7 @@
     pub fn set_edge_count(&mut self, edge_count: u32) {
         if self.settings.replicas != edge_count.max(1) {
             self.settings.replicas = edge_count.max(1);
-            self.module.retune(self.settings.clone());
+            self.module.update_settings(self.settings.clone());
         }
     }
 
@@ -164,7 +164,7 @@
             group: 0,
             kind: Arc::from(""),
             availability: Availability::Ready,
-            nominal: f64::from(w.capacity.max(1)),
+            nominal_capacity: f64::from(w.capacity.max(1)),
             last_start: Some(registry.slow_start_ends_secs(&w.id) - WARMUP_SECS)
                 .filter(|at| *at > 0.0)
                 .map(duration),
@@ -186,7 +186,7 @@
         if !self.classes.contains(class) {
             self.classes.push(class.clone());
             self.settings.classes.push(class.to_module_class());
-            self.module.retune(self.settings.clone());
+            self.module.update_settings(self.settings.clone());
         }
         let request = Event::Request {
             id: id.clone(),
@@ -195,7 +195,7 @@
             customer: CustomerId(ONLY_PLAN.into()),
             budget: duration(remaining_secs),
             units: 1.0,
-            width: 1,
+            gateway_count: 1,
         };
         self.handle(now, request, 0.0, out);
     }
@@ -208,13 +208,13 @@
         retries: f64,
         out: &mut Vec<Action>,
     ) {
-        let outcome = Event::Outcome {
+        let outcome = Event::AttemptFinished {
             id: result.id.clone(),
             attempt: result.attempt,
             host: result.worker.clone(),
             ending: result.ending,
-            done: result.is_answered,
-            delay: duration(result.elapsed_secs),
+            request_done: result.is_answered,
+            elapsed: duration(result.elapsed_secs),
             cost: 0.0,
             metered: None,
         };
@@ -223,12 +223,12 @@
 
     /// Sets the attempts that other edge nodes have in flight at a worker.
     pub fn set_in_flight_elsewhere(&mut self, worker: &Arc<str>, attempts: u32) {
-        self.module.out_elsewhere(&HostId(Arc::clone(worker)), attempts);
+        self.module.set_remote_in_flight(&HostId(Arc::clone(worker)), attempts);
     }
 
     /// Passes on that a request's client has disconnected.
     pub fn on_client_disconnect(&mut self, now: f64, id: &RequestId, out: &mut Vec<Action>) {
-        self.handle(now, Event::Departed { id: id.clone() }, 0.0, out);
+        self.handle(now, Event::ClientDisconnected { id: id.clone() }, 0.0, out);
     }
 
     /// Runs the module's timer if it is due.
@@ -240,11 +240,11 @@
     }
 
     fn handle(&mut self, now: f64, event: Event, retries: f64, out: &mut Vec<Action>) {
-        self.module.allow_further(retries);
+        self.module.set_retry_allowance(retries);
         let before = out.len();
         self.module.handle(duration(now), event, out);
         for action in &out[before..] {
-            if let Action::Timer { after, .. } = action {
+            if let Action::SetTimer { after, .. } = action {
                 self.timer_at = self.timer_at.min(now + after.as_secs_f64());
             }
         }
--- a/crates/gateway/src/transport/upstream_pool.rs
+++ b/crates/gateway/src/transport/upstream_pool.rs
@@ -216,7 +216,7 @@
     /// Sends a request once and waits for the complete response, for at most `time_limit`. `may_send` is asked at the
     /// last moment before the first byte is written.
     ///
-    /// `ConnectFailed` and `Moot`: nothing was written, and the request may be sent elsewhere. `Full`: the worker says
+    /// `ConnectFailed` and `NotSent`: nothing was written, and the request may be sent elsewhere. `Full`: the worker says
     /// that it did not run the request. After every other failure it may have run.
     pub async fn attempt(
         &self,
@@ -253,11 +253,11 @@
             return AttemptOutcome::without_response(Ending::ConnectFailed);
         };
         if !may_send() {
-            return AttemptOutcome::without_response(Ending::Moot);
+            return AttemptOutcome::without_response(Ending::NotSent);
         }
         let mut codec = ClientCodec::new(self.config.clone());
         let Some(request) = encode(&mut codec, forward, tenant, worker) else {
-            return AttemptOutcome::without_response(Ending::Moot);
+            return AttemptOutcome::without_response(Ending::NotSent);
         };
         match exchange(&mut connection.stream, codec, request, &forward.id, written).await {
             Ok(result) => {
--- a/src/bin/whinstall-simhost/wire.rs
+++ b/src/bin/whinstall-simhost/wire.rs
@@ -15,7 +15,7 @@
         4 => Ending::ConnectFailed,
         5 => Ending::Reset,
         6 => Ending::Cancelled,
-        7 => Ending::Moot,
+        7 => Ending::NotSent,
         _ => Ending::Error,
     }
 }
@@ -95,7 +95,7 @@
             "draining" => Availability::Draining,
             _ => Availability::Gone,
         },
-        nominal: w.nominal,
+        nominal_capacity: w.nominal,
         last_start: (w.last_start_s != 0.0).then(|| duration_from_secs(w.last_start_s)),
     }
 }
@@ -150,26 +150,26 @@
                 customer: CustomerId(Arc::from(w.user_key)),
                 budget: duration_from_secs(w.budget_s),
                 units: w.quota_units,
-                width: w.width as u32,
+                gateway_count: w.width as u32,
             }
         }
         "Streaming" => {
             let w: WireAttempt = read(value)?;
-            Event::Streaming { id: id(w.job), attempt: w.send_no as u32 }
+            Event::ResponseStarted { id: id(w.job), attempt: w.send_no as u32 }
         }
         "Gone" => {
             let w: WireAttempt = read(value)?;
-            Event::Departed { id: id(w.job) }
+            Event::ClientDisconnected { id: id(w.job) }
         }
         "AttemptEnd" => {
             let w: WireAttempt = read(value)?;
-            Event::Outcome {
+            Event::AttemptFinished {
                 id: id(w.job),
                 attempt: w.send_no as u32,
                 host: host_id(w.host),
                 ending: ending(w.ending),
-                done: w.done_flag,
-                delay: duration_from_secs(w.delay_seen_s),
+                request_done: w.done_flag,
+                elapsed: duration_from_secs(w.delay_seen_s),
                 cost: w.cost,
                 // One more than the percentage; 0: none.
                 metered: Some((w.metered - 1.0) / 100.0).filter(|part| *part >= 0.0),
@@ -179,15 +179,15 @@
             let w: WireHealth = read(value)?;
             let stats: WireStats = read(w.stats).unwrap_or_default();
             let latency = stats.latency_ms.map(|ms| duration_from_secs(ms / 1e3));
-            Event::Probed { host: host_id(w.host), ending: ending(w.ending), latency }
+            Event::ProbeFinished { host: host_id(w.host), ending: ending(w.ending), latency }
         }
         "CountResult" => {
             let w: WireCount = read(value)?;
-            Event::Counted {
-                name: CountName(Arc::from(w.counter)),
+            Event::CounterReply {
+                name: CounterKey(Arc::from(w.counter)),
                 ending: ending(w.ending),
                 total: w.total,
-                delay: duration_from_secs(w.delay_seen_s),
+                elapsed: duration_from_secs(w.delay_seen_s),
             }
         }
         "TimeoutFired" => Event::Timer { token: read::<WireTimer>(value)?.cookie },
@@ -257,16 +257,16 @@
             Line::Deliver { gateway, job: &id.0, host: &host.0, try_for_s: timeout.map(|t| t.as_secs_f64()) }
         }
         Action::Cancel { id, attempt } => Line::CallOff { gateway, job: &id.0, send_no: *attempt },
-        Action::Refuse { id, stay_away } => {
-            Line::TurnAway { gateway, job: &id.0, stay_away_s: stay_away.map(|s| s.as_secs_f64()) }
+        Action::Refuse { id, retry_after } => {
+            Line::TurnAway { gateway, job: &id.0, stay_away_s: retry_after.map(|s| s.as_secs_f64()) }
         }
         Action::Fail { id } => Line::EndFailed { gateway, job: &id.0 },
-        Action::Count { name, amount, keep } => {
-            Line::Bump { gateway, ttl_s: keep.as_secs_f64(), counter: &name.0, amount: *amount }
+        Action::AddToCounter { name, amount, ttl } => {
+            Line::Bump { gateway, ttl_s: ttl.as_secs_f64(), counter: &name.0, amount: *amount }
         }
         Action::Probe { host } => Line::Test { gateway, host: &host.0 },
-        Action::Close { host } => Line::CloseIdle { gateway, host: &host.0 },
-        Action::Timer { after, token } => {
+        Action::CloseIdle { host } => Line::CloseIdle { gateway, host: &host.0 },
+        Action::SetTimer { after, token } => {
             Line::SetTimer { gateway, after_s: after.as_secs_f64(), cookie: token }
         }
         Action::Subscribe => Line::Watch { gateway, on: true },
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -39,19 +39,20 @@
                 }
             }
             let left = r.deadline - now;
-            let to_aim = r.arrived + class.aim.as_secs_f64() - AIM_MARGIN - now;
-            let patience = (PATIENCE * work).max(PATIENCE_AIM * class.aim.as_secs_f64());
+            let to_aim = r.arrived + class.latency_target.as_secs_f64() - AIM_MARGIN - now;
+            let patience = (PATIENCE * work).max(PATIENCE_AIM * class.latency_target.as_secs_f64());
             let repeatable = class.idempotency == Idempotency::Repeatable;
             let again = repeatable && r.most > r.attempts.len() + 1;
             let spare = again && self.retries >= 1.0 && patience + work < to_aim;
             r.copy_at = f64::INFINITY;
-            if spare && self.s.may_duplicate && r.attempts.is_empty() {
+            if spare && self.s.may_hedge && r.attempts.is_empty() {
                 r.copy_at = now + patience;
                 self.copies.push(Reverse((micros(r.copy_at), id.clone())));
             }
-            let timeout = if spare && !self.s.may_duplicate { patience } else { to_aim };
+            let timeout = if spare && !self.s.may_hedge { patience } else { to_aim };
             // Where lateness earns something, wait until the client gives up.
-            let cut = timeout > 0.0 && timeout < left && (timeout < to_aim || class.late_worth <= 0.0);
+            let cut =
+                timeout > 0.0 && timeout < left && (timeout < to_aim || class.late_value_fraction <= 0.0);
             let timeout = cut.then(|| span(timeout));
             actions.push(Action::Send { id: id.clone(), host: host.clone(), timeout });
             let (out, may_have_run, sent) = (true, false, now);
@@ -71,14 +72,14 @@
         if r.over || r.deadline <= self.now || r.attempts.len() >= r.most {
             return false;
         }
-        if out && (!self.s.may_duplicate || class.idempotency != Idempotency::Repeatable) {
+        if out && (!self.s.may_hedge || class.idempotency != Idempotency::Repeatable) {
             return false;
         }
         let first = ran.map(|a| a.sent).fold(f64::INFINITY, f64::min);
         match class.idempotency {
             Idempotency::Repeatable => true,
             // A margin for the way there: the host counts from when it saw the key.
-            Idempotency::ByKey(_) => self.now + 0.1 < first + class.key_window.as_secs_f64(),
+            Idempotency::ByKey(_) => self.now + 0.1 < first + class.key_retention.as_secs_f64(),
             Idempotency::Once => first == f64::INFINITY,
         }
     }
@@ -87,7 +88,8 @@
     pub(super) fn again(&mut self, id: &RequestId, actions: &mut Actions) {
         let Some(r) = self.requests.get(id) else { return };
         let class = &self.s.classes[r.class];
-        let in_time = self.now < r.arrived + class.aim.as_secs_f64() || class.late_worth > 0.0;
+        let in_time =
+            self.now < r.arrived + class.latency_target.as_secs_f64() || class.late_value_fraction > 0.0;
         let repeatable = class.idempotency == Idempotency::Repeatable;
         if in_time && self.retries >= 1.0 && self.send(id, actions) {
             self.retries -= 1.0;
@@ -101,7 +103,19 @@
     }
 
     pub(super) fn outcome(&mut self, e: Event, actions: &mut Actions) {
-        let Event::Outcome { id, attempt, host, ending, done, delay, cost, metered } = e else { return };
+        let Event::AttemptFinished {
+            id,
+            attempt,
+            host,
+            ending,
+            request_done: done,
+            elapsed: delay,
+            cost,
+            metered,
+        } = e
+        else {
+            return;
+        };
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(a) = r.attempts.get_mut(attempt as usize).filter(|a| a.out) else { return };
         (a.out, a.may_have_run) = (false, !ending.never_ran());
@@ -130,9 +144,9 @@
         } else if ending == Ending::Timeout {
             self.lost.add(self.now, 1.0, DONE_S);
         }
-        if settle && self.s.post_paid && cost > 0.0 {
+        if settle && self.s.units_are_estimates && cost > 0.0 {
             self.turn(&customer);
-            self.charge(&customer, sane(cost).min(self.s.units_top.max(1.0)) - units);
+            self.charge(&customer, sane(cost).min(self.s.max_units.max(1.0)) - units);
         }
         self.schedule(&customer);
         if over {
--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -13,13 +13,13 @@
 
 /// What this gateway was given of one customer's ceiling.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CeilingPart {
+pub struct CeilingShare {
     /// Whose ceiling.
     pub customer: CustomerId,
     /// How much of what is divided.
-    pub part: Ppm,
+    pub share: Ppm,
     /// Until then, in Unix seconds of this process's clock.
-    pub until: f64,
+    pub expires_at: f64,
 }
 
 impl Customer {
@@ -47,7 +47,7 @@
 
     /// What it wants of each ceiling beside its floor, in millionths of what is divided; nothing where none is asked
     /// for.
-    pub fn wants(&self) -> Vec<(CustomerId, Ppm)> {
+    pub fn ceiling_demand(&self) -> Vec<(CustomerId, Ppm)> {
         let Some(floor) = self.floor else { return Vec::new() };
         let wants = self.customers.iter().filter_map(|(id, c)| {
             let rate = self.s.plans[c.plan].ceiling_rate;
@@ -61,17 +61,17 @@
 
     /// What it was given. A share that grows begins empty, one that shrinks keeps what fits: so what all stores hold
     /// together never grows by a share that moves.
-    pub fn given(&mut self, now: f64, parts: Vec<CeilingPart>) {
+    pub fn assign_ceilings(&mut self, now: f64, parts: Vec<CeilingShare>) {
         self.now = self.now.max(now);
         let (now, floor) = (self.now, self.floor);
-        for CeilingPart { customer, part, until } in parts {
+        for CeilingShare { customer, share: part, expires_at: until } in parts {
             self.ceiling_takes(&customer, 0.0, false); // its store is brought up to date by the share so far
             let Some(c) = self.customers.get_mut(&customer) else { continue };
             let plan = &self.s.plans[c.plan];
             let before = 1.0 / c.ways(floor, now);
             (c.given, c.given_until) = (part.min(WHOLE) as f64 / WHOLE as f64, until);
             let after = 1.0 / c.ways(floor, now);
-            c.ceiling -= plan.tolerance * (after - before).max(0.0);
+            c.ceiling -= plan.ceiling_tolerance * (after - before).max(0.0);
             c.ceiling = c.ceiling.min(plan.ceiling_burst * after);
         }
     }
--- a/src/gateway/caps.rs
+++ b/src/gateway/caps.rs
@@ -19,11 +19,12 @@
     pub(super) fn open_fits(&mut self, id: &CustomerId, units: f64) -> bool {
         let (now, asked, hold) = (self.now, self.asked(id, units), self.hold());
         let Some(c) = self.customers.get_mut(id) else { return false };
-        let cap = f64::from(self.s.plans[c.plan].at_once);
+        let cap = f64::from(self.s.plans[c.plan].max_concurrent);
         if cap > 0.0 && cap < c.width {
             let held = hold * c.width * asked.max(c.surge.rate(now, SURGE_S));
             c.surge.add(now, units, SURGE_S);
-            return self.rng.f64() * held < OPEN_PART * cap || self.s.plans[c.plan].beyond_costs <= 0.0;
+            return self.rng.f64() * held < OPEN_PART * cap
+                || self.s.plans[c.plan].excess_cost_fraction <= 0.0;
         }
         if cap == 0.0 || now - c.others_at <= OPEN_FRESH {
             return cap == 0.0 || c.out + c.others + 1.0 <= cap;
@@ -45,9 +46,9 @@
         let Some(c) = self.customers.get_mut(id) else { return };
         c.out = (c.out + by).max(0.0);
         let plan = &self.s.plans[c.plan];
-        if f64::from(plan.at_once) >= c.width {
+        if f64::from(plan.max_concurrent) >= c.width {
             // Where a try beyond the cap costs nothing, only long attempts are worth a call.
-            let wait = if plan.beyond_costs > 0.0 { OPEN_TELL } else { OPEN_FRESH };
+            let wait = if plan.excess_cost_fraction > 0.0 { OPEN_TELL } else { OPEN_FRESH };
             let wait = if by > 0.0 && now - c.others_at > 2.0 * wait { wait * 0.05 } else { wait };
             c.open_at = c.open_at.min(now + wait);
         }
@@ -58,7 +59,7 @@
         let now = self.now;
         let Some(c) = self.customers.get_mut(id) else { return };
         let amount = c.out - c.open_told;
-        let at_share = c.out >= (f64::from(self.s.plans[c.plan].at_once) / c.width).floor();
+        let at_share = c.out >= (f64::from(self.s.plans[c.plan].max_concurrent) / c.width).floor();
         if c.open_calling || (amount == 0.0 && !(at_share && now - c.others_at > OPEN_FRESH / 2.0)) {
             c.open_at = if c.open_calling { now + OPEN_TELL } else { f64::INFINITY };
             return;
@@ -82,7 +83,7 @@
         let fill = plan.ceiling_rate / ways * (now - c.ceiling_at);
         c.ceiling = (c.ceiling + fill).min(plan.ceiling_burst / ways);
         c.ceiling_at = now;
-        let fits = c.ceiling - units >= -plan.tolerance / ways + 1e-6 && !self.bequeathed;
+        let fits = c.ceiling - units >= -plan.ceiling_tolerance / ways + 1e-6 && !self.bequeathed;
         c.ceiling -= if fits && take { units } else { 0.0 };
         fits
     }
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -40,24 +40,24 @@
     /// Part of its full capacity that a host surely has.
     pub(super) fn warmth(&self, h: &Host) -> f64 {
         let Some(started) = h.started else { return 1.0 };
-        let share = sane(self.s.cold_share).min(1.0);
-        let warm_after = self.s.warm_after.as_secs_f64().max(0.001);
+        let share = sane(self.s.cold_capacity_fraction).min(1.0);
+        let warm_after = self.s.warmup.as_secs_f64().max(0.001);
         (share + (1.0 - share) * (self.now - started).max(0.0) / warm_after).min(1.0)
     }
 
     /// Work a second that a cold host may be sent by this gateway: what its warm hosts take, by size, times
     /// the warmth: under the multiple at any load.
     pub(super) fn cold_rate(&self, h: &Host) -> f64 {
-        let limit = self.s.tip_multiple.clamp(0.5, 3.0) / 2.0;
+        let limit = self.s.overload_factor.clamp(0.5, 3.0) / 2.0;
         // No warm host left: none shows what this one can take, and it gets nothing.
         let warm = if self.warm_size > 0.0 { self.warm_size } else { f64::INFINITY };
-        self.sent.rate(self.now, FLOW_S) * h.nominal / warm * self.warmth(h) * limit
+        self.sent.rate(self.now, FLOW_S) * h.nominal_capacity / warm * self.warmth(h) * limit
     }
 
     /// What a cold host's store holds now; nothing before warm hosts have shown a rate.
     pub(super) fn cold_level(&self, h: &Host) -> f64 {
         let rate = self.cold_rate(h);
-        let store = COLD_STORE * self.mean_latency().max(rate * self.s.fall.as_secs_f64());
+        let store = COLD_STORE * self.mean_latency().max(rate * self.s.overload_duration.as_secs_f64());
         Some(rate).filter(|r| *r > 0.0).map_or(-1.0, |r| (h.cold + r * (self.now - h.cold_at)).min(store))
     }
 
@@ -87,7 +87,12 @@
             let warmth = self.warmth(h);
             self.ready += warmth;
             let far = self.s.cross_zone_price > 0.0 && h.zone != self.s.zone;
-            rings[usize::from(far)].push((fnv1a(&id.0), h.nominal * warmth * h.part.unwrap_or(1.0), id, h));
+            rings[usize::from(far)].push((
+                fnv1a(&id.0),
+                h.nominal_capacity * warmth * h.part.unwrap_or(1.0),
+                id,
+                h,
+            ));
         }
         let mut tables: [Vec<(f64, HostId)>; 2] = Default::default();
         for (ring, table) in rings.iter_mut().zip(&mut tables) {
@@ -120,7 +125,7 @@
             let table = &self.tables[table];
             let id = &table[table.partition_point(|t| t.0 <= at).min(table.len() - 1)].1;
             let Some(h) = self.hosts.get(id).filter(|h| self.fits(id, h, need)) else { continue };
-            let score = ((h.work + h.elsewhere) / (h.nominal * self.warmth(h)) + need.work)
+            let score = ((h.work + h.elsewhere) / (h.nominal_capacity * self.warmth(h)) + need.work)
                 * self.slowness(h).max(1.0);
             if self.suspect(h, need.class) {
                 resort = Some((id.clone(), score));
@@ -140,8 +145,8 @@
     /// May this host be sent that request at all?
     pub(super) fn fits(&self, id: &HostId, h: &Host, need: &Need) -> bool {
         let in_group = match (&need.bound, self.s.classes[need.class].idempotency) {
-            (Some(bound), Idempotency::ByKey(KeyGroup::Zone)) => bound.0 == h.zone,
-            (Some(bound), Idempotency::ByKey(KeyGroup::Cell)) => bound.1 == h.group,
+            (Some(bound), Idempotency::ByKey(KeyScope::Zone)) => bound.0 == h.zone,
+            (Some(bound), Idempotency::ByKey(KeyScope::Cell)) => bound.1 == h.group,
             _ => true,
         };
         let warm = self.warmth(h) >= 1.0
@@ -196,7 +201,7 @@
             Ending::ConnectFailed if full => 0.3,
             Ending::Error | Ending::ConnectFailed | Ending::Reset => 1.0,
             Ending::Full => 0.3,
-            Ending::Timeout | Ending::Cancelled | Ending::Moot => return, // neither health nor failure
+            Ending::Timeout | Ending::Cancelled | Ending::NotSent => return, // neither health nor failure
         };
         h.health.resize_with(classes, Health::default);
         for (_, x) in h.health.iter_mut().enumerate().filter(|(c, _)| refused && !full || *c == class) {
@@ -220,7 +225,7 @@
         let span = |at: f64| ((self.now - at) / IDLE_LEAST).max(0.5).log2().ceil().max(0.0) as usize;
         let idle = used.map_or(0, span).min(self.idle.len() - 1);
         let renew = out == 0 && self.stale(idle);
-        actions.extend(renew.then(|| Action::Close { host: id.clone() }));
+        actions.extend(renew.then(|| Action::CloseIdle { host: id.clone() }));
         let opened = if renew { self.now } else { used.unwrap_or(self.now) };
         self.hosts.entry(id.clone()).and_modify(|h| h.used = Some(opened));
         idle * usize::from(!renew)
@@ -231,13 +236,13 @@
         let silent = match ending {
             Ending::Timeout | Ending::Reset => true,
             Ending::Ok | Ending::Error | Ending::Full => false,
-            Ending::ConnectFailed | Ending::Cancelled | Ending::Moot => return,
+            Ending::ConnectFailed | Ending::Cancelled | Ending::NotSent => return,
         };
         self.idle[idle].note(self.now, f64::from(u8::from(silent)), IDLE_PRIOR, HEALTH_MEMORY, IDLE_FADE);
         let Some(h) = self.hosts.get_mut(id) else { return };
         let close = silent && idle > 0 && h.out == 0;
         h.used = if silent { h.used.filter(|_| !close) } else { Some(self.now) };
-        actions.extend(close.then(|| Action::Close { host: id.clone() }));
+        actions.extend(close.then(|| Action::CloseIdle { host: id.clone() }));
     }
 
     /// Ready hosts for each gateway, cold ones by their warmth.
--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -11,7 +11,7 @@
 
 /// What this gateway charged one customer in one window.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spending {
+pub struct WindowUsage {
     /// Whom.
     pub customer: CustomerId,
     /// The window's number, the same at every gateway.
@@ -19,33 +19,33 @@
     /// Units; within a window they only grow, but for what is settled.
     pub units: f64,
     /// Units that the counter has answered of this gateway, those that stand for untold ones among them.
-    pub told: f64,
+    pub acknowledged_units: f64,
     /// The window and the next one are over then, in Unix seconds.
-    pub until: f64,
+    pub expires_at: f64,
 }
 
 /// What this gateway has to tell, and what it would like to hear of.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Known {
+pub struct LocalState {
     /// Its charges, in windows that are not over.
-    pub spending: Vec<Spending>,
+    pub usage: Vec<WindowUsage>,
     /// Hosts that do badly, by outcomes of its own.
-    pub judged: Vec<(HostId, Judged)>,
+    pub host_health: Vec<(HostId, Judged)>,
     /// Hosts of which it has no outcome in their present life, each with its start.
-    pub unmet: Vec<(HostId, f64)>,
+    pub unobserved_hosts: Vec<(HostId, f64)>,
     /// What it wants of ceilings that are divided.
-    pub wants: Vec<(CustomerId, Ppm)>,
+    pub ceiling_demand: Vec<(CustomerId, Ppm)>,
 }
 
 /// What the copies tell now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Copies {
+pub struct RemoteState {
     /// What others hold of customers' windows, where it has changed; nothing held: it is out of date.
-    pub changed: Vec<((CustomerId, i64), Elsewhere)>,
+    pub usage: Vec<((CustomerId, i64), Elsewhere)>,
     /// Others' judgements of hosts that were asked for, each with the age of its evidence in seconds.
-    pub judged: Vec<(HostId, Judged, f64)>,
+    pub host_health: Vec<(HostId, Judged, f64)>,
     /// Part of the other gateways whose copies are fresh, 0 to 1.
-    pub fresh: f64,
+    pub fresh_fraction: f64,
 }
 
 /// What was told so far.
@@ -151,7 +151,7 @@
     }
 
     /// What this gateway has to tell others, and what it would like to hear of.
-    pub fn known(&self) -> Known {
+    pub fn local_state(&self) -> LocalState {
         let customers =
             self.customers.iter().filter(|(_, c)| c.own > c.former && self.s.plans[c.plan].rate > 0.0);
         let told = customers.map(|(id, c)| {
@@ -159,9 +159,15 @@
             let until = (c.window as f64 + 2.0 - c.phase) * length;
             let units = c.own - c.former;
             let told = self.guard.acknowledged_units(&count_name('q', id, c.window)).max(0.0);
-            Spending { customer: id.clone(), window: c.window, units, told, until }
+            WindowUsage {
+                customer: id.clone(),
+                window: c.window,
+                units,
+                acknowledged_units: told,
+                expires_at: until,
+            }
         });
-        let spending = told.filter(|s| s.until > self.now).collect();
+        let usage = told.filter(|s| s.expires_at > self.now).collect();
         let judged = self.hosts.iter().filter_map(|(id, h)| Some((id.clone(), h.judged(self.now)?)));
         let mut judged: Vec<(HostId, Judged)> = judged.collect();
         judged.sort_by(|a, b| {
@@ -170,13 +176,18 @@
         judged.truncate(JUDGED_MOST);
         let unmet = self.hosts.iter().filter(|(_, h)| h.unmet());
         let unmet = unmet.map(|(id, h)| (id.clone(), h.started.unwrap_or(0.0))).collect();
-        Known { spending, judged, unmet, wants: self.wants() }
+        LocalState {
+            usage,
+            host_health: judged,
+            unobserved_hosts: unmet,
+            ceiling_demand: self.ceiling_demand(),
+        }
     }
 
     /// What the copies of other gateways' books tell now.
-    pub fn elsewhere(&mut self, told: Copies) {
-        self.elsewhere.fresh = told.fresh;
-        for ((id, window), held) in told.changed {
+    pub fn apply_remote_state(&mut self, told: RemoteState) {
+        self.elsewhere.fresh = told.fresh_fraction;
+        for ((id, window), held) in told.usage {
             let key = (id, window);
             if held == Elsewhere::default() {
                 self.elsewhere.spent.remove(&key);
@@ -191,7 +202,7 @@
         }
         self.probe();
         let classes = self.s.classes.len();
-        for (id, judged, age) in told.judged {
+        for (id, judged, age) in told.host_health {
             let at = self.now - age;
             let Some(h) = self.hosts.get_mut(&id).filter(|h| h.unmet() && h.slow_at < at) else { continue };
             (h.slow, h.slow_at) = (judged.slow, at);
@@ -204,7 +215,7 @@
     /// views, that answer shows it. Seldom, as in a calm it only tells what the next total would have told anyway.
     fn probe(&mut self) {
         let every = (f64::from(self.s.replicas) / PROBES).max(PROBE_S);
-        if !self.s.may_count || self.now - self.elsewhere.probed_at < every {
+        if !self.s.uses_counter || self.now - self.elsewhere.probed_at < every {
             return;
         }
         let excess = |(id, c): (&CustomerId, &Customer)| {
--- a/src/gateway/interface.rs
+++ b/src/gateway/interface.rs
@@ -1,6 +1,6 @@
 //! What goes in and out of the decisions: settings, events, actions, ids. Nothing here decides.
 
-pub use crate::identifiers::{CountName, CustomerId, Ending, HostId, RequestId};
+pub use crate::identifiers::{CounterKey, CustomerId, Ending, HostId, RequestId};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
     /// Any number of times.
     Repeatable,
     /// Again only where its key is remembered.
-    ByKey(KeyGroup),
+    ByKey(KeyScope),
     /// Never twice.
     Once,
 }
 
 /// The hosts that drop a keyed repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyGroup {
+pub enum KeyScope {
     /// Every host.
     All,
     /// The hosts of the same zone.
@@ -32,15 +32,15 @@
     /// Its name on requests.
     pub name: String,
     /// Answers within this earn the full worth.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Worth of one request.
-    pub gain: f64,
+    pub value: f64,
     /// Part of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_value_fraction: f64,
     /// May it run again?
     pub idempotency: Idempotency,
     /// How long a key is remembered, from the first send that may have run.
-    pub key_window: Duration,
+    pub key_retention: Duration,
 }
 
 /// A plan: the quotas of each of its customers over all gateways together.
@@ -53,19 +53,19 @@
     /// Units that may be used at once.
     pub burst: f64,
     /// Attempts out at once; 0: no such quota.
-    pub at_once: u32,
+    pub max_concurrent: u32,
     /// Units a second of the hard ceiling; 0: none.
     pub ceiling_rate: f64,
     /// Units the ceiling's store holds.
     pub ceiling_burst: f64,
     /// Units by which that store may fall below nothing.
-    pub tolerance: f64,
+    pub ceiling_tolerance: f64,
     /// Multiplier on the worth.
     pub price: f64,
     /// Part of its worth earned beyond the quota.
-    pub excess_worth: f64,
+    pub excess_value_fraction: f64,
     /// Part of its worth that a send beyond the quota costs.
-    pub beyond_costs: f64,
+    pub excess_cost_fraction: f64,
 }
 
 /// How load reports reach a gateway.
@@ -93,37 +93,37 @@
     /// Plans of customers.
     pub plans: Vec<Plan>,
     /// May the counter service be called?
-    pub may_count: bool,
+    pub uses_counter: bool,
     /// A call to it is given up after this.
-    pub count_wait: Duration,
+    pub counter_timeout: Duration,
     /// Are units guesses, the true ones told with the answer?
-    pub post_paid: bool,
+    pub units_are_estimates: bool,
     /// The most units of one request.
-    pub units_top: f64,
+    pub max_units: f64,
     /// May an attempt be called off?
     pub may_cancel: bool,
     /// May a request have two attempts out?
-    pub may_duplicate: bool,
+    pub may_hedge: bool,
     /// May hosts be probed?
     pub may_probe: bool,
     /// Attempts of one request, at most.
     pub max_attempts: u32,
     /// Do clients hear how long to stay away?
-    pub retry_after: bool,
+    pub sends_retry_after: bool,
     /// The longest such span that they heed.
     pub max_retry_after: Duration,
     /// Must the host list be asked for?
-    pub on_request: bool,
+    pub subscribes_to_hosts: bool,
     /// How load reports come.
     pub load_reports: LoadReports,
     /// A host starts at this part of its capacity.
-    pub cold_share: f64,
+    pub cold_capacity_fraction: f64,
     /// Beyond this multiple of its present capacity...
-    pub tip_multiple: f64,
+    pub overload_factor: f64,
     /// ...for this long, a cold host falls over.
-    pub fall: Duration,
+    pub overload_duration: Duration,
     /// A host is warm this long after its start.
-    pub warm_after: Duration,
+    pub warmup: Duration,
     /// Price of attempts that cross zones.
     pub cross_zone_price: f64,
     /// Price of a probe a request.
@@ -155,7 +155,7 @@
     /// Its state.
     pub availability: Availability,
     /// Its size compared to the others.
-    pub nominal: f64,
+    pub nominal_capacity: f64,
     /// Clock time of its last start; `None`: long ago.
     pub last_start: Option<Duration>,
 }
@@ -198,22 +198,22 @@
         /// Its units, or a guess at them.
         units: f64,
         /// Gateways through which this customer's requests come.
-        width: u32,
+        gateway_count: u32,
     },
     /// A streamed answer has begun.
-    Streaming {
+    ResponseStarted {
         /// Which request.
         id: RequestId,
         /// Which attempt.
         attempt: u32,
     },
     /// The client has left.
-    Departed {
+    ClientDisconnected {
         /// Which request.
         id: RequestId,
     },
     /// An attempt has ended.
-    Outcome {
+    AttemptFinished {
         /// Which request.
         id: RequestId,
         /// Which attempt.
@@ -223,16 +223,16 @@
         /// How.
         ending: Ending,
         /// Is the request over?
-        done: bool,
+        request_done: bool,
         /// Time since it was sent.
-        delay: Duration,
+        elapsed: Duration,
         /// True units; 0: not told.
         cost: f64,
         /// What the customer used over all gateways in the meter's last period, as a part of its rate, if told.
         metered: Option<f64>,
     },
     /// A probe has ended.
-    Probed {
+    ProbeFinished {
         /// Which host.
         host: HostId,
         /// How.
@@ -241,35 +241,35 @@
         latency: Option<Duration>,
     },
     /// The counter has answered, or not.
-    Counted {
+    CounterReply {
         /// Which count.
-        name: CountName,
+        name: CounterKey,
         /// How.
         ending: Ending,
         /// The number after the call.
         total: f64,
         /// Time since the call.
-        delay: Duration,
+        elapsed: Duration,
     },
     /// A call to the counter that had ended without an answer was answered after all.
-    CountedLate {
+    LateCounterReply {
         /// Which count.
-        name: CountName,
+        name: CounterKey,
         /// The number after the call.
         total: f64,
         /// Time since the call.
-        delay: Duration,
+        elapsed: Duration,
     },
     /// Shares of load by hall, from the halls' module: a factor on each host's size (0: its hall takes
     /// nothing now), and the part of requests that fits in no hall. Never told: no halls in force.
-    Halls {
+    ZoneShares {
         /// Hosts and their factors; hosts not named keep theirs.
-        parts: Vec<(HostId, f64)>,
+        capacity_factors: Vec<(HostId, f64)>,
         /// Part of the work that goes to hosts of other zones while the own hall is short; `None`: near hosts
         /// first, as without halls.
-        spill: Option<f64>,
+        remote_share: Option<f64>,
         /// Part of requests to refuse at once, those of least worth for their work first.
-        unplaced: f64,
+        unassigned: f64,
     },
     /// A timer is due.
     Timer {
@@ -302,7 +302,7 @@
         /// Which request.
         id: RequestId,
         /// How long the client should stay away.
-        stay_away: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Final answer: failed, promising nothing.
     Fail {
@@ -310,13 +310,13 @@
         id: RequestId,
     },
     /// Add to a count and read it.
-    Count {
+    AddToCounter {
         /// Which count.
-        name: CountName,
+        name: CounterKey,
         /// How much; 0 only reads.
         amount: f64,
         /// How long a new count is kept.
-        keep: Duration,
+        ttl: Duration,
     },
     /// Probe a host.
     Probe {
@@ -324,12 +324,12 @@
         host: HostId,
     },
     /// Close the idle connections to a host: the next attempt there opens a new one.
-    Close {
+    CloseIdle {
         /// Which host.
         host: HostId,
     },
     /// Set a timer.
-    Timer {
+    SetTimer {
         /// Due after this.
         after: Duration,
         /// Comes back with the event.
--- a/src/gateway/legacy.rs
+++ b/src/gateway/legacy.rs
@@ -23,15 +23,15 @@
 
 record! {
     /// What is handed on. Times are Unix time in seconds; what one version does not know of another is left out.
-    Legacy {
+    ExportedState {
         /// When the gateway began, and when it had its first request.
         started: Option<f64>,
         /// When it had its first request.
         serving: Option<f64>,
         /// Its customers.
-        customers: Vec<CustomerLegacy>,
+        customers: Vec<ExportedCustomer>,
         /// Hosts of which something is known.
-        hosts: Vec<HostLegacy>,
+        hosts: Vec<ExportedHost>,
         /// Latency by kind of host, over what was expected.
         kinds: Vec<(String, f64)>,
         /// By class: its name, mean latency, mean units and the answers that they go by.
@@ -53,7 +53,7 @@
 
 record! {
     /// One customer. Units are those of its plan.
-    CustomerLegacy {
+    ExportedCustomer {
         /// Which.
         id: String,
         /// Its plan, by name.
@@ -91,7 +91,7 @@
 
 record! {
     /// One host: what was learnt of it since its last start.
-    HostLegacy {
+    ExportedHost {
         /// Which.
         id: String,
         /// Its last start; what is known of another life is of no use.
@@ -100,7 +100,7 @@
         heard: f64,
         /// Its answers' latency over what was expected, and as of when.
         slow: Level,
-        /// How its attempts ended lately, by the classes of [`Legacy::seen`].
+        /// How its attempts ended lately, by the classes of [`ExportedState::seen`].
         health: Vec<Judged>,
         /// Work that it may be sent while cold, in seconds of expected latency, and as of when.
         cold: Level,
@@ -122,10 +122,10 @@
 
     /// Hands on what this gateway knows. It goes on with what it took, but from now on every hard ceiling is the
     /// next process's to spend, and charges not told yet are the next one's to tell.
-    pub fn bequeath(&mut self) -> Legacy {
+    pub fn export_state(&mut self) -> ExportedState {
         let plans: Vec<String> = self.s.plans.iter().map(|p| p.name.clone()).collect();
         let customers = self.customers.iter_mut().map(|(id, c)| {
-            let told = CustomerLegacy {
+            let told = ExportedCustomer {
                 id: id.0.to_string(),
                 plan: plans[c.plan].clone(),
                 width: c.width,
@@ -148,7 +148,7 @@
         });
         let customers = customers.collect();
         self.bequeathed = true;
-        let host = |(id, h): (&HostId, &Host)| HostLegacy {
+        let host = |(id, h): (&HostId, &Host)| ExportedHost {
             id: id.0.to_string(),
             started: h.started,
             heard: h.heard,
@@ -156,7 +156,7 @@
             health: h.health.iter().map(judged).collect(),
             cold: (h.cold, h.cold_at),
         };
-        Legacy {
+        ExportedState {
             started: self.started,
             serving: self.serving,
             customers,
@@ -179,7 +179,7 @@
     }
 
     /// What was handed on was not taken: this gateway goes on as before, and tells its charges itself.
-    pub fn resume(&mut self, legacy: &Legacy) {
+    pub fn resume_after_export(&mut self, legacy: &ExportedState) {
         self.bequeathed = false;
         for told in legacy.customers.iter().filter(|c| c.unsynced != 0.0) {
             let Some(c) = self.customers.get_mut(told.id.as_str()) else { continue };
@@ -192,7 +192,7 @@
 
     /// Takes over what the process before knew, before the first request. What its settings or hosts do not have
     /// any more is left out.
-    pub fn inherit(&mut self, legacy: Legacy) {
+    pub fn import_state(&mut self, legacy: ExportedState) {
         if legacy.customers.is_empty() && legacy.seen.is_empty() {
             return;
         }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -20,8 +20,8 @@
 mod upkeep;
 mod window;
 
-pub use budgets::CeilingPart;
-pub use copies::{Copies, Known, Spending};
+pub use budgets::CeilingShare;
+pub use copies::{LocalState, RemoteState, WindowUsage};
 pub use interface::*;
-pub use legacy::{CustomerLegacy, HostLegacy, Legacy};
+pub use legacy::{ExportedCustomer, ExportedHost, ExportedState};
 pub use state::Gateway;
--- a/src/gateway/pressure.rs
+++ b/src/gateway/pressure.rs
@@ -3,7 +3,7 @@
 use crate::gateway::interface::*;
 use crate::gateway::state::*;
 
-const PRESSED: [f64; 3] = [0.35, 0.55, 0.85]; // refuse when predicted so late in the aim: low to high worth
+const PRESSED: [f64; 3] = [0.35, 0.55, 0.85]; // refuse when predicted so late in the latency_target: low to high worth
 const HOPELESS: f64 = 1.5; // an answer expected so much later than its client leaves is not begun
 const LOST_GAIN: f64 = 3.0; // bars fall so steeply with the share of time-outs, to a half at the most...
 const LOST_FREE: f64 = 0.04; // ...past this: a few very heavy requests are no sign of press
@@ -18,7 +18,7 @@
     /// predictions were too hopeful. Harm: where answers get lost on idle hosts.
     pub(super) fn pressed(&mut self, class: usize, price: f64, units: f64, left: f64) -> bool {
         let work = self.expected(class, units);
-        let density = self.s.classes[class].gain * price * units / work.max(1e-6);
+        let density = self.s.classes[class].value * price * units / work.max(1e-6);
         self.density += 0.02 * (density - self.density);
         let unplaced = self.unplaced > 0.0 && self.rng.f64() * density < self.unplaced * self.density;
         self.turned_out += u64::from(unplaced);
@@ -39,7 +39,7 @@
         let predicted = wait * (0.5 + 0.5 * work / mean);
         let bar = (PRESSED[1] * (density / self.density.max(1e-9)).sqrt()).clamp(PRESSED[0], PRESSED[2]);
         let bar = bar * (1.0 - LOST_GAIN * (lost / (lost + done) - LOST_FREE).max(0.0)).max(0.5);
-        predicted > bar * self.s.classes[class].aim.as_secs_f64().min(left)
+        predicted > bar * self.s.classes[class].latency_target.as_secs_f64().min(left)
     }
 
     /// The final answer to what is given up, at once; clients that hear it are told when to come back.
@@ -47,12 +47,15 @@
         // Where nothing tells when there will be room: once what is out now has ended.
         let seconds = if seconds > 0.0 { seconds } else { self.mean_latency() };
         let away = span(seconds).min(self.s.max_retry_after);
-        Action::Refuse { id, stay_away: Some(away).filter(|away| self.s.retry_after && !away.is_zero()) }
+        Action::Refuse {
+            id,
+            retry_after: Some(away).filter(|away| self.s.sends_retry_after && !away.is_zero()),
+        }
     }
 
     /// Beyond the quota only where that earns more than it costs, and only while hosts are calm.
     pub(super) fn spare(&mut self, plan: usize) -> bool {
         let calm = self.queue < SPARE_OUT * self.ready_each();
-        calm && self.s.plans[plan].excess_worth > self.s.plans[plan].beyond_costs
+        calm && self.s.plans[plan].excess_value_fraction > self.s.plans[plan].excess_cost_fraction
     }
 }
--- a/src/gateway/records.rs
+++ b/src/gateway/records.rs
@@ -13,9 +13,9 @@
 const IDLE: f64 = 60.0; // a customer not seen for this long, and with a full ceiling, is forgotten
 
 impl Gateway {
-    pub(super) fn call(&mut self, name: CountName, call: Call, amount: f64, window: f64, to: &mut Actions) {
+    pub(super) fn call(&mut self, name: CounterKey, call: Call, amount: f64, window: f64, to: &mut Actions) {
         let keep = span((2.0 * window + 1.0).min(60.0));
-        to.push(Action::Count { name: name.clone(), amount, keep });
+        to.push(Action::AddToCounter { name: name.clone(), amount, ttl: keep });
         self.calls.entry(name).or_default().push_back(call);
     }
 
@@ -25,7 +25,11 @@
         for e in entries {
             let ready = e.availability == Availability::Ready;
             let started = e.last_start.map(|t| t.as_secs_f64());
-            let nominal = if e.nominal.is_finite() && e.nominal > 0.0 { e.nominal } else { 1.0 };
+            let nominal = if e.nominal_capacity.is_finite() && e.nominal_capacity > 0.0 {
+                e.nominal_capacity
+            } else {
+                1.0
+            };
             let new = !self.hosts.contains_key(&e.host);
             let h = self.hosts.entry(e.host).or_default();
             if new || h.started != started {
@@ -33,7 +37,8 @@
                 // Not all gateways begin at once: each waits for its part of one request's share.
                 (h.cold, h.cold_at) = (-self.rng.f64() * 0.5 * mean, now);
             }
-            (h.zone, h.group, h.nominal, h.ready, h.started) = (e.zone, e.group, nominal, ready, started);
+            (h.zone, h.group, h.nominal_capacity, h.ready, h.started) =
+                (e.zone, e.group, nominal, ready, started);
             h.kind = e.kind;
         }
         // What is known of a host outlives an empty list, or one that lost it for a moment.
@@ -47,9 +52,15 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut s = sane_settings(settings);
         // An unknown class is handled as one that must never run twice.
-        let aim = s.classes.iter().map(|c| c.aim).max().unwrap_or(Duration::from_secs(1));
-        let (name, gain, late_worth, key_window) = (String::new(), 1.0, 0.0, Duration::ZERO);
-        s.classes.push(Class { name, aim, gain, late_worth, idempotency: Idempotency::Once, key_window });
+        let aim = s.classes.iter().map(|c| c.latency_target).max().unwrap_or(Duration::from_secs(1));
+        s.classes.push(Class {
+            name: String::new(),
+            latency_target: aim,
+            value: 1.0,
+            late_value_fraction: 0.0,
+            idempotency: Idempotency::Once,
+            key_retention: Duration::ZERO,
+        });
         let seen = s.classes.iter().map(|c| c.first_guess(SEEN_PRIOR)).collect();
         Gateway {
             seen,
@@ -82,7 +93,7 @@
         self.swept_at = now;
         self.customers.retain(|_, c| {
             let plan = &s.plans[c.plan];
-            let fill = (plan.ceiling_burst + plan.tolerance) / plan.ceiling_rate.max(1e-3);
+            let fill = (plan.ceiling_burst + plan.ceiling_tolerance) / plan.ceiling_rate.max(1e-3);
             c.out > 0.0 || now - c.seen < IDLE.max(fill)
         });
     }
--- a/src/gateway/retune.rs
+++ b/src/gateway/retune.rs
@@ -9,7 +9,7 @@
 impl Gateway {
     /// Goes by these settings from now on, for all that comes. Classes are told apart by index: one that goes or
     /// differs keeps its place for the requests that are open, and its successor gets a new one.
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         let mut s = sane_settings(settings);
         let told = std::mem::take(&mut s.classes);
         s.classes = std::mem::take(&mut self.s.classes);
--- a/src/gateway/rules.rs
+++ b/src/gateway/rules.rs
@@ -17,24 +17,25 @@
         self.now = now.as_secs_f64().max(self.now);
         if self.started.is_none() {
             self.started = Some(self.now);
-            actions.extend(self.s.on_request.then_some(Action::Subscribe));
+            actions.extend(self.s.subscribes_to_hosts.then_some(Action::Subscribe));
         }
         match event {
             Event::Hosts { scope, entries } => {
                 if scope != ListScope::Unavailable {
                     self.hosts_told(scope, entries);
-                } else if self.s.on_request {
-                    actions.push(Action::Timer { after: Duration::from_secs(1), token: "subscribe".into() });
+                } else if self.s.subscribes_to_hosts {
+                    actions
+                        .push(Action::SetTimer { after: Duration::from_secs(1), token: "subscribe".into() });
                 }
             }
             Event::Request { .. } => self.request(event, actions),
-            Event::Streaming { id, .. } => {
+            Event::ResponseStarted { id, .. } => {
                 let now = self.now;
                 self.requests.entry(id).and_modify(|r| (r.copy_at, r.deadline) = (f64::INFINITY, now));
             }
-            Event::Departed { id } => self.finish(&id, actions),
-            Event::Outcome { .. } => self.outcome(event, actions),
-            Event::Counted { name, ending, total, delay } => {
+            Event::ClientDisconnected { id } => self.finish(&id, actions),
+            Event::AttemptFinished { .. } => self.outcome(event, actions),
+            Event::CounterReply { name, ending, total, elapsed: delay } => {
                 if let Some((call, ok)) = self.counted(name, ending, total, delay.as_secs_f64()) {
                     self.schedule(&call.customer);
                     if let Some((id, cost)) = call.asks {
@@ -42,21 +43,25 @@
                     }
                 }
             }
-            Event::CountedLate { name, total, delay } => self.counted_late(name, total, delay.as_secs_f64()),
+            Event::LateCounterReply { name, total, elapsed: delay } => {
+                self.counted_late(name, total, delay.as_secs_f64())
+            }
             Event::Timer { token } if token == "tick" => self.timer_at = f64::INFINITY,
             Event::Timer { token } if token == "subscribe" => actions.push(Action::Subscribe),
-            Event::Halls { parts, spill, unplaced } => {
+            Event::ZoneShares { capacity_factors: parts, remote_share: spill, unassigned: unplaced } => {
                 (self.spill, self.unplaced) = (spill, sane(unplaced).min(1.0));
                 self.halls_told(parts);
             }
-            Event::Probed { .. } | Event::Timer { .. } => {}
+            Event::ProbeFinished { .. } | Event::Timer { .. } => {}
         }
         self.upkeep(actions);
     }
 
     pub(super) fn request(&mut self, e: Event, actions: &mut Actions) {
         self.serving = self.serving.or(Some(self.now));
-        let Event::Request { id, class, plan, customer, budget, units, width } = e else { return };
+        let Event::Request { id, class, plan, customer, budget, units, gateway_count: width } = e else {
+            return;
+        };
         if self.requests.contains_key(&id) {
             return;
         }
@@ -81,7 +86,7 @@
         let weight = (2.0 / f64::from(self.s.replicas)).clamp(QUEUE_ALPHA, 1.0);
         self.queue += weight * (f64::from(self.out) - self.queue);
         let p = &self.s.plans[plan];
-        let (max_cost, limited) = (p.burst.max(self.s.units_top), p.rate > 0.0);
+        let (max_cost, limited) = (p.burst.max(self.s.max_units), p.rate > 0.0);
         let width = f64::from(if width == 0 { self.s.replicas } else { width });
         let phase = (fnv1a(&customer.0) >> 40) as f64 / (1u64 << 24) as f64;
         let phase_of = |at: f64| at / Self::window_s(p) + phase;
@@ -91,7 +96,7 @@
         let c = self.customers.entry(customer.clone()).or_insert_with(|| Customer {
             window: window as i64,
             store: p.burst - p.rate * before - self.elsewhere.owed(customer, window as i64, p),
-            ceiling: -p.tolerance / width,
+            ceiling: -p.ceiling_tolerance / width,
             ceiling_at: self.started.unwrap_or(now),
             ..Customer::new(plan, width, phase)
         });
@@ -106,7 +111,7 @@
         let room = self.ceiling_takes(customer, units, false) && self.open_fits(customer, units);
         let fits = self.quota_fits(customer, units);
         r.chance = fits.err().unwrap_or(1.0);
-        let soon = r.deadline - now < 2.0 * self.s.count_wait.as_secs_f64();
+        let soon = r.deadline - now < 2.0 * self.s.counter_timeout.as_secs_f64();
         let inside = room && fits.unwrap_or(soon && self.rng.f64() < r.chance);
         let may = inside || self.spare(plan) && self.ceiling_takes(customer, units, false);
         if room && fits.is_err() && !soon {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -144,7 +144,7 @@
     /// Its kind of machine.
     pub(crate) kind: Arc<str>,
     /// Its size compared to the others.
-    pub(crate) nominal: f64,
+    pub(crate) nominal_capacity: f64,
     /// May new work go there?
     pub(crate) ready: bool,
     /// Its last start; `None`: long ago.
@@ -263,7 +263,7 @@
     /// What of the counter's answers may be gone by, and when it may be called.
     pub(crate) guard: Guard,
     /// Calls not answered yet, by count.
-    pub(crate) calls: BTreeMap<CountName, VecDeque<Call>>,
+    pub(crate) calls: BTreeMap<CounterKey, VecDeque<Call>>,
     /// Calls a second that it may make.
     pub(crate) pace: f64,
     /// The pace at which calls last began to fail.
@@ -409,11 +409,11 @@
 }
 
 /// Short names carry the customer, long ones its hash: a name holds 64 bytes.
-pub(crate) fn count_name(kind: char, id: &CustomerId, window: i64) -> CountName {
+pub(crate) fn count_name(kind: char, id: &CustomerId, window: i64) -> CounterKey {
     let key: &str = &id.0;
     match key.len() {
-        0..=40 => CountName(format!("{kind}{window}:{key}").into()),
-        _ => CountName(format!("{kind}{window}#{:016x}", fnv1a(key)).into()),
+        0..=40 => CounterKey(format!("{kind}{window}:{key}").into()),
+        _ => CounterKey(format!("{kind}{window}#{:016x}", fnv1a(key)).into()),
     }
 }
 
@@ -422,7 +422,7 @@
     s.replicas = s.replicas.max(1);
     s.max_attempts = s.max_attempts.max(1);
     for plan in &mut s.plans {
-        let ceiling = [&mut plan.ceiling_rate, &mut plan.ceiling_burst, &mut plan.tolerance];
+        let ceiling = [&mut plan.ceiling_rate, &mut plan.ceiling_burst, &mut plan.ceiling_tolerance];
         for x in [&mut plan.rate, &mut plan.burst, &mut plan.price].into_iter().chain(ceiling) {
             *x = sane(*x);
         }
@@ -474,7 +474,7 @@
 impl Class {
     /// Mean latency and mean units before any answer, which count for so many answers.
     pub(crate) fn first_guess(&self, prior: f64) -> (f64, f64, f64) {
-        (self.aim.as_secs_f64().max(0.01) / 5.0, 2.0, prior)
+        (self.latency_target.as_secs_f64().max(0.01) / 5.0, 2.0, prior)
     }
 }
 
@@ -494,7 +494,7 @@
         sum / f64::from(count)
     }
     /// Requests refused so far because they fit in no hall: they are part of what is offered here.
-    pub fn turned_out(&self) -> u64 {
+    pub fn zone_rejections(&self) -> u64 {
         self.turned_out
     }
     /// The same with other settings of the counter's guard than its defaults, before anything is handled.
--- a/src/gateway/upkeep.rs
+++ b/src/gateway/upkeep.rs
@@ -34,7 +34,7 @@
             let next = (next as f64 / 1e6).max(self.now + TICK);
             if next + TICK < self.timer_at {
                 self.timer_at = next;
-                actions.push(Action::Timer { after: span(next - self.now), token: "tick".into() });
+                actions.push(Action::SetTimer { after: span(next - self.now), token: "tick".into() });
             }
         }
     }
--- a/src/gateway/window.rs
+++ b/src/gateway/window.rs
@@ -111,15 +111,15 @@
         let fits = c.spent() + cost <= limit;
         // No fresh total: its share, and past it at random, by the room that is guessed to be left.
         let share = limit.max(0.0) * c.part(plan);
-        let gain = SHARE_GAIN.0 / (SHARE_GAIN.1 + plan.beyond_costs);
+        let gain = SHARE_GAIN.0 / (SHARE_GAIN.1 + plan.excess_cost_fraction);
         let room = limit - c.guess(plan, c.own, c.elapsed(plan, now), now).max(c.spent()) - cost;
         let even = gain * (ROOM_LEAST + room / plan.burst.max(1e-9));
         let drawn = fits && !fresh && c.own + cost > share;
         let believed = c.share.meter_confidence(now);
-        let below = share < cost.max(self.s.units_top);
+        let below = share < cost.max(self.s.max_units);
         // No total to be had, or none to go by: fresh copies stand in, else what may be beyond is held back.
         let limits = QuotaLimits { rate: plan.rate, burst: plan.burst };
-        let (top, asked) = (self.s.units_top, c.asked.rate(now, ASKED_S));
+        let (top, asked) = (self.s.max_units, c.asked.rate(now, ASKED_S));
         let held = trust && c.share.is_limited_to_allowance(now, asked, limits, c.width, top);
         let shared = if trust { self.elsewhere.part(c.width) } else { 0.0 };
         if fresh {
@@ -131,7 +131,7 @@
             let since = self.started.unwrap_or(now);
             return Ok(fits && cost <= c.share.allowance(now, limits, c.width, top, since));
         }
-        let ask = drawn && below && (even < 1.0 || believed < 0.5) && self.s.may_count;
+        let ask = drawn && below && (even < 1.0 || believed < 0.5) && self.s.uses_counter;
         let ask = ask && self.guard.next_call_at(&count_name('q', id, c.window)) <= now;
         let ask = ask && self.draw_call() && self.may_call();
         let chance = if below { even } else { believed * even };
@@ -197,7 +197,7 @@
     /// Silence and being turned away cut the pace of calls, as does an answer after half of the allowed wait.
     pub(super) fn counted(
         &mut self,
-        name: CountName,
+        name: CounterKey,
         ending: Ending,
         total: f64,
         delay: f64,
@@ -209,7 +209,7 @@
         }
         let ok = ending == Ending::Ok && total.is_finite();
         let (now, replicas) = (self.now, f64::from(self.s.replicas));
-        let wait = self.s.count_wait.as_secs_f64();
+        let wait = self.s.counter_timeout.as_secs_f64();
         let late = delay > 0.5 * wait;
         let verdict = match told.open {
             true => Verdict::Withheld,
@@ -259,7 +259,7 @@
     }
 
     /// A call that was given up was answered after all: what it proves is the least that is spent.
-    pub(super) fn counted_late(&mut self, name: CountName, total: f64, delay: f64) {
+    pub(super) fn counted_late(&mut self, name: CounterKey, total: f64, delay: f64) {
         let now = self.now;
         let Some(LateTotal { of, least }) = self.guard.late_answer(now, &name, total) else { return };
         let Some(c) = self.customers.get_mut(&of.customer).filter(|c| c.window == of.window) else { return };
@@ -279,7 +279,7 @@
 
     pub(super) fn flush_syncs(&mut self, id: &CustomerId, actions: &mut Actions) {
         let now = self.now;
-        let Some(c) = self.customers.get_mut(id).filter(|_| self.s.may_count) else { return };
+        let Some(c) = self.customers.get_mut(id).filter(|_| self.s.uses_counter) else { return };
         if c.sync_at <= now {
             c.sync_at = c.sync_at.max(self.guard.next_call_at(&count_name('q', id, c.window)));
         }
--- a/src/identifiers.rs
+++ b/src/identifiers.rs
@@ -39,7 +39,7 @@
 
 /// Name of an entry at the quota counter, usually one customer's window.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CountName(pub Arc<str>);
+pub struct CounterKey(pub Arc<str>);
 
 /// Outcome of an attempt, a health check or a call to the quota counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,14 +59,14 @@
     /// Cancelled by the gateway. The request may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Ending {
     /// Whether this outcome proves that the request never ran, so that even one that is not idempotent may be sent
     /// again.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::ConnectFailed | Ending::Moot)
+        matches!(self, Ending::Full | Ending::ConnectFailed | Ending::NotSent)
     }
 }
 
--- a/src/net/budgets.rs
+++ b/src/net/budgets.rs
@@ -6,7 +6,7 @@
 use whinstall::fleet::budget::{Answer, Budget, Divider, Holder, Ms, Origin, Ppm, Request, Times, WHOLE};
 use whinstall::fleet::members::Member;
 use whinstall::fleet::settings::BudgetSettings;
-use whinstall::{CeilingPart, CustomerId};
+use whinstall::{CeilingShare, CustomerId};
 
 /// Where the divider is asked.
 pub const BUDGET_AT: &str = "/fleet/v2/budget";
@@ -75,14 +75,14 @@
     }
 
     /// An answer came: what the core may go by now, in its own clock.
-    pub fn answered(&self, now: Duration, answer: &Answer) -> Option<Vec<CeilingPart>> {
+    pub fn answered(&self, now: Duration, answer: &Answer) -> Option<Vec<CeilingShare>> {
         let mut holder = self.holder.borrow_mut();
         holder.answered(answer).then(|| {
             let parts = holder.parts(ms(now));
-            let part = |(budget, part, until): (&Budget, Ppm, Ms)| CeilingPart {
+            let part = |(budget, part, until): (&Budget, Ppm, Ms)| CeilingShare {
                 customer: CustomerId(budget.clone()),
-                part,
-                until: until as f64 / 1e3,
+                share: part,
+                expires_at: until as f64 / 1e3,
             };
             parts.map(part).collect()
         })
--- a/src/net/core/actions.rs
+++ b/src/net/core/actions.rs
@@ -24,15 +24,15 @@
         match action {
             Action::Send { id, host, timeout } => self.start_attempt(id, host, timeout),
             Action::Cancel { id, attempt } => self.sessions.cancel_attempt(&id, attempt),
-            Action::Refuse { id, stay_away } => {
-                self.finish_session(&id, SessionResult::Denied { retry_after: stay_away });
+            Action::Refuse { id, retry_after } => {
+                self.finish_session(&id, SessionResult::Denied { retry_after });
             }
             Action::Fail { id } => self.finish_session(&id, SessionResult::Failed),
-            Action::Count { name, amount, keep } => {
-                self.transport.call_counter(CounterCall { name, amount, expiry: keep });
+            Action::AddToCounter { name, amount, ttl } => {
+                self.transport.call_counter(CounterCall { name, amount, expiry: ttl });
             }
-            Action::Close { host } => self.transport.close_idle(&host),
-            Action::Timer { after, token } => {
+            Action::CloseIdle { host } => self.transport.close_idle(&host),
+            Action::SetTimer { after, token } => {
                 let at = self.clock.now() + after;
                 self.timers.insert(at, Timer::Module(token));
             }
--- a/src/net/core/message.rs
+++ b/src/net/core/message.rs
@@ -6,8 +6,8 @@
 use tokio::sync::{mpsc, oneshot};
 use whinstall::zone_failover::ZoneFailoverSettings;
 use whinstall::{
-    CeilingPart, Copies, CountName, CustomerId, HostEntry, HostId, Known, Legacy, ListScope, RequestId,
-    Settings,
+    CeilingShare, CounterKey, CustomerId, ExportedState, HostEntry, HostId, ListScope, LocalState,
+    RemoteState, RequestId, Settings,
 };
 
 /// Carries out the core's decisions on the network.
@@ -61,7 +61,7 @@
 /// One call to the quota counter.
 pub struct CounterCall {
     /// Name of the count.
-    pub name: CountName,
+    pub name: CounterKey,
     /// Amount to add.
     pub amount: f64,
     /// Life of the name, if the call creates it.
@@ -117,7 +117,7 @@
     /// A call to the quota counter has ended.
     Counted {
         /// Name of the count.
-        name: CountName,
+        name: CounterKey,
         /// How it ended.
         outcome: ExchangeOutcome,
         /// The total, meaningful only with `Answered`.
@@ -128,7 +128,7 @@
     /// A call to the quota counter was answered after it had timed out.
     CountedLate {
         /// Name of the count.
-        name: CountName,
+        name: CounterKey,
         /// The total.
         total: f64,
         /// Time since the call.
@@ -144,22 +144,22 @@
     /// New settings of zones; they replace those in force, if any.
     ZoneSettings(Box<ZoneFailoverSettings>),
     /// Requests what this gatekeeper charged and observed, for replication.
-    ReadLocalState(oneshot::Sender<Known>),
+    ReadLocalState(oneshot::Sender<LocalState>),
     /// What other gatekeepers, and earlier incarnations of this one, charged and observed. It replaces what was
     /// received before.
-    ReplicatedState(Box<Copies>),
+    ReplicatedState(Box<RemoteState>),
     /// From now on hard ceilings are divided over the fleet, except for this fraction of the even shares.
     DivideCeilings(f64),
     /// The parts of ceilings that were assigned to this gatekeeper.
-    AssignedCeilings(Vec<CeilingPart>),
+    AssignedCeilings(Vec<CeilingShare>),
     /// New settings, for sessions that start from now on.
     Settings(Box<Settings>),
     /// Requests the decision module's state for handover to a new process.
-    ExportState(oneshot::Sender<Legacy>),
+    ExportState(oneshot::Sender<ExportedState>),
     /// The handover failed: the exported state is this process's again.
-    ResumeState(Box<Legacy>),
+    ResumeState(Box<ExportedState>),
     /// The state of the process that this one replaces.
-    ImportState(Box<Legacy>),
+    ImportState(Box<ExportedState>),
 }
 
 /// Sends messages to the core.
--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -134,30 +134,30 @@
             CoreMessage::AttemptFinished(report) => self.attempt_finished(report),
             CoreMessage::Counted { name, outcome, total, elapsed } => {
                 let ending = outcome.to_ending(Upstream::Counter);
-                self.handle_event(Event::Counted { name, ending, total, delay: elapsed });
+                self.handle_event(Event::CounterReply { name, ending, total, elapsed });
             }
             CoreMessage::CountedLate { name, total, elapsed } => {
-                self.handle_event(Event::CountedLate { name, total, delay: elapsed });
+                self.handle_event(Event::LateCounterReply { name, total, elapsed });
             }
             CoreMessage::Endpoints { scope, entries } => self.update_endpoints(scope, entries),
             CoreMessage::ZoneSettings(settings) => self.update_zone_settings(*settings),
             CoreMessage::ReadLocalState(to) => {
-                let _ = to.send(self.gateway.known());
+                let _ = to.send(self.gateway.local_state());
             }
-            CoreMessage::ReplicatedState(copies) => self.gateway.elsewhere(*copies),
+            CoreMessage::ReplicatedState(state) => self.gateway.apply_remote_state(*state),
             CoreMessage::DivideCeilings(floor) => self.gateway.divide_ceilings(floor),
-            CoreMessage::AssignedCeilings(parts) => {
-                self.gateway.given(self.clock.now().as_secs_f64(), parts);
+            CoreMessage::AssignedCeilings(shares) => {
+                self.gateway.assign_ceilings(self.clock.now().as_secs_f64(), shares);
             }
             CoreMessage::Settings(settings) => {
                 self.max_attempts = settings.max_attempts.max(1) as usize;
-                self.gateway.retune(*settings);
+                self.gateway.update_settings(*settings);
             }
             CoreMessage::ExportState(to) => {
-                let _ = to.send(self.gateway.bequeath());
+                let _ = to.send(self.gateway.export_state());
             }
-            CoreMessage::ResumeState(legacy) => self.gateway.resume(&legacy),
-            CoreMessage::ImportState(legacy) => self.gateway.inherit(*legacy),
+            CoreMessage::ResumeState(state) => self.gateway.resume_after_export(&state),
+            CoreMessage::ImportState(state) => self.gateway.import_state(*state),
         }
     }
 
@@ -187,7 +187,7 @@
             customer,
             budget,
             units: new.units,
-            width: new.width,
+            gateway_count: new.width,
         });
     }
 
@@ -196,7 +196,7 @@
         // is still there, the session is another client's that uses the same id.
         let Some(session) = self.sessions.get_mut(id) else { return };
         if session.result.take_if(|result| result.is_closed()).is_some() {
-            self.handle_event(Event::Departed { id: id.clone() });
+            self.handle_event(Event::ClientDisconnected { id: id.clone() });
             self.remove_if_finished(id);
         }
     }
@@ -206,7 +206,7 @@
         if self.sessions.awaits_result(id) {
             tracing::warn!(session = %id.0, "session overdue: failed by the core");
             self.sessions.finish(id, SessionResult::Failed);
-            self.handle_event(Event::Departed { id: id.clone() });
+            self.handle_event(Event::ClientDisconnected { id: id.clone() });
             self.remove_if_finished(id);
         }
     }
@@ -222,13 +222,13 @@
         if let (Ending::Ok, Some(response)) = (ending, response) {
             self.sessions.finish(&id, SessionResult::Response(response));
         }
-        self.handle_event(Event::Outcome {
+        self.handle_event(Event::AttemptFinished {
             id: id.clone(),
             attempt: number,
             host: node,
             ending,
-            done: !self.sessions.awaits_result(&id),
-            delay: elapsed,
+            request_done: !self.sessions.awaits_result(&id),
+            elapsed,
             cost: 0.0,
             metered: usage,
         });
@@ -265,7 +265,7 @@
     fn update_zone_shares(&mut self) {
         let now = self.clock.now();
         let Some(zones) = self.zones.as_mut() else { return };
-        zones.record_rejected(now, self.gateway.turned_out());
+        zones.record_rejected(now, self.gateway.zone_rejections());
         if let Some(weights) = zones.poll_weights(now) {
             self.handle_event(weights.into_event());
         }
--- a/src/net/core/tests.rs
+++ b/src/net/core/tests.rs
@@ -23,7 +23,7 @@
         group: 0,
         kind: "std".into(),
         availability: Availability::Ready,
-        nominal: 1.0,
+        nominal_capacity: 1.0,
         last_start: None,
     };
     let (sender, messages) = mpsc::unbounded_channel();
--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use whinstall::CountName;
+use whinstall::CounterKey;
 
 /// Connections at the most, whatever the limits. The counter accepts 32 and may still count some that were just
 /// closed.
@@ -55,7 +55,7 @@
     late_calls: Cell<usize>,
     core: CoreSender,
     /// Calls queued behind the one in flight, by name. A name has an entry while a call of it is in flight.
-    queues: RefCell<HashMap<CountName, VecDeque<QueuedCall>>>,
+    queues: RefCell<HashMap<CounterKey, VecDeque<QueuedCall>>>,
 }
 
 struct QueuedCall {
@@ -127,7 +127,7 @@
 /// The calls of one name, while one of them is in flight.
 struct NameQueue {
     inner: Rc<Inner>,
-    name: CountName,
+    name: CounterKey,
 }
 
 impl Drop for NameQueue {
--- a/src/net/counter/tests.rs
+++ b/src/net/counter/tests.rs
@@ -21,7 +21,7 @@
             core,
         );
         for (name, amount) in [("a", 1.0), ("a", -2.5), ("b", 1.0)] {
-            let name = CountName(name.into());
+            let name = CounterKey(name.into());
             counter.call(CounterCall { name, amount, expiry: Duration::from_secs(4) });
         }
         let mut reported = Vec::new();
@@ -54,7 +54,7 @@
         let (wait, late) = (Duration::from_millis(50), Duration::from_secs(30));
         let counter =
             CounterClient::new(peer.address, late, CallTimeouts { call: wait, late }, MAX_CONNECTIONS, core);
-        let name = CountName("a".into());
+        let name = CounterKey("a".into());
         counter.call(CounterCall { name, amount: 1.0, expiry: Duration::from_secs(4) });
         let Some(CoreMessage::Counted { outcome, .. }) = messages.recv().await else { panic!("no outcome") };
         assert_eq!(outcome, ExchangeOutcome::TimedOut { written: true });
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -89,7 +89,7 @@
             classes: classes.collect(),
             retired: None,
             plans: settings.plans.iter().map(|p| p.name.clone()).collect(),
-            max_units: settings.units_top,
+            max_units: settings.max_units,
             replicas: settings.replicas,
         }
     }
--- a/src/net/endpoints/mod.rs
+++ b/src/net/endpoints/mod.rs
@@ -82,7 +82,7 @@
             group: self.pod_group,
             kind: self.model.into(),
             availability,
-            nominal: self.capacity_hint,
+            nominal_capacity: self.capacity_hint,
             // Unix time, like the decision module's clock.
             last_start: Some(boot).filter(|b| !b.is_zero()),
         }
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -33,7 +33,7 @@
 use whinstall::fleet::replica::{Bounds as ReplicaBounds, Digest, Key, Origin, Piece, Replica, Said};
 use whinstall::fleet::wire::{self, Message};
 use whinstall::fleet::FleetSettings;
-use whinstall::{Copies, Known};
+use whinstall::{LocalState, RemoteState};
 
 const EXCHANGE_AT: &str = "/fleet/v2/exchange";
 /// Who asks, for whoever traces a link.
@@ -449,20 +449,20 @@
     }
 
     /// Writes what this gatekeeper itself knows, and hands it what the others wrote.
-    fn note(&self, now: f64, known: Known) {
+    fn note(&self, now: f64, known: LocalState) {
         if let Some(budgets) = &self.budgets {
-            budgets.wants(&known.wants);
+            budgets.wants(&known.ceiling_demand);
         }
         let mut replica = self.replica.borrow_mut();
         let keep = ReplicaBounds::default().keep;
         if now - self.born >= replica.lived().map_or(0.0, |lived| lived + self.settings.fresh / BEATS) {
             replica.note(now, Key::Beat, Said::Beat(now - self.born), keep);
         }
-        for s in known.spending {
-            let said = Said::Spent { units: s.units, told: s.told };
-            replica.note(now, Key::Spent(s.customer, s.window), said, s.until - now);
+        for s in known.usage {
+            let said = Said::Spent { units: s.units, told: s.acknowledged_units };
+            replica.note(now, Key::Spent(s.customer, s.window), said, s.expires_at - now);
         }
-        for (node, judged) in known.judged {
+        for (node, judged) in known.host_health {
             replica.note_judged(now, node, judged, JUDGED_S);
         }
         if now - self.swept.get() > SWEEP_S {
@@ -471,14 +471,14 @@
             replica.sweep(now, &alive);
         }
         let told = replica.nodes_elsewhere();
-        let unmet = known.unmet.into_iter().filter(|(node, _)| told.contains(node));
+        let unmet = known.unobserved_hosts.into_iter().filter(|(node, _)| told.contains(node));
         let judged = unmet.filter_map(|(node, started)| {
             let (judged, age) = replica.judged_elsewhere(now, &node, started)?;
             Some((node, judged, age))
         });
         let judged = judged.collect();
         let fresh = replica.fresh_part(now, self.replicas);
-        let copies = Copies { changed: replica.changed(), judged, fresh };
+        let copies = RemoteState { usage: replica.changed(), host_health: judged, fresh_fraction: fresh };
         let _ = self.queue.send(CoreMessage::ReplicatedState(Box::new(copies)));
     }
 
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -21,7 +21,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
-use whinstall::Legacy;
+use whinstall::ExportedState;
 
 /// Time for the serving process to send the listening socket, and the body of a handover.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
@@ -48,7 +48,7 @@
 pub struct Handover {
     /// The decision module's state.
     #[serde(rename = "legacy")]
-    pub state: Legacy,
+    pub state: ExportedState,
     /// Whether the gatekeeper is on standby.
     #[serde(rename = "standby")]
     pub is_standby: bool,
--- a/src/net/outcome.rs
+++ b/src/net/outcome.rs
@@ -73,8 +73,8 @@
             (ExchangeOutcome::TimedOut { written: true }, _) => Ending::Timeout,
             (ExchangeOutcome::TimedOut { written: false }, _) => Ending::ConnectFailed,
             (ExchangeOutcome::Cancelled { written: true }, _) => Ending::Cancelled,
-            (ExchangeOutcome::Cancelled { written: false }, _) => Ending::Moot,
-            (ExchangeOutcome::NotAttempted | ExchangeOutcome::Withdrawn, _) => Ending::Moot,
+            (ExchangeOutcome::Cancelled { written: false }, _) => Ending::NotSent,
+            (ExchangeOutcome::NotAttempted | ExchangeOutcome::Withdrawn, _) => Ending::NotSent,
         }
     }
 
--- a/src/net/process/configuration.rs
+++ b/src/net/process/configuration.rs
@@ -126,7 +126,7 @@
         if fields.limits.sockets < MIN_DESCRIPTORS {
             return Err(ConfigurationError::TooFewSockets);
         }
-        if settings.may_count && fields.counter.is_none() {
+        if settings.uses_counter && fields.counter.is_none() {
             return Err(ConfigurationError::NoCounterAddress);
         }
         Ok(LoadedConfiguration { document, fields, settings, sockets })
--- a/src/net/zone_failover.rs
+++ b/src/net/zone_failover.rs
@@ -36,7 +36,11 @@
 impl ZoneWeights {
     /// The event that hands the weights to the decision module.
     pub fn into_event(self) -> Event {
-        Event::Halls { parts: self.factors, spill: self.remote_share, unplaced: self.unassigned }
+        Event::ZoneShares {
+            capacity_factors: self.factors,
+            remote_share: self.remote_share,
+            unassigned: self.unassigned,
+        }
     }
 
     /// Whether the difference to `new` is too small to be published.
@@ -255,7 +259,7 @@
         name: entry.host.0.to_string(),
         zone_label: entry.zone.clone(),
         address: entry.host.0.parse::<std::net::SocketAddr>().ok().map(|address| address.ip()),
-        capacity: entry.nominal,
+        capacity: entry.nominal_capacity,
         is_ready: entry.availability == Availability::Ready,
     }
 }
--- a/src/net/zone_failover_tests.rs
+++ b/src/net/zone_failover_tests.rs
@@ -10,7 +10,7 @@
         group: 0,
         kind: "std".into(),
         availability: Availability::Ready,
-        nominal: 1.0,
+        nominal_capacity: 1.0,
         last_start: None,
     }
 }
--- a/src/quota/guard.rs
+++ b/src/quota/guard.rs
@@ -7,7 +7,7 @@
 use super::report::{PartReport, Report};
 use super::settings::QuotaSettings;
 use super::witness::{AcknowledgedUnits, MeterComparison, ReplicaComparison};
-use crate::identifiers::{fnv1a, CountName, Ending, GOLDEN_RATIO_FRACTION};
+use crate::identifiers::{fnv1a, CounterKey, Ending, GOLDEN_RATIO_FRACTION};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Answers that take less than this fraction of the timeout, on average, are prompt...
@@ -132,7 +132,7 @@
 #[derive(Clone, Debug)]
 pub struct Guard {
     settings: QuotaSettings,
-    entries: BTreeMap<CountName, Entry>,
+    entries: BTreeMap<CounterKey, Entry>,
     partitions: Vec<Partition>,
     meter: MeterComparison,
     swept_at: f64,
@@ -161,7 +161,7 @@
     }
 
     /// The time from which a call for this entry may be sent; in the past where it may be sent now.
-    pub fn next_call_at(&self, name: &CountName) -> f64 {
+    pub fn next_call_at(&self, name: &CounterKey) -> f64 {
         match self.entries.get(name).filter(|_| self.settings.is_guarded) {
             Some(entry) => entry.breaker.next_call_at(&self.settings.breaker),
             None => f64::NEG_INFINITY,
@@ -173,7 +173,7 @@
     pub fn call_sent(
         &mut self,
         now: f64,
-        name: &CountName,
+        name: &CounterKey,
         of: CustomerWindow,
         amount: f64,
         lifetime_secs: f64,
@@ -197,7 +197,7 @@
     pub fn call_finished(
         &mut self,
         now: f64,
-        name: &CountName,
+        name: &CounterKey,
         amount: f64,
         outcome: CallOutcome,
     ) -> Verdict {
@@ -240,7 +240,7 @@
     }
 
     /// Records the answer to a call that had timed out. Returns what it proves, if anything.
-    pub fn late_answer(&mut self, now: f64, name: &CountName, total: f64) -> Option<LateTotal> {
+    pub fn late_answer(&mut self, now: f64, name: &CounterKey, total: f64) -> Option<LateTotal> {
         let key = fnv1a(&name.0);
         let partition = self.partition_of(name);
         let entry = self.entries.get_mut(name).filter(|_| self.settings.is_guarded)?;
@@ -256,14 +256,14 @@
     }
 
     /// Whether another call of this entry is wanted soon: to confirm a loss, or to send again what was lost.
-    pub fn wants_call(&self, name: &CountName) -> bool {
+    pub fn wants_call(&self, name: &CounterKey) -> bool {
         let wants = |entry: &Entry| entry.ledger.has_contradiction() || entry.ledger.to_resend() > 0.0;
         self.entries.get(name).is_some_and(wants)
     }
 
     /// Records units admitted for an entry. `is_total_known` tells whether a usable total allowed them. The name is only
     /// built while there is a fault.
-    pub fn record_admitted(&mut self, name: impl FnOnce() -> CountName, units: f64, is_total_known: bool) {
+    pub fn record_admitted(&mut self, name: impl FnOnce() -> CounterKey, units: f64, is_total_known: bool) {
         if is_total_known || units <= 0.0 || !self.has_fault() {
             return;
         }
@@ -281,7 +281,7 @@
     pub fn window_finished(
         &mut self,
         now: f64,
-        name: impl FnOnce() -> CountName,
+        name: impl FnOnce() -> CounterKey,
         span: WindowSpan,
         metered_rate: Option<f64>,
     ) {
@@ -302,14 +302,14 @@
 
     /// Sets the units of an entry that the counter has acknowledged to other gatekeepers, by the replicas of their
     /// usage. The answer to a call sent from now on must hold them.
-    pub fn set_acknowledged_to_others(&mut self, name: &CountName, units: f64) {
+    pub fn set_acknowledged_to_others(&mut self, name: &CounterKey, units: f64) {
         if let Some(entry) = self.entries.get_mut(name).filter(|_| self.settings.is_guarded) {
             entry.acknowledged_to_others = units;
         }
     }
 
     /// Units of an entry that the counter has acknowledged to this gatekeeper.
-    pub fn acknowledged_units(&self, name: &CountName) -> f64 {
+    pub fn acknowledged_units(&self, name: &CounterKey) -> f64 {
         self.entries.get(name).map_or(0.0, |entry| entry.ledger.acknowledged())
     }
 
@@ -327,7 +327,7 @@
     }
 
     /// Whether the partition of this entry has a fault in which no total is available, or none that may be used.
-    pub fn lacks_total(&self, name: &CountName) -> bool {
+    pub fn lacks_total(&self, name: &CounterKey) -> bool {
         let mode = self.partitions[self.partition_of(name)].mode.mode();
         self.settings.is_guarded && matches!(mode, Mode::Lost | Mode::Late | Mode::Split)
     }
@@ -361,7 +361,7 @@
     }
 
     /// The index of the partition that holds this name.
-    pub(super) fn partition_of(&self, name: &CountName) -> usize {
+    pub(super) fn partition_of(&self, name: &CounterKey) -> usize {
         (fnv1a(&name.0) % self.partitions.len() as u64) as usize
     }
 
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -4,8 +4,8 @@
 use crate::identifiers::CustomerId;
 use std::sync::Arc;
 
-fn name(n: usize) -> CountName {
-    CountName(Arc::from(format!("q1:{n}")))
+fn name(n: usize) -> CounterKey {
+    CounterKey(Arc::from(format!("q1:{n}")))
 }
 
 fn customer(n: usize) -> CustomerId {
@@ -153,7 +153,7 @@
     let mut verdicts = Vec::new();
     for w in 0..40 {
         let t = w as f64 * 0.5;
-        let n = CountName(Arc::from(format!("q{w}:1")));
+        let n = CounterKey(Arc::from(format!("q{w}:1")));
         let told = g.call_sent(t, &n, CustomerWindow { customer: customer(1), window: w }, 3.0, 10.0);
         // From the tenth window on the totals hold only this half.
         verdicts.push(g.call_finished(t + 0.4, &n, 3.0, answered(if w < 10 { 6.0 } else { told }, 0.1)));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -270,26 +270,26 @@
             zone: self.zone,
             classes: self.classes.into_iter().map(class).collect(),
             plans: self.tiers_of_service.into_iter().map(plan).collect(),
-            may_count: self.family_info.may_count,
-            count_wait: duration_from_secs(self.family_info.count_wait_s),
-            post_paid: self.family_info.post_paid,
-            units_top: self.family_info.units_top,
+            uses_counter: self.family_info.may_count,
+            counter_timeout: duration_from_secs(self.family_info.count_wait_s),
+            units_are_estimates: self.family_info.post_paid,
+            max_units: self.family_info.units_top,
             may_cancel: self.limits.cancel,
-            may_duplicate: self.limits.may_duplicate,
+            may_hedge: self.limits.may_duplicate,
             may_probe: self.limits.may_probe,
             max_attempts: integer(self.limits.max_attempts),
-            retry_after: self.limits.retry_after,
+            sends_retry_after: self.limits.retry_after,
             max_retry_after: duration_from_secs(self.limits.max_retry_after_s),
-            on_request: self.discovery == "on_request",
+            subscribes_to_hosts: self.discovery == "on_request",
             load_reports: match self.load_report.how.as_str() {
                 "inline" => LoadReports::Inline,
                 "on_probe" => LoadReports::OnProbe,
                 _ => LoadReports::Off,
             },
-            cold_share: self.rules.cold_share,
-            tip_multiple: self.rules.tip_multiple,
-            fall: duration_from_secs(self.rules.fall_s),
-            warm_after: duration_from_secs(self.rules.warm_after_s),
+            cold_capacity_fraction: self.rules.cold_share,
+            overload_factor: self.rules.tip_multiple,
+            overload_duration: duration_from_secs(self.rules.fall_s),
+            warmup: duration_from_secs(self.rules.warm_after_s),
             cross_zone_price: self.charges.cross_zone,
             probe_price: self.charges.probe,
         }
@@ -298,21 +298,21 @@
 
 fn class(w: WireClass) -> Class {
     let group = match w.group.as_str() {
-        "all" => KeyGroup::All,
-        "zone" => KeyGroup::Zone,
-        _ => KeyGroup::Cell,
+        "all" => KeyScope::All,
+        "zone" => KeyScope::Zone,
+        _ => KeyScope::Cell,
     };
     Class {
         name: w.name,
-        aim: duration_from_secs(w.aim_s),
-        gain: w.gain,
-        late_worth: w.late_worth,
+        latency_target: duration_from_secs(w.aim_s),
+        value: w.gain,
+        late_value_fraction: w.late_worth,
         idempotency: match w.idempotency.as_str() {
             "repeatable" => Idempotency::Repeatable,
             "by_key" => Idempotency::ByKey(group),
             _ => Idempotency::Once,
         },
-        key_window: duration_from_secs(w.window_s),
+        key_retention: duration_from_secs(w.window_s),
     }
 }
 
@@ -321,12 +321,12 @@
         name: w.name,
         rate: w.per_second,
         burst: w.most_at_once,
-        at_once: w.at_once as u32,
+        max_concurrent: w.at_once as u32,
         ceiling_rate: w.ceiling_rate,
         ceiling_burst: w.ceiling_burst,
-        tolerance: w.tolerance,
+        ceiling_tolerance: w.tolerance,
         price: w.price,
-        excess_worth: w.excess_worth,
-        beyond_costs: w.beyond_costs,
+        excess_value_fraction: w.excess_worth,
+        excess_cost_fraction: w.beyond_costs,
     }
 }
--- a/tests/quota_model.rs
+++ b/tests/quota_model.rs
@@ -82,23 +82,23 @@
 fn settings(ordinal: usize, gates: usize) -> Settings {
     let class = |name: &str, idempotency, gain| Class {
         name: name.into(),
-        aim: secs(1.2),
-        gain,
-        late_worth: 0.0,
+        latency_target: secs(1.2),
+        value: gain,
+        late_value_fraction: 0.0,
         idempotency,
-        key_window: Duration::ZERO,
+        key_retention: Duration::ZERO,
     };
     let standard = Plan {
         name: "standard".into(),
         rate: 2.4,
         burst: 10.0,
-        at_once: 0,
+        max_concurrent: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        tolerance: 0.0,
+        ceiling_tolerance: 0.0,
         price: 1.2,
-        excess_worth: 0.0,
-        beyond_costs: 0.5,
+        excess_value_fraction: 0.0,
+        excess_cost_fraction: 0.5,
     };
     let cabinet = Plan {
         name: "cabinet".into(),
@@ -106,10 +106,10 @@
         burst: 30.0,
         ceiling_rate: 30.0,
         ceiling_burst: 60.0,
-        tolerance: 6.0,
+        ceiling_tolerance: 6.0,
         price: 1.6,
-        excess_worth: 0.1,
-        beyond_costs: 0.0,
+        excess_value_fraction: 0.1,
+        excess_cost_fraction: 0.0,
         ..standard.clone()
     };
     Settings {
@@ -118,22 +118,22 @@
         zone: "a".into(),
         classes: vec![class("preview", Idempotency::Repeatable, 1.0), class("issue", Idempotency::Once, 3.0)],
         plans: vec![standard, cabinet],
-        may_count: true,
-        count_wait: secs(WAIT),
-        post_paid: false,
-        units_top: 4.0,
+        uses_counter: true,
+        counter_timeout: secs(WAIT),
+        units_are_estimates: false,
+        max_units: 4.0,
         may_cancel: true,
-        may_duplicate: false,
+        may_hedge: false,
         may_probe: false,
         max_attempts: 5,
-        retry_after: true,
+        sends_retry_after: true,
         max_retry_after: secs(2.0),
-        on_request: false,
+        subscribes_to_hosts: false,
         load_reports: LoadReports::Off,
-        cold_share: 0.22,
-        tip_multiple: 3.0,
-        fall: secs(1.0),
-        warm_after: secs(18.0),
+        cold_capacity_fraction: 0.22,
+        overload_factor: 3.0,
+        overload_duration: secs(1.0),
+        warmup: secs(18.0),
         cross_zone_price: 0.0,
         probe_price: 0.0,
     }
@@ -195,7 +195,7 @@
     Counted {
         gate: usize,
         life: usize,
-        name: CountName,
+        name: CounterKey,
         ending: Ending,
         total: f64,
         delay: f64,
@@ -203,7 +203,7 @@
     Late {
         gate: usize,
         life: usize,
-        name: CountName,
+        name: CounterKey,
         total: f64,
         delay: f64,
     },
@@ -248,7 +248,7 @@
     clients: Vec<Client>,
     of_request: BTreeMap<RequestId, (usize, f64)>,
     requests: u64,
-    counts: [BTreeMap<CountName, f64>; 2],
+    counts: [BTreeMap<CounterKey, f64>; 2],
     trouble: Trouble,
     active: bool,
     answers: u64,
@@ -284,16 +284,18 @@
 
     /// A round of the copies, as the carrier makes it.
     fn round(&mut self, gate: usize) {
-        let (now, known) = (1e6 + self.now, self.gates[gate].known());
+        let (now, known) = (1e6 + self.now, self.gates[gate].local_state());
         let replica = &mut self.replicas[gate];
         replica.note(now, Key::Beat, Said::Beat(self.now), 60.0);
-        for s in known.spending {
-            let said = Said::Spent { units: s.units, told: s.told };
-            replica.note(now, Key::Spent(s.customer, s.window), said, s.until - now);
+        for s in known.usage {
+            let said = Said::Spent { units: s.units, told: s.acknowledged_units };
+            replica.note(now, Key::Spent(s.customer, s.window), said, s.expires_at - now);
         }
         replica.sweep(now, &Default::default());
         let fresh = replica.fresh_part(now, self.size.gates as u32);
-        self.gates[gate].elsewhere(Copies { changed: replica.changed(), judged: Vec::new(), fresh });
+        let usage = replica.changed();
+        let state = RemoteState { usage, host_health: Vec::new(), fresh_fraction: fresh };
+        self.gates[gate].apply_remote_state(state);
         for _ in 0..PEERS {
             let peer =
                 (gate + 1 + (self.rng.next() * (self.size.gates - 1) as f64) as usize) % self.size.gates;
@@ -339,8 +341,8 @@
                         self.refused(client, units);
                     }
                 }
-                Action::Count { name, amount, .. } => self.count(gate, name, amount),
-                Action::Timer { after, token } => {
+                Action::AddToCounter { name, amount, .. } => self.count(gate, name, amount),
+                Action::SetTimer { after, token } => {
                     let when = self.now + after.as_secs_f64();
                     self.at(when, What::Timer { gate, life, token });
                 }
@@ -372,7 +374,7 @@
         }
     }
 
-    fn count(&mut self, gate: usize, name: CountName, amount: f64) {
+    fn count(&mut self, gate: usize, name: CounterKey, amount: f64) {
         let life = self.lives[gate];
         let second = (self.now as usize).min(self.calls.len() - 1);
         self.calls[second] += 1;
@@ -438,7 +440,7 @@
             customer: CustomerId(Arc::from(format!("{client:016x}"))),
             budget: secs(3.0),
             units,
-            width: WIDTH as u32,
+            gateway_count: WIDTH as u32,
         };
         self.give(gate, event);
     }
@@ -452,8 +454,16 @@
                 let metered = Some(if self.now >= from { told } else { was });
                 if self.lives[gate] == life {
                     let (ending, delay) = (Ending::Ok, secs(LATENCY));
-                    let outcome =
-                        Event::Outcome { id, attempt, host, ending, done: true, delay, cost: 0.0, metered };
+                    let outcome = Event::AttemptFinished {
+                        id,
+                        attempt,
+                        host,
+                        ending,
+                        request_done: true,
+                        elapsed: delay,
+                        cost: 0.0,
+                        metered,
+                    };
                     self.give(gate, outcome);
                 }
             }
@@ -461,10 +471,10 @@
                 self.give(gate, Event::Timer { token });
             }
             What::Counted { gate, life, name, ending, total, delay } if self.lives[gate] == life => {
-                self.give(gate, Event::Counted { name, ending, total, delay: secs(delay) });
+                self.give(gate, Event::CounterReply { name, ending, total, elapsed: secs(delay) });
             }
             What::Late { gate, life, name, total, delay } if self.lives[gate] == life => {
-                self.give(gate, Event::CountedLate { name, total, delay: secs(delay) });
+                self.give(gate, Event::LateCounterReply { name, total, elapsed: secs(delay) });
             }
             What::Turn => {
                 for c in 0..self.clients.len() {
@@ -517,7 +527,7 @@
                 group: 0,
                 kind: "std".into(),
                 availability: Availability::Ready,
-                nominal: 1.0,
+                nominal_capacity: 1.0,
                 last_start: None,
             })
             .collect();
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -18,11 +18,11 @@
 fn class(name: &str, idempotency: Idempotency) -> Class {
     Class {
         name: name.into(),
-        aim: secs(1.0),
-        gain: 1.0,
-        late_worth: 0.0,
+        latency_target: secs(1.0),
+        value: 1.0,
+        late_value_fraction: 0.0,
         idempotency,
-        key_window: secs(1.5),
+        key_retention: secs(1.5),
     }
 }
 
@@ -31,24 +31,24 @@
         name: name.into(),
         rate: 10.0,
         burst: 20.0,
-        at_once: 0,
+        max_concurrent: 0,
         ceiling_rate: 0.0,
         ceiling_burst: 0.0,
-        tolerance: 0.0,
+        ceiling_tolerance: 0.0,
         price: 1.0,
-        excess_worth: 0.0,
-        beyond_costs: 0.5,
+        excess_value_fraction: 0.0,
+        excess_cost_fraction: 0.5,
     }
 }
 
 fn settings() -> Settings {
-    let open = Plan { rate: 0.0, burst: 0.0, at_once: 4, ..plan("open") };
+    let open = Plan { rate: 0.0, burst: 0.0, max_concurrent: 4, ..plan("open") };
     let hard = Plan {
         rate: 40.0,
         burst: 80.0,
         ceiling_rate: 40.0,
         ceiling_burst: 60.0,
-        tolerance: 8.0,
+        ceiling_tolerance: 8.0,
         ..plan("hard")
     };
     let free = Plan { rate: 0.0, burst: 0.0, ..plan("free") };
@@ -58,27 +58,27 @@
         zone: "a".into(),
         classes: vec![
             class("read", Idempotency::Repeatable),
-            class("keyed", Idempotency::ByKey(KeyGroup::All)),
-            class("cell", Idempotency::ByKey(KeyGroup::Cell)),
+            class("keyed", Idempotency::ByKey(KeyScope::All)),
+            class("cell", Idempotency::ByKey(KeyScope::Cell)),
             class("order", Idempotency::Once),
         ],
         plans: vec![plan("rate"), open, hard, free],
-        may_count: true,
-        count_wait: secs(0.05),
-        post_paid: true,
-        units_top: 8.0,
+        uses_counter: true,
+        counter_timeout: secs(0.05),
+        units_are_estimates: true,
+        max_units: 8.0,
         may_cancel: true,
-        may_duplicate: false,
+        may_hedge: false,
         may_probe: false,
         max_attempts: 4,
-        retry_after: true,
+        sends_retry_after: true,
         max_retry_after: secs(1.0),
-        on_request: false,
+        subscribes_to_hosts: false,
         load_reports: LoadReports::Off,
-        cold_share: 0.2,
-        tip_multiple: 2.0,
-        fall: secs(1.0),
-        warm_after: secs(15.0),
+        cold_capacity_fraction: 0.2,
+        overload_factor: 2.0,
+        overload_duration: secs(1.0),
+        warmup: secs(15.0),
         cross_zone_price: 0.0,
         probe_price: 0.01,
     }
@@ -93,7 +93,7 @@
     now: f64,
     next: usize,
     /// Calls to the counter not answered yet.
-    calls: Vec<(CountName, f64)>,
+    calls: Vec<(CounterKey, f64)>,
 }
 
 impl Bench {
@@ -106,7 +106,7 @@
         let mut actions = Vec::new();
         self.gateway.handle(secs(self.now), event, &mut actions);
         for a in &actions {
-            if let Action::Count { name, amount, .. } = a {
+            if let Action::AddToCounter { name, amount, .. } = a {
                 self.calls.push((name.clone(), *amount));
             }
         }
@@ -124,13 +124,22 @@
             customer: CustomerId(Arc::from(customer)),
             budget: secs(2.0),
             units,
-            width,
+            gateway_count: width,
         })
     }
     fn end(&mut self, n: usize, attempt: u32, host: &HostId, ending: Ending, cost: f64) -> Vec<Action> {
         let done = ending == Ending::Ok;
-        let (id, host, delay) = (rid(n), host.clone(), secs(0.05));
-        self.does(Event::Outcome { id, attempt, host, ending, done, delay, cost, metered: None })
+        let (id, host, elapsed) = (rid(n), host.clone(), secs(0.05));
+        self.does(Event::AttemptFinished {
+            id,
+            attempt,
+            host,
+            ending,
+            request_done: done,
+            elapsed,
+            cost,
+            metered: None,
+        })
     }
     /// Sends one request and ends it well: what a calm customer does.
     fn serve(&mut self, plan: &str, customer: &str, units: f64, width: u32) -> bool {
@@ -154,11 +163,11 @@
         }
     }
     /// Ends the calls out; `counter` gives the ending and the total.
-    fn count(&mut self, mut counter: impl FnMut(&CountName, f64) -> (Ending, f64)) -> Vec<Action> {
+    fn count(&mut self, mut counter: impl FnMut(&CounterKey, f64) -> (Ending, f64)) -> Vec<Action> {
         let mut actions = Vec::new();
         for (name, amount) in std::mem::take(&mut self.calls) {
             let (ending, total) = counter(&name, amount);
-            actions.extend(self.does(Event::Counted { name, ending, total, delay: secs(0.002) }));
+            actions.extend(self.does(Event::CounterReply { name, ending, total, elapsed: secs(0.002) }));
         }
         actions
     }
@@ -172,7 +181,7 @@
         group: n as i64 / 2,
         kind: "".into(),
         availability,
-        nominal: 1.0,
+        nominal_capacity: 1.0,
         last_start: None,
     }
 }
@@ -192,9 +201,9 @@
 
 /// A counter that works.
 #[derive(Default)]
-struct Counter(BTreeMap<CountName, f64>);
+struct Counter(BTreeMap<CounterKey, f64>);
 impl Counter {
-    fn add(&mut self, name: &CountName, amount: f64) -> (Ending, f64) {
+    fn add(&mut self, name: &CounterKey, amount: f64) -> (Ending, f64) {
         let total = self.0.entry(name.clone()).or_default();
         *total += amount;
         (Ending::Ok, *total)
@@ -274,7 +283,7 @@
     assert!(refusals.len() > 3);
     for actions in refusals {
         let advice = actions.iter().find_map(|a| match a {
-            Action::Refuse { stay_away, .. } => *stay_away,
+            Action::Refuse { retry_after, .. } => *retry_after,
             _ => None,
         });
         assert!(advice.is_some_and(|s| !s.is_zero() && s <= secs(1.0)), "{actions:?}");
@@ -433,7 +442,7 @@
 /// good part of their quotas unused.
 #[test]
 fn a_silent_counter_leaves_a_synced_customer_the_parts_it_had() {
-    let s = Settings { units_top: 1.0, ..settings() }; // every share holds a request: nothing is drawn
+    let s = Settings { max_units: 1.0, ..settings() }; // every share holds a request: nothing is drawn
     let mut gateways: Vec<Bench> = (0..2).map(|_| Bench::new(s.clone(), 4)).collect();
     let (mut counter, mut served) = (Counter::default(), [0, 0]);
     for step in 0..400 {
@@ -532,14 +541,15 @@
     let host = sent(&b.ask("unknown", "free", "c", f64::NAN, 0)).expect("sent as once");
     assert!(failed(&b.end(3, 0, &host, Ending::Error, f64::INFINITY)));
     assert!(b.end(99, 0, &host, Ending::Ok, 1.0).is_empty());
-    assert!(b.does(Event::Departed { id: rid(99) }).is_empty());
-    let stray = CountName(Arc::from("stray"));
-    b.does(Event::Counted { name: stray, ending: Ending::Ok, total: f64::NAN, delay: secs(0.1) });
+    assert!(b.does(Event::ClientDisconnected { id: rid(99) }).is_empty());
+    let stray = CounterKey(Arc::from("stray"));
+    b.does(Event::CounterReply { name: stray, ending: Ending::Ok, total: f64::NAN, elapsed: secs(0.1) });
     b.does(Event::Timer { token: "stray".into() });
     assert!(sent(&b.ask("read", "rate", "c", -5.0, 2)).is_some());
     let id = rid(500);
     let (class, plan, customer) = ("read".into(), "rate".into(), CustomerId(Arc::from("c")));
-    let gone = Event::Request { id, class, plan, customer, budget: Duration::ZERO, units: 1.0, width: 2 };
+    let gone =
+        Event::Request { id, class, plan, customer, budget: Duration::ZERO, units: 1.0, gateway_count: 2 };
     assert!(refused(&b.does(gone)));
 }
 
@@ -609,7 +619,7 @@
 /// Beyond the quota only where that earns more than it costs, and only while the hosts have work to spare.
 #[test]
 fn spare_hosts_serve_beyond_the_quota_only_where_it_pays() {
-    let paying = Plan { excess_worth: 0.3, beyond_costs: 0.0, ..plan("paying") };
+    let paying = Plan { excess_value_fraction: 0.3, excess_cost_fraction: 0.0, ..plan("paying") };
     let mut s = settings();
     s.plans.push(paying);
     let mut b = Bench::new(s, 4);
@@ -715,8 +725,17 @@
                     }
                     let done = r.over || ending == Ending::Ok;
                     r.over = done;
-                    let (delay, cost) = (secs(now - at), f64::from(rng.u32(..9)));
-                    b.does(Event::Outcome { id, attempt, host, ending, done, delay, cost, metered: None })
+                    let (elapsed, cost) = (secs(now - at), f64::from(rng.u32(..9)));
+                    b.does(Event::AttemptFinished {
+                        id,
+                        attempt,
+                        host,
+                        ending,
+                        request_done: done,
+                        elapsed,
+                        cost,
+                        metered: None,
+                    })
                 }
                 8 => {
                     let n = rng.usize(..8);
@@ -767,13 +786,13 @@
     let actions = b.count(|_, amount| (Ending::Ok, amount + 90.0));
     assert!(refused(&actions) && sent(&actions).is_none(), "past the limit: refused");
     let back: f64 =
-        actions.iter().map(|a| if let Action::Count { amount, .. } = a { *amount } else { 0.0 }).sum();
+        actions.iter().map(|a| if let Action::AddToCounter { amount, .. } = a { *amount } else { 0.0 }).sum();
     b.wait(1.0);
     assert_eq!(back + b.calls.iter().map(|c| c.1).sum::<f64>(), -2.0, "and taken off again");
     let mut b = wide();
     b.wait(3.0);
     first(&mut b);
-    b.does(Event::Departed { id: rid(b.next) });
+    b.does(Event::ClientDisconnected { id: rid(b.next) });
     assert!(sent(&b.count(|_, amount| (Ending::Ok, amount))).is_none(), "the client has left");
 }
 
@@ -791,12 +810,22 @@
             let (class, plan, customer) = ("read".into(), "free".into(), CustomerId(Arc::from("c")));
             let (id, budget, units, width) = (rid(n), secs(2.0), 2.0, s.replicas);
             actions.clear();
-            let request = Event::Request { id: id.clone(), class, plan, customer, budget, units, width };
+            let request =
+                Event::Request { id: id.clone(), class, plan, customer, budget, units, gateway_count: width };
             gateway.handle(secs(now), request, &mut actions);
             let Some(host) = sent(&actions) else { continue };
             sends.push((now - START, host.clone()));
-            let (done, delay, ending) = (true, secs(0.2), Ending::Ok);
-            let end = Event::Outcome { id, attempt: 0, host, ending, done, delay, cost: 0.0, metered: None };
+            let (done, elapsed, ending) = (true, secs(0.2), Ending::Ok);
+            let end = Event::AttemptFinished {
+                id,
+                attempt: 0,
+                host,
+                ending,
+                request_done: done,
+                elapsed,
+                cost: 0.0,
+                metered: None,
+            };
             gateway.handle(secs(now + 0.2), end, &mut actions);
         }
     }
@@ -857,9 +886,18 @@
             let actions = [b.ask("read", "rate", "c", 2.0, 60), b.count(|_, _| (Ending::Timeout, 0.0))];
             let Some(host) = actions.iter().find_map(|a| sent(a)) else { continue };
             *served += 1;
-            let (id, ending, done, delay) = (rid(b.next), Ending::Ok, true, secs(0.05));
+            let (id, ending, done, elapsed) = (rid(b.next), Ending::Ok, true, secs(0.05));
             let (attempt, cost, metered) = (0, 0.0, part);
-            b.does(Event::Outcome { id, attempt, host, ending, done, delay, cost, metered });
+            b.does(Event::AttemptFinished {
+                id,
+                attempt,
+                host,
+                ending,
+                request_done: done,
+                elapsed,
+                cost,
+                metered,
+            });
         }
     }
     let [stranger, light, heavy] = served;
@@ -961,7 +999,7 @@
 /// Hosts that fail one class only keep serving the others, also when they are more than half of all.
 #[test]
 fn a_host_that_fails_one_class_serves_the_others() {
-    let mut b = Bench::new(Settings { may_duplicate: false, max_attempts: 1, ..settings() }, 5);
+    let mut b = Bench::new(Settings { may_hedge: false, max_attempts: 1, ..settings() }, 5);
     let (mut failed, mut served, mut others) = (0, 0, 0);
     for n in 0..400 {
         b.wait(0.02);
@@ -988,7 +1026,7 @@
             b.wait(0.2);
             let actions = b.ask("order", "free", "c", 1.0, 2);
             let host = sent(&actions).expect("sent");
-            let close = |a: &Action, h: &HostId| matches!(a, Action::Close { host } if host == h);
+            let close = |a: &Action, h: &HostId| matches!(a, Action::CloseIdle { host } if host == h);
             renewed += usize::from(actions.iter().any(|a| close(a, &host)));
             let idle = if actions.iter().any(|a| close(a, &host)) { None } else { used.get(&host) };
             let dead = if forgets { idle.is_some_and(|at| b.now - at > 3.0) } else { n % 4 == 0 };
@@ -1061,9 +1099,18 @@
     for _ in 0..300 {
         b.wait(0.1);
         let host = sent(&b.ask("read", "free", "c", 1.0, 2)).expect("sent");
-        let delay = secs(if slow(&host) { 0.3 } else { 0.1 });
+        let elapsed = secs(if slow(&host) { 0.3 } else { 0.1 });
         let (id, ending) = (rid(b.next), Ending::Ok);
-        b.does(Event::Outcome { id, attempt: 0, host, ending, done: true, delay, cost: 0.0, metered: None });
+        b.does(Event::AttemptFinished {
+            id,
+            attempt: 0,
+            host,
+            ending,
+            request_done: true,
+            elapsed,
+            cost: 0.0,
+            metered: None,
+        });
     }
     b.list(ListScope::Replace, hosts(30, 60));
     let mut new = 0;
@@ -1089,9 +1136,18 @@
             for (_, id, host) in ended {
                 let silent = lost && id.is_multiple_of(3);
                 let (ending, done) = if silent { (Ending::Timeout, false) } else { (Ending::Ok, true) };
-                let delay = secs(0.19);
+                let elapsed = secs(0.19);
                 let (id, cost) = (rid(id), 0.0);
-                b.does(Event::Outcome { id, attempt: 0, host, ending, done, delay, cost, metered: None });
+                b.does(Event::AttemptFinished {
+                    id,
+                    attempt: 0,
+                    host,
+                    ending,
+                    request_done: done,
+                    elapsed,
+                    cost,
+                    metered: None,
+                });
             }
             if let Some(host) = sent(&b.ask("order", "free", "c", 2.0, 1)) {
                 out.push((now + 0.19, b.next, host));
@@ -1113,11 +1169,11 @@
         b.next += 1;
         let (class, plan, customer) = ("read".into(), "free".into(), CustomerId(Arc::from("c")));
         let (id, budget) = (rid(b.next), secs(budget));
-        b.does(Event::Request { id, class, plan, customer, budget, units: 4.0, width: 2 })
+        b.does(Event::Request { id, class, plan, customer, budget, units: 4.0, gateway_count: 2 })
     };
     let short = ask(0.08);
     assert!(refused(&short) && sent(&short).is_none(), "a quarter of a second of work in 80 ms");
-    let told = |a: &Action| matches!(a, Action::Refuse { stay_away: Some(s), .. } if !s.is_zero());
+    let told = |a: &Action| matches!(a, Action::Refuse { retry_after: Some(s), .. } if !s.is_zero());
     assert!(short.iter().any(told), "and told when to come back");
     assert!(sent(&ask(1.0)).is_some());
 }
@@ -1147,14 +1203,14 @@
         for _ in 0..answers {
             let actions = bench.ask("read", "free", "c", 1.0, 1);
             let (id, host) = (rid(bench.next), sent(&actions).expect("sent"));
-            let (ending, done, delay) = (Ending::Ok, true, secs(0.05));
-            bench.does(Event::Outcome {
+            let (ending, done, elapsed) = (Ending::Ok, true, secs(0.05));
+            bench.does(Event::AttemptFinished {
                 id,
                 attempt: 0,
                 host,
                 ending,
-                done,
-                delay,
+                request_done: done,
+                elapsed,
                 cost: 0.0,
                 metered: None,
             });
@@ -1198,7 +1254,7 @@
 /// What the halls tell the module of hosts 0 to `parts.len()`.
 fn told(parts: &[f64], spill: Option<f64>, unplaced: f64) -> Event {
     let parts = parts.iter().enumerate().map(|(n, part)| (hid(n), *part)).collect();
-    Event::Halls { parts, spill, unplaced }
+    Event::ZoneShares { capacity_factors: parts, remote_share: spill, unassigned: unplaced }
 }
 
 /// Requests by host, of `count` one after another.
@@ -1249,12 +1305,21 @@
         for _ in 0..20 {
             b.now += 0.05;
             let host = sent(&b.ask("order", "free", "c", 1.0, 2)).expect("sent");
-            let (ending, delay) = match host == hid(0) {
+            let (ending, elapsed) = match host == hid(0) {
                 true => (Ending::Timeout, secs(1.0)),
                 false => (Ending::Ok, secs(0.05)),
             };
             let (id, done) = (rid(b.next), ending == Ending::Ok);
-            b.does(Event::Outcome { id, attempt: 0, host, ending, done, delay, cost: 0.0, metered: None });
+            b.does(Event::AttemptFinished {
+                id,
+                attempt: 0,
+                host,
+                ending,
+                request_done: done,
+                elapsed,
+                cost: 0.0,
+                metered: None,
+            });
         }
         if forget {
             b.does(told(&[0.0, 2.0], Some(1.0), 0.0));
@@ -1285,13 +1350,13 @@
         match sent(&actions) {
             Some(host) => drop(b.end(b.next, 0, &host, Ending::Ok, 0.0)),
             None => {
-                assert!(actions.iter().any(|a| matches!(a, Action::Refuse { stay_away: Some(_), .. })));
+                assert!(actions.iter().any(|a| matches!(a, Action::Refuse { retry_after: Some(_), .. })));
                 refusals += 1;
                 by_plan[plan] += 1;
             }
         }
     }
-    assert_eq!(b.gateway.turned_out(), refusals);
+    assert_eq!(b.gateway.zone_rejections(), refusals);
     assert!(by_plan[0] > 3 * by_plan[1] && by_plan[0] > 800, "{by_plan:?}");
 }
 
@@ -1317,23 +1382,23 @@
 /// nothing on that it has only heard.
 #[test]
 fn what_others_saw_of_a_host_is_where_a_gateway_begins() {
-    let copies = |judged| Copies { judged, fresh: 1.0, ..Copies::default() };
+    let copies = |host_health| RemoteState { host_health, fresh_fraction: 1.0, ..RemoteState::default() };
     let mut alone = Bench::new(settings(), 4);
     let plain = goes_to(&mut alone, 2, Ending::Ok);
     let mut told = Bench::new(settings(), 4);
-    let unmet = told.gateway.known().unmet;
+    let unmet = told.gateway.local_state().unobserved_hosts;
     assert_eq!(unmet.len(), 4, "{unmet:?}");
-    told.gateway.elsewhere(copies(vec![judged(2, 0.0, 0.9, 1.0)]));
-    assert!(told.gateway.known().judged.is_empty(), "hearsay is nobody's own word");
+    told.gateway.apply_remote_state(copies(vec![judged(2, 0.0, 0.9, 1.0)]));
+    assert!(told.gateway.local_state().host_health.is_empty(), "hearsay is nobody's own word");
     let spared = goes_to(&mut told, 2, Ending::Ok);
     assert!(plain > 20 && spared < plain / 2, "{plain} without, {spared} with");
     // Once it has outcomes of its own, these count and nothing else is taken.
-    told.gateway.elsewhere(copies(vec![judged(0, 0.0, 1.0, 9.0), judged(1, 0.0, 1.0, 9.0)]));
+    told.gateway.apply_remote_state(copies(vec![judged(0, 0.0, 1.0, 9.0), judged(1, 0.0, 1.0, 9.0)]));
     assert!(goes_to(&mut told, 0, Ending::Ok) > 20);
     // A host that fails here is told of, with its evidence's age.
     goes_to(&mut told, 1, Ending::Error);
-    let known = told.gateway.known();
-    let bad: Vec<_> = known.judged.iter().map(|(id, j)| (id.clone(), j.fails > 0.3)).collect();
+    let known = told.gateway.local_state();
+    let bad: Vec<_> = known.host_health.iter().map(|(id, j)| (id.clone(), j.fails > 0.3)).collect();
     assert_eq!(bad, [(hid(1), true)], "{known:?}");
 }
 
@@ -1344,30 +1409,35 @@
     let spent = |window, others, former| {
         let elsewhere = whinstall::fleet::replica::Elsewhere { others, former, told: 0.0 };
         let customer = CustomerId(Arc::from("c"));
-        Copies { changed: vec![((customer, window), elsewhere)], judged: Vec::new(), fresh: 1.0 }
+        RemoteState {
+            usage: vec![((customer, window), elsewhere)],
+            host_health: Vec::new(),
+            fresh_fraction: 1.0,
+        }
     };
     let served = |bench: &mut Bench| (0..40).filter(|_| bench.serve("rate", "c", 1.0, 2)).count();
     let start = || {
-        let mut bench = Bench::new(Settings { may_count: false, post_paid: false, ..settings() }, 4);
+        let mut bench =
+            Bench::new(Settings { uses_counter: false, units_are_estimates: false, ..settings() }, 4);
         assert!(bench.serve("rate", "c", 1.0, 2));
-        let window = bench.gateway.known().spending[0].window;
+        let window = bench.gateway.local_state().usage[0].window;
         (bench, window)
     };
     let (mut alone, window) = start();
     let plain = served(&mut alone);
     let (mut told, _) = start();
-    told.gateway.elsewhere(spent(window, 15.0, 0.0));
+    told.gateway.apply_remote_state(spent(window, 15.0, 0.0));
     let with = served(&mut told);
     assert!(plain > 8 && with < plain && with <= 6, "{plain} alone, {with} with 15 of 20 spent elsewhere");
     let (mut back, _) = start();
-    back.gateway.elsewhere(spent(window, 0.0, 15.0));
+    back.gateway.apply_remote_state(spent(window, 0.0, 15.0));
     assert!(served(&mut back) <= 6, "a former life's units");
-    assert!(back.gateway.known().spending[0].units < 15.0, "which it does not tell as its own");
+    assert!(back.gateway.local_state().usage[0].units < 15.0, "which it does not tell as its own");
     // News of the window before comes in this one.
     let (mut late, _) = start();
     late.wait(2.0);
     assert!(late.serve("rate", "c", 1.0, 2));
-    late.gateway.elsewhere(spent(window, 30.0, 0.0));
+    late.gateway.apply_remote_state(spent(window, 30.0, 0.0));
     let after = served(&mut late);
     assert!(after < plain, "{after} after late news of 30, {plain} without");
 }
