--- a/src/bin/whinstall-model/budgets.rs
+++ b/src/bin/whinstall-model/budgets.rs
@@ -5,9 +5,9 @@
 use crate::cpu;
 use std::sync::Arc;
 use std::time::Duration;
-use whinstall::fleet::budget::{Budget, Divider, Holder, Ms, Origin, Ppm, Times, WHOLE};
+use whinstall::fleet::budget::{Allocator, BudgetName, Holder, LeaseTimes, Ms, Origin, Ppm, TOTAL_PPM};
 
-const TIMES: Times = Times { term: 2000, margin: 250 };
+const TIMES: LeaseTimes = LeaseTimes { lease_ms: 2000, clock_margin_ms: 250 };
 const STEP_MS: Ms = 50;
 const WIDTH: usize = 3;
 /// Units a second of a ceiling, and what its store holds.
@@ -23,7 +23,7 @@
 }
 
 struct Customer {
-    budget: Budget,
+    budget: BudgetName,
     at: [usize; WIDTH],
     /// Units a second that it asks over all, as a part of its ceiling, and where.
     asks: f64,
@@ -47,7 +47,7 @@
     /// By gatekeeper: customers that it serves, and as which of their three.
     of: Vec<Vec<(usize, usize)>>,
     holders: Vec<Holder>,
-    dividers: Vec<Divider>,
+    dividers: Vec<Allocator>,
     lives: Vec<u64>,
     down: Vec<bool>,
     messages: u64,
@@ -92,7 +92,7 @@
             customers,
             of,
             holders: (0..size).map(|n| Holder::new(who(n, 1), 0, TIMES)).collect(),
-            dividers: (0..size).map(|n| Divider::new(who(n, 1), 0, TIMES, size as u32)).collect(),
+            dividers: (0..size).map(|n| Allocator::new(who(n, 1), 0, TIMES, size as u32)).collect(),
             lives: vec![1; size],
             down: vec![false; size],
             messages: 0,
@@ -109,11 +109,11 @@
         let wants = self.of[n].iter().map(|(c, k)| {
             let c = &self.customers[*c];
             let part = (1.3 * c.wants[*k] / RATE - self.floor / WIDTH as f64) / (1.0 - self.floor);
-            (c.budget.clone(), (part.clamp(0.0, 1.0) * WHOLE as f64) as Ppm)
+            (c.budget.clone(), (part.clamp(0.0, 1.0) * TOTAL_PPM as f64) as Ppm)
         });
-        let request = self.holders[n].ask(self.now, &who(to, self.lives[to]), wants.collect());
-        let answer = self.dividers[to].answer(self.now, &request);
-        self.holders[n].answered(&answer);
+        let request = self.holders[n].next_request(self.now, &who(to, self.lives[to]), wants.collect());
+        let answer = self.dividers[to].handle_request(self.now, &request);
+        self.holders[n].handle_response(&answer);
         self.busy += cpu() - begun;
         self.messages += 2;
         self.bytes += (postcard::to_stdvec(&request).map_or(0, |b| b.len())
@@ -123,7 +123,7 @@
     fn step(&mut self, way: Way) {
         self.now += STEP_MS;
         let seconds = STEP_MS as f64 / 1e3;
-        let every = (TIMES.term / 3) / STEP_MS;
+        let every = (TIMES.lease_ms / 3) / STEP_MS;
         if way == Way::Divided {
             for n in 0..self.holders.len() {
                 if !self.down[n] && (self.now / STEP_MS + n as u64).is_multiple_of(every) {
@@ -141,9 +141,9 @@
                 let n = c.at[k];
                 let share = match way {
                     Way::Divided => {
-                        let part = if self.down[n] { 0 } else { self.holders[n].part(self.now, &c.budget) };
+                        let part = if self.down[n] { 0 } else { self.holders[n].share(self.now, &c.budget) };
                         given += part;
-                        self.floor / WIDTH as f64 + (1.0 - self.floor) * part as f64 / WHOLE as f64
+                        self.floor / WIDTH as f64 + (1.0 - self.floor) * part as f64 / TOTAL_PPM as f64
                     }
                     _ => 1.0 / WIDTH as f64,
                 };
@@ -191,10 +191,10 @@
         let held = |c: &Customer| {
             c.at.iter()
                 .filter(|n| !self.down[**n])
-                .map(|n| self.holders[*n].part(self.now, &c.budget))
+                .map(|n| self.holders[*n].share(self.now, &c.budget))
                 .sum::<Ppm>()
         };
-        self.customers.iter().map(held).sum::<Ppm>() as f64 / (self.customers.len() as u64 * WHOLE) as f64
+        self.customers.iter().map(held).sum::<Ppm>() as f64 / (self.customers.len() as u64 * TOTAL_PPM) as f64
     }
 }
 
@@ -221,7 +221,7 @@
         fleet.run(way, 15.0);
         fleet.forget();
         fleet.run(way, seconds);
-        assert!(fleet.most_given <= WHOLE);
+        assert!(fleet.most_given <= TOTAL_PPM);
         (fleet.served(), fleet)
     };
     let (even, best) = (served(Way::Even).0, served(Way::OneBrain).0);
@@ -239,14 +239,14 @@
         fleet.down[n] = false;
         let me = who(n, fleet.lives[n]);
         fleet.holders[n] = Holder::new(me.clone(), fleet.now, TIMES);
-        fleet.dividers[n] = Divider::new(me, fleet.now, TIMES, size as u32);
+        fleet.dividers[n] = Allocator::new(me, fleet.now, TIMES, size as u32);
     }
     let back = fleet.now;
     while fleet.in_use() < 0.95 {
         fleet.step(Way::Divided);
         assert!(fleet.now - back < 60_000, "{}", fleet.in_use());
     }
-    assert!(fleet.most_given <= WHOLE, "never over");
+    assert!(fleet.most_given <= TOTAL_PPM, "never over");
     Figures { even, divided, best, messages, bytes, busy, killed, again: (fleet.now - back) as f64 / 1e3 }
 }
 
--- a/src/bin/whinstall-model/fleet.rs
+++ b/src/bin/whinstall-model/fleet.rs
@@ -9,9 +9,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use whinstall::fleet::members::{Member, Members, Standing, Times};
-use whinstall::fleet::pace::Pace;
-use whinstall::fleet::replica::{Bounds, Digest, Key, Origin, Replica, Said};
+use whinstall::fleet::membership::{Member, MemberState, Membership, SwimTimings};
+use whinstall::fleet::replica::{Digest, Key, Origin, Replica, ReplicaLimits, RowValue};
+use whinstall::fleet::token_bucket::TokenBucket;
 use whinstall::fleet::wire::Message;
 use whinstall::CustomerId;
 
@@ -23,7 +23,8 @@
 const BYTES: f64 = 2e6;
 /// What a link takes, at least and at most.
 const WAY: (f64, f64) = (0.0005, 0.005);
-const TIMES: Times = Times { probe: 0.5, suspect: 2.0, forget: 600.0 };
+const TIMES: SwimTimings =
+    SwimTimings { probe_interval_secs: 0.5, suspicion_timeout_secs: 2.0, forget_after_secs: 600.0 };
 const CLUSTER: &str = "cluj";
 const FIRST_PORT: u16 = 10_000;
 /// The model's clock begins here, as Unix time would.
@@ -53,8 +54,8 @@
     life: u64,
     origin: Origin,
     replica: Replica,
-    members: Members,
-    pace: Pace,
+    members: Membership,
+    pace: TokenBucket,
     known: HashMap<SocketAddr, u64>,
     units: Vec<f64>,
     window: i64,
@@ -90,13 +91,13 @@
     let name: Arc<str> = format!("g{n}").into();
     let life_number = 1_764_600_000_000_000 + life;
     let origin = Origin { name: Arc::clone(&name), incarnation: life_number };
-    let me = Member { name, life: life_number, turn: 0, at: place(n) };
+    let me = Member { name, incarnation: life_number, rejoin_count: 0, address: place(n) };
     let seeds = (0..3).map(place).collect();
     Gate {
         life,
-        replica: Replica::new(origin.clone(), Bounds::default()),
-        members: Members::new(EPOCH + now, CLUSTER, me, seeds, TIMES, n as u64 ^ life << 20),
-        pace: Pace::new(EPOCH + now, BYTES),
+        replica: Replica::new(origin.clone(), ReplicaLimits::default()),
+        members: Membership::new(EPOCH + now, CLUSTER, me, seeds, TIMES, n as u64 ^ life << 20),
+        pace: TokenBucket::new(EPOCH + now, BYTES),
         origin,
         known: HashMap::new(),
         units: vec![0.0; CUSTOMERS],
@@ -156,7 +157,7 @@
     }
 
     fn flush(&mut self, n: usize) {
-        for (to, datagram) in self.gates[n].members.outbound() {
+        for (to, datagram) in self.gates[n].members.take_outbound() {
             let cost = &mut self.gates[n].cost;
             (cost.datagrams, cost.datagram_bytes) =
                 (cost.datagrams + 1, cost.datagram_bytes + datagram.len() as u64);
@@ -166,7 +167,7 @@
                 self.at(when, What::Datagram(to, datagram));
             }
         }
-        let _ = self.gates[n].members.news();
+        let _ = self.gates[n].members.take_events();
     }
 
     fn round(&mut self, n: usize) {
@@ -178,28 +179,28 @@
             g.window = window;
             g.units.fill(0.0);
         }
-        g.replica.note(now, Key::Beat, Said::Beat(self.now - g.born), 60.0);
+        g.replica.record(now, Key::Heartbeat, RowValue::Heartbeat(self.now - g.born), 60.0);
         for (who, units) in g.units.iter_mut().enumerate() {
             if rng.f64() < ROUND {
                 *units += 1.0;
                 // A customer comes through three gatekeepers.
                 let id = CustomerId(Arc::from(format!("{:016x}", (n + who % 3) * 1000 + who)));
-                let said = Said::Spent { units: *units, told: *units / 2.0 };
-                g.replica.note(now, Key::Spent(id, window), said, 2.0 * WINDOW_S);
+                let said = RowValue::Usage { units: *units, acknowledged: *units / 2.0 };
+                g.replica.record(now, Key::Usage(id, window), said, 2.0 * WINDOW_S);
             }
         }
-        g.changed.resize(g.replica.upto(&g.origin) as usize, self.now);
+        g.changed.resize(g.replica.version_of(&g.origin) as usize, self.now);
         if self.now - g.swept > 0.5 {
             g.swept = self.now;
-            let there: BTreeSet<Arc<str>> = g.members.there().into_iter().map(|m| m.name).collect();
+            let there: BTreeSet<Arc<str>> = g.members.live_members().into_iter().map(|m| m.name).collect();
             g.replica.sweep(now, &there);
         }
-        drop(g.replica.changed());
-        let mut peers = self.gates[n].members.there();
+        drop(g.replica.take_changed_usage());
+        let mut peers = self.gates[n].members.live_members();
         self.rng.shuffle(&mut peers);
         for (nth, peer) in peers.into_iter().take(FANOUT).enumerate() {
             let when = self.now + ROUND / FANOUT as f64 * nth as f64;
-            self.at(when, What::Ask(n, usize::from(peer.at.port() - FIRST_PORT)));
+            self.at(when, What::Ask(n, usize::from(peer.address.port() - FIRST_PORT)));
         }
         self.gates[n].cost.busy += cpu() - begun;
         let life = self.gates[n].life;
@@ -207,21 +208,22 @@
         self.at(when, What::Round(n, life));
     }
 
-    fn message(&mut self, n: usize, pieces: Vec<whinstall::fleet::replica::Piece>) -> Vec<u8> {
+    fn message(&mut self, n: usize, pieces: Vec<whinstall::fleet::replica::Delta>) -> Vec<u8> {
         let g = &mut self.gates[n];
-        let message = Message { from: g.members.me().clone(), digest: g.replica.digest(), pieces };
+        let message =
+            Message { from: g.members.local_member().clone(), digest: g.replica.digest(), deltas: pieces };
         let body = message.encode(CLUSTER);
         let cost = &mut g.cost;
         (cost.messages, cost.message_bytes) = (cost.messages + 1, cost.message_bytes + body.len() as u64);
-        cost.rows += message.rows() as u64;
+        cost.rows += message.row_count() as u64;
         body
     }
 
     fn take(&mut self, n: usize, body: &[u8]) -> Digest {
         let message = Message::decode(body, CLUSTER).expect("of this fleet");
         let (now, replica) = (EPOCH + self.now, &mut self.gates[n].replica);
-        replica.saw(&message.digest);
-        for piece in message.pieces {
+        replica.observe_digest(&message.digest);
+        for piece in message.deltas {
             replica.merge(now, piece);
         }
         message.digest
@@ -232,8 +234,8 @@
         match what {
             What::Step(n, life) if self.gates[n].life == life => {
                 let begun = cpu();
-                self.gates[n].members.step(now);
-                let next = self.gates[n].members.next() - EPOCH;
+                self.gates[n].members.run_due_timers(now);
+                let next = self.gates[n].members.next_timer_at() - EPOCH;
                 self.gates[n].cost.busy += cpu() - begun;
                 self.flush(n);
                 self.at(next.max(self.now + 0.001), What::Step(n, life));
@@ -242,7 +244,7 @@
             What::Ask(n, to) => {
                 let begun = cpu();
                 let g = &self.gates[n];
-                let own = g.replica.own_after(now, g.known.get(&place(to)).copied().unwrap_or(0));
+                let own = g.replica.own_delta_after(now, g.known.get(&place(to)).copied().unwrap_or(0));
                 let body = self.message(n, own.into_iter().collect());
                 self.gates[n].cost.busy += cpu() - begun;
                 if !self.apart(n, to) {
@@ -252,19 +254,19 @@
             }
             What::Datagram(n, bytes) => {
                 let begun = cpu();
-                let _ = self.gates[n].members.heard(now, &bytes);
+                let _ = self.gates[n].members.handle_datagram(now, &bytes);
                 self.gates[n].cost.busy += cpu() - begun;
                 self.flush(n);
             }
             What::Question { from, to, body } => {
                 let begun = cpu();
                 let asked = self.take(to, &body);
-                let most = self.gates[to].pace.rows(now, 1200);
+                let most = self.gates[to].pace.available_rows(now, 1200);
                 let turn = self.count as usize;
-                let (pieces, _) = self.gates[to].replica.lacks(now, &asked, most, turn);
+                let (pieces, _) = self.gates[to].replica.deltas_for(now, &asked, most, turn);
                 let rows = pieces.iter().map(|p| p.rows.len()).sum();
                 let body = self.message(to, pieces);
-                self.gates[to].pace.sent(rows, body.len());
+                self.gates[to].pace.charge(rows, body.len());
                 in_second(&mut self.gates[to].second, self.now, body.len());
                 self.gates[to].cost.busy += cpu() - begun;
                 if !self.apart(from, to) {
@@ -296,7 +298,7 @@
     /// Seconds since the first change of one that another does not hold.
     fn age_of(&self, reader: usize, writer: usize) -> f64 {
         let w = &self.gates[writer];
-        let upto = self.gates[reader].replica.upto(&w.origin) as usize;
+        let upto = self.gates[reader].replica.version_of(&w.origin) as usize;
         w.changed.get(upto).map_or(0.0, |at| self.now - at)
     }
 
@@ -334,8 +336,8 @@
     /// Does each take so many others to be alive, and none to be suspected?
     fn all_see(&self, alive: usize) -> bool {
         self.gates.iter().all(|g| {
-            let standing = g.members.standing();
-            standing.iter().filter(|m| m.1 == Standing::Alive).count() == alive
+            let standing = g.members.member_states();
+            standing.iter().filter(|m| m.1 == MemberState::Alive).count() == alive
         })
     }
 
@@ -393,7 +395,7 @@
         w.gates
             .iter()
             .enumerate()
-            .all(|(n, g)| g.members.there().len() == if n % 2 == 0 { half } else { size - half } - 1)
+            .all(|(n, g)| g.members.live_members().len() == if n % 2 == 0 { half } else { size - half } - 1)
     });
     w.run(w.now + 5.0);
     w.cut = false;
--- a/src/fleet/budget/divider.rs
+++ b/src/fleet/budget/allocator.rs
@@ -2,7 +2,9 @@
 //! ledger. It must never give without the support of a majority, count a part as free that anybody may go by, or know
 //! what a budget is good for.
 
-use super::{share, Answer, Budget, Held, Ms, Origin, Ppm, Request, Times, WHOLE};
+use super::{
+    share, BudgetName, GrantRequest, GrantResponse, HeldGrant, LeaseTimes, Ms, Origin, Ppm, TOTAL_PPM,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What one may still go by, of one budget.
@@ -46,9 +48,9 @@
 
 /// One gatekeeper's side as the divider.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Divider {
+pub struct Allocator {
     me: Origin,
-    times: Times,
+    times: LeaseTimes,
     /// Members that the platform says there are.
     members: usize,
     /// It may have led in a former life, or promised support to another, until then.
@@ -59,7 +61,7 @@
     leads_until: Ms,
     unknown_until: Ms,
     reigns: u64,
-    ledgers: BTreeMap<Budget, Ledger>,
+    ledgers: BTreeMap<BudgetName, Ledger>,
     given: u64,
     /// Parts of this reign have this number or a greater one.
     reign_from: u64,
@@ -75,21 +77,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetReport {
     /// Which.
-    pub budget: Budget,
+    pub budget: BudgetName,
     /// By holder: the part that is counted for it.
-    pub parts: Vec<(Origin, Ppm)>,
+    pub shares: Vec<(Origin, Ppm)>,
     /// What is out of reach until the unknown is known.
     pub unknown: Ppm,
 }
 
-impl Divider {
+impl Allocator {
     /// A process that begins, of so many members.
-    pub fn new(me: Origin, now: Ms, times: Times, members: u32) -> Self {
-        Divider {
+    pub fn new(me: Origin, now: Ms, times: LeaseTimes, members: u32) -> Self {
+        Allocator {
             me,
             times,
             members: members.max(1) as usize,
-            quiet_until: now + times.whole(),
+            quiet_until: now + times.lease_with_margin_ms(),
             supporters: BTreeMap::new(),
             leads_until: 0,
             unknown_until: 0,
@@ -103,7 +105,7 @@
     }
 
     /// Does it lead now?
-    pub fn leads(&self, now: Ms) -> bool {
+    pub fn is_leader(&self, now: Ms) -> bool {
         now < self.leads_until
     }
 
@@ -113,13 +115,13 @@
     }
 
     /// Milliseconds for which it leads yet, and until nothing is unknown any more.
-    pub fn terms_left(&self, now: Ms) -> (Ms, Ms) {
+    pub fn remaining_ms(&self, now: Ms) -> (Ms, Ms) {
         (self.leads_until.saturating_sub(now), self.unknown_until.saturating_sub(now))
     }
 
-    fn support(&mut self, now: Ms, request: &Request) {
-        let Some(stamp) = request.support.filter(|stamp| *stamp <= now) else { return };
-        let until = stamp + self.times.term;
+    fn support(&mut self, now: Ms, request: &GrantRequest) {
+        let Some(stamp) = request.support_stamp.filter(|stamp| *stamp <= now) else { return };
+        let until = stamp + self.times.lease_ms;
         let life = request.from.incarnation;
         let held = self.supporters.entry(request.from.name.clone()).or_insert((life, until));
         *held = (*held).max((life, until)); // of a later life, or of the same one for longer
@@ -143,13 +145,13 @@
     fn begin(&mut self, now: Ms) {
         self.reigns += 1;
         self.reign_from = self.given + 1;
-        self.unknown_until = now + self.times.whole();
+        self.unknown_until = now + self.times.lease_with_margin_ms();
         self.ledgers.clear();
     }
 
     /// Is it news, from the last life of its name and with a number that was not there before? What is repeated or late
     /// tells of what is no longer so.
-    fn is_news(&mut self, request: &Request) -> bool {
+    fn is_news(&mut self, request: &GrantRequest) -> bool {
         let this = (request.from.incarnation, request.number);
         if request.to != self.me
             || (self.last.len() >= NAMES_MOST && !self.last.contains_key(&request.from.name))
@@ -163,25 +165,25 @@
     }
 
     /// Answers a request, which came at `now`.
-    pub fn answer(&mut self, now: Ms, request: &Request) -> Answer {
+    pub fn handle_request(&mut self, now: Ms, request: &GrantRequest) -> GrantResponse {
         let (mut parts, news) = (Vec::new(), self.is_news(request));
         if news {
             self.support(now, request);
         }
         if !news {
             // Its sender goes by no answer to it any more.
-        } else if request.leaving {
+        } else if request.is_leaving {
             self.left(&request.from);
-        } else if self.leads(now) && !self.gone.contains(&request.from) {
+        } else if self.is_leader(now) && !self.gone.contains(&request.from) {
             self.hear(now, request);
-            for (budget, wants) in &request.wants {
+            for (budget, wants) in &request.demands {
                 if let Some((number, part)) = self.give(now, &request.from, budget, *wants) {
                     parts.push((budget.clone(), number, part));
                 }
             }
         }
-        let (from, leads) = (self.me.clone(), self.leads(now));
-        Answer { from, number: request.number, stamp: now, leads, parts }
+        let (from, leads) = (self.me.clone(), self.is_leader(now));
+        GrantResponse { from, request_number: request.number, stamp: now, is_leader: leads, grants: parts }
     }
 
     fn left(&mut self, who: &Origin) {
@@ -193,17 +195,17 @@
         }
     }
 
-    fn ledger(&mut self, now: Ms, budget: &Budget) -> &mut Ledger {
-        let unknown = if now < self.unknown_until { WHOLE } else { 0 };
+    fn ledger(&mut self, now: Ms, budget: &BudgetName) -> &mut Ledger {
+        let unknown = if now < self.unknown_until { TOTAL_PPM } else { 0 };
         self.ledgers.entry(budget.clone()).or_insert_with(|| Ledger { unknown, ..Ledger::default() })
     }
 
     /// What one says it goes by.
-    fn hear(&mut self, now: Ms, request: &Request) {
-        let (me, from, until) = (self.me.clone(), self.reign_from, now + self.times.whole());
+    fn hear(&mut self, now: Ms, request: &GrantRequest) {
+        let (me, from, until) = (self.me.clone(), self.reign_from, now + self.times.lease_with_margin_ms());
         // Only one that supports this divider takes nothing of another any more.
-        let supports = request.support.is_some() && now < self.unknown_until;
-        for Held { budget, by, number, part } in &request.held {
+        let supports = request.support_stamp.is_some() && now < self.unknown_until;
+        for HeldGrant { budget, granted_by: by, grant_number: number, share: part } in &request.held {
             let ledger = self.ledger(now, budget);
             let account = ledger.accounts.entry(request.from.clone()).or_default();
             if *by == me && *number >= from {
@@ -219,14 +221,14 @@
     }
 
     /// The part that one is given of a budget, with its number.
-    fn give(&mut self, now: Ms, to: &Origin, budget: &Budget, wants: Ppm) -> Option<(u64, Ppm)> {
-        let (until, unknown) = (now + self.times.whole(), now < self.unknown_until);
+    fn give(&mut self, now: Ms, to: &Origin, budget: &BudgetName, wants: Ppm) -> Option<(u64, Ppm)> {
+        let (until, unknown) = (now + self.times.lease_with_margin_ms(), now < self.unknown_until);
         let ledger = self.ledger(now, budget);
         if !unknown {
             ledger.unknown = 0;
         }
         let account = ledger.accounts.entry(to.clone()).or_default();
-        (account.wants, account.wants_until) = (wants.min(WHOLE), until);
+        (account.wants, account.wants_until) = (wants.min(TOTAL_PPM), until);
         let counted = account.counted(now);
         let asking: Vec<(&Origin, Ppm)> = ledger
             .accounts
@@ -234,11 +236,11 @@
             .filter(|(_, account)| now < account.wants_until)
             .map(|(who, account)| (who, account.wants))
             .collect();
-        let fair = share::fair(&asking.iter().map(|asking| asking.1).collect::<Vec<_>>());
+        let fair = share::max_min_fair(&asking.iter().map(|asking| asking.1).collect::<Vec<_>>());
         let place = asking.iter().position(|asking| asking.0 == to)?;
         let others = ledger.counted(now) - counted;
-        let room = WHOLE.saturating_sub(others + ledger.unknown);
-        let part = share::next(counted, fair[place], room);
+        let room = TOTAL_PPM.saturating_sub(others + ledger.unknown);
+        let part = share::next_share(counted, fair[place], room);
         self.given += 1;
         let number = self.given;
         let account = self.ledgers.get_mut(budget)?.accounts.get_mut(to)?;
@@ -248,7 +250,7 @@
     }
 
     /// Forgets what is over.
-    pub fn sweep(&mut self, now: Ms) {
+    pub fn discard_expired(&mut self, now: Ms) {
         self.supporters.retain(|_, supporter| now < supporter.1);
         self.ledgers.retain(|_, ledger| {
             ledger.accounts.retain(|_, account| account.counted(now) > 0 || now < account.wants_until);
@@ -258,9 +260,13 @@
 
     /// What operators see, budget by budget.
     pub fn report(&self, now: Ms) -> Vec<BudgetReport> {
-        let one = |(budget, ledger): (&Budget, &Ledger)| BudgetReport {
+        let one = |(budget, ledger): (&BudgetName, &Ledger)| BudgetReport {
             budget: budget.clone(),
-            parts: ledger.accounts.iter().map(|(who, account)| (who.clone(), account.counted(now))).collect(),
+            shares: ledger
+                .accounts
+                .iter()
+                .map(|(who, account)| (who.clone(), account.counted(now)))
+                .collect(),
             unknown: if now < self.unknown_until { ledger.unknown } else { 0 },
         };
         self.ledgers.iter().map(one).collect()
--- a/src/fleet/members.rs
+++ b/src/fleet/membership.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// The version of datagrams and of the frame.
-pub const VERSION: u32 = 2;
+pub const PROTOCOL_VERSION: u32 = 2;
 /// A datagram's longest payload, in bytes: it is to pass any link whole.
 const DATAGRAM_MOST: usize = 1300;
 /// Each piece of news is passed on so often by each member: where half of a fleet is out of reach, half of that is
@@ -31,17 +31,20 @@
     /// Its name; empty for a seed of which only the address is known.
     pub name: Arc<str>,
     /// Which life of the process: later ones have greater numbers.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// How often it was given up in this life and came back.
-    pub turn: u32,
+    #[serde(rename = "turn")]
+    pub rejoin_count: u32,
     /// Where it listens, for datagrams and for connections.
-    pub at: SocketAddr,
+    #[serde(rename = "at")]
+    pub address: SocketAddr,
 }
 
 impl Member {
     /// The same life, as rows and budgets name it.
     pub fn origin(&self) -> Origin {
-        Origin { name: Arc::clone(&self.name), incarnation: self.life }
+        Origin { name: Arc::clone(&self.name), incarnation: self.incarnation }
     }
 }
 
@@ -49,43 +52,43 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Member { turn: self.turn.checked_add(1)?, ..self.clone() })
+        Some(Member { rejoin_count: self.rejoin_count.checked_add(1)?, ..self.clone() })
     }
 
     fn addr(&self) -> SocketAddr {
-        self.at
+        self.address
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.life, self.turn) > (other.life, other.turn)
+        (self.incarnation, self.rejoin_count) > (other.incarnation, other.rejoin_count)
     }
 }
 
-/// Times of the protocol.
+/// SwimTimings of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
+pub struct SwimTimings {
     /// Seconds between two probes of this member, each of another one.
-    pub probe: f64,
+    pub probe_interval_secs: f64,
     /// A member that is suspected for so many seconds is given up.
-    pub suspect: f64,
+    pub suspicion_timeout_secs: f64,
     /// One that is given up is remembered for so many seconds.
-    pub forget: f64,
+    pub forget_after_secs: f64,
 }
 
 /// What has changed.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum MembershipEvent {
     /// It is there.
     Up(Member),
     /// It is given up: dead, cut off, or it has left.
     Down(Member),
     /// This gatekeeper was given up by the others and has come back.
-    Back,
+    Rejoined,
 }
 
 /// How one of the others is taken to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It did not answer, and will be given up.
@@ -113,15 +116,15 @@
     timers: BTreeMap<(u64, u64), Timer<Member>>,
     count: u64,
     send: VecDeque<(SocketAddr, Vec<u8>)>,
-    news: VecDeque<News>,
+    news: VecDeque<MembershipEvent>,
 }
 
 impl Runtime<Member> for &mut Wants {
     fn notify(&mut self, notification: Notification<'_, Member>) {
         let news = match notification.to_owned() {
-            OwnedNotification::MemberUp(member) => News::Up(member),
-            OwnedNotification::MemberDown(member) => News::Down(member),
-            OwnedNotification::Rejoin(_) => News::Back,
+            OwnedNotification::MemberUp(member) => MembershipEvent::Up(member),
+            OwnedNotification::MemberDown(member) => MembershipEvent::Down(member),
+            OwnedNotification::Rejoin(_) => MembershipEvent::Rejoined,
             _ => return,
         };
         if self.news.len() < WAITING_MOST {
@@ -130,9 +133,9 @@
     }
 
     fn send_to(&mut self, to: Member, data: &[u8]) {
-        let frame = Frame { version: VERSION, cluster: &self.frame.0, from: &self.frame.1, data };
+        let frame = Frame { version: PROTOCOL_VERSION, cluster: &self.frame.0, from: &self.frame.1, data };
         if let (Ok(bytes), true) = (postcard::to_stdvec(&frame), self.send.len() < WAITING_MOST) {
-            self.send.push_back((to.at, bytes));
+            self.send.push_back((to.address, bytes));
         }
     }
 
@@ -145,7 +148,7 @@
 type Protocol = Foca<Member, PostcardCodec, SmallRng, foca::NoCustomBroadcast>;
 
 /// What one gatekeeper believes of the fleet.
-pub struct Members {
+pub struct Membership {
     protocol: Protocol,
     wants: Wants,
     seeds: Vec<SocketAddr>,
@@ -166,34 +169,44 @@
     NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
 }
 
-impl Members {
+impl Membership {
     /// One that knows only where some others should be. `now` in seconds, as in all calls.
-    pub fn new(now: f64, cluster: &str, me: Member, seeds: Vec<SocketAddr>, times: Times, seed: u64) -> Self {
+    pub fn new(
+        now: f64,
+        cluster: &str,
+        me: Member,
+        seeds: Vec<SocketAddr>,
+        times: SwimTimings,
+        seed: u64,
+    ) -> Self {
         let every = |part: f64, num_members| {
-            Some(PeriodicParams { frequency: at_least(times.probe * part), num_members: few(num_members) })
+            Some(PeriodicParams {
+                frequency: at_least(times.probe_interval_secs * part),
+                num_members: few(num_members),
+            })
         };
         let config = foca::Config {
-            probe_period: at_least(times.probe),
-            probe_rtt: at_least(times.probe / 3.0),
+            probe_period: at_least(times.probe_interval_secs),
+            probe_rtt: at_least(times.probe_interval_secs / 3.0),
             num_indirect_probes: few(3),
             max_transmissions: NonZeroU8::new(TOLD_TIMES).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: at_least(times.suspect),
-            remove_down_after: at_least(times.forget),
+            suspect_to_down_after: at_least(times.suspicion_timeout_secs),
+            remove_down_after: at_least(times.forget_after_secs),
             max_packet_size: few(DATAGRAM_MOST),
             notify_down_members: true,
             periodic_announce: every(20.0, 1),
             periodic_announce_to_down_members: every(3.0, 2),
             periodic_gossip: every(0.5, 4),
         };
-        let seeds = seeds.into_iter().filter(|seed| *seed != me.at).collect();
+        let seeds = seeds.into_iter().filter(|seed| *seed != me.address).collect();
         let frame = (Arc::from(cluster), Arc::clone(&me.name));
         let wants = Wants { now: micros(now), frame, ..Wants::default() };
         let protocol = Foca::new(me, config, SmallRng::seed_from_u64(seed), PostcardCodec);
-        Members { protocol, wants, seeds, call_at: 0, call_every: micros(4.0 * times.probe) }
+        Membership { protocol, wants, seeds, call_at: 0, call_every: micros(4.0 * times.probe_interval_secs) }
     }
 
     /// This gatekeeper as the others know it.
-    pub fn me(&self) -> &Member {
+    pub fn local_member(&self) -> &Member {
         self.protocol.identity()
     }
 
@@ -201,12 +214,12 @@
     ///
     /// # Errors
     /// Why nothing of it was taken: of another fleet or version, or none of the protocol's.
-    pub fn heard(&mut self, now: f64, datagram: &[u8]) -> Result<(), String> {
+    pub fn handle_datagram(&mut self, now: f64, datagram: &[u8]) -> Result<(), String> {
         self.wants.now = micros(now);
         let frame: Frame<'_> =
             postcard::from_bytes(datagram).map_err(|_| "no datagram of a fleet".to_owned())?;
-        if frame.version != VERSION {
-            return Err(format!("{:?} speaks version {}, not {VERSION}", frame.from, frame.version));
+        if frame.version != PROTOCOL_VERSION {
+            return Err(format!("{:?} speaks version {}, not {PROTOCOL_VERSION}", frame.from, frame.version));
         }
         if *frame.cluster != *self.wants.frame.0 {
             return Err(format!(
@@ -218,7 +231,7 @@
     }
 
     /// Does what is due, and calls seeds that are not there.
-    pub fn step(&mut self, now: f64) {
+    pub fn run_due_timers(&mut self, now: f64) {
         let now = micros(now);
         while let Some(due) = self.wants.timers.first_entry().filter(|due| due.key().0 <= now) {
             let ((at, _), timer) = due.remove_entry();
@@ -229,17 +242,18 @@
         self.wants.now = now;
         if now >= self.call_at {
             self.call_at = now + self.call_every;
-            let missing = |seed: &&SocketAddr| !self.protocol.iter_members().any(|m| m.id().at == **seed);
+            let missing =
+                |seed: &&SocketAddr| !self.protocol.iter_members().any(|m| m.id().address == **seed);
             let missing: Vec<SocketAddr> = self.seeds.iter().filter(missing).copied().collect();
             for at in missing {
-                let seed = Member { name: Arc::from(""), life: 0, turn: 0, at };
+                let seed = Member { name: Arc::from(""), incarnation: 0, rejoin_count: 0, address: at };
                 let _ = self.protocol.announce(seed, &mut self.wants);
             }
         }
     }
 
-    /// When [`Members::step`] has something to do next, in seconds.
-    pub fn next(&self) -> f64 {
+    /// When [`Membership::step`] has something to do next, in seconds.
+    pub fn next_timer_at(&self) -> f64 {
         let due = self.wants.timers.first_key_value().map_or(u64::MAX, |((at, _), _)| *at);
         due.min(self.call_at) as f64 / 1e6
     }
@@ -251,26 +265,26 @@
     }
 
     /// Datagrams to send, each with where to.
-    pub fn outbound(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub fn take_outbound(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.wants.send.drain(..).collect()
     }
 
     /// What has changed since this was last asked.
-    pub fn news(&mut self) -> Vec<News> {
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         self.wants.news.drain(..).collect()
     }
 
     /// The others that are taken to be there, suspected ones among them.
-    pub fn there(&self) -> Vec<Member> {
+    pub fn live_members(&self) -> Vec<Member> {
         self.protocol.iter_members().map(|m| m.id().clone()).collect()
     }
 
     /// All others that are known, and how each is taken to be.
-    pub fn standing(&self) -> Vec<(Member, Standing)> {
+    pub fn member_states(&self) -> Vec<(Member, MemberState)> {
         let standing = |state| match state {
-            State::Alive => Standing::Alive,
-            State::Suspect => Standing::Suspected,
-            State::Down => Standing::Down,
+            State::Alive => MemberState::Alive,
+            State::Suspect => MemberState::Suspected,
+            State::Down => MemberState::Down,
         };
         self.protocol.iter_membership_state().map(|m| (m.id().clone(), standing(m.state()))).collect()
     }
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -11,9 +11,9 @@
     /// Part of its even share that each gatekeeper has whatever happens; the rest is divided.
     pub floor: f64,
     /// A part is good for so many seconds.
-    pub term: f64,
+    pub lease_secs: f64,
     /// Two clocks run apart by less than so many seconds in a term.
-    pub margin: f64,
+    pub clock_margin_secs: f64,
 }
 
 /// All the settings of the copies.
@@ -28,21 +28,21 @@
     /// Where some of the others listen: all the rest are learned from them.
     pub seeds: Vec<SocketAddr>,
     /// Seconds between two rounds.
-    pub round: f64,
+    pub gossip_interval_secs: f64,
     /// Members asked in a round.
     pub fanout: u32,
     /// Bytes a second of rows that this one sends in answers, at the most.
-    pub bytes: f64,
+    pub bytes_per_sec: f64,
     /// Seconds by which a copy may lag behind its origin and still be fresh.
-    pub fresh: f64,
+    pub max_lag_secs: f64,
     /// Seconds between two probes of this member.
-    pub probe: f64,
+    pub probe_interval_secs: f64,
     /// A member that does not answer is suspected for so many seconds, then given up.
-    pub suspect: f64,
+    pub suspicion_timeout_secs: f64,
     /// What a member that is gone left is forgotten after so many seconds.
-    pub forget: f64,
+    pub forget_after_secs: f64,
     /// Seconds between two log lines of the copies.
-    pub tell: f64,
+    pub log_interval_secs: f64,
     /// How hard ceilings are divided; `None`: evenly.
     pub budgets: Option<BudgetSettings>,
 }
@@ -52,13 +52,15 @@
         let b = r.record("budgets")?;
         let settings = BudgetSettings {
             floor: b.number("floor", 0.5, (0.0, 1e9)),
-            term: b.number("term", 2.0, (0.2, 60.0)),
-            margin: b.number("margin", 0.25, (0.01, 60.0)),
+            lease_secs: b.number("term", 2.0, (0.2, 60.0)),
+            clock_margin_secs: b.number("margin", 0.25, (0.01, 60.0)),
         };
         if let (Some(node), true) = (b.node("floor"), settings.floor > 1.0) {
             b.error(node, "floor", "all members' floors together pass the whole: at most 1, the even share");
         }
-        if let (Some(node), true) = (b.node("term").or(b.node("margin")), settings.term <= settings.margin) {
+        if let (Some(node), true) =
+            (b.node("term").or(b.node("margin")), settings.lease_secs <= settings.clock_margin_secs)
+        {
             b.error(node, "term", "must be longer than `margin`");
         }
         b.finish();
@@ -105,17 +107,19 @@
             listen: at.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
             advertise,
             seeds,
-            round: r.number("round", 0.2, (0.02, 10.0)),
+            gossip_interval_secs: r.number("round", 0.2, (0.02, 10.0)),
             fanout: r.whole("fanout", 2, (1, 16)),
-            bytes: r.number("bytes", 2e6, (1e4, 1e9)),
-            fresh: r.number("fresh", 1.0, (0.1, 30.0)),
-            probe: r.number("probe", 0.5, (0.05, 30.0)),
-            suspect: r.number("suspect", 2.0, (0.1, 120.0)),
-            forget: r.number("forget", 600.0, (10.0, 86_400.0)),
-            tell: r.number("tell", 5.0, (0.05, 600.0)),
+            bytes_per_sec: r.number("bytes", 2e6, (1e4, 1e9)),
+            max_lag_secs: r.number("fresh", 1.0, (0.1, 30.0)),
+            probe_interval_secs: r.number("probe", 0.5, (0.05, 30.0)),
+            suspicion_timeout_secs: r.number("suspect", 2.0, (0.1, 120.0)),
+            forget_after_secs: r.number("forget", 600.0, (10.0, 86_400.0)),
+            log_interval_secs: r.number("tell", 5.0, (0.05, 600.0)),
             budgets: BudgetSettings::read(&r),
         };
-        if let (Some(node), true) = (r.node("forget"), settings.forget < 2.0 * settings.suspect) {
+        if let (Some(node), true) =
+            (r.node("forget"), settings.forget_after_secs < 2.0 * settings.suspicion_timeout_secs)
+        {
             r.error(node, "forget", "must be at least twice `suspect`");
         }
         r.finish();
@@ -140,15 +144,15 @@
             self.advertise.map(|at| format!(", reached at {at}")).unwrap_or_default(),
             self.seeds.len(),
             self.fanout,
-            self.round,
-            self.bytes,
-            self.fresh,
-            self.probe,
-            self.suspect,
-            self.forget,
+            self.gossip_interval_secs,
+            self.bytes_per_sec,
+            self.max_lag_secs,
+            self.probe_interval_secs,
+            self.suspicion_timeout_secs,
+            self.forget_after_secs,
             self.budgets.as_ref().map_or("ceilings shared evenly".into(), |b| format!(
                 "ceilings divided: floors of {} of the even share, terms of {} s, {} s margin",
-                b.floor, b.term, b.margin
+                b.floor, b.lease_secs, b.clock_margin_secs
             )),
         )
     }
@@ -182,7 +186,7 @@
             FleetSettings::load(&text).map(|s| s.unwrap().budgets)
         };
         assert_eq!(read("").unwrap(), None);
-        let some = BudgetSettings { floor: 0.5, term: 2.0, margin: 0.25 };
+        let some = BudgetSettings { floor: 0.5, lease_secs: 2.0, clock_margin_secs: 0.25 };
         assert_eq!(read("budgets: {}").unwrap(), Some(some));
         for (wrong, why) in [
             ("budgets: { floor: 1.5 }", "pass the whole"),
--- a/src/fleet/site/mod.rs
+++ b/src/fleet/site/mod.rs
@@ -4,7 +4,7 @@
 pub mod plan;
 pub mod settings;
 
-pub use plan::{Plan, Planned};
+pub use plan::{LossPlan, SiteLoss};
 pub use settings::SiteSettings;
 
 #[cfg(test)]
--- a/src/fleet/site/plan.rs
+++ b/src/fleet/site/plan.rs
@@ -7,32 +7,32 @@
 
 /// What one loss leads to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct SiteLoss {
     /// The sites that are lost, by index.
     pub lost: Vec<usize>,
     /// Units a second from each lost site (in the order of `lost`) to each site.
     pub moved: Vec<Vec<f64>>,
     /// Units a second at each site after it, refused ones left out; nought at the lost.
-    pub taken: Vec<f64>,
+    pub load_after: Vec<f64>,
     /// Units a second refused, by kind in the order of refusal.
-    pub refused: Vec<f64>,
+    pub shed: Vec<f64>,
     /// The same as parts of what is asked of the sites in question.
-    pub refused_part: Vec<f64>,
+    pub shed_fraction: Vec<f64>,
 }
 
 /// All losses of one site and of two.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Plan<'a> {
+pub struct LossPlan<'a> {
     settings: &'a SiteSettings,
     /// One after the other: each site, then each pair.
-    pub losses: Vec<Planned>,
+    pub losses: Vec<SiteLoss>,
 }
 
 /// Less than this is no load, in units a second.
 const NOTHING: f64 = 1e-9;
 
 fn room(site: &Site, taken: f64) -> f64 {
-    (site.most * site.capacity - taken).max(0.0)
+    (site.max_utilization * site.capacity - taken).max(0.0)
 }
 
 /// Spreads `load` over those places by weight, each up to its room; returns what is left.
@@ -54,7 +54,7 @@
 
 impl SiteSettings {
     /// What the loss of these sites, by index, leads to.
-    pub fn plan(&self, lost: &[usize]) -> Planned {
+    pub fn plan_loss(&self, lost: &[usize]) -> SiteLoss {
         let count = self.sites.len();
         let is_lost = |at: usize| lost.contains(&at);
         // What a survivor itself is asked for beyond its bound is refused there, whatever is lost.
@@ -66,18 +66,20 @@
         for (nth, at) in lost.iter().enumerate() {
             let site = &self.sites[*at];
             let (mut load, mut orders) =
-                (site.load, site.ways.iter().map(|way| way.order).collect::<Vec<_>>());
+                (site.load, site.failover_targets.iter().map(|way| way.priority).collect::<Vec<_>>());
             orders.sort_unstable();
             orders.dedup();
             for order in orders {
-                let places =
-                    site.ways.iter().filter(|way| way.order == order && way.weight > 0.0 && !is_lost(way.to));
-                let places: Vec<(usize, f64)> = places.map(|way| (way.to, way.weight)).collect();
+                let places = site
+                    .failover_targets
+                    .iter()
+                    .filter(|way| way.priority == order && way.weight > 0.0 && !is_lost(way.site));
+                let places: Vec<(usize, f64)> = places.map(|way| (way.site, way.weight)).collect();
                 load = pour(load, &places, &mut rooms, &mut moved[nth]);
             }
             left.push(load);
         }
-        let over = |at: usize| (own(at) - self.sites[at].most * self.sites[at].capacity).max(0.0);
+        let over = |at: usize| (own(at) - self.sites[at].max_utilization * self.sites[at].capacity).max(0.0);
         // In question is each site that is over its bound, and each lost one whose load has no place, with all that it
         // could go to: these are full.
         let mut asked = vec![false; count];
@@ -86,7 +88,11 @@
         }
         for (at, _) in lost.iter().zip(&left).filter(|(_, left)| **left > NOTHING) {
             asked[*at] = true;
-            self.sites[*at].ways.iter().filter(|way| !is_lost(way.to)).for_each(|way| asked[way.to] = true);
+            self.sites[*at]
+                .failover_targets
+                .iter()
+                .filter(|way| !is_lost(way.site))
+                .for_each(|way| asked[way.site] = true);
         }
         // Load of lost sites that found a place at a site in question is asked of it, too.
         let strangers: f64 = (0..lost.len())
@@ -95,8 +101,8 @@
         let offered: f64 = (0..count).filter(|at| asked[*at]).map(own).sum::<f64>() + strangers;
         let mut to_refuse: f64 = left.iter().sum::<f64>() + (0..count).map(over).sum::<f64>();
         let mut refused = Vec::new();
-        for kind in &self.kinds {
-            let one = (kind.part * offered).min(to_refuse);
+        for kind in &self.load_classes {
+            let one = (kind.load_fraction * offered).min(to_refuse);
             to_refuse -= one;
             refused.push(one);
         }
@@ -107,29 +113,32 @@
         let taken = taken.collect();
         let part = |refused: &f64| if offered > NOTHING { refused / offered } else { 0.0 };
         let refused_part = refused.iter().map(part).collect();
-        Planned { lost: lost.to_vec(), moved, taken, refused, refused_part }
+        SiteLoss { lost: lost.to_vec(), moved, load_after: taken, shed: refused, shed_fraction: refused_part }
     }
 
     /// What the loss of each site, and of each pair, leads to.
-    pub fn plans(&self) -> Plan<'_> {
+    pub fn plan_all_losses(&self) -> LossPlan<'_> {
         let count = self.sites.len();
         let pairs = (0..count).flat_map(|a| (a + 1..count).map(move |b| vec![a, b]));
         let all = (0..count).map(|at| vec![at]).chain(pairs);
-        Plan { settings: self, losses: all.map(|lost| self.plan(&lost)).collect() }
+        LossPlan { settings: self, losses: all.map(|lost| self.plan_loss(&lost)).collect() }
     }
 
     /// Kinds that must not be refused, and are.
-    pub fn broken(&self, planned: &Planned) -> Vec<&str> {
-        let refused =
-            self.kinds.iter().zip(&planned.refused).filter(|(kind, refused)| kind.must && **refused > 1e-6);
+    pub fn shed_but_required(&self, planned: &SiteLoss) -> Vec<&str> {
+        let refused = self
+            .load_classes
+            .iter()
+            .zip(&planned.shed)
+            .filter(|(kind, refused)| kind.must_serve && **refused > 1e-6);
         refused.map(|(kind, _)| kind.name.as_str()).collect()
     }
 }
 
-impl Plan<'_> {
+impl LossPlan<'_> {
     /// Can each loss be carried by the order given?
-    pub fn holds(&self) -> bool {
-        self.losses.iter().all(|loss| self.settings.broken(loss).is_empty())
+    pub fn is_feasible(&self) -> bool {
+        self.losses.iter().all(|loss| self.settings.shed_but_required(loss).is_empty())
     }
 
     /// For people.
@@ -139,7 +148,7 @@
             let names: Vec<&str> = loss.lost.iter().map(|at| s.sites[*at].name.as_str()).collect();
             let _ = writeln!(out, "{} lost:", names.join(" and "));
             for (at, site) in s.sites.iter().enumerate().filter(|(at, _)| !loss.lost.contains(at)) {
-                let (before, after) = (site.load / site.capacity, loss.taken[at] / site.capacity);
+                let (before, after) = (site.load / site.capacity, loss.load_after[at] / site.capacity);
                 let from: Vec<String> = loss
                     .lost
                     .iter()
@@ -154,24 +163,24 @@
                     site.name,
                     100.0 * before,
                     100.0 * after,
-                    100.0 * site.most
+                    100.0 * site.max_utilization
                 );
             }
-            let all: f64 = loss.refused.iter().sum();
+            let all: f64 = loss.shed.iter().sum();
             if all <= 1e-6 {
                 let _ = writeln!(out, "  nothing is refused");
             }
-            for (n, kind) in s.kinds.iter().enumerate().filter(|(n, _)| loss.refused[*n] > 1e-6) {
-                let of = 100.0 * loss.refused_part[n] / kind.part.max(1e-12);
-                let broken = if kind.must { ": MUST NOT BE" } else { "" };
+            for (n, kind) in s.load_classes.iter().enumerate().filter(|(n, _)| loss.shed[*n] > 1e-6) {
+                let of = 100.0 * loss.shed_fraction[n] / kind.load_fraction.max(1e-12);
+                let broken = if kind.must_serve { ": MUST NOT BE" } else { "" };
                 let _ = writeln!(
                     out,
                     "  {:<24} {:>7.1}/s refused, {of:.0}% of it{broken}",
-                    kind.name, loss.refused[n]
+                    kind.name, loss.shed[n]
                 );
             }
         }
-        let broken = self.losses.iter().filter(|loss| !s.broken(loss).is_empty()).count();
+        let broken = self.losses.iter().filter(|loss| !s.shed_but_required(loss).is_empty()).count();
         let _ = match broken {
             0 => writeln!(out, "all {} losses can be carried", self.losses.len()),
             n => writeln!(out, "{n} of {} losses cannot be carried by this order", self.losses.len()),
--- a/src/fleet/site/settings.rs
+++ b/src/fleet/site/settings.rs
@@ -5,26 +5,26 @@
 
 /// A kind of load, by whatever operators tell it apart.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kind {
+pub struct LoadClass {
     /// Its name, as `"standard preview"`.
     pub name: String,
     /// Its part of each site's load, 0 to 1.
-    pub part: f64,
+    pub load_fraction: f64,
     /// Its place in the order of refusal: the least is refused first.
-    pub refuse: u32,
+    pub shed_order: u32,
     /// Is it never to be refused?
-    pub must: bool,
+    pub must_serve: bool,
 }
 
 /// Where a site's load goes.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Way {
+pub struct FailoverTarget {
     /// To which site, by its index.
-    pub to: usize,
+    pub site: usize,
     /// Its weight among those of its order.
     pub weight: f64,
     /// Lower ones are filled first.
-    pub order: u32,
+    pub priority: u32,
 }
 
 /// One site.
@@ -33,22 +33,22 @@
     /// Its name.
     pub name: String,
     /// Its halls.
-    pub halls: Vec<String>,
+    pub zones: Vec<String>,
     /// Units a second that it can serve.
     pub capacity: f64,
     /// Units a second that it is usually asked for.
     pub load: f64,
     /// Use up to which it may be loaded, as a part of its capacity.
-    pub most: f64,
+    pub max_utilization: f64,
     /// Where its load goes when it is lost.
-    pub ways: Vec<Way>,
+    pub failover_targets: Vec<FailoverTarget>,
 }
 
 /// All the settings of sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
     /// The kinds of load, in the order of refusal.
-    pub kinds: Vec<Kind>,
+    pub load_classes: Vec<LoadClass>,
     /// The sites, by name.
     pub sites: Vec<Site>,
 }
@@ -61,19 +61,19 @@
     pub fn read(top: &Reader<'_>) -> Option<SiteSettings> {
         let r = top.record("sites")?;
         let most = r.number("most", 0.85, (0.05, 1.0));
-        let mut kinds = Vec::<Kind>::new();
+        let mut kinds = Vec::<LoadClass>::new();
         if let Some(list) = r.record("kind") {
             for (name, k) in list.entries() {
-                let kind = Kind {
+                let kind = LoadClass {
                     name: name.to_string(),
-                    part: k.number("part", 0.0, (0.0, 1.0)),
-                    refuse: k.whole("refuse", u32::MAX, (1, 1000)),
-                    must: k.flag("must", false),
+                    load_fraction: k.number("part", 0.0, (0.0, 1.0)),
+                    shed_order: k.whole("refuse", u32::MAX, (1, 1000)),
+                    must_serve: k.flag("must", false),
                 };
                 match k.node("refuse") {
                     None => k.missing("refuse"),
                     Some(node) => {
-                        if let Some(same) = kinds.iter().find(|other| other.refuse == kind.refuse) {
+                        if let Some(same) = kinds.iter().find(|other| other.shed_order == kind.shed_order) {
                             k.error(
                                 node,
                                 "refuse",
@@ -86,7 +86,7 @@
                 k.finish();
             }
         }
-        let parts: f64 = kinds.iter().map(|kind| kind.part).sum();
+        let parts: f64 = kinds.iter().map(|kind| kind.load_fraction).sum();
         match r.node("kind") {
             None => r.missing("kind"),
             Some(node) if (parts - 1.0).abs() > PARTS_STRAY => {
@@ -94,7 +94,7 @@
             }
             Some(_) => {}
         }
-        kinds.sort_by_key(|kind| kind.refuse);
+        kinds.sort_by_key(|kind| kind.shed_order);
         let mut sites = Vec::<Site>::new();
         if let Some(list) = r.record("site") {
             let names: Vec<String> = list.entries().map(|(name, _)| name.to_string()).collect();
@@ -105,7 +105,7 @@
                     Some(node) if halls.is_empty() => s.error(node, "halls", "a site has one hall at least"),
                     Some(node) => {
                         for hall in &halls {
-                            if let Some(other) = sites.iter().find(|other| other.halls.contains(hall)) {
+                            if let Some(other) = sites.iter().find(|other| other.zones.contains(hall)) {
                                 s.error(node, "halls", format!("{hall:?} is in {:?} already", other.name));
                             }
                         }
@@ -118,11 +118,11 @@
                 }
                 let site = Site {
                     name: name.to_string(),
-                    halls,
+                    zones: halls,
                     capacity: s.number("capacity", 1.0, (1e-3, 1e9)),
                     load: s.number("load", 0.0, (0.0, 1e9)),
-                    most: s.number("most", most, (0.05, 1.0)),
-                    ways: ways(&s, name, &names),
+                    max_utilization: s.number("most", most, (0.05, 1.0)),
+                    failover_targets: ways(&s, name, &names),
                 };
                 sites.push(site);
                 s.finish();
@@ -132,12 +132,12 @@
             r.missing("site");
         }
         r.finish();
-        Some(SiteSettings { kinds, sites })
+        Some(SiteSettings { load_classes: kinds, sites })
     }
 
     /// What is in force, for `whinstall check`.
     pub fn describe(&self) -> String {
-        let order: Vec<&str> = self.kinds.iter().map(|kind| kind.name.as_str()).collect();
+        let order: Vec<&str> = self.load_classes.iter().map(|kind| kind.name.as_str()).collect();
         format!(
             "{} site(s); refused in this order: {} (`whinstall plan` tells what each loss leads to)\n",
             self.sites.len(),
@@ -146,7 +146,7 @@
     }
 }
 
-fn ways(s: &Reader<'_>, name: &str, names: &[String]) -> Vec<Way> {
+fn ways(s: &Reader<'_>, name: &str, names: &[String]) -> Vec<FailoverTarget> {
     let mut ways = Vec::new();
     let Some(list) = s.record("to") else { return ways };
     for (to, w) in list.entries() {
@@ -157,7 +157,7 @@
         match names.iter().position(|known| known == to) {
             _ if to == name => w.refuse("a lost site cannot take its own load"),
             None => w.refuse("is no site of this file"),
-            Some(to) => ways.push(Way { to, weight, order }),
+            Some(to) => ways.push(FailoverTarget { site: to, weight, priority: order }),
         }
         w.finish();
     }
--- a/src/fleet/pace.rs
+++ b/src/fleet/token_bucket.rs
@@ -4,7 +4,7 @@
 
 /// A store of bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
+pub struct TokenBucket {
     rate: f64,
     level: f64,
     at: f64,
@@ -19,21 +19,21 @@
 /// Weight of the last message in the mean row.
 const ALPHA: f64 = 0.1;
 
-impl Pace {
+impl TokenBucket {
     /// One that is full, of `rate` bytes a second.
     pub fn new(now: f64, rate: f64) -> Self {
-        Pace { rate, level: rate * STORE_S, at: now, row: ROW_FIRST }
+        TokenBucket { rate, level: rate * STORE_S, at: now, row: ROW_FIRST }
     }
 
     /// Rows that may go now, at the most `most`.
-    pub fn rows(&mut self, now: f64, most: usize) -> usize {
+    pub fn available_rows(&mut self, now: f64, most: usize) -> usize {
         self.level = (self.level + self.rate * (now - self.at).max(0.0)).min(self.rate * STORE_S);
         self.at = self.at.max(now);
         ((self.level / self.row).max(0.0) as usize).min(most)
     }
 
     /// So many rows went, in so many bytes. A message may take more than there is: the store owes it.
-    pub fn sent(&mut self, rows: usize, bytes: usize) {
+    pub fn charge(&mut self, rows: usize, bytes: usize) {
         if rows > 0 {
             self.level -= bytes as f64;
             self.row += ALPHA * (bytes as f64 / rows as f64 - self.row);
@@ -51,11 +51,11 @@
         #[test]
         fn what_is_sent_is_bounded(asks in proptest::collection::vec((0.0..0.2f64, 1..2000usize, 20..120usize), 1..300)) {
             let (rate, mut now, mut sent, mut largest) = (50_000.0, 0.0, 0.0, 0.0f64);
-            let mut pace = Pace::new(now, rate);
+            let mut pace = TokenBucket::new(now, rate);
             for (wait, lacks, row) in asks {
                 now += wait;
-                let rows = pace.rows(now, 1600).min(lacks);
-                pace.sent(rows, rows * row);
+                let rows = pace.available_rows(now, 1600).min(lacks);
+                pace.charge(rows, rows * row);
                 sent += (rows * row) as f64;
                 largest = largest.max((rows * row) as f64);
                 prop_assert!(sent <= rate * (now + STORE_S) + largest, "{} in {} s", sent, now);
@@ -65,10 +65,10 @@
 
     #[test]
     fn it_goes_on_as_time_passes() {
-        let mut pace = Pace::new(0.0, 1000.0);
-        let first = pace.rows(0.0, 1600);
-        pace.sent(first, first * 48);
-        assert!(first > 0 && pace.rows(0.0, 1600) == 0);
-        assert!(pace.rows(1.0, 1600) > 0);
+        let mut pace = TokenBucket::new(0.0, 1000.0);
+        let first = pace.available_rows(0.0, 1600);
+        pace.charge(first, first * 48);
+        assert!(first > 0 && pace.available_rows(0.0, 1600) == 0);
+        assert!(pace.available_rows(1.0, 1600) > 0);
     }
 }
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -1,8 +1,8 @@
 //! The message in which two gatekeepers tell each other what they hold, as bytes: a preface that any version can read,
 //! then the rest in postcard. It owns that form, and must never take anything of a message whose preface does not fit.
 
-use super::members::{Member, VERSION};
-use super::replica::{Digest, Piece};
+use super::membership::{Member, PROTOCOL_VERSION};
+use super::replica::{Delta, Digest};
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
@@ -20,12 +20,13 @@
     /// Up to which change of each origin it holds everything.
     pub digest: Digest,
     /// Rows that the other lacks.
-    pub pieces: Vec<Piece>,
+    #[serde(rename = "pieces")]
+    pub deltas: Vec<Delta>,
 }
 
 /// Anything that one tells another, as bytes, in the name of a fleet.
 pub fn encode(what: &impl Serialize, cluster: &str) -> Vec<u8> {
-    postcard::to_stdvec(&(Preface { version: VERSION, cluster }, what)).unwrap_or_default()
+    postcard::to_stdvec(&(Preface { version: PROTOCOL_VERSION, cluster }, what)).unwrap_or_default()
 }
 
 /// From bytes, where they are of this fleet and version.
@@ -35,8 +36,8 @@
 pub fn decode<T: serde::de::DeserializeOwned>(body: &[u8], cluster: &str) -> Result<T, String> {
     let (preface, rest): (Preface<'_>, _) =
         postcard::take_from_bytes(body).map_err(|_| "no message".to_owned())?;
-    if preface.version != VERSION {
-        return Err(format!("version {} does not fit {VERSION}", preface.version));
+    if preface.version != PROTOCOL_VERSION {
+        return Err(format!("version {} does not fit {PROTOCOL_VERSION}", preface.version));
     }
     if preface.cluster != cluster {
         return Err(format!("fleet {:?} is not {cluster:?}", preface.cluster));
@@ -59,15 +60,15 @@
     }
 
     /// Rows in all its pieces.
-    pub fn rows(&self) -> usize {
-        self.pieces.iter().map(|piece| piece.rows.len()).sum()
+    pub fn row_count(&self) -> usize {
+        self.deltas.iter().map(|piece| piece.rows.len()).sum()
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::fleet::replica::{Key, Origin, Row, Said};
+    use crate::fleet::replica::{Key, Origin, Row, RowValue};
     use crate::identifiers::CustomerId;
     use proptest::prelude::*;
     use std::sync::Arc;
@@ -76,19 +77,24 @@
         let name: Arc<str> = Arc::from("g1");
         let origin = Origin { name: Arc::clone(&name), incarnation: 1_764_600_000_000_000 };
         let row = |n: usize| Row {
-            key: Key::Spent(CustomerId(Arc::from(format!("{n:016x}"))), 1234),
+            key: Key::Usage(CustomerId(Arc::from(format!("{n:016x}"))), 1234),
             version: n as u64 + 1,
-            until: 1_764_600_030.5,
-            said: Said::Spent { units: 3.0, told: 2.0 },
+            expires_at: 1_764_600_030.5,
+            value: RowValue::Usage { units: 3.0, acknowledged: 2.0 },
         };
-        let pieces = vec![Piece {
+        let pieces = vec![Delta {
             origin: origin.clone(),
-            from: 0,
-            upto: rows as u64,
+            after_version: 0,
+            through_version: rows as u64,
             rows: (0..rows).map(row).collect(),
         }];
-        let from = Member { name, life: origin.incarnation, turn: 0, at: ([127, 0, 0, 1], 7001).into() };
-        Message { from, digest: Digest::from([(origin, rows as u64)]), pieces }
+        let from = Member {
+            name,
+            incarnation: origin.incarnation,
+            rejoin_count: 0,
+            address: ([127, 0, 0, 1], 7001).into(),
+        };
+        Message { from, digest: Digest::from([(origin, rows as u64)]), deltas: pieces }
     }
 
     /// The figures of docs/replication.md.
--- a/src/gateway/budgets.rs
+++ b/src/gateway/budgets.rs
@@ -2,7 +2,7 @@
 //! in, and the store of each ceiling follows its share. It owns how a part reaches a store; it must never refuse
 //! anything, fill a store for a share that has only just grown, or go by a part past its time.
 
-use crate::fleet::budget::{Ppm, WHOLE};
+use crate::fleet::budget::{Ppm, TOTAL_PPM};
 use crate::gateway::state::{Customer, Gateway};
 use crate::identifiers::CustomerId;
 
@@ -54,7 +54,7 @@
             let asked = WANTS_MORE * c.wants.rate(self.now, WANTS_S) / rate.max(1e-9);
             let part = (asked - floor / c.width) / (1.0 - floor).max(1e-9);
             let some = rate > 0.0 && (asked > 1e-3 || self.now < c.given_until);
-            some.then(|| (id.clone(), (part.clamp(0.0, 1.0) * WHOLE as f64) as Ppm))
+            some.then(|| (id.clone(), (part.clamp(0.0, 1.0) * TOTAL_PPM as f64) as Ppm))
         });
         wants.collect()
     }
@@ -69,7 +69,7 @@
             let Some(c) = self.customers.get_mut(&customer) else { continue };
             let plan = &self.s.plans[c.plan];
             let before = 1.0 / c.ways(floor, now);
-            (c.given, c.given_until) = (part.min(WHOLE) as f64 / WHOLE as f64, until);
+            (c.given, c.given_until) = (part.min(TOTAL_PPM) as f64 / TOTAL_PPM as f64, until);
             let after = 1.0 / c.ways(floor, now);
             c.ceiling -= plan.ceiling_tolerance * (after - before).max(0.0);
             c.ceiling = c.ceiling.min(plan.ceiling_burst * after);
--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -3,7 +3,7 @@
 //! called.
 
 use crate::fleet::budget::Ppm;
-use crate::fleet::replica::{Elsewhere, Judged};
+use crate::fleet::replica::{NodeHealth, RemoteUsage};
 use crate::gateway::interface::Plan;
 use crate::gateway::state::{count_name, Customer, Gateway, Health, Host};
 use crate::identifiers::{CustomerId, HostId};
@@ -30,7 +30,7 @@
     /// Its charges, in windows that are not over.
     pub usage: Vec<WindowUsage>,
     /// Hosts that do badly, by outcomes of its own.
-    pub host_health: Vec<(HostId, Judged)>,
+    pub host_health: Vec<(HostId, NodeHealth)>,
     /// Hosts of which it has no outcome in their present life, each with its start.
     pub unobserved_hosts: Vec<(HostId, f64)>,
     /// What it wants of ceilings that are divided.
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RemoteState {
     /// What others hold of customers' windows, where it has changed; nothing held: it is out of date.
-    pub usage: Vec<((CustomerId, i64), Elsewhere)>,
+    pub usage: Vec<((CustomerId, i64), RemoteUsage)>,
     /// Others' judgements of hosts that were asked for, each with the age of its evidence in seconds.
-    pub host_health: Vec<(HostId, Judged, f64)>,
+    pub host_health: Vec<(HostId, NodeHealth, f64)>,
     /// Part of the other gateways whose copies are fresh, 0 to 1.
     pub fresh_fraction: f64,
 }
@@ -51,14 +51,14 @@
 /// What was told so far.
 #[derive(Default)]
 pub(crate) struct Books {
-    spent: BTreeMap<(CustomerId, i64), Elsewhere>,
+    spent: BTreeMap<(CustomerId, i64), RemoteUsage>,
     pub(crate) fresh: f64,
     /// When the counter was last asked for what the copies know beyond its last total.
     probed_at: f64,
 }
 
 impl Books {
-    fn of(&self, customer: &CustomerId, window: i64) -> Elsewhere {
+    fn of(&self, customer: &CustomerId, window: i64) -> RemoteUsage {
         self.spent.get(&(customer.clone(), window)).copied().unwrap_or_default()
     }
 
@@ -77,7 +77,7 @@
     /// back since: it owes that. A gateway that met it carries its own books over.
     pub(crate) fn owed(&self, customer: &CustomerId, window: i64, plan: &Plan) -> f64 {
         let before = self.of(customer, window - 1);
-        (before.others + before.former - plan.rate * Gateway::window_s(plan)).max(0.0)
+        (before.others + before.previous_incarnations - plan.rate * Gateway::window_s(plan)).max(0.0)
     }
 }
 
@@ -85,7 +85,7 @@
     /// Takes over what the copies tell of the window it is in. Within a window what is spent never shrinks, whoever
     /// was forgotten meanwhile. What a former life charged counts as this gateway's own: its share is spent.
     pub(crate) fn copied(&mut self, told: &Books, id: &CustomerId) {
-        let Elsewhere { others, former, .. } = told.of(id, self.window);
+        let RemoteUsage { others, previous_incarnations: former, .. } = told.of(id, self.window);
         self.elsewhere = self.elsewhere.max(others);
         self.own += (former - self.former).max(0.0);
         self.former = self.former.max(former);
@@ -122,20 +122,20 @@
     }
 
     /// What this gateway's own outcomes tell of it, where it does badly.
-    fn judged(&self, now: f64) -> Option<Judged> {
+    fn judged(&self, now: f64) -> Option<NodeHealth> {
         let met = self.health.iter().filter(|x| x.count > 0.0);
         let (sum, count) = met.clone().fold((0.0, 0.0), |(s, n), x| (s + x.fails * x.count, n + x.count));
         let at = met.map(|x| x.at).fold(self.slow_at, f64::max);
         let slow = if self.slow_at.is_finite() { self.slow } else { 1.0 };
-        let judged = Judged {
-            started: self.started.unwrap_or(0.0),
-            fails: if count > 0.0 { sum / count } else { 0.0 },
-            slow,
-            age: (now - at).max(0.0),
-            at: now,
+        let judged = NodeHealth {
+            started_at: self.started.unwrap_or(0.0),
+            failure_rate: if count > 0.0 { sum / count } else { 0.0 },
+            latency_ratio: slow,
+            evidence_age_secs: (now - at).max(0.0),
+            recorded_at: now,
         };
-        let bad = judged.fails > FAILS || judged.slow > SLOW;
-        (!self.unmet() && bad && judged.age < NEWS_S).then_some(judged)
+        let bad = judged.failure_rate > FAILS || judged.latency_ratio > SLOW;
+        (!self.unmet() && bad && judged.evidence_age_secs < NEWS_S).then_some(judged)
     }
 }
 
@@ -169,9 +169,11 @@
         });
         let usage = told.filter(|s| s.expires_at > self.now).collect();
         let judged = self.hosts.iter().filter_map(|(id, h)| Some((id.clone(), h.judged(self.now)?)));
-        let mut judged: Vec<(HostId, Judged)> = judged.collect();
+        let mut judged: Vec<(HostId, NodeHealth)> = judged.collect();
         judged.sort_by(|a, b| {
-            (b.1.fails, b.1.slow).partial_cmp(&(a.1.fails, a.1.slow)).unwrap_or(a.0.cmp(&b.0))
+            (b.1.failure_rate, b.1.latency_ratio)
+                .partial_cmp(&(a.1.failure_rate, a.1.latency_ratio))
+                .unwrap_or(a.0.cmp(&b.0))
         });
         judged.truncate(JUDGED_MOST);
         let unmet = self.hosts.iter().filter(|(_, h)| h.unmet());
@@ -189,7 +191,7 @@
         self.elsewhere.fresh = told.fresh_fraction;
         for ((id, window), held) in told.usage {
             let key = (id, window);
-            if held == Elsewhere::default() {
+            if held == RemoteUsage::default() {
                 self.elsewhere.spent.remove(&key);
             } else {
                 self.elsewhere.spent.insert(key.clone(), held);
@@ -197,7 +199,7 @@
             let Some(c) = self.customers.get_mut(&key.0) else { continue };
             c.copied(&self.elsewhere, &key.0);
             if c.window == window {
-                self.guard.set_acknowledged_to_others(&count_name('q', &key.0, window), held.told);
+                self.guard.set_acknowledged_to_others(&count_name('q', &key.0, window), held.acknowledged);
             }
         }
         self.probe();
@@ -205,9 +207,9 @@
         for (id, judged, age) in told.host_health {
             let at = self.now - age;
             let Some(h) = self.hosts.get_mut(&id).filter(|h| h.unmet() && h.slow_at < at) else { continue };
-            (h.slow, h.slow_at) = (judged.slow, at);
+            (h.slow, h.slow_at) = (judged.latency_ratio, at);
             h.health.clear();
-            h.health.resize_with(classes, || Health { fails: judged.fails, count: 0.0, at });
+            h.health.resize_with(classes, || Health { fails: judged.failure_rate, count: 0.0, at });
         }
     }
 
@@ -219,7 +221,7 @@
             return;
         }
         let excess = |(id, c): (&CustomerId, &Customer)| {
-            let told = self.elsewhere.of(id, c.window).told;
+            let told = self.elsewhere.of(id, c.window).acknowledged;
             let beyond = told + self.guard.acknowledged_units(&count_name('q', id, c.window)) - c.total?;
             (told > 0.0 && beyond >= PROBE_UNITS && c.calling == 0.0).then(|| (beyond, id.clone()))
         };
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -28,9 +28,9 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::oneshot;
-use whinstall::fleet::members::{Member, Members, News, Standing, Times};
-use whinstall::fleet::pace::Pace;
-use whinstall::fleet::replica::{Bounds as ReplicaBounds, Digest, Key, Origin, Piece, Replica, Said};
+use whinstall::fleet::membership::{Member, MemberState, Membership, MembershipEvent, SwimTimings};
+use whinstall::fleet::replica::{Delta, Digest, Key, Origin, Replica, ReplicaLimits, RowValue};
+use whinstall::fleet::token_bucket::TokenBucket;
 use whinstall::fleet::wire::{self, Message};
 use whinstall::fleet::FleetSettings;
 use whinstall::{LocalState, RemoteState};
@@ -73,17 +73,17 @@
     me: Origin,
     born: f64,
     replica: RefCell<Replica>,
-    members: RefCell<Members>,
+    members: RefCell<Membership>,
     budgets: Option<Budgets>,
     socket: UdpSocket,
     /// Up to which of this one's changes each member held everything, as it last answered, and which life of it.
     known: RefCell<HashMap<SocketAddr, (u64, u64)>>,
-    /// Members that answered last time they were asked; those that are being asked.
+    /// Membership that answered last time they were asked; those that are being asked.
     answering: RefCell<BTreeSet<SocketAddr>>,
     asking: RefCell<BTreeSet<SocketAddr>>,
     /// Those that were given up and are not told of yet.
     down: RefCell<Vec<(Instant, Member)>>,
-    pace: RefCell<Pace>,
+    pace: RefCell<TokenBucket>,
     turn: Cell<usize>,
     swept: Cell<f64>,
     refused: RefCell<HashMap<String, Instant>>,
@@ -124,21 +124,32 @@
         let born = clock.now();
         let me = Origin { name: Arc::from(name), incarnation: born.as_micros() as u64 };
         let (born, life) = (born.as_secs_f64(), me.incarnation);
-        let member =
-            Member { name: Arc::clone(&me.name), life, turn: 0, at: settings.advertise.unwrap_or(at) };
-        let times = Times { probe: settings.probe, suspect: settings.suspect, forget: settings.forget };
+        let member = Member {
+            name: Arc::clone(&me.name),
+            incarnation: life,
+            rejoin_count: 0,
+            address: settings.advertise.unwrap_or(at),
+        };
+        let times = SwimTimings {
+            probe_interval_secs: settings.probe_interval_secs,
+            suspicion_timeout_secs: settings.suspicion_timeout_secs,
+            forget_after_secs: settings.forget_after_secs,
+        };
         let (cluster, seeds) = (&settings.cluster, settings.seeds.clone());
-        let members = Members::new(born, cluster, member, seeds, times, seed ^ life);
-        let dial = Duration::from_secs_f64(settings.round).max(ANSWER_LEAST);
-        let bounds =
-            ReplicaBounds { fresh: settings.fresh, forget: settings.forget, ..ReplicaBounds::default() };
+        let members = Membership::new(born, cluster, member, seeds, times, seed ^ life);
+        let dial = Duration::from_secs_f64(settings.gossip_interval_secs).max(ANSWER_LEAST);
+        let bounds = ReplicaLimits {
+            max_lag_secs: settings.max_lag_secs,
+            forget_after_secs: settings.forget_after_secs,
+            ..ReplicaLimits::default()
+        };
         Rc::new(Fleet {
             replica: RefCell::new(Replica::new(me.clone(), bounds)),
             budgets: settings.budgets.as_ref().map(|b| Budgets::new(b, &me, clock.now(), replicas)),
             members: RefCell::new(members),
             socket,
             exchanger: UpstreamClient::new(dial, IDLE, GUESTS),
-            pace: RefCell::new(Pace::new(born, settings.bytes)),
+            pace: RefCell::new(TokenBucket::new(born, settings.bytes_per_sec)),
             me,
             replicas,
             born,
@@ -161,16 +172,16 @@
         self.clock.now().as_secs_f64()
     }
 
-    fn message(&self, pieces: Vec<Piece>) -> Bytes {
-        let from = self.members.borrow().me().clone();
-        let message = Message { from, digest: self.replica.borrow().digest(), pieces };
+    fn message(&self, pieces: Vec<Delta>) -> Bytes {
+        let from = self.members.borrow().local_member().clone();
+        let message = Message { from, digest: self.replica.borrow().digest(), deltas: pieces };
         message.encode(&self.settings.cluster).into()
     }
 
     /// A message as it came, or why it is none of this fleet's.
     fn read(&self, body: &[u8]) -> Result<Message, String> {
         let message = Message::decode(body, &self.settings.cluster)?;
-        if message.from.name == self.me.name && message.from.life != self.me.incarnation {
+        if message.from.name == self.me.name && message.from.incarnation != self.me.incarnation {
             return Err(format!("{:?} is taken by another process that lives", message.from.name));
         }
         Ok(message)
@@ -179,8 +190,8 @@
     /// Takes a message over; up to where its sender holds everything.
     fn merge(&self, message: Message) -> Digest {
         let (now, mut replica) = (self.now(), self.replica.borrow_mut());
-        replica.saw(&message.digest);
-        for piece in message.pieces {
+        replica.observe_digest(&message.digest);
+        for piece in message.deltas {
             replica.merge(now, piece);
         }
         message.digest
@@ -200,38 +211,44 @@
     fn flush(&self) {
         let (outbound, news) = {
             let mut members = self.members.borrow_mut();
-            (members.outbound(), members.news())
+            (members.take_outbound(), members.take_events())
         };
         for (to, datagram) in outbound {
             // One that does not go is one that is lost on the way.
             let _ = self.socket.try_send_to(&datagram, to);
         }
         for news in news {
-            let there = self.members.borrow().there().len();
+            let there = self.members.borrow().live_members().len();
             match news {
-                News::Up(m) => {
-                    tracing::info!(member = &*m.name, at = %m.at, there, "fleet: a member is there")
+                MembershipEvent::Up(m) => {
+                    tracing::info!(member = &*m.name, at = %m.address, there, "fleet: a member is there")
                 }
-                News::Down(m) => {
-                    self.known.borrow_mut().remove(&m.at);
-                    self.answering.borrow_mut().remove(&m.at);
+                MembershipEvent::Down(m) => {
+                    self.known.borrow_mut().remove(&m.address);
+                    self.answering.borrow_mut().remove(&m.address);
                     // Its last row, where there is one, may come a little later than this.
                     self.down.borrow_mut().push((Instant::now(), m));
                 }
-                News::Back => tracing::warn!(there, "fleet: was given up by the others, and is back"),
+                MembershipEvent::Rejoined => {
+                    tracing::warn!(there, "fleet: was given up by the others, and is back")
+                }
             }
         }
     }
 
     /// Tells of those that were given up a moment ago: gone, or left, as they said.
     fn tell_down(&self) {
-        let (wait, there) = (self.within(), self.members.borrow().there().len());
+        let (wait, there) = (self.within(), self.members.borrow().live_members().len());
         self.down.borrow_mut().retain(|(since, m)| {
             let ripe = since.elapsed() >= wait;
             if ripe {
                 match self.replica.borrow().has_left(&m.origin()) {
-                    true => tracing::info!(member = &*m.name, at = %m.at, there, "fleet: a member has left"),
-                    false => tracing::warn!(member = &*m.name, at = %m.at, there, "fleet: a member is gone"),
+                    true => {
+                        tracing::info!(member = &*m.name, at = %m.address, there, "fleet: a member has left")
+                    }
+                    false => {
+                        tracing::warn!(member = &*m.name, at = %m.address, there, "fleet: a member is gone")
+                    }
                 }
             }
             !ripe
@@ -242,15 +259,17 @@
     pub async fn datagrams(self: Rc<Self>) {
         let mut bytes = [0; 2048];
         loop {
-            self.members.borrow_mut().step(self.now());
+            self.members.borrow_mut().run_due_timers(self.now());
             self.flush();
-            let wait = Duration::from_secs_f64((self.members.borrow().next() - self.now()).clamp(0.001, 1.0));
+            let wait = Duration::from_secs_f64(
+                (self.members.borrow().next_timer_at() - self.now()).clamp(0.001, 1.0),
+            );
             let Ok(came) = tokio::time::timeout(wait, self.socket.recv_from(&mut bytes)).await else {
                 continue;
             };
             match came {
                 Ok((count, _)) => {
-                    let heard = self.members.borrow_mut().heard(self.now(), &bytes[..count]);
+                    let heard = self.members.borrow_mut().handle_datagram(self.now(), &bytes[..count]);
                     if let Err(why) = heard {
                         self.turned_away(&why);
                     }
@@ -332,32 +351,36 @@
     /// What one who holds `theirs` lacks, within what may be sent now.
     fn lacked(&self, theirs: &Digest) -> Bytes {
         let (now, mut pace) = (self.now(), self.pace.borrow_mut());
-        let most = pace.rows(now, ROWS_MOST);
+        let most = pace.available_rows(now, ROWS_MOST);
         self.turn.set(self.turn.get().wrapping_add(1));
-        let (pieces, _) = self.replica.borrow().lacks(now, theirs, most, self.turn.get());
+        let (pieces, _) = self.replica.borrow().deltas_for(now, theirs, most, self.turn.get());
         let rows = pieces.iter().map(|piece| piece.rows.len()).sum();
         let message = self.message(pieces);
-        pace.sent(rows, message.len());
+        pace.charge(rows, message.len());
         message
     }
 
     /// Asks one member for what is not here, and tells it what this one wrote itself.
     async fn ask(self: Rc<Self>, member: Member, within: Duration) {
-        let at = member.at;
+        let at = member.address;
         if !self.asking.borrow_mut().insert(at) {
             return; // it has not answered the last question yet
         }
         let peer = Peer { name: at.to_string().into(), address: at };
-        let known =
-            self.known.borrow().get(&at).filter(|known| known.0 == member.life).map_or(0, |known| known.1);
+        let known = self
+            .known
+            .borrow()
+            .get(&at)
+            .filter(|known| known.0 == member.incarnation)
+            .map_or(0, |known| known.1);
         let mut request = self.request(EXCHANGE_AT);
-        let own = self.replica.borrow().own_after(self.now(), known);
+        let own = self.replica.borrow().own_delta_after(self.now(), known);
         request.body = self.message(own.into_iter().collect());
         let read = self.exchange(&peer, request, within).await.and_then(|body| self.read(&body));
         self.asking.borrow_mut().remove(&at);
         let answered = match read {
             Ok(message) => {
-                let life = message.from.life;
+                let life = message.from.incarnation;
                 let upto = self.merge(message).get(&self.me).copied().unwrap_or(0);
                 self.known.borrow_mut().insert(at, (life, upto));
                 true
@@ -397,11 +420,11 @@
     /// The one that divides, as far as is known here: of those that are there the one with the least name.
     fn divider(&self) -> Member {
         let members = self.members.borrow();
-        let others = members.there().into_iter().filter(|m| m.name != self.me.name);
+        let others = members.live_members().into_iter().filter(|m| m.name != self.me.name);
         others
-            .chain([members.me().clone()])
+            .chain([members.local_member().clone()])
             .min_by(|a, b| a.name.cmp(&b.name))
-            .unwrap_or_else(|| members.me().clone())
+            .unwrap_or_else(|| members.local_member().clone())
     }
 
     /// Asks the divider for parts of ceilings, where these are divided, for as long as the program runs.
@@ -421,9 +444,9 @@
         let answer = if divider.name == self.me.name {
             Some(budgets.answer(self.clock.now(), &asked))
         } else {
-            let peer = Peer { name: divider.at.to_string().into(), address: divider.at };
+            let peer = Peer { name: divider.address.to_string().into(), address: divider.address };
             let mut request = self.request(BUDGET_AT);
-            if self.members.borrow().there().len() > FEW {
+            if self.members.borrow().live_members().len() > FEW {
                 request.headers.push((CONNECTION, HeaderValue::from_static("close")));
             }
             request.body = wire::encode(&asked, &self.settings.cluster).into();
@@ -436,12 +459,12 @@
     }
 
     fn within(&self) -> Duration {
-        Duration::from_secs_f64(self.settings.round * ROUNDS_TO_ANSWER).max(ANSWER_LEAST)
+        Duration::from_secs_f64(self.settings.gossip_interval_secs * ROUNDS_TO_ANSWER).max(ANSWER_LEAST)
     }
 
     /// Some of the members that are there, at random.
     fn some(&self, most: usize) -> Vec<Member> {
-        let mut members = self.members.borrow().there();
+        let mut members = self.members.borrow().live_members();
         members.retain(|m| m.name != self.me.name);
         self.rng.borrow_mut().shuffle(&mut members);
         members.truncate(most);
@@ -454,31 +477,34 @@
             budgets.wants(&known.ceiling_demand);
         }
         let mut replica = self.replica.borrow_mut();
-        let keep = ReplicaBounds::default().keep;
-        if now - self.born >= replica.lived().map_or(0.0, |lived| lived + self.settings.fresh / BEATS) {
-            replica.note(now, Key::Beat, Said::Beat(now - self.born), keep);
+        let keep = ReplicaLimits::default().retention_secs;
+        if now - self.born
+            >= replica.last_heartbeat().map_or(0.0, |lived| lived + self.settings.max_lag_secs / BEATS)
+        {
+            replica.record(now, Key::Heartbeat, RowValue::Heartbeat(now - self.born), keep);
         }
         for s in known.usage {
-            let said = Said::Spent { units: s.units, told: s.acknowledged_units };
-            replica.note(now, Key::Spent(s.customer, s.window), said, s.expires_at - now);
+            let said = RowValue::Usage { units: s.units, acknowledged: s.acknowledged_units };
+            replica.record(now, Key::Usage(s.customer, s.window), said, s.expires_at - now);
         }
         for (node, judged) in known.host_health {
-            replica.note_judged(now, node, judged, JUDGED_S);
+            replica.record_health(now, node, judged, JUDGED_S);
         }
         if now - self.swept.get() > SWEEP_S {
             self.swept.set(now);
-            let alive = self.members.borrow().there().into_iter().map(|m| m.name).collect();
+            let alive = self.members.borrow().live_members().into_iter().map(|m| m.name).collect();
             replica.sweep(now, &alive);
         }
-        let told = replica.nodes_elsewhere();
+        let told = replica.remotely_observed_nodes();
         let unmet = known.unobserved_hosts.into_iter().filter(|(node, _)| told.contains(node));
         let judged = unmet.filter_map(|(node, started)| {
-            let (judged, age) = replica.judged_elsewhere(now, &node, started)?;
+            let (judged, age) = replica.remote_health(now, &node, started)?;
             Some((node, judged, age))
         });
         let judged = judged.collect();
-        let fresh = replica.fresh_part(now, self.replicas);
-        let copies = RemoteState { usage: replica.changed(), host_health: judged, fresh_fraction: fresh };
+        let fresh = replica.fresh_fraction(now, self.replicas);
+        let copies =
+            RemoteState { usage: replica.take_changed_usage(), host_health: judged, fresh_fraction: fresh };
         let _ = self.queue.send(CoreMessage::ReplicatedState(Box::new(copies)));
     }
 
@@ -493,7 +519,7 @@
 
     /// Keeps the copies equal, and tells the core what others spent and saw, for as long as the program runs.
     pub async fn rounds(self: Rc<Self>) {
-        let (mut told, round) = (Instant::now(), self.settings.round);
+        let (mut told, round) = (Instant::now(), self.settings.gossip_interval_secs);
         loop {
             let jitter = 0.8 + 0.4 * self.rng.borrow_mut().f64();
             tokio::time::sleep(Duration::from_secs_f64(round * jitter)).await;
@@ -513,7 +539,7 @@
                     });
                 }
             }
-            if told.elapsed().as_secs_f64() > self.settings.tell {
+            if told.elapsed().as_secs_f64() > self.settings.log_interval_secs {
                 told = Instant::now();
                 self.tell(self.now());
             }
@@ -527,38 +553,39 @@
         }
         let replica = self.replica.borrow();
         let standing: BTreeMap<_, _> =
-            self.members.borrow().standing().into_iter().map(|(m, s)| (m.name, s)).collect();
+            self.members.borrow().member_states().into_iter().map(|(m, s)| (m.name, s)).collect();
         let count = |which| standing.values().filter(|s| **s == which).count();
-        let others = || replica.lag(now).filter(|lag| *lag.origin != self.me);
+        let others = || replica.lags(now).filter(|lag| *lag.origin != self.me);
         // A life that is over does not lag: what it wrote is here, or it is lost.
         let last: BTreeMap<_, _> = others().map(|lag| (Arc::clone(&lag.origin.name), lag)).collect();
-        let living = || last.values().filter(|lag| standing.get(&lag.origin.name) != Some(&Standing::Down));
+        let living =
+            || last.values().filter(|lag| standing.get(&lag.origin.name) != Some(&MemberState::Down));
         let worst = living().max_by(|a, b| a.seconds.total_cmp(&b.seconds));
-        let (tally, (rows, sum)) = (replica.tally(), replica.spent());
+        let (tally, (rows, sum)) = (replica.merge_stats(), replica.usage_checksum());
         let (oldest, oldest_s) = worst.map_or(("", 0.0), |lag| (&*lag.origin.name, lag.seconds));
         let lags: Vec<String> = last
             .iter()
             .take(64)
-            .map(|(name, lag)| match (lag.left, lag.seconds.is_finite()) {
+            .map(|(name, lag)| match (lag.has_left, lag.seconds.is_finite()) {
                 (true, _) => format!("{name}:left"),
-                (_, true) => format!("{name}:{:.2}/{}", lag.seconds, lag.versions),
-                _ => format!("{name}:?/{}", lag.versions),
+                (_, true) => format!("{name}:{:.2}/{}", lag.seconds, lag.missing_versions),
+                _ => format!("{name}:?/{}", lag.missing_versions),
             })
             .collect();
         tracing::info!(
-            alive = count(Standing::Alive),
-            suspected = count(Standing::Suspected),
-            down = count(Standing::Down),
+            alive = count(MemberState::Alive),
+            suspected = count(MemberState::Suspected),
+            down = count(MemberState::Down),
             answering = self.answering.borrow().len(),
-            fresh = format!("{:.2}", replica.fresh_part(now, self.replicas)),
-            origins = replica.lag(now).count(),
+            fresh = format!("{:.2}", replica.fresh_fraction(now, self.replicas)),
+            origins = replica.lags(now).count(),
             rows,
             sum = format!("{sum:016x}"),
-            judged = replica.nodes_elsewhere().len(),
-            taken = tally.taken,
-            known = tally.known,
-            refused = tally.refused,
-            missing = living().map(|lag| lag.versions).sum::<u64>(),
+            judged = replica.remotely_observed_nodes().len(),
+            taken = tally.applied,
+            known = tally.already_known,
+            refused = tally.rejected,
+            missing = living().map(|lag| lag.missing_versions).sum::<u64>(),
             oldest,
             oldest_s = format!("{oldest_s:.2}"),
             lag = lags.join(","),
@@ -569,7 +596,12 @@
     /// This process ends: what it wrote last, and that it ends, is told to a few, and they tell the others.
     pub async fn leave(self: Rc<Self>) {
         let _ = tokio::time::timeout(LAST_WAIT, self.look()).await;
-        self.replica.borrow_mut().note(self.now(), Key::Left, Said::Left, ReplicaBounds::default().keep);
+        self.replica.borrow_mut().record(
+            self.now(),
+            Key::Left,
+            RowValue::Left,
+            ReplicaLimits::default().retention_secs,
+        );
         let told = self.some(LAST_TOLD).into_iter().map(|member| Rc::clone(&self).ask(member, LAST_WAIT));
         futures_util::future::join_all(told).await;
         if let Some(budgets) = &self.budgets {
--- a/src/net/process/cli.rs
+++ b/src/net/process/cli.rs
@@ -119,9 +119,9 @@
 fn plan(file: &Path) -> ExitCode {
     match settings_file::read_record(file, "sites", |o| o.sites) {
         Ok(sites) => {
-            let plan = sites.plans();
+            let plan = sites.plan_all_losses();
             print!("{}", plan.describe());
-            if plan.holds() {
+            if plan.is_feasible() {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
--- a/tests/budget_check.rs
+++ b/tests/budget_check.rs
@@ -6,7 +6,9 @@
 
 use stateright::{Checker, Model, Property};
 use std::sync::Arc;
-use whinstall::fleet::budget::{Answer, Divider, Holder, Ms, Origin, Request, Times, WHOLE};
+use whinstall::fleet::budget::{
+    Allocator, GrantRequest, GrantResponse, Holder, LeaseTimes, Ms, Origin, TOTAL_PPM,
+};
 
 const MEMBERS: usize = 3;
 const DIVIDERS: usize = 2;
@@ -20,9 +22,9 @@
     restarts: u8,
     lives: [u64; MEMBERS],
     holders: Vec<Holder>,
-    dividers: Vec<Divider>,
-    requests: Vec<Request>,
-    answers: Vec<(usize, Answer)>,
+    dividers: Vec<Allocator>,
+    requests: Vec<GrantRequest>,
+    answers: Vec<(usize, GrantResponse)>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -47,7 +49,7 @@
 const LAST: &[&[usize]] = &[&[0, 1], &[2]];
 
 struct Fleet {
-    times: Times,
+    times: LeaseTimes,
     /// Origin exchange with a divider in one step.
     some: &'static [&'static [usize]],
     /// Ticks since all asked, as it starts.
@@ -68,24 +70,24 @@
 }
 
 impl State {
-    fn ask(&mut self, from: usize, to: usize) -> Request {
+    fn ask(&mut self, from: usize, to: usize) -> GrantRequest {
         let to = who(to, self.lives[to]);
-        self.holders[from].ask(self.clocks[from], &to, vec![(Arc::from("b"), WHOLE)])
+        self.holders[from].next_request(self.clocks[from], &to, vec![(Arc::from("b"), TOTAL_PPM)])
     }
 
-    fn answer(&mut self, request: &Request) -> (usize, Answer) {
+    fn answer(&mut self, request: &GrantRequest) -> (usize, GrantResponse) {
         let to = number(&request.to);
-        (number(&request.from), self.dividers[to].answer(self.clocks[to], request))
+        (number(&request.from), self.dividers[to].handle_request(self.clocks[to], request))
     }
 
     fn exchange(&mut self, from: usize, to: usize) {
         let request = self.ask(from, to);
         let (from, answer) = self.answer(&request);
-        self.holders[from].answered(&answer);
+        self.holders[from].handle_response(&answer);
     }
 
     fn held(&self) -> u64 {
-        self.holders.iter().zip(self.clocks).map(|(holder, now)| holder.part(now, "b")).sum()
+        self.holders.iter().zip(self.clocks).map(|(holder, now)| holder.share(now, "b")).sum()
     }
 }
 
@@ -96,7 +98,7 @@
     /// The first one leads, and all have a part.
     fn init_states(&self) -> Vec<State> {
         let lives = [1; MEMBERS];
-        let start = self.times.whole() + 1;
+        let start = self.times.lease_with_margin_ms() + 1;
         let mut state = State {
             clocks: [start; MEMBERS],
             missed: 0,
@@ -104,16 +106,18 @@
             restarts: 0,
             lives,
             holders: (0..MEMBERS).map(|n| Holder::new(who(n, 1), 0, self.times)).collect(),
-            dividers: (0..DIVIDERS).map(|n| Divider::new(who(n, 1), 0, self.times, MEMBERS as u32)).collect(),
+            dividers: (0..DIVIDERS)
+                .map(|n| Allocator::new(who(n, 1), 0, self.times, MEMBERS as u32))
+                .collect(),
             requests: Vec::new(),
             answers: Vec::new(),
         };
-        for _ in 0..2 * self.times.whole() + 2 {
+        for _ in 0..2 * self.times.lease_with_margin_ms() + 2 {
             (0..MEMBERS).for_each(|n| state.exchange(n, 0));
             state.clocks.iter_mut().for_each(|clock| *clock += 1);
         }
         (0..MEMBERS).for_each(|n| state.exchange(n, 0));
-        assert!(state.held() > WHOLE / 2, "{state:?}");
+        assert!(state.held() > TOTAL_PPM / 2, "{state:?}");
         state.clocks.iter_mut().for_each(|clock| *clock += self.late);
         vec![state]
     }
@@ -179,7 +183,7 @@
                 if !again {
                     state.answers.remove(n);
                 }
-                state.holders[to].answered(&answer);
+                state.holders[to].handle_response(&answer);
             }
             Action::Lose => {
                 state.requests.clear();
@@ -191,7 +195,7 @@
                 let me = who(n, state.lives[n]);
                 state.holders[n] = Holder::new(me.clone(), state.clocks[n], self.times);
                 if n < DIVIDERS {
-                    state.dividers[n] = Divider::new(me, state.clocks[n], self.times, MEMBERS as u32);
+                    state.dividers[n] = Allocator::new(me, state.clocks[n], self.times, MEMBERS as u32);
                 }
             }
         }
@@ -200,9 +204,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never more than the whole", |_, state: &State| state.held() <= WHOLE),
+            Property::always("never more than the whole", |_, state: &State| state.held() <= TOTAL_PPM),
             Property::sometimes("the second one divides", |_, state: &State| {
-                state.dividers[1].leads(state.clocks[1]) && state.held() > 0
+                state.dividers[1].is_leader(state.clocks[1]) && state.held() > 0
             }),
         ]
     }
@@ -221,7 +225,7 @@
 }
 
 const STATES: usize = if cfg!(debug_assertions) { 60_000 } else { 3_000_000 };
-const TIMES: Times = Times { term: 3, margin: 1 };
+const TIMES: LeaseTimes = LeaseTimes { lease_ms: 3, clock_margin_ms: 1 };
 
 /// With the margin that covers what clocks miss: no state passes the whole.
 #[test]
@@ -254,7 +258,7 @@
 /// The checker can find what it looks for: without the margin it does.
 #[test]
 fn without_the_margin_the_checker_finds_it() {
-    let times = Times { term: 3, margin: 0 };
+    let times = LeaseTimes { lease_ms: 3, clock_margin_ms: 0 };
     let fleet =
         Fleet { times, some: LAST, late: 0, dividers: 1, ticks: 3, missed: 1, restarts: 0, waiting: 0 };
     let (states, depth, took, never, _) = check(fleet, 20 * STATES);
--- a/tests/quota_model.rs
+++ b/tests/quota_model.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
 use std::time::Duration;
-use whinstall::fleet::replica::{Bounds, Key, Origin, Replica, Said};
+use whinstall::fleet::replica::{Key, Origin, Replica, ReplicaLimits, RowValue};
 use whinstall::quota::bound::{BoundInput, ErrorBound};
 use whinstall::quota::QuotaSettings;
 use whinstall::*;
@@ -274,7 +274,7 @@
 
     fn replica(&self, gate: usize) -> Replica {
         let origin = Origin { name: format!("g{gate}").into(), incarnation: 1 + self.lives[gate] as u64 };
-        Replica::new(origin, Bounds::default())
+        Replica::new(origin, ReplicaLimits::default())
     }
 
     /// Gatekeepers of two halves that cannot reach each other?
@@ -286,14 +286,14 @@
     fn round(&mut self, gate: usize) {
         let (now, known) = (1e6 + self.now, self.gates[gate].local_state());
         let replica = &mut self.replicas[gate];
-        replica.note(now, Key::Beat, Said::Beat(self.now), 60.0);
+        replica.record(now, Key::Heartbeat, RowValue::Heartbeat(self.now), 60.0);
         for s in known.usage {
-            let said = Said::Spent { units: s.units, told: s.acknowledged_units };
-            replica.note(now, Key::Spent(s.customer, s.window), said, s.expires_at - now);
+            let said = RowValue::Usage { units: s.units, acknowledged: s.acknowledged_units };
+            replica.record(now, Key::Usage(s.customer, s.window), said, s.expires_at - now);
         }
         replica.sweep(now, &Default::default());
-        let fresh = replica.fresh_part(now, self.size.gates as u32);
-        let usage = replica.changed();
+        let fresh = replica.fresh_fraction(now, self.size.gates as u32);
+        let usage = replica.take_changed_usage();
         let state = RemoteState { usage, host_health: Vec::new(), fresh_fraction: fresh };
         self.gates[gate].apply_remote_state(state);
         for _ in 0..PEERS {
@@ -312,11 +312,12 @@
         let now = 1e6 + self.now;
         let upto = self.replicas[peer].digest();
         let mine = self.replicas[asker].me().clone();
-        if let Some(piece) = self.replicas[asker].own_after(now, upto.get(&mine).copied().unwrap_or(0)) {
+        if let Some(piece) = self.replicas[asker].own_delta_after(now, upto.get(&mine).copied().unwrap_or(0))
+        {
             self.replicas[peer].merge(now, piece);
         }
         let digest = self.replicas[asker].digest();
-        for piece in self.replicas[peer].lacks(now, &digest, 1200, 0).0 {
+        for piece in self.replicas[peer].deltas_for(now, &digest, 1200, 0).0 {
             self.replicas[asker].merge(now, piece);
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1361,8 +1361,23 @@
 }
 
 /// Others' judgement of a host, as copies tell it.
-fn judged(n: usize, started: f64, fails: f64, slow: f64) -> (HostId, whinstall::fleet::replica::Judged, f64) {
-    (hid(n), whinstall::fleet::replica::Judged { started, fails, slow, age: 0.5, at: START }, 1.0)
+fn judged(
+    n: usize,
+    started: f64,
+    fails: f64,
+    slow: f64,
+) -> (HostId, whinstall::fleet::replica::NodeHealth, f64) {
+    (
+        hid(n),
+        whinstall::fleet::replica::NodeHealth {
+            started_at: started,
+            failure_rate: fails,
+            latency_ratio: slow,
+            evidence_age_secs: 0.5,
+            recorded_at: START,
+        },
+        1.0,
+    )
 }
 
 /// Of 200 requests so many go to this host; each ends so.
@@ -1398,7 +1413,7 @@
     // A host that fails here is told of, with its evidence's age.
     goes_to(&mut told, 1, Ending::Error);
     let known = told.gateway.local_state();
-    let bad: Vec<_> = known.host_health.iter().map(|(id, j)| (id.clone(), j.fails > 0.3)).collect();
+    let bad: Vec<_> = known.host_health.iter().map(|(id, j)| (id.clone(), j.failure_rate > 0.3)).collect();
     assert_eq!(bad, [(hid(1), true)], "{known:?}");
 }
 
@@ -1407,7 +1422,11 @@
 #[test]
 fn what_others_spent_counts_whenever_it_comes() {
     let spent = |window, others, former| {
-        let elsewhere = whinstall::fleet::replica::Elsewhere { others, former, told: 0.0 };
+        let elsewhere = whinstall::fleet::replica::RemoteUsage {
+            others,
+            previous_incarnations: former,
+            acknowledged: 0.0,
+        };
         let customer = CustomerId(Arc::from("c"));
         RemoteState {
             usage: vec![((customer, window), elsewhere)],
