--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -4,7 +4,7 @@
 use crate::gateway::interface::*;
 pub(crate) use crate::identifiers::{fnv1a, GOLDEN_RATIO_FRACTION};
 use crate::quota::share::Share;
-use crate::quota::{Guard, QuotaSettings, Report};
+use crate::quota::{CounterReport, Guard, QuotaSettings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::sync::Arc;
@@ -503,7 +503,7 @@
         self
     }
     /// What operators see of the counter; modes are those of the last event.
-    pub fn counter_report(&self) -> Report {
+    pub fn counter_report(&self) -> CounterReport {
         self.guard.report(self.now)
     }
     /// Mean seconds that a unit is out.
--- a/src/gateway/window.rs
+++ b/src/gateway/window.rs
@@ -261,9 +261,15 @@
     /// A call that was given up was answered after all: what it proves is the least that is spent.
     pub(super) fn counted_late(&mut self, name: CounterKey, total: f64, delay: f64) {
         let now = self.now;
-        let Some(LateTotal { of, least }) = self.guard.late_answer(now, &name, total) else { return };
-        let Some(c) = self.customers.get_mut(&of.customer).filter(|c| c.window == of.window) else { return };
-        c.total = Some(c.total.map_or(least, |t| t.max(least)));
+        let Some(LateTotal { customer_window, min_spent }) = self.guard.late_answer(now, &name, total) else {
+            return;
+        };
+        let Some(c) =
+            self.customers.get_mut(&customer_window.customer).filter(|c| c.window == customer_window.window)
+        else {
+            return;
+        };
+        c.total = Some(c.total.map_or(min_spent, |t| t.max(min_spent)));
         c.told_at = c.told_at.max(now - delay);
     }
 
--- a/src/net/report.rs
+++ b/src/net/report.rs
@@ -10,12 +10,12 @@
 mod tests;
 
 use std::time::Duration;
-use whinstall::quota::{Mode, Report};
+use whinstall::quota::{CounterReport, Mode};
 
 /// A fault that lasts is logged again at this interval.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Logs the quota counter's report when a partition's mode changes, and repeatedly while one is not in step.
+/// Logs the quota counter's report when a partition's mode changes, and repeatedly while one is not healthy.
 #[derive(Default)]
 pub struct CounterLog {
     /// Modes of the partitions at the last update.
@@ -26,16 +26,16 @@
 
 impl CounterLog {
     /// Logs the report if it is due.
-    pub fn update(&mut self, now: Duration, report: Report) {
-        let modes: Vec<String> = report.parts.iter().map(|p| p.mode.clone()).collect();
-        let is_in_step = modes.iter().all(|m| m == Mode::InStep.name());
-        let is_changed = if self.modes.is_empty() { !is_in_step } else { modes != self.modes };
-        let is_repeat = !is_in_step && now.saturating_sub(self.logged) >= REPEAT_INTERVAL;
+    pub fn update(&mut self, now: Duration, report: CounterReport) {
+        let modes: Vec<String> = report.partitions.iter().map(|p| p.mode.clone()).collect();
+        let is_healthy = modes.iter().all(|m| m == Mode::Healthy.name());
+        let is_changed = if self.modes.is_empty() { !is_healthy } else { modes != self.modes };
+        let is_repeat = !is_healthy && now.saturating_sub(self.logged) >= REPEAT_INTERVAL;
         if is_changed || is_repeat {
             self.logged = now;
             let text = serde_json::to_string(&report).unwrap_or_default();
             // `counter_summary` finds these lines by their text and field.
-            if is_in_step {
+            if is_healthy {
                 tracing::info!(report = %text, "counter in step again");
             } else {
                 tracing::warn!(report = %text, "counter in trouble");
--- a/src/net/report/counter_summary.rs
+++ b/src/net/report/counter_summary.rs
@@ -2,7 +2,7 @@
 
 use super::time;
 use std::fmt::Write;
-use whinstall::quota::{Mode, Report};
+use whinstall::quota::{CounterReport, Mode};
 
 /// Text that the lines with a report have in common.
 const LINE_TEXT: &str = "counter in ";
@@ -13,16 +13,16 @@
 pub(super) fn of_log(text: &str) -> String {
     let mut out = String::new();
     let mut modes: Vec<String> = Vec::new();
-    let mut last: Option<Report> = None;
+    let mut last: Option<CounterReport> = None;
     let mut unreadable = 0;
     for line in text.lines().filter(|line| line.contains(LINE_TEXT)) {
         let Some((_, json)) = line.split_once(REPORT_FIELD) else { continue };
-        let Ok(report) = serde_json::from_str::<Report>(json) else {
+        let Ok(report) = serde_json::from_str::<CounterReport>(json) else {
             unreadable += 1;
             continue;
         };
         write_changes(&mut out, time(line), &modes, &report);
-        modes = report.parts.iter().map(|p| p.mode.clone()).collect();
+        modes = report.partitions.iter().map(|p| p.mode.clone()).collect();
         last = Some(report);
     }
     if unreadable > 0 {
@@ -35,33 +35,40 @@
     out
 }
 
-/// A line for each partition whose mode differs from the one before; before the first report all were in step.
-fn write_changes(out: &mut String, time: &str, modes: &[String], report: &Report) {
-    for (n, part) in report.parts.iter().enumerate() {
-        let was = modes.get(n).map_or(Mode::InStep.name(), String::as_str);
+/// A line for each partition whose mode differs from the one before; before the first report all were healthy.
+fn write_changes(out: &mut String, time: &str, modes: &[String], report: &CounterReport) {
+    for (n, part) in report.partitions.iter().enumerate() {
+        let was = modes.get(n).map_or(Mode::Healthy.name(), String::as_str);
         if was != part.mode {
-            let _ = writeln!(out, "{time} part {}: {was} -> {}", part.part, part.mode);
+            let _ = writeln!(out, "{time} part {}: {was} -> {}", part.partition, part.mode);
         }
     }
 }
 
-fn write_table(out: &mut String, report: &Report) {
+fn write_table(out: &mut String, report: &CounterReport) {
     let _ = writeln!(
         out,
         "{:>4}  {:<9} {:>7}  {:>12} {:>12} {:>8} {:>6} {:>8}",
         "part", "mode", "for s", "on trust now", "on trust all", "spoilt", "late", "retold"
     );
-    for p in &report.parts {
+    for p in &report.partitions {
         let _ = writeln!(
             out,
             "{:>4}  {:<9} {:>7.1}  {:>12.1} {:>12.1} {:>8} {:>6} {:>8.1}",
-            p.part, p.mode, p.for_s, p.on_trust, p.on_trust_ever, p.spoilt, p.late, p.retold
+            p.partition,
+            p.mode,
+            p.secs_in_mode,
+            p.unverified_units,
+            p.unverified_units_ever,
+            p.implausible_answers,
+            p.late_answers,
+            p.resent_units
         );
     }
-    let held = report.held.map_or("not told".to_string(), |h| format!("{:.0}%", 100.0 * h));
+    let held = report.counted_fraction.map_or("not told".to_string(), |h| format!("{:.0}%", 100.0 * h));
     let _ = writeln!(
         out,
         "{} counts kept, {} left alone; totals hold of the metered use: {held}",
-        report.counts, report.open
+        report.entries, report.open_breakers
     );
 }
--- a/src/net/report/tests.rs
+++ b/src/net/report/tests.rs
@@ -1,18 +1,19 @@
 use super::*;
-use whinstall::quota::PartReport;
+use whinstall::quota::PartitionReport;
 
 fn line(time: &str, mode: &str, trust: f64) -> String {
-    let part = PartReport {
-        part: 0,
+    let part = PartitionReport {
+        partition: 0,
         mode: mode.into(),
-        for_s: 1.5,
-        on_trust: trust,
-        on_trust_ever: trust,
-        spoilt: 2,
-        late: 0,
-        retold: 0.0,
+        secs_in_mode: 1.5,
+        unverified_units: trust,
+        unverified_units_ever: trust,
+        implausible_answers: 2,
+        late_answers: 0,
+        resent_units: 0.0,
     };
-    let report = Report { parts: vec![part], counts: 3, open: 1, held: Some(0.5) };
+    let report =
+        CounterReport { partitions: vec![part], entries: 3, open_breakers: 1, counted_fraction: Some(0.5) };
     let json = serde_json::to_string(&report).expect("JSON");
     format!("{time}  WARN whinstall::net::report: counter in trouble report={json}")
 }
--- a/src/quota/call.rs
+++ b/src/quota/call.rs
@@ -1,7 +1,7 @@
 //! Calls to the counter as the decision module sees them: what they count, how they end, and what follows.
 
-use super::ledger::Proof;
 use super::mode::CallEvidence;
+use super::reconciler::Proof;
 use crate::identifiers::{CustomerId, Ending};
 
 /// What the decision module learns from the outcome of a call.
@@ -40,10 +40,10 @@
 /// What a late answer proves.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LateTotal {
-    /// What it counts.
-    pub of: CustomerWindow,
-    /// The least that is spent there.
-    pub least: f64,
+    /// The window that the answered call counted for.
+    pub customer_window: CustomerWindow,
+    /// Lower bound of the units spent in that window.
+    pub min_spent: f64,
 }
 
 /// A window in time.
--- a/src/quota/guard.rs
+++ b/src/quota/guard.rs
@@ -2,11 +2,11 @@
 
 use super::breaker::Breaker;
 use super::call::{judge, unguarded, CallOutcome, CustomerWindow, LateTotal, Verdict, WindowSpan};
-use super::ledger::Ledger;
 use super::mode::{CallEvidence, Mode, ModeTracker};
-use super::report::{PartReport, Report};
+use super::reconciler::Reconciler;
+use super::report::{CounterReport, PartitionReport};
 use super::settings::QuotaSettings;
-use super::witness::{AcknowledgedUnits, MeterComparison, ReplicaComparison};
+use super::split_detection::{AcknowledgedUnits, MeterComparison, ReplicaComparison};
 use crate::identifiers::{fnv1a, CounterKey, Ending, GOLDEN_RATIO_FRACTION};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -33,8 +33,8 @@
 /// The state of one counter entry.
 #[derive(Clone, Debug)]
 struct Entry {
-    of: CustomerWindow,
-    ledger: Ledger,
+    customer_window: CustomerWindow,
+    reconciler: Reconciler,
     breaker: Breaker,
     /// When a call of it was last sent or finished.
     used_at: f64,
@@ -50,10 +50,10 @@
 }
 
 impl Entry {
-    fn new(of: CustomerWindow, now: f64, expires_at: f64) -> Self {
+    fn new(customer_window: CustomerWindow, now: f64, expires_at: f64) -> Self {
         Entry {
-            of,
-            ledger: Ledger::default(),
+            customer_window,
+            reconciler: Reconciler::default(),
             breaker: Breaker::default(),
             used_at: now,
             answered_at: f64::NEG_INFINITY,
@@ -76,21 +76,21 @@
         match outcome.ending {
             Ending::Ok => {
                 self.answered_at = now;
-                let proof = self.ledger.call_answered(now, amount, outcome.total, resend_secs);
-                let (evidence, verdict) = judge(proof, self.ledger.has_contradiction());
+                let proof = self.reconciler.call_answered(now, amount, outcome.total, resend_secs);
+                let (evidence, verdict) = judge(proof, self.reconciler.has_contradiction());
                 (Some(evidence), verdict)
             }
             ending if ending.never_ran() => {
-                self.ledger.call_not_taken();
+                self.reconciler.call_not_taken();
                 (Some(CallEvidence::Unanswered), Verdict::NotAdded)
             }
             Ending::Reset => {
                 // A broken connection says nothing about whether the counter takes other calls.
-                self.ledger.call_undetermined(amount);
+                self.reconciler.call_undetermined(amount);
                 (None, Verdict::Undetermined)
             }
             _ => {
-                self.ledger.call_undetermined(amount);
+                self.reconciler.call_undetermined(amount);
                 self.timed_out_amount = Some(amount);
                 (Some(CallEvidence::Unanswered), Verdict::Undetermined)
             }
@@ -103,13 +103,13 @@
 struct Partition {
     mode: ModeTracker,
     replicas: ReplicaComparison,
-    /// Units admitted without a usable total since the mode last left `InStep`, and over all faults.
-    unverified: f64,
-    unverified_ever: f64,
+    /// Units admitted without a usable total since the mode last left `Healthy`, and over all faults.
+    unverified_units: f64,
+    unverified_units_ever: f64,
     implausible_answers: u64,
     late_answers: u64,
     /// Units sent again to a counter that had lost them.
-    resent: f64,
+    resent_units: f64,
 }
 
 /// How quickly the counter answers.
@@ -168,13 +168,13 @@
         }
     }
 
-    /// Records a call about to add `amount` for `of`. The counter keeps the entry for `lifetime_secs` after it. Returns
+    /// Records a call about to add `amount` for `customer_window`. The counter keeps the entry for `lifetime_secs` after it. Returns
     /// what the call must add, which includes units that a replaced counter has lost.
     pub fn call_sent(
         &mut self,
         now: f64,
         name: &CounterKey,
-        of: CustomerWindow,
+        customer_window: CustomerWindow,
         amount: f64,
         lifetime_secs: f64,
     ) -> f64 {
@@ -184,12 +184,13 @@
         self.sweep(now);
         let partition = self.partition_of(name);
         let expires_at = now + lifetime_secs;
-        let entry = self.entries.entry(name.clone()).or_insert_with(|| Entry::new(of, now, expires_at));
+        let entry =
+            self.entries.entry(name.clone()).or_insert_with(|| Entry::new(customer_window, now, expires_at));
         entry.acknowledged_at_send.push_back(entry.acknowledged_to_others);
         entry.breaker.call_sent(&self.settings.breaker);
         (entry.used_at, entry.expires_at, entry.timed_out_amount) = (now, expires_at, None);
-        let added = entry.ledger.call_sent(amount);
-        self.partitions[partition].resent += added - amount;
+        let added = entry.reconciler.call_sent(amount);
+        self.partitions[partition].resent_units += added - amount;
         added
     }
 
@@ -209,7 +210,7 @@
         };
         entry.used_at = now;
         let acknowledged = AcknowledgedUnits {
-            own: entry.ledger.acknowledged_before_oldest_call(),
+            own: entry.reconciler.acknowledged_before_oldest_call(),
             others: entry.acknowledged_at_send.pop_front().unwrap_or(0.0),
         };
         if ending == Ending::Ok {
@@ -248,16 +249,17 @@
         partition.mode.record_call(now, key, CallEvidence::AnsweredLate, &self.settings.mode);
         // Once the next call of an entry is sent, it is unknown which of the two an answer counts.
         let amount = entry.timed_out_amount.take()?;
-        let least = entry.ledger.late_answer(amount, total)?;
+        let min_spent = entry.reconciler.late_answer(amount, total)?;
         partition.late_answers += 1;
         entry.breaker.call_succeeded();
-        let late = LateTotal { of: entry.of.clone(), least };
+        let late = LateTotal { customer_window: entry.customer_window.clone(), min_spent };
         Some(late).filter(|_| !partition.mode.is_split_by_totals())
     }
 
     /// Whether another call of this entry is wanted soon: to confirm a loss, or to send again what was lost.
     pub fn wants_call(&self, name: &CounterKey) -> bool {
-        let wants = |entry: &Entry| entry.ledger.has_contradiction() || entry.ledger.to_resend() > 0.0;
+        let wants =
+            |entry: &Entry| entry.reconciler.has_contradiction() || entry.reconciler.to_resend() > 0.0;
         self.entries.get(name).is_some_and(wants)
     }
 
@@ -269,9 +271,9 @@
         }
         let partition = self.partition_of(&name());
         let partition = &mut self.partitions[partition];
-        if partition.mode.mode() != Mode::InStep {
-            partition.unverified += units;
-            partition.unverified_ever += units;
+        if partition.mode.mode() != Mode::Healthy {
+            partition.unverified_units += units;
+            partition.unverified_units_ever += units;
         }
     }
 
@@ -292,7 +294,8 @@
         if counted_secs <= 0.5 * span.length_secs || counted_secs > span.length_secs {
             return;
         }
-        let is_split = self.meter.add_window(now, metered_rate * counted_secs, entry.ledger.highest_total());
+        let is_split =
+            self.meter.add_window(now, metered_rate * counted_secs, entry.reconciler.highest_total());
         // The meter is per customer, and a customer's windows lie on all partitions in turn.
         for partition in &mut self.partitions {
             let is_split = is_split || partition.replicas.is_split(now);
@@ -310,7 +313,7 @@
 
     /// Units of an entry that the counter has acknowledged to this gatekeeper.
     pub fn acknowledged_units(&self, name: &CounterKey) -> f64 {
-        self.entries.get(name).map_or(0.0, |entry| entry.ledger.acknowledged())
+        self.entries.get(name).map_or(0.0, |entry| entry.reconciler.acknowledged())
     }
 
     /// Whether the counter answers other calls promptly, so that an unanswered call says nothing about its capacity. An
@@ -323,7 +326,7 @@
 
     /// Whether any partition has a fault or is on probation. Cheap, so asked first.
     pub fn has_fault(&self) -> bool {
-        self.partitions.iter().any(|partition| partition.mode.mode() != Mode::InStep)
+        self.partitions.iter().any(|partition| partition.mode.mode() != Mode::Healthy)
     }
 
     /// Whether the partition of this entry has a fault in which no total is available, or none that may be used.
@@ -340,23 +343,23 @@
     }
 
     /// The state at `now`, for operators.
-    pub fn report(&self, now: f64) -> Report {
-        let parts = self.partitions.iter().enumerate().map(|(number, partition)| PartReport {
-            part: number as u32,
+    pub fn report(&self, now: f64) -> CounterReport {
+        let partitions = self.partitions.iter().enumerate().map(|(index, partition)| PartitionReport {
+            partition: index as u32,
             mode: partition.mode.mode().name().to_string(),
-            for_s: (now - partition.mode.mode_since()).max(0.0),
-            on_trust: partition.unverified,
-            on_trust_ever: partition.unverified_ever,
-            spoilt: partition.implausible_answers,
-            late: partition.late_answers,
-            retold: partition.resent,
+            secs_in_mode: (now - partition.mode.mode_since()).max(0.0),
+            unverified_units: partition.unverified_units,
+            unverified_units_ever: partition.unverified_units_ever,
+            implausible_answers: partition.implausible_answers,
+            late_answers: partition.late_answers,
+            resent_units: partition.resent_units,
         });
         let is_open = |entry: &&Entry| entry.breaker.is_open(&self.settings.breaker);
-        Report {
-            parts: parts.collect(),
-            counts: self.entries.len(),
-            open: self.entries.values().filter(is_open).count(),
-            held: self.meter.counted_fraction(),
+        CounterReport {
+            partitions: partitions.collect(),
+            entries: self.entries.len(),
+            open_breakers: self.entries.values().filter(is_open).count(),
+            counted_fraction: self.meter.counted_fraction(),
         }
     }
 
@@ -390,8 +393,8 @@
         self.swept_at = now;
         for partition in &mut self.partitions {
             partition.mode.step(now, &self.settings.mode);
-            if partition.mode.mode() == Mode::InStep {
-                partition.unverified = 0.0;
+            if partition.mode.mode() == Mode::Healthy {
+                partition.unverified_units = 0.0;
             }
         }
         self.entries.retain(|_, entry| now < entry.expires_at);
--- a/src/quota/mode.rs
+++ b/src/quota/mode.rs
@@ -17,7 +17,7 @@
 pub enum Mode {
     /// Healthy: answers come in time, and totals hold what they must.
     #[default]
-    InStep,
+    Healthy,
     /// Answers come, but after the timeout.
     Late,
     /// No answers come.
@@ -27,19 +27,19 @@
     /// Totals fell: the counter was replaced or emptied.
     Replaced,
     /// Answers come in time again; on probation before it counts as healthy.
-    Rejoined,
+    Recovering,
 }
 
 impl Mode {
     /// Its name in log lines and reports, which `whinstall report` reads back.
     pub fn name(self) -> &'static str {
         match self {
-            Mode::InStep => "in step",
+            Mode::Healthy => "in step",
             Mode::Late => "late",
             Mode::Lost => "lost",
             Mode::Split => "split",
             Mode::Replaced => "replaced",
-            Mode::Rejoined => "rejoined",
+            Mode::Recovering => "rejoined",
         }
     }
 }
@@ -209,8 +209,8 @@
             return;
         }
         match (self.mode, next) {
-            (Mode::Rejoined, Mode::InStep) => self.relapses = 0,
-            (Mode::Rejoined, _) => self.relapses += 1,
+            (Mode::Recovering, Mode::Healthy) => self.relapses = 0,
+            (Mode::Recovering, _) => self.relapses += 1,
             _ => {}
         }
         (self.mode, self.mode_since) = (next, now);
@@ -282,18 +282,18 @@
             return fault;
         }
         match self.mode {
-            Mode::InStep => Mode::InStep,
-            Mode::Rejoined => {
+            Mode::Healthy => Mode::Healthy,
+            Mode::Recovering => {
                 let doublings = self.relapses.min(MAX_DOUBLINGS) as i32;
                 let probation =
                     (settings.probation_secs * 2f64.powi(doublings)).min(settings.max_probation_secs);
                 if now - self.mode_since >= probation {
-                    Mode::InStep
+                    Mode::Healthy
                 } else {
-                    Mode::Rejoined
+                    Mode::Recovering
                 }
             }
-            _ if self.is_settled(now, settings) => Mode::Rejoined,
+            _ if self.is_settled(now, settings) => Mode::Recovering,
             mode => mode,
         }
     }
--- a/src/quota/mode_tests.rs
+++ b/src/quota/mode_tests.rs
@@ -39,18 +39,18 @@
         (Some(CallEvidence::TotalFell), Replaced),
     ] {
         let (mut e, mut t) = (ModeTracker::default(), 0.0);
-        assert_eq!(run(&mut e, &mut t, 2.0, good), [InStep]);
+        assert_eq!(run(&mut e, &mut t, 2.0, good), [Healthy]);
         assert_eq!(run(&mut e, &mut t, 3.0, |_| trouble).last(), Some(&expected));
         let out = run(&mut e, &mut t, 4.0, good);
-        assert_eq!(out, [expected, Rejoined, InStep], "{out:?}");
+        assert_eq!(out, [expected, Recovering, Healthy], "{out:?}");
     }
     let (mut e, mut t) = (ModeTracker::default(), 0.0);
     run(&mut e, &mut t, 1.0, good);
     let seen = run(&mut e, &mut t, 3.0, |n| {
         Some(if n % 2 == 0 { CallEvidence::Unanswered } else { CallEvidence::Answered })
     });
-    assert_eq!(seen, [InStep, Split]);
-    assert_eq!(run(&mut e, &mut t, 4.0, good), [Split, Rejoined, InStep]);
+    assert_eq!(seen, [Healthy, Split]);
+    assert_eq!(run(&mut e, &mut t, 4.0, good), [Split, Recovering, Healthy]);
 }
 
 #[test]
@@ -59,11 +59,11 @@
     let seen = run(&mut e, &mut t, 5.0, |n| {
         Some(if n == 3 { CallEvidence::Unanswered } else { CallEvidence::Answered })
     });
-    assert_eq!(seen, [Mode::InStep], "one name of eight failing is no split");
+    assert_eq!(seen, [Mode::Healthy], "one name of eight failing is no split");
     let (mut e, mut t) = (ModeTracker::default(), 0.0);
     e.record_call(0.0, 1, CallEvidence::Unanswered, &SETTINGS);
     e.record_call(0.1, 2, CallEvidence::Unanswered, &SETTINGS);
-    assert_eq!(run(&mut e, &mut t, 3.0, |_| None), [Mode::InStep], "two unanswered calls");
+    assert_eq!(run(&mut e, &mut t, 3.0, |_| None), [Mode::Healthy], "two unanswered calls");
 }
 
 #[test]
@@ -73,13 +73,13 @@
     for _ in 0..4 {
         run(&mut e, &mut t, 1.0, |_| Some(CallEvidence::Unanswered));
         assert_eq!(e.mode(), Mode::Lost);
-        while e.mode() != Mode::Rejoined {
+        while e.mode() != Mode::Recovering {
             run(&mut e, &mut t, 0.1, |_| Some(CallEvidence::Answered));
         }
         let from = t;
         let mut probe = e.clone();
         let mut until = t;
-        while probe.mode() == Mode::Rejoined {
+        while probe.mode() == Mode::Recovering {
             run(&mut probe, &mut until, 0.1, |_| Some(CallEvidence::Answered));
         }
         times.push(until - from);
@@ -102,7 +102,7 @@
             e.record_call(t, name, came, &SETTINGS);
         }
         run(&mut e, &mut t, 14.0, |_| Some(CallEvidence::Answered));
-        prop_assert_eq!(e.mode(), Mode::InStep);
-        prop_assert_eq!(run(&mut e, &mut t, 3.0, |_| Some(CallEvidence::Answered)), [Mode::InStep]);
+        prop_assert_eq!(e.mode(), Mode::Healthy);
+        prop_assert_eq!(run(&mut e, &mut t, 3.0, |_| Some(CallEvidence::Answered)), [Mode::Healthy]);
     }
 }
--- a/src/quota/ledger.rs
+++ b/src/quota/reconciler.rs
@@ -56,7 +56,7 @@
 
 /// The ledger of one counter entry.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ledger {
+pub struct Reconciler {
     /// Adds of this gatekeeper that this incarnation of the counter has acknowledged.
     acknowledged: f64,
     /// Adds of this gatekeeper that may have been taken. They are never sent again.
@@ -74,7 +74,7 @@
     contradiction: Option<Contradiction>,
 }
 
-impl Ledger {
+impl Reconciler {
     /// Records a call about to add `amount`. Returns what it must add, which includes the units to be sent again.
     pub fn call_sent(&mut self, amount: f64) -> f64 {
         let resent = std::mem::take(&mut self.to_resend);
@@ -217,5 +217,5 @@
 }
 
 #[cfg(test)]
-#[path = "ledger_tests.rs"]
+#[path = "reconciler_tests.rs"]
 mod tests;
--- a/src/quota/ledger_tests.rs
+++ b/src/quota/reconciler_tests.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn totals_are_unchanged_without_a_fault() {
-    let mut l = Ledger::default();
+    let mut l = Reconciler::default();
     assert_eq!(l.call_sent(2.0), 2.0);
     assert_eq!(l.call_answered(0.0, 2.0, 5.0, 1.0), Proof::Total(5.0));
     assert_eq!(l.call_answered(0.1, 1.0, 9.0, 1.0), Proof::Total(9.0));
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_replaced_counter_opens_no_second_quota_and_lost_units_are_resent_once() {
-    let mut l = Ledger::default();
+    let mut l = Reconciler::default();
     l.call_answered(0.0, 4.0, 10.0, 2.0);
     // It starts from nought: 1 was added, it says 1.
     assert_eq!(l.call_answered(1.0, 1.0, 1.0, 2.0), Proof::Fallen(11.0));
@@ -39,7 +39,7 @@
 
 #[test]
 fn answers_that_cross_are_no_contradiction() {
-    let mut l = Ledger::default();
+    let mut l = Reconciler::default();
     l.call_sent(4.0);
     l.call_answered(0.0, 4.0, 4.0, 2.0);
     l.call_sent(1.0);
@@ -54,7 +54,7 @@
 /// and hundreds of units were told again to a counter that had lost none.
 #[test]
 fn units_that_others_return_are_no_loss() {
-    let mut l = Ledger::default();
+    let mut l = Reconciler::default();
     for n in 0..50 {
         let t = n as f64 * 0.1;
         let told = l.call_sent(0.5);
@@ -67,7 +67,7 @@
 
 #[test]
 fn one_implausible_answer_changes_nothing() {
-    let mut l = Ledger::default();
+    let mut l = Reconciler::default();
     l.call_answered(0.0, 4.0, 10.0, 2.0);
     assert_eq!(l.call_answered(0.5, 1.0, 0.5, 2.0), Proof::Fallen(11.0));
     assert_eq!(l.call_answered(0.6, 1.0, 12.0, 2.0), Proof::Total(12.0));
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_late_answer_acknowledges_its_add_once() {
-    let mut l = Ledger::default();
+    let mut l = Reconciler::default();
     l.call_answered(0.0, 4.0, 4.0, 2.0);
     l.call_undetermined(3.0);
     assert_eq!(l.own(), 7.0);
@@ -99,7 +99,7 @@
     fn reconciliation_counts_each_add_once(
         steps in prop::collection::vec((0u8..10, 0.1f64..3.0), 1..120),
     ) {
-        let (mut l, mut t) = (Ledger::default(), 0.0);
+        let (mut l, mut t) = (Reconciler::default(), 0.0);
         // What the counter holds, of that this gatekeeper's, and all of this gatekeeper's own adds.
         let (mut held, mut held_own, mut own) = (0.0f64, 0.0f64, 0.0f64);
         let mut known = 0.0f64;
--- a/src/quota/witness.rs
+++ b/src/quota/split_detection.rs
@@ -130,5 +130,5 @@
 }
 
 #[cfg(test)]
-#[path = "witness_tests.rs"]
+#[path = "split_detection_tests.rs"]
 mod tests;
--- a/src/quota/tests.rs
+++ b/src/quota/tests.rs
@@ -45,8 +45,8 @@
             Verdict::Total(2.0 * n as f64 + 1.0)
         );
     }
-    assert_eq!(g.modes(5.0), [PartitionMode { mode: Mode::InStep, since: 0.0 }]);
-    assert_eq!(g.report(5.0).counts, 1);
+    assert_eq!(g.modes(5.0), [PartitionMode { mode: Mode::Healthy, since: 0.0 }]);
+    assert_eq!(g.report(5.0).entries, 1);
 }
 
 #[test]
@@ -58,8 +58,8 @@
     }
     assert!(g.next_call_at(&name(1)) > 0.24, "open: {}", g.next_call_at(&name(1)));
     assert!(g.next_call_at(&name(2)) < 0.0 && g.next_call_at(&name(3)) < 0.0);
-    assert_eq!(g.report(0.3).open, 1);
-    assert_eq!(g.modes(0.3)[0].mode, Mode::InStep, "one name alone is no split");
+    assert_eq!(g.report(0.3).open_breakers, 1);
+    assert_eq!(g.modes(0.3)[0].mode, Mode::Healthy, "one name alone is no split");
 }
 
 #[test]
@@ -74,12 +74,12 @@
         call(&mut g, t, bad[step % 4], 1.0, Ending::Timeout, |_| 0.0);
     }
     let modes: Vec<Mode> = g.modes(2.0).iter().map(|m| m.mode).collect();
-    assert_eq!(modes, [Mode::InStep, Mode::Lost]);
+    assert_eq!(modes, [Mode::Healthy, Mode::Lost]);
     assert!(g.lacks_total(&name(bad[0])) && !g.lacks_total(&name(good[0])));
     g.record_admitted(|| name(bad[0]), 3.0, false);
     g.record_admitted(|| name(good[0]), 3.0, false);
     let report = g.report(2.0);
-    assert_eq!((report.parts[0].on_trust, report.parts[1].on_trust), (0.0, 3.0));
+    assert_eq!((report.partitions[0].unverified_units, report.partitions[1].unverified_units), (0.0, 3.0));
 }
 
 #[test]
@@ -111,8 +111,8 @@
         assert!(given.iter().all(|x| *x >= least - 1e-6 && *x < least + 6.0), "round {n}: {given:?}");
     }
     assert_eq!(g.modes(t)[0].mode, Mode::Replaced);
-    let retold = g.report(t).parts[0].retold;
-    assert!((20.0..=24.1).contains(&retold), "each of this gatekeeper's adds once: {retold}");
+    let resent = g.report(t).partitions[0].resent_units;
+    assert!((20.0..=24.1).contains(&resent), "each of this gatekeeper's adds once: {resent}");
     // What others told was lost with the counter; they tell theirs, and the totals are whole again.
     held.iter_mut().for_each(|h| *h += 5.0);
     t += 3.0;
@@ -132,7 +132,7 @@
         assert_eq!(call(&mut g, 0.1 + n as f64, 1, 0.0, Ending::Ok, |_| lie), Verdict::Undetermined);
     }
     assert_eq!(call(&mut g, 6.0, 1, 0.0, Ending::Ok, |_| 10.0), Verdict::Total(10.0));
-    assert_eq!(g.report(6.0).parts[0].spoilt, 4);
+    assert_eq!(g.report(6.0).partitions[0].implausible_answers, 4);
 }
 
 #[test]
@@ -140,7 +140,10 @@
     let mut g = guard();
     call(&mut g, 0.0, 1, 4.0, Ending::Ok, |_| 4.0);
     assert_eq!(call(&mut g, 0.1, 1, 2.0, Ending::Timeout, |_| 0.0), Verdict::Undetermined);
-    assert_eq!(g.late_answer(0.3, &name(1), 9.0), Some(LateTotal { of: window_of(1), least: 9.0 }));
+    assert_eq!(
+        g.late_answer(0.3, &name(1), 9.0),
+        Some(LateTotal { customer_window: window_of(1), min_spent: 9.0 })
+    );
     assert_eq!(g.late_answer(0.4, &name(1), 9.0), None, "nothing is waited for any more");
     assert_eq!(g.late_answer(0.4, &name(7), 9.0), None, "an answer to no call of ours");
     assert_eq!(call(&mut g, 0.5, 1, 1.0, Ending::Timeout, |_| 0.0), Verdict::Undetermined);
@@ -186,10 +189,10 @@
     let mut g = Guard::new(QuotaSettings { max_entries: 64, ..QuotaSettings::default() }, 0.3);
     for n in 0..1000 {
         call(&mut g, n as f64 * 0.001, n, 1.0, Ending::Ok, |t| t);
-        assert!(g.report(0.0).counts <= 64);
+        assert!(g.report(0.0).entries <= 64);
     }
     call(&mut g, 30.0, 0, 1.0, Ending::Ok, |t| t);
-    assert_eq!(g.report(30.0).counts, 1, "what has ended is forgotten");
+    assert_eq!(g.report(30.0).entries, 1, "what has ended is forgotten");
 }
 
 #[test]
@@ -198,5 +201,5 @@
     assert_eq!(call(&mut g, 0.0, 1, 4.0, Ending::Ok, |_| 10.0), Verdict::Total(10.0));
     assert_eq!(call(&mut g, 0.1, 1, 4.0, Ending::Ok, |_| 1.0), Verdict::Total(1.0));
     assert_eq!(call(&mut g, 0.2, 1, 4.0, Ending::Timeout, |_| 1.0), Verdict::Undetermined);
-    assert_eq!((g.next_call_at(&name(1)) < 0.0, g.report(1.0).counts), (true, 0));
+    assert_eq!((g.next_call_at(&name(1)) < 0.0, g.report(1.0).entries), (true, 0));
 }
--- a/tests/quota_model.rs
+++ b/tests/quota_model.rs
@@ -536,14 +536,14 @@
     }
 }
 
-fn run(trouble: Trouble, with: &With, seed: u64) -> (Figures, Vec<whinstall::quota::Report>) {
+fn run(trouble: Trouble, with: &With, seed: u64) -> (Figures, Vec<whinstall::quota::CounterReport>) {
     let played = play(SMALL, trouble, with, seed, 0.0);
     played.0
 }
 
 /// A run of a size; also the calls, and those unanswered for their number, of each second after the trouble, and the
 /// modes `look` seconds after it.
-type Played = ((Figures, Vec<whinstall::quota::Report>), Vec<(u64, u64)>, Vec<String>);
+type Played = ((Figures, Vec<whinstall::quota::CounterReport>), Vec<(u64, u64)>, Vec<String>);
 
 fn play(size: Size, trouble: Trouble, with: &With, seed: u64, look: f64) -> Played {
     let mut rng = Rng(seed);
@@ -620,7 +620,7 @@
             reports = m.gates.iter().map(Gateway::counter_report).collect();
         }
         if modes.is_empty() && m.now > FROM + FOR + look {
-            modes = m.gates.iter().map(|g| g.counter_report().parts[0].mode.clone()).collect();
+            modes = m.gates.iter().map(|g| g.counter_report().partitions[0].mode.clone()).collect();
         }
         let what = m.events.remove(&sequence).expect("queued");
         m.step(what);
@@ -772,11 +772,11 @@
     }
     for seed in 1..=SEEDS {
         for r in run(Trouble::None, &with_copies(), seed).1 {
-            assert_eq!(r.parts[0].mode, "in step", "a false alarm in a calm");
+            assert_eq!(r.partitions[0].mode, "in step", "a false alarm in a calm");
         }
         // A view that nearly all of one gatekeeper's customers share looks whole to it now and then.
         let split = run(Trouble::Views, &with_copies(), seed).1;
-        let split = split.iter().filter(|r| r.parts[0].mode == "split").count();
+        let split = split.iter().filter(|r| r.partitions[0].mode == "split").count();
         assert!(split >= 5, "{split} of 6 name it");
     }
 }
@@ -818,13 +818,19 @@
     ] {
         let reports = run(trouble, &With::default(), 2).1;
         for r in &reports {
-            assert!(names.contains(&r.parts[0].mode.as_str()), "{trouble:?}: {reports:?}");
-            assert_eq!(r.parts[0].on_trust > 0.0, trouble != Trouble::None, "{trouble:?}: {reports:?}");
+            assert!(names.contains(&r.partitions[0].mode.as_str()), "{trouble:?}: {reports:?}");
+            assert_eq!(
+                r.partitions[0].unverified_units > 0.0,
+                trouble != Trouble::None,
+                "{trouble:?}: {reports:?}"
+            );
         }
     }
-    let retold: f64 = run(Trouble::Replaced, &With::default(), 2).1.iter().map(|r| r.parts[0].retold).sum();
+    let retold: f64 =
+        run(Trouble::Replaced, &With::default(), 2).1.iter().map(|r| r.partitions[0].resent_units).sum();
     assert!(retold > 0.0, "a replaced counter is told again");
-    let spoilt: u64 = run(Trouble::Spoilt, &With::default(), 2).1.iter().map(|r| r.parts[0].spoilt).sum();
+    let spoilt: u64 =
+        run(Trouble::Spoilt, &With::default(), 2).1.iter().map(|r| r.partitions[0].implausible_answers).sum();
     assert!(spoilt > 100, "spoilt answers are counted: {spoilt}");
 }
 
@@ -849,7 +855,7 @@
                 f.calls,
                 f.calls_after,
                 f.ceiling,
-                modes.iter().map(|r| format!("{} {:.2}", r.parts[0].mode, r.held.unwrap_or(-1.0))).collect::<Vec<_>>().join(", "),
+                modes.iter().map(|r| format!("{} {:.2}", r.partitions[0].mode, r.counted_fraction.unwrap_or(-1.0))).collect::<Vec<_>>().join(", "),
             );
         }
     }
