--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -59,7 +59,7 @@
         capacity: 4,
         phase,
         warmup_ms: 250,
-        call_count: calls,
+        heartbeat_seq: calls,
     }
 }
 
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -112,7 +112,7 @@
         capacity: 1,
         phase: WorkerPhase::Serving,
         warmup_ms: 0,
-        call_count: calls,
+        heartbeat_seq: calls,
     }
 }
 
--- a/crates/gateway/src/control_plane/event_journal.rs
+++ b/crates/gateway/src/control_plane/event_journal.rs
@@ -56,7 +56,7 @@
                 json!({ "item": i.label, "list": i.kind.set_name(), "revision": format!("r{}", i.version), "dropped": i.body.is_none() })
             }
             JournalEvent::Worker(w) => {
-                json!({ "worker": &*w.id, "service_ref": &*w.service, "phase": phase_name(w.phase), "call_count": w.call_count })
+                json!({ "worker": &*w.id, "service_ref": &*w.service, "phase": phase_name(w.phase), "call_count": w.heartbeat_seq })
             }
             JournalEvent::Rejected(reason) => json!({ "refused": reason }),
             JournalEvent::Acknowledged { copies } => json!({ "acknowledged": true, "copies": copies }),
--- a/crates/gateway/src/control_plane/event_journal_tests.rs
+++ b/crates/gateway/src/control_plane/event_journal_tests.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use serde_json::json;
 
-fn worker(call_count: u64, port: u16) -> Worker {
+fn worker(heartbeat_seq: u64, port: u16) -> Worker {
     Worker {
         id: "i-1".into(),
         service: "s".into(),
@@ -14,7 +14,7 @@
         capacity: 1,
         phase: WorkerPhase::Serving,
         warmup_ms: 0,
-        call_count,
+        heartbeat_seq,
     }
 }
 
@@ -24,8 +24,8 @@
     let (mut journal, mut registry) = (EventJournal::default(), WorkerRegistry::default());
     for n in 1..=MAX_EVENTS as u64 + 10 {
         // The repeated call is old, and the third changes only the call count: neither is recorded.
-        for call_count in [2 * n, 2 * n, 2 * n + 1] {
-            journal.merge_worker(n as f64, worker(call_count, n as u16), &mut registry, 60.0);
+        for heartbeat_seq in [2 * n, 2 * n, 2 * n + 1] {
+            journal.merge_worker(n as f64, worker(heartbeat_seq, n as u16), &mut registry, 60.0);
         }
     }
     let rendered = journal.render(MAX_EVENTS as f64 + 20.0);
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -266,7 +266,7 @@
             match edge_node.quota.admit(now, &tenant, &limit, asked) {
                 AdmissionDecision::Admit => self.admitted_at.push(now),
                 AdmissionDecision::WaitForGrant => {
-                    edge_node.waiting.push((now + 0.06, edge_node.quota.next_request_id()))
+                    edge_node.waiting.push((now + 0.06, edge_node.quota.next_sync_id()))
                 }
                 AdmissionDecision::Reject(_) => {}
             }
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -125,20 +125,20 @@
 
     /// A worker sent its heartbeat to this node: it goes into the next report to the peers.
     pub fn record_heartbeat(&mut self, worker: &Worker) {
-        self.unreported_heartbeats.insert(worker.id.to_string(), worker.call_count);
+        self.unreported_heartbeats.insert(worker.id.to_string(), worker.heartbeat_seq);
     }
 
     /// A peer reported heartbeats: call counts by worker id.
     pub fn record_peer_heartbeats(&mut self, now: f64, heartbeats: &[(String, u64)]) {
-        for (id, call_count) in heartbeats {
-            self.registry.record_heartbeat(now, id, *call_count);
+        for (id, heartbeat_seq) in heartbeats {
+            self.registry.record_heartbeat(now, id, *heartbeat_seq);
         }
     }
 
     /// The report of a known worker's departure; `None`: it is unknown here.
     pub fn departure_of(&self, id: &str) -> Option<Worker> {
         let known = self.registry.get(id)?;
-        Some(Worker { phase: WorkerPhase::Departed, call_count: known.call_count + 1, ..known.clone() })
+        Some(Worker { phase: WorkerPhase::Departed, heartbeat_seq: known.heartbeat_seq + 1, ..known.clone() })
     }
 
     /// Replicates a worker's shutdown announcement, and replies to its call once enough core nodes hold it: at once if
--- a/crates/gateway/src/data_plane/quota_admission/mod.rs
+++ b/crates/gateway/src/data_plane/quota_admission/mod.rs
@@ -43,7 +43,7 @@
 pub enum AdmissionDecision {
     /// It is admitted, and charged if its tenant has a quota.
     Admit,
-    /// It waits for the answer to the sync [`QuotaAdmission::next_request_id`].
+    /// It waits for the answer to the sync [`QuotaAdmission::next_sync_id`].
     WaitForGrant,
     /// It is over the quota; the client may retry after so many seconds.
     Reject(f64),
--- a/crates/gateway/src/data_plane/quota_admission/sync.rs
+++ b/crates/gateway/src/data_plane/quota_admission/sync.rs
@@ -20,7 +20,7 @@
 
 impl QuotaAdmission {
     /// The id of the sync whose answer decides on a request that waits from now on.
-    pub fn next_request_id(&self) -> u64 {
+    pub fn next_sync_id(&self) -> u64 {
         self.last_request_id + 1
     }
 
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -133,7 +133,7 @@
                 self.settle(id, response, out);
             }
             AdmissionDecision::WaitForGrant => {
-                let (until, request_id) = (now + GRANT_TIMEOUT_SECS, self.quota.next_request_id());
+                let (until, request_id) = (now + GRANT_TIMEOUT_SECS, self.quota.next_sync_id());
                 request.grant_wait = Some(GrantWait { until, request_id });
                 self.awaiting_grant.push(id.clone());
                 self.sync_quota(now, out);
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -16,7 +16,7 @@
 "tenant_set":{"columns":["label","credentials","rate_per_s","burst_size","revision"],"records":[["free",["key-free"],0,0,"r1"],["held",["key-held"],5,5,"r1"]]},
 "service_set":{"columns":["label","probe_path","revision"],"records":[["s1","/health","r1"]]}}}"#;
 
-fn worker(n: usize, phase: WorkerPhase, call_count: u64) -> Worker {
+fn worker(n: usize, phase: WorkerPhase, heartbeat_seq: u64) -> Worker {
     Worker {
         id: format!("i-{n}").into(),
         service: "s1".into(),
@@ -25,7 +25,7 @@
         capacity: 2,
         phase,
         warmup_ms: 0,
-        call_count,
+        heartbeat_seq,
     }
 }
 
@@ -47,7 +47,7 @@
     now: f64,
     observed: BTreeMap<String, Observed>,
     rng: fastrand::Rng,
-    call_count: u64,
+    heartbeat_seq: u64,
     is_shut_down: bool,
     ends_at: f64,
 }
@@ -62,7 +62,7 @@
             now: 1000.0,
             observed: BTreeMap::new(),
             rng,
-            call_count: 1,
+            heartbeat_seq: 1,
             is_shut_down: false,
             ends_at: f64::INFINITY,
         };
@@ -228,16 +228,16 @@
                 }
             }
             16 => {
-                self.call_count += 1;
+                self.heartbeat_seq += 1;
                 let phase = match self.rng.u32(0..12) {
                     0 => WorkerPhase::Draining,
                     1..=3 => WorkerPhase::Unresponsive,
                     _ => WorkerPhase::Serving,
                 };
                 // One in four is a new worker.
-                let n =
-                    self.rng.usize(0..workers) + 16 * self.rng.usize(0..4) * (self.call_count as usize / 8);
-                let news = vec![worker(n % 250, phase, self.call_count)];
+                let n = self.rng.usize(0..workers)
+                    + 16 * self.rng.usize(0..4) * (self.heartbeat_seq as usize / 8);
+                let news = vec![worker(n % 250, phase, self.heartbeat_seq)];
                 let core = "10.0.1.1".parse().expect("an address");
                 self.with(|edge, now, out| {
                     edge.handle(now, Event::CoreMessage(core, PeerMessage::WorkerUpdates(news)), out)
--- a/crates/gateway/src/discovery/registry.rs
+++ b/crates/gateway/src/discovery/registry.rs
@@ -80,7 +80,7 @@
         let unchanged = (worker.phase, worker.address, worker.capacity)
             == (known.worker.phase, known.worker.address, known.worker.capacity);
         if unchanged {
-            known.worker.call_count = worker.call_count;
+            known.worker.heartbeat_seq = worker.heartbeat_seq;
             return MergeOutcome::Refreshed;
         }
         self.digest ^= Self::digest_of(&known.worker) ^ Self::digest_of(&worker);
@@ -92,12 +92,12 @@
         MergeOutcome::Changed
     }
 
-    /// Another core node received heartbeats of this worker up to `call_count`. Ignored for a worker that is unknown
+    /// Another core node received heartbeats of this worker up to `heartbeat_seq`. Ignored for a worker that is unknown
     /// here or no longer live: its full report follows from a node that has it.
-    pub fn record_heartbeat(&mut self, now: f64, id: &str, call_count: u64) {
+    pub fn record_heartbeat(&mut self, now: f64, id: &str, heartbeat_seq: u64) {
         let Some(known) = self.workers.get_mut(id) else { return };
-        if known.worker.is_live() && call_count > known.worker.call_count {
-            (known.worker.call_count, known.last_heard_secs) = (call_count, now);
+        if known.worker.is_live() && heartbeat_seq > known.worker.heartbeat_seq {
+            (known.worker.heartbeat_seq, known.last_heard_secs) = (heartbeat_seq, now);
         }
     }
 
--- a/crates/gateway/src/discovery/worker.rs
+++ b/crates/gateway/src/discovery/worker.rs
@@ -41,7 +41,8 @@
     /// Milliseconds of slow start that remained when the heartbeat was sent.
     pub warmup_ms: u32,
     /// Number of the heartbeat that reported this; a higher one is later.
-    pub call_count: u64,
+    #[serde(rename = "call_count")]
+    pub heartbeat_seq: u64,
 }
 
 impl Worker {
@@ -59,7 +60,7 @@
             (_, WorkerPhase::Departed) => true,
             (WorkerPhase::Draining, WorkerPhase::Serving) => false,
             (WorkerPhase::Serving | WorkerPhase::Unresponsive, WorkerPhase::Draining) => true,
-            _ => (self.call_count, self.phase) > (other.call_count, other.phase),
+            _ => (self.heartbeat_seq, self.phase) > (other.heartbeat_seq, other.phase),
         }
     }
 
--- a/crates/gateway/src/protocol/codec_tests.rs
+++ b/crates/gateway/src/protocol/codec_tests.rs
@@ -17,7 +17,7 @@
         capacity: 2,
         phase: WorkerPhase::Serving,
         warmup_ms: 0,
-        call_count: 40,
+        heartbeat_seq: 40,
     };
     let charge = TenantUsage {
         tenant: "yefi830".into(),
--- a/crates/gateway/src/protocol/wire_fixture_tests.rs
+++ b/crates/gateway/src/protocol/wire_fixture_tests.rs
@@ -39,7 +39,7 @@
 fn worker(name: &str, phase: WorkerPhase) -> Worker {
     let (id, service, zone) = (name.into(), "s1".into(), "zone-a".into());
     let address = (if phase == WorkerPhase::Departed { v6() } else { v4() }, 8080).into();
-    Worker { id, service, address, zone, capacity: 300, phase, warmup_ms: 70_000, call_count: u64::MAX }
+    Worker { id, service, address, zone, capacity: 300, phase, warmup_ms: 70_000, heartbeat_seq: u64::MAX }
 }
 
 fn workers() -> Vec<Worker> {
--- a/crates/gateway/src/runtime/core_server/control_api.rs
+++ b/crates/gateway/src/runtime/core_server/control_api.rs
@@ -193,6 +193,6 @@
         warmup_ms: body
             .optional("warmup_left")
             .map_or(Ok(0), |w| w.as_duration().map(|w| w.as_millis() as u32))?,
-        call_count: body.required("call_count")?.as_non_negative()? as u64,
+        heartbeat_seq: body.required("call_count")?.as_non_negative()? as u64,
     })
 }
--- a/crates/gateway/src/runtime/core_server/control_api_tests.rs
+++ b/crates/gateway/src/runtime/core_server/control_api_tests.rs
@@ -50,7 +50,7 @@
         panic!("a heartbeat")
     };
     expect_that!((&*worker.id, &*worker.service, &*worker.zone), eq(("i-1", "s1", "a")));
-    expect_that!((worker.capacity, worker.warmup_ms, worker.call_count), eq((4, 250, 7)));
+    expect_that!((worker.capacity, worker.warmup_ms, worker.heartbeat_seq), eq((4, 250, 7)));
     expect_that!(worker.phase, eq(WorkerPhase::Draining));
     let short =
         r#"{"service_ref":"s1","address":"10.0.0.1:80","zone_name":"a","phase":"settled","call_count":7}"#;
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -73,7 +73,7 @@
 fn worker(id: u64, phase: WorkerPhase, calls: u64) -> Worker {
     let address = std::net::SocketAddr::from(([10, 2, 0, 1], 80));
     let (id, service, zone) = (format!("w{id}").into(), "s".into(), "z".into());
-    Worker { id, service, address, zone, capacity: 4, phase, warmup_ms: 0, call_count: calls }
+    Worker { id, service, address, zone, capacity: 4, phase, warmup_ms: 0, heartbeat_seq: calls }
 }
 
 fn batch_of(writes: Vec<LogWrite<LogCommand>>) -> WriteBatch {
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -79,7 +79,7 @@
             capacity: SLOTS as u32,
             phase: w.phase,
             warmup_ms: 0,
-            call_count: w.calls,
+            heartbeat_seq: w.calls,
         }
     }
 
