--- a/crates/gateway/src/consensus/leader.rs
+++ b/crates/gateway/src/consensus/leader.rs
@@ -92,7 +92,7 @@
     pub(super) fn replicate_to(&mut self, now: Millis, to: NodeId, is_heartbeat: bool) {
         let snapshot_index = self.log.snapshot_position().index;
         let (last_index, term, leader_commit) = (self.log.last_index(), self.term, self.commit_index);
-        let is_attached = self.is_attached(now);
+        let has_current_state = self.has_current_state(now);
         let Role::Leader(leader) = &mut self.role else { return };
         let heartbeat_seq = leader.heartbeat_seq;
         let Some(progress) = leader.peers.get_mut(&to) else { return };
@@ -107,7 +107,7 @@
         let entries = self.log.entries_from(prev_index + 1, self.config.max_entries_per_append);
         progress.next_index += entries.len() as Index;
         let prev_log = LogPosition { index: prev_index, term: prev_term };
-        let echoed_clock = progress.follower_clock.filter(|_| is_attached);
+        let echoed_clock = progress.follower_clock.filter(|_| has_current_state);
         let message =
             Message::AppendEntries { term, prev_log, entries, leader_commit, echoed_clock, heartbeat_seq };
         self.send(to, message);
--- a/crates/gateway/src/consensus/lease.rs
+++ b/crates/gateway/src/consensus/lease.rs
@@ -20,13 +20,13 @@
             && now < self.quorum_contact(now).saturating_add(self.config.lease_duration)
     }
 
-    /// Whether this member is attached to the majority of the core: what it has applied may be handed out as
-    /// current.
+    /// Whether the state that this member has applied is current, so that it may be handed out to nodes that
+    /// have none.
     ///
     /// On a leader: it has committed in its term, and is in contact with a quorum. On others: the same was
-    /// true of the leader within the election timeout (by the echoed clock), and all is applied that it said
-    /// was committed.
-    pub fn is_attached(&self, now: Millis) -> bool {
+    /// true of the leader within the election timeout (by the echoed clock), and every entry that the leader
+    /// reported as committed is applied here.
+    pub fn has_current_state(&self, now: Millis) -> bool {
         match &self.role {
             Role::Leader(leader) => {
                 self.commit_index >= leader.term_start_index && self.has_quorum_contact(now)
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -191,7 +191,7 @@
 
     fn send_permissions(&self, now: f64) -> SendPermissions {
         let has_majority = self.context.has_majority(now);
-        let full_state = has_majority && self.raft.is_attached(self.context.log_time(now));
+        let full_state = has_majority && self.raft.has_current_state(self.context.log_time(now));
         let window_bytes = self.context.settings.memory_bytes as usize
             / IN_FLIGHT_MEMORY_DIVISOR
             / self.sessions.len().max(1);
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -210,7 +210,7 @@
             "role": role,
             "term": self.raft.term(),
             "leader": leader.map(|id| self.identity_json(&id)),
-            "attached": self.raft.is_attached(log_time),
+            "attached": self.raft.has_current_state(log_time),
             "holds_counter": self.raft.holds_lease(log_time),
             "members": members.iter().map(|id| self.member_json(now, id, leader)).collect::<Vec<_>>(),
             "others": peers.iter().map(|peer| self.progress_json(now, peer, &peers)).collect::<Vec<_>>(),
--- a/crates/gateway/src/control_plane/upkeep.rs
+++ b/crates/gateway/src/control_plane/upkeep.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Puts reloaded settings in force.
-    pub fn retune(&mut self, settings: Settings, out: &mut Vec<Effect>) {
+    /// Applies reloaded settings: the log's parameters, and connections to seeds that are new.
+    pub fn apply_settings(&mut self, settings: Settings, out: &mut Vec<Effect>) {
         let seeds = settings.seeds.iter().map(|seed| NodeLocation::unplaced(seed.ip())).collect();
         self.raft.set_config(replicated_log::raft_config(&settings));
         self.context.settings = settings;
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -242,7 +242,7 @@
             event = timeline.next() => server.handle(event),
             signal = signals.next() => match signal {
                 ProcessSignal::Reload(settings) => {
-                    server.update(|core, _, effects| core.retune(*settings, effects));
+                    server.update(|core, _, effects| core.apply_settings(*settings, effects));
                 }
                 ProcessSignal::Shutdown => return Ok(()),
             },
--- a/crates/simulation/src/core_membership.rs
+++ b/crates/simulation/src/core_membership.rs
@@ -126,7 +126,7 @@
         match who {
             NodeRef::Core(n) => {
                 let Some(core) = self.cores[n].core.as_mut() else { return };
-                core.retune(settings, &mut out);
+                core.apply_settings(settings, &mut out);
                 self.core_effects(n, out);
             }
             NodeRef::Edge(n) => {
