--- a/crates/gateway/src/control_plane/api_calls.rs
+++ b/crates/gateway/src/control_plane/api_calls.rs
@@ -1,5 +1,5 @@
-//! HTTP calls of workers and operators, by kind: configuration calls go through the replicated log, worker calls
-//! through the worker membership, and the journal and status are answered from this node's own state.
+//! HTTP calls of workers and operators. Configuration calls go through the replicated log and worker calls through the
+//! worker membership; the event journal and the status report come from this node's own state.
 
 use super::{CallId, CoreNode, Effect};
 use crate::configuration::ConfigChange;
@@ -32,11 +32,15 @@
             ApiCommand::Read => self.handle_operator_request(now, call, OperatorRequest::Read, out),
             ApiCommand::Journal => out.push(Effect::Respond(call, 200, self.context.journal.render(now))),
             ApiCommand::Status => out.push(Effect::Respond(call, 200, self.status(now))),
-            // Without a quorum the other nodes may know better: the caller is sent on to one of them.
+            // Without a majority this node's view may be outdated, so the caller has to retry at another core node.
             ApiCommand::Heartbeat(_) | ApiCommand::Departure(_) | ApiCommand::Malformed(_)
                 if !self.context.has_majority(now) =>
             {
-                out.push(Effect::Respond(call, 503, error_body("out of touch with most of the core")));
+                out.push(Effect::Respond(
+                    call,
+                    503,
+                    error_body("not in contact with a majority of the core"),
+                ));
             }
             ApiCommand::Malformed(reason) => out.push(Effect::Respond(call, 400, error_body(reason))),
             ApiCommand::Heartbeat(worker) => self.handle_heartbeat(now, call, worker, out),
@@ -55,12 +59,13 @@
         self.process_raft_outputs(now, out);
     }
 
-    /// A draining worker is answered only once enough core nodes know of it; any other at once.
+    /// Handles a heartbeat. The response to a worker that shuts down is sent only once enough core nodes hold its
+    /// announcement; any other worker gets its response at once.
     fn handle_heartbeat(&mut self, now: f64, call: CallId, worker: Worker, out: &mut Vec<Effect>) {
-        let is_leaving = worker.phase != WorkerPhase::Serving;
+        let is_shutting_down = worker.phase != WorkerPhase::Serving;
         self.merge_reported_worker(now, worker.clone(), out);
         self.membership.record_heartbeat(&worker);
-        if is_leaving {
+        if is_shutting_down {
             self.membership.replicate_shutdown(now, call, worker, &mut self.context, out);
         } else {
             out.push(Effect::Respond(call, 200, json!({})));
@@ -75,11 +80,11 @@
         self.membership.replicate_shutdown(now, call, worker, &mut self.context, out);
     }
 
-    /// The worker is not in the registry here. Acknowledged only by a node that would know every live worker by now:
-    /// another one may hold it as live.
+    /// Returns the response to the departure of a worker that is not in the registry. Only a node that knows every live
+    /// worker acknowledges it; on any other node the worker may be missing from the registry although it is live.
     fn respond_to_unknown_departure(&self, now: f64, call: CallId) -> Effect {
         if self.context.voters.len() > 1 && !self.membership.is_complete(now) {
-            return Effect::Respond(call, 503, error_body("not every worker is known here yet"));
+            return Effect::Respond(call, 503, error_body("this core node may not know every worker yet"));
         }
         Effect::Respond(call, 200, json!({}))
     }
--- a/crates/gateway/src/control_plane/change_tracker.rs
+++ b/crates/gateway/src/control_plane/change_tracker.rs
@@ -1,12 +1,13 @@
-//! Which keys of a list changed after which change number, so that a receiver that knows the list up to a number can be
-//! sent the difference. Each key is held once, with its latest change, so memory is bounded by the list.
+//! Change numbers of the keys of a list, so that a receiver which has the list up to one change can be sent the
+//! difference to the present. Each key is stored once, with its latest change, so memory is bounded by the length of the
+//! list.
 //!
-//! Invariant: a difference is complete or refused. Once a key is forgotten, receivers that have not seen its last
-//! change get no difference any more ([`ChangeTracker::changed_since`] returns `None`) and need the full list.
+//! Invariant: a returned difference is complete. Once a key is forgotten, a receiver that has not seen the key's last
+//! change gets no difference ([`ChangeTracker::changed_since`] returns `None`) and needs the full list.
 
 use std::collections::BTreeMap;
 
-/// Numbers the changes of a list.
+/// Assigns consecutive numbers to the changes of a list.
 #[derive(Clone, Debug)]
 pub struct ChangeTracker<K> {
     last_change: u64,
@@ -28,12 +29,12 @@
 }
 
 impl<K: Clone + Ord> ChangeTracker<K> {
-    /// The number of the last change; 0 before the first.
+    /// Number of the last change; 0 before the first.
     pub fn last_change(&self) -> u64 {
         self.last_change
     }
 
-    /// Records a change of this key.
+    /// Records a change of this key under the next number.
     pub fn record(&mut self, key: &K) {
         self.last_change += 1;
         if let Some(earlier) = self.change_by_key.insert(key.clone(), self.last_change) {
@@ -50,8 +51,8 @@
         }
     }
 
-    /// The keys that changed after this number, in the order of their changes; `None`: one of them may be forgotten, so
-    /// the full list is needed.
+    /// Returns the keys that changed after this change, in the order of their changes, or `None` if one of them may be
+    /// forgotten, so that the full list is needed.
     pub fn changed_since(&self, change: u64) -> Option<impl Iterator<Item = &K>> {
         (change >= self.forgotten_up_to).then(|| self.keys_by_change.range(change + 1..).map(|(_, key)| key))
     }
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -1,12 +1,13 @@
-//! Operators' calls on their way through the replicated log, and the configuration that is applied at this node.
+//! The configuration service: submits operators' calls to the replicated log, and holds the configuration that is
+//! applied at this node.
 //!
-//! A call at a follower is forwarded to the leader. The leader proposes a change as a log entry; every member judges
-//! the committed entry alike, so a change is accepted or rejected by its position in the log and by nothing else. The
-//! leader acknowledges an accepted change only once enough disks hold it to survive the tolerated losses, which may be
-//! more than a majority. Reads and rejections need no entry, but a majority that confirms the leader after the call
-//! came (the Raft paper, section 8): a deposed leader would answer from stale state.
+//! A call at a follower is forwarded to the leader. The leader proposes a change as a log entry. Every member evaluates
+//! the committed entry in the same way, so the position in the log alone decides whether a change is accepted or
+//! rejected. The leader acknowledges an accepted change only once enough disks hold it to survive the tolerated losses,
+//! which may be more than a majority. Reads and rejections need no entry, but after the call has arrived a majority has
+//! to confirm the leader (Raft paper, 8): without this, a deposed leader could respond from stale state.
 //!
-//! A call that is not decided within `CALL_TIMEOUT_SECS` gets 503: it may or may not take effect.
+//! A call without an outcome after `CALL_TIMEOUT_SECS` gets 503. It may or may not take effect, and can be retried.
 
 use super::{error_body, CallId, ConnectionId, CoreContext, Effect};
 use crate::configuration::state::ChangeOutcome;
@@ -20,24 +21,37 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Seconds after which an undecided call is answered with 503, so that its caller can try another node in time.
+/// Seconds after which a call without an outcome gets 503, so that its caller can still try another node.
 const CALL_TIMEOUT_SECS: f64 = 0.85;
 
-/// What a call waits for. The texts are part of the operators' interface.
+/// What a call waits for. The texts of `Display` are part of the operators' interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitStage {
-    /// A majority to commit its entry.
+    /// A majority to commit the call's entry.
     Commit,
-    /// Enough synced copies of its entry to survive the tolerated losses.
+    /// Enough synced copies of the call's entry to survive the tolerated losses.
     SyncedCopies,
     /// A majority to confirm the leader.
     QuorumContact,
-    /// The response of the leader that it was forwarded to.
+    /// The response of the leader to which the call was forwarded.
     LeaderResponse,
     /// This node to apply what the leader had committed at the time of the read.
     LocalApply,
 }
 
+impl WaitStage {
+    /// What did not happen in time, for the error response.
+    fn description(self) -> &'static str {
+        match self {
+            WaitStage::Commit => "a majority to commit the change",
+            WaitStage::SyncedCopies => "enough core nodes to sync the change",
+            WaitStage::QuorumContact => "a majority to confirm the leader",
+            WaitStage::LeaderResponse => "the response of the leader",
+            WaitStage::LocalApply => "this node to catch up with the leader",
+        }
+    }
+}
+
 impl Display for WaitStage {
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
@@ -50,24 +64,24 @@
     }
 }
 
-/// Where a call came from, and so where its response goes.
+/// Origin of a call, which determines where the response is sent.
 #[derive(Clone, Copy, Debug)]
 enum CallOrigin {
-    /// A call at this node.
+    /// A call that a client made at this node.
     Local(CallId),
     /// A call that another core node forwarded here.
     Forwarded { conn: ConnectionId, request_id: u64 },
 }
 
-/// A change whose entry is in the log but not committed.
+/// A change whose entry is in the log but not committed yet.
 struct ProposedChange {
-    /// The term of its entry; another term at the same index means that the entry was overwritten.
+    /// Term of the entry. If the committed entry at the same index has another term, this entry was overwritten.
     term: Term,
     origin: CallOrigin,
     deadline: f64,
 }
 
-/// An accepted change that too few disks are known to hold.
+/// An accepted change that is not known to be on enough disks yet.
 struct UnreplicatedChange {
     index: Index,
     origin: CallOrigin,
@@ -77,43 +91,43 @@
 /// A read or a rejection that waits for a majority to confirm the leader.
 struct PendingRead {
     origin: CallOrigin,
-    /// The reason, if the call is to be rejected.
+    /// The reason, if the call is to be rejected; `None` for a read.
     rejection: Option<String>,
     deadline: f64,
 }
 
-/// A call at this node that was forwarded to the leader.
+/// A call that a client made at this node and that was forwarded to the leader.
 struct ForwardedCall {
     call: CallId,
     deadline: f64,
 }
 
-/// A read at this node that waits until the entry at `index` is applied here.
+/// A read at this node that waits until the entry at `index` is applied locally.
 struct LaggingRead {
     index: Index,
     call: CallId,
     deadline: f64,
 }
 
-/// A committed change that changed something.
+/// A committed change that altered the configuration.
 pub struct AppliedChange {
-    /// Index of the entry that changed the configuration before.
+    /// Index of the previous entry that altered the configuration.
     pub previous: Index,
-    /// The items as they are now.
+    /// The altered items in their new state.
     pub items: Vec<Arc<ConfigItem>>,
 }
 
-/// The configuration at this node, and the calls that wait for the log. Times are seconds of the event clock.
+/// The configuration at this node, and the calls that wait for the log. Times are in seconds of the event clock.
 #[derive(Default)]
 pub struct ConfigurationService {
     /// The applied configuration.
     pub state: ConfigState,
-    /// By the index of their entries.
+    /// Proposed changes by the index of their entries.
     proposed: BTreeMap<Index, ProposedChange>,
     unreplicated: Vec<UnreplicatedChange>,
-    /// By the log's number of the read.
+    /// Pending reads and rejections by the log's number of the read.
     pending_reads: BTreeMap<u64, PendingRead>,
-    /// By request id.
+    /// Forwarded calls by request id.
     forwarded: BTreeMap<u64, ForwardedCall>,
     lagging_reads: Vec<LaggingRead>,
     /// Index of the last applied entry.
@@ -121,13 +135,13 @@
 }
 
 impl ConfigurationService {
-    /// Starts with the configuration as of the entry `applied`.
+    /// Starts with `state`, the configuration as of the entry `applied`.
     pub fn new(state: ConfigState, applied: Index) -> Self {
         ConfigurationService { state, applied, ..ConfigurationService::default() }
     }
 
-    /// An operator's call at this node: submitted here if this node leads, else forwarded to a reachable leader.
-    /// Without one the caller gets 503 at once.
+    /// Handles an operator's call at this node. The leader submits it to the log; any other node forwards it to the
+    /// leader. If no leader is reachable the caller gets 503 at once and may retry at another node.
     pub fn handle_call(
         &mut self,
         call: CallId,
@@ -142,15 +156,15 @@
         let now = context.now;
         let leader = raft.leader(context.log_time(now)).map(|id| id.ip);
         let Some(leader) = leader.filter(|ip| context.is_reachable(now, ip)) else {
-            // Partitioned off, or between two leaders: the caller tries another node.
-            return out.push(Effect::Respond(call, 503, error_body("no leader is in touch")));
+            // This node is partitioned from the leader, or none is elected at present.
+            return out.push(Effect::Respond(call, 503, error_body("no reachable leader of the core")));
         };
         let request_id = context.next_id();
         self.forwarded.insert(request_id, ForwardedCall { call, deadline: now + CALL_TIMEOUT_SECS });
         out.push(Effect::SendToPeer(leader, PeerMessage::ForwardRequest { request_id, request }));
     }
 
-    /// A call that another core node forwards to this one as the leader.
+    /// Handles a call that another core node forwarded to this node as the leader.
     pub fn handle_forwarded(
         &mut self,
         conn: ConnectionId,
@@ -163,7 +177,7 @@
         self.submit(CallOrigin::Forwarded { conn, request_id }, request, raft, context, out);
     }
 
-    /// Hands a call to the log. If this node doesn't lead (any more) the call is left undetermined.
+    /// Submits a call to the log. The outcome is undetermined if this node is not the leader, or not any more.
     fn submit(
         &mut self,
         origin: CallOrigin,
@@ -190,7 +204,7 @@
             }
         };
         if !is_submitted {
-            let response = OperatorResponse::Undetermined("no leader here".into());
+            let response = OperatorResponse::Undetermined("this core node is not the leader".into());
             self.respond(origin, response, context, out);
         }
     }
@@ -202,7 +216,7 @@
         read.is_some()
     }
 
-    /// The leader's response to a call that was forwarded to it.
+    /// Handles the leader's response to a forwarded call.
     pub fn handle_forward_response(
         &mut self,
         request_id: u64,
@@ -235,7 +249,7 @@
             OperatorResponse::Undetermined(reason) => (503, error_body(reason)),
             OperatorResponse::Read(index) if self.applied >= index => (200, self.state.to_json()),
             OperatorResponse::Read(index) => {
-                // The leader was ahead of this node.
+                // This node has not applied yet what the leader has committed.
                 let deadline = context.now + CALL_TIMEOUT_SECS;
                 return self.lagging_reads.push(LaggingRead { index, call, deadline });
             }
@@ -243,7 +257,8 @@
         out.push(Effect::Respond(call, status, body));
     }
 
-    /// Applies a committed change, and responds if the call waits here. `None`: it was rejected, or changed nothing.
+    /// Applies a committed change, and responds to its call if that waits at this node. Returns `None` if the change was
+    /// rejected or altered nothing.
     pub fn apply(
         &mut self,
         position: LogPosition,
@@ -263,7 +278,8 @@
             }
             ChangeOutcome::Invalid(error) => (OperatorResponse::Rejected(400, error.to_string()), Vec::new()),
             ChangeOutcome::Indeterminate => {
-                (OperatorResponse::Undetermined("too old to tell what was taken".into()), Vec::new())
+                let reason = "version too old to know whether it was accepted before";
+                (OperatorResponse::Undetermined(reason.into()), Vec::new())
             }
         };
         record_outcome(position.index, &response, &changed, context);
@@ -273,7 +289,7 @@
         (!changed.is_empty()).then_some(AppliedChange { previous, items: changed })
     }
 
-    /// The entry at a proposed change's index is committed.
+    /// Resolves a proposed change, now that an entry at its index is committed.
     fn resolve_proposed(
         &mut self,
         position: LogPosition,
@@ -285,8 +301,9 @@
     ) {
         let ProposedChange { term, origin, deadline } = proposed;
         if term != position.term {
-            // Another leader's entry took the place of this one, whose fate is unknown here.
-            let response = OperatorResponse::Undetermined("the lead changed".into());
+            // Another leader's entry replaced the proposed one. The response leaves the outcome open, so that the caller
+            // retries.
+            let response = OperatorResponse::Undetermined("leadership changed before the commit".into());
             return self.respond(origin, response, context, out);
         }
         match response {
@@ -298,7 +315,7 @@
         }
     }
 
-    /// Responds to calls whose wait is over. To be called whenever entries may have been replicated or applied.
+    /// Responds to calls whose condition is met. Must be called whenever entries may have been replicated or applied.
     pub fn complete_ready(
         &mut self,
         raft: &Raft<LogCommand>,
@@ -340,7 +357,7 @@
         }
     }
 
-    /// A majority has confirmed the leader since this read was started.
+    /// Completes a read or a rejection: a majority has confirmed the leader since it was submitted.
     pub fn complete_read(&mut self, read: u64, context: &mut CoreContext, out: &mut Vec<Effect>) {
         let Some(pending) = self.pending_reads.remove(&read) else { return };
         let response = match pending.rejection {
@@ -354,7 +371,8 @@
         self.respond(pending.origin, response, context, out);
     }
 
-    /// Responds to calls whose deadline has passed: undetermined, since they may still take effect.
+    /// Periodic work: responds to calls whose deadline has passed. Their outcome is undetermined, since they may still
+    /// take effect.
     pub fn tick(&mut self, context: &mut CoreContext, out: &mut Vec<Effect>) {
         let now = context.now;
         let mut expired: Vec<(CallOrigin, WaitStage)> = Vec::new();
@@ -374,18 +392,20 @@
         for (origin, stage) in expired {
             tracing::warn!(step = %stage, "call timed out");
             context.journal.append(now, JournalEvent::TimedOut(stage));
-            let response = OperatorResponse::Undetermined(format!("waited too long for {stage}"));
+            let reason = format!("timed out waiting for {}", stage.description());
+            let response = OperatorResponse::Undetermined(reason);
             self.respond(origin, response, context, out);
         }
     }
 
-    /// How many calls wait for the log at this node.
+    /// Number of calls that wait for the log at this node.
     pub fn waiting_calls(&self) -> usize {
         self.proposed.len() + self.unreplicated.len() + self.pending_reads.len()
     }
 }
 
-/// Logs and journals what became of a committed change. Every member does, also while it catches up.
+/// Logs the outcome of a committed change and appends it to the event journal. Every member does this, also while it
+/// catches up.
 fn record_outcome(
     index: Index,
     response: &OperatorResponse,
--- a/crates/gateway/src/control_plane/context.rs
+++ b/crates/gateway/src/control_plane/context.rs
@@ -1,8 +1,8 @@
 //! State that all parts of the core role share: this node's identity and settings, the core nodes that it knows, and
-//! which of them it is in contact with.
+//! which of them are reachable.
 //!
-//! Only voters count towards a majority. Nodes known by hearsay, seeds among them, never do: otherwise a wiped node
-//! beside a partitioned one could act as the core.
+//! Only voters count towards a majority. Other known nodes never do, not even seeds: otherwise a node with an empty disk
+//! and a partitioned node could together act as the core.
 
 use crate::consensus::Millis;
 use crate::control_plane::event_journal::EventJournal;
@@ -11,54 +11,58 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
-/// A core node is reachable if it was heard within this many seconds.
+/// Seconds since the last message within which a core node counts as reachable.
 const REACHABLE_WITHIN_SECS: f64 = 1.2;
-/// A core node that does not vote is advertised to others if it was heard within this many seconds.
+/// Seconds since the last message within which a core node that is not a voter is advertised to other nodes.
 const ADVERTISED_WITHIN_SECS: f64 = 10.0;
-/// A core node that neither votes nor is a seed is forgotten after this many seconds of silence.
+/// Seconds without a message after which a core node that is neither a voter nor a seed is forgotten.
 const FORGET_AFTER_SECS: f64 = 60.0;
-/// The log's clock starts at a random number of milliseconds below this...
-const EPOCH_LIMIT_MS: Millis = 1 << 40;
-/// ...rounded down to a multiple of this, over four hours.
+/// Upper bound, in milliseconds, of the random time at which the log's clock starts.
+const EPOCH_UPPER_BOUND_MS: Millis = 1 << 40;
+/// Granularity, in milliseconds, of the random time at which the log's clock starts. Over four hours, so that the clocks
+/// of two incarnations with different epochs seldom overlap.
 const EPOCH_STEP_MS: Millis = 1 << 24;
 
-/// What [`CoreContext::learn_node`] did.
+/// Result of [`CoreContext::learn_node`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LearnOutcome {
     /// The node was unknown.
     NewNode,
-    /// The node was known, but not its location.
+    /// The node was known without its location.
     NewLocation,
-    /// Nothing new.
+    /// The node and its location were known.
     Unchanged,
 }
 
-/// What the parts of the core role share.
+/// State that the parts of the core role share.
 pub struct CoreContext {
     /// The settings in force.
     pub settings: Settings,
     /// This node.
     pub me: NodeLocation,
-    /// Core nodes that are known, by address: this one, voters, seeds, and those heard of lately.
+    /// Known core nodes by address: this one, voters, seeds, and nodes learned from others or recently heard.
     pub known_nodes: BTreeMap<IpAddr, NodeLocation>,
     /// Addresses of the log's voters.
     pub voters: BTreeSet<IpAddr>,
-    /// When each core node was last heard, in seconds of the event clock.
+    /// Time of the last message from each core node, in seconds of the event clock.
     pub last_heard: HashMap<IpAddr, f64>,
-    /// When each core node became known; counts until it is heard for the first time.
+    /// Time at which each core node became known, in seconds of the event clock. Used for forgetting nodes that were
+    /// never heard.
     learned_at: HashMap<IpAddr, f64>,
-    /// When this process started, in seconds of the event clock.
+    /// Start time of this process, in seconds of the event clock.
     pub started: f64,
-    /// The time of the event at hand, in seconds of the event clock.
+    /// Time of the event that is being handled, in seconds of the event clock.
     pub now: f64,
     /// The latest events at this node, for diagnosis.
     pub journal: EventJournal,
+    /// The last id that [`CoreContext::next_id`] returned.
     last_id: u64,
+    /// Reading of the log's clock at time 0 of the event clock.
     epoch: Millis,
 }
 
 impl CoreContext {
-    /// Starts with this node and the seeds as the known core nodes.
+    /// Creates a context in which this node and the seeds are the known core nodes.
     pub fn new(now: f64, settings: Settings) -> Self {
         let me =
             NodeLocation { ip: settings.ip, zone: settings.zone.clone(), region: settings.region.clone() };
@@ -76,23 +80,23 @@
             now,
             journal: EventJournal::default(),
             last_id: 0,
-            epoch: fastrand::u64(..EPOCH_LIMIT_MS) & !(EPOCH_STEP_MS - 1),
+            epoch: fastrand::u64(..EPOCH_UPPER_BOUND_MS) & !(EPOCH_STEP_MS - 1),
         }
     }
 
-    /// An id for a request or a write batch: rising, and unique within this incarnation of the process.
+    /// Returns an id for a request or a write batch. Ids increase, and are unique within this incarnation of the process.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// The log's clock, in milliseconds. Each incarnation of the process has a random epoch, so that a timestamp of an
-    /// earlier one is recognised as foreign.
+    /// Time of the log's clock, in milliseconds. Each incarnation of the process starts that clock at a random epoch, so
+    /// that the log recognises timestamps of earlier incarnations as foreign.
     pub fn log_time(&self, now: f64) -> Millis {
         self.epoch + (now * 1e3) as Millis
     }
 
-    /// Tells this incarnation of the process from earlier and later ones.
+    /// Identifies this incarnation of the process: differs for every start.
     pub fn incarnation(&self) -> u64 {
         (self.started * 1e6) as u64
     }
@@ -102,7 +106,7 @@
         self.known_nodes.keys().copied().filter(|ip| *ip != self.me.ip).collect()
     }
 
-    /// Whether this node has heard the one at `ip` lately. Always true of itself.
+    /// Whether the node at `ip` is reachable: this node itself, or one heard within `REACHABLE_WITHIN_SECS`.
     pub fn is_reachable(&self, now: f64, ip: &IpAddr) -> bool {
         let last_heard = self.last_heard.get(ip);
         *ip == self.me.ip || last_heard.is_some_and(|at| now - at <= REACHABLE_WITHIN_SECS)
@@ -114,8 +118,8 @@
         2 * reachable > self.voters.len()
     }
 
-    /// Whether data on these nodes outlives every loss that the settings tolerate: they are more nodes, in more zones
-    /// and more regions, than may be lost at once.
+    /// Whether data on these nodes survives every loss that the settings tolerate. True if they are more nodes, in more
+    /// zones and in more regions, than may be lost at the same time.
     pub fn survives_tolerated_losses<'a>(&self, holders: impl Iterator<Item = &'a IpAddr>) -> bool {
         let (mut nodes, mut zones, mut regions) = (0, BTreeSet::new(), BTreeSet::new());
         for ip in holders {
@@ -128,11 +132,11 @@
         nodes > tolerance.machines && zones.len() > tolerance.zones && regions.len() > tolerance.regions
     }
 
-    /// Takes note of a core node and its location. A location once known stays.
+    /// Adds a core node, or its location if only that was unknown. A known location is never replaced.
     pub fn learn_node(&mut self, node: NodeLocation) -> LearnOutcome {
         let known = self.known_nodes.get(&node.ip);
-        let adds_nothing = known.is_some_and(|known| !known.zone.is_empty() || node.zone.is_empty());
-        if node.ip == self.me.ip || adds_nothing {
+        let is_known = known.is_some_and(|known| !known.zone.is_empty() || node.zone.is_empty());
+        if node.ip == self.me.ip || is_known {
             return LearnOutcome::Unchanged;
         }
         let outcome = if known.is_none() { LearnOutcome::NewNode } else { LearnOutcome::NewLocation };
@@ -141,20 +145,22 @@
         outcome
     }
 
-    /// The core nodes that this one tells others about: itself, the voters, and those that it has heard itself lately.
+    /// The core nodes that this node advertises to others: itself, the voters, and those that it heard within
+    /// `ADVERTISED_WITHIN_SECS`.
     pub fn advertised_nodes(&self) -> Vec<NodeLocation> {
-        let was_heard_lately =
+        let was_heard_recently =
             |ip: &IpAddr| self.last_heard.get(ip).is_some_and(|at| self.now - at < ADVERTISED_WITHIN_SECS);
         let is_advertised = |node: &&NodeLocation| {
-            node.ip == self.me.ip || self.voters.contains(&node.ip) || was_heard_lately(&node.ip)
+            node.ip == self.me.ip || self.voters.contains(&node.ip) || was_heard_recently(&node.ip)
         };
         self.known_nodes.values().filter(is_advertised).cloned().collect()
     }
 
-    /// Forgets nodes that neither vote nor are seeds and were not heard for long; returns their addresses.
+    /// Forgets nodes that are neither voters nor seeds and were not heard for `FORGET_AFTER_SECS`. Returns their
+    /// addresses.
     pub fn forget_stale_nodes(&mut self) -> Vec<IpAddr> {
         let seeds: BTreeSet<IpAddr> = self.settings.seeds.iter().map(|seed| seed.ip()).collect();
-        let silent_since = |ip: &IpAddr| {
+        let last_contact = |ip: &IpAddr| {
             self.last_heard.get(ip).or(self.learned_at.get(ip)).copied().unwrap_or(self.started)
         };
         let (now, me) = (self.now, self.me.ip);
@@ -162,7 +168,7 @@
             **ip != me
                 && !self.voters.contains(ip)
                 && !seeds.contains(ip)
-                && now - silent_since(ip) > FORGET_AFTER_SECS
+                && now - last_contact(ip) > FORGET_AFTER_SECS
         };
         let stale: Vec<IpAddr> = self.known_nodes.keys().filter(is_stale).copied().collect();
         for ip in &stale {
--- a/crates/gateway/src/control_plane/edge_directory.rs
+++ b/crates/gateway/src/control_plane/edge_directory.rs
@@ -1,14 +1,15 @@
-//! The edge nodes that were heard from lately, with a change log from which each session is sent the differences.
+//! The edge directory: the edge nodes that were recently in contact, with a change log from which each session is sent
+//! the differences.
 //!
-//! An edge node that reconnects from the same location is no change. One that is not heard from for `EXPIRY_SECS` is
-//! removed; its address stays in the change log for as long again, so that sessions learn of the removal.
+//! An edge node that reconnects from the same location causes no change. An edge node without contact for `EXPIRY_SECS`
+//! is removed. Its address stays in the change log for another `EXPIRY_SECS`, so that sessions learn of the removal.
 
 use super::change_tracker::ChangeTracker;
 use crate::protocol::{NodeLocation, PeerMessage};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
 
-/// An edge node expires this long after it was last heard from, and its removal is reported for as long again: seconds.
+/// Seconds without contact after which an edge node expires, and for which its removal then stays in the change log.
 const EXPIRY_SECS: f64 = 60.0;
 
 struct KnownEdge {
@@ -21,27 +22,27 @@
     ip: IpAddr,
 }
 
-/// The edge nodes that were heard from lately.
+/// Directory of the edge nodes that were recently in contact.
 #[derive(Default)]
 pub struct EdgeDirectory {
     edges: BTreeMap<String, KnownEdge>,
     changes: ChangeTracker<IpAddr>,
-    /// In the order of removal.
+    /// Removed addresses in the order of their removal.
     removed: VecDeque<RemovedAddress>,
 }
 
 impl EdgeDirectory {
-    /// The number of edge nodes.
+    /// Number of edge nodes.
     pub fn count(&self) -> usize {
         self.edges.len()
     }
 
-    /// The number of the last change.
+    /// Number of the last change.
     pub fn last_change(&self) -> u64 {
         self.changes.last_change()
     }
 
-    /// An edge node announced its location.
+    /// Adds an edge node that announced its location, or updates its entry.
     pub fn announce(&mut self, now: f64, node: &str, location: NodeLocation) {
         let ip = location.ip;
         let known = KnownEdge { last_heard_secs: now, location: location.clone() };
@@ -53,14 +54,14 @@
         self.changes.record(&ip);
     }
 
-    /// An edge node was heard from.
+    /// Records contact with an edge node, so that it doesn't expire.
     pub fn record_contact(&mut self, now: f64, node: &str) {
         if let Some(edge) = self.edges.get_mut(node) {
             edge.last_heard_secs = now;
         }
     }
 
-    /// Removes edge nodes that were not heard from for `EXPIRY_SECS`, and forgets removals that are as old.
+    /// Removes edge nodes without contact for `EXPIRY_SECS`, and forgets removals that are as old.
     pub fn expire(&mut self, now: f64) {
         let expired = self.edges.iter().filter(|(_, e)| now - e.last_heard_secs >= EXPIRY_SECS);
         for node in expired.map(|(node, _)| node.clone()).collect::<Vec<_>>() {
@@ -78,8 +79,8 @@
         }
     }
 
-    /// The message that brings a session from the change that it knows (`None`: it knows nothing) to the last one: a
-    /// difference, or all edge nodes if the difference is no longer known.
+    /// Returns the message that updates a session from the change `known` to the last one. The message contains all edge
+    /// nodes if `known` is `None` or if the difference is no longer known.
     pub fn update_since(&self, known: Option<u64>) -> PeerMessage {
         let Some(changed) = known.and_then(|change| self.changes.changed_since(change)) else {
             let all = self.edges.values().map(|e| &e.location);
@@ -101,7 +102,7 @@
         PeerMessage::EdgeNodes { is_full: false, present: group_by_zone(present.into_iter()), removed }
     }
 
-    /// Records that an edge node left this address, unless another one has it by now.
+    /// Records that an edge node left this address, unless another edge node has the address by now.
     fn remove_address(&mut self, now: f64, ip: IpAddr) {
         if !self.has_address(ip) {
             self.changes.record(&ip);
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -1,11 +1,11 @@
-//! Connections that edge nodes and other core nodes opened to this core node, and what each edge node is sent on its
-//! connection: the configuration, the workers, the edge directory, and the core nodes.
+//! Sessions: the connections that edge nodes and other core nodes opened to this core node. Each edge node is sent the
+//! configuration, the workers, the edge directory and the core nodes on its connection.
 //!
-//! A session continues from what was sent on its connection. One that lags is sent nothing more until it has caught up
-//! ([`InFlightWindow`]), and then the current state, not each change between.
+//! A session tracks what was sent on its connection, so that only differences are sent. A connection that lags is sent
+//! nothing until it has caught up ([`InFlightWindow`]), and then the current state instead of each change in between.
 //!
-//! Invariant: a full configuration or worker list is sent only in contact with a majority of the core, because an edge
-//! node that has just started takes it for the newest.
+//! Invariant: a full configuration or worker list is sent only while this node is in contact with a majority of the
+//! core, because an edge node that has just started assumes that it is the newest.
 
 use super::in_flight_window::{estimated_bytes, InFlightWindow};
 use super::{ConnectionId, CoreNode, Effect, TICK_SECS};
@@ -16,47 +16,46 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// The number of edge nodes is reported no sooner than this after the start, when all have had time to connect:
-/// seconds.
+/// Seconds after the start before the number of edge nodes is reported, so that all of them have had time to connect.
 const EDGE_COUNT_DELAY_SECS: f64 = 2.0;
-/// The first pause before a diverged edge node is sent all workers again; it doubles each time that this did not help:
-/// seconds.
+/// Initial backoff, in seconds, between two full worker lists for a diverged edge node; doubles with each resend.
 const MIN_RESEND_INTERVAL_SECS: f64 = 2.0;
-/// The longest such pause: seconds.
+/// Largest backoff, in seconds, between two full worker lists for a diverged edge node.
 const MAX_RESEND_INTERVAL_SECS: f64 = 32.0;
-/// Workers that differ in the same way for this long have diverged: seconds.
+/// Seconds for which the worker digests must differ in the same way to count as diverged.
 const DIVERGENCE_TIMEOUT_SECS: f64 = 0.9;
-/// An edge node whose pings show an older configuration this often in a row has lost an update.
+/// Number of consecutive pings with an older configuration after which an update counts as lost.
 const STALE_PINGS_BEFORE_RESEND: u32 = 2;
-/// Full states are sent at this rate, to all edge nodes together: bytes a second. Making them then leaves most of a
-/// processor.
+/// Rate limit, in bytes per second, for full states to all edge nodes together, so that encoding them takes only a small
+/// part of a processor.
 const FULL_STATE_BYTES_PER_SEC: f64 = 20e6;
-/// The edge directory is sent at this rate, to all edge nodes together: bytes a second.
+/// Rate limit, in bytes per second, for the edge directory to all edge nodes together.
 const DIRECTORY_BYTES_PER_SEC: f64 = 1e6;
-/// Full states in flight may take the memory limit divided by this; differences in flight as much again.
+/// Divisor of the memory limit that gives the largest size of the full states in flight, and also that of the
+/// differences in flight.
 const IN_FLIGHT_MEMORY_DIVISOR: usize = 8;
-/// An edge node may always have this much of differences in flight: bytes.
-const MIN_DIFFERENCES_IN_FLIGHT_BYTES: usize = 16 * 1024;
+/// Smallest window, in bytes, of differences in flight to one edge node.
+const MIN_WINDOW_BYTES: usize = 16 * 1024;
 
-/// The state of configuration and workers that a node holds.
+/// Identifies the state of configuration and workers that a node holds.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HeldState {
+pub(super) struct StateVersion {
     /// Log index of the last entry that changed the configuration.
     pub(super) config_index: u64,
     /// Digest of the worker registry.
     pub(super) workers_digest: u64,
 }
 
-/// How an edge node's workers differ from those here.
+/// Difference between the workers of an edge node and those of this node.
 #[derive(Clone, Copy, Debug)]
 struct WorkersDivergence {
-    /// The two digests, XORed; 0: equal.
+    /// XOR of the two worker digests; 0 if they are equal.
     difference: u64,
-    /// Since when they differ in this way: seconds.
+    /// Time, in seconds, since which the digests differ in this way.
     since_secs: f64,
-    /// When all workers were sent for it last: seconds.
-    resent_secs: f64,
-    /// The pause before they are sent again: seconds.
+    /// Time, in seconds, of the last full worker list sent because of a divergence.
+    last_resend_secs: f64,
+    /// Backoff, in seconds, before the next one.
     resend_interval_secs: f64,
 }
 
@@ -65,13 +64,13 @@
         WorkersDivergence {
             difference: 0,
             since_secs: now,
-            resent_secs: f64::NEG_INFINITY,
+            last_resend_secs: f64::NEG_INFINITY,
             resend_interval_secs: MIN_RESEND_INTERVAL_SECS,
         }
     }
 
-    /// Takes in the difference at a ping. Once both nodes have the same updates, it is more than an update on its way
-    /// to one of them and stays the same.
+    /// Records the difference seen at a ping. A difference caused by updates in flight changes or disappears as they
+    /// arrive; one that stays the same means that the workers have diverged.
     fn observe(&mut self, now: f64, difference: u64) {
         if difference == 0 || difference != self.difference {
             (self.difference, self.since_secs) = (difference, now);
@@ -79,16 +78,16 @@
         }
     }
 
-    fn is_lasting(&self, now: f64) -> bool {
+    fn is_persistent(&self, now: f64) -> bool {
         self.difference != 0 && now - self.since_secs >= DIVERGENCE_TIMEOUT_SECS
     }
 
     fn is_resend_due(&self, now: f64) -> bool {
-        now - self.resent_secs > self.resend_interval_secs
+        now - self.last_resend_secs > self.resend_interval_secs
     }
 
     fn record_resend(&mut self, now: f64) {
-        self.resent_secs = now;
+        self.last_resend_secs = now;
         self.resend_interval_secs = (2.0 * self.resend_interval_secs).min(MAX_RESEND_INTERVAL_SECS);
     }
 }
@@ -98,48 +97,48 @@
 pub(super) struct PeerSession {
     pub(super) node: String,
     pub(super) incarnation: u64,
-    /// The address of a core node; `None`: an edge node.
+    /// Address of the core node at the other end; `None` for an edge node.
     pub(super) core_ip: Option<IpAddr>,
     window: InFlightWindow,
-    /// What it held at its last ping.
-    held: Option<HeldState>,
-    /// Whether its configuration follows from what was sent: it needs differences only.
+    /// State that the edge node reported with its last ping; `None` before the first.
+    reported: Option<StateVersion>,
+    /// Whether the edge node has, or was sent, a configuration to which differences can be applied.
     has_config: bool,
-    /// Pings in a row that showed an older configuration than was sent.
+    /// Consecutive pings that showed an older configuration than was sent.
     stale_pings: u32,
-    /// Its workers are those as of this change; `None`: it needs all.
+    /// Number of the change up to which the edge node was sent the workers; `None` if it needs the full list.
     workers_change: Option<u64>,
-    /// Its edge directory is as of this change; `None`: it needs all.
+    /// Number of the change up to which the edge node was sent the edge directory; `None` if it needs all of it.
     directory_change: Option<u64>,
     divergence: WorkersDivergence,
 }
 
-/// The pace at which edge nodes are sent what is large.
+/// Rate limits for large messages to edge nodes.
 #[derive(Default)]
 pub(super) struct TransferPacing {
-    /// Bytes of full state that may still be sent in this tick; below 0 after a larger one.
+    /// Bytes of full state that may still be sent in this tick. Negative after a state larger than the budget.
     full_state_budget: f64,
     /// Estimated bytes in flight on all connections.
     bytes_in_flight: usize,
-    /// The connection that was last sent the edge directory: the next one goes on from here.
+    /// The connection that was last sent the edge directory; the next round of sending starts after it.
     last_directory_conn: ConnectionId,
     /// Bytes of the edge directory that may still be sent in this tick.
     directory_budget: f64,
 }
 
-/// What this node may send at a moment.
+/// What this node may send to edge nodes at present.
 #[derive(Clone, Copy, Debug)]
 struct SendPermissions {
-    /// Full states.
+    /// Whether full states may be sent.
     full_state: bool,
-    /// Differences of the workers.
+    /// Whether differences of the workers may be sent.
     worker_updates: bool,
-    /// Bytes of differences that may be in flight to one edge node.
+    /// Limit for the bytes of differences in flight to one edge node.
     window_bytes: usize,
 }
 
 impl CoreNode {
-    /// A node identified itself on a connection that it opened.
+    /// Opens the session of a node that has identified itself on its connection.
     pub(super) fn open_session(
         &mut self,
         now: f64,
@@ -161,8 +160,7 @@
             incarnation,
             core_ip,
             window: InFlightWindow::default(),
-            // Comes with its first ping.
-            held: None,
+            reported: None,
             has_config: false,
             stale_pings: 0,
             workers_change: None,
@@ -172,7 +170,7 @@
         self.sessions.insert(conn, session);
     }
 
-    /// Counts messages that are sent on connections which others opened.
+    /// Counts the messages among these effects that go to sessions, for flow control.
     pub(super) fn record_sent(&mut self, effects: &[Effect]) {
         for effect in effects {
             let Effect::SendToSession(conn, msg) = effect else { continue };
@@ -182,8 +180,8 @@
         }
     }
 
-    fn held_here(&self) -> HeldState {
-        HeldState {
+    fn local_version(&self) -> StateVersion {
+        StateVersion {
             config_index: self.configuration.state.last_change_index(),
             workers_digest: self.membership.registry.digest(),
         }
@@ -198,40 +196,40 @@
         SendPermissions {
             full_state,
             worker_updates: has_majority,
-            window_bytes: window_bytes.max(MIN_DIFFERENCES_IN_FLIGHT_BYTES),
+            window_bytes: window_bytes.max(MIN_WINDOW_BYTES),
         }
     }
 
-    /// A ping: an edge node is sent what it lacks, and a pong; a core node the local digests.
+    /// Handles a ping. An edge node is sent the state that it lacks, and a pong; a core node is sent the local digests.
     pub(super) fn handle_ping(
         &mut self,
         now: f64,
         conn: ConnectionId,
-        held: HeldState,
+        reported: StateVersion,
         received: u64,
         out: &mut Vec<Effect>,
     ) {
-        let here = self.held_here();
+        let local = self.local_version();
         let permissions = self.send_permissions(now);
         let Some(session) = self.sessions.get_mut(&conn) else { return };
         if session.core_ip.is_some() {
-            let HeldState { config_index, workers_digest } = here;
+            let StateVersion { config_index, workers_digest } = local;
             let ping = PeerMessage::Ping { config_index, workers_digest, received: 0 };
             return out.push(Effect::SendToSession(conn, ping));
         }
         session.window.acknowledge(received);
-        session.held = Some(held);
-        session.detect_lost_configuration(here.config_index, held.config_index, permissions);
-        session.divergence.observe(now, here.workers_digest ^ held.workers_digest);
-        let knows_all_workers = permissions.full_state && self.membership.is_complete(now);
-        if knows_all_workers {
+        session.reported = Some(reported);
+        session.detect_lost_configuration(local.config_index, reported.config_index, permissions);
+        session.divergence.observe(now, local.workers_digest ^ reported.workers_digest);
+        let has_all_workers = permissions.full_state && self.membership.is_complete(now);
+        if has_all_workers {
             self.resend_diverged_workers(now, conn, permissions, out);
         }
         self.send_missing(conn, permissions, out);
-        out.push(Effect::SendToSession(conn, self.pong(now, conn, knows_all_workers)));
+        out.push(Effect::SendToSession(conn, self.pong(now, conn, has_all_workers)));
     }
 
-    /// Sends an edge node all workers, complete, if those that it holds have diverged.
+    /// Sends an edge node a complete worker list if the workers that it holds have diverged.
     fn resend_diverged_workers(
         &mut self,
         now: f64,
@@ -241,10 +239,10 @@
     ) {
         let last_change = self.membership.last_change();
         let Some(session) = self.sessions.get_mut(&conn) else { return };
-        let has_all_updates =
+        let edge_has_all_updates =
             session.window.are_workers_acknowledged() && session.workers_change == Some(last_change);
-        if has_all_updates
-            && session.divergence.is_lasting(now)
+        if edge_has_all_updates
+            && session.divergence.is_persistent(now)
             && session.divergence.is_resend_due(now)
             && session.window.has_room_for_full_state(permissions.window_bytes)
         {
@@ -255,8 +253,8 @@
         }
     }
 
-    /// The answer to an edge node's ping. `knows_all_workers`: every live worker is known here.
-    fn pong(&self, now: f64, conn: ConnectionId, knows_all_workers: bool) -> PeerMessage {
+    /// Builds the response to an edge node's ping. `has_all_workers` says whether this node knows every live worker.
+    fn pong(&self, now: f64, conn: ConnectionId, has_all_workers: bool) -> PeerMessage {
         let is_starting = now - self.context.started < EDGE_COUNT_DELAY_SECS;
         let ms = self.context.log_time(now);
         let quota_leader = match self.raft.leader(ms) {
@@ -264,28 +262,29 @@
             leader => leader.map(|l| l.ip),
         };
         let last_change = self.membership.last_change();
-        let was_sent_all = self.sessions.get(&conn).is_some_and(|s| s.workers_change == Some(last_change));
+        let sent_all_workers =
+            self.sessions.get(&conn).is_some_and(|s| s.workers_change == Some(last_change));
         PeerMessage::Pong {
             quota_leader,
             edge_count: if is_starting { 0 } else { self.edges.count() as u32 },
             core_count: self.context.voters.len() as u32,
-            workers_complete: knows_all_workers && was_sent_all,
+            workers_complete: has_all_workers && sent_all_workers,
         }
     }
 
-    /// Sends an edge node the configuration and the workers that it lacks, as far as its connection has room.
+    /// Sends an edge node the configuration and the workers that it lacks, as far as its window has room.
     fn send_missing(&mut self, conn: ConnectionId, permissions: SendPermissions, out: &mut Vec<Effect>) {
-        let (here, last_change) = (self.held_here(), self.membership.last_change());
+        let (local, last_change) = (self.local_version(), self.membership.last_change());
         let Some(session) = self.sessions.get_mut(&conn) else { return };
-        let Some(held) = session.held else { return };
+        let Some(reported) = session.reported else { return };
         if permissions.full_state {
-            // One that reconnected continues from what it holds.
-            session.has_config |= held.config_index >= here.config_index;
-            let is_current = held.workers_digest == here.workers_digest;
+            // A reconnected edge node that holds the current state needs differences only.
+            session.has_config |= reported.config_index >= local.config_index;
+            let is_current = reported.workers_digest == local.workers_digest;
             session.workers_change = session.workers_change.or_else(|| is_current.then_some(last_change));
         }
         if let Some(known) = session.outdated_workers(last_change, permissions) {
-            // Without a difference it needs all of them.
+            // If the difference is no longer known, the edge node needs the full list.
             let updates = self.membership.changed_since(known);
             session.workers_change = updates.is_some().then_some(last_change);
             out.extend(
@@ -303,7 +302,7 @@
         }
     }
 
-    /// Sends an edge node the full configuration, the full list of workers, or both: what it has not.
+    /// Sends an edge node the full configuration, the full list of workers, or both, whichever it lacks.
     fn send_full_state(&mut self, conn: ConnectionId, out: &mut Vec<Effect>) {
         let last_change = self.membership.last_change();
         let Some(session) = self.sessions.get_mut(&conn) else { return };
@@ -319,7 +318,7 @@
         }
         if session.workers_change.is_none() {
             session.workers_change = Some(last_change);
-            // A live worker that is not among them may be known elsewhere: the edge node keeps it.
+            // Another core node may know live workers that are not listed, so the edge node must keep those.
             let workers = self.membership.registry.workers().cloned().collect();
             messages.push(PeerMessage::WorkerSnapshot { workers, complete: false });
         }
@@ -329,13 +328,13 @@
         out.extend(messages.into_iter().map(|msg| Effect::SendToSession(conn, msg)));
     }
 
-    /// Sends changed workers to every edge node that lacks them and has room.
+    /// Sends changed workers to every edge node that lacks them and whose window has room.
     pub(super) fn send_worker_updates(&mut self, now: f64, out: &mut Vec<Effect>) {
         let (permissions, last_change) = (self.send_permissions(now), self.membership.last_change());
         if !permissions.worker_updates {
             return;
         }
-        // By the change that an edge node knows; most know the same.
+        // Differences by the change up to which an edge node has the workers. Most have the same, so few are computed.
         let mut differences: BTreeMap<u64, Option<Vec<Worker>>> = BTreeMap::new();
         for (conn, session) in &mut self.sessions {
             let Some(known) = session.outdated_workers(last_change, permissions) else { continue };
@@ -349,7 +348,7 @@
         }
     }
 
-    /// Sends the change of a committed entry to every edge node that has the configuration before it. One whose
+    /// Sends the change of a committed entry to every edge node that has the preceding configuration. An edge node whose
     /// connection lags is sent the full configuration later.
     pub(super) fn send_config_update(
         &mut self,
@@ -368,7 +367,7 @@
         }
     }
 
-    /// This node installed a snapshot: every edge node here needs the full configuration.
+    /// Sends the full configuration to every edge node, because this node installed a snapshot and knows no difference.
     pub(super) fn resend_configuration(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.sessions.values_mut().for_each(|s| s.has_config = false);
         self.send_missing_to_all(now, out);
@@ -385,7 +384,7 @@
         }
     }
 
-    /// Periodic work: sends what could not be sent before, at its pace.
+    /// Periodic work: refills the send budgets, and sends what could not be sent before.
     pub(super) fn tick_sessions(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.edges.expire(now);
         let budget = FULL_STATE_BYTES_PER_SEC * TICK_SECS;
@@ -393,12 +392,12 @@
             (self.transfer_pacing.full_state_budget + budget).min(budget);
         self.transfer_pacing.bytes_in_flight =
             self.sessions.values().map(|s| s.window.bytes_in_flight()).sum();
-        // For edge nodes that connected without contact with a majority, or whose connections lagged.
+        // Covers edge nodes that connected while this node had no contact with a majority, or whose connections lagged.
         self.send_missing_to_all(now, out);
         self.send_directory(now, out);
     }
 
-    /// Sends each edge node the changes of the edge directory, in turn and within the budget.
+    /// Sends edge nodes the changes of the edge directory in round-robin order, as far as the budget allows.
     fn send_directory(&mut self, now: f64, out: &mut Vec<Effect>) {
         let budget = DIRECTORY_BYTES_PER_SEC * TICK_SECS;
         self.transfer_pacing.directory_budget = (self.transfer_pacing.directory_budget + budget).min(budget);
@@ -407,10 +406,10 @@
         let lacks_changes = |s: &PeerSession| {
             s.is_edge() && s.directory_change != Some(last_change) && s.window.has_room(window_bytes)
         };
-        let in_turn = self.sessions.range(from + 1..).chain(self.sessions.range(..=from));
-        let in_turn: Vec<ConnectionId> =
-            in_turn.filter(|(_, s)| lacks_changes(s)).map(|(conn, _)| *conn).collect();
-        for conn in in_turn {
+        let round_robin = self.sessions.range(from + 1..).chain(self.sessions.range(..=from));
+        let round_robin: Vec<ConnectionId> =
+            round_robin.filter(|(_, s)| lacks_changes(s)).map(|(conn, _)| *conn).collect();
+        for conn in round_robin {
             if self.transfer_pacing.directory_budget <= 0.0 {
                 return;
             }
@@ -429,11 +428,12 @@
         self.core_ip.is_none()
     }
 
-    /// Notices that an update was lost: the edge node keeps reporting an older configuration than was sent, with no
-    /// full state on its way.
-    fn detect_lost_configuration(&mut self, here: u64, held: u64, permissions: SendPermissions) {
-        let is_stale =
-            self.has_config && held < here && self.window.has_room_for_full_state(permissions.window_bytes);
+    /// Detects that an update was lost: the edge node keeps reporting an older configuration than was sent, although no
+    /// full state is in flight. `local` and `reported` are the configuration indexes of this node and of the edge node.
+    fn detect_lost_configuration(&mut self, local: u64, reported: u64, permissions: SendPermissions) {
+        let is_stale = self.has_config
+            && reported < local
+            && self.window.has_room_for_full_state(permissions.window_bytes);
         self.stale_pings = if is_stale { self.stale_pings + 1 } else { 0 };
         if self.stale_pings >= STALE_PINGS_BEFORE_RESEND {
             tracing::info!(edge = self.node, "resending full configuration to edge");
@@ -441,7 +441,7 @@
         }
     }
 
-    /// The change up to which it knows the workers, if it lacks later ones that may be sent now.
+    /// The change up to which the edge node has the workers, if it lacks later ones and they may be sent now.
     fn outdated_workers(&self, last_change: u64, permissions: SendPermissions) -> Option<u64> {
         self.workers_change.filter(|known| {
             *known < last_change
--- a/crates/gateway/src/control_plane/event_journal.rs
+++ b/crates/gateway/src/control_plane/event_journal.rs
@@ -1,5 +1,5 @@
-//! The core node's event journal: the latest events in memory, in the order in which they happened, for `GET
-//! /whinstall/journal`. It is for diagnosis only; nothing is decided by it, and it is bounded by `MAX_EVENTS`.
+//! The event journal of a core node: the latest `MAX_EVENTS` events in memory, in the order in which they happened, for
+//! `GET /whinstall/journal`. The journal is for diagnosis only; no decision of the system depends on it.
 
 use super::configuration_service::WaitStage;
 use crate::configuration::ConfigItem;
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::collections::VecDeque;
 
-/// How many events are kept; older ones are dropped.
+/// Number of events that are kept; older ones are dropped.
 pub(crate) const MAX_EVENTS: usize = 2000;
 
 /// An event at this node.
@@ -24,27 +24,27 @@
         /// Core nodes that had it on their disks.
         copies: usize,
     },
-    /// A call timed out while it waited for this.
+    /// A call timed out at this stage.
     TimedOut(WaitStage),
-    /// This node took the quota lease, or lost it.
+    /// This node acquired the quota lease, or lost it.
     QuotaLease {
-        /// Whether it holds the lease from now on.
+        /// Whether this node holds the lease from now on.
         is_held: bool,
     },
     /// This node installed a leader's snapshot.
     SnapshotInstalled,
     /// This node became the leader of the log, or lost leadership.
     Leadership {
-        /// Whether it leads from now on.
+        /// Whether this node is the leader from now on.
         is_leader: bool,
-        /// The present term.
+        /// The current term.
         term: u64,
     },
-    /// The log's voters changed to these, as address/disk.
+    /// The voters of the log changed to these, each as address/disk.
     Voters(Vec<String>),
-    /// The process did not run for a while.
+    /// The process was suspended.
     Suspended {
-        /// Seconds between the two ticks around the gap.
+        /// Seconds between the ticks before and after the suspension.
         secs: f64,
     },
 }
@@ -70,7 +70,7 @@
     }
 }
 
-/// The phase as the operators' interface spells it.
+/// Name of a phase in the operators' interface.
 fn phase_name(phase: WorkerPhase) -> &'static str {
     match phase {
         WorkerPhase::Serving => "settled",
@@ -81,9 +81,9 @@
 }
 
 struct JournalEntry {
-    /// Numbered from 1 in the order of appending.
+    /// Sequence number, from 1 in the order of appending.
     number: u64,
-    /// When it was appended, in seconds of the event clock.
+    /// Time of the event, in seconds of the event clock.
     at: f64,
     event: JournalEvent,
 }
@@ -92,7 +92,7 @@
 #[derive(Default)]
 pub struct EventJournal {
     entries: VecDeque<JournalEntry>,
-    /// Events ever appended, the dropped ones too.
+    /// Number of events appended so far, including dropped ones.
     appended: u64,
 }
 
@@ -106,23 +106,24 @@
         }
     }
 
-    /// Merges a worker into the registry, and appends it if that changed the registry: mere signs of life are not
-    /// recorded. `keep_secs` is how long the registry remembers a worker that has left or is unresponsive.
+    /// Merges a worker into the registry, and appends an event if that changed the worker's entry. Heartbeats of an
+    /// unchanged worker cause no event. `retention_secs` is the time for which the registry keeps a worker that has
+    /// departed or is unresponsive.
     pub fn merge_worker(
         &mut self,
         now: f64,
         worker: Worker,
         registry: &mut WorkerRegistry,
-        keep_secs: f64,
+        retention_secs: f64,
     ) -> MergeOutcome {
-        let outcome = registry.merge(now, worker.clone(), keep_secs);
+        let outcome = registry.merge(now, worker.clone(), retention_secs);
         if outcome == MergeOutcome::Changed {
             self.append(now, JournalEvent::Worker(worker));
         }
         outcome
     }
 
-    /// The journal as JSON, with each event's age in seconds, rounded to milliseconds.
+    /// The journal as JSON. The age of each event is in seconds, rounded to milliseconds.
     pub fn render(&self, now: f64) -> Value {
         let render_entry = |entry: &JournalEntry| {
             let mut rendered = entry.event.render();
--- a/crates/gateway/src/control_plane/events.rs
+++ b/crates/gateway/src/control_plane/events.rs
@@ -1,5 +1,5 @@
 //! Inputs and outputs of the core role's state machine. [`CoreNode::handle`](super::CoreNode::handle) takes one
-//! [`Event`] and appends the [`Effect`]s that the driver has to carry out, in that order.
+//! [`Event`] and appends the [`Effect`]s that the driver has to perform, in order.
 
 use crate::configuration::ConfigItem;
 use crate::discovery::Worker;
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::net::IpAddr;
 
-/// An inbound connection: one that an edge or another core node opened to this process.
+/// An inbound connection: one that an edge node or another core node opened to this process.
 pub type ConnectionId = u64;
 /// An HTTP call of a worker or an operator that awaits its response.
 pub type CallId = u64;
@@ -16,61 +16,61 @@
 /// A decoded call of a worker or an operator.
 #[derive(Clone, Debug)]
 pub enum ApiCommand {
-    /// A worker's heartbeat, with its present state.
+    /// A worker's heartbeat, with the worker's current state.
     Heartbeat(Worker),
-    /// The worker with this id has left.
+    /// The worker with this id has departed.
     Departure(String),
     /// Change these configuration items.
     Amend(Vec<ConfigItem>),
-    /// A configuration change whose body can't be decoded, with the reason. The rejection goes through the leader like
-    /// any other, so a node without a quorum rejects nothing.
+    /// A configuration change whose body can't be decoded, with the reason. The leader issues the rejection as it does any
+    /// other, so a node without a quorum rejects nothing.
     InvalidChange(String),
-    /// Any other call that can't be decoded, with the reason. Rejected only by a node in contact with a quorum.
+    /// Any other call that can't be decoded, with the reason. Only a node in contact with a quorum rejects such a call.
     Malformed(String),
     /// Read the configuration, linearizably.
     Read,
     /// Read this node's event journal.
     Journal,
-    /// Read this node's view of the cluster: members, leader, progress.
+    /// Read this node's status report: members, leader, replication progress.
     Status,
 }
 
 /// An input of the state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed: expected every [`TICK_SECS`](super::TICK_SECS).
+    /// The periodic timer fired; expected every [`TICK_SECS`](super::TICK_SECS).
     Tick,
     /// The outbound connection to this core node is established.
     LinkUp(IpAddr),
     /// The outbound connection to this core node is lost.
     LinkDown(IpAddr),
-    /// A core node sent this on the connection that this process opened to it.
+    /// A core node sent this message on the connection that this process opened to it.
     PeerMessage(IpAddr, PeerMessage),
-    /// An edge or core node sent this on a connection that it opened.
+    /// An edge node or core node sent this message on a connection that it opened.
     SessionMessage(ConnectionId, PeerMessage),
-    /// The other end closed that connection.
+    /// The other end closed this inbound connection.
     SessionClosed(ConnectionId),
-    /// A worker or an operator calls.
+    /// A worker or an operator made an API call.
     ApiCall(CallId, ApiCommand),
-    /// The write batch with this number is synced, and so are all before it.
+    /// The write batch with this number and all earlier ones are synced.
     Persisted(u64),
-    /// The process is asked to end: hand over leadership, announce the departure.
+    /// The process is asked to end: transfer leadership and announce the departure.
     Shutdown,
 }
 
 /// An output of the state machine.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Keep a connection to this core node open from now on, reconnecting as needed.
+    /// Open a connection to this core node, and reconnect as needed from now on.
     Connect(IpAddr),
-    /// Close that connection for good.
+    /// Close the connection to this core node for good.
     Disconnect(IpAddr),
-    /// Send on the outbound connection to this core node.
+    /// Send a message on the outbound connection to this core node.
     SendToPeer(IpAddr, PeerMessage),
-    /// Send on this inbound connection.
+    /// Send a message on this inbound connection.
     SendToSession(ConnectionId, PeerMessage),
-    /// Respond to a call with this HTTP status and JSON body.
+    /// Respond to an API call with this HTTP status and JSON body.
     Respond(CallId, u16, Value),
-    /// Write and sync; batches in the order in which they were put out.
+    /// Write and sync this batch. Batches must become durable in the order of these effects.
     Persist(WriteBatch),
 }
--- a/crates/gateway/src/control_plane/in_flight_window.rs
+++ b/crates/gateway/src/control_plane/in_flight_window.rs
@@ -1,40 +1,41 @@
-//! Application-level flow control of one connection to an edge node: which messages are sent and not yet acknowledged.
+//! Application-level flow control of one connection to an edge node: tracks the messages that are sent and not yet
+//! acknowledged.
 //!
-//! The receiver reports in each ping how many messages it has received on the connection; both sides count from its
-//! start. A connection that lags is sent nothing more until it has caught up, so a slow reader cannot fill the sender's
-//! memory.
+//! In each ping the receiver reports how many messages it has received on the connection; both sides count from the
+//! start of the connection. A connection that lags is sent nothing until it has caught up, so a slow reader can't fill
+//! the sender's memory.
 
 use crate::protocol::PeerMessage;
 use std::collections::VecDeque;
 
-/// Estimated bytes of one configuration item on the wire.
+/// Estimated encoded size of one configuration item.
 const CONFIG_ITEM_BYTES: usize = 200;
-/// Estimated bytes of one worker on the wire.
+/// Estimated encoded size of one worker.
 const WORKER_BYTES: usize = 100;
-/// Estimated bytes of one edge node's address on the wire.
+/// Estimated encoded size of one edge node's address.
 const EDGE_ADDRESS_BYTES: usize = 12;
 
 /// A message in flight that counts towards the window.
 #[derive(Clone, Debug)]
 struct InFlightMessage {
-    /// Its position among the messages sent on the connection, from 1.
+    /// Position among the messages sent on the connection, from 1.
     number: u64,
-    /// Estimated size.
+    /// Estimated encoded size.
     bytes: usize,
-    /// Whether it carries full state; otherwise a difference.
+    /// Whether the message carries full state; otherwise it carries a difference.
     is_full_state: bool,
 }
 
 /// The messages in flight on one connection.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightWindow {
-    /// Messages sent.
+    /// Number of messages sent.
     sent: u64,
-    /// Messages that the receiver reported as received.
+    /// Number of messages that the receiver reported as received.
     acknowledged: u64,
     /// Number of the last message that carried workers.
     last_workers_message: u64,
-    /// In the order of sending; messages of negligible size are left out.
+    /// Messages in flight in the order of sending, without those of negligible size.
     in_flight: VecDeque<InFlightMessage>,
 }
 
@@ -70,8 +71,8 @@
         }
     }
 
-    /// The receiver has received this many messages since the connection started. A count beyond what was sent is taken
-    /// for all.
+    /// Handles the receiver's report that it has received this many messages since the start of the connection. A count
+    /// above the number of sent messages acknowledges all of them.
     pub fn acknowledge(&mut self, received: u64) {
         self.acknowledged = received.min(self.sent);
         while self.in_flight.front().is_some_and(|m| m.number <= self.acknowledged) {
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -1,14 +1,16 @@
-//! The core role (control plane) as one deterministic state machine: events in, effects out, with time passed in as
+//! The core role (control plane) as one deterministic state machine: events in, effects out. The time is passed in, as
 //! seconds of a monotonic clock.
 //!
-//! One replicated log orders configuration changes, the membership of the core and the recorded quota ceilings
-//! ([`configuration_service`], `replicated_log`, [`quota_lease`]). Workers spread between core nodes by gossip, without
-//! waiting for a disk ([`worker_membership`]). Edges are sent what they lack (`edge_sessions`).
+//! One replicated log orders configuration changes, changes of the core's membership and records of share ceilings
+//! ([`configuration_service`], `replicated_log`, [`quota_lease`]). Reports of workers spread between core nodes by
+//! gossip, without waiting for a disk ([`worker_membership`]). Edge nodes are sent the state that they lack
+//! (`edge_sessions`).
 //!
 //! Invariants:
-//! - Nothing is acknowledged before enough disks hold it to survive the losses that the settings tolerate.
-//! - A node without contact to a majority neither answers for workers nor sends a complete configuration: a starting
-//!   edge would take stale state for the newest.
+//! - A call is acknowledged only once enough core nodes hold its change to survive the losses that the settings
+//!   tolerate: a configuration change on their disks, a worker's shutdown in their memory.
+//! - A node without contact with a majority neither accepts workers' calls nor sends a full configuration. An edge node
+//!   that has just started would take a stale configuration for the newest.
 
 mod api_calls;
 mod change_tracker;
@@ -56,46 +58,48 @@
 /// Decodes the configuration in a snapshot of the log.
 ///
 /// # Errors
-/// The bytes are no snapshot, or one of another release.
+/// The bytes are not a snapshot, or the snapshot comes from an unknown release.
 pub fn decode_snapshot_config(data: &[u8]) -> Result<ConfigState, SnapshotError> {
     Ok(snapshot::decode(data)?.config)
 }
 
 /// The state of a core node.
 pub struct CoreNode {
-    /// What all parts share: identity, settings, known core nodes, the present time.
+    /// State that all parts of the core role share: identity, settings, known core nodes, the current time.
     pub context: CoreContext,
     /// The replicated log.
     pub raft: Raft<LogCommand>,
     /// Operators' calls and the configuration that is applied here.
     pub configuration: ConfigurationService,
-    /// Workers.
+    /// The workers, as this node knows them.
     pub membership: WorkerMembership,
     /// The quota counter, while this node holds its lease.
     pub quota_lease: QuotaLease,
-    /// The quota ceilings as of the last applied entry.
+    /// The share ceilings recorded up to the last applied entry; `None` before the first record.
     recorded_ceilings: Option<Arc<ShareCeilings>>,
     log_driver: LogDriver,
-    /// Inbound connections that have introduced themselves.
+    /// Inbound connections whose node has identified itself.
     sessions: BTreeMap<ConnectionId, PeerSession>,
-    /// The core nodes that sessions were sent last.
+    /// The core nodes that were last sent to the sessions.
     advertised: Vec<NodeLocation>,
     edges: EdgeDirectory,
     transfer_pacing: TransferPacing,
     /// Core nodes to which an outbound connection is up.
     connected_peers: BTreeSet<IpAddr>,
     member_states: MemberStates,
-    /// Times of the latest periodic work, in seconds of the event clock.
+    /// Time of the last tick, in seconds of the event clock.
     last_tick: f64,
+    /// Time of the last pings to the other core nodes, in seconds of the event clock.
     last_ping: f64,
+    /// Time of the last removal of stale core nodes, in seconds of the event clock.
     last_cleanup: f64,
-    /// Set when this node can't go on: a leader sent a snapshot that this release can't decode. The driver ends the
-    /// process.
+    /// Set once this node can't continue, because a leader sent a snapshot that this release can't decode. The driver
+    /// then ends the process.
     pub fatal_error: Option<SnapshotError>,
 }
 
 impl CoreNode {
-    /// Starts at `now` with what the disk holds.
+    /// Creates a core node at `now` from the state that was loaded from its disk.
     ///
     /// # Errors
     /// The snapshot on the disk can't be decoded.
@@ -134,8 +138,8 @@
             fatal_error: None,
             context,
         };
-        // First start of the whole system: each seed bootstraps the log with disk 0 of every seed. A seed that crashed
-        // before this was synced does so again, although its settings no longer say that this is the first start.
+        // At the first start of the system each seed bootstraps the log with disk 0 of every seed. A seed that crashed
+        // before the bootstrap was synced repeats it, although its settings no longer say that this is the first start.
         let settings = &core.context.settings;
         if has_no_log && loaded.disk_id == 0 && settings.is_seed() {
             let seeds = settings.seeds.iter().map(|s| NodeId { ip: s.ip(), disk: 0 }).collect();
@@ -144,7 +148,7 @@
         Ok(core)
     }
 
-    /// Puts out the first effects: connections to the known core nodes, and what the log wants.
+    /// Appends the first effects to `out`: connections to the known core nodes, and the first outputs of the log.
     pub fn start(&mut self, out: &mut Vec<Effect>) {
         out.extend(self.context.peers().into_iter().map(Effect::Connect));
         self.process_raft_outputs(self.context.now, out);
@@ -174,7 +178,8 @@
         }
     }
 
-    /// Gives up the quota lease, hands over leadership, and lets the others do without this node's vote.
+    /// Releases the quota lease, transfers leadership, and announces that this node leaves, so that the leader can remove
+    /// it from the voters.
     fn shut_down(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.quota_lease.release();
         let log_time = self.context.log_time(now);
@@ -183,12 +188,12 @@
         self.announce_leave(out);
     }
 
-    /// Whether this node leads and there is another voter that could take over.
+    /// Whether this node is the leader and another voter could take over.
     pub fn has_leadership_to_transfer(&self) -> bool {
         self.raft.is_leader() && self.context.voters.len() > 1
     }
 
-    /// The term of the leader's lease that this node holds, if it holds one.
+    /// The term in which this node holds the leader lease; `None` if it holds none.
     fn leased_term(&self, now: f64) -> Option<Term> {
         self.raft.holds_lease(self.context.log_time(now)).then(|| self.raft.term())
     }
--- a/crates/gateway/src/control_plane/peer_messages.rs
+++ b/crates/gateway/src/control_plane/peer_messages.rs
@@ -1,8 +1,8 @@
-//! Messages of other nodes: from core nodes on the connections that this process opened, and from edges and core nodes
-//! on the connections that they opened. Consensus messages are passed on to `replicated_log`,
-//! an edge's state to `edge_sessions`.
+//! Messages of other nodes: from core nodes on the connections that this process opened, and from edge nodes and core
+//! nodes on the connections that they opened. Consensus messages go to `replicated_log`, pings of edge nodes to
+//! `edge_sessions`.
 
-use super::edge_sessions::HeldState;
+use super::edge_sessions::StateVersion;
 use super::quota_counter::EdgeIdentity;
 use super::worker_membership::MergedWorkers;
 use super::{tenant_limit, ConnectionId, CoreNode, Effect};
@@ -14,8 +14,8 @@
 use std::net::IpAddr;
 
 impl CoreNode {
-    /// The outbound connection to a core node is up: introduce this node, then send the core nodes and workers known
-    /// here.
+    /// Handles the establishment of an outbound connection to a core node: identifies this node, then sends the core
+    /// nodes and the workers that this node knows.
     pub(super) fn handle_link_up(&mut self, ip: IpAddr, out: &mut Vec<Effect>) {
         self.connected_peers.insert(ip);
         let hello = PeerMessage::Hello {
@@ -37,7 +37,7 @@
         self.connected_peers.remove(&ip);
     }
 
-    /// A core node's message on the connection that this process opened to it.
+    /// Handles a core node's message on the connection that this process opened to it.
     pub(super) fn handle_peer_message(
         &mut self,
         now: f64,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Anti-entropy between core nodes: a peer whose registry keeps differing is sent all workers.
+    /// Anti-entropy between core nodes: sends all workers to a peer whose registry keeps differing from the local one.
     fn compare_workers(&mut self, now: f64, ip: IpAddr, peer_digest: u64, out: &mut Vec<Effect>) {
         if self.membership.should_resend_all(now, ip, peer_digest) {
             let workers = self.membership.registry.workers().cloned().collect();
@@ -67,7 +67,8 @@
         }
     }
 
-    /// A message on a connection that an edge or another core node opened. Everything before its `Hello` is dropped.
+    /// Handles a message on a connection that an edge node or another core node opened. Messages before the `Hello` of
+    /// the connection are dropped.
     pub(super) fn handle_session_message(
         &mut self,
         now: f64,
@@ -105,10 +106,10 @@
                 self.merge_relayed_workers(now, workers, out);
                 out.push(Effect::SendToSession(conn, PeerMessage::WorkersReplicated { request_id }));
             }
-            // A worker that is unknown here is skipped: the digests then differ, and anti-entropy brings it.
+            // A worker that is unknown here is skipped. The digests differ then, and anti-entropy transfers the worker.
             PeerMessage::Heartbeats(heartbeats) => self.membership.record_peer_heartbeats(now, &heartbeats),
             PeerMessage::Ping { config_index, workers_digest, received } => {
-                self.handle_ping(now, conn, HeldState { config_index, workers_digest }, received, out)
+                self.handle_ping(now, conn, StateVersion { config_index, workers_digest }, received, out)
             }
             PeerMessage::QuotaSync { request_id, term, usage } => {
                 let edge = EdgeIdentity { node: &session.node, incarnation: session.incarnation };
@@ -119,18 +120,18 @@
         }
     }
 
-    /// Counts an edge's usage; the response grants nothing unless this node holds the quota lease.
+    /// Accounts an edge node's usage, and returns the response. Without the quota lease the response has no grants.
     fn sync_quota(
         &mut self,
         now: f64,
         request_id: u64,
         edge: EdgeIdentity,
-        known_term: Term,
+        seen_term: Term,
         usage: &[TenantUsage],
     ) -> PeerMessage {
         let lease = self.leased_term(now);
         let limits = |tenant: &str| tenant_limit(&self.configuration.state, tenant);
-        let grants = self.quota_lease.sync(now, lease, edge, known_term, usage, &limits);
+        let grants = self.quota_lease.sync(now, lease, edge, seen_term, usage, &limits);
         PeerMessage::QuotaGrants {
             request_id,
             term: self.raft.term(),
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Takes note of core nodes; connects to new ones, and passes on what sessions have not been told yet.
+    /// Adds core nodes to the known ones, connects to new ones, and advertises the changed list to the sessions.
     pub(super) fn learn_core_nodes(&mut self, nodes: Vec<NodeLocation>, out: &mut Vec<Effect>) {
         let mut has_changed = false;
         for node in nodes {
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Sends the core nodes to every session if they differ from those sent last. A node that is only known by hearsay
-    /// is not among them, so that an address without a core node doesn't spread.
+    /// Sends the advertised core nodes to every session if they differ from those sent last. A node that is known only
+    /// from others is not advertised, so that an address without a core node doesn't spread.
     pub(super) fn advertise_core_nodes(&mut self, out: &mut Vec<Effect>) {
         let nodes = self.context.advertised_nodes();
         if nodes != self.advertised {
@@ -168,21 +169,21 @@
         }
     }
 
-    /// A worker that called this node: edges and the other core nodes learn what changed.
+    /// Merges the report of a worker that called this node. Changes are sent to edge nodes and to the other core nodes.
     pub(super) fn merge_reported_worker(&mut self, now: f64, worker: Worker, out: &mut Vec<Effect>) {
         let MergedWorkers { changed, .. } = self.merge_workers(now, vec![worker], out);
         self.send_worker_updates_to_peers(&changed, out);
     }
 
-    /// Workers that another core node sent: edges learn what changed. The core nodes learn only of workers that the
-    /// sender holds as unresponsive although this node has heard of them since.
+    /// Merges workers that another core node sent. Changes are sent to edge nodes. The core nodes are sent only those
+    /// workers that the sender reported as unresponsive although this node has a later report.
     fn merge_relayed_workers(&mut self, now: f64, workers: Vec<Worker>, out: &mut Vec<Effect>) {
         let MergedWorkers { contested, .. } = self.merge_workers(now, workers, out);
         self.send_worker_updates_to_peers(&contested, out);
     }
 
-    /// Merges workers into the registry, persists what changed and sends it to the edges. Returns what changed, and
-    /// what the sender wrongly holds as unresponsive.
+    /// Merges workers into the registry, persists the changes and sends them to edge nodes. Returns the changes, and the
+    /// workers that the sender wrongly holds as unresponsive.
     fn merge_workers(&mut self, now: f64, workers: Vec<Worker>, out: &mut Vec<Effect>) -> MergedWorkers {
         let merged = self.membership.merge(now, workers, &mut self.context.journal);
         self.persist_workers(&merged.changed, out);
@@ -201,8 +202,8 @@
         }
     }
 
-    /// Persists workers without waiting for the sync: after a power loss the node starts with as many as were synced,
-    /// and heartbeats and peers bring the rest.
+    /// Persists workers without waiting for the sync. After a power loss the node starts with the workers that were
+    /// synced, and gets the others from heartbeats and peers.
     pub(super) fn persist_workers(&mut self, workers: &[Worker], out: &mut Vec<Effect>) {
         if !workers.is_empty() {
             let number = self.context.next_id();
--- a/crates/gateway/src/control_plane/quota_counter/ceiling_record.rs
+++ b/crates/gateway/src/control_plane/quota_counter/ceiling_record.rs
@@ -1,43 +1,44 @@
-//! Which share ceilings the core has stored, and what the next record has to say.
+//! Records of share ceilings: what the replicated log has committed, and the content of the next record.
 //!
-//! A standing share rises only up to its committed ceiling, the one that a majority of the core has stored, so that the
-//! next leader knows of every share that may be spent.
+//! A standing share rises only up to its committed ceiling, which a majority of the core has stored. The next leader
+//! therefore knows an upper bound for every share that may be spent.
 
 use super::{QuotaCounter, TenantId};
 use crate::protocol::{EdgeCeilings, ShareCeilings, TenantCeiling};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Ceilings, by edge node and tenant.
+/// Keys of ceilings: edge node and tenant.
 pub type CeilingKeys = BTreeSet<(Arc<str>, TenantId)>;
 
-/// How far the ceilings are recorded.
+/// Progress of recording the ceilings in the log.
 #[derive(Clone, Debug, Default)]
 pub struct RecordProgress {
-    /// Sequence number of the last record; 0 before the first.
+    /// Sequence number of the last proposed record; 0 before the first.
     sequence: u64,
-    /// Ceilings in records that a majority may not have stored yet.
+    /// Ceilings in proposed records that may not be committed yet.
     uncommitted: CeilingKeys,
-    /// Ceilings that changed since the last record.
+    /// Ceilings that changed since the last proposed record.
     pub changed: CeilingKeys,
-    /// Edge nodes that ended since the last record.
+    /// Edge nodes that were removed since the last proposed record.
     pub ended_edges: BTreeSet<Arc<str>>,
 }
 
 impl QuotaCounter {
-    /// Whether anything is to be recorded.
+    /// Whether the next record would differ from the last proposed one.
     pub fn has_unrecorded_changes(&self) -> bool {
         let record = &self.record;
         record.sequence == 0 || !record.changed.is_empty() || !record.ended_edges.is_empty()
     }
 
-    /// The next record of the ceilings, to be stored by a majority of the core and then confirmed by
-    /// [`QuotaCounter::record_committed`]. This leader's first record is full, later ones list what changed.
+    /// Returns the next record of the ceilings, for the caller to propose to the log. Once the record is committed the
+    /// caller calls [`QuotaCounter::record_committed`]. The first record of a leader is full; later ones list the
+    /// changes.
     pub fn next_record(&mut self) -> ShareCeilings {
         let is_full = self.record.sequence == 0;
         self.record.sequence += 1;
         let mut listed = std::mem::take(&mut self.record.changed);
-        // What an earlier record listed, and a majority may not have stored, is listed again.
+        // Ceilings of earlier records that may not be committed are listed again.
         listed.append(&mut self.record.uncommitted);
         if is_full {
             listed = self.all_ceilings();
@@ -65,8 +66,8 @@
         ShareCeilings { term: self.term, sequence: self.record.sequence, edges, is_full, ended_edges }
     }
 
-    /// A majority of the core has stored the record of this sequence number: shares may rise to its ceilings. Ignored
-    /// unless it is the last one.
+    /// The log has committed the record of this sequence number: shares may rise to its ceilings. Ignored for any record
+    /// but the last one, since a later record lists the uncommitted ceilings again.
     pub fn record_committed(&mut self, sequence: u64) {
         if sequence != self.record.sequence {
             return;
@@ -84,7 +85,7 @@
         keys.map(|(node, tenant)| (Arc::clone(node), tenant)).collect()
     }
 
-    /// A full record, as the first one would be.
+    /// A full record, like the first one of a leader.
     #[cfg(test)]
     pub fn full_record(&self) -> ShareCeilings {
         let mut copy = self.clone();
@@ -93,7 +94,7 @@
     }
 }
 
-/// The nearest `f32` that is not below `x`: a recorded ceiling must cover the share.
+/// Rounds `x` up to an `f32`: a recorded ceiling must not be below the share that it bounds.
 fn round_up(x: f64) -> f32 {
     let near = x as f32;
     if f64::from(near) < x {
--- a/crates/gateway/src/control_plane/quota_counter/grant.rs
+++ b/crates/gateway/src/control_plane/quota_counter/grant.rs
@@ -1,33 +1,34 @@
-//! What a sync changes for one edge node and tenant: its usage is accounted, then its grant and standing share are
-//! computed.
+//! One tenant's part of a sync: accounts the usage that an edge node reports, then computes its grant and its standing
+//! share.
 //!
-//! Grants are the edge node's fair part of the bucket, by demand. Standing shares aim at a part of the rate by demand,
-//! and are bounded by what other edge nodes hold and by the committed ceiling.
+//! A grant is a fraction of the bucket, in proportion to the edge node's demand. A standing share has a fraction of the
+//! rate, likewise by demand, as its target, and is bounded by what other edge nodes hold and by the committed ceiling.
 
 use super::allocation::{from_fixed_point, Allocation};
 use super::{QuotaCounter, TenantId};
 use crate::protocol::{TenantGrant, TenantLimit, TenantUsage};
 use std::sync::Arc;
 
-/// Every edge node is taken to have this demand beside its own, for tenants that arrive there next: requests a second.
+/// Demand, in requests per second, that is added to that of every edge node, so that a tenant's first requests at a node
+/// find units there.
 const MIN_DEMAND_PER_SEC: f64 = 0.3;
-/// Shares go by demand, with this part of the mean over edge nodes in contact added to each: demand at one node varies
-/// by chance.
-const EVEN_DEMAND_PART: f64 = 1.0;
-/// This part of the rate is left out of the shares aimed at, so that one can rise at once while others fall later.
-const UNSHARED_RATE_PART: f64 = 0.05;
-/// A grant covers an edge node's demand for this many sync intervals.
+/// Weight of the mean demand over the edge nodes in contact when the rate is split into standing shares. The mean evens
+/// out that the demand at a single node varies by chance.
+const MEAN_DEMAND_WEIGHT: f64 = 1.0;
+/// Fraction of the rate that the target shares leave unallocated, so that one share can rise before others fall.
+const UNALLOCATED_RATE_FRACTION: f64 = 0.05;
+/// Number of sync intervals for which a grant covers an edge node's demand.
 const GRANT_SYNC_INTERVALS: f64 = 4.0;
-/// A ceiling is set to this multiple of the share aimed at...
-const CEILING_HEADROOM: f64 = 1.3;
-/// ...and lowered once it is more than this multiple of it.
-const MAX_CEILING_EXCESS: f64 = 4.0;
-/// The smallest ceiling, as a part of the rate.
-const MIN_CEILING_PART: f64 = 1e-4;
+/// A ceiling is set to at least this multiple of the target share.
+const CEILING_HEADROOM_FACTOR: f64 = 1.3;
+/// A ceiling is lowered once it exceeds this multiple of the target share.
+const MAX_CEILING_RATIO: f64 = 4.0;
+/// Smallest ceiling, as a fraction of the rate.
+const MIN_CEILING_FRACTION: f64 = 1e-4;
 
 impl QuotaCounter {
-    /// Accounts one edge node's usage of one tenant, and computes what it may charge from now on. The tenant's bucket
-    /// is refilled already.
+    /// Accounts one edge node's usage of one tenant, and computes what the edge node may charge from now on. The caller
+    /// has refilled the tenant's bucket.
     pub(super) fn account_usage(
         &mut self,
         now: f64,
@@ -39,13 +40,13 @@
         let edge = self.edges.get_mut(node)?;
         let mut allocation = match edge.allocations.remove(&tenant) {
             Some(known) => {
-                edge.unreported -= usize::from(!known.is_reported);
+                edge.unreported_count -= usize::from(!known.is_reported);
                 self.tenants[tenant].totals.subtract(&known, edge.in_contact);
                 known
             }
             None => Allocation::default(),
         };
-        // From here on the totals are those of all others.
+        // From here on the totals cover all other edge nodes only.
         let ceiling_before = allocation.ceiling;
         self.apply_usage(tenant, &mut allocation, usage);
         let grant = self.compute_grant(now, tenant, &mut allocation, usage, limit);
@@ -58,7 +59,8 @@
         grant
     }
 
-    /// Settles the bucket with what an edge node reports that it charged and holds.
+    /// Updates the bucket and the allocation by the charged units, the unused grant and the share that an edge node
+    /// reports.
     fn apply_usage(&mut self, tenant: TenantId, allocation: &mut Allocation, usage: &TenantUsage) {
         let account = &mut self.tenants[tenant];
         let Some(bucket) = &mut account.bucket else { return };
@@ -66,9 +68,10 @@
         if allocation.is_reported {
             let charged = usage.charged - allocation.charged;
             bucket.window_total += charged.max(0) as f64;
-            // What it was granted, and neither charged nor holds, comes back. What it charged beyond its grant, it
-            // charged to its standing share: some of that was reserved; the rest it had saved up, which the quota's
-            // slack allows and for which there must be no debt.
+            // Granted units that were neither charged nor are still held return to the bucket. Units charged beyond
+            // the grant were charged to the standing share. Part of these is reserved already; the rest comes from
+            // share that the edge node had saved up. The quota's slack covers that rest, so it must not drive the
+            // bucket below zero.
             let granted = allocation.granted + allocation.granted_to_waiting;
             let returned = granted - charged - unused;
             let unreserved = (-returned as f64 - allocation.reserved_units).max(0.0);
@@ -91,7 +94,8 @@
         allocation.ceiling = allocation.ceiling.max(share);
     }
 
-    /// What an edge node may charge from now on, and its share. `allocation` is not among the totals.
+    /// Computes what an edge node may charge from now on, and its standing share. The totals don't include
+    /// `allocation`.
     fn compute_grant(
         &mut self,
         now: f64,
@@ -100,17 +104,17 @@
         usage: &TenantUsage,
         limit: &TenantLimit,
     ) -> Option<TenantGrant> {
-        let unknown_share = self.unknown_share_rate(now, tenant, limit.rate);
+        let unreported_rate = self.unreported_share_rate(now, tenant, limit.rate);
         let other_demand = from_fixed_point(self.tenants[tenant].totals.demand);
         let grant = self.grant_units(tenant, allocation, usage, other_demand)?;
         let target = self.target_share(allocation, other_demand, limit.rate);
-        if target > allocation.ceiling || target < allocation.ceiling / MAX_CEILING_EXCESS {
+        if target > allocation.ceiling || target < allocation.ceiling / MAX_CEILING_RATIO {
             allocation.ceiling = ceiling_for(target, limit.rate).max(allocation.standing_share);
             allocation.committed_ceiling = allocation.committed_ceiling.min(allocation.ceiling);
         }
         let account = &self.tenants[tenant];
         let other_shares = from_fixed_point(account.totals.standing_shares);
-        let free = (limit.rate - unknown_share - other_shares).max(0.0);
+        let free = (limit.rate - unreported_rate - other_shares).max(0.0);
         let allowed = allocation.committed_ceiling.max(allocation.standing_share);
         let share = target.min(free).min(allowed) as f32;
         allocation.standing_share = allocation.standing_share.max(f64::from(share));
@@ -126,7 +130,7 @@
         })
     }
 
-    /// Takes an edge node's next grant from the bucket.
+    /// Takes the next grant of an edge node from the bucket.
     fn grant_units(
         &mut self,
         tenant: TenantId,
@@ -135,45 +139,46 @@
         other_demand: f64,
     ) -> Option<GrantedUnits> {
         let bucket = self.tenants[tenant].bucket.as_mut()?;
-        // Its fair part goes by demand, with some for whoever asks next.
+        // The fair fraction is in proportion to demand, and leaves some units for other edge nodes.
         let other_edges_demand = MIN_DEMAND_PER_SEC * self.edges_in_contact.saturating_sub(1) as f64;
         let weight = allocation.demand + MIN_DEMAND_PER_SEC;
-        let fair_part = weight / (weight + other_demand + other_edges_demand);
+        let fair_fraction = weight / (weight + other_demand + other_edges_demand);
         let (unused, waiting) = (allocation.granted as f64, f64::from(usage.waiting));
         let needed =
             (allocation.demand * self.config.sync_interval_secs * GRANT_SYNC_INTERVALS).floor().max(waiting);
-        // Waiting requests go first: no units are kept back for those that may arrive.
+        // Waiting requests have priority: no units are held back for requests that may arrive.
         let for_waiting = (waiting - unused).min(bucket.level);
-        let added = (bucket.level * fair_part).min(needed - unused).max(for_waiting);
+        let added = (bucket.level * fair_fraction).min(needed - unused).max(for_waiting);
         let added = added.floor().max(0.0);
         bucket.level -= added;
         let usable = if added > 0.0 { unused + added } else { unused.min(needed) };
-        // Waiting requests are charged as soon as the answer arrives.
+        // The edge node charges waiting requests as soon as it receives the response.
         allocation.granted_to_waiting = added.min(waiting) as i64;
-        // What it is to give back counts as granted until it reports that it does not hold it any more.
+        // Units that the edge node has to return count as granted until it reports that it no longer holds them.
         allocation.granted = allocation.granted.max(usable as i64 - allocation.granted_to_waiting);
         Some(GrantedUnits { added, usable })
     }
 
-    /// The standing share that an edge node's demand calls for: units a second.
+    /// The standing share, in units per second, that corresponds to an edge node's demand.
     fn target_share(&self, allocation: &Allocation, other_demand: f64, rate: f64) -> f64 {
         let demand = allocation.demand + other_demand;
         let edges = self.edges_in_contact.max(1) as f64;
-        let even = MIN_DEMAND_PER_SEC.max(EVEN_DEMAND_PART * demand / edges);
-        rate * (1.0 - UNSHARED_RATE_PART) * (allocation.demand + even) / (demand + even * edges)
+        let even = MIN_DEMAND_PER_SEC.max(MEAN_DEMAND_WEIGHT * demand / edges);
+        rate * (1.0 - UNALLOCATED_RATE_FRACTION) * (allocation.demand + even) / (demand + even * edges)
     }
 }
 
 /// Units of one grant.
 struct GrantedUnits {
-    /// Taken from the bucket.
+    /// Units taken from the bucket.
     added: f64,
-    /// May be charged from now on, with what was granted before.
+    /// Units that may be charged from now on, including earlier grants.
     usable: f64,
 }
 
-/// A ceiling with headroom above this share, in powers of two of the rate so that it seldom changes.
+/// Returns a ceiling with headroom above `share`. Ceilings are the rate divided by powers of two, so that they seldom
+/// change and few records are needed.
 fn ceiling_for(share: f64, rate: f64) -> f64 {
-    let part = (share * CEILING_HEADROOM / rate).max(MIN_CEILING_PART);
-    (rate * part.log2().ceil().exp2()).min(rate)
+    let fraction = (share * CEILING_HEADROOM_FACTOR / rate).max(MIN_CEILING_FRACTION);
+    (rate * fraction.log2().ceil().exp2()).min(rate)
 }
--- a/crates/gateway/src/control_plane/quota_counter/mod.rs
+++ b/crates/gateway/src/control_plane/quota_counter/mod.rs
@@ -1,15 +1,18 @@
-//! The quota counter of the quota leader: by tenant a token bucket, what each edge node was granted from it, and the
-//! standing share that each may spend while no leader can be reached.
+//! The quota counter, which the quota leader runs.
+//!
+//! For each tenant the counter keeps a token bucket, the units that each edge node was granted from the bucket, and
+//! each edge node's standing share: the rate at which that node may admit requests while it can't reach a quota leader.
 //!
 //! Invariants:
-//! - Over any span of t seconds no more than burst + rate x t units are spent (with the slack that docs/system.md
-//!   names): unused grants, and what edge nodes out of contact may spend by their shares, count against the bucket.
-//! - The shares of all incarnations of edge nodes sum to the rate at most, over all leaders. A share rises only up to
-//!   the ceiling that a majority of the core has stored ([`QuotaCounter::record_committed`]); a new leader reserves
-//!   what earlier leaders gave until the incarnation that holds it syncs, is superseded by another, or its shares
-//!   expire.
+//! - In any interval of t seconds all edge nodes together spend at most burst + rate x t units, plus the slack that
+//!   docs/system.md names. For this, unused grants count against the bucket, and so does what edge nodes out of contact
+//!   may spend by their standing shares.
+//! - The standing shares of all incarnations of edge nodes, under all leaders, sum to at most the rate. A share rises
+//!   only up to the ceiling that a majority of the core has stored ([`QuotaCounter::record_committed`]). A new leader
+//!   keeps the shares that earlier leaders handed out reserved until the incarnation that holds them syncs, a newer
+//!   incarnation supersedes it, or the shares expire.
 //!
-//! Pure: the caller passes the time, `now`, in seconds of its own clock.
+//! The counter does no I/O and reads no clock: callers pass the time, `now`, in seconds of a clock of their own.
 
 mod allocation;
 mod ceiling_record;
@@ -31,50 +34,53 @@
 use std::sync::Arc;
 use tenant_bucket::{TenantAccount, TenantBucket};
 
-/// While an earlier leader's grants may be unused, the bucket holds at most the rate of this many seconds beside the
-/// grants that were reported.
-const EARLY_BUCKET_SECS: f64 = 0.1;
-/// A later leader's buckets start with this many units: a waiting request is admitted if its tenant is seldom used.
-const LATER_LEADER_UNITS: f64 = 1.0;
-/// A sync runs [`QuotaCounter::tick`] if it was not run for this long: seconds.
+/// Limit of a bucket while grants of an earlier leader may still be unused: the grants reported so far, and what the
+/// rate yields in this many seconds.
+const HANDOVER_BURST_SECS: f64 = 0.1;
+/// Initial level of the buckets of a leader that is not the first. One unit admits a waiting request of a tenant that is
+/// seldom used; more could exceed the quota, since the level of the earlier leader's bucket is unknown.
+const SUCCESSOR_INITIAL_UNITS: f64 = 1.0;
+/// Seconds without a tick after which a sync runs [`QuotaCounter::tick`] itself.
 const TICK_INTERVAL_SECS: f64 = 0.05;
 
-/// Looks up a tenant's limit by name; `None`: it has none.
+/// Looks up a tenant's limit by name; `None` if the tenant has no limit.
 pub type LimitLookup<'a> = &'a dyn Fn(&str) -> Option<TenantLimit>;
 
 /// The counter's timeouts, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaCounterConfig {
-    /// An edge node that has not synced for this long is out of contact: it spends its standing shares, and no grants.
+    /// Time without a sync after which an edge node is out of contact and spends its standing shares instead of grants.
     pub contact_timeout_secs: f64,
-    /// Standing shares expire this long after the last sync.
+    /// Lifetime of an edge node's standing shares after its last sync.
     pub share_expiry_secs: f64,
-    /// Edge nodes sync about this often.
+    /// Approximate interval between two syncs of an edge node.
     pub sync_interval_secs: f64,
 }
 
 /// One incarnation of an edge node.
 #[derive(Clone, Copy, Debug)]
 pub struct EdgeIdentity<'a> {
-    /// Its name.
+    /// Name of the edge node.
     pub node: &'a str,
-    /// Differs for every start of its process.
+    /// Differs for every start of the edge node's process.
     pub incarnation: u64,
 }
 
 /// A tenant's index in the counter.
 type TenantId = usize;
 
-/// What is known of earlier quota leaders. What they granted is bounded by their own buckets and may still be spent.
+/// What is known of earlier quota leaders, whose grants and shares may still be spent. The grants are bounded by the
+/// earlier leaders' own buckets.
 #[derive(Clone, Copy, Debug)]
 pub enum PreviousLeaders<'a> {
-    /// There was none: all buckets start full.
+    /// No leader counted before: all buckets start full.
     None,
-    /// There was one, and this is its newest record that a majority of the core has stored. Buckets start with one
-    /// unit.
+    /// The newest record of share ceilings that a majority of the core has stored. Buckets start with
+    /// `SUCCESSOR_INITIAL_UNITS`.
     Recorded(&'a ShareCeilings),
-    /// There was one whose record may be lost: until all its shares have expired, only what edge nodes report is
-    /// granted. The quota lease never starts a counter so, as the log keeps the record; tests use it as the worst case.
+    /// An earlier leader may have committed ceilings that are lost. Until all its shares have expired, the full rate
+    /// counts as shared out, except for shares that edge nodes report. The quota lease never starts a counter in this
+    /// way, because the log keeps the record; tests use it as the worst case.
     Unrecorded,
 }
 
@@ -84,9 +90,9 @@
     config: QuotaCounterConfig,
     term: u64,
     started_secs: f64,
-    ticked_secs: f64,
-    /// Whether no leader counted before.
-    is_first: bool,
+    last_tick_secs: f64,
+    /// Whether no leader counted before this one.
+    is_first_leader: bool,
     /// Whether the record lists every edge node that may hold a share of an earlier leader.
     has_complete_record: bool,
     tenant_ids: HashMap<Arc<str>, TenantId>,
@@ -97,14 +103,14 @@
 }
 
 impl QuotaCounter {
-    /// Starts counting at `now` in this term.
+    /// Starts a counter for `term` at `now`.
     pub fn new(config: QuotaCounterConfig, term: u64, now: f64, previous: PreviousLeaders) -> Self {
         let mut counter = QuotaCounter {
             config,
             term,
             started_secs: now,
-            ticked_secs: now,
-            is_first: matches!(previous, PreviousLeaders::None),
+            last_tick_secs: now,
+            is_first_leader: matches!(previous, PreviousLeaders::None),
             has_complete_record: !matches!(previous, PreviousLeaders::Unrecorded),
             tenant_ids: HashMap::new(),
             tenants: Vec::new(),
@@ -113,13 +119,13 @@
             record: RecordProgress::default(),
         };
         if let PreviousLeaders::Recorded(record) = previous {
-            record.edges.iter().for_each(|edge| counter.reserve_recorded(now, edge));
+            record.edges.iter().for_each(|edge| counter.reserve_recorded_shares(now, edge));
         }
         counter
     }
 
-    /// Counts an edge node's recorded ceilings as shares that it may be spending.
-    fn reserve_recorded(&mut self, now: f64, recorded: &EdgeCeilings) {
+    /// Reserves the recorded ceilings of an edge node: each counts as a share that the edge node may be spending.
+    fn reserve_recorded_shares(&mut self, now: f64, recorded: &EdgeCeilings) {
         let mut allocations = BTreeMap::new();
         for TenantCeiling { tenant, ceiling } in &recorded.ceilings {
             let ceiling = f64::from(*ceiling);
@@ -138,7 +144,7 @@
         self.edges.insert(recorded.node.as_str().into(), account);
     }
 
-    /// The id of the tenant of this name; a new one if it is unknown.
+    /// Returns the id of the tenant of this name, and adds the tenant if it is unknown.
     fn tenant_id(&mut self, name: &str) -> TenantId {
         if let Some(id) = self.tenant_ids.get(name) {
             return *id;
@@ -149,19 +155,20 @@
         id
     }
 
-    /// The term that this counter counts in (fencing token).
+    /// The term of the leader that runs this counter; sent with each response as fencing token.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Units a second that unknown holders may spend: incarnations with shares of earlier leaders that have not synced
-    /// with this one.
-    fn unknown_share_rate(&self, now: f64, tenant: TenantId, rate: f64) -> f64 {
+    /// Upper bound of the rate, in units per second, that incarnations which have not synced with this leader may be
+    /// spending by shares of earlier leaders.
+    fn unreported_share_rate(&self, now: f64, tenant: TenantId, rate: f64) -> f64 {
         if now - self.started_secs >= self.config.share_expiry_secs {
             return 0.0;
         }
         let account = &self.tenants[tenant];
-        // All shares of earlier leaders sum to the rate at most, so others hold no more than what was not reported.
+        // All shares of earlier leaders sum to at most the rate, so incarnations that have not reported hold at most
+        // the rest of the rate.
         let unreported = (rate - account.inherited.standing_shares).max(0.0);
         if !self.has_complete_record || account.is_record_incomplete {
             return unreported;
@@ -169,41 +176,43 @@
         from_fixed_point(account.totals.unreported_ceilings).min(unreported)
     }
 
-    /// Refills a tenant's bucket by its rate, less what unknown holders may spend, and starts a new window if it is
-    /// due.
+    /// Refills a tenant's bucket by its rate, less what unreported shares may be spending, and starts a new window once
+    /// the current one is over.
     fn refill(&mut self, now: f64, tenant: TenantId, limit: &TenantLimit) {
-        let unknown_share = self.unknown_share_rate(now, tenant, limit.rate);
+        let unreported_rate = self.unreported_share_rate(now, tenant, limit.rate);
         let window = (now / limit.window_secs()).floor() as i64;
         let mut burst = limit.burst.max(1.0);
-        let initial_level = match (self.is_first, self.has_complete_record) {
+        let initial_level = match (self.is_first_leader, self.has_complete_record) {
             (true, _) => burst,
-            (false, true) => LATER_LEADER_UNITS,
+            (false, true) => SUCCESSOR_INITIAL_UNITS,
             (false, false) => 0.0,
         };
         let account = &mut self.tenants[tenant];
-        if !self.is_first && now - self.started_secs < self.config.contact_timeout_secs {
-            // Grants of the earlier leader may be unused: as many as the burst, less those that were reported.
-            burst = burst.min((account.inherited.grants + EARLY_BUCKET_SECS * limit.rate).max(1.0));
+        if !self.is_first_leader && now - self.started_secs < self.config.contact_timeout_secs {
+            // Up to a full burst of the earlier leader's grants may be unused and not reported yet, so only the
+            // reported ones, and a little of the rate, may fill the bucket.
+            burst = burst.min((account.inherited.grants + HANDOVER_BURST_SECS * limit.rate).max(1.0));
         }
-        let refilled_secs = self.started_secs;
+        let last_refill_secs = self.started_secs;
         let bucket = account.bucket.get_or_insert(TenantBucket {
             window,
             window_total: 0.0,
             level: initial_level,
-            refilled_secs,
+            last_refill_secs,
         });
         if bucket.window != window {
             (bucket.window, bucket.window_total) = (window, 0.0);
         }
         let capacity = (burst - account.totals.granted as f64).max(bucket.level);
-        let rate = (limit.rate - unknown_share).max(0.0);
-        bucket.level = (bucket.level + rate * (now - bucket.refilled_secs).max(0.0)).min(capacity);
-        bucket.refilled_secs = now;
+        let rate = (limit.rate - unreported_rate).max(0.0);
+        bucket.level = (bucket.level + rate * (now - bucket.last_refill_secs).max(0.0)).min(capacity);
+        bucket.last_refill_secs = now;
     }
 
-    /// Drops an edge node's allocations that come from the record: it does not hold them any more.
+    /// Drops an edge node's allocations that come from an earlier leader's record and were not reported since: the
+    /// edge node does not hold them any more.
     fn drop_unreported(&mut self, now: f64, node: &Arc<str>, limits: LimitLookup) {
-        let Some(edge) = self.edges.get(node).filter(|e| e.unreported > 0) else { return };
+        let Some(edge) = self.edges.get(node).filter(|e| e.unreported_count > 0) else { return };
         let unreported = edge.allocations.iter().filter(|(_, a)| !a.is_reported).map(|(tenant, _)| *tenant);
         for tenant in unreported.collect::<Vec<_>>() {
             if let Some(limit) = limits(&self.tenants[tenant].name).filter(|l| l.rate > 0.0) {
@@ -214,11 +223,12 @@
                 self.tenants[tenant].totals.subtract(&allocation, edge.in_contact);
                 self.record.changed.insert((Arc::clone(node), tenant));
             }
-            edge.unreported -= 1;
+            edge.unreported_count -= 1;
         }
     }
 
-    /// An incarnation has ended, or its shares have expired. Its shares are free; what it was granted counts as spent.
+    /// Removes an incarnation that has ended, or whose shares have expired. Its shares become available to others; its
+    /// unused grants count as spent.
     fn remove_edge(&mut self, now: f64, node: &Arc<str>, limits: LimitLookup) {
         self.drop_unreported(now, node, limits);
         let Some(edge) = self.edges.remove(node) else { return };
@@ -241,33 +251,34 @@
             if in_contact { self.edges_in_contact + 1 } else { self.edges_in_contact - 1 };
     }
 
-    /// Periodic work, several times a second: reserves what silent edge nodes may have spent since the last time, and
-    /// removes those whose shares have expired.
+    /// Periodic work, to be run several times per second. Reserves what edge nodes that stopped syncing may have spent
+    /// by their shares since the last tick, and removes edge nodes whose shares have expired.
     pub fn tick(&mut self, now: f64, limits: LimitLookup) {
-        self.ticked_secs = now;
+        self.last_tick_secs = now;
         let config = self.config;
-        let silent = self.edges.iter().filter(|(_, edge)| now > edge.spends_shares_from_secs(&config));
-        let silent: Vec<Arc<str>> = silent.map(|(node, _)| Arc::clone(node)).collect();
-        self.reserve_shares(now, &silent, limits);
-        for node in silent {
+        let overdue = self.edges.iter().filter(|(_, edge)| now > edge.may_spend_shares_from_secs(&config));
+        let overdue: Vec<Arc<str>> = overdue.map(|(node, _)| Arc::clone(node)).collect();
+        self.reserve_shares(now, &overdue, limits);
+        for node in overdue {
             let Some(edge) = self.edges.get(&node) else { continue };
-            let silence_secs = now - edge.last_sync_secs;
-            if silence_secs > config.contact_timeout_secs {
+            let since_sync_secs = now - edge.last_sync_secs;
+            if since_sync_secs > config.contact_timeout_secs {
                 self.set_in_contact(&node, false);
             }
-            if silence_secs >= config.share_expiry_secs + config.sync_interval_secs {
+            if since_sync_secs >= config.share_expiry_secs + config.sync_interval_secs {
                 self.remove_edge(now, &node, limits);
             }
         }
     }
 
-    /// Takes from the buckets what these edge nodes may have spent by their shares since it was last reserved.
+    /// Takes from the buckets the units that these edge nodes may have spent by their shares since the previous
+    /// reservation.
     fn reserve_shares(&mut self, now: f64, nodes: &[Arc<str>], limits: LimitLookup) {
         let mut reserved: BTreeMap<TenantId, f64> = BTreeMap::new();
         for node in nodes {
             let Some(edge) = self.edges.get_mut(node) else { continue };
-            let from_secs = edge.reserved_until_secs.max(edge.spends_shares_from_secs(&self.config));
-            let span_secs = now.min(edge.shares_expire_secs(&self.config)) - from_secs;
+            let from_secs = edge.reserved_until_secs.max(edge.may_spend_shares_from_secs(&self.config));
+            let span_secs = now.min(edge.shares_expire_at_secs(&self.config)) - from_secs;
             if span_secs <= 0.0 {
                 continue;
             }
@@ -283,7 +294,8 @@
             if self.tenants[tenant].bucket.is_none() {
                 self.refill(now, tenant, &limit);
             }
-            // Before the refill, so that a full bucket does not lose what the rate brought in the same time.
+            // The reservation precedes the refill: a full bucket would otherwise lose what the rate brought in the
+            // same time.
             if let Some(bucket) = &mut self.tenants[tenant].bucket {
                 bucket.level -= units;
             }
@@ -291,9 +303,9 @@
         }
     }
 
-    /// An edge node reports its usage and `seen_term`, the highest term of a leader that answered it. Returns its
-    /// grants for the tenants that it reported and that have a limit; `None`: there is a later leader, and this one
-    /// must not answer.
+    /// Handles a sync of an edge node: accounts the reported usage and returns the grants for those reported tenants
+    /// that have a limit. `seen_term` is the highest term of a leader from which the edge node got a response. Returns
+    /// `None` if that is a later leader; then this one must not respond with grants.
     pub fn sync(
         &mut self,
         now: f64,
@@ -305,7 +317,7 @@
         if seen_term > self.term {
             return None;
         }
-        if now - self.ticked_secs >= TICK_INTERVAL_SECS {
+        if now - self.last_tick_secs >= TICK_INTERVAL_SECS {
             self.tick(now, limits);
         }
         let node = self.register_contact(now, edge, seen_term, limits);
@@ -319,8 +331,8 @@
         Some(grants)
     }
 
-    /// Brings an edge node's account up to date as it syncs; an earlier incarnation of it ends. Returns its shared
-    /// name.
+    /// Opens or updates the account of an edge node that syncs, and removes an earlier incarnation of that node. Returns
+    /// the node's name as the accounts share it.
     fn register_contact(
         &mut self,
         now: f64,
@@ -336,7 +348,8 @@
             self.remove_edge(now, &node, limits);
         }
         if seen_term == self.term {
-            // It has had an answer of this term: what it held before and was not given again is void.
+            // The edge node has received a response of this term, which voids all shares that this leader did not
+            // grant again.
             self.drop_unreported(now, &node, limits);
         }
         if !self.edges.contains_key(&node) {
@@ -350,13 +363,13 @@
         node
     }
 
-    /// The totals as they are kept, by tenant.
+    /// The incrementally updated totals, by tenant.
     #[cfg(test)]
     pub fn totals(&self) -> Vec<AllocationTotals> {
         self.tenants.iter().map(|t| t.totals).collect()
     }
 
-    /// The same totals, summed anew over all allocations.
+    /// Totals by tenant, recomputed from all allocations.
     #[cfg(test)]
     pub fn recomputed_totals(&self) -> Vec<AllocationTotals> {
         let recompute = |id: TenantId| {
--- a/crates/gateway/src/control_plane/quota_counter/tenant_bucket.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tenant_bucket.rs
@@ -1,27 +1,27 @@
-//! A tenant's token bucket and the total of its current window.
+//! The token bucket of a tenant, and the usage total of the tenant's current window.
 
 use super::allocation::AllocationTotals;
 use std::sync::Arc;
 
-/// The bucket of one tenant.
+/// Token bucket of one tenant.
 #[derive(Clone, Debug)]
 pub struct TenantBucket {
-    /// Which window is current: counted from 0 of the caller's clock.
+    /// Number of the current window, counted from the zero of the caller's clock.
     pub window: i64,
-    /// Units charged in it.
+    /// Units charged in the current window.
     pub window_total: f64,
-    /// Bucket level: units that may be granted now. Below 0 while reservations exceed what the rate brought.
+    /// Units that may be granted now. Negative while reservations exceed what the refill has brought.
     pub level: f64,
-    /// When it was last refilled: seconds.
-    pub refilled_secs: f64,
+    /// Time of the last refill, in seconds of the caller's clock.
+    pub last_refill_secs: f64,
 }
 
-/// What edge nodes reported that earlier leaders had given them.
+/// Sums of what edge nodes reported to hold from earlier leaders.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InheritedAllocations {
-    /// Standing shares, units a second.
+    /// Standing shares, in units per second.
     pub standing_shares: f64,
-    /// Unused grants, units.
+    /// Unused grants, in units.
     pub grants: f64,
 }
 
@@ -33,7 +33,8 @@
     pub bucket: Option<TenantBucket>,
     pub totals: AllocationTotals,
     pub inherited: InheritedAllocations,
-    /// An edge node reported a share above its recorded ceiling, so the record of earlier leaders is incomplete.
+    /// Whether an edge node reported a share above its recorded ceiling: then the record of the earlier leaders is
+    /// incomplete, and can't bound the shares that are not reported yet.
     pub is_record_incomplete: bool,
 }
 
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -1,5 +1,5 @@
-//! The quota counter against the edge nodes' admission, over seeded runs with faults: incarnations that end, leaders
-//! that are lost, partitions, delayed answers. The rate bound is counted exactly.
+//! Tests of the quota counter together with the edge nodes' quota admission. Seeded runs inject faults: incarnations
+//! that end, lost leaders, partitions, delayed responses. Admitted units are counted exactly against the rate bound.
 
 use crate::control_plane::quota_counter::{EdgeIdentity, PreviousLeaders, QuotaCounter, QuotaCounterConfig};
 use crate::data_plane::quota_admission::{self, AdmissionDecision, GrantState, QuotaAdmission};
@@ -11,23 +11,36 @@
 
 const CONFIG: QuotaCounterConfig =
     QuotaCounterConfig { contact_timeout_secs: 0.7, share_expiry_secs: 15.0, sync_interval_secs: 0.25 };
+/// Length of the intervals over which the rate bound is checked.
 const HORIZON_SECS: f64 = 5.0;
+/// Simulated time of one step.
 const STEP_SECS: f64 = 0.005;
+/// Simulated time at which fault injection ends.
 const FAULTS_UNTIL_SECS: f64 = 24.0;
-const CALM_SECS: f64 = 7.0;
+/// Simulated time without faults at the end of a run.
+const RECOVERY_SECS: f64 = 7.0;
+
+/// Slack that the rate bound allows beyond rate x horizon + burst.
+#[derive(Clone, Copy)]
+struct Slack {
+    /// Fraction of rate x horizon + burst.
+    overshoot_ratio: f64,
+    /// Number of requests.
+    overshoot_requests: f64,
+}
 
-/// The slack that the rule allows beyond rate x horizon + burst: a part of that, and units.
-const SLACK: (f64, f64) = (0.1, 20.0);
+const SLACK: Slack = Slack { overshoot_ratio: 0.1, overshoot_requests: 20.0 };
+const NO_SLACK: Slack = Slack { overshoot_ratio: 0.0, overshoot_requests: 0.0 };
 
-/// The admission of the edge node of this number, with this slack.
-fn quota_with((overshoot, margin): (f64, f64), edge_node: usize) -> QuotaAdmission {
+/// The admission of the edge node with this number, which may use this slack.
+fn quota_with(slack: Slack, edge_node: usize) -> QuotaAdmission {
     let QuotaCounterConfig { sync_interval_secs, contact_timeout_secs, share_expiry_secs } = CONFIG;
     let config = quota_admission::QuotaAdmissionConfig {
         sync_interval_secs,
         sync_timeout_secs: contact_timeout_secs,
         share_lifetime_secs: share_expiry_secs,
-        overshoot_ratio: overshoot,
-        overshoot_requests: margin,
+        overshoot_ratio: slack.overshoot_ratio,
+        overshoot_requests: slack.overshoot_requests,
         horizon_secs: HORIZON_SECS,
     };
     let mut quota = QuotaAdmission::new(config, &format!("edge-{edge_node}"));
@@ -43,15 +56,45 @@
     EdgeIdentity { node, incarnation }
 }
 
-fn usage(tenant: &str, charged: i64, demand: f32, share: f32, left: u32, waits: u32) -> TenantUsage {
-    TenantUsage {
-        tenant: tenant.into(),
-        charged,
-        demand,
-        standing_share: share,
-        unused_grant: left,
-        waiting: waits,
-    }
+fn usage(
+    tenant: &str,
+    charged: i64,
+    demand: f32,
+    standing_share: f32,
+    unused_grant: u32,
+    waiting: u32,
+) -> TenantUsage {
+    TenantUsage { tenant: tenant.into(), charged, demand, standing_share, unused_grant, waiting }
+}
+
+/// A sync on its way to the leader.
+struct SyncInFlight {
+    arrives_at: f64,
+    edge: usize,
+    incarnation: u64,
+    request_id: u64,
+    seen_term: u64,
+    usage: Vec<TenantUsage>,
+}
+
+/// A response on its way to an edge node.
+struct ResponseInFlight {
+    arrives_at: f64,
+    request_id: u64,
+    term: u64,
+    grants: Vec<TenantGrant>,
+}
+
+/// A record of ceilings that is proposed and not committed.
+struct ProposedRecord {
+    commits_at: f64,
+    record: ShareCeilings,
+}
+
+/// A request that waits for a grant.
+struct WaitingRequest {
+    deadline: f64,
+    request_id: u64,
 }
 
 struct EdgeModel {
@@ -59,38 +102,40 @@
     incarnation: u64,
     down_until: f64,
     unreachable_until: f64,
-    /// Only answers to it are lost until then.
-    answers_lost_until: f64,
-    waiting: Vec<(f64, u64)>,
-    /// Answers on their way: arrival, request id, term, grants.
-    answers: VecDeque<(f64, u64, u64, Vec<TenantGrant>)>,
+    /// Time until which responses to the edge node are lost, while its syncs arrive.
+    responses_lost_until: f64,
+    waiting: Vec<WaitingRequest>,
+    responses: VecDeque<ResponseInFlight>,
+    /// Requests per second.
     demand: f64,
 }
 
-/// Edge nodes and one quota leader after another; one tenant.
+/// Edge nodes and a sequence of quota leaders, with one tenant.
 struct ClusterModel {
     now: f64,
     rng: fastrand::Rng,
     limit: TenantLimit,
-    /// As the edge nodes know it.
-    slack: (f64, f64),
+    /// Slack that the edge nodes may use.
+    slack: Slack,
     tenant: Arc<str>,
     edges: Vec<EdgeModel>,
-    /// Syncs on their way: arrival, edge node, incarnation, request id, seen term, usage.
-    syncs: Vec<(f64, usize, u64, u64, u64, Vec<TenantUsage>)>,
+    syncs: Vec<SyncInFlight>,
     leader: Option<QuotaCounter>,
     term: u64,
     next_leader_at: f64,
-    /// The record that a majority has stored; the one on its way and when it is stored; when the last was proposed.
+    /// The fold of all committed records.
     committed: ShareCeilings,
-    uncommitted: Option<(f64, ShareCeilings)>,
+    uncommitted: Option<ProposedRecord>,
+    /// Time of the last proposal of a record.
     proposed_at: f64,
+    /// Times at which requests were admitted.
     admitted_at: Vec<f64>,
-    asked: Vec<f64>,
+    /// Times at which requests arrived.
+    arrived_at: Vec<f64>,
 }
 
 impl ClusterModel {
-    fn new(seed: u64, slack: (f64, f64)) -> Self {
+    fn new(seed: u64, slack: Slack) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let rate = [6.0, 20.0, 60.0, 122.0][rng.usize(0..4)];
         let edges = 2 + rng.usize(0..7);
@@ -99,9 +144,9 @@
             incarnation: n as u64,
             down_until: 0.0,
             unreachable_until: 0.0,
-            answers_lost_until: 0.0,
+            responses_lost_until: 0.0,
             waiting: Vec::new(),
-            answers: VecDeque::new(),
+            responses: VecDeque::new(),
             demand: rate / edges as f64,
         };
         ClusterModel {
@@ -118,35 +163,35 @@
             uncommitted: None,
             proposed_at: 0.0,
             admitted_at: Vec::new(),
-            asked: Vec::new(),
+            arrived_at: Vec::new(),
             rng,
         }
     }
 
-    /// One way over the network, in seconds; now and then much longer during the faults.
-    fn delay(&mut self) -> f64 {
-        let late = self.now < FAULTS_UNTIL_SECS && self.rng.f64() < 0.02;
-        self.rng.f64() * if late { 0.5 } else { 0.01 }
+    /// Draws a one-way network delay in seconds. While faults are injected, some delays are much longer.
+    fn draw_delay(&mut self) -> f64 {
+        let is_late = self.now < FAULTS_UNTIL_SECS && self.rng.f64() < 0.02;
+        self.rng.f64() * if is_late { 0.5 } else { 0.01 }
     }
 
-    fn lose_leader(&mut self, gap: f64) {
-        // Its last record is committed or not.
-        let last = self.uncommitted.take().map(|w| w.1);
+    fn lose_leader(&mut self, election_secs: f64) {
+        // The last record of the lost leader may or may not be committed.
+        let last = self.uncommitted.take().map(|proposed| proposed.record);
         if let Some(last) = last.filter(|_| self.rng.bool()) {
             self.committed.apply(&last);
         }
-        (self.leader, self.next_leader_at) = (None, self.now + gap);
+        (self.leader, self.next_leader_at) = (None, self.now + election_secs);
     }
 
-    fn kill(&mut self, n: usize, down: f64) {
+    fn kill(&mut self, n: usize, down_secs: f64) {
         let edge_node = &mut self.edges[n];
         (edge_node.incarnation, edge_node.quota, edge_node.down_until) =
-            (edge_node.incarnation + 100, quota_with(self.slack, n), self.now + down);
+            (edge_node.incarnation + 100, quota_with(self.slack, n), self.now + down_secs);
         edge_node.waiting.clear();
-        edge_node.answers.clear();
+        edge_node.responses.clear();
     }
 
-    /// One random fault.
+    /// Injects one random fault, or redistributes the demand.
     fn inject_fault(&mut self) {
         let secs = 0.1 + 4.0 * self.rng.f64() * self.rng.f64();
         let n = self.rng.usize(0..self.edges.len());
@@ -154,29 +199,29 @@
             0 | 1 => self.lose_leader(0.2 + 0.5 * secs),
             2 => self.kill(n, secs),
             3 => {
-                let part = self.rng.f64();
+                let fraction = self.rng.f64();
                 for n in 0..self.edges.len() {
-                    if self.rng.f64() < part {
+                    if self.rng.f64() < fraction {
                         self.kill(n, 0.3 + secs / 2.0);
                     }
                 }
             }
             4 => self.edges[n].unreachable_until = self.now + 3.0 * secs,
             5 => {
-                let part = self.rng.f64();
+                let fraction = self.rng.f64();
                 for n in 0..self.edges.len() {
-                    if self.rng.f64() < part {
+                    if self.rng.f64() < fraction {
                         self.edges[n].unreachable_until = self.now + secs;
                     }
                 }
             }
-            6 => self.edges[n].answers_lost_until = self.now + secs.min(1.6),
+            6 => self.edges[n].responses_lost_until = self.now + secs.min(1.6),
             _ => {
                 let total = self.limit.rate * 3.0 * self.rng.f64();
                 let weights: Vec<f64> = self.edges.iter().map(|_| self.rng.f64().powi(3)).collect();
-                let all: f64 = weights.iter().sum::<f64>().max(0.01);
+                let total_weight: f64 = weights.iter().sum::<f64>().max(0.01);
                 for (edge_node, weight) in self.edges.iter_mut().zip(weights) {
-                    edge_node.demand = total * weight / all;
+                    edge_node.demand = total * weight / total_weight;
                 }
             }
         }
@@ -192,7 +237,7 @@
         }
         let limits = |_: &str| Some(limit);
         let Some(leader) = &mut self.leader else { return };
-        if let Some((_, record)) = self.uncommitted.take_if(|w| w.0 <= now) {
+        if let Some(ProposedRecord { record, .. }) = self.uncommitted.take_if(|p| p.commits_at <= now) {
             leader.record_committed(record.sequence);
             self.committed.apply(&record);
         }
@@ -200,87 +245,93 @@
         if self.uncommitted.is_none()
             && now - self.proposed_at >= if leader.has_unrecorded_changes() { 0.3 } else { 5.0 }
         {
+            let commits_at = now + 0.005 + 0.3 * self.rng.f64() * self.rng.f64();
             (self.proposed_at, self.uncommitted) =
-                (now, Some((now + 0.005 + 0.3 * self.rng.f64() * self.rng.f64(), leader.next_record())));
+                (now, Some(ProposedRecord { commits_at, record: leader.next_record() }));
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_syncs(&mut self) {
         let (now, limit) = (self.now, self.limit);
         let limits = |_: &str| Some(limit);
-        let (due, rest) = std::mem::take(&mut self.syncs).into_iter().partition(|s| s.0 <= now);
-        self.syncs = rest;
-        let due: Vec<(f64, usize, u64, u64, u64, Vec<TenantUsage>)> = due;
-        for (_, n, incarnation, number, term, charges) in due {
+        let (due, in_flight): (Vec<SyncInFlight>, Vec<SyncInFlight>) =
+            std::mem::take(&mut self.syncs).into_iter().partition(|s| s.arrives_at <= now);
+        self.syncs = in_flight;
+        for SyncInFlight { edge: n, incarnation, request_id, seen_term, usage, .. } in due {
             if self.edges[n].unreachable_until > now || self.edges[n].incarnation != incarnation {
                 continue;
             }
             let name = format!("g{n}");
             let Some(leader) = &mut self.leader else { continue };
-            let Some(totals) = leader.sync(now, edge(&name, incarnation), term, &charges, &limits) else {
+            let Some(grants) = leader.sync(now, edge(&name, incarnation), seen_term, &usage, &limits) else {
                 continue;
             };
             let term = leader.term();
-            let back = now + self.delay();
-            if self.edges[n].answers_lost_until <= now {
-                self.edges[n].answers.push_back((back, number, term, totals));
+            let arrives_at = now + self.draw_delay();
+            if self.edges[n].responses_lost_until <= now {
+                let response = ResponseInFlight { arrives_at, request_id, term, grants };
+                self.edges[n].responses.push_back(response);
             }
         }
     }
 
-    fn serve(&mut self, n: usize) {
+    /// One step of an edge node: receives responses, admits requests, and sends a sync if one is due.
+    fn run_edge(&mut self, n: usize) {
         let (now, limit, tenant) = (self.now, self.limit, Arc::clone(&self.tenant));
         if self.edges[n].down_until > now {
             return;
         }
-        let out = self.delay();
+        let sync_delay = self.draw_delay();
         let edge_node = &mut self.edges[n];
-        let mut answered = 0;
-        while let Some((_, number, term, totals)) = edge_node.answers.pop_front_if(|a| a.0 <= now) {
-            if edge_node.unreachable_until <= now && edge_node.quota.on_grants(now, number, term, &totals) {
-                answered = number;
+        let mut last_answered = 0;
+        while let Some(response) = edge_node.responses.pop_front_if(|r| r.arrives_at <= now) {
+            let ResponseInFlight { request_id, term, grants, .. } = response;
+            if edge_node.unreachable_until <= now && edge_node.quota.on_grants(now, request_id, term, &grants)
+            {
+                last_answered = request_id;
             }
         }
-        let mut decide: Vec<GrantState> = Vec::new();
-        edge_node.waiting.retain(|(until, number)| {
-            let over = *number <= answered || *until <= now;
-            decide.extend(over.then_some(if *number <= answered {
+        let mut to_decide: Vec<GrantState> = Vec::new();
+        edge_node.waiting.retain(|WaitingRequest { deadline, request_id }| {
+            let wait_ended = *request_id <= last_answered || *deadline <= now;
+            to_decide.extend(wait_ended.then_some(if *request_id <= last_answered {
                 GrantState::Answered
             } else {
                 GrantState::TimedOut
             }));
-            !over
+            !wait_ended
         });
-        for _ in &decide {
+        for _ in &to_decide {
             edge_node.quota.grant_wait_ended(&tenant);
         }
         let mut arrivals = edge_node.demand * STEP_SECS;
         while arrivals > 0.0 {
             if self.rng.f64() < arrivals.min(1.0) {
-                decide.push(GrantState::NotRequested);
-                self.asked.push(now);
+                to_decide.push(GrantState::NotRequested);
+                self.arrived_at.push(now);
             }
             arrivals -= 1.0;
         }
-        for asked in decide {
-            match edge_node.quota.admit(now, &tenant, &limit, asked) {
+        for grant_state in to_decide {
+            match edge_node.quota.admit(now, &tenant, &limit, grant_state) {
                 AdmissionDecision::Admit => self.admitted_at.push(now),
                 AdmissionDecision::WaitForGrant => {
-                    edge_node.waiting.push((now + 0.06, edge_node.quota.next_sync_id()))
+                    let request_id = edge_node.quota.next_sync_id();
+                    edge_node.waiting.push(WaitingRequest { deadline: now + 0.06, request_id })
                 }
                 AdmissionDecision::Reject(_) => {}
             }
         }
-        if let Some((number, charges)) = edge_node.quota.begin_sync(now) {
+        if let Some((request_id, usage)) = edge_node.quota.begin_sync(now) {
             if edge_node.unreachable_until <= now {
-                self.syncs.push((
-                    now + out,
-                    n,
-                    edge_node.incarnation,
-                    number,
-                    edge_node.quota.term(),
-                    charges,
-                ));
+                self.syncs.push(SyncInFlight {
+                    arrives_at: now + sync_delay,
+                    edge: n,
+                    incarnation: edge_node.incarnation,
+                    request_id,
+                    seen_term: edge_node.quota.term(),
+                    usage,
+                });
             }
         }
     }
@@ -288,109 +339,124 @@
     fn step(&mut self) {
         self.now += STEP_SECS;
         self.run_leader();
-        self.deliver();
+        self.deliver_syncs();
         for n in 0..self.edges.len() {
-            self.serve(n);
+            self.run_edge(n);
         }
     }
 
     fn run_faults(&mut self) {
-        let mut next = 3.0;
+        let mut next_fault_at = 3.0;
         while self.now < FAULTS_UNTIL_SECS {
             self.step();
-            if self.now >= next {
+            if self.now >= next_fault_at {
                 self.inject_fault();
-                next = self.now + 2.5 * self.rng.f64() * self.rng.f64();
+                next_fault_at = self.now + 2.5 * self.rng.f64() * self.rng.f64();
             }
         }
     }
 
-    /// The most units admitted in any horizon, over rate x horizon + burst and this part of the slack.
-    fn used(&self, part: f64) -> f64 {
+    /// The largest number of units admitted in any horizon, divided by the bound: rate x horizon + burst, plus this
+    /// fraction of the slack.
+    fn bound_usage(&self, slack_fraction: f64) -> f64 {
         let quota = self.limit.rate * HORIZON_SECS + self.limit.burst;
-        let most = quota + part * (SLACK.0 * quota + SLACK.1);
-        let within =
+        let slack = SLACK.overshoot_ratio * quota + SLACK.overshoot_requests;
+        let bound = quota + slack_fraction * slack;
+        let admitted_from =
             |(i, at): (usize, &f64)| self.admitted_at[i..].partition_point(|p| *p < at + HORIZON_SECS);
-        let worst = self.admitted_at.iter().enumerate().map(within).max().unwrap_or(0);
-        worst as f64 / most
+        let highest = self.admitted_at.iter().enumerate().map(admitted_from).max().unwrap_or(0);
+        highest as f64 / bound
     }
 }
 
-/// Runs with faults; at the end all nodes are back. Returns the part of the bound that was used at most, and the part
-/// of the demand within the quota that is served after the faults.
-fn run_seed(seed: u64) -> (f64, f64, TenantLimit, usize) {
+/// Result of a run with faults.
+struct SeedResult {
+    /// Largest used fraction of the rate bound.
+    bound_usage: f64,
+    /// Fraction of the demand within the quota that is served after the faults.
+    served: f64,
+    limit: TenantLimit,
+    edge_count: usize,
+}
+
+/// Runs with faults, and then without any, so that all nodes return.
+fn run_seed(seed: u64) -> SeedResult {
     let mut model = ClusterModel::new(seed, SLACK);
     model.run_faults();
-    let (now, all) = (model.now, model.edges.len() as f64);
+    let (now, edge_count) = (model.now, model.edges.len());
     model.next_leader_at = model.next_leader_at.min(now);
     for edge_node in &mut model.edges {
-        (edge_node.unreachable_until, edge_node.answers_lost_until) = (now, now);
+        (edge_node.unreachable_until, edge_node.responses_lost_until) = (now, now);
         edge_node.down_until = edge_node.down_until.min(now);
-        edge_node.demand = 0.7 * model.limit.rate / all;
+        edge_node.demand = 0.7 * model.limit.rate / edge_count as f64;
     }
-    while model.now < FAULTS_UNTIL_SECS + CALM_SECS {
+    while model.now < FAULTS_UNTIL_SECS + RECOVERY_SECS {
         model.step();
     }
-    let from = FAULTS_UNTIL_SECS + 2.0;
-    let admitted = model.admitted_at.iter().filter(|t| **t >= from).count() as f64;
-    // What the quota leaves: what one token bucket, empty when the faults end, would admit.
-    let (mut bucket, mut last, mut owed) = (0.0, FAULTS_UNTIL_SECS, 0.0);
-    for at in model.asked.iter().filter(|t| **t >= FAULTS_UNTIL_SECS) {
+    let counted_from = FAULTS_UNTIL_SECS + 2.0;
+    let admitted = model.admitted_at.iter().filter(|t| **t >= counted_from).count() as f64;
+    // The reference is a single token bucket that is empty when the faults end.
+    let (mut bucket, mut last, mut expected) = (0.0, FAULTS_UNTIL_SECS, 0.0);
+    for at in model.arrived_at.iter().filter(|t| **t >= FAULTS_UNTIL_SECS) {
         bucket = (bucket + model.limit.rate * (at - last)).min(model.limit.burst.max(1.0));
         last = *at;
         if bucket >= 1.0 {
             bucket -= 1.0;
-            owed += f64::from(u8::from(*at >= from));
+            expected += f64::from(u8::from(*at >= counted_from));
         }
     }
-    (model.used(1.0), admitted / owed, model.limit, model.edges.len())
+    let (bound_usage, limit) = (model.bound_usage(1.0), model.limit);
+    SeedResult { bound_usage, served: admitted / expected, limit, edge_count }
 }
 
-/// The bound holds over all edge nodes in any span of a horizon, and two seconds after the last fault tenants get what
-/// their quota leaves. Faults: incarnations killed, alone and together; leaders lost with or without their last record;
-/// edge nodes partitioned, alone and together; answers lost and delayed. Bursts are three units and more.
+/// The rate bound holds over all edge nodes in every interval of a horizon, and from two seconds after the last fault
+/// tenants get what their quota allows. Faults: incarnations killed, alone and together; leaders lost with or without
+/// their last record; edge nodes partitioned, alone and together; responses lost and delayed. Bursts are at least three
+/// units.
 #[gtest]
 fn rate_bound_holds_and_service_recovers_after_faults() {
-    let (mut most, mut least) = (0.0f64, 1.0f64);
+    let (mut highest_usage, mut lowest_served) = (0.0f64, 1.0f64);
     for seed in 0..400 {
-        let (used, served, limit, edges) = run_seed(seed);
-        (most, least) = (most.max(used), least.min(served));
-        expect_that!(used, le(1.0), "seed {seed}");
-        expect_that!(served, ge(0.9), "seed {seed}: {limit:?}, {edges} edge nodes");
+        let SeedResult { bound_usage, served, limit, edge_count } = run_seed(seed);
+        (highest_usage, lowest_served) = (highest_usage.max(bound_usage), lowest_served.min(served));
+        expect_that!(bound_usage, le(1.0), "seed {seed}");
+        expect_that!(served, ge(0.9), "seed {seed}: {limit:?}, {edge_count} edge nodes");
     }
-    println!("most used {most}, least served {least}");
+    println!("highest usage of the bound {highest_usage}, lowest fraction served {lowest_served}");
 }
 
-/// One part of the slack by itself: edge nodes that save nothing up, and have no allowance for tenants without a share,
-/// exceed rate x horizon + burst only by what is on its way, a fifth of the slack.
+/// Grants in flight may use a fifth of the slack. Edge nodes that save up no units, and have no allowance for tenants
+/// without a share, exceed rate x horizon + burst by these grants only.
 #[gtest]
 fn in_flight_grants_stay_within_their_part_of_the_slack() {
-    let mut most = 0.0f64;
+    let mut highest_usage = 0.0f64;
     for seed in 400..520 {
-        let mut model = ClusterModel::new(seed, (0.0, 0.0));
+        let mut model = ClusterModel::new(seed, NO_SLACK);
         model.run_faults();
-        let used = model.used(0.2);
-        most = most.max(used);
-        expect_that!(used, le(1.0), "seed {seed}: {:?}, {} edge nodes", model.limit, model.edges.len());
+        let bound_usage = model.bound_usage(0.2);
+        highest_usage = highest_usage.max(bound_usage);
+        let edge_count = model.edges.len();
+        expect_that!(bound_usage, le(1.0), "seed {seed}: {:?}, {edge_count} edge nodes", model.limit);
     }
-    println!("most used {most}");
+    println!("highest usage of the bound {highest_usage}");
 }
 
 fn limits(_: &str) -> Option<TenantLimit> {
     Some(TenantLimit { rate: 100.0, burst: 100.0 })
 }
 
-/// Syncs four edge nodes with a demand of 25 a second each until their shares are recorded.
+/// Syncs four edge nodes with a demand of 25 requests per second each until their shares are recorded. Returns their
+/// last grants, and the fold of the records.
 fn sync_until_shares_recorded(counter: &mut QuotaCounter, from: f64) -> (Vec<TenantGrant>, ShareCeilings) {
     let (mut last, mut record) = (Vec::new(), ShareCeilings::default());
     for round in 0..8 {
         let now = from + 0.25 * f64::from(round);
-        let before = std::mem::take(&mut last);
+        let previous = std::mem::take(&mut last);
         for n in 0..4 {
-            let share = before.get(n).map_or(0.0, |t: &TenantGrant| t.standing_share);
-            let charges = [usage("t", 0, 25.0, share, 0, 0)];
-            let term = if round == 0 { 0 } else { counter.term() };
-            let grants = counter.sync(now, edge(&format!("g{n}"), 7), term, &charges, &limits);
+            let share = previous.get(n).map_or(0.0, |grant: &TenantGrant| grant.standing_share);
+            let reported = [usage("t", 0, 25.0, share, 0, 0)];
+            let seen_term = if round == 0 { 0 } else { counter.term() };
+            let grants = counter.sync(now, edge(&format!("g{n}"), 7), seen_term, &reported, &limits);
             last.extend(grants.expect("held"));
         }
         let next = counter.next_record();
@@ -400,50 +466,50 @@
     (last, record)
 }
 
-/// Units that an edge node with enough waiting requests is granted at `now`.
+/// Units that an edge node with many waiting requests would be granted at `now`. Leaves the counter unchanged.
 fn units_available(counter: &QuotaCounter, now: f64) -> f64 {
-    let asked =
+    let grants =
         counter.clone().sync(now, edge("probe", 1), 0, &[usage("t", 0, 1000.0, 0.0, 0, 1000)], &limits);
-    asked.expect("held")[0].charge_limit as f64
+    grants.expect("held")[0].charge_limit as f64
 }
 
 #[gtest]
 fn delayed_answer_of_an_earlier_term_is_ignored() {
     let (mut quota, tenant) = (quota(), Arc::<str>::from("t"));
     let limit = limits("t").expect("limits");
-    let total = |until, share| {
+    let grants = |charge_limit, standing_share| {
         vec![TenantGrant {
             tenant: "t".into(),
             window_total: 0.0,
-            charge_limit: until,
-            standing_share: share,
+            charge_limit,
+            standing_share,
             retry_after_ms: 0,
         }]
     };
-    // No leader has answered yet.
+    // No leader has responded yet.
     expect_that!(
         quota.admit(1.0, &tenant, &limit, GrantState::NotRequested),
         eq(AdmissionDecision::Reject(0.25))
     );
     let (first, _) = quota.begin_sync(1.0).expect("a sync");
-    expect_that!(quota.on_grants(1.01, first, 5, &total(1, 2.0)), eq(true));
+    expect_that!(quota.on_grants(1.01, first, 5, &grants(1, 2.0)), eq(true));
     expect_that!(quota.admit(1.02, &tenant, &limit, GrantState::Answered), eq(AdmissionDecision::Admit));
     let (second, _) = quota.begin_sync(1.3).expect("a sync");
-    // The same request id, but from an earlier leader: grant and share are ignored, and it is no contact.
-    expect_that!(quota.on_grants(1.31, second, 4, &total(500, 90.0)), eq(false));
+    // A response to the same request from an earlier leader: its grant and share are ignored, and it is no contact.
+    expect_that!(quota.on_grants(1.31, second, 4, &grants(500, 90.0)), eq(false));
     expect_that!(quota.term(), eq(5));
     expect_that!(
         quota.admit(1.32, &tenant, &limit, GrantState::Answered),
         eq(AdmissionDecision::Reject(0.25))
     );
     expect_that!(quota.is_disconnected(1.75), eq(true));
-    let (_, charges) = quota.begin_sync(2.1).expect("a sync");
-    expect_that!((charges[0].charged, charges[0].standing_share, charges[0].unused_grant), eq((1, 2.0, 0)));
-    // What a newer leader does not confirm is void.
+    let (_, usage) = quota.begin_sync(2.1).expect("a sync");
+    expect_that!((usage[0].charged, usage[0].standing_share, usage[0].unused_grant), eq((1, 2.0, 0)));
+    // Grants and shares that a newer leader does not confirm are void.
     let (third, _) = quota.begin_sync(3.0).expect("a sync");
     expect_that!(quota.on_grants(3.01, third, 6, &[]), eq(true));
-    let (_, charges) = quota.begin_sync(3.3).expect("a sync");
-    expect_that!((charges[0].standing_share, charges[0].unused_grant), eq((0.0, 0)));
+    let (_, usage) = quota.begin_sync(3.3).expect("a sync");
+    expect_that!((usage[0].standing_share, usage[0].unused_grant), eq((0.0, 0)));
 }
 
 #[gtest]
@@ -457,8 +523,8 @@
 fn share_rises_only_up_to_the_committed_ceiling() {
     let mut counter = QuotaCounter::new(CONFIG, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
     let share = |counter: &mut QuotaCounter, now, incarnation| {
-        let charges = [usage("t", 0, 20.0, 0.0, 0, 0)];
-        counter.sync(now, edge("g", incarnation), 0, &charges, &limits).expect("held")[0].standing_share
+        let reported = [usage("t", 0, 20.0, 0.0, 0, 0)];
+        counter.sync(now, edge("g", incarnation), 0, &reported, &limits).expect("held")[0].standing_share
     };
     expect_that!(share(&mut counter, 1.0, 1), eq(0.0));
     let record = counter.next_record();
@@ -474,18 +540,18 @@
 #[gtest]
 fn shares_of_ended_incarnations_are_freed_at_once() {
     let mut first = QuotaCounter::new(CONFIG, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
-    let (totals, record) = sync_until_shares_recorded(&mut first, 0.0);
-    let shares: f32 = totals.iter().map(|t| t.standing_share).sum();
+    let (grants, record) = sync_until_shares_recorded(&mut first, 0.0);
+    let shares: f32 = grants.iter().map(|g| g.standing_share).sum();
     expect_that!(shares, all!(gt(90.0), le(100.0)));
-    // All four may be spending out of contact with the next leader: nothing is left for others.
+    // All four may be spending their shares out of contact with the next leader, so nothing is left for others.
     let mut next = QuotaCounter::new(CONFIG, 2, 10.0, PreviousLeaders::Recorded(&record));
     expect_that!(units_available(&next, 12.0), le(5.0));
-    // They restart, one after the other.
+    // The four edge nodes restart, one after the other.
     for n in 0..4 {
         next.sync(12.0, edge(&format!("g{n}"), 8), 0, &[], &limits);
     }
     expect_that!(units_available(&next, 13.0), ge(99.0));
-    // The shares of one that does not restart expire.
+    // The shares of an edge node that does not restart expire.
     let mut other = QuotaCounter::new(CONFIG, 2, 10.0, PreviousLeaders::Recorded(&record));
     for n in 0..3 {
         other.sync(12.0, edge(&format!("g{n}"), 8), 0, &[], &limits);
@@ -497,20 +563,20 @@
 #[gtest]
 fn leader_without_record_grants_only_reported_shares_until_expiry() {
     let mut first = QuotaCounter::new(CONFIG, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
-    let (totals, _) = sync_until_shares_recorded(&mut first, 0.0);
+    let (grants, _) = sync_until_shares_recorded(&mut first, 0.0);
     let mut next = QuotaCounter::new(CONFIG, 2, 10.0, PreviousLeaders::Unrecorded);
     expect_that!(units_available(&next, 14.0), eq(0.0));
-    // Three of the four report their shares, and two of these end: what the fourth holds is still reserved.
-    for (n, total) in totals.iter().enumerate().take(3) {
-        let charges = [usage("t", 0, 0.0, total.standing_share, 0, 0)];
-        next.sync(14.0, edge(&format!("g{n}"), 7), 1, &charges, &limits);
+    // Three of the four report their shares, and two of these end. The share of the fourth is still reserved.
+    for (n, grant) in grants.iter().enumerate().take(3) {
+        let reported = [usage("t", 0, 0.0, grant.standing_share, 0, 0)];
+        next.sync(14.0, edge(&format!("g{n}"), 7), 1, &reported, &limits);
     }
     for n in 0..2 {
         next.sync(14.1, edge(&format!("g{n}"), 8), 0, &[], &limits);
     }
     let mut probed = next.clone();
-    let got: f64 = (0..10).map(|k| units_available(&probed, 14.2 + 0.05 * f64::from(k))).fold(0.0, f64::max);
-    expect_that!(got, all!(gt(10.0), le(60.0)));
+    let most: f64 = (0..10).map(|k| units_available(&probed, 14.2 + 0.05 * f64::from(k))).fold(0.0, f64::max);
+    expect_that!(most, all!(gt(10.0), le(60.0)));
     probed.tick(25.1, &limits);
     expect_that!(units_available(&probed, 26.5), ge(99.0));
 }
@@ -520,22 +586,22 @@
     let mut counter = QuotaCounter::new(CONFIG, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
     sync_until_shares_recorded(&mut counter, 0.0);
     let before = units_available(&counter, 1.76);
-    // Silent for two seconds: what the shares allow in these is reserved, and nothing for the time after.
-    let silent = units_available(&counter, 3.75);
-    expect_that!(silent, le(before + 100.0));
+    // After two seconds without a sync, the spending that the shares allow in that time is reserved, and no later one.
+    let without_syncs = units_available(&counter, 3.75);
+    expect_that!(without_syncs, le(before + 100.0));
     for n in 0..4 {
         counter.sync(3.75, edge(&format!("g{n}"), 8), 0, &[], &limits);
     }
     expect_that!(units_available(&counter, 4.75), ge(99.0));
 }
 
-/// Units granted to an edge node that has one request waiting, sync after sync at the same time.
+/// Total units granted to an edge node with one waiting request that syncs repeatedly at the same time.
 fn units_granted_at_once(counter: &mut QuotaCounter, now: f64) -> i64 {
     let mut charged = 0;
     loop {
-        let charges = [usage("t", charged, 0.0, 0.0, 0, 1)];
-        let totals = counter.sync(now, edge("g", 1), 0, &charges, &limits).expect("held");
-        if totals[0].charge_limit == charged {
+        let reported = [usage("t", charged, 0.0, 0.0, 0, 1)];
+        let grants = counter.sync(now, edge("g", 1), 0, &reported, &limits).expect("held");
+        if grants[0].charge_limit == charged {
             return charged;
         }
         charged += 1;
@@ -544,15 +610,15 @@
 
 #[gtest]
 fn waiting_request_at_the_start_of_a_leader_is_within_the_quota() {
-    // The first leader: the whole burst is available, and no more.
+    // The first leader grants exactly the burst.
     let mut first = QuotaCounter::new(CONFIG, 1, 10.0, PreviousLeaders::None);
     let burst = limits("t").expect("limited").burst as i64;
     expect_that!(units_granted_at_once(&mut first, 10.0), eq(burst));
-    // A later one cannot know what is left; one unit admits a tenant that is seldom used.
+    // A later leader can't know what is left of the burst; one unit admits a tenant that is seldom used.
     let record = ShareCeilings::default();
     let mut later = QuotaCounter::new(CONFIG, 2, 10.0, PreviousLeaders::Recorded(&record));
     expect_that!(units_granted_at_once(&mut later, 10.0), eq(1));
-    // While there may be unknown shares, nothing is.
+    // While shares may be unknown, nothing is granted.
     let mut unrecorded = QuotaCounter::new(CONFIG, 2, 10.0, PreviousLeaders::Unrecorded);
     expect_that!(units_granted_at_once(&mut unrecorded, 10.0), eq(0));
 }
--- a/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/totals_tests.rs
@@ -1,6 +1,6 @@
-//! What the quota counter updates incrementally against the same computed anew: totals over edge nodes, and the record
-//! of ceilings that the core folds from changes. Over seeded runs with incarnations that end, silences, changes of
-//! leader and lost answers.
+//! Compares the incrementally updated state of the quota counter with the recomputed state: the totals over edge nodes,
+//! and the record of ceilings that the core folds from changes. The seeded runs contain incarnations that end, periods
+//! without syncs, changes of leader and lost responses.
 
 use crate::control_plane::quota_counter::{EdgeIdentity, PreviousLeaders, QuotaCounter, QuotaCounterConfig};
 use crate::protocol::ShareCeilings;
@@ -17,7 +17,7 @@
     Some(TenantLimit { rate, burst: 2.0 * rate })
 }
 
-/// What an edge node holds of a tenant, by the last answer.
+/// What an edge node holds of a tenant's quota, by the last response.
 #[derive(Clone, Copy, Default)]
 struct ReceivedGrant {
     charged: i64,
@@ -59,13 +59,13 @@
     fn sync(&mut self, n: usize) {
         let rng = &mut self.rng;
         let edge = &mut self.edges[n];
-        let mut charges = Vec::new();
+        let mut usage = Vec::new();
         for tenant in TENANTS {
             if rng.f64() < 0.4 {
                 let grant = edge.grants.entry(tenant).or_default();
-                let most = (grant.charge_limit - grant.charged).max(0) + i64::from(rng.u8(..) < 9);
-                grant.charged += rng.i64(0..=most);
-                charges.push(TenantUsage {
+                let max_charge = (grant.charge_limit - grant.charged).max(0) + i64::from(rng.u8(..) < 9);
+                grant.charged += rng.i64(0..=max_charge);
+                usage.push(TenantUsage {
                     tenant: tenant.into(),
                     charged: grant.charged,
                     demand: if rng.u8(..) < 40 { 0.0 } else { 9.0 * rng.f32() * rng.f32() },
@@ -75,22 +75,22 @@
                 });
             }
         }
-        let caller = format!("g{n}");
-        let totals = self.counter.sync(
+        let name = format!("g{n}");
+        let grants = self.counter.sync(
             self.now,
-            EdgeIdentity { node: &caller, incarnation: edge.incarnation },
+            EdgeIdentity { node: &name, incarnation: edge.incarnation },
             edge.term,
-            &charges,
+            &usage,
             &limits,
         );
-        let heard = rng.u8(..) < 230;
-        if let Some(totals) = totals.filter(|_| heard) {
+        let response_arrives = rng.u8(..) < 230;
+        if let Some(grants) = grants.filter(|_| response_arrives) {
             if edge.term < self.counter.term() {
-                edge.grants.values_mut().for_each(|h| (h.charge_limit, h.standing_share) = (h.charged, 0.0));
+                edge.grants.values_mut().for_each(|g| (g.charge_limit, g.standing_share) = (g.charged, 0.0));
                 edge.term = self.counter.term();
             }
             for (received, tenant) in
-                totals.iter().filter_map(|t| Some((t, TENANTS.iter().find(|n| **n == t.tenant)?)))
+                grants.iter().filter_map(|g| Some((g, TENANTS.iter().find(|n| **n == g.tenant)?)))
             {
                 let grant = edge.grants.entry(tenant).or_default();
                 (grant.charge_limit, grant.standing_share) = (received.charge_limit, received.standing_share);
@@ -103,14 +103,14 @@
         let n = self.rng.usize(0..self.edges.len());
         match self.rng.u32(0..400) {
             0 => {
-                // The next leader goes by the committed record; the last one is committed or not.
+                // The next leader starts from the committed record. The last proposed one may or may not be committed.
                 let last = self.uncommitted.take().filter(|_| self.rng.bool());
                 last.iter().for_each(|record| self.committed.apply(record));
-                let known = match self.rng.u8(..) < 200 {
+                let previous = match self.rng.u8(..) < 200 {
                     true => PreviousLeaders::Recorded(&self.committed),
                     false => PreviousLeaders::Unrecorded,
                 };
-                self.counter = QuotaCounter::new(CONFIG, self.counter.term() + 1, self.now, known);
+                self.counter = QuotaCounter::new(CONFIG, self.counter.term() + 1, self.now, previous);
             }
             1..=6 => {
                 self.edges[n] =
@@ -132,7 +132,7 @@
     }
 }
 
-/// Totals that drift from what edge nodes hold would break the rate bound.
+/// Totals that drift from the allocations of the edge nodes would break the rate bound.
 #[gtest]
 fn incremental_totals_equal_recomputed_totals() {
     for seed in 0..60 {
@@ -144,7 +144,7 @@
     }
 }
 
-/// The next leader relies on it: what the core folds from changes equals the full record.
+/// The next leader starts from the record that the core folded from changes, so that must equal the full record.
 #[gtest]
 fn folded_changes_equal_the_full_record() {
     let mut compared = 0;
@@ -154,14 +154,14 @@
             run.step();
             if run.uncommitted.is_none() && step % 7 == 0 {
                 let mut folded = run.committed.clone();
-                let mut changed = run.counter.clone();
-                folded.apply(&changed.next_record());
+                let mut counter = run.counter.clone();
+                folded.apply(&counter.next_record());
                 let full = run.counter.full_record();
-                let filled = |s: &ShareCeilings| {
-                    s.edges.iter().filter(|g| !g.ceilings.is_empty()).cloned().collect::<Vec<_>>()
+                let non_empty_edges = |record: &ShareCeilings| {
+                    record.edges.iter().filter(|e| !e.ceilings.is_empty()).cloned().collect::<Vec<_>>()
                 };
-                assert_eq!(filled(&folded), filled(&full), "seed {seed}, step {step}");
-                compared += usize::from(!filled(&full).is_empty());
+                assert_eq!(non_empty_edges(&folded), non_empty_edges(&full), "seed {seed}, step {step}");
+                compared += usize::from(!non_empty_edges(&full).is_empty());
             }
         }
     }
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -1,6 +1,6 @@
-//! Drives the replicated log of a core node: passes its messages on, writes what it wants persisted, applies what it
-//! commits, compacts it behind snapshots, and notices changes of leadership and voters. What the log decides is
-//! [`consensus`](crate::consensus)'s alone.
+//! The driver of a core node's replicated log. It passes consensus messages in and out, turns log writes into write
+//! batches, applies committed entries, compacts the log behind snapshots, and logs changes of leadership and voters.
+//! The consensus algorithm itself is in [`consensus`](crate::consensus).
 
 use super::snapshot::{self, SnapshotReceiver, SnapshotWriter};
 use super::{CoreNode, Effect};
@@ -16,45 +16,49 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// A leader sends heartbeats this often.
+/// Interval between two heartbeats of a leader.
 const HEARTBEAT_MS: Millis = 100;
-/// An election starts after this long without a leader, and after up to twice that at random. Above the pauses that a
-/// small machine has now and then.
+/// Time without a leader after which a node starts an election; randomized up to twice this value. Longer than the
+/// scheduling pauses of a small machine, which must not cause elections.
 pub(super) const ELECTION_TIMEOUT_MS: Millis = 700;
-/// A leader relies on its lease for this long after a majority has heard it. The rest of the election timeout covers
-/// clocks that differ in speed.
+/// Validity of the leader lease after the last contact with a majority. Shorter than the election timeout to allow for
+/// clocks that run at different speeds.
 const LEASE_MS: Millis = 600;
-/// A write that takes longer than this counts as a hanging disk.
-const DISK_HANG_MS: Millis = 500;
-/// Entries that the leader puts into one message, at most.
+/// Duration of a write above which the disk counts as stalled.
+const DISK_STALL_TIMEOUT_MS: Millis = 500;
+/// Largest number of entries in one AppendEntries message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 64;
-/// A snapshot is sent to another member in pieces of this size...
-const SNAPSHOT_PIECE_BYTES: usize = 128 * 1024;
-/// ...with this many of them unacknowledged, at most.
-const MAX_PIECES_IN_FLIGHT: usize = 8;
-/// A node that hears no leader asks to join this often, in seconds.
-const JOIN_INTERVAL_SECS: f64 = 0.3;
-/// The log is compacted once its commands take more bytes than this, and than the last snapshot...
+/// Size of the chunks in which a leader sends a snapshot to another member.
+const INSTALL_CHUNK_BYTES: usize = 128 * 1024;
+/// Largest number of unacknowledged chunks of a snapshot that is being sent.
+const MAX_INSTALL_CHUNKS_IN_FLIGHT: usize = 8;
+/// Interval, in seconds, at which a node that hears no leader asks to join the core.
+const JOIN_RETRY_INTERVAL_SECS: f64 = 0.3;
+/// Size of the commands applied since the last snapshot above which the log is compacted, unless the last snapshot is
+/// larger: then the snapshot's size is the threshold.
 const COMPACTION_MIN_BYTES: usize = 256 * 1024;
-/// ...or once it has more entries than this.
+/// Number of entries above which the log is compacted, whatever their size.
 const COMPACTION_MIN_ENTRIES: usize = 512;
-/// While a snapshot is being sent to another node, the log may grow to this multiple of both bounds.
-const COMPACTION_DELAY_FACTOR: usize = 8;
-/// The capacity of a new snapshot is that of the last one plus one part in this many.
+/// Factor by which both compaction thresholds rise while a snapshot is being sent to another node. The receiver then
+/// finds the entries after that snapshot still in the log, and does not need the next snapshot as well.
+const SENDING_COMPACTION_FACTOR: usize = 8;
+/// Divisor of the last snapshot's size that gives the headroom allocated for the next one.
 const SNAPSHOT_GROWTH_DIVISOR: usize = 8;
 
-/// Estimated bytes in the log of a command, and of an item in it, besides their variable parts.
+/// Estimated size in the log of a command without its variable part.
 const COMMAND_OVERHEAD_BYTES: usize = 50;
+/// Estimated size in the log of a configuration item without its label and body.
 const ITEM_OVERHEAD_BYTES: usize = 60;
-/// The same of an edge and of a tenant in recorded ceilings.
+/// Estimated size in the log of an edge node in a record of ceilings, without its tenants.
 const EDGE_CEILINGS_BYTES: usize = 40;
+/// Estimated size in the log of one tenant's ceiling.
 const TENANT_CEILING_BYTES: usize = 20;
 
-/// The log's parameters, by the deployment's settings.
+/// Derives the parameters of the log from the settings.
 pub(super) fn raft_config(settings: &Settings) -> RaftConfig {
     let tolerance = settings.tolerance;
-    // Silent voters are taken out down to the number of which a majority is left after `losses` more. A lower bound
-    // only: a lost zone or region may take several voters.
+    // Voters that don't respond are removed only while those that remain keep a majority after `losses` more failures.
+    // This is a lower bound, since the loss of a zone or region may take several voters at once.
     let losses = tolerance.machines.max(tolerance.zones).max(tolerance.regions);
     RaftConfig {
         heartbeat_interval: HEARTBEAT_MS,
@@ -63,59 +67,60 @@
         voter_removal_timeout: settings.envelope.resync_bound.as_millis() as u64 / 2,
         min_voters: (2 * losses + 1).max(3),
         max_entries_per_append: MAX_ENTRIES_PER_MESSAGE,
-        snapshot_chunk_bytes: SNAPSHOT_PIECE_BYTES,
-        max_chunks_in_flight: MAX_PIECES_IN_FLIGHT,
-        disk_stall_timeout: DISK_HANG_MS,
+        snapshot_chunk_bytes: INSTALL_CHUNK_BYTES,
+        max_chunks_in_flight: MAX_INSTALL_CHUNKS_IN_FLIGHT,
+        disk_stall_timeout: DISK_STALL_TIMEOUT_MS,
     }
 }
 
-/// A write batch that carries writes of the log.
+/// A write batch that contains writes of the log and is not synced yet.
 struct PendingWrite {
     /// Number of the batch.
     batch: u64,
-    /// The log's own number of the writes.
+    /// The id under which the log expects completion ([`Raft::on_persisted`](crate::consensus::Raft::on_persisted)).
     raft_write: u64,
 }
 
-/// What this node keeps about the log besides the log itself.
+/// State of the driver: everything about the log that is not in the consensus state itself.
 #[derive(Default)]
 pub(super) struct LogDriver {
     pending_writes: Vec<PendingWrite>,
-    /// In seconds of the event clock.
-    last_join_request: f64,
-    /// Estimated bytes of the commands that were applied since the last snapshot.
+    /// Time of the last request to join, in seconds of the event clock.
+    last_join_request_secs: f64,
+    /// Estimated size of the commands applied since the last snapshot.
     applied_bytes: usize,
-    /// Size of the last snapshot.
+    /// Size of the last snapshot in bytes.
     snapshot_bytes: usize,
-    /// The next snapshot, while it is encoded.
+    /// The snapshot that is being encoded, if any.
     writer: Option<SnapshotWriter>,
-    /// A leader's snapshot, while it arrives.
+    /// The leader's snapshot that is being received, if any.
     receiver: Option<SnapshotReceiver>,
-    /// The entry of the quota ceilings that were proposed last, until it is applied or leadership changes.
+    /// Position of the last proposed record of share ceilings, until it is applied or leadership changes.
     proposed_ceilings: Option<LogPosition>,
-    /// Leadership and voters as logged last.
+    /// Whether this node was the leader when leadership was last checked.
     was_leader: bool,
+    /// The voters when they were last checked.
     voters: Vec<NodeId>,
 }
 
 impl LogDriver {
-    /// `snapshot_bytes`: size of the snapshot on the disk.
+    /// Creates a driver; `snapshot_bytes` is the size of the snapshot on the disk.
     pub(super) fn new(snapshot_bytes: usize) -> Self {
         LogDriver { snapshot_bytes, ..LogDriver::default() }
     }
 
-    /// Size of the last snapshot.
+    /// Size of the last snapshot in bytes.
     pub(super) fn snapshot_bytes(&self) -> usize {
         self.snapshot_bytes
     }
 
-    /// Whether quota ceilings are on their way through the log.
+    /// Whether a proposed record of share ceilings is not applied yet.
     pub(super) fn is_proposing_ceilings(&self) -> bool {
         self.proposed_ceilings.is_some()
     }
 }
 
-/// Estimated bytes of a command in the log.
+/// Estimated size of a command in the log, in bytes.
 fn command_bytes(command: &LogCommand) -> usize {
     let variable_bytes: usize = match command {
         LogCommand::Configure(change) => {
@@ -133,7 +138,8 @@
 }
 
 impl CoreNode {
-    /// A consensus message. One to another member is dropped: this address had another disk before.
+    /// Handles a consensus message. A message addressed to another member is dropped: the sender knows this machine with
+    /// an earlier disk.
     pub(super) fn handle_consensus_message(
         &mut self,
         now: f64,
@@ -145,14 +151,14 @@
         if to != self.raft.id() {
             return;
         }
-        // Responses go by a connection that this process opens.
+        // Consensus responses travel on connections that this process opens.
         self.learn_core_nodes(vec![NodeLocation::unplaced(from.ip)], out);
         let log_time = self.context.log_time(now);
         self.raft.receive(log_time, from, message);
         self.process_raft_outputs(now, out);
     }
 
-    /// A node asks to join the core. A follower forwards this to the leader, unless it was forwarded already.
+    /// Handles a node's request to join the core. A follower forwards it to the leader, once.
     pub(super) fn handle_join(&mut self, now: f64, id: NodeId, is_forwarded: bool, out: &mut Vec<Effect>) {
         let log_time = self.context.log_time(now);
         if self.raft.is_leader() {
@@ -166,15 +172,15 @@
         }
     }
 
-    /// Tells the other core nodes that this process ends, so that the leader may take it out of the voters
-    /// without waiting for its silence.
+    /// Announces to the other core nodes that this process ends, so that the leader may remove it from the voters
+    /// without waiting for the voter removal timeout.
     pub(super) fn announce_leave(&self, out: &mut Vec<Effect>) {
         let id = self.raft.id();
         let leave = |ip| Effect::SendToPeer(ip, PeerMessage::Leave { id });
         out.extend(self.context.peers().into_iter().map(leave));
     }
 
-    /// The write batch with this number is synced, and so are all before it.
+    /// Handles the completion of a write batch: this batch and all earlier ones are synced.
     pub(super) fn handle_persisted(&mut self, now: f64, batch: u64, out: &mut Vec<Effect>) {
         let driver = &mut self.log_driver;
         if let Some(writer) = driver.writer.as_mut().filter(|w| w.pending_batch.is_some_and(|n| n <= batch)) {
@@ -192,9 +198,9 @@
     pub(super) fn tick_log(&mut self, now: f64, out: &mut Vec<Effect>) {
         let log_time = self.context.log_time(now);
         self.raft.tick(log_time);
-        let may_ask_to_join = now - self.log_driver.last_join_request >= JOIN_INTERVAL_SECS;
+        let may_ask_to_join = now - self.log_driver.last_join_request_secs >= JOIN_RETRY_INTERVAL_SECS;
         if self.raft.leader(log_time).is_none() && may_ask_to_join {
-            self.log_driver.last_join_request = now;
+            self.log_driver.last_join_request_secs = now;
             let id = self.raft.id();
             let join = |ip| Effect::SendToPeer(ip, PeerMessage::Join { id, forwarded: false });
             out.extend(self.context.peers().into_iter().map(join));
@@ -203,8 +209,8 @@
         self.compact_log(now, out);
     }
 
-    /// Compacts the log behind a snapshot of what is applied, once it is long. The snapshot is encoded over several
-    /// ticks, one chunk at a time on its way to the disk.
+    /// Compacts the log behind a snapshot of the applied state once the log exceeds a threshold. The snapshot is encoded
+    /// over several ticks, and the next chunk only once the previous one is synced.
     fn compact_log(&mut self, now: f64, out: &mut Vec<Effect>) {
         if self.log_driver.writer.is_none() {
             self.start_snapshot();
@@ -230,10 +236,10 @@
         self.process_raft_outputs(now, out);
     }
 
-    /// Starts a snapshot as of the last applied entry if the log is long enough.
+    /// Starts a snapshot as of the last applied entry if the log exceeds a compaction threshold.
     fn start_snapshot(&mut self) {
         let driver = &mut self.log_driver;
-        let factor = if self.raft.is_sending_snapshot() { COMPACTION_DELAY_FACTOR } else { 1 };
+        let factor = if self.raft.is_sending_snapshot() { SENDING_COMPACTION_FACTOR } else { 1 };
         let entries = self.raft.entry_count();
         let is_long = driver.applied_bytes > factor * COMPACTION_MIN_BYTES.max(driver.snapshot_bytes)
             || entries > factor * COMPACTION_MIN_ENTRIES;
@@ -245,7 +251,8 @@
         driver.applied_bytes = 0;
     }
 
-    /// Decodes what has arrived of a leader's snapshot, and writes it ahead in chunks.
+    /// Decodes the part of a leader's snapshot that has arrived, and writes it to the disk in chunks before the snapshot
+    /// is complete.
     fn receive_snapshot(&mut self, out: &mut Vec<Effect>) {
         let Some(incoming) = self.raft.incoming_snapshot() else {
             self.log_driver.receiver = None;
@@ -266,7 +273,7 @@
         }
     }
 
-    /// Carries out what the log has put out. To be called after every call that may have changed the log.
+    /// Performs the outputs of the log. Must be called after every call that may have changed the log.
     pub(super) fn process_raft_outputs(&mut self, now: f64, out: &mut Vec<Effect>) {
         for output in self.raft.take_outputs() {
             match output {
@@ -351,8 +358,8 @@
         }
     }
 
-    /// Replaces the state by a leader's snapshot. If that can't be decoded it is of another release: this node can't go
-    /// on.
+    /// Replaces the state by a leader's snapshot. A snapshot that can't be decoded comes from another release; then the
+    /// node can't continue, and `fatal_error` is set.
     fn install_snapshot(&mut self, now: f64, snapshot: &Snapshot, out: &mut Vec<Effect>) {
         let position = LogPosition { index: snapshot.index, term: snapshot.term };
         let receiver = self.log_driver.receiver.take();
@@ -379,7 +386,7 @@
         }
     }
 
-    /// Proposes to record the quota ceilings: they rise only once a majority holds the record.
+    /// Proposes a record of share ceilings. Shares rise to them only once the record is committed.
     pub(super) fn propose_ceilings(&mut self, now: f64, ceilings: ShareCeilings) {
         let log_time = self.context.log_time(now);
         let position = self.raft.propose(log_time, LogCommand::Shares(Arc::new(ceilings)));
@@ -387,7 +394,7 @@
     }
 }
 
-/// A member as the log lines and the journal spell it: address/disk.
+/// The name of a member in log lines and in the event journal: address/disk.
 pub(super) fn member_name(id: &NodeId) -> String {
     format!("{}/{:x}", id.ip, id.disk)
 }
--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -1,9 +1,9 @@
 //! Snapshots of the replicated state machine, encoded and decoded in steps.
 //!
-//! A snapshot takes megabytes. [`SnapshotWriter`] encodes this node's own over several ticks while the state goes on
-//! changing; [`SnapshotReceiver`] decodes a leader's while its bytes arrive. Both hand out [`SnapshotChunk`]s that are
-//! written ahead of the batch that puts the snapshot in force, so that neither heartbeats nor entries wait for one
-//! large write.
+//! A snapshot may be several megabytes long. [`SnapshotWriter`] encodes this node's snapshot over several ticks while
+//! the state keeps changing; [`SnapshotReceiver`] decodes a leader's snapshot while its bytes arrive. Both return
+//! [`SnapshotChunk`]s that are written to the disk before the batch that makes the snapshot the valid one, so that
+//! neither heartbeats nor entries wait for one large write.
 //!
 //! Format: [`FORMAT_CHUNKED`], the length of the ceilings in [`LENGTH_BYTES`] big-endian bytes, the ceilings as
 //! MessagePack, then the configuration as its [`Encoder`] writes it.
@@ -18,29 +18,30 @@
 
 /// First byte of a snapshot.
 const FORMAT_CHUNKED: u8 = 1;
-/// First byte of a snapshot of an earlier release: one MessagePack array of two. Still read, from disks and from peers.
+/// First byte of a snapshot of earlier releases, which is one MessagePack array of two elements. Such snapshots may
+/// still come from a disk or from a peer.
 const FORMAT_MONOLITHIC: u8 = 0x92;
-/// Bytes that are encoded in one step, at least.
+/// Smallest number of bytes that one step encodes, unless the state ends before.
 const STEP_BYTES: usize = 4 * SNAPSHOT_CHUNK_BYTES;
-/// Size of the field that holds the length of the ceilings.
+/// Size of the length field before the ceilings.
 const LENGTH_BYTES: usize = 4;
 
-/// Why a snapshot can't be decoded.
+/// Reason why a snapshot can't be decoded.
 #[derive(Debug, displaydoc::Display)]
 pub enum SnapshotError {
-    /// a snapshot of the unknown format {0}
+    /// unknown snapshot format {0}
     Format(u8),
     /// {0}
     Encoding(rmp_serde::decode::Error),
     /// {0}
     Configuration(ConfigStateError),
-    /// a snapshot is followed by {0} more bytes
+    /// {0} surplus bytes after the end of the snapshot
     Surplus(usize),
 }
 
 impl std::error::Error for SnapshotError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        // The text of these two is that of their cause, so the cause's own cause comes next.
+        // `Encoding` and `Configuration` display as the wrapped error, so their source is the source of that error.
         match self {
             SnapshotError::Encoding(error) => error.source(),
             SnapshotError::Configuration(error) => error.source(),
@@ -61,22 +62,23 @@
     }
 }
 
-/// The state in a snapshot.
+/// The decoded state of a snapshot.
 #[derive(Default)]
 pub(super) struct DecodedSnapshot {
     /// The configuration.
     pub(super) config: ConfigState,
-    /// The recorded quota ceilings, if there are any.
+    /// The recorded share ceilings, if there are any.
     pub(super) ceilings: Option<Arc<ShareCeilings>>,
 }
 
-/// This node's own snapshot while it is encoded. It holds the state as of its creation, whatever is applied meanwhile.
+/// Encoder of this node's snapshot. The snapshot has the state as of the encoder's creation, whatever is applied
+/// meanwhile.
 pub(super) struct SnapshotWriter {
     /// The last entry that the snapshot covers.
     pub(super) position: LogPosition,
     encoder: StateEncoder,
     bytes: Vec<u8>,
-    /// Bytes that were handed out as chunks.
+    /// Number of bytes that were returned as chunks.
     chunked: usize,
     /// The write batch of the latest chunk, until it is synced.
     pub(super) pending_batch: Option<u64>,
@@ -99,8 +101,8 @@
         SnapshotWriter { position, encoder: state.encoder(), bytes, chunked: 0, pending_batch: None }
     }
 
-    /// Encodes one step and returns the chunk to write, or `None` once the snapshot is complete. What is left after the
-    /// last chunk is written with the batch that puts the snapshot in force.
+    /// Encodes one step and returns the chunk to write, or `None` once the snapshot is complete. The bytes after the
+    /// last chunk are written with the batch that makes the snapshot the valid one.
     pub(super) fn next_chunk(&mut self) -> Option<SnapshotChunk> {
         while self.bytes.len() < self.chunked + STEP_BYTES {
             if !self.encoder.encode_frame(&mut self.bytes) {
@@ -116,7 +118,8 @@
     }
 }
 
-/// The bytes behind `chunked`, cut to a multiple of [`SNAPSHOT_CHUNK_BYTES`]; `chunked` moves to their end.
+/// Returns the bytes from `chunked` up to the last multiple of [`SNAPSHOT_CHUNK_BYTES`], and advances `chunked` to their
+/// end.
 fn take_chunk(position: LogPosition, chunked: &mut usize, bytes: &[u8]) -> SnapshotChunk {
     let (offset, end) = (*chunked, bytes.len() / SNAPSHOT_CHUNK_BYTES * SNAPSHOT_CHUNK_BYTES);
     *chunked = end;
@@ -124,15 +127,15 @@
     SnapshotChunk { snapshot: (position.index, position.term).into(), offset: offset as u64, data }
 }
 
-/// A leader's snapshot while it arrives.
+/// Incremental decoder of a leader's snapshot.
 pub(super) struct SnapshotReceiver {
     position: LogPosition,
     decoder: StateDecoder,
-    /// `None` until the ceilings are decoded; they may themselves be absent.
+    /// The outer `Option` is `None` until the ceilings are decoded, the inner one if the snapshot has no ceilings.
     ceilings: Option<Option<Arc<ShareCeilings>>>,
-    /// Bytes that are decoded.
+    /// Number of bytes that are decoded.
     decoded: usize,
-    /// Bytes that were handed out as chunks.
+    /// Number of bytes that were returned as chunks.
     chunked: usize,
     /// The first failure; decoding stops there, and [`SnapshotReceiver::finish`] reports it.
     error: Option<SnapshotError>,
@@ -150,12 +153,14 @@
         }
     }
 
-    /// Whether `bytes`, all that has arrived of the snapshot as of `position`, continue what this receiver has seen.
+    /// Whether `bytes`, the part of the snapshot as of `position` that has arrived so far, continues the bytes that this
+    /// receiver has processed.
     pub(super) fn is_continued_by(&self, position: LogPosition, bytes: &[u8]) -> bool {
         self.position == position && self.decoded.max(self.chunked) <= bytes.len()
     }
 
-    /// Decodes what is new in `bytes`, all that has arrived; returns the chunk to write, if there is a complete one.
+    /// Decodes the new bytes at the end of `bytes`, the part of the snapshot that has arrived so far. Returns the chunk
+    /// to write, if one is complete.
     pub(super) fn receive(&mut self, bytes: &[u8]) -> Option<SnapshotChunk> {
         self.decode_available(bytes);
         let has_chunk = bytes.len() >= self.chunked + SNAPSHOT_CHUNK_BYTES;
@@ -172,7 +177,7 @@
         }
     }
 
-    /// Decodes one element; returns its length, or zero if it is not complete yet.
+    /// Decodes one element and returns its length, or 0 if the element is not complete yet.
     fn decode_step(&mut self, bytes: &[u8]) -> Result<usize, SnapshotError> {
         if self.ceilings.is_some() {
             return Ok(self.decoder.decode_frame(bytes)?);
@@ -189,10 +194,10 @@
         Ok(end)
     }
 
-    /// The state in `bytes`, the complete snapshot.
+    /// Decodes the rest of `bytes`, the complete snapshot, and returns its state.
     ///
     /// # Errors
-    /// The bytes can't be decoded, end early, or go on behind the snapshot.
+    /// The bytes can't be decoded, end early, or continue after the end of the snapshot.
     pub(super) fn finish(mut self, bytes: &[u8]) -> Result<DecodedSnapshot, SnapshotError> {
         self.decode_available(bytes);
         if let Some(error) = self.error {
@@ -206,10 +211,10 @@
     }
 }
 
-/// Decodes a complete snapshot, of this release or of the earlier format.
+/// Decodes a complete snapshot in the current format or in that of earlier releases.
 ///
 /// # Errors
-/// As [`SnapshotReceiver::finish`].
+/// The errors of [`SnapshotReceiver::finish`].
 pub(super) fn decode(bytes: &[u8]) -> Result<DecodedSnapshot, SnapshotError> {
     if bytes.first() == Some(&FORMAT_MONOLITHIC) {
         let (config, ceilings): (Bytes, Option<Arc<ShareCeilings>>) = rmp_serde::from_slice(bytes)?;
--- a/crates/gateway/src/control_plane/status.rs
+++ b/crates/gateway/src/control_plane/status.rs
@@ -1,6 +1,8 @@
-//! The cluster as this node sees it, for `GET /whinstall/core`: members, leader, each member's progress, which of them
-//! are out of contact and why, and what is being repaired. Also the log lines when a member's state changes. For
-//! operators only; nothing is decided by it.
+//! The status report for `GET /whinstall/core`: the cluster as this node sees it. The report lists the members, the
+//! leader, the replication progress of each member, which members are unreachable and why, and what the leader does
+//! about them. This module also logs each change of a member's state.
+//!
+//! The report is for operators only; no decision of the system depends on it.
 
 use super::replicated_log::{member_name, raft_config, ELECTION_TIMEOUT_MS};
 use super::CoreNode;
@@ -10,22 +12,22 @@
 use std::fmt::{Display, Formatter};
 use std::net::IpAddr;
 
-/// How the leader sees another member.
+/// State of another member as the leader sees it. The texts of `Display` are part of the operators' interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MemberState {
-    /// A voter that responds.
+    /// A voter that was heard within the election timeout.
     Voting,
-    /// A voter that was silent for longer than the election timeout.
+    /// A voter that was not heard for longer than the election timeout.
     Unreachable,
-    /// A learner: receives the log, and is not a voter yet.
+    /// A learner: a member that receives the log and does not vote yet.
     CatchingUp,
-    /// No voter and silent: it was a member, or asked to be one.
+    /// Neither a voter nor heard within the election timeout: a former member, or a node that asked to join.
     Gone,
 }
 
 impl MemberState {
     fn of(peer: &PeerStatus) -> Self {
-        match (peer.is_voter, is_silent(peer)) {
+        match (peer.is_voter, is_unresponsive(peer)) {
             (true, false) => MemberState::Voting,
             (true, true) => MemberState::Unreachable,
             (false, false) => MemberState::CatchingUp,
@@ -35,7 +37,6 @@
 }
 
 impl Display for MemberState {
-    /// The text is part of the operators' interface.
     fn fmt(&self, f: &mut Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             MemberState::Voting => "votes",
@@ -46,28 +47,29 @@
     }
 }
 
-/// A member's state, and since when, in seconds of the event clock.
+/// State of a member, with the time of its last change.
 struct ObservedState {
     state: MemberState,
+    /// Time since which the member is in this state, in seconds of the event clock.
     since: f64,
 }
 
-/// The other members' states as this node, being the leader, last observed them.
+/// States of the other members as the leader last observed them; empty on other nodes.
 #[derive(Default)]
 pub(super) struct MemberStates(BTreeMap<NodeId, ObservedState>);
 
 /// Whether the leader has not heard from this member for longer than the election timeout.
-fn is_silent(peer: &PeerStatus) -> bool {
+fn is_unresponsive(peer: &PeerStatus) -> bool {
     peer.silent_for > ELECTION_TIMEOUT_MS
 }
 
 impl CoreNode {
-    /// The other members, if this node leads; else none.
+    /// Status of the other members; empty unless this node is the leader.
     fn peers(&self, now: f64) -> Vec<PeerStatus> {
         self.raft.peer_statuses(self.context.log_time(now))
     }
 
-    /// Observes the other members' states, and logs what has changed.
+    /// Updates the observed states of the other members, and logs the changes.
     pub(super) fn track_member_states(&mut self, now: f64) {
         let peers = self.peers(now);
         self.member_states.0.retain(|id, _| peers.iter().any(|peer| peer.id == *id));
@@ -107,10 +109,11 @@
         }
     }
 
-    /// Why a member is silent, as far as this node can tell.
+    /// Probable reason why a member is unreachable, as far as this node can tell.
     fn unreachable_reason(&self, id: &NodeId, peers: &[PeerStatus]) -> String {
-        let successor =
-            peers.iter().find(|peer| peer.id.ip == id.ip && peer.id.disk != id.disk && !is_silent(peer));
+        let successor = peers
+            .iter()
+            .find(|peer| peer.id.ip == id.ip && peer.id.disk != id.disk && !is_unresponsive(peer));
         match successor {
             Some(peer) => format!("its machine is there with another disk, {:x}", peer.id.disk),
             None if self.connected_peers.contains(&id.ip) => {
@@ -121,7 +124,7 @@
         }
     }
 
-    /// What the leader does about a member that does not take part.
+    /// What the leader does about a member that is unreachable or catching up.
     fn repair_text(&self, state: MemberState) -> Option<String> {
         let config = raft_config(&self.context.settings);
         match state {
@@ -147,7 +150,7 @@
         })
     }
 
-    /// The name of a core node, if it has introduced itself here: by the newest connection from its address.
+    /// Name of a core node, from the newest session of its address; `None` if there is no session.
     fn node_name(&self, ip: IpAddr) -> Option<&str> {
         if ip == self.context.me.ip {
             return Some(&self.context.settings.node);
@@ -156,7 +159,7 @@
         newest.map(|session| session.node.as_str())
     }
 
-    /// A member as this node is connected to it.
+    /// A member's identity and this node's contact with it.
     fn member_json(&self, now: f64, id: &NodeId, leader: Option<NodeId>) -> Value {
         let is_me = *id == self.raft.id();
         let heard_ms = match is_me {
@@ -170,7 +173,7 @@
         rendered
     }
 
-    /// A member's progress as the leader knows it.
+    /// A member's replication progress as the leader knows it.
     fn progress_json(&self, now: f64, peer: &PeerStatus, peers: &[PeerStatus]) -> Value {
         let state = MemberState::of(peer);
         let observed = self.member_states.0.get(&peer.id).filter(|observed| observed.state == state);
@@ -179,7 +182,7 @@
         rendered["lag_entries"] = json!(self.raft.last_index().saturating_sub(peer.match_index));
         rendered["silent_ms"] = json!(peer.silent_for);
         rendered["state"] = json!(state.to_string());
-        // Tenths of a second.
+        // Rounded to tenths of a second.
         rendered["since_s"] = json!(observed.map(|o| ((now - o.since) * 10.0).round() / 10.0));
         if state == MemberState::Unreachable {
             rendered["why"] = json!(self.unreachable_reason(&peer.id, peers));
@@ -190,7 +193,7 @@
         rendered
     }
 
-    /// The body of `GET /whinstall/core`: docs/system-operators.md describes its fields.
+    /// The body of the response to `GET /whinstall/core`. The fields are described in docs/system-operators.md.
     pub fn status(&self, now: f64) -> Value {
         let log_time = self.context.log_time(now);
         let (members, leader, me) = (self.raft.voters(), self.raft.leader(log_time), self.raft.id());
@@ -214,7 +217,7 @@
             "holds_counter": self.raft.holds_lease(log_time),
             "members": members.iter().map(|id| self.member_json(now, id, leader)).collect::<Vec<_>>(),
             "others": peers.iter().map(|peer| self.progress_json(now, peer, &peers)).collect::<Vec<_>>(),
-            // Only the leader knows.
+            // Known on the leader only.
             "whole": self.raft.is_leader().then_some(is_complete),
             "committed": self.raft.commit_index(),
             "applied": self.configuration.applied,
