--- a/crates/gateway/src/control_plane/upkeep.rs
+++ b/crates/gateway/src/control_plane/upkeep.rs
@@ -1,6 +1,6 @@
-//! Periodic work of the core role, and reloaded settings.
+//! Periodic work of the core role, and the application of reloaded settings.
 
-use super::quota_lease::CeilingLog;
+use super::quota_lease::CeilingRecordStatus;
 use super::{replicated_log, tenant_limit, CoreNode, Effect};
 use crate::control_plane::event_journal::JournalEvent;
 use crate::protocol::{NodeLocation, PeerMessage};
@@ -8,9 +8,9 @@
 
 /// Seconds between two pings to each core node.
 const PING_INTERVAL_SECS: f64 = 0.3;
-/// A gap between two ticks from which on the process counts as suspended, in seconds.
-const SUSPENSION_SECS: f64 = 0.5;
-/// Seconds between two searches for core nodes to forget.
+/// Gap between two ticks, in seconds, above which the process counts as having been suspended.
+const SUSPENSION_THRESHOLD_SECS: f64 = 0.5;
+/// Seconds between two removals of stale core nodes.
 const CLEANUP_INTERVAL_SECS: f64 = 5.0;
 
 impl CoreNode {
@@ -29,16 +29,17 @@
         }
         self.tick_log(now, out);
         self.configuration.tick(&mut self.context, out);
-        let silent = self.membership.tick(now, &mut self.context, out);
-        self.persist_workers(&silent, out);
+        let unresponsive = self.membership.tick(now, &mut self.context, out);
+        self.persist_workers(&unresponsive, out);
         self.tick_sessions(now, out);
         self.tick_quota_lease(now, out);
     }
 
-    /// After a suspension, heartbeats that were missed meanwhile say nothing about the workers.
+    /// Detects that the process was suspended, and restarts the workers' timeouts: no heartbeat could be received
+    /// meanwhile, so missed ones don't show that a worker failed.
     fn detect_suspension(&mut self, now: f64) {
         let gap_secs = now - self.last_tick;
-        if gap_secs > SUSPENSION_SECS {
+        if gap_secs > SUSPENSION_THRESHOLD_SECS {
             tracing::warn!(seconds = gap_secs, "process was suspended");
             self.context.journal.append(now, JournalEvent::Suspended { secs: gap_secs });
             self.membership.reset_timeouts(now);
@@ -60,15 +61,15 @@
         out.extend(forgotten.into_iter().map(Effect::Disconnect));
     }
 
-    /// Takes or gives up the quota lease, and proposes the standing ceilings to the log if they changed.
+    /// Acquires or loses the quota lease, and proposes changed share ceilings to the log.
     fn tick_quota_lease(&mut self, now: f64, out: &mut Vec<Effect>) {
         let lease = self.leased_term(now);
         let limits = |tenant: &str| tenant_limit(&self.configuration.state, tenant);
-        let log = CeilingLog {
-            last_record: self.recorded_ceilings.as_deref(),
-            can_record: !self.log_driver.is_proposing_ceilings(),
+        let record_status = CeilingRecordStatus {
+            last_applied_record: self.recorded_ceilings.as_deref(),
+            can_propose: !self.log_driver.is_proposing_ceilings(),
         };
-        let ceilings = self.quota_lease.tick(now, lease, log, &mut self.context, &limits);
+        let ceilings = self.quota_lease.tick(now, lease, record_status, &mut self.context, &limits);
         if let Some(ceilings) = ceilings {
             self.propose_ceilings(now, ceilings);
             self.process_raft_outputs(now, out);
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -1,12 +1,15 @@
-//! The core node's view of the workers: it merges their reports, replicates shutdown announcements before they are
-//! acknowledged, exchanges heartbeats and digests with its peers, and detects workers that fell silent.
+//! Worker membership: the core node's view of the workers. This module merges their reports, replicates shutdown
+//! announcements before they are acknowledged, exchanges heartbeats and digests with the peers, and detects workers
+//! that stopped sending heartbeats.
 //!
-//! Workers are not in the replicated log: their reports merge in any order (see [`WorkerRegistry`]) and are spread
-//! best-effort. Two invariants:
-//! - A worker's announced shutdown is acknowledged only once enough core nodes hold it in memory that no tolerated loss
-//!   of nodes can forget it ([`CoreContext::survives_tolerated_losses`]).
-//! - A worker is declared unresponsive only by a node that was itself in contact with a majority of the core for the
-//!   whole of the worker's timeout ([`WorkerMembership::is_complete`]).
+//! Workers are not in the replicated log. Their reports merge in any order (see [`WorkerRegistry`]) and spread between
+//! core nodes best-effort.
+//!
+//! Invariants:
+//! - A worker's announced shutdown is acknowledged only once enough core nodes hold the announcement in memory to
+//!   survive every tolerated loss of nodes ([`CoreContext::survives_tolerated_losses`]).
+//! - Only a node that was in contact with a majority of the core throughout a worker's timeout declares that worker
+//!   unresponsive ([`WorkerMembership::is_complete`]).
 
 use super::change_tracker::ChangeTracker;
 use super::{error_body, CallId, CoreContext, Effect};
@@ -19,24 +22,25 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// A worker times out after this many missed heartbeats.
+/// Number of missed heartbeats after which a worker times out.
 const MISSED_HEARTBEATS: f64 = 4.0;
-/// Unresponsive and departed workers are remembered for this long, so that delayed heartbeats don't revive them:
-/// seconds.
-const ENDED_WORKER_KEEP_SECS: f64 = 60.0;
-/// Heartbeats received here are reported to the peers this often: seconds.
+/// Seconds for which unresponsive and departed workers stay in the registry, so that delayed heartbeats don't revive
+/// them.
+const ENDED_WORKER_RETENTION_SECS: f64 = 60.0;
+/// Shortest interval, in seconds, between two reports of received heartbeats to the peers.
 const HEARTBEAT_REPORT_INTERVAL_SECS: f64 = 0.5;
-/// A shutdown announcement that is not replicated within this time is refused, so that the worker can call another core
-/// node: seconds.
+/// Seconds after which a shutdown announcement that is not replicated gets 503, so that the worker can call another core
+/// node.
 const REPLICATION_TIMEOUT_SECS: f64 = 0.8;
-/// A peer whose digest differs in the same way this often in a row is sent all workers...
-const RESEND_AFTER_MISMATCHES: u32 = 3;
-/// ...but no more often than this: seconds.
-const RESEND_INTERVAL_SECS: f64 = 1.0;
-/// Acknowledged shutdowns are forgotten beyond this number; a repeated announcement is then replicated again.
+/// Number of consecutive pings with the same digest difference after which a peer is sent all workers.
+const MISMATCHES_BEFORE_RESEND: u32 = 3;
+/// Shortest interval, in seconds, between two full worker lists for the same peer.
+const MIN_RESEND_INTERVAL_SECS: f64 = 1.0;
+/// Number of remembered acknowledged shutdowns above which all of them are forgotten. A repeated announcement is then
+/// replicated again.
 const MAX_ACKNOWLEDGED_SHUTDOWNS: usize = 10_000;
 
-/// A shutdown announcement that waits for enough core nodes to hold it.
+/// A shutdown announcement that not enough core nodes hold yet.
 struct PendingReplication {
     call: CallId,
     held_by: BTreeSet<IpAddr>,
@@ -45,48 +49,48 @@
     phase: WorkerPhase,
 }
 
-/// How a peer's worker digest differed from the local one.
+/// Difference between a peer's worker digest and the local one.
 struct DigestMismatch {
-    /// The peer's digest XOR the local one, at its last ping; 0: equal.
+    /// XOR of the peer's digest and the local one at the peer's last ping; 0 if they were equal.
     difference: u64,
-    /// Pings in a row with this difference.
+    /// Number of consecutive pings with this difference.
     repeats: u32,
-    resent_secs: f64,
+    last_resend_secs: f64,
 }
 
-/// What [`WorkerMembership::merge`] found out.
+/// Result of [`WorkerMembership::merge`].
 pub struct MergedWorkers {
     /// Workers that are new or changed here.
     pub changed: Vec<Worker>,
-    /// Workers that the sender took for unresponsive and that were heard from here since.
+    /// Workers that the sender reported as unresponsive, although this node has a later report of them.
     pub contested: Vec<Worker>,
 }
 
-/// The workers, as this core node knows them.
+/// This core node's view of the workers.
 pub struct WorkerMembership {
-    /// Their latest reports.
+    /// Latest report of each worker.
     pub registry: WorkerRegistry,
     changes: ChangeTracker<Arc<str>>,
     heartbeat_interval_secs: f64,
-    /// By request id.
+    /// Shutdown announcements that are being replicated, by request id.
     pending: BTreeMap<u64, PendingReplication>,
-    /// Shutdowns that enough core nodes hold, by worker id.
+    /// Acknowledged shutdowns by worker id.
     acknowledged: BTreeMap<String, WorkerPhase>,
-    /// Heartbeats received here since the last report to the peers: call counts by worker id.
+    /// Heartbeats that this node received since its last report to the peers: call counts by worker id.
     unreported_heartbeats: BTreeMap<String, u64>,
-    heartbeats_reported_secs: f64,
-    /// Since when this node has been in contact with a majority of the core without a break.
+    last_report_secs: f64,
+    /// Start of the uninterrupted contact with a majority of the core; `None` without such contact.
     in_majority_since_secs: Option<f64>,
-    /// By core node.
+    /// Digest differences by core node.
     mismatches: BTreeMap<IpAddr, DigestMismatch>,
 }
 
 impl WorkerMembership {
-    /// Starts with the workers of the disk, as if all had just been heard from and none were in slow start.
+    /// Starts with the workers from the disk. Each counts as just heard from, and as past its slow start.
     pub fn new(settings: &Settings, now: f64, workers: Vec<Worker>) -> Self {
         let mut registry = WorkerRegistry::default();
         for worker in workers {
-            registry.merge(now, Worker { warmup_ms: 0, ..worker }, ENDED_WORKER_KEEP_SECS);
+            registry.merge(now, Worker { warmup_ms: 0, ..worker }, ENDED_WORKER_RETENTION_SECS);
         }
         WorkerMembership {
             registry,
@@ -95,18 +99,18 @@
             pending: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
             unreported_heartbeats: BTreeMap::new(),
-            heartbeats_reported_secs: 0.0,
+            last_report_secs: 0.0,
             in_majority_since_secs: None,
             mismatches: BTreeMap::new(),
         }
     }
 
-    /// Merges reports, of a worker itself or of another core node.
+    /// Merges reports that come from a worker itself or from another core node.
     pub fn merge(&mut self, now: f64, workers: Vec<Worker>, journal: &mut EventJournal) -> MergedWorkers {
         let (mut changed, mut contested) = (Vec::new(), Vec::new());
         for worker in workers {
             let (id, reported_phase) = (worker.id.clone(), worker.phase);
-            match journal.merge_worker(now, worker, &mut self.registry, ENDED_WORKER_KEEP_SECS) {
+            match journal.merge_worker(now, worker, &mut self.registry, ENDED_WORKER_RETENTION_SECS) {
                 MergeOutcome::Changed => {
                     let Some(known) = self.registry.get(&id) else { continue };
                     tracing::info!(worker = %known.id, service = %known.service, phase = ?known.phase, "worker changed");
@@ -123,65 +127,65 @@
         MergedWorkers { changed, contested }
     }
 
-    /// A worker sent its heartbeat to this node: it goes into the next report to the peers.
+    /// Records a heartbeat that a worker sent to this node, for the next report to the peers.
     pub fn record_heartbeat(&mut self, worker: &Worker) {
         self.unreported_heartbeats.insert(worker.id.to_string(), worker.heartbeat_seq);
     }
 
-    /// A peer reported heartbeats: call counts by worker id.
+    /// Records heartbeats that a peer received: call counts by worker id.
     pub fn record_peer_heartbeats(&mut self, now: f64, heartbeats: &[(String, u64)]) {
         for (id, heartbeat_seq) in heartbeats {
             self.registry.record_heartbeat(now, id, *heartbeat_seq);
         }
     }
 
-    /// The report of a known worker's departure; `None`: it is unknown here.
+    /// Returns a report of a worker's departure, or `None` if the worker is unknown here.
     pub fn departure_of(&self, id: &str) -> Option<Worker> {
         let known = self.registry.get(id)?;
         Some(Worker { phase: WorkerPhase::Departed, heartbeat_seq: known.heartbeat_seq + 1, ..known.clone() })
     }
 
-    /// Replicates a worker's shutdown announcement, and replies to its call once enough core nodes hold it: at once if
-    /// they are known to.
+    /// Replicates a worker's shutdown announcement, and responds to the call once enough core nodes hold the
+    /// announcement. An announcement that was acknowledged before gets its response at once.
     pub fn replicate_shutdown(
         &mut self,
         now: f64,
         call: CallId,
         worker: Worker,
-        shared: &mut CoreContext,
+        context: &mut CoreContext,
         out: &mut Vec<Effect>,
     ) {
         if self.acknowledged.get(&*worker.id).is_some_and(|phase| *phase >= worker.phase) {
             return out.push(Effect::Respond(call, 200, json!({})));
         }
-        let request_id = shared.next_id();
+        let request_id = context.next_id();
         let pending = PendingReplication {
             call,
-            held_by: BTreeSet::from([shared.me.ip]),
+            held_by: BTreeSet::from([context.me.ip]),
             deadline_secs: now + REPLICATION_TIMEOUT_SECS,
             worker_id: worker.id.to_string(),
             phase: worker.phase,
         };
         self.pending.insert(request_id, pending);
-        for ip in shared.peers() {
+        for ip in context.peers() {
             let workers = vec![worker.clone()];
             out.push(Effect::SendToPeer(ip, PeerMessage::ReplicateWorkers { request_id, workers }));
         }
-        // One node may be enough.
-        self.confirm_replication(shared.me.ip, request_id, shared, out);
+        // This node alone may be enough for the tolerated losses.
+        self.confirm_replication(context.me.ip, request_id, context, out);
     }
 
-    /// A core node holds the announcement of this request. Ignored once the call has its reply.
+    /// Records that a core node holds the announcement of this request. Ignored once the call has its response.
     pub fn confirm_replication(
         &mut self,
         ip: IpAddr,
         request_id: u64,
-        shared: &CoreContext,
+        context: &CoreContext,
         out: &mut Vec<Effect>,
     ) {
         let Some(pending) = self.pending.get_mut(&request_id) else { return };
         pending.held_by.insert(ip);
-        if shared.survives_tolerated_losses(pending.held_by.iter()) {
+        if context.survives_tolerated_losses(pending.held_by.iter()) {
             tracing::info!(worker = pending.worker_id, phase = ?pending.phase, "acknowledged worker shutdown");
             out.push(Effect::Respond(pending.call, 200, json!({})));
             if let Some(done) = self.pending.remove(&request_id) {
@@ -190,12 +194,11 @@
         }
     }
 
-    /// Compares a peer's digest of the workers with the local one. Returns whether the peer is to be sent all workers:
-    /// the digests keep differing in the same way. While an update is on its way to one of the two they differ in
-    /// another way each time.
+    /// Compares a peer's worker digest with the local one. Returns whether to send all workers to the peer, because the
+    /// digests keep differing in the same way. A difference caused by updates in flight changes from ping to ping.
     pub fn should_resend_all(&mut self, now: f64, peer: IpAddr, digest: u64) -> bool {
         let difference = digest ^ self.registry.digest();
-        let initial = DigestMismatch { difference: 0, repeats: 0, resent_secs: f64::NEG_INFINITY };
+        let initial = DigestMismatch { difference: 0, repeats: 0, last_resend_secs: f64::NEG_INFINITY };
         let mismatch = self.mismatches.entry(peer).or_insert(initial);
         mismatch.repeats = match difference {
             0 => 0,
@@ -203,27 +206,27 @@
             _ => 1,
         };
         mismatch.difference = difference;
-        let resend =
-            mismatch.repeats >= RESEND_AFTER_MISMATCHES && now - mismatch.resent_secs > RESEND_INTERVAL_SECS;
+        let resend = mismatch.repeats >= MISMATCHES_BEFORE_RESEND
+            && now - mismatch.last_resend_secs > MIN_RESEND_INTERVAL_SECS;
         if resend {
-            (mismatch.repeats, mismatch.resent_secs) = (0, now);
+            (mismatch.repeats, mismatch.last_resend_secs) = (0, now);
         }
         resend
     }
 
-    /// The number of the last change.
+    /// Number of the last change.
     pub fn last_change(&self) -> u64 {
         self.changes.last_change()
     }
 
-    /// Workers that changed after this change; `None`: the difference is no longer known.
+    /// Returns the workers that changed after this change, or `None` if the difference is no longer known.
     pub fn changed_since(&self, change: u64) -> Option<Vec<Worker>> {
         let changed = self.changes.changed_since(change)?;
         Some(changed.filter_map(|id| self.registry.get(id).cloned()).collect())
     }
 
-    /// Whether every live worker is known here: this node has been in contact with a majority of the core for a
-    /// worker's whole timeout, so each has sent a heartbeat that reached it.
+    /// Whether this node knows every live worker. True once it has been in contact with a majority of the core for
+    /// longer than a worker's timeout: a heartbeat of each live worker has then reached it.
     pub fn is_complete(&self, now: f64) -> bool {
         self.in_majority_since_secs.is_some_and(|since| now - since > self.worker_timeout_secs())
     }
@@ -232,17 +235,18 @@
         MISSED_HEARTBEATS * self.heartbeat_interval_secs
     }
 
-    /// Restarts every worker's timeout: this process was paused and received nothing meanwhile.
+    /// Restarts the timeout of every worker, after this process was suspended and could not receive heartbeats.
     pub fn reset_timeouts(&mut self, now: f64) {
         self.in_majority_since_secs = None;
         self.registry.reset_timeouts(now);
     }
 
-    /// Periodic work: replication timeouts, the report of heartbeats, expiry. Returns workers that became unresponsive.
-    pub fn tick(&mut self, now: f64, shared: &mut CoreContext, out: &mut Vec<Effect>) -> Vec<Worker> {
-        self.refuse_late_replications(now, out);
-        self.report_heartbeats(now, shared, out);
-        self.in_majority_since_secs = match shared.has_majority(now) {
+    /// Periodic work: fails overdue replications, reports heartbeats to the peers, and expires workers. Returns the
+    /// workers that became unresponsive.
+    pub fn tick(&mut self, now: f64, context: &mut CoreContext, out: &mut Vec<Effect>) -> Vec<Worker> {
+        self.fail_overdue_replications(now, out);
+        self.report_heartbeats(now, context, out);
+        self.in_majority_since_secs = match context.has_majority(now) {
             true => self.in_majority_since_secs.or(Some(now)),
             false => None,
         };
@@ -255,40 +259,42 @@
         if !self.is_complete(now) {
             return Vec::new();
         }
-        self.expire_workers(now, shared, out)
+        self.expire_workers(now, context, out)
     }
 
-    fn refuse_late_replications(&mut self, now: f64, out: &mut Vec<Effect>) {
-        let late = self.pending.iter().filter(|(_, p)| p.deadline_secs <= now).map(|(id, _)| *id);
-        for request_id in late.collect::<Vec<_>>() {
+    fn fail_overdue_replications(&mut self, now: f64, out: &mut Vec<Effect>) {
+        let overdue = self.pending.iter().filter(|(_, p)| p.deadline_secs <= now).map(|(id, _)| *id);
+        for request_id in overdue.collect::<Vec<_>>() {
             let Some(pending) = self.pending.remove(&request_id) else { continue };
             tracing::warn!(worker = pending.worker_id, "worker shutdown not replicated in time");
-            out.push(Effect::Respond(pending.call, 503, error_body("too few core machines in time")));
+            let reason =
+                format!("shutdown not replicated to enough core nodes within {REPLICATION_TIMEOUT_SECS} s");
+            out.push(Effect::Respond(pending.call, 503, error_body(reason)));
         }
     }
 
-    fn report_heartbeats(&mut self, now: f64, shared: &CoreContext, out: &mut Vec<Effect>) {
-        let due = now - self.heartbeats_reported_secs >= HEARTBEAT_REPORT_INTERVAL_SECS;
+    fn report_heartbeats(&mut self, now: f64, context: &CoreContext, out: &mut Vec<Effect>) {
+        let due = now - self.last_report_secs >= HEARTBEAT_REPORT_INTERVAL_SECS;
         if due && !self.unreported_heartbeats.is_empty() {
-            self.heartbeats_reported_secs = now;
+            self.last_report_secs = now;
             let heartbeats: Vec<(String, u64)> =
                 std::mem::take(&mut self.unreported_heartbeats).into_iter().collect();
-            for ip in shared.peers() {
+            for ip in context.peers() {
                 out.push(Effect::SendToPeer(ip, PeerMessage::Heartbeats(heartbeats.clone())));
             }
         }
     }
 
-    /// Marks workers whose heartbeats timed out as unresponsive and tells the peers.
-    fn expire_workers(&mut self, now: f64, shared: &mut CoreContext, out: &mut Vec<Effect>) -> Vec<Worker> {
-        let unresponsive = self.registry.expire(now, self.worker_timeout_secs(), ENDED_WORKER_KEEP_SECS);
+    /// Marks workers whose heartbeats timed out as unresponsive, and sends them to the peers.
+    fn expire_workers(&mut self, now: f64, context: &mut CoreContext, out: &mut Vec<Effect>) -> Vec<Worker> {
+        let unresponsive = self.registry.expire(now, self.worker_timeout_secs(), ENDED_WORKER_RETENTION_SECS);
         if !unresponsive.is_empty() {
             for worker in &unresponsive {
                 tracing::warn!(worker = %worker.id, service = %worker.service, "worker heartbeats timed out");
                 self.changes.record(&worker.id);
-                shared.journal.append(now, JournalEvent::Worker(worker.clone()));
+                context.journal.append(now, JournalEvent::Worker(worker.clone()));
             }
-            for ip in shared.peers() {
+            for ip in context.peers() {
                 out.push(Effect::SendToPeer(ip, PeerMessage::WorkerUpdates(unresponsive.clone())));
             }
         }
