--- a/crates/gateway/src/control_plane/api_calls_tests.rs
+++ b/crates/gateway/src/control_plane/api_calls_tests.rs
@@ -1,4 +1,4 @@
-//! Calls at a core node that is out of contact with a majority, or has just started.
+//! Calls at a core node that has no contact with a majority, or that has just started.
 
 use crate::control_plane::{ApiCommand, CoreNode, Effect, Event, TICK_SECS};
 use crate::protocol::PeerMessage;
@@ -14,8 +14,8 @@
     IpAddr::from([10, 0, 1, n])
 }
 
-/// The first of these seeds, five seconds after the first start of the system. Its disk syncs at once; no other node
-/// answers.
+/// The first of these seeds, five seconds after the first start of the system. The disk syncs at once, and no other node
+/// responds.
 fn started_node(seeds: &[u8]) -> CoreNode {
     let mut settings =
         Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
@@ -28,7 +28,7 @@
     core
 }
 
-/// Ticks from `from` to `to`; write batches are synced by the next tick.
+/// Ticks from `from` to `to`. Write batches are synced before the next tick.
 fn run(core: &mut CoreNode, from: f64, to: f64, mut out: Vec<Effect>) {
     let mut now = from;
     while now < to {
@@ -42,7 +42,7 @@
     }
 }
 
-/// As [`run`], with pings of the second seed.
+/// Like [`run`], with pings from the second seed.
 fn run_with_peer(core: &mut CoreNode, from: f64, to: f64) {
     let mut now = from;
     while now < to {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Statuses of the immediate responses to a call.
+/// HTTP statuses of the immediate responses to a call.
 fn call(core: &mut CoreNode, now: f64, command: ApiCommand) -> Vec<u16> {
     let mut out = Vec::new();
     core.handle(now, Event::ApiCall(7, command), &mut out);
@@ -63,7 +63,8 @@
         .collect()
 }
 
-/// A node without a majority rejects nothing: what it can't decode, a node of a newer release may.
+/// A node without contact with a majority must not reject a call that it can't decode: a node of a newer release may be
+/// able to.
 #[gtest]
 fn malformed_call_is_left_undetermined_without_a_majority() {
     for (seeds, status) in [(&[1][..], 400), (&[1, 2, 3][..], 503)] {
@@ -73,14 +74,15 @@
     }
 }
 
-/// An acknowledged departure is binding: a node that has just started may lack a worker that the others know.
+/// An acknowledged departure is final for the worker, but a node that has just started may lack a worker that the other
+/// core nodes hold as live. Such a node must not acknowledge the departure.
 #[gtest]
 fn unknown_departure_is_acknowledged_only_once_every_worker_is_known() {
     let departure = || ApiCommand::Departure("i-unknown".into());
     let mut single = started_node(&[1]);
     expect_that!(call(&mut single, 1006.0, departure()), elements_are![eq(&200)]);
     let mut core = started_node(&[1, 2, 3]);
-    // Two of three are in contact from now on.
+    // From now on two of three core nodes are in contact.
     run_with_peer(&mut core, 1005.0, 1006.0);
     expect_that!(call(&mut core, 1006.0, departure()), elements_are![eq(&503)]);
     run_with_peer(&mut core, 1006.0, 1013.0);
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -15,34 +15,35 @@
     [10, 0, 1, n].into()
 }
 
-fn hello(node: &str, at: IpAddr, core: bool) -> PeerMessage {
-    let me = NodeLocation { ip: at, zone: "a".into(), region: "r".into() };
-    PeerMessage::Hello { node: node.into(), incarnation: 1, location: me, is_core: core }
+fn hello(node: &str, ip: IpAddr, is_core: bool) -> PeerMessage {
+    let location = NodeLocation { ip, zone: "a".into(), region: "r".into() };
+    PeerMessage::Hello { node: node.into(), incarnation: 1, location, is_core }
 }
 
 /// The core nodes that these effects send to the edge node on connection 1.
 fn core_nodes_sent(out: &[Effect]) -> Vec<IpAddr> {
-    let of = |effect: &Effect| match effect {
-        Effect::SendToSession(1, PeerMessage::CoreNodes(members)) => members.iter().map(|m| m.ip).collect(),
+    let addresses = |effect: &Effect| match effect {
+        Effect::SendToSession(1, PeerMessage::CoreNodes(nodes)) => nodes.iter().map(|node| node.ip).collect(),
         _ => Vec::new(),
     };
-    out.iter().flat_map(of).collect()
+    out.iter().flat_map(addresses).collect()
 }
 
-/// An edge node with one seed connects to it before that seed knows any other core node (empty disk, partition). It
-/// must learn of the others later, or it is on its own once the seed is replaced.
+/// An edge node that has a single seed connects to this seed before the seed knows any other core node (empty disk,
+/// partition). The edge node must learn of the other core nodes later. Otherwise it can reach none once the seed is
+/// replaced.
 #[gtest]
 fn edge_learns_of_core_nodes_heard_after_it_connected() {
     let mut settings =
         Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     (settings.ip, settings.seeds, settings.cold_start) = (ip(3), vec![(ip(3), 80).into()], false);
-    let held = LoadedState { disk_id: 7, is_new: true, ..LoadedState::default() };
-    let mut core = CoreNode::new(1000.0, settings, held).expect("a core");
+    let loaded = LoadedState { disk_id: 7, is_new: true, ..LoadedState::default() };
+    let mut core = CoreNode::new(1000.0, settings, loaded).expect("a core");
     let mut out = Vec::new();
     core.start(&mut out);
     core.handle(1000.0, Event::SessionMessage(1, hello("edge-0", [10, 0, 2, 1].into(), false)), &mut out);
     expect_that!(core_nodes_sent(&out), elements_are![eq(&ip(3))]);
-    // Two others connect to the core node, which has not heard from them on a connection of its own yet.
+    // Two other core nodes connect to it. They are not heard yet on connections that it opened.
     for n in [1, 2] {
         core.handle(1000.1, Event::SessionMessage(u64::from(n) + 1, hello("core", ip(n), true)), &mut out);
     }
@@ -59,7 +60,7 @@
         core.handle(now, Event::Tick, &mut out);
     }
     expect_that!(core_nodes_sent(&out), unordered_elements_are![eq(&ip(1)), eq(&ip(2)), eq(&ip(3))]);
-    // The same list is not sent again.
+    // An unchanged list is not sent again.
     out.clear();
     for now in ticks(1000.7) {
         core.handle(now, Event::Tick, &mut out);
@@ -67,12 +68,12 @@
     expect_that!(core_nodes_sent(&out), is_empty());
 }
 
-/// A core node and edge nodes connected to it; the bytes that it sends are counted.
+/// A core node and edge nodes that are connected to it. Counts the bytes that the core node sends.
 struct CoreWithEdges {
     now: f64,
     core: CoreNode,
     edges: Vec<ConnectedEdge>,
-    next: ConnectionId,
+    last_conn: ConnectionId,
     /// Bytes sent to edge nodes, by kind of message.
     sent_bytes: BTreeMap<&'static str, usize>,
 }
@@ -80,7 +81,7 @@
 struct ConnectedEdge {
     edge: EdgeNode,
     conn: ConnectionId,
-    /// It does not read: messages to it queue up in `unread`.
+    /// Whether the edge node stops reading, so that messages to it queue up in `unread`.
     is_lagging: bool,
     unread: Vec<PeerMessage>,
 }
@@ -103,7 +104,7 @@
     }
 }
 
-fn worker(n: usize, calls: u64) -> Worker {
+fn worker(n: usize, heartbeat_seq: u64) -> Worker {
     Worker {
         id: format!("i-{n}").into(),
         service: "planer".into(),
@@ -112,7 +113,7 @@
         capacity: 1,
         phase: WorkerPhase::Serving,
         warmup_ms: 0,
-        heartbeat_seq: calls,
+        heartbeat_seq,
     }
 }
 
@@ -120,7 +121,7 @@
     fn new() -> Self {
         let core = CoreNode::new(1000.0, settings(), LoadedState::default()).expect("a core");
         let mut cluster =
-            CoreWithEdges { now: 1000.0, core, edges: Vec::new(), next: 1, sent_bytes: BTreeMap::new() };
+            CoreWithEdges { now: 1000.0, core, edges: Vec::new(), last_conn: 1, sent_bytes: BTreeMap::new() };
         let mut out = Vec::new();
         cluster.core.start(&mut out);
         cluster.apply_effects(out);
@@ -132,10 +133,10 @@
     fn apply_effects(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Persist(put) => self.event(Event::Persisted(put.sequence)),
+                Effect::Persist(batch) => self.event(Event::Persisted(batch.sequence)),
                 Effect::SendToSession(conn, msg) => {
                     *self.sent_bytes.entry(message_kind(&msg)).or_default() += encode(&msg).len();
-                    let Some(n) = self.edges.iter().position(|g| g.conn == conn) else { continue };
+                    let Some(n) = self.edges.iter().position(|e| e.conn == conn) else { continue };
                     match self.edges[n].is_lagging {
                         true => self.edges[n].unread.push(msg),
                         false => self.deliver(n, data_plane::Event::CoreMessage(ip(1), msg)),
@@ -162,10 +163,10 @@
         }
     }
 
-    /// Starts an edge node (`None`) or reconnects this one.
+    /// Reconnects an edge node, or starts and connects a new one if `n` is `None`. Returns the index of the edge node.
     fn connect(&mut self, n: Option<usize>) -> usize {
-        self.next += 1;
-        let conn = self.next;
+        self.last_conn += 1;
+        let conn = self.last_conn;
         let n = n.unwrap_or_else(|| {
             let mut settings = settings();
             let n = self.edges.len();
@@ -202,18 +203,18 @@
     fn configure(&mut self, items: usize) {
         let services: Vec<_> = (0..items).map(|n| json!([format!("s{n}"), "/health", "r1"])).collect();
         let routes = json!([["r1", "a.example", "/x/", "effectful", "1s", "1s", 0, 1, "r1", "s0"]]);
-        let of =
+        let columns =
             ["label", "hostname", "path_prefix", "route_class", "cutoff", "target", "rank", "max_attempts"];
-        let of: Vec<&str> = of.into_iter().chain(["revision", "service_ref"]).collect();
+        let columns: Vec<&str> = columns.into_iter().chain(["revision", "service_ref"]).collect();
         let body = json!({ "upsert": {
             "service_set": { "columns": ["label", "probe_path", "revision"], "records": services },
-            "route_set": { "columns": of, "records": routes },
+            "route_set": { "columns": columns, "records": routes },
         }});
         let items = crate::configuration::parse_change(body.to_string().as_bytes()).expect("a call");
         self.event(Event::ApiCall(1, ApiCommand::Amend(items)));
     }
 
-    fn change(&mut self, version: u64) {
+    fn amend_service(&mut self, version: u64) {
         let body = json!({ "upsert": { "service_set": {
             "columns": ["label", "probe_path", "revision"], "records": [["s0", "/health", format!("r{version}")]],
         }}});
@@ -221,60 +222,67 @@
         self.event(Event::ApiCall(version, ApiCommand::Amend(items)));
     }
 
-    fn heartbeat(&mut self, n: usize, calls: u64) {
-        self.event(Event::ApiCall(1 << 20, ApiCommand::Heartbeat(worker(n, calls))));
+    fn heartbeat(&mut self, n: usize, heartbeat_seq: u64) {
+        self.event(Event::ApiCall(1 << 20, ApiCommand::Heartbeat(worker(n, heartbeat_seq))));
     }
 
     fn sent_bytes(&self, kind: &str) -> usize {
         self.sent_bytes.get(kind).copied().unwrap_or(0)
     }
 
-    fn all_agree(&self) -> bool {
-        let of = |e: &EdgeNode| match e.ping_message(ip(1)) {
-            PeerMessage::Ping { config_index: config, workers_digest: workers, .. } => (config, workers),
+    /// Whether all edge nodes have the configuration and the workers of the core node.
+    fn all_edges_are_current(&self) -> bool {
+        let edge_state = |edge: &EdgeNode| match edge.ping_message(ip(1)) {
+            PeerMessage::Ping { config_index, workers_digest, .. } => (config_index, workers_digest),
             _ => (0, 0),
         };
-        let mine =
+        let core_state =
             (self.core.configuration.state.last_change_index(), self.core.membership.registry.digest());
-        self.edges.iter().all(|g| of(&g.edge) == mine)
+        self.edges.iter().all(|connected| edge_state(&connected.edge) == core_state)
     }
 }
 
-/// An edge node that connected before the core had listened for a worker's timeout is told later that its list is
-/// complete.
+/// An edge node may connect before the core node was in contact with a majority for a worker's timeout. The edge node
+/// must learn later that its worker list is complete.
 #[gtest]
-fn edge_is_told_once_all_workers_are_known() {
+fn edge_becomes_ready_once_all_workers_are_known() {
     let mut cluster = CoreWithEdges::new();
     cluster.configure(2);
     let n = cluster.connect(None);
     cluster.run_for(1.0);
-    expect_that!(cluster.edges[n].edge.is_ready(cluster.now), eq(false), "workers may be unheard of yet");
+    expect_that!(cluster.edges[n].edge.is_ready(cluster.now), eq(false), "some workers may be unknown yet");
     cluster.run_for(8.0);
     expect_that!(cluster.edges[n].edge.is_ready(cluster.now), eq(true));
 }
 
-/// The edge directory costs bytes for each pair of edge nodes once, and no more, as many connect at a start.
+/// While many edge nodes connect one after the other, the edge directory sends the address of each edge node to every
+/// other one only once.
 #[gtest]
 fn edge_directory_sends_each_edge_once_to_every_other() {
-    let directory_bytes = |many: usize| {
+    let directory_bytes = |edge_count: usize| {
         let mut cluster = CoreWithEdges::new();
-        for _ in 0..many {
+        for _ in 0..edge_count {
             cluster.connect(None);
             cluster.run_for(TICK_SECS);
         }
         cluster.run_for(2.0);
-        expect_that!(cluster.core.edges.count(), eq(many));
-        let all = cluster.edges.iter().all(|g| g.edge.peer_count() == many - 1);
-        expect_that!(all, eq(true), "{many}: all are known");
+        expect_that!(cluster.core.edges.count(), eq(edge_count));
+        let all_known = cluster.edges.iter().all(|e| e.edge.peer_count() == edge_count - 1);
+        expect_that!(all_known, eq(true), "{edge_count} edge nodes: all are known");
         cluster.sent_bytes("edge directory")
     };
-    for many in [10, 40, 160] {
-        // An address takes at most 15 bytes, each message about 20.
-        expect_that!(directory_bytes(many), le(many * many * (15 + 20)), "{many}");
+    for edge_count in [10, 40, 160] {
+        // An address takes at most 15 bytes, the rest of a message about 20.
+        expect_that!(
+            directory_bytes(edge_count),
+            le(edge_count * edge_count * (15 + 20)),
+            "{edge_count} edge nodes"
+        );
     }
 }
 
-/// An edge node that reconnects and holds the current state is sent nothing again, and no other edge node hears of it.
+/// An edge node that reconnects with the current state is sent no state again, and its reconnection causes no message to
+/// other edge nodes.
 #[gtest]
 fn reconnected_edge_is_sent_nothing_again() {
     let mut cluster = CoreWithEdges::new();
@@ -284,7 +292,7 @@
         cluster.connect(None);
     }
     cluster.run_for(3.0);
-    expect_that!(cluster.all_agree(), eq(true));
+    expect_that!(cluster.all_edges_are_current(), eq(true));
     cluster.sent_bytes.clear();
     for round in 0..5 {
         (0..20).for_each(|n| cluster.heartbeat(n, 2 + round));
@@ -299,12 +307,13 @@
             + cluster.sent_bytes("worker updates"),
         eq(0)
     );
-    // Only the edge directory starts anew with each connection.
+    // Only the edge directory is sent in full on each new connection.
     expect_that!(cluster.sent_bytes("edge directory"), le(5 * 10 * (10 * 15 + 30)));
-    expect_that!(cluster.all_agree(), eq(true));
+    expect_that!(cluster.all_edges_are_current(), eq(true));
 }
 
-/// Bounds the core's memory: an edge node that does not read is sent no more, and afterwards the current state.
+/// Bounds the core node's memory: an edge node that does not read is sent nothing beyond its window. Once it reads again
+/// it is sent the current state.
 #[gtest]
 fn lagging_connection_is_not_filled_beyond_its_window() {
     let mut cluster = CoreWithEdges::new();
@@ -313,27 +322,29 @@
     let n = cluster.connect(None);
     cluster.run_for(3.0);
     cluster.edges[n].is_lagging = true;
-    let mut most = 0;
+    let mut max_unread_bytes = 0;
     for round in 0..200 {
         (0..20).for_each(|n| cluster.heartbeat(20 * round + n, 1));
-        cluster.change(round as u64 + 2);
+        cluster.amend_service(round as u64 + 2);
         cluster.run_for(TICK_SECS);
-        most = most.max(cluster.edges[n].unread.iter().map(|m| encode(m).len()).sum::<usize>());
+        let unread_bytes = cluster.edges[n].unread.iter().map(|m| encode(m).len()).sum::<usize>();
+        max_unread_bytes = max_unread_bytes.max(unread_bytes);
     }
-    // 131 KB by the memory limit, and up to one message beyond it.
-    expect_that!(most, all![gt(50_000), le(140_000)]);
-    // It reads again.
+    // The window is 131 KB by the memory limit; one message may exceed it.
+    expect_that!(max_unread_bytes, all![gt(50_000), le(140_000)]);
+    // The edge node reads again.
     cluster.edges[n].is_lagging = false;
     cluster.sent_bytes.clear();
     for msg in std::mem::take(&mut cluster.edges[n].unread) {
         cluster.deliver(n, data_plane::Event::CoreMessage(ip(1), msg));
     }
     cluster.run_for(3.0);
-    expect_that!(cluster.all_agree(), eq(true));
-    expect_that!(cluster.sent_bytes("configuration"), gt(0), "it had missed changes");
+    expect_that!(cluster.all_edges_are_current(), eq(true));
+    expect_that!(cluster.sent_bytes("configuration"), gt(0), "the edge node had missed changes");
 }
 
-/// While updates spread, digests differ all the time; the full list is sent only once a difference lasts.
+/// While updates spread, the worker digests differ all the time. The full worker list is sent only once the digests
+/// differ in the same way for the divergence timeout.
 #[gtest]
 fn full_worker_list_is_sent_only_on_lasting_divergence() {
     let mut cluster = CoreWithEdges::new();
@@ -343,23 +354,23 @@
     }
     cluster.run_for(8.0);
     cluster.sent_bytes.clear();
-    // Another core node's updates reach the edge nodes first each time.
+    // The updates reach the edge nodes through another core node first.
     for round in 0..200 {
-        let news = PeerMessage::WorkerUpdates(vec![worker(300 + round, 1)]);
+        let update = PeerMessage::WorkerUpdates(vec![worker(300 + round, 1)]);
         for n in 0..5 {
-            cluster.deliver(n, data_plane::Event::CoreMessage(ip(2), news.clone()));
+            cluster.deliver(n, data_plane::Event::CoreMessage(ip(2), update.clone()));
         }
         cluster.run_for(TICK_SECS);
         cluster.event(Event::ApiCall(1 << 20, ApiCommand::Heartbeat(worker(300 + round, 1))));
         (0..300).for_each(|n| cluster.heartbeat(n, 2 + round as u64));
     }
     cluster.run_for(2.0);
-    expect_that!(cluster.all_agree(), eq(true));
+    expect_that!(cluster.all_edges_are_current(), eq(true));
     expect_that!(cluster.sent_bytes("workers"), eq(0));
-    // One that holds a worker which nobody else knows is sent the full list.
+    // An edge node with a worker that no core node knows is sent the full list.
     cluster
         .deliver(0, data_plane::Event::CoreMessage(ip(2), PeerMessage::WorkerUpdates(vec![worker(9999, 1)])));
     cluster.run_for(5.0);
-    expect_that!(cluster.all_agree(), eq(true));
+    expect_that!(cluster.all_edges_are_current(), eq(true));
     expect_that!(cluster.sent_bytes("workers"), all![gt(0), lt(100 * 600)]);
 }
--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -474,7 +474,7 @@
 }
 
 #[gtest]
-fn delayed_answer_of_an_earlier_term_is_ignored() {
+fn delayed_response_of_an_earlier_term_is_ignored() {
     let (mut quota, tenant) = (quota(), Arc::<str>::from("t"));
     let limit = limits("t").expect("limits");
     let grants = |charge_limit, standing_share| {
@@ -582,7 +582,7 @@
 }
 
 #[gtest]
-fn possible_spending_of_a_silent_incarnation_is_reserved_once() {
+fn possible_spending_of_an_unreachable_incarnation_is_reserved_once() {
     let mut counter = QuotaCounter::new(CONFIG, 1, 0.0, PreviousLeaders::Recorded(&ShareCeilings::default()));
     sync_until_shares_recorded(&mut counter, 0.0);
     let before = units_available(&counter, 1.76);
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -1,5 +1,6 @@
-//! Snapshots of megabytes are encoded, sent, decoded and written in small steps while the log goes on. What each step
-//! costs at the largest size: `cargo test --release -p whinstall-gateway measure_disk_repair -- --ignored --nocapture`.
+//! Snapshots of several megabytes are encoded, sent, decoded and written in small steps while the log continues. The
+//! duration of each step at the largest size is printed by
+//! `cargo test --release -p whinstall-gateway measure_disk_repair -- --ignored --nocapture`.
 
 use super::{decode, SnapshotError, SnapshotReceiver, SnapshotWriter, STEP_BYTES};
 use crate::configuration::{ConfigItem, ConfigState, ItemFields, ItemKind};
@@ -46,8 +47,8 @@
     services.chain((0..tenants / 8).map(route)).chain((0..tenants).map(|n| tenant(n, 7))).collect()
 }
 
-/// A snapshot that is encoded while the state changes holds the state as of its start. Decoded from pieces of any size
-/// it gives that state again, and each chunk that is written ahead continues the last one.
+/// A snapshot that is encoded while the state changes contains the state as of its start. Decoding it from pieces of any
+/// size gives that state again, and each chunk continues the previous one.
 #[gtest]
 fn snapshot_holds_the_state_of_its_start_in_any_chunking() {
     let position = LogPosition { index: 1, term: 1 };
@@ -87,7 +88,7 @@
     expect_that!(decode(&[&bytes[..], &[0]].concat()).is_err(), eq(true));
     let unknown_format = decode(&[&[9], &bytes[1..]].concat());
     expect_that!(matches!(unknown_format, Err(SnapshotError::Format(9))), eq(true));
-    // The format of earlier releases.
+    // The format of earlier releases is still decoded.
     let monolithic = rmp_serde::to_vec(&(initial.encode(), None::<u8>)).expect("encoded");
     expect_that!(decode(&monolithic).expect("decoded").config == initial, eq(true));
 }
@@ -98,18 +99,18 @@
     folder: PathBuf,
 }
 
-/// Three core nodes in one thread, with real disks and a network without delay. Records the processing time of each
-/// event by its kind.
+/// Three core nodes in one thread, with real disks and a network without delay. Records the processing time of the
+/// events by kind.
 struct ThreeNodeCluster {
     nodes: Vec<Node>,
     now: f64,
     queue: VecDeque<(usize, Event)>,
-    /// Milliseconds that each event of a kind took.
+    /// Processing times in milliseconds by kind of event.
     costs_ms: BTreeMap<&'static str, Vec<f64>>,
-    /// Bytes of the largest snapshot chunk that was written.
+    /// Size of the largest snapshot chunk that was written, in bytes.
     largest_chunk: usize,
     chunk_count: usize,
-    /// Statuses of the responses to calls.
+    /// HTTP statuses of the responses to calls.
     responses: Vec<u16>,
 }
 
@@ -135,7 +136,7 @@
         self.costs_ms.entry(kind).or_default().push(since.elapsed().as_secs_f64() * 1e3);
     }
 
-    /// Starts a node with the disk that it had, or with a new empty one.
+    /// Starts a node with its previous disk, or with a new empty one.
     fn start(&mut self, n: usize, has_new_disk: bool) {
         let mut settings =
             Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
@@ -170,7 +171,7 @@
         for effect in out {
             match effect {
                 Effect::Connect(to) => self.queue.push_back((n, Event::LinkUp(to))),
-                // An inbound connection is numbered by the node that opened it.
+                // The id of an inbound connection is the index of the node that opened it.
                 Effect::SendToPeer(to, msg) => {
                     self.queue.push_back((node_index(to), Event::SessionMessage(n as u64, msg)))
                 }
@@ -202,7 +203,7 @@
         self.queue.push_back((n, Event::Persisted(batch.sequence)));
     }
 
-    /// Handles events until there are none.
+    /// Handles events until the queue is empty.
     fn drain_queue(&mut self) {
         while let Some((n, event)) = self.queue.pop_front() {
             let kind = match &event {
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Ticks until the condition holds; returns the seconds of simulated time that it took.
+    /// Ticks until the condition holds. Returns the simulated time that this took, in seconds.
     fn run_until(&mut self, mut condition: impl FnMut(&ThreeNodeCluster) -> bool) -> f64 {
         let since = self.now;
         while !condition(self) {
@@ -274,19 +275,19 @@
         self.run_until(|t| t.responses.len() > response_count);
     }
 
-    /// Prints the costs since the last print, by kind.
+    /// Prints the processing times since the last print, by kind of event.
     fn print_costs(&mut self, title: &str) {
         println!("{title}");
         for (kind, mut costs) in std::mem::take(&mut self.costs_ms) {
             costs.sort_by(f64::total_cmp);
-            let (sum, most) = (costs.iter().sum::<f64>(), costs[costs.len() - 1]);
-            println!("  {kind}: {} times, {sum:.1} ms in all, longest {most:.1} ms, at 0.3 of a processor {:.1} ms",
-                costs.len(), most / 0.3);
+            let (sum, max) = (costs.iter().sum::<f64>(), costs[costs.len() - 1]);
+            println!("  {kind}: {} times, {sum:.1} ms in total, longest {max:.1} ms, at 0.3 of a processor {:.1} ms",
+                costs.len(), max / 0.3);
         }
     }
 
-    /// Configures the cluster, lets it compact its logs, replaces a follower's disk and waits until it has caught up;
-    /// returns the seconds of simulated time that the repair took.
+    /// Configures the cluster, waits until the logs are compacted, replaces a follower's disk and waits until the follower
+    /// has caught up. Returns the simulated time that the repair took, in seconds.
     fn repair_lost_disk(&mut self, tenants: usize) -> f64 {
         self.run_until(|t| {
             t.leader().is_some_and(|l| t.core(l).raft.holds_lease(t.core(l).context.log_time(t.now)))
@@ -325,12 +326,12 @@
     }
 }
 
-/// Heartbeats and entries must not wait behind a large write of a snapshot.
+/// A snapshot must reach the disk in small writes, since heartbeats and entries would wait behind a large one.
 #[gtest]
 fn lost_disk_is_repaired_in_small_writes() {
     let mut cluster = ThreeNodeCluster::new("steps");
     expect_that!(cluster.repair_lost_disk(2500), le(2.0));
-    // A whole window of pieces may arrive before the first is decoded.
+    // A full window of InstallSnapshot chunks may arrive before the first one is decoded.
     expect_that!(cluster.largest_chunk, le(128 * 1024));
     expect_that!(cluster.chunk_count, gt(2));
     expect_that!(cluster.responses, each(eq(&200)));
@@ -348,7 +349,7 @@
     );
 }
 
-/// Disk usage, start-up time and state size by the number of changes ever made, with eight changes in flight.
+/// Prints disk usage, start-up time and state size by the number of changes ever made, with eight changes in flight.
 #[test]
 #[ignore = "prints figures; by hand, in release"]
 fn measure_thousands_of_changes() {
@@ -358,8 +359,8 @@
     });
     cluster.amend(configuration(300));
     let mut made = 0;
-    for most in [300, 3_000] {
-        while made < most {
+    for target in [300, 3_000] {
+        while made < target {
             let (leader, response_count) = (cluster.leader().expect("a leader"), cluster.responses.len());
             for n in 0..8 {
                 made += 1;
@@ -367,9 +368,9 @@
                 cluster.queue.push_back((leader, Event::ApiCall(1, ApiCommand::Amend(change))));
             }
             cluster.drain_queue();
-            // At least one tick, so that the log gets compacted.
-            let tick = cluster.now;
-            cluster.run_until(|t| t.now > tick && t.responses.len() >= response_count + 8);
+            // Runs for at least one tick, so that the log is compacted.
+            let since = cluster.now;
+            cluster.run_until(|t| t.now > since && t.responses.len() >= response_count + 8);
         }
         cluster.costs_ms.clear();
         cluster.start(0, false);
@@ -377,9 +378,9 @@
         let disk: u64 = folder.map(|f| f.expect("a file").metadata().expect("a file").len()).sum();
         let leader = cluster.leader().unwrap_or(1);
         let state = cluster.core(leader).configuration.state.encode().len();
-        let (entries, base) = (cluster.core(0).raft.entry_count(), cluster.core(0).raft.snapshot_index());
+        let (entries, snapshot) = (cluster.core(0).raft.entry_count(), cluster.core(0).raft.snapshot_index());
         cluster.print_costs(&format!(
-            "{made} changes: {disk} bytes of disk, state of {state} bytes, {entries} entries behind {base}"
+            "{made} changes: {disk} bytes of disk, state of {state} bytes, {entries} entries after index {snapshot}"
         ));
         cluster.run_until(|t| t.leader().is_some());
     }
