--- a/crates/gateway/src/control_plane/api_calls_tests.rs
+++ b/crates/gateway/src/control_plane/api_calls_tests.rs
@@ -14,8 +14,8 @@
     IpAddr::from([10, 0, 1, n])
 }
 
-/// The first of these seeds, five seconds after the first start of the system. The disk syncs at once, and no other node
-/// responds.
+/// The first of these seeds, five seconds after the first start of the system. The disk syncs at once, and no other
+/// node responds.
 fn started_node(seeds: &[u8]) -> CoreNode {
     let mut settings =
         Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
--- a/crates/gateway/src/control_plane/change_tracker.rs
+++ b/crates/gateway/src/control_plane/change_tracker.rs
@@ -1,6 +1,6 @@
 //! Change numbers of the keys of a list, so that a receiver which has the list up to one change can be sent the
-//! difference to the present. Each key is stored once, with its latest change, so memory is bounded by the length of the
-//! list.
+//! difference to the present. Each key is stored once, with its latest change, so memory is bounded by the length of
+//! the list.
 //!
 //! Invariant: a returned difference is complete. Once a key is forgotten, a receiver that has not seen the key's last
 //! change gets no difference ([`ChangeTracker::changed_since`] returns `None`) and needs the full list.
--- a/crates/gateway/src/control_plane/configuration_service.rs
+++ b/crates/gateway/src/control_plane/configuration_service.rs
@@ -257,8 +257,8 @@
         out.push(Effect::Respond(call, status, body));
     }
 
-    /// Applies a committed change, and responds to its call if that waits at this node. Returns `None` if the change was
-    /// rejected or altered nothing.
+    /// Applies a committed change, and responds to its call if that waits at this node. Returns `None` if the change
+    /// was rejected or altered nothing.
     pub fn apply(
         &mut self,
         position: LogPosition,
@@ -301,8 +301,8 @@
     ) {
         let ProposedChange { term, origin, deadline } = proposed;
         if term != position.term {
-            // Another leader's entry replaced the proposed one. The response leaves the outcome open, so that the caller
-            // retries.
+            // Another leader's entry replaced the proposed one. The response leaves the outcome open, so that the
+            // caller retries.
             let response = OperatorResponse::Undetermined("leadership changed before the commit".into());
             return self.respond(origin, response, context, out);
         }
--- a/crates/gateway/src/control_plane/context.rs
+++ b/crates/gateway/src/control_plane/context.rs
@@ -1,8 +1,8 @@
 //! State that all parts of the core role share: this node's identity and settings, the core nodes that it knows, and
 //! which of them are reachable.
 //!
-//! Only voters count towards a majority. Other known nodes never do, not even seeds: otherwise a node with an empty disk
-//! and a partitioned node could together act as the core.
+//! Only voters count towards a majority. Other known nodes never do, not even seeds: otherwise a node with an empty
+//! disk and a partitioned node could together act as the core.
 
 use crate::consensus::Millis;
 use crate::control_plane::event_journal::EventJournal;
@@ -19,8 +19,8 @@
 const FORGET_AFTER_SECS: f64 = 60.0;
 /// Upper bound, in milliseconds, of the random time at which the log's clock starts.
 const EPOCH_UPPER_BOUND_MS: Millis = 1 << 40;
-/// Granularity, in milliseconds, of the random time at which the log's clock starts. Over four hours, so that the clocks
-/// of two incarnations with different epochs seldom overlap.
+/// Granularity, in milliseconds, of the random time at which the log's clock starts. Over four hours, so that the
+/// clocks of two incarnations with different epochs seldom overlap.
 const EPOCH_STEP_MS: Millis = 1 << 24;
 
 /// Result of [`CoreContext::learn_node`].
@@ -84,14 +84,15 @@
         }
     }
 
-    /// Returns an id for a request or a write batch. Ids increase, and are unique within this incarnation of the process.
+    /// Returns an id for a request or a write batch. Ids increase, and are unique within this incarnation of the
+    /// process.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Time of the log's clock, in milliseconds. Each incarnation of the process starts that clock at a random epoch, so
-    /// that the log recognises timestamps of earlier incarnations as foreign.
+    /// Time of the log's clock, in milliseconds. Each incarnation of the process starts that clock at a random epoch,
+    /// so that the log recognises timestamps of earlier incarnations as foreign.
     pub fn log_time(&self, now: f64) -> Millis {
         self.epoch + (now * 1e3) as Millis
     }
--- a/crates/gateway/src/control_plane/edge_directory.rs
+++ b/crates/gateway/src/control_plane/edge_directory.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Returns the message that updates a session from the change `known` to the last one. The message contains all edge
-    /// nodes if `known` is `None` or if the difference is no longer known.
+    /// Returns the message that updates a session from the change `known` to the last one. The message contains all
+    /// edge nodes if `known` is `None` or if the difference is no longer known.
     pub fn update_since(&self, known: Option<u64>) -> PeerMessage {
         let Some(changed) = known.and_then(|change| self.changes.changed_since(change)) else {
             let all = self.edges.values().map(|e| &e.location);
--- a/crates/gateway/src/control_plane/edge_sessions.rs
+++ b/crates/gateway/src/control_plane/edge_sessions.rs
@@ -26,8 +26,8 @@
 const DIVERGENCE_TIMEOUT_SECS: f64 = 0.9;
 /// Number of consecutive pings with an older configuration after which an update counts as lost.
 const STALE_PINGS_BEFORE_RESEND: u32 = 2;
-/// Rate limit, in bytes per second, for full states to all edge nodes together, so that encoding them takes only a small
-/// part of a processor.
+/// Rate limit, in bytes per second, for full states to all edge nodes together, so that encoding them takes only a
+/// small part of a processor.
 const FULL_STATE_BYTES_PER_SEC: f64 = 20e6;
 /// Rate limit, in bytes per second, for the edge directory to all edge nodes together.
 const DIRECTORY_BYTES_PER_SEC: f64 = 1e6;
@@ -348,8 +348,8 @@
         }
     }
 
-    /// Sends the change of a committed entry to every edge node that has the preceding configuration. An edge node whose
-    /// connection lags is sent the full configuration later.
+    /// Sends the change of a committed entry to every edge node that has the preceding configuration. An edge node
+    /// whose connection lags is sent the full configuration later.
     pub(super) fn send_config_update(
         &mut self,
         previous: Index,
--- a/crates/gateway/src/control_plane/edge_sessions_tests.rs
+++ b/crates/gateway/src/control_plane/edge_sessions_tests.rs
@@ -281,8 +281,8 @@
     }
 }
 
-/// An edge node that reconnects with the current state is sent no state again, and its reconnection causes no message to
-/// other edge nodes.
+/// An edge node that reconnects with the current state is sent no state again, and its reconnection causes no message
+/// to other edge nodes.
 #[gtest]
 fn reconnected_edge_is_sent_nothing_again() {
     let mut cluster = CoreWithEdges::new();
@@ -312,8 +312,8 @@
     expect_that!(cluster.all_edges_are_current(), eq(true));
 }
 
-/// Bounds the core node's memory: an edge node that does not read is sent nothing beyond its window. Once it reads again
-/// it is sent the current state.
+/// Bounds the core node's memory: an edge node that does not read is sent nothing beyond its window. Once it reads
+/// again it is sent the current state.
 #[gtest]
 fn lagging_connection_is_not_filled_beyond_its_window() {
     let mut cluster = CoreWithEdges::new();
--- a/crates/gateway/src/control_plane/events.rs
+++ b/crates/gateway/src/control_plane/events.rs
@@ -22,8 +22,8 @@
     Departure(String),
     /// Change these configuration items.
     Amend(Vec<ConfigItem>),
-    /// A configuration change whose body can't be decoded, with the reason. The leader issues the rejection as it does any
-    /// other, so a node without a quorum rejects nothing.
+    /// A configuration change whose body can't be decoded, with the reason. The leader issues the rejection as it does
+    /// any other, so a node without a quorum rejects nothing.
     InvalidChange(String),
     /// Any other call that can't be decoded, with the reason. Only a node in contact with a quorum rejects such a call.
     Malformed(String),
--- a/crates/gateway/src/control_plane/mod.rs
+++ b/crates/gateway/src/control_plane/mod.rs
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Releases the quota lease, transfers leadership, and announces that this node leaves, so that the leader can remove
-    /// it from the voters.
+    /// Releases the quota lease, transfers leadership, and announces that this node leaves, so that the leader can
+    /// remove it from the voters.
     fn shut_down(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.quota_lease.release();
         let log_time = self.context.log_time(now);
--- a/crates/gateway/src/control_plane/peer_messages.rs
+++ b/crates/gateway/src/control_plane/peer_messages.rs
@@ -182,8 +182,8 @@
         self.send_worker_updates_to_peers(&contested, out);
     }
 
-    /// Merges workers into the registry, persists the changes and sends them to edge nodes. Returns the changes, and the
-    /// workers that the sender wrongly holds as unresponsive.
+    /// Merges workers into the registry, persists the changes and sends them to edge nodes. Returns the changes, and
+    /// the workers that the sender wrongly holds as unresponsive.
     fn merge_workers(&mut self, now: f64, workers: Vec<Worker>, out: &mut Vec<Effect>) -> MergedWorkers {
         let merged = self.membership.merge(now, workers, &mut self.context.journal);
         self.persist_workers(&merged.changed, out);
--- a/crates/gateway/src/control_plane/quota_counter/ceiling_record.rs
+++ b/crates/gateway/src/control_plane/quota_counter/ceiling_record.rs
@@ -66,8 +66,8 @@
         ShareCeilings { term: self.term, sequence: self.record.sequence, edges, is_full, ended_edges }
     }
 
-    /// The log has committed the record of this sequence number: shares may rise to its ceilings. Ignored for any record
-    /// but the last one, since a later record lists the uncommitted ceilings again.
+    /// The log has committed the record of this sequence number: shares may rise to its ceilings. Ignored for any
+    /// record but the last one, since a later record lists the uncommitted ceilings again.
     pub fn record_committed(&mut self, sequence: u64) {
         if sequence != self.record.sequence {
             return;
--- a/crates/gateway/src/control_plane/quota_counter/edge_account.rs
+++ b/crates/gateway/src/control_plane/quota_counter/edge_account.rs
@@ -1,4 +1,4 @@
-//! What the quota leader keeps of one edge node.
+//! The quota leader's account of one edge node.
 
 use super::allocation::Allocation;
 use super::{QuotaCounterConfig, TenantId};
--- a/crates/gateway/src/control_plane/quota_counter/grant.rs
+++ b/crates/gateway/src/control_plane/quota_counter/grant.rs
@@ -9,8 +9,8 @@
 use crate::protocol::{TenantGrant, TenantLimit, TenantUsage};
 use std::sync::Arc;
 
-/// Demand, in requests per second, that is added to that of every edge node, so that a tenant's first requests at a node
-/// find units there.
+/// Demand, in requests per second, that is added to that of every edge node, so that a tenant's first requests at a
+/// node find units there.
 const MIN_DEMAND_PER_SEC: f64 = 0.3;
 /// Weight of the mean demand over the edge nodes in contact when the rate is split into standing shares. The mean evens
 /// out that the demand at a single node varies by chance.
--- a/crates/gateway/src/control_plane/quota_counter/mod.rs
+++ b/crates/gateway/src/control_plane/quota_counter/mod.rs
@@ -37,8 +37,8 @@
 /// Limit of a bucket while grants of an earlier leader may still be unused: the grants reported so far, and what the
 /// rate yields in this many seconds.
 const HANDOVER_BURST_SECS: f64 = 0.1;
-/// Initial level of the buckets of a leader that is not the first. One unit admits a waiting request of a tenant that is
-/// seldom used; more could exceed the quota, since the level of the earlier leader's bucket is unknown.
+/// Initial level of the buckets of a leader that is not the first. One unit admits a waiting request of a tenant that
+/// is seldom used; more could exceed the quota, since the level of the earlier leader's bucket is unknown.
 const SUCCESSOR_INITIAL_UNITS: f64 = 1.0;
 /// Seconds without a tick after which a sync runs [`QuotaCounter::tick`] itself.
 const TICK_INTERVAL_SECS: f64 = 0.05;
@@ -331,8 +331,8 @@
         Some(grants)
     }
 
-    /// Opens or updates the account of an edge node that syncs, and removes an earlier incarnation of that node. Returns
-    /// the node's name as the accounts share it.
+    /// Opens or updates the account of an edge node that syncs, and removes an earlier incarnation of that node.
+    /// Returns the node's name as the accounts share it.
     fn register_contact(
         &mut self,
         now: f64,
--- a/crates/gateway/src/control_plane/quota_counter/tenant_bucket.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tenant_bucket.rs
@@ -25,7 +25,7 @@
     pub grants: f64,
 }
 
-/// What the quota leader keeps of one tenant.
+/// The quota leader's account of one tenant.
 #[derive(Clone, Debug)]
 pub struct TenantAccount {
     pub name: Arc<str>,
--- a/crates/gateway/src/control_plane/replicated_log.rs
+++ b/crates/gateway/src/control_plane/replicated_log.rs
@@ -138,8 +138,8 @@
 }
 
 impl CoreNode {
-    /// Handles a consensus message. A message addressed to another member is dropped: the sender knows this machine with
-    /// an earlier disk.
+    /// Handles a consensus message. A message addressed to another member is dropped: it was meant for an earlier disk
+    /// of this machine.
     pub(super) fn handle_consensus_message(
         &mut self,
         now: f64,
@@ -209,8 +209,8 @@
         self.compact_log(now, out);
     }
 
-    /// Compacts the log behind a snapshot of the applied state once the log exceeds a threshold. The snapshot is encoded
-    /// over several ticks, and the next chunk only once the previous one is synced.
+    /// Compacts the log behind a snapshot of the applied state once the log exceeds a threshold. The snapshot is
+    /// encoded over several ticks, and the next chunk only once the previous one is synced.
     fn compact_log(&mut self, now: f64, out: &mut Vec<Effect>) {
         if self.log_driver.writer.is_none() {
             self.start_snapshot();
@@ -251,8 +251,8 @@
         driver.applied_bytes = 0;
     }
 
-    /// Decodes the part of a leader's snapshot that has arrived, and writes it to the disk in chunks before the snapshot
-    /// is complete.
+    /// Decodes the part of a leader's snapshot that has arrived, and writes it to the disk in chunks before the
+    /// snapshot is complete.
     fn receive_snapshot(&mut self, out: &mut Vec<Effect>) {
         let Some(incoming) = self.raft.incoming_snapshot() else {
             self.log_driver.receiver = None;
--- a/crates/gateway/src/control_plane/snapshot.rs
+++ b/crates/gateway/src/control_plane/snapshot.rs
@@ -118,8 +118,8 @@
     }
 }
 
-/// Returns the bytes from `chunked` up to the last multiple of [`SNAPSHOT_CHUNK_BYTES`], and advances `chunked` to their
-/// end.
+/// Returns the bytes from `chunked` up to the last multiple of [`SNAPSHOT_CHUNK_BYTES`], and advances `chunked` to
+/// their end.
 fn take_chunk(position: LogPosition, chunked: &mut usize, bytes: &[u8]) -> SnapshotChunk {
     let (offset, end) = (*chunked, bytes.len() / SNAPSHOT_CHUNK_BYTES * SNAPSHOT_CHUNK_BYTES);
     *chunked = end;
@@ -153,8 +153,8 @@
         }
     }
 
-    /// Whether `bytes`, the part of the snapshot as of `position` that has arrived so far, continues the bytes that this
-    /// receiver has processed.
+    /// Whether `bytes`, the part of the snapshot as of `position` that has arrived so far, continues the bytes that
+    /// this receiver has processed.
     pub(super) fn is_continued_by(&self, position: LogPosition, bytes: &[u8]) -> bool {
         self.position == position && self.decoded.max(self.chunked) <= bytes.len()
     }
--- a/crates/gateway/src/control_plane/snapshot_tests.rs
+++ b/crates/gateway/src/control_plane/snapshot_tests.rs
@@ -47,8 +47,8 @@
     services.chain((0..tenants / 8).map(route)).chain((0..tenants).map(|n| tenant(n, 7))).collect()
 }
 
-/// A snapshot that is encoded while the state changes contains the state as of its start. Decoding it from pieces of any
-/// size gives that state again, and each chunk continues the previous one.
+/// A snapshot that is encoded while the state changes contains the state as of its start. Decoding it from pieces of
+/// any size gives that state again, and each chunk continues the previous one.
 #[gtest]
 fn snapshot_holds_the_state_of_its_start_in_any_chunking() {
     let position = LogPosition { index: 1, term: 1 };
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Configures the cluster, waits until the logs are compacted, replaces a follower's disk and waits until the follower
-    /// has caught up. Returns the simulated time that the repair took, in seconds.
+    /// Configures the cluster, waits until the logs are compacted, replaces a follower's disk and waits until the
+    /// follower has caught up. Returns the simulated time that the repair took, in seconds.
     fn repair_lost_disk(&mut self, tenants: usize) -> f64 {
         self.run_until(|t| {
             t.leader().is_some_and(|l| t.core(l).raft.holds_lease(t.core(l).context.log_time(t.now)))
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -29,8 +29,8 @@
 const ENDED_WORKER_RETENTION_SECS: f64 = 60.0;
 /// Shortest interval, in seconds, between two reports of received heartbeats to the peers.
 const HEARTBEAT_REPORT_INTERVAL_SECS: f64 = 0.5;
-/// Seconds after which a shutdown announcement that is not replicated gets 503, so that the worker can call another core
-/// node.
+/// Seconds after which a shutdown announcement that is not replicated gets 503, so that the worker can call another
+/// core node.
 const REPLICATION_TIMEOUT_SECS: f64 = 0.8;
 /// Number of consecutive pings with the same digest difference after which a peer is sent all workers.
 const MISMATCHES_BEFORE_RESEND: u32 = 3;
