--- a/crates/gateway/src/control_plane/quota_counter/tests.rs
+++ b/crates/gateway/src/control_plane/quota_counter/tests.rs
@@ -72,7 +72,7 @@
     arrives_at: f64,
     edge: usize,
     incarnation: u64,
-    request_id: u64,
+    sync_id: u64,
     seen_term: u64,
     usage: Vec<TenantUsage>,
 }
@@ -80,7 +80,7 @@
 /// A response on its way to an edge node.
 struct ResponseInFlight {
     arrives_at: f64,
-    request_id: u64,
+    sync_id: u64,
     term: u64,
     grants: Vec<TenantGrant>,
 }
@@ -91,10 +91,10 @@
     record: ShareCeilings,
 }
 
-/// A request that waits for a grant.
+/// A request that waits for the response to the sync with this id, or to a later one.
 struct WaitingRequest {
     deadline: f64,
-    request_id: u64,
+    sync_id: u64,
 }
 
 struct EdgeModel {
@@ -257,7 +257,7 @@
         let (due, in_flight): (Vec<SyncInFlight>, Vec<SyncInFlight>) =
             std::mem::take(&mut self.syncs).into_iter().partition(|s| s.arrives_at <= now);
         self.syncs = in_flight;
-        for SyncInFlight { edge: n, incarnation, request_id, seen_term, usage, .. } in due {
+        for SyncInFlight { edge: n, incarnation, sync_id, seen_term, usage, .. } in due {
             if self.edges[n].unreachable_until > now || self.edges[n].incarnation != incarnation {
                 continue;
             }
@@ -269,7 +269,7 @@
             let term = leader.term();
             let arrives_at = now + self.draw_delay();
             if self.edges[n].responses_lost_until <= now {
-                let response = ResponseInFlight { arrives_at, request_id, term, grants };
+                let response = ResponseInFlight { arrives_at, sync_id, term, grants };
                 self.edges[n].responses.push_back(response);
             }
         }
@@ -285,16 +285,15 @@
         let edge_node = &mut self.edges[n];
         let mut last_answered = 0;
         while let Some(response) = edge_node.responses.pop_front_if(|r| r.arrives_at <= now) {
-            let ResponseInFlight { request_id, term, grants, .. } = response;
-            if edge_node.unreachable_until <= now && edge_node.quota.on_grants(now, request_id, term, &grants)
-            {
-                last_answered = request_id;
+            let ResponseInFlight { sync_id, term, grants, .. } = response;
+            if edge_node.unreachable_until <= now && edge_node.quota.on_grants(now, sync_id, term, &grants) {
+                last_answered = sync_id;
             }
         }
         let mut to_decide: Vec<GrantState> = Vec::new();
-        edge_node.waiting.retain(|WaitingRequest { deadline, request_id }| {
-            let wait_ended = *request_id <= last_answered || *deadline <= now;
-            to_decide.extend(wait_ended.then_some(if *request_id <= last_answered {
+        edge_node.waiting.retain(|WaitingRequest { deadline, sync_id }| {
+            let wait_ended = *sync_id <= last_answered || *deadline <= now;
+            to_decide.extend(wait_ended.then_some(if *sync_id <= last_answered {
                 GrantState::Answered
             } else {
                 GrantState::TimedOut
@@ -316,19 +315,19 @@
             match edge_node.quota.admit(now, &tenant, &limit, grant_state) {
                 AdmissionDecision::Admit => self.admitted_at.push(now),
                 AdmissionDecision::WaitForGrant => {
-                    let request_id = edge_node.quota.next_sync_id();
-                    edge_node.waiting.push(WaitingRequest { deadline: now + 0.06, request_id })
+                    let sync_id = edge_node.quota.next_sync_id();
+                    edge_node.waiting.push(WaitingRequest { deadline: now + 0.06, sync_id })
                 }
                 AdmissionDecision::Reject(_) => {}
             }
         }
-        if let Some((request_id, usage)) = edge_node.quota.begin_sync(now) {
+        if let Some((sync_id, usage)) = edge_node.quota.begin_sync(now) {
             if edge_node.unreachable_until <= now {
                 self.syncs.push(SyncInFlight {
                     arrives_at: now + sync_delay,
                     edge: n,
                     incarnation: edge_node.incarnation,
-                    request_id,
+                    sync_id,
                     seen_term: edge_node.quota.term(),
                     usage,
                 });
--- a/crates/gateway/src/control_plane/worker_membership.rs
+++ b/crates/gateway/src/control_plane/worker_membership.rs
@@ -76,7 +76,7 @@
     pending: BTreeMap<u64, PendingReplication>,
     /// Acknowledged shutdowns by worker id.
     acknowledged: BTreeMap<String, WorkerPhase>,
-    /// Heartbeats that this node received since its last report to the peers: call counts by worker id.
+    /// Heartbeats that this node received since its last report to the peers: heartbeat sequence numbers by worker id.
     unreported_heartbeats: BTreeMap<String, u64>,
     last_report_secs: f64,
     /// Start of the uninterrupted contact with a majority of the core; `None` without such contact.
@@ -132,7 +132,7 @@
         self.unreported_heartbeats.insert(worker.id.to_string(), worker.heartbeat_seq);
     }
 
-    /// Records heartbeats that a peer received: call counts by worker id.
+    /// Records heartbeats that a peer received: heartbeat sequence numbers by worker id.
     pub fn record_peer_heartbeats(&mut self, now: f64, heartbeats: &[(String, u64)]) {
         for (id, heartbeat_seq) in heartbeats {
             self.registry.record_heartbeat(now, id, *heartbeat_seq);
