--- a/crates/gateway/src/data_plane/core_links.rs
+++ b/crates/gateway/src/data_plane/core_links.rs
@@ -1,4 +1,5 @@
-//! Links to the core nodes, and what comes over them: core nodes, edge nodes, the configuration, workers, quota grants.
+//! Links to the core nodes and the messages received over them: lists of core and edge nodes, configuration updates, workers
+//! and quota grants.
 
 use super::{EdgeNode, Effect};
 use crate::configuration::replica::ReplicaUpdate;
@@ -8,31 +9,33 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// A core node that is named nowhere and was not heard for so long is forgotten; in seconds.
+/// Time after the last message, in seconds, for which the link to a core node is kept that is neither a seed nor listed by
+/// another core node.
 const LINK_RETENTION_SECS: f64 = 60.0;
 
 /// State of the link to one core node.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CoreLink {
     pub(super) is_up: bool,
-    /// When the last message came on the present connection.
+    /// When the last message arrived on the current connection, in seconds of the clock that is passed in.
     pub(super) last_heard_at: f64,
-    /// The quota leader, as this core node last reported it.
+    /// The quota leader that this core node last reported.
     pub(super) quota_leader: Option<IpAddr>,
-    /// The number of edge nodes, as this core node last reported it.
+    /// Number of edge nodes that this core node last reported.
     edge_count: u32,
-    /// Core nodes that it named.
+    /// Core nodes that this core node last listed.
     core_nodes: Vec<IpAddr>,
-    /// Edge nodes that it named, with their zones.
+    /// Edge nodes that this core node listed, with their zones.
     edge_nodes: BTreeMap<IpAddr, Arc<str>>,
-    /// Messages received on the present connection, for flow control.
+    /// Number of messages received on the current connection, reported to the core node for flow control.
     messages_received: u64,
-    /// When a message last came on any connection; before the first one, when the link was first looked at.
+    /// When the last message arrived on any connection, in seconds of the clock that is passed in. Until the first message:
+    /// when the link was first checked for obsolescence.
     last_seen_at: f64,
 }
 
 impl EdgeNode {
-    /// Opens a link to a core node unless there is one.
+    /// Opens a link to a core node if there is none.
     pub(super) fn open_link(&mut self, ip: IpAddr, out: &mut Vec<Effect>) {
         self.links.entry(ip).or_insert_with(|| {
             out.push(Effect::Connect(ip));
@@ -56,7 +59,8 @@
     pub(super) fn on_link_down(&mut self, now: f64, ip: IpAddr) {
         let link = std::mem::take(self.links.entry(ip).or_default());
         let was_quota_leader = link.quota_leader == Some(ip);
-        // The edge nodes it named stay until another core node names them: losing a core node loses no edge node.
+        // The edge nodes that the core node listed are kept, so that the loss of a core node does not by itself remove edge
+        // nodes. They do not count while the link is down.
         let (last_seen_at, edge_nodes) = (link.last_seen_at, link.edge_nodes);
         self.links.insert(ip, CoreLink { last_seen_at, edge_nodes, ..CoreLink::default() });
         if was_quota_leader {
@@ -64,7 +68,8 @@
         }
     }
 
-    /// A ping to a core node: digests of what this node holds, and how much of what that node sent it has received.
+    /// Builds a ping to a core node. The ping tells that node the version of the configuration and a digest of the workers
+    /// that this node holds, from which it decides what to send, and the number of messages received, for flow control.
     pub fn ping_message(&self, ip: IpAddr) -> PeerMessage {
         PeerMessage::Ping {
             config_index: self.replica.index(),
@@ -96,8 +101,8 @@
             PeerMessage::ConfigUpdate { previous, index, items } => {
                 let is_ping_due = self.on_config_update(previous, index, items);
                 if is_ping_due {
-                    // The core sends the rest of a large configuration once this part is confirmed: don't let it wait for
-                    // the next regular ping.
+                    // The core sends the next part of a large configuration once a ping confirms this one. Without an
+                    // immediate ping, each part would wait for the next regular ping.
                     out.push(Effect::Send(ip, self.ping_message(ip)));
                 }
             }
@@ -120,8 +125,8 @@
         }
     }
 
-    /// Takes the highest number of edge nodes that any core node reports: fewer count only once all that are in touch
-    /// agree.
+    /// Sets the number of edge nodes to the highest number that any core node reports. The number decreases only once all
+    /// connected core nodes report fewer.
     fn update_edge_count(&mut self) {
         let highest = self.links.values().map(|l| l.edge_count).max().unwrap_or(0);
         if highest != self.edge_count {
@@ -131,7 +136,8 @@
         }
     }
 
-    /// Takes the edge nodes that a core node names. Those that count are named by any core node in touch.
+    /// Applies a core node's update of its list of edge nodes. The load table uses the union of the lists of all connected
+    /// core nodes.
     fn on_edge_nodes(
         &mut self,
         ip: IpAddr,
@@ -150,12 +156,12 @@
         for ip in removed {
             link.edge_nodes.remove(ip);
         }
-        let named = self.links.values().filter(|l| l.is_up).flat_map(|l| &l.edge_nodes);
-        let all: BTreeMap<IpAddr, &str> = named.map(|(ip, zone)| (*ip, &**zone)).collect();
-        self.loads.set_edge_nodes(all);
+        let listed = self.links.values().filter(|l| l.is_up).flat_map(|l| &l.edge_nodes);
+        let edge_nodes: BTreeMap<IpAddr, &str> = listed.map(|(ip, zone)| (*ip, &**zone)).collect();
+        self.loads.set_edge_nodes(edge_nodes);
     }
 
-    /// Takes a configuration update. Returns whether the core is to hear at once what this node holds.
+    /// Applies a configuration update. Returns whether a ping should tell the core at once which version this node holds.
     fn on_config_update(&mut self, previous: Option<u64>, index: u64, items: Vec<ConfigItem>) -> bool {
         let (is_full, count) = (previous.is_none(), items.len());
         let kinds: BTreeSet<ItemKind> = items.iter().map(|i| i.kind).collect();
@@ -168,23 +174,24 @@
                 self.active_config = Arc::new(config);
                 tracing::info!(index, items = count, "configuration applied");
             }
-            // An update before it is missing; the core sends it again after the next ping.
+            // An earlier update is missing; the core resends it after the next ping.
             ReplicaUpdate::Gap => {}
             ReplicaUpdate::Stale => return false,
         }
         is_full || self.replica.index() < index
     }
 
-    /// Closes links to core nodes that were replaced: not heard for long, not a seed and named by no core node. That a
-    /// connection can be opened proves nothing, as the address may belong to another program by now.
+    /// Closes links to core nodes that were replaced: no message for [`LINK_RETENTION_SECS`], not a seed, and listed by no
+    /// connected core node. An accepted connection does not keep a link, because the address may now belong to another
+    /// program.
     pub(super) fn close_obsolete_links(&mut self, now: f64, out: &mut Vec<Effect>) {
         for link in self.links.values_mut().filter(|l| l.last_seen_at == 0.0) {
             link.last_seen_at = now;
         }
-        let is_named = |ip: &IpAddr| self.links.values().any(|l| l.is_up && l.core_nodes.contains(ip));
+        let is_listed = |ip: &IpAddr| self.links.values().any(|l| l.is_up && l.core_nodes.contains(ip));
         let is_seed = |ip: &IpAddr| self.settings.seeds.iter().any(|s| s.ip() == *ip);
         let is_obsolete = |(ip, l): &(&IpAddr, &CoreLink)| {
-            now - l.last_seen_at > LINK_RETENTION_SECS && !is_seed(ip) && !is_named(ip)
+            now - l.last_seen_at > LINK_RETENTION_SECS && !is_seed(ip) && !is_listed(ip)
         };
         let obsolete: Vec<IpAddr> = self.links.iter().filter(is_obsolete).map(|(ip, _)| *ip).collect();
         for ip in obsolete {
@@ -194,7 +201,7 @@
     }
 }
 
-/// Where this node is, for its peers.
+/// Location of this node, as reported to its peers.
 pub(super) fn own_location(settings: &crate::settings::Settings) -> NodeLocation {
     NodeLocation { ip: settings.ip, zone: settings.zone.clone(), region: settings.region.clone() }
 }
--- a/crates/gateway/src/data_plane/load_sharing.rs
+++ b/crates/gateway/src/data_plane/load_sharing.rs
@@ -1,16 +1,16 @@
-//! Exchange of load reports with the other edge nodes.
+//! Load reports exchanged with the other edge nodes.
 
 use super::load_table::LoadChange;
 use super::{EdgeNode, Effect};
 
 impl EdgeNode {
-    /// Passes changed numbers of attempts of other edge nodes to the services concerned.
+    /// Passes changes in the attempts that other edge nodes have in flight to the services of the workers concerned.
     pub(super) fn apply_load_changes(&mut self, changes: Vec<LoadChange>) {
         for LoadChange { worker, in_flight } in changes {
             let id = self.worker_ids.get(&worker);
             let Some(worker) = id.and_then(|id| self.registry.get(id)) else { continue };
             if let Some(service) = self.services.get_mut(&worker.service) {
-                service.set_in_flight_elsewhere(&worker.id, in_flight);
+                service.set_peer_in_flight(&worker.id, in_flight);
             }
         }
     }
--- a/crates/gateway/src/data_plane/load_table.rs
+++ b/crates/gateway/src/data_plane/load_table.rs
@@ -1,37 +1,38 @@
-//! Attempts in flight at each worker: those of this edge node, and those that the other edge nodes report.
+//! Number of attempts in flight at each worker: those of this edge node, and those that the other edge nodes report.
 //!
-//! Nodes report over UDP. Nodes of the own zone hear of a change within milliseconds, as traffic within a zone is free;
-//! nodes of other zones a few times a second. Reports get lost, so the numbers only help to choose a worker; nothing
-//! that must hold may depend on them.
+//! Edge nodes report over UDP. Changes are reported within milliseconds to edge nodes of the same zone, where traffic is
+//! free, and a few times a second to those of other zones. As reports may be lost, the numbers may only influence the
+//! choice of a worker; no invariant may depend on them.
 
 use crate::protocol::{LoadReport, NodeLocation};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use whinstall::identifiers;
 
-/// Least time between two reports to the own zone, for each of its other edge nodes, in seconds.
+/// Minimum time between two reports to the own zone, in seconds for each other edge node in the zone.
 const ZONE_INTERVAL_PER_NODE_SECS: f64 = 0.001;
-/// Least time between two reports to other zones, in seconds.
+/// Minimum time between two reports to other zones, in seconds.
 const CROSS_ZONE_INTERVAL_SECS: f64 = 0.2;
-/// A report is repeated after this without a change, as datagrams get lost; in seconds.
+/// Time after which an unchanged report is repeated, in seconds, because datagrams may be lost.
 const REPEAT_INTERVAL_SECS: f64 = 0.25;
-/// A report expires after this, in seconds.
+/// Time after which a report of another edge node expires, in seconds.
 const REPORT_LIFETIME_SECS: f64 = 0.8;
 
-/// A worker's key in load reports.
+/// Key of a worker in load reports: a hash of the worker's id.
 pub type WorkerKey = u32;
 
-/// The key of the worker with this id. Two workers may share one; then each counts the other's attempts, too.
+/// Returns the key of the worker with this id. If the keys of two workers collide, the attempts of both are counted for
+/// each.
 pub fn worker_key(worker: &str) -> WorkerKey {
     identifiers::fnv1a(worker) as u32
 }
 
-/// A worker whose attempts in flight from other edge nodes have changed.
+/// Change in the number of attempts that the other edge nodes have in flight at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadChange {
-    /// The worker.
+    /// Key of the worker.
     pub worker: WorkerKey,
-    /// Attempts in flight from all other edge nodes now.
+    /// New number of attempts in flight from all other edge nodes.
     pub in_flight: u32,
 }
 
@@ -39,14 +40,16 @@
 struct PeerLoad {
     incarnation: u64,
     sequence: u64,
+    /// When the report arrived, in seconds of the clock that is passed in.
     received_at: f64,
+    /// Attempts in flight by worker; empty once the report has expired.
     in_flight: Vec<(WorkerKey, u16)>,
 }
 
-/// Edge nodes that are reported to at the same times.
+/// Edge nodes that receive load reports at the same times.
 struct ReportGroup {
     nodes: Vec<IpAddr>,
-    /// When the next report is due; infinite: none.
+    /// When the next report is due, in seconds of the clock that is passed in; infinite if none is.
     due_at: f64,
     last_sent_at: f64,
 }
@@ -56,12 +59,13 @@
         ReportGroup { nodes: Vec::new(), due_at: f64::INFINITY, last_sent_at: 0.0 }
     }
 
-    /// A change is to be reported, but no earlier than `interval_secs` after the last report.
+    /// Schedules a report of a change, no earlier than `interval_secs` after the last report.
     fn schedule(&mut self, now: f64, interval_secs: f64) {
         self.due_at = self.due_at.min((self.last_sent_at + interval_secs).max(now));
     }
 
-    /// Adds the nodes to `receivers` if a report is due. It is repeated as long as there is anything to report.
+    /// Adds the nodes of the group to `receivers` if a report is due. Reports are repeated until this node has no attempt in
+    /// flight (`is_idle`).
     fn take_due(&mut self, now: f64, is_idle: bool, receivers: &mut Vec<IpAddr>) {
         if now >= self.due_at {
             self.last_sent_at = now;
@@ -71,7 +75,7 @@
     }
 }
 
-/// Attempts in flight by worker, from here and from the other edge nodes.
+/// Number of attempts in flight by worker, from this edge node and from the other edge nodes.
 pub struct LoadTable {
     location: NodeLocation,
     incarnation: u64,
@@ -79,14 +83,14 @@
     sequence: u64,
     own: BTreeMap<WorkerKey, u16>,
     peers: BTreeMap<IpAddr, PeerLoad>,
-    /// Sums over `peers`.
+    /// Attempts in flight by worker, summed over `peers`.
     peer_totals: BTreeMap<WorkerKey, u32>,
     own_zone: ReportGroup,
     other_zones: ReportGroup,
 }
 
 impl LoadTable {
-    /// A table without any attempts, of the edge node at this location.
+    /// Creates an empty table for the edge node at this location.
     pub fn new(location: NodeLocation, incarnation: u64) -> Self {
         LoadTable {
             location,
@@ -100,12 +104,13 @@
         }
     }
 
-    /// Sets the edge nodes that are to be reported to, with their zones. This node may be among them.
+    /// Sets the edge nodes that receive reports, with their zones. This node may be listed and is skipped.
     pub fn set_edge_nodes(&mut self, nodes: BTreeMap<IpAddr, &str>) {
         let peers = nodes.into_iter().filter(|(ip, _)| *ip != self.location.ip);
-        let (near, far): (Vec<_>, Vec<_>) = peers.partition(|(_, zone)| *zone == self.location.zone);
-        self.own_zone.nodes = near.into_iter().map(|(ip, _)| ip).collect();
-        self.other_zones.nodes = far.into_iter().map(|(ip, _)| ip).collect();
+        let (in_own_zone, in_other_zones): (Vec<_>, Vec<_>) =
+            peers.partition(|(_, zone)| *zone == self.location.zone);
+        self.own_zone.nodes = in_own_zone.into_iter().map(|(ip, _)| ip).collect();
+        self.other_zones.nodes = in_other_zones.into_iter().map(|(ip, _)| ip).collect();
     }
 
     /// Number of other edge nodes.
@@ -137,12 +142,12 @@
         self.schedule_reports(now);
     }
 
-    /// When the next report is due; infinite if none is.
+    /// When the next report is due, in seconds of the clock that is passed in; infinite if none is.
     pub fn next_report_at(&self) -> f64 {
         self.own_zone.due_at.min(self.other_zones.due_at)
     }
 
-    /// The report that is due now, with its receivers.
+    /// Returns the report that is due now, with its receivers.
     pub fn take_report(&mut self, now: f64) -> Option<(Vec<IpAddr>, LoadReport)> {
         let (mut receivers, is_idle) = (Vec::new(), self.own.is_empty());
         self.own_zone.take_due(now, is_idle, &mut receivers);
@@ -155,7 +160,8 @@
         Some((receivers, LoadReport { incarnation: self.incarnation, sequence: self.sequence, in_flight }))
     }
 
-    /// Takes the report of another edge node, unless it is older than one already taken. Returns what changed.
+    /// Applies a report of another edge node unless that report or a later one of the same incarnation was applied before.
+    /// Returns the changes in the totals.
     pub fn on_report(&mut self, now: f64, from: IpAddr, report: LoadReport) -> Vec<LoadChange> {
         let LoadReport { incarnation, sequence, in_flight } = report;
         let known = self.peers.get(&from);
@@ -164,11 +170,11 @@
         }
         let new = in_flight.clone();
         let old = self.peers.insert(from, PeerLoad { incarnation, sequence, received_at: now, in_flight });
-        self.replace(old.map(|p| p.in_flight).unwrap_or_default(), new)
+        self.update_totals(old.map(|p| p.in_flight).unwrap_or_default(), new)
     }
 
-    /// Replaces one node's attempts in the totals.
-    fn replace(&mut self, old: Vec<(WorkerKey, u16)>, new: Vec<(WorkerKey, u16)>) -> Vec<LoadChange> {
+    /// Replaces one node's attempts in the totals. Returns the changes in the totals.
+    fn update_totals(&mut self, old: Vec<(WorkerKey, u16)>, new: Vec<(WorkerKey, u16)>) -> Vec<LoadChange> {
         let mut differences: BTreeMap<WorkerKey, i64> = BTreeMap::new();
         for (key, attempts) in old {
             *differences.entry(key).or_default() -= i64::from(attempts);
@@ -185,7 +191,7 @@
         changes
     }
 
-    /// Drops expired reports. Returns what changed.
+    /// Drops the attempts of expired reports. Returns the changes in the totals.
     pub fn expire_reports(&mut self, now: f64) -> Vec<LoadChange> {
         let is_expired = |p: &PeerLoad| now - p.received_at > REPORT_LIFETIME_SECS && !p.in_flight.is_empty();
         let expired: Vec<IpAddr> =
@@ -194,14 +200,14 @@
         for ip in expired {
             let Some(peer) = self.peers.get_mut(&ip) else { continue };
             let old = std::mem::take(&mut peer.in_flight);
-            changes.extend(self.replace(old, Vec::new()));
+            changes.extend(self.update_totals(old, Vec::new()));
         }
         self.peer_totals.retain(|_, total| *total > 0);
         changes
     }
 
-    /// Attempts in flight at a worker from the other edge nodes.
-    pub fn in_flight_elsewhere(&self, worker: &str) -> u32 {
+    /// Number of attempts that the other edge nodes have in flight at a worker.
+    pub fn peer_in_flight(&self, worker: &str) -> u32 {
         self.peer_totals.get(&worker_key(worker)).copied().unwrap_or(0)
     }
 }
--- a/crates/gateway/src/data_plane/mod.rs
+++ b/crates/gateway/src/data_plane/mod.rs
@@ -1,5 +1,6 @@
-//! The edge role as one state machine: [`Event`]s and requests in, [`Effect`]s out. It is pure: time is passed in, in
-//! seconds of a steady clock, and the caller performs the effects in their order.
+//! The edge role as one state machine: [`Event`]s and requests in, [`Effect`]s out. The state machine performs no I/O and
+//! reads no clock: the caller passes the time, in seconds of a monotonic clock, and performs the effects in the order in
+//! which they were emitted.
 //!
 //! | concern | module |
 //! | --- | --- |
@@ -10,8 +11,8 @@
 //! | load reports between edge nodes | `load_table`, `load_sharing` |
 //! | timers | `upkeep` |
 //!
-//! The configuration in use never goes back to an older version, and a worker is never sent again what may have run and
-//! may run only once (see [`request_state`]).
+//! Invariants: the configuration in use never reverts to an older version, and a non-idempotent request that may have
+//! run is never dispatched again (see [`request_state`]).
 
 mod core_links;
 #[cfg(test)]
@@ -55,17 +56,17 @@
 /// The state machine of the edge role.
 pub struct EdgeNode {
     settings: Settings,
-    /// Differs for every start of the process.
+    /// Incarnation number of this process; every start of the process uses a different one.
     pub incarnation: u64,
     /// The configuration as received from the core.
     replica: ConfigReplica,
-    /// The configuration that requests are served by.
+    /// Parsed form of `replica`, by which requests are routed and admitted.
     pub active_config: Arc<ActiveConfig>,
     registry: WorkerRegistry,
     quota: QuotaAdmission,
     retry_budget: RetryBudgetConfig,
     services: BTreeMap<Arc<str>, UpstreamService>,
-    /// Requests that are not answered or have an attempt in flight.
+    /// Requests that are unanswered or have an attempt in flight.
     requests: HashMap<RequestId, PendingRequest>,
     links: BTreeMap<IpAddr, CoreLink>,
     loads: LoadTable,
@@ -77,17 +78,19 @@
     has_complete_workers: bool,
     /// Whether a quota leader has answered this incarnation.
     has_quota_answer: bool,
-    /// The quota leader of the last sync.
+    /// Quota leader known when quota syncs were last considered; another one gets a full sync.
     last_quota_leader: Option<IpAddr>,
+    /// When the core nodes were last pinged, in seconds of the clock that is passed in.
     last_ping_at: f64,
-    /// Number of edge nodes, as the core counts them; 0: not known.
+    /// Number of edge nodes that the core reports; 0 if unknown.
     edge_count: u32,
     rng: fastrand::Rng,
-    /// Set once the process was asked to exit.
+    /// Schedule of the graceful shutdown, once one has begun.
     drain: Option<Drain>,
 }
 
-/// Slack is unavailable (infinity) until the first event tells when this incarnation began.
+/// Retry budget limits from the settings. Slack stays unavailable (`slack_available_at` is infinite) until the first event
+/// sets the start time of this incarnation.
 fn retry_budget_config(settings: &Settings) -> RetryBudgetConfig {
     let envelope = &settings.envelope;
     RetryBudgetConfig {
@@ -99,7 +102,7 @@
 }
 
 impl EdgeNode {
-    /// A node without configuration and workers. `incarnation` must differ for every start.
+    /// Creates a node without configuration and workers. Every start of the process must pass a different `incarnation`.
     pub fn new(settings: Settings, incarnation: u64) -> Self {
         let replica = ConfigReplica::default();
         EdgeNode {
@@ -126,23 +129,24 @@
         }
     }
 
-    /// The first effects: connections to the seeds.
+    /// Emits the initial effects: connections to the seed nodes.
     pub fn start(&mut self, out: &mut Vec<Effect>) {
         for seed in self.settings.seeds.clone() {
             self.open_link(seed.ip(), out);
         }
     }
 
-    /// Handles an event at `now`, in seconds of a steady clock.
+    /// Handles an event at `now`, in seconds of a monotonic clock.
     pub fn handle(&mut self, now: f64, event: Event, out: &mut Vec<Effect>) {
         if self.retry_budget.slack_available_at == f64::INFINITY {
-            // On a cold start of the system no earlier incarnation has spent anything.
+            // On a cold start of the deployment, no earlier incarnation can have spent slack in the current window.
             let window_secs = if self.settings.cold_start { 0.0 } else { self.retry_budget.window_secs };
             self.retry_budget.slack_available_at = now + window_secs;
         }
         match event {
             Event::Tick => self.on_tick(now, out),
-            // The last events of a closed link. An entry for it would keep a later `open_link` from connecting.
+            // Late events of a link that was closed are ignored: handling them would re-create the link's entry, and a
+            // later `open_link` would then not connect.
             Event::LinkUp(ip) | Event::LinkDown(ip) | Event::CoreMessage(ip, _)
                 if !self.links.contains_key(&ip) => {}
             Event::LinkUp(ip) => self.on_link_up(ip, out),
@@ -155,7 +159,8 @@
         }
     }
 
-    /// Replaces the settings: connects to new seeds and applies new limits. Links to former seeds stay.
+    /// Replaces the settings: connects to new seeds and applies new limits. Links to seeds that are no longer listed stay
+    /// open until they are obsolete.
     pub fn update_settings(&mut self, settings: Settings, out: &mut Vec<Effect>) {
         for seed in &settings.seeds {
             self.open_link(seed.ip(), out);
@@ -166,24 +171,24 @@
         self.quota.update_config(quota_config(&self.settings));
     }
 
-    /// Whether the platform may send clients here: the node can serve, is not draining, and is in touch with the quota
-    /// counter if any tenant has a quota.
+    /// Whether the platform may route clients to this node: the node can serve, is not draining, and, if any tenant has a
+    /// quota, its standing shares have not expired.
     pub fn is_ready(&self, now: f64) -> bool {
-        let can_admit = !self.has_quotas() || !self.quota.are_shares_lapsed(now);
+        let can_admit = !self.has_quotas() || !self.quota.are_shares_expired(now);
         self.drain.is_none() && self.can_serve() && can_admit
     }
 
-    /// Whether the configuration, workers of all routed services and, if any tenant has a quota, a first answer of the
-    /// quota leader are known.
+    /// Whether the node has all that serving requires: a configuration; the complete list of workers, or a serving worker of
+    /// every routed service; and, if any tenant has a quota, a first answer from the quota leader.
     pub fn can_serve(&self) -> bool {
-        let mut routed = self.active_config.routes().flat_map(|r| {
+        let mut routed_services = self.active_config.routes().flat_map(|r| {
             r.service_weights.iter().filter(|(_, weight)| *weight > 0.0).map(|(service, _)| service)
         });
         let has_worker = |service: &Arc<str>| {
             self.registry.workers().any(|w| w.service == *service && w.phase == WorkerPhase::Serving)
         };
         self.is_configured()
-            && (self.has_complete_workers || routed.all(has_worker))
+            && (self.has_complete_workers || routed_services.all(has_worker))
             && (self.has_quota_answer || !self.has_quotas())
     }
 
@@ -191,7 +196,7 @@
         self.active_config.tenants_by_label().values().any(|t| t.requests_per_sec > 0.0)
     }
 
-    /// Whether any configuration is known.
+    /// Whether a configuration has been received.
     pub fn is_configured(&self) -> bool {
         !self.replica.is_empty()
     }
@@ -202,12 +207,12 @@
         self.loads.peer_count()
     }
 
-    /// Whether this request is not answered or has an attempt in flight.
+    /// Whether this request is unanswered or has an attempt in flight.
     pub fn is_pending(&self, id: &RequestId) -> bool {
         self.requests.contains_key(id)
     }
 
-    /// Number of requests that are not answered or have an attempt in flight.
+    /// Number of requests that are unanswered or have an attempt in flight.
     pub fn pending_count(&self) -> usize {
         self.requests.len()
     }
--- a/crates/gateway/src/data_plane/quota_admission/mod.rs
+++ b/crates/gateway/src/data_plane/quota_admission/mod.rs
@@ -1,12 +1,12 @@
 //! Admission by quota at one edge node.
 //!
-//! The quota leader grants each edge node units ahead of time; a request that finds one is admitted at once, others wait
-//! for the next sync (module `sync`). While the leader can't be reached, a tenant's standing share counts instead
-//! (module `standing_share`), until it lapses.
+//! The quota leader grants quota units to each edge node ahead of requests. A request is admitted at once if a granted unit
+//! is unused; other requests wait for the answer to the next sync (module `sync`). While the leader is unreachable, a
+//! tenant's standing share applies instead (module `standing_share`) until it expires.
 //!
-//! Invariants: no more is admitted than was granted or, while disconnected, than the standing share allows; nothing that
-//! an earlier leader said counts after a later leader has answered (the term is the fencing token). Time is passed in, in
-//! seconds of a steady clock.
+//! Invariants: no more requests are admitted than were granted or, while disconnected, than the standing shares allow.
+//! Grants and shares of an earlier leader are void once a later leader has answered; the term is the fencing token. The
+//! caller passes the time, in seconds of a monotonic clock.
 
 #[cfg(test)]
 mod overshoot_tests;
@@ -21,56 +21,56 @@
 use sync::PendingSync;
 use tenant_account::TenantAccount;
 
-/// Limits and times of the quotas, from the settings.
+/// Parameters of quota admission, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaAdmissionConfig {
     /// Time between two regular syncs, in seconds.
     pub sync_interval_secs: f64,
-    /// Without an answer for so long, in seconds, standing shares count instead of grants.
+    /// Time without an answer from the quota leader, in seconds, after which standing shares apply instead of grants.
     pub sync_timeout_secs: f64,
-    /// Standing shares lapse so long after the last answered sync, in seconds.
+    /// Time after the last answered sync, in seconds, after which standing shares expire.
     pub share_lifetime_secs: f64,
-    /// Part of a quota that may be admitted beyond it in every horizon, ...
+    /// Fraction of a quota that may be admitted beyond the quota in every horizon, in addition to `overshoot_requests`.
     pub overshoot_ratio: f64,
-    /// ...together with so many requests.
+    /// Number of requests that may be admitted beyond a quota in every horizon, in addition to `overshoot_ratio`.
     pub overshoot_requests: f64,
-    /// Length of the horizon, in seconds.
+    /// Length of the horizon over which the overshoot is bounded, in seconds.
     pub horizon_secs: f64,
 }
 
-/// Whether a request may pass.
+/// Decision on the admission of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It is admitted, and charged if its tenant has a quota.
+    /// The request is admitted, and charged if its tenant has a quota.
     Admit,
-    /// It waits for the answer to the sync [`QuotaAdmission::next_sync_id`].
+    /// The request must wait for the answer to the sync [`QuotaAdmission::next_sync_id`].
     WaitForGrant,
-    /// It is over the quota; the client may retry after so many seconds.
+    /// The request is over the quota; the client may retry after this many seconds.
     Reject(f64),
 }
 
-/// How far a request is with the quota leader.
+/// Progress of a request's wait for a grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantState {
-    /// It is new.
+    /// The request is new and has not waited.
     NotRequested,
-    /// The leader has answered the sync that it waited for.
+    /// The quota leader has answered the sync for which the request waited.
     Answered,
-    /// The answer did not come in time.
+    /// The quota leader did not answer in time.
     TimedOut,
 }
 
-/// The quotas of all tenants at one edge node.
+/// Quota accounts of all tenants at one edge node.
 #[derive(Clone, Debug)]
 pub struct QuotaAdmission {
     config: QuotaAdmissionConfig,
     node: Box<str>,
     tenants: BTreeMap<Arc<str>, TenantAccount>,
-    /// When the last answered sync was sent.
+    /// When the last answered sync was sent, in seconds of the clock that is passed in.
     last_sync_at: f64,
-    /// When the first answered sync was sent.
+    /// When the first answered sync was sent, in seconds of the clock that is passed in.
     first_sync_at: Option<f64>,
-    /// The highest term of a leader that has answered.
+    /// The highest term in which a leader has answered.
     term: u64,
     next_regular_sync_at: f64,
     pending_sync: Option<PendingSync>,
@@ -78,19 +78,21 @@
     reported: Vec<Arc<str>>,
     /// Tenants that the next regular sync may have to report.
     tracked: BTreeSet<Arc<str>>,
-    /// Tenants of requests that wait for a grant.
+    /// Tenants with requests that wait for a grant.
     waiting: BTreeSet<Arc<str>>,
-    /// Whether the next sync is to report everything.
+    /// Whether the next sync must report the usage of every tracked tenant.
     needs_full_sync: bool,
-    last_request_id: u64,
-    /// Whether a request waits for a sync that is not sent yet.
+    /// Id of the last sync that was sent; 0 if none was.
+    last_sync_id: u64,
+    /// Whether a request waits for a sync that has not been sent.
     is_sync_wanted: bool,
-    /// Number of edge nodes at most; 0: not known.
+    /// Upper bound on the number of edge nodes; 0 if unknown.
     edge_count: u32,
 }
 
 impl QuotaAdmission {
-    /// The quotas at the edge node of this name. Until its first sync is answered, nothing that is limited is admitted.
+    /// Creates the quota accounts of the edge node with this name. Until the first sync is answered, no request of a tenant
+    /// with a quota is admitted.
     pub fn new(config: QuotaAdmissionConfig, node: &str) -> Self {
         QuotaAdmission {
             config,
@@ -105,28 +107,28 @@
             tracked: BTreeSet::new(),
             waiting: BTreeSet::new(),
             needs_full_sync: false,
-            last_request_id: 0,
+            last_sync_id: 0,
             is_sync_wanted: false,
             edge_count: 0,
         }
     }
 
-    /// Sets the number of edge nodes; 0: not known.
+    /// Sets the number of edge nodes; 0 if unknown.
     pub fn set_edge_count(&mut self, edge_count: u32) {
         self.edge_count = edge_count;
     }
 
-    /// Replaces the limits and times.
+    /// Replaces the parameters.
     pub fn update_config(&mut self, config: QuotaAdmissionConfig) {
         self.config = config;
     }
 
-    /// Whether the standing shares have lapsed, so that nothing that is limited is admitted.
-    pub fn are_shares_lapsed(&self, now: f64) -> bool {
+    /// Whether the standing shares have expired, so that no request of a tenant with a quota is admitted.
+    pub fn are_shares_expired(&self, now: f64) -> bool {
         now - self.last_sync_at > self.config.share_lifetime_secs
     }
 
-    /// Whether the quota leader has not answered for so long that standing shares count.
+    /// Whether standing shares apply because the quota leader has not answered within the sync timeout.
     pub fn is_disconnected(&self, now: f64) -> bool {
         now - self.last_sync_at > self.config.sync_timeout_secs
     }
@@ -136,8 +138,8 @@
         self.term
     }
 
-    /// Decides on a request of a tenant, and charges it if it is admitted. After [`AdmissionDecision::WaitForGrant`] the
-    /// caller asks once more, with another [`GrantState`].
+    /// Decides on a request of a tenant, and charges a unit if the request is admitted. After
+    /// [`AdmissionDecision::WaitForGrant`], the caller calls this once more with another [`GrantState`].
     pub fn admit(
         &mut self,
         now: f64,
@@ -149,12 +151,13 @@
             return AdmissionDecision::Admit;
         }
         let (is_disconnected, config) = (self.is_disconnected(now), self.config);
-        let saved_at = self.first_sync_at.unwrap_or(now);
-        let new_account = || TenantAccount::new(saved_at, standing_share::first_turn(&self.node, name));
+        let tokens_updated_at = self.first_sync_at.unwrap_or(now);
+        let new_account =
+            || TenantAccount::new(tokens_updated_at, standing_share::initial_slot_position(&self.node, name));
         let account = self.tenants.entry(Arc::clone(name)).or_insert_with(new_account);
         if is_disconnected {
-            // Unused grants expire here at once: the next leader need not wait until nobody can spend them. It learns of
-            // this with the next sync.
+            // Unused grants expire as soon as this node is disconnected, so that the next leader need not wait until no
+            // node can spend them. The next sync reports the expiry to that leader.
             account.charge_limit = account.charge_limit.min(account.charged);
         }
         if grant == GrantState::NotRequested {
@@ -181,7 +184,7 @@
         AdmissionDecision::WaitForGrant
     }
 
-    /// Refunds the unit of a request that was charged and has not run.
+    /// Refunds the unit that was charged for a request which has not run.
     pub fn refund(&mut self, name: &str) {
         if let Some(account) = self.tenants.get_mut(name) {
             account.charged -= 1;
@@ -189,8 +192,8 @@
         }
     }
 
-    /// A request that waited for a grant is decided, or its client has disconnected. To be called once for each
-    /// [`AdmissionDecision::WaitForGrant`].
+    /// Records that a request no longer waits for a grant: it is decided, or its client has disconnected. Must be called
+    /// exactly once for each [`AdmissionDecision::WaitForGrant`].
     pub fn grant_wait_ended(&mut self, name: &str) {
         if let Some(account) = self.tenants.get_mut(name) {
             account.waiting = account.waiting.saturating_sub(1);
--- a/crates/gateway/src/data_plane/requests.rs
+++ b/crates/gateway/src/data_plane/requests.rs
@@ -1,8 +1,8 @@
-//! Requests at an edge node, from receipt to final response: admission by quota, the actions of the service's decision
-//! module, and the response to the client.
+//! Requests at an edge node, from receipt to final response, in three phases: admission by quota, upstream attempts as
+//! the service's decision module requests them, and the response to the client.
 //!
-//! A final response is passed on as soon as it is known. What it may promise is decided in
-//! [`request_state`](super::request_state).
+//! The final response is emitted as soon as it is determined. [`request_state`](super::request_state) decides what that
+//! response may promise to the client.
 
 pub use super::request_state::FinalResponse;
 
@@ -17,71 +17,74 @@
 use std::time::Duration;
 use whinstall::{Action, Ending, HostId, RequestId};
 
-/// A request waits so long for a quota grant at most, in seconds.
+/// Longest time that a request waits for a quota grant, in seconds.
 const GRANT_TIMEOUT_SECS: f64 = 0.06;
-/// Retry delay for a request that was not executed, unless the decision module sets one; in seconds.
+/// Retry delay for a request that was not executed, in seconds, unless the decision module sets another one.
 const RETRY_AFTER_SECS: f64 = 0.1;
-/// Retry delay for a request that comes without time left, in seconds.
+/// Retry delay for a request whose time limit has passed on arrival, in seconds.
 const NO_TIME_RETRY_AFTER_SECS: f64 = 0.05;
 
 /// The wait of a request for a quota grant.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GrantWait {
-    /// When it is over, in seconds of the clock that is passed in.
-    pub(super) until: f64,
-    /// The quota sync whose answer decides.
-    pub(super) request_id: u64,
+    /// When the wait times out, in seconds of the clock that is passed in.
+    pub(super) deadline: f64,
+    /// Id of the quota sync whose answer decides on the request.
+    pub(super) sync_id: u64,
 }
 
-/// A request that is not answered or has an attempt in flight.
+/// A request that is unanswered or has an attempt in flight.
 pub struct PendingRequest {
     service: Arc<str>,
     class: RequestClass,
     pub(super) tenant: Option<Arc<str>>,
-    /// When it was received.
+    /// When the request was received, in seconds of the clock that is passed in.
     pub(super) received_at: f64,
-    /// No attempt is dispatched after this: shortly before its client disconnects or its route's cutoff.
+    /// Time after which no attempt is dispatched, in seconds of the clock that is passed in: shortly before the client
+    /// stops waiting or the route's timeout passes, whichever comes first.
     dispatch_deadline: f64,
     pub(super) state: RequestState,
+    /// Set while the request waits for a quota grant.
     pub(super) grant_wait: Option<GrantWait>,
 }
 
 /// A request as it is received.
 pub struct IncomingRequest {
-    /// Identifies it at this node.
+    /// Id of the request, unique at this node.
     pub id: RequestId,
-    /// Its route.
+    /// Route that the request matches.
     pub route: Arc<Route>,
-    /// Its tenant, where the configuration has any.
+    /// Tenant that sent the request; `None` if the configuration has no tenants.
     pub tenant: Option<Arc<Tenant>>,
-    /// How long its client waits from now on, in seconds.
+    /// Time for which the client still waits, in seconds.
     pub remaining_secs: f64,
 }
 
-/// How an attempt ended.
+/// Report of the end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptReport<'a> {
-    /// The request.
+    /// The request to which the attempt belongs.
     pub id: &'a RequestId,
     /// Number of the attempt, counted from 0 for each request.
     pub attempt: u32,
-    /// The worker it was dispatched to.
+    /// The worker to which the attempt was dispatched.
     pub worker: &'a HostId,
-    /// How it ended.
+    /// Reason for the end, which also tells whether the request may have run.
     pub ending: Ending,
-    /// Whether the worker's complete response is at hand, and then whether it is a success.
+    /// Whether the worker's complete response reports success; `None` if no complete response was received.
     pub response_ok: Option<bool>,
 }
 
 impl<'a> AttemptReport<'a> {
-    /// An attempt of which no byte was sent.
+    /// Report of an attempt of which no byte was sent.
     fn not_sent(id: &'a RequestId, attempt: u32, worker: &'a HostId) -> Self {
         AttemptReport { id, attempt, worker, ending: Ending::NotSent, response_ok: None }
     }
 }
 
 impl EdgeNode {
-    /// Handles a request whose route and tenant are known.
+    /// Handles a request whose route and tenant are known. A request that is rejected here has not run, and the client may
+    /// retry it.
     pub fn on_request(&mut self, now: f64, incoming: IncomingRequest, out: &mut Vec<Effect>) {
         let IncomingRequest { id, route, tenant, remaining_secs } = incoming;
         let Some(service) = route.pick_service(self.rng.f64()).cloned() else {
@@ -111,7 +114,8 @@
         self.admit(now, &id, GrantState::NotRequested, out);
     }
 
-    /// Charges a request to its tenant's quota and passes it to its service, rejects it, or lets it wait for a grant.
+    /// Decides on a request by its tenant's quota: charges the request and passes it to its service, rejects it, or lets it
+    /// wait for a grant.
     pub(super) fn admit(&mut self, now: f64, id: &RequestId, grant: GrantState, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let tenants = self.active_config.tenants_by_label();
@@ -126,23 +130,23 @@
         match decision {
             AdmissionDecision::Admit => {
                 request.state.admit(has_quota);
-                self.begin(now, id, out);
+                self.start_attempts(now, id, out);
             }
             AdmissionDecision::Reject(retry_after_secs) => {
                 let response = request.state.rate_limit(retry_after_secs);
                 self.settle(id, response, out);
             }
             AdmissionDecision::WaitForGrant => {
-                let (until, request_id) = (now + GRANT_TIMEOUT_SECS, self.quota.next_sync_id());
-                request.grant_wait = Some(GrantWait { until, request_id });
+                let (deadline, sync_id) = (now + GRANT_TIMEOUT_SECS, self.quota.next_sync_id());
+                request.grant_wait = Some(GrantWait { deadline, sync_id });
                 self.awaiting_grant.push(id.clone());
                 self.sync_quota(now, out);
             }
         }
     }
 
-    /// Passes an admitted request to its service.
-    fn begin(&mut self, now: f64, id: &RequestId, out: &mut Vec<Effect>) {
+    /// Passes an admitted request to its service, which requests the first attempt.
+    fn start_attempts(&mut self, now: f64, id: &RequestId, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get(id) else { return };
         let (name, class) = (Arc::clone(&request.service), request.class.clone());
         let remaining_secs = request.dispatch_deadline - now;
@@ -154,7 +158,7 @@
         self.give_up_if_stalled(id, out);
     }
 
-    /// Carries out the actions of a service's decision module, in their order.
+    /// Performs the actions of a service's decision module, in their order.
     pub(super) fn apply_actions(
         &mut self,
         now: f64,
@@ -166,7 +170,7 @@
             match action {
                 Action::Send { id, host, timeout } => self.dispatch(now, service, id, host, timeout, out),
                 Action::Cancel { id, attempt } => {
-                    // The worker may have run it: one that may run only once is never cancelled.
+                    // The worker may already run the attempt, so a non-idempotent request is never cancelled.
                     if self.requests.get(&id).is_some_and(|r| r.state.is_idempotent()) {
                         out.push(Effect::CancelAttempt(id, attempt));
                     }
@@ -215,22 +219,23 @@
         out.push(Effect::Dispatch { id, attempt, worker, address, timeout_secs });
     }
 
-    /// The decision module has given a request up. Retry delays are spread by a quarter either way, so that clients do
-    /// not come back all at once.
+    /// Gives up a request at the decision module's instruction. Retry delays are jittered by up to 25 % in either direction,
+    /// so that clients do not retry all at once.
     fn give_up(&mut self, id: &RequestId, retry_after_secs: f64, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let response = request.state.give_up(retry_after_secs * (0.75 + 0.5 * self.rng.f64()));
         self.settle(id, response, out);
     }
 
-    /// All actions are carried out: a request that nothing would move forward is given up.
+    /// Gives up a request that has no attempt in flight and waits for nothing, once all actions are performed.
     fn give_up_if_stalled(&mut self, id: &RequestId, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let response = request.state.give_up_if_stalled(RETRY_AFTER_SECS);
         self.settle(id, response, out);
     }
 
-    /// Sends the response, if there is one, refunds the quota, if that is due, and drops a finished request.
+    /// Emits the response, if there is one; refunds the quota unit, if that is due; and drops the request once it is
+    /// finished.
     pub(super) fn settle(&mut self, id: &RequestId, response: Option<FinalResponse>, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         out.extend(response.map(|response| Effect::Respond(id.clone(), response)));
@@ -243,7 +248,8 @@
         }
     }
 
-    /// Handles the end of an attempt. One that is not in flight any more is ignored.
+    /// Handles the end of an attempt. Depending on the request's state and the retry budget, another attempt may follow.
+    /// Reports of attempts that are no longer in flight are ignored.
     pub fn on_attempt_end(&mut self, now: f64, report: AttemptReport<'_>, out: &mut Vec<Effect>) {
         let AttemptReport { id, attempt, worker, ending, response_ok } = report;
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -267,7 +273,7 @@
     }
 
     /// Handles the disconnect of a request's client. Attempts in flight are cancelled if the request is idempotent;
-    /// otherwise they end by themselves.
+    /// otherwise they are left to end by themselves.
     pub fn on_client_disconnect(&mut self, now: f64, id: &RequestId, out: &mut Vec<Effect>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let may_cancel = request.state.client_disconnected();
--- a/crates/gateway/src/data_plane/retry_budget.rs
+++ b/crates/gateway/src/data_plane/retry_budget.rs
@@ -1,41 +1,43 @@
 //! The retry budget of one upstream service at this edge node.
 //!
-//! Invariant: in every window, over all edge nodes together, a service receives no more retries and hedged requests
-//! than `ratio` of its first attempts, plus `slack`. To keep it, a node spends no slack before it knows how many edge
-//! nodes there are, nor before an earlier incarnation's share of a window has expired.
+//! Invariant: in every window, all edge nodes together send a service no more retries and hedged requests than `ratio`
+//! times its first attempts, plus `slack`. To this end, a node spends no slack before it knows the number of edge nodes,
+//! nor until the slack that an earlier incarnation of the node may have spent has left the window.
 
 use std::collections::VecDeque;
 
 /// Limits of the retry budget, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Retries for each first attempt in the window.
+    /// Retries allowed for each first attempt in the window.
     pub ratio: f64,
     /// Length of the sliding window, in seconds.
     pub window_secs: f64,
-    /// Retries in each window beyond the ratio, over all edge nodes.
+    /// Retries allowed in each window in addition to the ratio, over all edge nodes.
     pub slack: f64,
-    /// Time from which slack may be spent: an earlier incarnation of this node may have spent its share before.
+    /// Time from which this node may spend slack, in seconds of the clock that is passed in. Before, slack that an earlier
+    /// incarnation of this node has spent may still count in the window.
     pub slack_available_at: f64,
 }
 
-/// Part of the allowance that is used. The rest covers first attempts of edge nodes that crash: they count nowhere.
+/// Fraction of the allowance that a node spends. The rest covers the first attempts of edge nodes that crash, which no node
+/// counts any more.
 const USED_FRACTION: f64 = 0.8;
 
-/// A lower number of edge nodes counts only after so long, in seconds: core nodes that have just started know of few,
-/// while those that can't be heard keep spending their share.
+/// Time after which a lower number of edge nodes is used, in seconds. Core nodes that have just restarted report too few
+/// edge nodes, while those that are not connected to them keep spending their shares of the slack.
 const EDGE_COUNT_HOLD_SECS: f64 = 60.0;
 
-/// Retries of one service at this edge node.
+/// Retry budget of one service at this edge node.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudget {
-    /// When first attempts were sent, within the window.
+    /// Times of the first attempts in the window, in seconds of the clock that is passed in.
     first_attempts: VecDeque<f64>,
-    /// When retries were sent, within the window.
+    /// Times of the retries in the window, in seconds of the clock that is passed in.
     retries: VecDeque<f64>,
-    /// The highest number of edge nodes lately.
+    /// Highest number of edge nodes reported within [`EDGE_COUNT_HOLD_SECS`].
     edge_count: u32,
-    /// When that number was last reported.
+    /// When a number at least as high as `edge_count` was last reported.
     edge_count_at: f64,
 }
 
@@ -52,7 +54,7 @@
         self.first_attempts.push_back(now);
     }
 
-    /// Number of retries that may be sent now, given the number of edge nodes (0: not known).
+    /// Number of retries that may be sent now, given the number of edge nodes (0 if unknown).
     pub fn available(&mut self, now: f64, config: &RetryBudgetConfig, edge_count: u32) -> f64 {
         Self::drop_expired(&mut self.first_attempts, now, config.window_secs);
         Self::drop_expired(&mut self.retries, now, config.window_secs);
--- a/crates/gateway/src/data_plane/time_limits.rs
+++ b/crates/gateway/src/data_plane/time_limits.rs
@@ -1,27 +1,27 @@
-//! The time that a request has, at this edge node and at a worker.
+//! Time limits of a request at this edge node and at its worker.
 
 use super::drain::WORKER_HEAD_START_SECS;
 use super::EdgeNode;
 use crate::configuration::active_config::Route;
 
-/// No attempt is dispatched so shortly before a request's time is up, in seconds. Attempts in flight may use this time,
-/// as their workers may still respond.
+/// Time before the end of a request's time limit in which no more attempts are dispatched, in seconds. Attempts in flight
+/// may use this time, as their workers may still respond.
 pub(super) const DISPATCH_MARGIN_SECS: f64 = 0.008;
 
-/// Time limits of a request, in seconds from now; they can be negative.
+/// Time limits of a request, in seconds from now; negative once they have passed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimeLimits {
-    /// Until then attempts may be dispatched.
+    /// Time in which attempts may be dispatched.
     pub dispatch_secs: f64,
-    /// Until then its workers are to respond.
+    /// Time in which the worker must respond.
     pub upstream_secs: f64,
 }
 
 impl EdgeNode {
-    /// Limits of a request whose client waits for another `remaining_secs`: the least of that, of the route's cutoff and
-    /// of the time that a drain leaves.
+    /// Returns the time limits of a request whose client waits for another `remaining_secs`: the minimum of that, of the
+    /// route's timeout, and of the time that is left of a drain.
     pub fn time_limits(&self, now: f64, route: &Route, remaining_secs: f64) -> TimeLimits {
-        let request_secs = route.timeout.map_or(remaining_secs, |c| remaining_secs.min(c.as_secs_f64()));
+        let request_secs = route.timeout.map_or(remaining_secs, |t| remaining_secs.min(t.as_secs_f64()));
         let dispatch_secs = request_secs - DISPATCH_MARGIN_SECS;
         match self.drain {
             None => TimeLimits { dispatch_secs, upstream_secs: request_secs },
--- a/crates/gateway/src/data_plane/upkeep.rs
+++ b/crates/gateway/src/data_plane/upkeep.rs
@@ -4,13 +4,13 @@
 
 /// Time between two pings to a core node, in seconds.
 const PING_INTERVAL_SECS: f64 = 0.5;
-/// The same as long as no quota leader is known.
+/// Time between two pings to a core node while no quota leader is known, in seconds.
 const LEADERLESS_PING_INTERVAL_SECS: f64 = PING_INTERVAL_SECS / 5.0;
-/// Least time until a quota sync that is due at once, in seconds.
+/// Minimum delay of a quota sync that is due at once, in seconds.
 const MIN_SYNC_DELAY_SECS: f64 = 0.005;
 
 impl EdgeNode {
-    /// When [`Event::Tick`](super::Event::Tick) is due at the latest, in seconds of the clock that is passed in.
+    /// Latest time at which the next [`Event::Tick`](super::Event::Tick) is due, in seconds of the clock that is passed in.
     pub fn next_wakeup(&self, now: f64) -> f64 {
         let timers = self.services.values().map(|s| s.timer_at);
         timers
@@ -36,17 +36,17 @@
     }
 
     fn ping_core_nodes(&self, out: &mut Vec<Effect>) {
-        let up = self.links.iter().filter(|(_, l)| l.is_up).map(|(ip, _)| *ip);
-        out.extend(up.map(|ip| Effect::Send(ip, self.ping_message(ip))));
+        let connected = self.links.iter().filter(|(_, l)| l.is_up).map(|(ip, _)| *ip);
+        out.extend(connected.map(|ip| Effect::Send(ip, self.ping_message(ip))));
     }
 
-    /// Drops what is out of date: links, workers, load reports.
+    /// Drops expired state: obsolete links, ended workers, and load reports.
     fn expire_state(&mut self, now: f64, out: &mut Vec<Effect>) {
         self.close_obsolete_links(now, out);
         self.registry.remove_ended(now);
         let changes = self.loads.expire_reports(now);
         self.apply_load_changes(changes);
-        // Ids of workers that are gone, once they are most of the map.
+        // The ids of removed workers are dropped only once they make up most of the map, which amortizes the scan.
         if self.worker_ids.len() > 4 * self.registry.workers().count() + 64 {
             let registry = &self.registry;
             self.worker_ids.retain(|_, id| registry.get(id).is_some());
