--- a/crates/gateway/src/data_plane/core_links_tests.rs
+++ b/crates/gateway/src/data_plane/core_links_tests.rs
@@ -1,4 +1,4 @@
-//! Which core nodes an edge node connects to.
+//! Tests of the links to core nodes: to which addresses an edge node connects, and which links it closes.
 
 use super::{EdgeNode, Effect, Event, TICK_SECS};
 use crate::protocol::{NodeLocation, PeerMessage};
@@ -10,14 +10,15 @@
     [10, 0, 1, n].into()
 }
 
-fn core_nodes(of: &[u8]) -> PeerMessage {
+fn core_nodes(numbers: &[u8]) -> PeerMessage {
     PeerMessage::CoreNodes(
-        of.iter().map(|n| NodeLocation { ip: ip(*n), zone: "a".into(), region: "r".into() }).collect(),
+        numbers.iter().map(|n| NodeLocation { ip: ip(*n), zone: "a".into(), region: "r".into() }).collect(),
     )
 }
 
-/// A core node was replaced, and its address now belongs to a program that accepts connections but is no core node: that
-/// address is given up. Seeds and core nodes that others name are kept.
+/// Guards against a link that is kept forever: a core node was replaced, and its address now belongs to a program that
+/// accepts connections without being a core node. The link to that address is closed. Links to seeds and to core nodes that
+/// are listed by others are kept.
 #[gtest]
 fn an_address_reused_by_another_program_is_disconnected() {
     let mut settings =
@@ -33,16 +34,16 @@
     expect_that!([1, 2, 3, 4].map(|n| is_connected(&out, n)), eq([true; 4]));
     edge.handle(now, Event::CoreMessage(ip(1), core_nodes(&[1, 3])), &mut out);
     out.clear();
-    let mut up = false;
+    let mut is_up = false;
     for tick in 0..1400 {
         now += TICK_SECS;
         edge.handle(now, Event::Tick, &mut out);
-        // Connections to the replaced core node and to a seed that is none are accepted, and end after a silence; core
-        // node 3 is named and down.
+        // Nodes 2 (the replaced core node) and 4 (a seed that is no core node) accept connections, send nothing, and close
+        // them. Core node 3 is listed and down.
         if tick % 33 == 0 {
-            up = !up;
+            is_up = !is_up;
             for n in [2, 4] {
-                edge.handle(now, if up { Event::LinkUp(ip(n)) } else { Event::LinkDown(ip(n)) }, &mut out);
+                edge.handle(now, if is_up { Event::LinkUp(ip(n)) } else { Event::LinkDown(ip(n)) }, &mut out);
             }
         }
         if tick % 10 == 0 {
@@ -58,7 +59,7 @@
     let disconnects =
         |n| out.iter().filter(|e| matches!(e, Effect::Disconnect(from) if *from == ip(n))).count();
     expect_that!([1, 2, 3, 4].map(disconnects), eq([0, 1, 0, 0]));
-    // Named again, it is connected to again.
+    // Once node 2 is listed again, the edge node connects to it again.
     out.clear();
     edge.handle(now, Event::CoreMessage(ip(1), core_nodes(&[1, 2, 3])), &mut out);
     expect_that!(is_connected(&out, 2), eq(true));
--- a/crates/gateway/src/data_plane/quota_admission/tenant_account.rs
+++ b/crates/gateway/src/data_plane/quota_admission/tenant_account.rs
@@ -12,7 +12,8 @@
 /// Demand is reported when it differs from the last reported demand by more than this fraction of the sum of the reported
 /// demand and [`DEMAND_STEP_PER_SEC`].
 const DEMAND_CHANGE_RATIO: f64 = 0.5;
-/// Offset for [`DEMAND_CHANGE_RATIO`], in requests per second. The quota leader uses the same step.
+/// Offset for [`DEMAND_CHANGE_RATIO`], in requests per second. The quota leader adds as much to the demand of every edge
+/// node.
 const DEMAND_STEP_PER_SEC: f64 = 0.3;
 
 /// Usage that a sync reported.
--- a/crates/gateway/src/data_plane/request_state_tests.rs
+++ b/crates/gateway/src/data_plane/request_state_tests.rs
@@ -1,6 +1,6 @@
-//! Exhaustive exploration of one request, breadth first: every sequence of decisions, worker behaviour and connection
-//! faults. Each world keeps the truth (what a worker has run or still may run) beside the state under test. Responses of
-//! workers are judged by the production code.
+//! Model check of one request: explores breadth first every sequence of decisions, worker behaviour and connection faults.
+//! Each model state holds the state under test and the ground truth, that is, what workers have run or may still run.
+//! Responses of workers are classified by the production code.
 
 use super::*;
 use crate::transport::upstream_pool::exchange::{classify, is_acceptable, response_owner, ResponseOwner};
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use std::collections::{HashSet, VecDeque};
 
-/// Faults injected into the state or around it; the exploration must find each.
+/// Faults that are injected into the state under test or its surroundings; the exploration must detect each of them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     TimeoutTakenAsNotRun,
@@ -50,6 +50,7 @@
     Fault::DispatchedAfterDisconnect,
 ];
 
+/// How much of a request has been written to the worker's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Written {
     Nothing,
@@ -57,52 +58,57 @@
     Complete,
 }
 
+/// What the worker has done with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Fate {
-    /// The worker has not decided yet, whatever has reached it.
-    Open,
+enum WorkerOutcome {
+    /// The worker has neither run nor rejected the attempt. If any byte has reached it, it may still do either.
+    Undecided,
     Ran,
     Rejected,
 }
 
-/// What truly became of an attempt.
+/// Ground truth about an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct AttemptTruth {
     attempt: u32,
     is_in_flight: bool,
     written: Written,
-    fate: Fate,
-    /// Whether it ended in a way that says it has not run.
+    outcome: WorkerOutcome,
+    /// Whether the reported end of the attempt implies that the request has not run.
     is_reported_not_run: bool,
 }
 
+/// A state of the model: the request state under test, and the ground truth.
 #[derive(Clone, Debug)]
-struct World {
+struct ModelState {
     state: RequestState,
     attempts: Vec<AttemptTruth>,
+    /// Number of times that workers have run the request.
     runs: u32,
-    asked: u32,
+    /// Number of attempts that the decision module has requested.
+    requested_attempts: u32,
+    /// Whether the edge node still performs actions of the decision module.
     has_actions_pending: bool,
     is_charged: bool,
     units_charged: i8,
-    answer: Option<FinalResponse>,
-    is_client_gone: bool,
+    response: Option<FinalResponse>,
+    has_disconnected: bool,
 }
 
-/// Responses of a worker; the first three only to what ran, the next two only to what it rejected.
+/// Responses of a worker. Responses 0 to 2 are sent only to attempts that ran, 3 and 4 only to attempts that were rejected.
 const RESPONSES: [(u16, &[(&str, &str)]); 12] = [
     (200, &[("x-attempt-id", "id-1"), ("x-server-seal", "s")]),
     (500, &[("x-attempt-id", "id-1"), ("x-server-seal", "s")]),
     (504, &[("x-attempt-id", "id-1")]),
     (503, &[("x-attempt-id", "id-1"), ("x-not-executed", "1")]),
     (421, &[("x-attempt-id", "id-1")]),
-    // To an earlier request on this connection, or to none.
+    // Responses to an earlier request on the same connection, or without an attempt id.
     (200, &[("x-attempt-id", "id-0"), ("x-server-seal", "s")]),
     (503, &[("x-attempt-id", "id-0"), ("x-not-executed", "1")]),
     (421, &[("x-attempt-id", "id-0")]),
     (503, &[("x-not-executed", "1")]),
     (200, &[("x-server-seal", "s")]),
-    // From a faulty worker.
+    // Responses of a faulty worker.
     (200, &[("x-attempt-id", "id-1")]),
     (503, &[("x-attempt-id", "id-1")]),
 ];
@@ -132,18 +138,18 @@
     head
 }
 
-impl World {
+impl ModelState {
     fn new(is_idempotent: bool, max_dispatches: u32) -> Self {
-        World {
+        ModelState {
             state: RequestState::new(is_idempotent, max_dispatches),
             attempts: Vec::new(),
             runs: 0,
-            asked: 0,
+            requested_attempts: 0,
             has_actions_pending: false,
             is_charged: false,
             units_charged: 0,
-            answer: None,
-            is_client_gone: false,
+            response: None,
+            has_disconnected: false,
         }
     }
 
@@ -151,25 +157,25 @@
         format!("{self:?}")
     }
 
-    /// Everything that can happen next.
+    /// All steps that are possible in this state.
     fn steps(&self) -> Vec<Step> {
         let mut steps = Vec::new();
         if self.state.awaits_admission {
             steps.extend([Step::Admit(true), Step::Admit(false), Step::RateLimit]);
         } else {
-            if self.asked < self.state.max_dispatches + 1 {
+            if self.requested_attempts < self.state.max_dispatches + 1 {
                 steps.push(Step::Dispatch);
             }
             steps.push(Step::GiveUp);
         }
         steps.extend(self.has_actions_pending.then_some(Step::ActionsDone));
-        if !self.is_client_gone && self.answer.is_none() {
+        if !self.has_disconnected && self.response.is_none() {
             steps.extend([Step::Disconnect, Step::Shutdown]);
         }
         for (n, attempt) in self.attempts.iter().enumerate() {
-            let reached = attempt.written != Written::Nothing;
-            if reached && attempt.fate == Fate::Open {
-                // Also long after the attempt has ended here.
+            let has_reached_worker = attempt.written != Written::Nothing;
+            if has_reached_worker && attempt.outcome == WorkerOutcome::Undecided {
+                // A worker may decide long after the attempt has ended at the edge node.
                 steps.extend([Step::Runs(n), Step::Rejects(n)]);
             }
             if !attempt.is_in_flight {
@@ -214,7 +220,7 @@
         (attempt.is_in_flight, attempt.is_reported_not_run) = (false, ending.never_ran());
         if attempt.is_reported_not_run
             && attempt.written != Written::Nothing
-            && attempt.fate != Fate::Rejected
+            && attempt.outcome != WorkerOutcome::Rejected
         {
             return fail!("attempt {} is reported as not run though it may run", attempt.attempt);
         }
@@ -225,47 +231,55 @@
         self.record_response(ended.and_then(|e| e.response), fault)
     }
 
-    fn record_response(&mut self, answer: Option<FinalResponse>, fault: Option<Fault>) -> Result<()> {
-        let Some(mut answer) = answer else { return Ok(()) };
+    fn record_response(&mut self, response: Option<FinalResponse>, fault: Option<Fault>) -> Result<()> {
+        let Some(mut response) = response else { return Ok(()) };
         if fault == Some(Fault::NotExecutedAfterDispatch)
-            && matches!(answer, FinalResponse::UpstreamFailed | FinalResponse::TimedOut)
+            && matches!(response, FinalResponse::UpstreamFailed | FinalResponse::TimedOut)
         {
-            answer = FinalResponse::NotExecuted(0.1);
+            response = FinalResponse::NotExecuted(0.1);
         }
-        if self.is_client_gone || self.answer.is_some() {
-            return fail!("{answer:?} after {:?}, client gone: {}", self.answer, self.is_client_gone);
+        if self.has_disconnected || self.response.is_some() {
+            return fail!(
+                "response {response:?} after response {:?}, client disconnected: {}",
+                self.response,
+                self.has_disconnected
+            );
         }
-        if let FinalResponse::Upstream(attempt) = answer {
-            let ran =
-                self.attempts.iter().any(|w| w.attempt == attempt && w.fate == Fate::Ran && !w.is_in_flight);
-            verify_that!(ran, eq(true))?;
+        if let FinalResponse::Upstream(attempt) = response {
+            let has_run = self
+                .attempts
+                .iter()
+                .any(|a| a.attempt == attempt && a.outcome == WorkerOutcome::Ran && !a.is_in_flight);
+            verify_that!(has_run, eq(true))?;
         }
-        self.answer = Some(answer);
+        self.response = Some(response);
         Ok(())
     }
 
-    /// Holds in every world.
-    fn invariant(&self) -> Result<()> {
+    /// Verifies the invariants that hold in every state.
+    fn verify_invariants(&self) -> Result<()> {
         if !self.state.is_idempotent {
             verify_that!(self.runs, le(1))?;
         }
         verify_that!(self.attempts.len(), le(self.state.max_dispatches as usize))?;
-        let may_run =
-            |w: &AttemptTruth| w.fate == Fate::Ran || w.fate == Fate::Open && w.written != Written::Nothing;
-        if matches!(self.answer, Some(FinalResponse::RateLimited(_) | FinalResponse::NotExecuted(_))) {
-            verify_that!(self.attempts.iter().any(|w| may_run(w) || w.is_in_flight), eq(false))?;
+        let may_have_run = |a: &AttemptTruth| {
+            a.outcome == WorkerOutcome::Ran
+                || a.outcome == WorkerOutcome::Undecided && a.written != Written::Nothing
+        };
+        if matches!(self.response, Some(FinalResponse::RateLimited(_) | FinalResponse::NotExecuted(_))) {
+            verify_that!(self.attempts.iter().any(|a| may_have_run(a) || a.is_in_flight), eq(false))?;
         }
         if self.is_finished() {
-            let is_kept = self.is_charged && self.attempts.iter().any(|w| !w.is_reported_not_run);
-            verify_that!(self.units_charged, eq(i8::from(is_kept)))?;
-            verify_that!(self.answer.is_some() || self.is_client_gone, eq(true))?;
+            let keeps_charge = self.is_charged && self.attempts.iter().any(|a| !a.is_reported_not_run);
+            verify_that!(self.units_charged, eq(i8::from(keeps_charge)))?;
+            verify_that!(self.response.is_some() || self.has_disconnected, eq(true))?;
         } else {
-            // Something moves the request forward: an attempt in flight or a wait for the quota leader, which both time out,
-            // or actions that are being carried out.
-            let is_moving = self.state.awaits_admission
+            // Liveness: the request has an attempt in flight or waits for the quota leader, both of which time out, or
+            // actions of the decision module are still performed.
+            let can_progress = self.state.awaits_admission
                 || self.has_actions_pending
-                || self.attempts.iter().any(|w| w.is_in_flight);
-            verify_that!(is_moving, eq(true))?;
+                || self.attempts.iter().any(|a| a.is_in_flight);
+            verify_that!(can_progress, eq(true))?;
         }
         verify_that!(self.units_charged, ge(0))
     }
@@ -274,77 +288,81 @@
         self.state.is_answered && self.state.in_flight.is_empty()
     }
 
-    fn apply(&self, step: Step, fault: Option<Fault>) -> Result<World> {
-        let mut w = self.clone();
+    /// Returns the state after a step, or the invariant that the step violates.
+    fn apply(&self, step: Step, fault: Option<Fault>) -> Result<ModelState> {
+        let mut next = self.clone();
         match step {
             Step::Admit(charged) => {
-                w.state.admit(charged);
-                (w.is_charged, w.units_charged, w.has_actions_pending) = (charged, i8::from(charged), true);
+                next.state.admit(charged);
+                (next.is_charged, next.units_charged, next.has_actions_pending) =
+                    (charged, i8::from(charged), true);
             }
             Step::RateLimit => {
-                let response = w.state.rate_limit(1.0);
-                w.record_response(response, fault)?;
+                let response = next.state.rate_limit(1.0);
+                next.record_response(response, fault)?;
             }
-            Step::Dispatch => w.dispatch(fault)?,
+            Step::Dispatch => next.dispatch(fault)?,
             Step::GiveUp => {
-                let out = w.state.in_flight.clone();
+                let in_flight = next.state.in_flight.clone();
                 if fault == Some(Fault::NotExecutedWhileInFlight) {
-                    w.state.in_flight.clear();
+                    next.state.in_flight.clear();
                 }
-                let response = w.state.give_up(0.1);
-                w.state.in_flight = out;
-                w.record_response(response, fault)?;
+                let response = next.state.give_up(0.1);
+                next.state.in_flight = in_flight;
+                next.record_response(response, fault)?;
             }
             Step::Shutdown => {
-                let out = w.state.in_flight.clone();
+                let in_flight = next.state.in_flight.clone();
                 if fault == Some(Fault::ShutdownTakenAsNotDispatched) {
-                    w.state.in_flight.clear();
+                    next.state.in_flight.clear();
                 }
-                let response = w.state.respond_now(0.1);
-                w.state.in_flight = out;
+                let response = next.state.respond_now(0.1);
+                next.state.in_flight = in_flight;
                 verify_that!(response, some(anything()))?;
-                w.record_response(response, fault)?;
+                next.record_response(response, fault)?;
             }
             Step::ActionsDone => {
-                w.has_actions_pending = false;
+                next.has_actions_pending = false;
                 if fault == Some(Fault::AnsweredTwice) {
-                    w.state.is_answered = false;
+                    next.state.is_answered = false;
                 }
                 if fault != Some(Fault::StalledRequestIgnored) {
-                    let response = w.state.give_up_if_stalled(0.1);
-                    w.record_response(response, fault)?;
+                    let response = next.state.give_up_if_stalled(0.1);
+                    next.record_response(response, fault)?;
                 }
             }
             Step::Disconnect => {
-                w.is_client_gone = true;
-                let may_cancel = w.state.client_disconnected();
-                verify_that!(may_cancel || !w.state.is_idempotent, eq(true))?;
+                next.has_disconnected = true;
+                let may_cancel = next.state.client_disconnected();
+                verify_that!(may_cancel || !next.state.is_idempotent, eq(true))?;
             }
-            Step::Write(n, written) => w.attempts[n].written = written,
-            Step::Runs(n) => (w.attempts[n].fate, w.runs) = (Fate::Ran, w.runs + 1),
-            Step::Rejects(n) => w.attempts[n].fate = Fate::Rejected,
-            Step::AttemptEnds(n, ending) => w.end_attempt(n, ending, None, fault)?,
-            Step::Responds(n, response) => w.receive_response(n, response, fault)?,
+            Step::Write(n, written) => next.attempts[n].written = written,
+            Step::Runs(n) => (next.attempts[n].outcome, next.runs) = (WorkerOutcome::Ran, next.runs + 1),
+            Step::Rejects(n) => next.attempts[n].outcome = WorkerOutcome::Rejected,
+            Step::AttemptEnds(n, ending) => next.end_attempt(n, ending, None, fault)?,
+            Step::Responds(n, response) => next.receive_response(n, response, fault)?,
         }
-        let settlement = w.state.settle();
+        let settlement = next.state.settle();
         let refund = match fault {
             Some(Fault::RefundedTwice) => {
-                settlement.is_finished && w.is_charged && w.attempts.iter().all(|w| w.is_reported_not_run)
+                settlement.is_finished
+                    && next.is_charged
+                    && next.attempts.iter().all(|a| a.is_reported_not_run)
             }
             Some(Fault::RefundedThoughRun) => {
-                settlement.refund || settlement.is_finished && w.is_charged && w.units_charged == 1
+                settlement.refund || settlement.is_finished && next.is_charged && next.units_charged == 1
             }
             Some(Fault::NeverRefunded) => false,
             _ => settlement.refund,
         };
-        w.units_charged -= i8::from(refund);
-        w.invariant()?;
-        Ok(w)
+        next.units_charged -= i8::from(refund);
+        next.verify_invariants()?;
+        Ok(next)
     }
 
-    /// The decision module asks for an attempt.
+    /// Performs the request of the decision module for another attempt.
     fn dispatch(&mut self, fault: Option<Fault>) -> Result<()> {
-        self.asked += 1;
+        self.requested_attempts += 1;
         let before = self.state.clone();
         match fault {
             Some(Fault::DispatchedWhileInFlight) => self.state.is_idempotent = true,
@@ -365,7 +383,7 @@
                     attempt,
                     is_in_flight: true,
                     written: Written::Nothing,
-                    fate: Fate::Open,
+                    outcome: WorkerOutcome::Undecided,
                     is_reported_not_run: false,
                 });
                 Ok(())
@@ -378,7 +396,7 @@
         }
     }
 
-    /// A response arrives on an attempt's connection.
+    /// Handles a response that arrives on an attempt's connection.
     fn receive_response(&mut self, n: usize, response: usize, fault: Option<Fault>) -> Result<()> {
         let mut head = head(response);
         let id = HeaderValue::from_static("id-1");
@@ -395,7 +413,7 @@
             _ => {}
         }
         match response_owner(&head, &id) {
-            // Skipped; the response is still waited for.
+            // The response is discarded, and the attempt still waits for its own.
             ResponseOwner::OtherRequest => return Ok(()),
             ResponseOwner::Unidentified => return self.end_attempt(n, Ending::Error, None, fault),
             ResponseOwner::ThisRequest if !is_acceptable(&head) => {
@@ -403,14 +421,14 @@
             }
             ResponseOwner::ThisRequest => {}
         }
-        let reply =
+        let upstream_response =
             UpstreamResponse { status: head.status, headers: head.headers.clone(), body: Default::default() };
-        let ended = classify(reply);
+        let ended = classify(upstream_response);
         let response_ok = ended.response.is_some().then_some(ended.ending == Ending::Ok);
         if response_ok == Some(true) {
-            // What a client takes as success carries the worker's seal and this attempt's id.
-            let names = |name: &str| RESPONSES[response].1.iter().any(|(n, _)| *n == name);
-            verify_that!(names("x-attempt-id") && names("x-server-seal"), eq(true))?;
+            // A successful response carries the worker's seal and the id of this attempt.
+            let has_header = |name: &str| RESPONSES[response].1.iter().any(|(n, _)| *n == name);
+            verify_that!(has_header("x-attempt-id") && has_header("x-server-seal"), eq(true))?;
             verify_that!(RESPONSES[response].1[0].1, eq("id-1"))?;
         }
         self.end_attempt(n, ended.ending, response_ok, fault)
@@ -420,29 +438,29 @@
 impl AttemptTruth {
     fn can_send(&self, response: usize) -> bool {
         match response {
-            0..=2 => self.fate == Fate::Ran,
-            3 | 4 => self.fate == Fate::Rejected,
+            0..=2 => self.outcome == WorkerOutcome::Ran,
+            3 | 4 => self.outcome == WorkerOutcome::Rejected,
             _ => true,
         }
     }
 }
 
-/// Numbers of worlds and steps reachable, and the first violation.
+/// Explores all reachable states. Returns the numbers of states and steps, and the first violation.
 fn explore(is_idempotent: bool, max_dispatches: u32, fault: Option<Fault>) -> (usize, usize, Option<String>) {
-    let first = World::new(is_idempotent, max_dispatches);
-    let mut seen = HashSet::from([first.key()]);
-    let mut next = VecDeque::from([first]);
+    let initial = ModelState::new(is_idempotent, max_dispatches);
+    let mut seen = HashSet::from([initial.key()]);
+    let mut unexplored = VecDeque::from([initial]);
     let mut steps = 0;
-    while let Some(world) = next.pop_front() {
-        for step in world.steps() {
+    while let Some(state) = unexplored.pop_front() {
+        for step in state.steps() {
             steps += 1;
-            match world.apply(step, fault) {
-                Ok(then) => {
-                    if seen.insert(then.key()) {
-                        next.push_back(then);
+            match state.apply(step, fault) {
+                Ok(successor) => {
+                    if seen.insert(successor.key()) {
+                        unexplored.push_back(successor);
                     }
                 }
-                Err(error) => return (seen.len(), steps, Some(format!("{step:?} in {world:?}: {error}"))),
+                Err(error) => return (seen.len(), steps, Some(format!("{step:?} in {state:?}: {error}"))),
             }
         }
     }
@@ -452,18 +470,20 @@
 #[gtest]
 fn no_sequence_of_steps_violates_an_invariant_or_ends_without_a_response() {
     for (is_idempotent, max_dispatches) in [(false, 1), (false, 2), (false, 3), (true, 1), (true, 2)] {
-        let (worlds, steps, broken) = explore(is_idempotent, max_dispatches, None);
-        println!("idempotent: {is_idempotent}, dispatches: {max_dispatches} at most: {worlds} worlds, {steps} steps");
-        expect_that!(broken, none());
-        expect_that!(worlds, gt(100));
+        let (states, steps, violation) = explore(is_idempotent, max_dispatches, None);
+        println!("idempotent: {is_idempotent}, dispatches: at most {max_dispatches}: {states} states, {steps} steps");
+        expect_that!(violation, none());
+        expect_that!(states, gt(100));
     }
 }
 
 #[gtest]
-fn each_injected_fault_is_found() {
+fn every_injected_fault_is_detected() {
     for fault in FAULTS {
-        let found = [(false, 2), (true, 2)].into_iter().find_map(|(r, m)| explore(r, m, Some(fault)).2);
-        println!("{fault:?}: {}", found.as_deref().unwrap_or("not found"));
-        expect_that!(found, some(anything()), "{fault:?}");
+        let violation = [(false, 2), (true, 2)].into_iter().find_map(|(is_idempotent, max_dispatches)| {
+            explore(is_idempotent, max_dispatches, Some(fault)).2
+        });
+        println!("{fault:?}: {}", violation.as_deref().unwrap_or("not found"));
+        expect_that!(violation, some(anything()), "{fault:?}");
     }
 }
--- a/crates/gateway/src/data_plane/requests_tests.rs
+++ b/crates/gateway/src/data_plane/requests_tests.rs
@@ -1,5 +1,5 @@
-//! Random sequences of requests, worker responses, disconnects and a shutdown at an edge node with real decision modules:
-//! every request gets exactly one response, which is true of it.
+//! Random sequences of requests, worker responses, disconnects and a shutdown at an edge node with real decision modules.
+//! Every request must get exactly one final response, and the response must be true of the request.
 
 use super::*;
 use crate::configuration::parse_change;
@@ -29,19 +29,21 @@
     }
 }
 
-/// One request as its client and workers see it.
+/// One request as observed by its client and by workers.
 #[derive(Default)]
 struct Observed {
-    runs_once: bool,
+    is_idempotent: bool,
     received_at: f64,
     in_flight: BTreeMap<u32, HostId>,
-    sent: usize,
+    /// Number of attempts that were dispatched.
+    dispatches: usize,
     may_have_run: bool,
     complete_responses: Vec<u32>,
     has_disconnected: bool,
     response: Option<FinalResponse>,
 }
 
+/// An edge node, and what its clients and workers observe.
 struct Scenario {
     edge: EdgeNode,
     now: f64,
@@ -49,7 +51,8 @@
     rng: fastrand::Rng,
     heartbeat_seq: u64,
     is_shut_down: bool,
-    ends_at: f64,
+    /// When the drain ends, in seconds; infinite without a drain.
+    drain_ends_at: f64,
 }
 
 impl Scenario {
@@ -64,48 +67,53 @@
             rng,
             heartbeat_seq: 1,
             is_shut_down: false,
-            ends_at: f64::INFINITY,
+            drain_ends_at: f64::INFINITY,
         };
         let core = "10.0.1.1".parse().expect("an address");
-        scenario.with(|edge, _, out| edge.start(out));
+        scenario.call_edge(|edge, _, out| edge.start(out));
         let items = parse_change(CONFIG.as_bytes()).expect("valid");
         let workers = (0..workers).map(|n| worker(n, WorkerPhase::Serving, 1)).collect();
         for msg in [
             PeerMessage::ConfigUpdate { previous: None, index: 1, items },
             PeerMessage::WorkerUpdates(workers),
         ] {
-            scenario.with(|edge, now, out| edge.handle(now, Event::CoreMessage(core, msg), out));
+            scenario.call_edge(|edge, now, out| edge.handle(now, Event::CoreMessage(core, msg), out));
         }
         scenario
     }
 
-    fn with(&mut self, f: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>)) -> Vec<(RequestId, u32, f64)> {
+    /// Calls the edge node and handles the effects. Returns the attempts that were dispatched, with their timeouts in
+    /// seconds.
+    fn call_edge(
+        &mut self,
+        call: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>),
+    ) -> Vec<(RequestId, u32, f64)> {
         let mut out = Vec::new();
-        f(&mut self.edge, self.now, &mut out);
+        call(&mut self.edge, self.now, &mut out);
         let mut dispatched = Vec::new();
         for effect in out {
             match effect {
                 Effect::Dispatch { id, attempt, worker, timeout_secs, .. } => {
                     let observed = self.observed.get_mut(&*id.0).expect("known");
                     assert_that!(
-                        observed.runs_once && (observed.may_have_run || !observed.in_flight.is_empty()),
+                        !observed.is_idempotent && (observed.may_have_run || !observed.in_flight.is_empty()),
                         eq(false),
                         "{id:?}"
                     );
                     assert_that!(observed.response, none(), "{id:?} is dispatched after its response");
-                    observed.sent += 1;
-                    assert_that!(observed.sent, le(if observed.runs_once { 2 } else { 3 }));
-                    // No timeout ends it before its client, its route or this process does.
+                    observed.dispatches += 1;
+                    assert_that!(observed.dispatches, le(if observed.is_idempotent { 3 } else { 2 }));
+                    // The timeout of an attempt does not end before the client's wait or the drain.
                     assert_that!(
                         timeout_secs,
-                        ge((observed.received_at + 1.0).min(self.ends_at) - self.now - 1e-9)
+                        ge((observed.received_at + 1.0).min(self.drain_ends_at) - self.now - 1e-9)
                     );
                     observed.in_flight.insert(attempt, worker);
                     dispatched.push((id, attempt, timeout_secs));
                 }
                 Effect::CancelAttempt(id, attempt) => {
                     let observed = self.observed.get_mut(&*id.0).expect("known");
-                    assert_that!(observed.runs_once, eq(false), "{id:?} is cancelled");
+                    assert_that!(observed.is_idempotent, eq(true), "{id:?} is cancelled");
                     if observed.in_flight.contains_key(&attempt) {
                         dispatched.extend(self.end_attempt(&id, attempt, Ending::Cancelled, None));
                     }
@@ -135,7 +143,7 @@
             FinalResponse::Upstream(attempt) => {
                 assert_that!(observed.complete_responses, contains(eq(attempt)))
             }
-            // With an attempt in flight only where the process exits.
+            // An attempt may still be in flight here, because the process exits.
             FinalResponse::TimedOut if self.is_shut_down => {
                 assert_that!(observed.may_have_run || !observed.in_flight.is_empty(), eq(true));
             }
@@ -152,10 +160,10 @@
         let tenant = config.tenant_by_credential(key).cloned();
         let id = RequestId(format!("{n}").into());
         let observed =
-            Observed { runs_once: !route.is_idempotent, received_at: self.now, ..Default::default() };
+            Observed { is_idempotent: route.is_idempotent, received_at: self.now, ..Default::default() };
         self.observed.insert(n.to_string(), observed);
         let incoming = IncomingRequest { id, route, tenant, remaining_secs: 1.0 };
-        self.with(|edge, now, out| edge.on_request(now, incoming, out));
+        self.call_edge(|edge, now, out| edge.on_request(now, incoming, out));
     }
 
     fn end_attempt(
@@ -170,30 +178,31 @@
         observed.may_have_run |= !ending.never_ran();
         observed.complete_responses.extend(response_ok.map(|_| attempt));
         let report = AttemptReport { id, attempt, worker: &host, ending, response_ok };
-        self.with(|edge, now, out| edge.on_attempt_end(now, report, out))
+        self.call_edge(|edge, now, out| edge.on_attempt_end(now, report, out))
     }
 
     fn disconnect(&mut self, n: usize) {
         let id = RequestId(n.to_string().into());
         self.observed.get_mut(&n.to_string()).expect("known").has_disconnected = true;
-        self.with(|edge, now, out| edge.on_client_disconnect(now, &id, out));
+        self.call_edge(|edge, now, out| edge.on_client_disconnect(now, &id, out));
     }
 
-    /// A random attempt in flight, if there is any.
+    /// Picks a random attempt in flight, if there is any.
     fn random_attempt(&mut self) -> Option<(RequestId, u32)> {
-        let all = self.observed.iter().flat_map(|(id, s)| s.in_flight.keys().map(move |a| (id.clone(), *a)));
-        let all: Vec<_> = all.collect();
-        self.rng.choice(all).map(|(id, attempt)| (RequestId(id.into()), attempt))
+        let attempts =
+            self.observed.iter().flat_map(|(id, o)| o.in_flight.keys().map(move |a| (id.clone(), *a)));
+        let attempts: Vec<_> = attempts.collect();
+        self.rng.choice(attempts).map(|(id, attempt)| (RequestId(id.into()), attempt))
     }
 
-    /// Advances the clock; attempts whose time is up end with a timeout.
-    fn advance(&mut self, seconds: f64) {
-        self.now += seconds;
-        self.with(|edge, now, out| edge.handle(now, Event::Tick, out));
-        let late = self.observed.iter().filter(|(_, s)| self.now >= s.received_at + 1.0);
-        let late: Vec<_> =
-            late.flat_map(|(id, s)| s.in_flight.keys().map(move |a| (id.clone(), *a))).collect();
-        for (id, attempt) in late {
+    /// Advances the clock and ends attempts whose time is up with a timeout.
+    fn advance(&mut self, secs: f64) {
+        self.now += secs;
+        self.call_edge(|edge, now, out| edge.handle(now, Event::Tick, out));
+        let overdue = self.observed.iter().filter(|(_, o)| self.now >= o.received_at + 1.0);
+        let overdue: Vec<_> =
+            overdue.flat_map(|(id, o)| o.in_flight.keys().map(move |a| (id.clone(), *a))).collect();
+        for (id, attempt) in overdue {
             if self.observed[&id].in_flight.contains_key(&attempt) {
                 self.end_attempt(&RequestId(id.into()), attempt, Ending::Timeout, None);
             }
@@ -221,9 +230,10 @@
                 self.end_attempt(&id, attempt, ending, response_ok);
             }
             15 => {
-                let here = self.observed.iter().filter(|(_, s)| s.response.is_none() && !s.has_disconnected);
-                let here: Vec<usize> = here.filter_map(|(id, _)| id.parse().ok()).collect();
-                if let Some(n) = self.rng.choice(here) {
+                let unanswered =
+                    self.observed.iter().filter(|(_, o)| o.response.is_none() && !o.has_disconnected);
+                let unanswered: Vec<usize> = unanswered.filter_map(|(id, _)| id.parse().ok()).collect();
+                if let Some(n) = self.rng.choice(unanswered) {
                     self.disconnect(n);
                 }
             }
@@ -234,18 +244,18 @@
                     1..=3 => WorkerPhase::Unresponsive,
                     _ => WorkerPhase::Serving,
                 };
-                // One in four is a new worker.
+                // The first updates are of the initial workers only; later, most updates are of additional workers.
                 let n = self.rng.usize(0..workers)
                     + 16 * self.rng.usize(0..4) * (self.heartbeat_seq as usize / 8);
-                let news = vec![worker(n % 250, phase, self.heartbeat_seq)];
+                let updates = vec![worker(n % 250, phase, self.heartbeat_seq)];
                 let core = "10.0.1.1".parse().expect("an address");
-                self.with(|edge, now, out| {
-                    edge.handle(now, Event::CoreMessage(core, PeerMessage::WorkerUpdates(news)), out)
+                self.call_edge(|edge, now, out| {
+                    edge.handle(now, Event::CoreMessage(core, PeerMessage::WorkerUpdates(updates)), out)
                 });
             }
             17 => {
                 let host = HostId(format!("i-{}", self.rng.usize(0..workers)).into());
-                self.with(|edge, now, out| edge.on_misdirected(now, &host, out));
+                self.call_edge(|edge, now, out| edge.on_misdirected(now, &host, out));
             }
             _ => self.advance(0.07),
         }
@@ -260,15 +270,15 @@
         let mut scenario = Scenario::new(seed, workers);
         for n in 0..300 {
             if n == 200 {
-                // SIGTERM: waiting requests go on as before.
+                // SIGTERM begins the drain; waiting requests continue as before.
                 scenario.edge.begin_drain(scenario.now);
             }
             scenario.random_step(n, workers);
         }
         if seed % 2 == 0 {
-            // The process exits: everything is answered at once, also with attempts in flight.
+            // The process exits: every request is answered at once, even with attempts in flight.
             scenario.is_shut_down = true;
-            scenario.with(|edge, _, out| edge.respond_to_all(out));
+            scenario.call_edge(|edge, _, out| edge.respond_to_all(out));
             assert_that!(scenario.edge.unanswered(), eq(Unanswered::default()), "seed {seed}");
         }
         for _ in 0..30 {
@@ -282,11 +292,11 @@
                 "seed {seed}: {id}"
             );
             let kind = match &observed.response {
-                None => "left",
-                Some(FinalResponse::Upstream(_)) => "worker",
-                Some(FinalResponse::RateLimited(_)) => "limited",
-                Some(FinalResponse::NotExecuted(_)) => "refused",
-                Some(FinalResponse::UpstreamFailed) => "failed",
+                None => "client disconnected",
+                Some(FinalResponse::Upstream(_)) => "upstream response",
+                Some(FinalResponse::RateLimited(_)) => "rate limited",
+                Some(FinalResponse::NotExecuted(_)) => "not executed",
+                Some(FinalResponse::UpstreamFailed) => "upstream failed",
                 Some(FinalResponse::TimedOut) => "timed out",
             };
             (requests, *responses.entry(kind).or_default()) =
@@ -305,12 +315,12 @@
         scenario.edge.begin_drain(scenario.now);
         expect_that!(scenario.observed["1"].in_flight.len(), eq(1));
         scenario.disconnect(1);
-        // The idempotent one is cancelled, the other is not; neither is dispatched again or answered.
+        // Only the attempt of the idempotent request is cancelled. Neither request is dispatched again or answered.
         expect_that!(scenario.observed["1"].in_flight.len(), eq(usize::from(path == "/once/x")));
         if let Some((id, attempt)) = scenario.random_attempt() {
             scenario.end_attempt(&id, attempt, Ending::Full, None);
         }
-        expect_that!((scenario.observed["1"].sent, scenario.edge.pending_count()), eq((1, 0)));
+        expect_that!((scenario.observed["1"].dispatches, scenario.edge.pending_count()), eq((1, 0)));
     }
 }
 
@@ -318,11 +328,18 @@
 fn a_drain_accepts_requests_that_can_end_in_time_and_rejects_the_rest() {
     let mut scenario = Scenario::new(1, 3);
     let drain = scenario.edge.begin_drain(scenario.now);
-    scenario.ends_at = drain.ends_at;
-    // Their latency target is 0.4 s, their clients wait 1 s. Until the platform may have noticed, all are accepted.
-    let latest = drain.ends_at - 0.15 - 0.8 - 1e-6;
-    let times =
-        [scenario.now, drain.closes_at - 0.01, drain.closes_at, latest, latest + 0.01, drain.ends_at + 0.1];
+    scenario.drain_ends_at = drain.ends_at;
+    // The latency target is 0.4 s, and clients wait 1 s. All requests are accepted before `closes_at`, because the platform
+    // may not have noticed the drain yet.
+    let latest_accepted = drain.ends_at - 0.15 - 0.8 - 1e-6;
+    let times = [
+        scenario.now,
+        drain.closes_at - 0.01,
+        drain.closes_at,
+        latest_accepted,
+        latest_accepted + 0.01,
+        drain.ends_at + 0.1,
+    ];
     for (n, (at, is_accepted)) in times.into_iter().zip([true, true, true, true, false, false]).enumerate() {
         scenario.now = at;
         scenario.receive(n, "/once/x", "key-free");
@@ -333,7 +350,7 @@
             eq(!is_accepted),
             "{n}"
         );
-        // Its worker is to respond before the drain ends.
+        // The worker must respond before the drain ends.
         let route =
             scenario.edge.active_config.match_route("a.example", "/once/x").cloned().expect("a route");
         let limits = scenario.edge.time_limits(scenario.now, &route, 1.0);
@@ -350,11 +367,11 @@
         Settings::from_toml(include_str!("../../tests/fixtures/settings.toml")).expect("settings");
     for grace_ms in [0, 1, 200, 1000, 2000, 3000, 6000, 30_000] {
         settings.envelope.grace_period = std::time::Duration::from_millis(grace_ms);
-        let grace = grace_ms as f64 / 1e3;
+        let grace_secs = grace_ms as f64 / 1e3;
         let drain = crate::data_plane::drain::Drain::new(1000.0, &settings);
         expect_that!((drain.closes_at, drain.ends_at), (ge(1000.0), ge(drain.closes_at)), "{grace_ms}");
-        expect_that!(drain.ends_at, le(1000.0 + grace), "{grace_ms}");
-        // Only attempts in flight in the last sixth of the grace period are cut off.
-        expect_that!(drain.ends_at, ge(1000.0 + grace * 5.0 / 6.0 - 1e-9), "{grace_ms}");
+        expect_that!(drain.ends_at, le(1000.0 + grace_secs), "{grace_ms}");
+        // The drain takes at least five sixths of the grace period, so that attempts are not cut off earlier.
+        expect_that!(drain.ends_at, ge(1000.0 + grace_secs * 5.0 / 6.0 - 1e-9), "{grace_ms}");
     }
 }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! The workers behind the gateway: what each reports of itself, and the registry that merges these reports.
+//! Service discovery: the workers behind the gateway, as their heartbeats report them, and the registry that merges these
+//! reports.
 
 mod registry;
 mod worker;
--- a/crates/gateway/src/discovery/worker.rs
+++ b/crates/gateway/src/discovery/worker.rs
@@ -1,24 +1,24 @@
-//! A worker as its heartbeats describe it.
+//! A worker, as described by its heartbeats.
 
 use serde::{Deserialize, Serialize};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The state of one incarnation of a worker. Later states order after earlier ones. The variants are stored on disk and
-/// sent between processes under the names of their first release.
+/// Lifecycle phase of one worker incarnation. Later phases order after earlier ones. The serialized names differ from the
+/// variants: they must stay as they are for compatibility with stored data and with peers of other versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum WorkerPhase {
-    /// Takes requests.
+    /// The worker accepts requests.
     #[serde(rename = "Settled")]
     Serving,
-    /// Announced its shutdown: gets no new requests.
+    /// The worker has announced its shutdown and gets no new requests.
     #[serde(rename = "Decaying")]
     Draining,
-    /// Its heartbeats timed out; a later heartbeat of the same incarnation revives it.
+    /// The worker's heartbeats have timed out; a later heartbeat of the same incarnation revives the worker.
     #[serde(rename = "Silent")]
     Unresponsive,
-    /// Departed; final for an incarnation.
+    /// The worker has departed; this phase is final for an incarnation.
     #[serde(rename = "Gone")]
     Departed,
 }
@@ -26,34 +26,34 @@
 /// One incarnation of a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Its id, unique to this incarnation.
+    /// Id of the worker, unique to this incarnation.
     pub id: Arc<str>,
-    /// The service that it belongs to.
+    /// Name of the service to which the worker belongs.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address on which the worker listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which the worker runs.
     pub zone: Arc<str>,
-    /// Requests that it serves concurrently.
+    /// Number of requests that the worker serves concurrently.
     pub capacity: u32,
-    /// Its state.
+    /// Lifecycle phase of the worker.
     pub phase: WorkerPhase,
-    /// Milliseconds of slow start that remained when the heartbeat was sent.
+    /// Slow start that remained when the heartbeat was sent, in milliseconds.
     pub warmup_ms: u32,
-    /// Number of the heartbeat that reported this; a higher one is later.
+    /// Sequence number of the heartbeat that this report comes from; later heartbeats have higher numbers.
     #[serde(rename = "call_count")]
     pub heartbeat_seq: u64,
 }
 
 impl Worker {
-    /// Whether it serves or drains: neither unresponsive nor departed.
+    /// Whether the worker is serving or draining, and so neither unresponsive nor departed.
     pub(super) fn is_live(&self) -> bool {
         self.phase <= WorkerPhase::Draining
     }
 
-    /// Whether this report is to replace `other`, of the same incarnation. `Departed` is final. Whatever the
-    /// heartbeat numbers, `Draining` replaces `Serving` and `Unresponsive`, and `Serving` never replaces `Draining`.
-    /// Otherwise the later heartbeat counts, and of the same heartbeat the later phase.
+    /// Whether this report replaces `other`, a report of the same incarnation. `Departed` is final. Whatever the heartbeat
+    /// numbers, `Draining` replaces `Serving` and `Unresponsive`, and `Serving` never replaces `Draining`. Otherwise the
+    /// later heartbeat wins and, within one heartbeat, the later phase.
     pub(super) fn supersedes(&self, other: &Worker) -> bool {
         match (other.phase, self.phase) {
             (WorkerPhase::Departed, _) => false,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A hash of id and phase.
+    /// Hash of the worker's id and phase.
     pub(super) fn phase_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         (&self.id, self.phase).hash(&mut hasher);
