--- a/crates/gateway/tests/cluster.rs
+++ b/crates/gateway/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! What clients, workers and operators see on the sockets of real processes: an edge, a core machine and a worker whose
-//! responses the test sets.
+//! Behaviour of a cluster of real processes, as clients, workers and operators see it on sockets: an edge node, a core node,
+//! and a worker whose responses the test sets.
 
 mod common;
 
@@ -26,17 +26,17 @@
     expect_that!(response.to_ascii_lowercase(), contains_substring("x-server-seal: seal-id-1"));
     expect_that!(response, ends_with("papers"));
     let worker_request = cluster.last_request().to_ascii_lowercase();
-    for sent in [
+    for forwarded in [
         "get /once/x?q=1 http/1.1",
         "host: a.example",
         "x-attempt-id: id-1",
         "x-tenant: t1",
         "x-target-instance: i-1",
     ] {
-        expect_that!(worker_request, contains_substring(sent));
+        expect_that!(worker_request, contains_substring(forwarded));
     }
-    for kept in ["key-1", "api-key", "forged", "x-hop"] {
-        expect_that!(worker_request, not(contains_substring(kept)));
+    for removed in ["key-1", "api-key", "forged", "x-hop"] {
+        expect_that!(worker_request, not(contains_substring(removed)));
     }
 
     cluster.request("/once/x", "Transfer-Encoding: chunked\r\n", "4\r\nform\r\n3\r\n-42\r\n0\r\n\r\n");
@@ -44,46 +44,51 @@
     cluster.request("/once/x", "Content-Length: 7\r\n", "form-42");
     expect_that!(cluster.last_request(), ends_with("\r\n\r\nform-42"));
 
-    // A response to another request comes first: it is discarded.
+    // The edge node discards a response to another request and waits for the right one.
     cluster.set_worker_response(&(good_response("id-0", "others") + &good_response("id-1", "papers")));
     expect_that!(cluster.request("/once/x", "", ""), ends_with("papers"));
-    // Bytes after a complete response are discarded, and the next request gets none of them.
+    // The edge node discards bytes after a complete response, so that none of them reach the next request.
     cluster.set_worker_response(&(good_response("id-1", "papers") + &good_response("id-9", "others")));
     expect_that!(cluster.request("/once/x", "", ""), ends_with("papers"));
     cluster.set_worker_response(&good_response("id-1", "next"));
     expect_that!(cluster.request("/once/x", "", ""), ends_with("next"));
 
-    // What is not the worker's complete response is never passed on, nor is a client told that what may have run has not.
+    // An incomplete or foreign response is never forwarded, and the client gets no promise that the request, which may have
+    // run, was not executed.
     let seal = "X-Attempt-Id: id-1\r\nX-Server-Seal: s\r\n";
-    for bad in [
+    for invalid_response in [
         format!("HTTP/1.1 200 OK\r\n{seal}Content-Length: 9\r\n\r\npapCUT"),
         format!("HTTP/1.1 200 OK\r\n{seal}Transfer-Encoding: chunked\r\n\r\n3\r\npap\r\nCUT"),
         format!("HTTP/1.1 200 OK\r\n{seal}\r\npapersCUT"),
         format!("HTTP/1.1 200 OK\r\n{seal}Content-Encoding: gzip\r\nContent-Length: 3\r\n\r\npap"),
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\nContent-Length: 3\r\n\r\npap".into(),
         "HTTP/1.1 503 Service Unavailable\r\nX-Attempt-Id: id-1\r\nContent-Length: 0\r\n\r\n".into(),
-        // One that names no request is not believed, be it a success or a rejection.
+        // A response without an attempt id is not trusted, whether it reports a success or a rejection.
         "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 3\r\n\r\npap".into(),
         "HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n".into(),
         "HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n".into(),
         "nonsense\r\n\r\nCUT".into(),
         "CUT".into(),
     ] {
-        cluster.set_worker_response(&bad);
-        let before = cluster.request_count();
+        cluster.set_worker_response(&invalid_response);
+        let requests_before = cluster.request_count();
         let response = cluster.request("/once/x", "", "");
-        expect_that!(status(&response), eq(502), "{bad}: {response}");
+        expect_that!(status(&response), eq(502), "{invalid_response}: {response}");
         expect_that!(response, not(contains_substring("pap")));
-        expect_that!(cluster.request_count(), eq(before + 1), "once only: {bad}");
+        expect_that!(
+            cluster.request_count(),
+            eq(requests_before + 1),
+            "sent more than once: {invalid_response}"
+        );
     }
-    // The worker says that it has not run the request.
+    // The worker reports that the request was not executed.
     cluster.set_worker_response(
         "HTTP/1.1 503 Service Unavailable\r\nX-Attempt-Id: id-1\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
     );
     let response = cluster.request("/once/x", "", "");
     expect_that!(status(&response), eq(503));
     expect_that!(response, contains_substring("retry-after: "));
-    // The worker's own failure is passed on as it is.
+    // An error response of the worker is forwarded unchanged.
     cluster.set_worker_response(
         "HTTP/1.1 500 Oops\r\nX-Attempt-Id: id-1\r\nX-Server-Seal: s5\r\nContent-Length: 4\r\n\r\noops",
     );
@@ -96,7 +101,7 @@
 fn malformed_input_is_rejected_and_changes_nothing() {
     let cluster = Cluster::start_serving("bad");
     cluster.set_worker_response(&good_response("id-1", "papers"));
-    let front = |text: &str| status(&send_and_receive(cluster.front_address, text));
+    let front_status = |text: &str| status(&send_and_receive(cluster.front_address, text));
     let id = "Host: a.example\r\nX-Attempt-Id: id-1\r\nX-Remaining-Ms: 2000\r\n";
     let long = "x".repeat(4000);
     let cases = [
@@ -118,18 +123,18 @@
             400,
         ),
     ];
-    for (what, text, expected) in cases {
-        expect_that!(front(&text), eq(expected), "{what}");
+    for (case, text, expected) in cases {
+        expect_that!(front_status(&text), eq(expected), "{case}");
     }
-    expect_that!(cluster.request_count(), eq(0), "none of it reached the worker");
+    expect_that!(cluster.request_count(), eq(0), "a malformed request reached the worker");
 
-    let beat = "/whinstall/instances/i-2/heartbeat";
+    let heartbeat_path = "/whinstall/instances/i-2/heartbeat";
     let calls = [
         ("/whinstall/configuration/amend", "{\"upsert\":", 400),
         ("/whinstall/configuration/amend", "{\"upsert\":{\"unknown_set\":{}}}", 400),
-        (beat, "{}", 400),
-        (beat, "{\"service_ref\":\"s1\",\"address\":\"nowhere\",\"phase\":\"settled\",\"zone_name\":\"a\",\"call_count\":1}", 400),
-        (beat, "{\"service_ref\":\"s1\",\"address\":\"127.0.0.1:9\",\"phase\":\"odd\",\"zone_name\":\"a\",\"call_count\":1}", 400),
+        (heartbeat_path, "{}", 400),
+        (heartbeat_path, "{\"service_ref\":\"s1\",\"address\":\"nowhere\",\"phase\":\"settled\",\"zone_name\":\"a\",\"call_count\":1}", 400),
+        (heartbeat_path, "{\"service_ref\":\"s1\",\"address\":\"127.0.0.1:9\",\"phase\":\"odd\",\"zone_name\":\"a\",\"call_count\":1}", 400),
         ("/whinstall/unknown", "{}", 404),
         ("/whinstall/instances/nobody/departure", "{}", 200),
     ];
@@ -144,16 +149,16 @@
         expect_that!(status(&cluster.call_core(path, "{}")), not(eq(200)), "{path}");
     }
     expect_that!(cluster.request("/once/x", "", ""), ends_with("papers"));
-    // The state of the core, by the operators' command.
+    // The status command shows the state of the core.
     let output = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
         .args(["status", "--at", &cluster.control_address.to_string()])
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     let output = String::from_utf8_lossy(&output.stdout).into_owned();
     for word in ["\"role\": \"leader\"", "\"term\": 1", "\"holds_counter\": true", "\"members\": ["] {
         expect_that!(output, contains_substring(word));
     }
-    // What happened is in the journal.
+    // The event journal of the core has recorded the changes.
     let journal = send_and_receive(
         cluster.control_address,
         "GET /whinstall/journal HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n",
@@ -163,11 +168,11 @@
     }
 }
 
-/// A request that must be served. At a fifth of the quota's rate: the next is due 5 ms later.
-fn is_served(cluster: &Cluster) {
-    let asked = Instant::now();
+/// Sends a request that must be served, and waits so that repeated calls use at most a fifth of the quota.
+fn expect_served(cluster: &Cluster) {
+    let sent_at = Instant::now();
     expect_that!(cluster.request("/once/x", "", ""), ends_with("papers"));
-    wait_until("the next is due", || asked.elapsed() >= Duration::from_millis(5));
+    wait_until("5 ms have passed since the request", || sent_at.elapsed() >= Duration::from_millis(5));
 }
 
 #[gtest]
@@ -176,28 +181,29 @@
     let read = cluster.call_core("/whinstall/configuration/read", "");
     expect_that!(read, contains_substring("\"r-1\"").or(contains_substring("\"r1\"")));
 
-    // The core is killed and restarted: its state is there, and the edge serves meanwhile.
+    // The core process is killed and restarted: the configuration survives, and the edge node serves in the meantime.
     cluster.set_worker_response(&good_response("id-1", "papers"));
-    // A tenant's quota share at an edge holds once the core's disks have it: within a second of its first request.
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(1) {
-        is_served(&cluster);
+    // The edge node can use a tenant's quota share once the core has stored the share, which takes up to a second from the
+    // tenant's first request.
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_secs(1) {
+        expect_served(&cluster);
     }
     cluster.core = None;
-    is_served(&cluster);
-    cluster.core = Some(cluster.spawn("core", "again"));
+    expect_served(&cluster);
+    cluster.core = Some(cluster.spawn("core", "core-restart"));
     let body = |response: &str| response.split("\r\n\r\n").nth(1).unwrap_or_default().to_owned();
-    wait_until("it is read again", || {
-        is_served(&cluster);
+    wait_until("the restarted core returns the same configuration", || {
+        expect_served(&cluster);
         body(&cluster.call_core("/whinstall/configuration/read", "")) == body(&read)
     });
 
-    // SIGTERM: the edge is not ready, still responds and says that the connection ends, and exits.
-    let mut client = TcpStream::connect(cluster.front_address).expect("it listens");
-    client.set_read_timeout(Some(TIMEOUT)).expect("a bound");
+    // After SIGTERM the edge node is not ready, still responds with `connection: close`, and exits.
+    let mut client = TcpStream::connect(cluster.front_address).expect("the edge node accepts connections");
+    client.set_read_timeout(Some(TIMEOUT)).expect("the timeout is valid");
     let request = "GET /any/x HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: id-1\r\nX-Remaining-Ms: 2000\r\nApi-Key: key-1\r\n\r\n";
     cluster.terminate_edge();
-    client.write_all(request.as_bytes()).expect("taken");
+    client.write_all(request.as_bytes()).expect("the request is sent");
     let response = read_response(&mut client);
     expect_that!(response, ends_with("papers"));
     expect_that!(response.to_ascii_lowercase(), contains_substring("connection: close"));
@@ -207,20 +213,20 @@
 #[gtest]
 fn requests_in_flight_run_once_and_complete_during_shutdown() {
     let mut cluster = Cluster::start_serving("waits");
-    // Clients that leave while their requests are at the worker: nothing is sent a second time.
+    // Clients disconnect while their requests are at the worker: no request is dispatched a second time.
     cluster.set_worker_response(HOLD);
     for (n, path) in ["/once/x", "/any/x"].into_iter().enumerate() {
         let client = cluster.send_request(path);
         cluster.wait_for_requests(n + 1);
         drop(client);
     }
-    // The next ones are sent on connections of their own, as the others' still wait.
+    // Further requests use new upstream connections, because the first requests still occupy theirs.
     let mut clients: Vec<TcpStream> = Vec::new();
     for path in ["/once/y", "/any/y"] {
         clients.push(cluster.send_request(path));
         cluster.wait_for_requests(2 + clients.len());
     }
-    // SIGTERM while they wait: the complete responses of the worker come, and say that the connections end.
+    // SIGTERM while requests wait: clients get the complete responses of the worker, with `connection: close`.
     cluster.terminate_edge();
     cluster.set_worker_response(&good_response("id-1", "papers"));
     for client in &mut clients {
@@ -236,7 +242,7 @@
 #[gtest]
 fn the_command_line_reports_usage_and_faults() {
     let run = |args: &[&str]| {
-        Command::new(env!("CARGO_BIN_EXE_whinstall-gateway")).args(args).output().expect("it runs")
+        Command::new(env!("CARGO_BIN_EXE_whinstall-gateway")).args(args).output().expect("the command runs")
     };
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let help = run(&["--help"]);
@@ -244,23 +250,23 @@
     for word in ["edge", "core", "check", "WHINSTALL_NODE_FILE"] {
         expect_that!(text(&help.stdout), contains_substring(word));
     }
-    // No role, nor one that deploy files named before.
+    // Unknown roles and the role names of earlier releases are rejected.
     for name in ["hammer", "jig", "anvil"] {
         expect_that!(run(&[name]).status.code(), some(eq(2)), "{name}");
     }
     expect_that!(run(&["--odd"]).status.code(), some(eq(2)));
-    let place = std::env::temp_dir().join(format!("whinstall-check-{}", std::process::id()));
+    let file = std::env::temp_dir().join(format!("whinstall-check-{}", std::process::id()));
     let check = |option: &str, body: &str| {
-        std::fs::write(&place, body).expect("written");
-        run(&["check", option, &place.display().to_string()])
+        std::fs::write(&file, body).expect("the file is written");
+        run(&["check", option, &file.display().to_string()])
     };
-    let bad =
+    let rejected =
         check("--config", r#"{"upsert":{"tenant_set":{"columns":["label","revision"],"records":[["t1"]]}}}"#);
-    expect_that!(bad.status.code(), some(eq(1)));
-    expect_that!(text(&bad.stderr), contains_substring("tenant_set.records[0]"));
+    expect_that!(rejected.status.code(), some(eq(1)));
+    expect_that!(text(&rejected.stderr), contains_substring("tenant_set.records[0]"));
     expect_that!(check("--config", r#"{"upsert":{}}"#).status.code(), some(eq(0)));
-    let bad = check("--settings", "[self]\nnode_name = 3\n");
-    expect_that!(bad.status.code(), some(eq(1)));
-    expect_that!(text(&bad.stderr), contains_substring("self."));
-    let _ = std::fs::remove_file(Path::new(&place));
+    let rejected = check("--settings", "[self]\nnode_name = 3\n");
+    expect_that!(rejected.status.code(), some(eq(1)));
+    expect_that!(text(&rejected.stderr), contains_substring("self."));
+    let _ = std::fs::remove_file(Path::new(&file));
 }
--- a/crates/gateway/tests/common/files.rs
+++ b/crates/gateway/tests/common/files.rs
@@ -1,19 +1,20 @@
-//! The files of a folder, for tests that read the sources.
+//! Lists the files of a directory, for tests that read source files and pages.
 
 use std::path::{Path, PathBuf};
 
-/// All files below a folder, in the folders in it too.
-pub fn files_below(folder: &Path) -> Vec<PathBuf> {
-    let mut found = Vec::new();
-    collect(folder, &mut found);
-    found
+/// Returns all files below a directory, including those in its subdirectories.
+pub fn files_below(directory: &Path) -> Vec<PathBuf> {
+    let mut files = Vec::new();
+    collect_files(directory, &mut files);
+    files
 }
 
-fn collect(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path()) {
-        match entry.is_dir() {
-            true => collect(&entry, found),
-            false => found.push(entry),
+fn collect_files(directory: &Path, files: &mut Vec<PathBuf>) {
+    let entries = std::fs::read_dir(directory).expect("the directory can be read");
+    for path in entries.map(|entry| entry.expect("the entry can be read").path()) {
+        match path.is_dir() {
+            true => collect_files(&path, files),
+            false => files.push(path),
         }
     }
 }
--- a/crates/gateway/tests/seed_list.rs
+++ b/crates/gateway/tests/seed_list.rs
@@ -1,5 +1,5 @@
-//! How processes find the core: seeds that are down, not of this system, silent, edges themselves, or changed while the
-//! process runs. Real processes, each on a loopback address of its own.
+//! Discovery of the core through the seed list, with seeds that are down, belong to another system, send nothing, are edge
+//! nodes, or change while the process runs. The tests run real processes, each on its own loopback address.
 
 mod common;
 
@@ -11,17 +11,19 @@
 use std::process::{Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// Indices into [`Deployment::addresses`].
+/// Index of the internal address in [`Deployment::addresses`].
 const INTERNAL: usize = 0;
+/// Index of the readiness address in [`Deployment::addresses`].
 const READINESS: usize = 2;
+/// Index of the control address in [`Deployment::addresses`].
 const CONTROL: usize = 3;
 
-/// A deployment, whose ports are the same on all machines.
+/// A deployment whose ports are the same on all machines.
 struct Deployment {
     folder: PathBuf,
     ports: [u16; 4],
-    /// Addresses are 127.0.NET.n.
-    net: u8,
+    /// Third byte of the machines' addresses, 127.0.`subnet`.n.
+    subnet: u8,
 }
 
 impl Drop for Deployment {
@@ -31,73 +33,76 @@
 }
 
 impl Deployment {
-    fn new(name: &str, net: u8) -> Self {
+    fn new(name: &str, subnet: u8) -> Self {
         let folder = std::env::temp_dir().join(format!("whinstall-seeds-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
-        Deployment { folder, ports: [free_port(), free_port(), free_port(), free_port()], net }
+        std::fs::create_dir_all(&folder).expect("the folder is created");
+        Deployment { folder, ports: [free_port(), free_port(), free_port(), free_port()], subnet }
     }
 
     fn ip(&self, n: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, 0, self.net, n)
+        Ipv4Addr::new(127, 0, self.subnet, n)
     }
 
-    /// The addresses of machine `n`: internal, clients, readiness, control.
+    /// Addresses of machine `n` for internal traffic, clients, readiness checks, and the control API, in this order.
     fn addresses(&self, n: u8) -> [SocketAddr; 4] {
         self.ports.map(|port| (self.ip(n), port).into())
     }
 
-    fn settings(&self, n: u8, role: &str, seeds: &[u8], cold: bool) -> String {
-        let [inner, front, ready, control] = self.addresses(n);
+    fn settings(&self, n: u8, role: &str, seeds: &[u8], cold_start: bool) -> String {
+        let [internal, front, ready, control] = self.addresses(n);
         let endpoints = match role {
             "edge" => format!("front_http = \"{front}\"\nready_port = \"{ready}\""),
             _ => format!("control_port = \"{control}\""),
         };
         let data = self.folder.join(format!("data-{n}"));
-        std::fs::create_dir_all(&data).expect("a folder");
+        std::fs::create_dir_all(&data).expect("the folder is created");
         let seeds: Vec<String> = seeds.iter().map(|n| self.addresses(*n)[CONTROL].to_string()).collect();
         format!(
             "[self]\nnode_name = \"m{n}\"\nip_addr = \"{}\"\nzone_name = \"a\"\nregion_name = \"r\"\n\
-             cold_start = {cold}\ndata_path = {data:?}\n[network]\ninternal_ports = [{port}, {port}]\n\
+             cold_start = {cold_start}\ndata_path = {data:?}\n[network]\ninternal_ports = [{port}, {port}]\n\
              seed_list = {seeds:?}\n[network.endpoints]\n{endpoints}\n[network.zones]\na = \"r\"\n\
              [substrate]\nheartbeat = \"100ms\"\n",
             self.ip(n),
-            port = inner.port(),
+            port = internal.port(),
         )
     }
 
-    fn file(&self, n: u8) -> PathBuf {
+    fn settings_file(&self, n: u8) -> PathBuf {
         self.folder.join(format!("{n}.toml"))
     }
 
-    fn spawn(&self, n: u8, role: &str, seeds: &[u8], cold: bool) -> Process {
-        std::fs::write(self.file(n), self.settings(n, role, seeds, cold)).expect("written");
+    fn spawn(&self, n: u8, role: &str, seeds: &[u8], cold_start: bool) -> Process {
+        std::fs::write(self.settings_file(n), self.settings(n, role, seeds, cold_start))
+            .expect("the file is written");
         let child = Command::new(env!("CARGO_BIN_EXE_whinstall-gateway"))
             .arg(role)
-            .env("WHINSTALL_NODE_FILE", self.file(n))
-            .stderr(std::fs::File::create(self.folder.join(format!("{n}.log"))).expect("a file"))
+            .env("WHINSTALL_NODE_FILE", self.settings_file(n))
+            .stderr(
+                std::fs::File::create(self.folder.join(format!("{n}.log"))).expect("the log file is created"),
+            )
             .stdin(Stdio::null())
             .spawn();
-        Process { child: child.expect("it starts") }
+        Process { child: child.expect("the process starts") }
     }
 
     fn has_logged(&self, n: u8, line: &str) -> bool {
         std::fs::read_to_string(self.folder.join(format!("{n}.log"))).unwrap_or_default().contains(line)
     }
 
-    /// Repeats a configuration call to core machine `n` until it is accepted.
+    /// Submits a configuration to core node `n`, and repeats the call until the node accepts the configuration.
     fn configure(&self, n: u8) {
         let body = r#"{"upsert":{"service_set":[{"label":"s1","revision":"r1"}]}}"#;
         let head = "POST /whinstall/configuration/amend HTTP/1.1\r\nHost: c\r\nConnection: close\r\n";
         let call = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
-        wait_until("a configuration is taken", || {
+        wait_until("the configuration is accepted", || {
             status(&send_and_receive(self.addresses(n)[CONTROL], &call)) == 200
         });
     }
 
     fn readiness(&self, n: u8) -> u16 {
-        let ask = "GET /whinstall/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n";
-        status(&send_and_receive(self.addresses(n)[READINESS], ask))
+        let request = "GET /whinstall/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n";
+        status(&send_and_receive(self.addresses(n)[READINESS], request))
     }
 
     fn is_ready(&self, n: u8) -> bool {
@@ -105,17 +110,17 @@
     }
 }
 
-/// A server of another system at a machine's address: it sends some bytes and no more, and closes no connection.
+/// A server of another system at a machine's address. The server sends fixed bytes on each connection, and closes none.
 struct ForeignServer {
     accepted: Arc<Mutex<Vec<TcpStream>>>,
     stop: Arc<Mutex<bool>>,
-    at: SocketAddr,
+    address: SocketAddr,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl ForeignServer {
-    fn new(at: SocketAddr, says: &'static [u8]) -> Self {
-        let listener = TcpListener::bind(at).expect("it listens");
+    fn new(address: SocketAddr, greeting: &'static [u8]) -> Self {
+        let listener = TcpListener::bind(address).expect("the address is free");
         let (accepted, stop) = (Arc::new(Mutex::new(Vec::new())), Arc::new(Mutex::new(false)));
         let (connections, stopped) = (Arc::clone(&accepted), Arc::clone(&stop));
         let thread = std::thread::spawn(move || {
@@ -123,21 +128,21 @@
                 if *stopped.lock().expect("not poisoned") {
                     return;
                 }
-                let _ = stream.write_all(says);
+                let _ = stream.write_all(greeting);
                 connections.lock().expect("not poisoned").push(stream);
             }
         });
-        ForeignServer { accepted, stop, at, thread: Some(thread) }
+        ForeignServer { accepted, stop, address, thread: Some(thread) }
     }
 
     fn accepted_count(&self) -> usize {
         self.accepted.lock().expect("not poisoned").len()
     }
 
-    /// Stops accepting connections; those that are accepted stay open.
+    /// Stops accepting connections; accepted connections stay open.
     fn stop_listening(&mut self) {
         *self.stop.lock().expect("not poisoned") = true;
-        let _ = TcpStream::connect(self.at);
+        let _ = TcpStream::connect(self.address);
         let _ = self.thread.take().map(std::thread::JoinHandle::join);
     }
 }
@@ -150,35 +155,35 @@
 
 #[gtest]
 fn unusable_seeds_do_not_hold_up_the_start() {
-    let deployment = Deployment::new("strangers", 11);
-    // Seeds: 1 and 5 are edges, 2 is down, 3 speaks another protocol, 4 sends nothing and never closes.
-    let (nonsense, mut silent) = (
+    let deployment = Deployment::new("foreign", 11);
+    // Seeds 1 and 5 are edge nodes, 2 is down, 3 speaks another protocol, and 4 sends nothing and never closes a connection.
+    let (other_protocol, mut unresponsive) = (
         ForeignServer::new(deployment.addresses(3)[INTERNAL], b"220 mail.example ready\r\n"),
         ForeignServer::new(deployment.addresses(4)[INTERNAL], b""),
     );
     let seeds = [1, 2, 3, 4, 5];
-    let _gates = [deployment.spawn(1, "edge", &seeds, false), deployment.spawn(5, "edge", &seeds, false)];
-    // Each connection is given up and tried again.
-    wait_until("foreign servers are tried again", || {
-        nonsense.accepted_count() > 4 && silent.accepted_count() > 4
+    let _edges = [deployment.spawn(1, "edge", &seeds, false), deployment.spawn(5, "edge", &seeds, false)];
+    // Edge nodes abandon each connection to a foreign server, and connect again.
+    wait_until("foreign servers are connected to again", || {
+        other_protocol.accepted_count() > 4 && unresponsive.accepted_count() > 4
     });
     expect_that!([deployment.readiness(1), deployment.readiness(5)], eq([503, 503]));
-    // A core machine gets the address of the silent server, whose connections are still open.
-    silent.stop_listening();
+    // A core node starts at the address of the unresponsive server, whose connections are still open.
+    unresponsive.stop_listening();
     let core = deployment.spawn(4, "core", &[4], true);
     deployment.configure(4);
-    wait_until("ready", || deployment.is_ready(1) && deployment.is_ready(5));
-    // It is killed; nothing takes over its address, and a successor starts at another seed's address.
+    wait_until("the edge nodes are ready", || deployment.is_ready(1) && deployment.is_ready(5));
+    // The core node is killed and its address stays unused, while a new core node starts at another seed's address.
     drop(core);
     let data = |n| deployment.folder.join(format!("data-{n}"));
     let (_, _) = (deployment.settings(2, "core", &[2], false), std::fs::remove_dir_all(data(2)));
-    let _successor = deployment.spawn(2, "core", &[2], true);
+    let _new_core = deployment.spawn(2, "core", &[2], true);
     deployment.configure(2);
-    wait_until("still ready", || deployment.is_ready(1) && deployment.is_ready(5));
+    wait_until("the edge nodes are still ready", || deployment.is_ready(1) && deployment.is_ready(5));
 }
 
 #[gtest]
-fn a_core_machine_restarts_from_its_disk_with_unusable_seeds() {
+fn a_core_node_restarts_from_its_disk_with_unusable_seeds() {
     let deployment = Deployment::new("disk", 12);
     let first = deployment.spawn(1, "core", &[1], true);
     deployment.configure(1);
@@ -189,7 +194,9 @@
     ];
     let _restarted = deployment.spawn(1, "core", &[2, 3, 4], false);
     let read = "GET /whinstall/configuration/read HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n";
-    wait_until("it reads", || send_and_receive(deployment.addresses(1)[CONTROL], read).contains("\"s1\""));
+    wait_until("the restarted core returns the configuration", || {
+        send_and_receive(deployment.addresses(1)[CONTROL], read).contains("\"s1\"")
+    });
 }
 
 #[gtest]
@@ -198,16 +205,16 @@
     let _core = deployment.spawn(1, "core", &[1], true);
     deployment.configure(1);
     let _edge = deployment.spawn(2, "edge", &[9], false);
-    wait_until("it serves", || deployment.readiness(2) == 503);
+    wait_until("the edge node answers readiness checks", || deployment.readiness(2) == 503);
     let complete = deployment.settings(2, "edge", &[9, 1], false);
-    let cut = complete.find("seed_list").expect("a list") + 14;
-    std::fs::write(deployment.file(2), &complete[..cut]).expect("written");
-    wait_until("half of it is refused", || {
+    let truncated_length = complete.find("seed_list").expect("the settings have a seed list") + 14;
+    std::fs::write(deployment.settings_file(2), &complete[..truncated_length]).expect("the file is written");
+    wait_until("the truncated settings are rejected", || {
         deployment.has_logged(2, "settings rejected, keeping the previous ones")
     });
     expect_that!(deployment.readiness(2), eq(503));
-    std::fs::write(deployment.file(2), &complete).expect("written");
-    wait_until("ready", || deployment.is_ready(2));
+    std::fs::write(deployment.settings_file(2), &complete).expect("the file is written");
+    wait_until("the edge nodes are ready", || deployment.is_ready(2));
     expect_that!(deployment.has_logged(2, "settings reloaded"), eq(true));
 }
 
@@ -217,12 +224,13 @@
     let _core = deployment.spawn(1, "core", &[1], true);
     deployment.configure(1);
     let edge = deployment.spawn(2, "edge", &[9], false);
-    wait_until("it serves", || deployment.readiness(2) == 503);
-    // Written under another name first, so that it is never read in part.
-    let making = deployment.folder.join("making");
-    std::fs::write(&making, deployment.settings(2, "edge", &[1], false)).expect("written");
-    std::fs::rename(making, deployment.file(2)).expect("renamed");
-    let signalled = Command::new("kill").arg("-HUP").arg(edge.child.id().to_string()).status();
-    expect_that!(signalled.expect("kill runs").success(), eq(true));
-    wait_until("ready", || deployment.is_ready(2));
+    wait_until("the edge node answers readiness checks", || deployment.readiness(2) == 503);
+    // The settings are written to a temporary file and renamed, so that the process never reads a part of them.
+    let temporary_file = deployment.folder.join("settings.tmp");
+    std::fs::write(&temporary_file, deployment.settings(2, "edge", &[1], false))
+        .expect("the file is written");
+    std::fs::rename(temporary_file, deployment.settings_file(2)).expect("the file is renamed");
+    let kill_status = Command::new("kill").arg("-HUP").arg(edge.child.id().to_string()).status();
+    expect_that!(kill_status.expect("kill runs").success(), eq(true));
+    wait_until("the edge nodes are ready", || deployment.is_ready(2));
 }
