--- a/src/quota/bound.rs
+++ b/src/quota/bound.rs
@@ -1,29 +1,31 @@
 //! The error bound: how many units beyond its quota a customer can be admitted while the counter is unavailable.
 //!
-//! A formula with its terms named, in quota units. Nothing here takes part in admission; tests and docs/quota.md, which
-//! has the derivation, compare measured overshoot with it.
+//! All terms are in quota units. Nothing here takes part in admission: tests compare measured overshoot with the bound.
+//! `docs/quota.md` has the derivation.
 
-/// Shortest and longest window of a customer, in seconds: burst over rate, clamped (as the decision module does).
-const WINDOW_SECS: (f64, f64) = (0.5, 20.0);
-/// Rates and quotas are taken to be at least this, so that nothing is divided by zero.
+/// Shortest window of a customer, in seconds. A window lasts burst over rate, clamped as in the decision module.
+const MIN_WINDOW_SECS: f64 = 0.5;
+/// Longest window of a customer, in seconds.
+const MAX_WINDOW_SECS: f64 = 20.0;
+/// Lower bound of rates and quotas used as divisors, so that nothing is divided by zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// What the bound depends on.
+/// Inputs of the error bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BoundInput {
-    /// Gatekeepers that serve the customer.
+    /// Number of gatekeepers that serve the customer.
     pub width: f64,
-    /// Its quota, in units per second.
+    /// Rate of the quota, in units per second.
     pub rate: f64,
     /// Units of the quota that may be used at once.
     pub burst: f64,
-    /// Its demand over all gatekeepers, in units per second.
+    /// Demand of the customer over all gatekeepers, in units per second.
     pub demand: f64,
     /// Age of the last window total as the fault begins, in seconds: about the sync interval.
     pub total_age_secs: f64,
-    /// A total is believed for this fraction of a window.
+    /// Fraction of a window for which a total is still used without a newer one.
     pub stale_fraction: f64,
-    /// Sum over its gatekeepers of the quota shares that they assume; 1 where all learnt from the same totals.
+    /// Sum of the quota shares that the customer's gatekeepers assume; 1 where all learnt from the same totals.
     pub share_sum: f64,
     /// Largest request, in units.
     pub largest_request: f64,
@@ -32,7 +34,7 @@
 /// Units beyond the quota, by cause.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ErrorBound {
-    /// While the last totals are still believed, no gatekeeper sees what the others admit.
+    /// While the last totals are still used, no gatekeeper sees what the others admit.
     pub unseen: f64,
     /// The assumed shares sum to more than one.
     pub excess_shares: f64,
@@ -44,10 +46,10 @@
     /// The bound for a fault that lasts `duration_secs`.
     pub fn over(input: &BoundInput, duration_secs: f64) -> Self {
         let width = input.width.max(1.0);
-        let window_secs = (input.burst / input.rate.max(MIN_DIVISOR)).clamp(WINDOW_SECS.0, WINDOW_SECS.1);
+        let window_secs = (input.burst / input.rate.max(MIN_DIVISOR)).clamp(MIN_WINDOW_SECS, MAX_WINDOW_SECS);
         let blind_secs = input.total_age_secs + input.stale_fraction * window_secs;
-        // Each gatekeeper sees what it admits itself. The rest goes unseen, once at each gatekeeper, but no gatekeeper
-        // admits more than it believed to be left.
+        // A gatekeeper sees what it admits itself and misses what the others admit. None of them admits more than the
+        // last total left of the burst.
         let unseen = (width - 1.0) / width * input.demand * blind_secs;
         ErrorBound {
             unseen: unseen.min((width - 1.0) * input.burst),
--- a/src/quota/breaker.rs
+++ b/src/quota/breaker.rs
@@ -1,14 +1,14 @@
 //! A circuit breaker for calls of one kind.
 //!
-//! Closed while calls are answered; open after a number of consecutive failures; half-open once its wait is over, when
-//! a single trial call may go out. Each failed trial doubles the wait, up to a maximum (exponential backoff). Waits are
+//! The breaker is closed while calls are answered, open after a number of consecutive failures, and half-open once its
+//! wait is over, when a single trial call may go out. Each failed trial doubles the wait, up to a maximum (exponential backoff). Waits are
 //! jittered, so that many gatekeepers do not all reach a counter at the moment it returns. The caller passes in time
 //! and random draws: the breaker reads no clock and has no generator.
 
 /// Settings of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BreakerSettings {
-    /// Consecutive failures that open it.
+    /// Consecutive failures that open the breaker.
     pub failures: u32,
     /// Wait until the first trial call, in seconds, before jitter.
     pub first_wait_secs: f64,
@@ -19,15 +19,15 @@
 /// One circuit breaker. Times are seconds on the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Breaker {
-    /// Failures since the last success.
+    /// Number of failures since the last success.
     consecutive_failures: u32,
-    /// While open: no call before this.
+    /// Time before which an open breaker admits no call.
     open_until: f64,
-    /// While half-open: the trial call is in flight.
+    /// Whether the trial call of a half-open breaker is in flight.
     is_trial_in_flight: bool,
 }
 
-/// More doublings than this never matter, as the wait has reached its bound; keeps the power finite.
+/// Upper bound of the doublings of the wait, which has reached its maximum long before: keeps the power finite.
 const MAX_DOUBLINGS: u32 = 30;
 
 impl Breaker {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether it is open or half-open.
+    /// Whether the breaker is open or half-open.
     pub fn is_open(&self, settings: &BreakerSettings) -> bool {
         self.consecutive_failures >= settings.failures.max(1)
     }
--- a/src/quota/call.rs
+++ b/src/quota/call.rs
@@ -1,43 +1,44 @@
-//! Calls to the counter as the decision module sees them: what they count, how they end, and what follows.
+//! Calls to the counter as the decision module sees them: the customer window they count for, their outcomes, and the
+//! verdict on each.
 
 use super::mode::CallEvidence;
-use super::reconciler::Proof;
+use super::reconciler::Reconciliation;
 use crate::identifiers::{CustomerId, Ending};
 
-/// What the decision module learns from the outcome of a call.
+/// What the decision module may conclude from the outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// The window total to use.
     Total(f64),
     /// The amount was added, but the total must not be used.
     Withheld,
-    /// The amount may have been added: it must never be sent again.
+    /// The amount may have been added: sending it again could count it twice.
     Undetermined,
-    /// The amount was not added: it is to be sent again.
+    /// The amount was not added: the next call sends it again.
     NotAdded,
 }
 
-/// A customer's window: what a counter entry counts.
+/// One window of one customer: a counter entry holds the units spent in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CustomerWindow {
     /// The customer.
     pub customer: CustomerId,
-    /// The number of its window.
+    /// Number of the window.
     pub window: i64,
 }
 
 /// The outcome of one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallOutcome {
-    /// How it ended.
+    /// Ending of the call.
     pub ending: Ending,
-    /// The counter's total, where it answered.
+    /// Total that the counter answered, in units; meaningless unless the ending is `Ok`.
     pub total: f64,
-    /// The time it took, as a fraction of the timeout.
+    /// Duration of the call, as a fraction of the timeout.
     pub timeout_fraction: f64,
 }
 
-/// What a late answer proves.
+/// Lower bound of the use in a window, proven by an answer that came after its call had timed out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LateTotal {
     /// The window that the answered call counted for.
@@ -46,28 +47,28 @@
     pub min_spent: f64,
 }
 
-/// A window in time.
+/// Position of a window in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WindowSpan {
-    /// When it began.
+    /// Start of the window, in seconds on the clock of the decision module.
     pub start: f64,
-    /// Its length, in seconds.
+    /// Length of the window, in seconds.
     pub length_secs: f64,
 }
 
-/// What an answer's proof says about its partition, and to the decision module. A total that fell once may be a wrong
-/// answer: it counts as evidence only when a second one confirms it.
-pub(super) fn judge(proof: Proof, is_unconfirmed: bool) -> (CallEvidence, Verdict) {
-    match proof {
-        Proof::Total(total) => (CallEvidence::Answered, Verdict::Total(total)),
-        Proof::Fallen(total) if is_unconfirmed => (CallEvidence::Answered, Verdict::Total(total)),
-        Proof::Fallen(total) => (CallEvidence::TotalFell, Verdict::Total(total)),
-        Proof::Implausible => (CallEvidence::Answered, Verdict::Undetermined),
+/// Evidence about the partition, and verdict for the decision module, from a reconciled answer. A total that fell once
+/// may be a wrong answer, so it becomes evidence only when a second one confirms it.
+pub(super) fn interpret(reconciliation: Reconciliation, is_unconfirmed: bool) -> (CallEvidence, Verdict) {
+    match reconciliation {
+        Reconciliation::Total(total) => (CallEvidence::Answered, Verdict::Total(total)),
+        Reconciliation::Fallen(total) if is_unconfirmed => (CallEvidence::Answered, Verdict::Total(total)),
+        Reconciliation::Fallen(total) => (CallEvidence::TotalFell, Verdict::Total(total)),
+        Reconciliation::Implausible => (CallEvidence::Answered, Verdict::Undetermined),
     }
 }
 
-/// The verdict where the counter is not guarded, or the entry is unknown.
-pub(super) fn unguarded(outcome: CallOutcome) -> Verdict {
+/// Verdict on a call where the counter is not guarded, or of which the entry is unknown.
+pub(super) fn unguarded_verdict(outcome: CallOutcome) -> Verdict {
     match outcome.ending {
         Ending::Ok if outcome.total.is_finite() => Verdict::Total(outcome.total.max(0.0)),
         ending if ending.never_ran() => Verdict::NotAdded,
--- a/src/quota/guard.rs
+++ b/src/quota/guard.rs
@@ -1,7 +1,9 @@
 //! The guard of one gatekeeper: the state of counter entries and partitions, and the events that change it.
 
 use super::breaker::Breaker;
-use super::call::{judge, unguarded, CallOutcome, CustomerWindow, LateTotal, Verdict, WindowSpan};
+use super::call::{
+ interpret, unguarded_verdict, CallOutcome, CustomerWindow, LateTotal, Verdict, WindowSpan,
+};
 use super::mode::{CallEvidence, Mode, ModeTracker};
 use super::reconciler::Reconciler;
 use super::report::{CounterReport, PartitionReport};
@@ -10,23 +12,23 @@
 use crate::identifiers::{fnv1a, CounterKey, Ending, GOLDEN_RATIO_FRACTION};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Answers that take less than this fraction of the timeout, on average, are prompt...
+/// Answers are prompt if they take less than this fraction of the timeout, on average.
 const PROMPT_FRACTION: f64 = 0.25;
-/// ...and stay evidence of a prompt counter for this long, in seconds.
+/// Time for which the last answer is evidence of a prompt counter, in seconds.
 const PROMPT_EVIDENCE_SECS: f64 = 0.5;
-/// Weight of the newest answer in that average.
+/// Weight of the newest answer in the average time of answers.
 const PROMPT_WEIGHT: f64 = 0.1;
-/// Expired entries are looked for at this interval, in seconds.
+/// Interval of sweeps for expired entries, in seconds.
 const SWEEP_INTERVAL_SECS: f64 = 1.0;
-/// Where there are too many entries, one in so many of them is dropped, the least recently used first.
+/// Where there are too many entries, one in this many is evicted, the least recently used first.
 const EVICT_ONE_IN: usize = 4;
 
-/// The mode of a partition and when it began.
+/// Mode of a partition, and when the partition entered it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PartitionMode {
- /// The mode.
+ /// Current mode.
  pub mode: Mode,
- /// When it began.
+ /// When the partition entered the mode, in seconds on the caller's clock.
  pub since: f64,
 }
 
@@ -36,16 +38,17 @@
  customer_window: CustomerWindow,
  reconciler: Reconciler,
  breaker: Breaker,
- /// When a call of it was last sent or finished.
+ /// When a call for this entry was last sent or finished.
  used_at: f64,
+ /// When the counter last answered in time.
  answered_at: f64,
- /// It is dropped after this.
+ /// Time from which the entry may be dropped.
  expires_at: f64,
- /// The amount of the last call, while that has timed out and no other was sent since.
+ /// Amount of the last call, if that call has timed out and no other was sent since.
  timed_out_amount: Option<f64>,
  /// Units that the counter has acknowledged to other gatekeepers, by the replicas of their usage.
  acknowledged_to_others: f64,
- /// The same as each call in flight was sent.
+ /// `acknowledged_to_others` as each call in flight was sent, oldest first.
  acknowledged_at_send: VecDeque<f64>,
 }
 
@@ -64,8 +67,8 @@
  }
  }
 
- /// Reconciles the ledger with the outcome of the oldest call in flight. There is no evidence where the outcome says
- /// nothing about the partition.
+ /// Reconciles the outcome of the oldest call in flight. Returns no evidence where the outcome says nothing about the
+ /// partition.
  fn reconcile(
  &mut self,
  now: f64,
@@ -76,12 +79,12 @@
  match outcome.ending {
  Ending::Ok => {
  self.answered_at = now;
- let proof = self.reconciler.call_answered(now, amount, outcome.total, resend_secs);
- let (evidence, verdict) = judge(proof, self.reconciler.has_contradiction());
+ let reconciliation = self.reconciler.call_answered(now, amount, outcome.total, resend_secs);
+ let (evidence, verdict) = interpret(reconciliation, self.reconciler.has_contradiction());
  (Some(evidence), verdict)
  }
  ending if ending.never_ran() => {
- self.reconciler.call_not_taken();
+ self.reconciler.call_not_applied();
  (Some(CallEvidence::Unanswered), Verdict::NotAdded)
  }
  Ending::Reset => {
@@ -103,8 +106,9 @@
 struct Partition {
  mode: ModeTracker,
  replicas: ReplicaComparison,
- /// Units admitted without a usable total since the mode last left `Healthy`, and over all faults.
+ /// Units admitted without a usable total since the mode last left `Healthy`.
  unverified_units: f64,
+ /// Units admitted without a usable total over all faults.
  unverified_units_ever: f64,
  implausible_answers: u64,
  late_answers: u64,
@@ -115,7 +119,7 @@
 /// How quickly the counter answers.
 #[derive(Clone, Copy, Debug)]
 struct Promptness {
- /// Time of answers as a fraction of the timeout, smoothed.
+ /// Time of answers as a fraction of the timeout, as an exponential moving average.
  timeout_fraction: f64,
  answered_at: f64,
 }
@@ -137,12 +141,14 @@
  meter: MeterComparison,
  swept_at: f64,
  promptness: Promptness,
- /// Jitter of breakers: a Weyl sequence through (0, 1), which starts at another point at each gatekeeper.
+ /// Jitter of the breakers' waits: a Weyl sequence through (0, 1) that starts at a different point at each
+ /// gatekeeper.
  jitter: f64,
 }
 
 impl Guard {
- /// A guard with these settings. `jitter` in [0, 1) should differ between gatekeepers.
+ /// Creates a guard. `jitter`, in [0, 1), should differ between gatekeepers, so that they do not call a returning
+ /// counter at the same moment.
  pub fn new(settings: QuotaSettings, jitter: f64) -> Self {
  Guard {
  entries: BTreeMap::new(),
@@ -155,7 +161,7 @@
  }
  }
 
- /// Its settings.
+ /// Settings of the guard.
  pub fn settings(&self) -> &QuotaSettings {
  &self.settings
  }
@@ -168,8 +174,9 @@
  }
  }
 
- /// Records a call about to add `amount` for `customer_window`. The counter keeps the entry for `lifetime_secs` after it. Returns
- /// what the call must add, which includes units that a replaced counter has lost.
+ /// Records a call that is about to add `amount` for `customer_window`. The counter keeps the entry for
+ /// `lifetime_secs` after the call. Returns the amount that the call must add, which includes units that a replaced
+ /// counter has lost.
  pub fn call_sent(
  &mut self,
  now: f64,
@@ -206,7 +213,7 @@
  let key = fnv1a(&name.0);
  let partition = self.partition_of(name);
  let Some(entry) = self.entries.get_mut(name).filter(|_| self.settings.is_guarded) else {
- return unguarded(outcome);
+ return unguarded_verdict(outcome);
  };
  entry.used_at = now;
  let acknowledged = AcknowledgedUnits {
@@ -233,21 +240,21 @@
  }
  let mode = &mut self.partitions[partition].mode;
  mode.record_call(now, key, evidence, &self.settings.mode);
- // Totals of a split counter must not be used: each view would grant the whole quota.
+ // Totals of a split counter must not be used: each of its views would grant the whole quota.
  match verdict {
  Verdict::Total(_) if mode.is_split_by_totals() => Verdict::Withheld,
  verdict => verdict,
  }
  }
 
- /// Records the answer to a call that had timed out. Returns what it proves, if anything.
+ /// Records the answer to a call that had timed out. Returns the lower bound of the use that it proves, if any.
  pub fn late_answer(&mut self, now: f64, name: &CounterKey, total: f64) -> Option<LateTotal> {
  let key = fnv1a(&name.0);
  let partition = self.partition_of(name);
  let entry = self.entries.get_mut(name).filter(|_| self.settings.is_guarded)?;
  let partition = &mut self.partitions[partition];
  partition.mode.record_call(now, key, CallEvidence::AnsweredLate, &self.settings.mode);
- // Once the next call of an entry is sent, it is unknown which of the two an answer counts.
+ // Once the next call of an entry is sent, it is unknown which of the two calls an answer belongs to.
  let amount = entry.timed_out_amount.take()?;
  let min_spent = entry.reconciler.late_answer(amount, total)?;
  partition.late_answers += 1;
@@ -256,15 +263,15 @@
  Some(late).filter(|_| !partition.mode.is_split_by_totals())
  }
 
- /// Whether another call of this entry is wanted soon: to confirm a loss, or to send again what was lost.
+ /// Whether another call for this entry is needed soon, to confirm a loss or to send lost units again.
  pub fn wants_call(&self, name: &CounterKey) -> bool {
  let wants =
  |entry: &Entry| entry.reconciler.has_contradiction() || entry.reconciler.to_resend() > 0.0;
  self.entries.get(name).is_some_and(wants)
  }
 
- /// Records units admitted for an entry. `is_total_known` tells whether a usable total allowed them. The name is only
- /// built while there is a fault.
+ /// Records units admitted for an entry. `is_total_known` tells whether a usable total allowed them. The name is
+ /// built only while there is a fault, as this runs for each admitted request.
  pub fn record_admitted(&mut self, name: impl FnOnce() -> CounterKey, units: f64, is_total_known: bool) {
  if is_total_known || units <= 0.0 || !self.has_fault() {
  return;
@@ -277,9 +284,10 @@
  }
  }
 
- /// Records that the window of an entry is over. `metered_rate` is the customer's use in it by the meter, in units
- /// per second; `None` where the meter has no fresh value, or the customer was beyond its quota, where not all of its
- /// use is charged. A total from the first half of the window holds too little to be compared.
+ /// Records that the window of an entry is over, and compares its total with the meter. `metered_rate` is the
+ /// customer's metered use in the window, in units per second. `None` where the meter has no fresh value, or where
+ /// the customer was beyond its quota, so that not all of its use was charged. A total from the first half of the
+ /// window holds too few units to be compared.
  pub fn window_finished(
  &mut self,
  now: f64,
@@ -296,7 +304,7 @@
  }
  let is_split =
  self.meter.add_window(now, metered_rate * counted_secs, entry.reconciler.highest_total());
- // The meter is per customer, and a customer's windows lie on all partitions in turn.
+ // The comparison is not per partition: a customer's windows are spread over all partitions.
  for partition in &mut self.partitions {
  let is_split = is_split || partition.replicas.is_split(now);
  partition.mode.record_comparison(now, is_split, &self.settings.mode);
@@ -304,7 +312,7 @@
  }
 
  /// Sets the units of an entry that the counter has acknowledged to other gatekeepers, by the replicas of their
- /// usage. The answer to a call sent from now on must hold them.
+ /// usage. Answers to calls sent from now on must include them.
  pub fn set_acknowledged_to_others(&mut self, name: &CounterKey, units: f64) {
  if let Some(entry) = self.entries.get_mut(name).filter(|_| self.settings.is_guarded) {
  entry.acknowledged_to_others = units;
@@ -324,25 +332,25 @@
  && self.promptness.timeout_fraction < PROMPT_FRACTION
  }
 
- /// Whether any partition has a fault or is on probation. Cheap, so asked first.
+ /// Whether any partition has a fault or is on probation. Cheap enough to ask for each request.
  pub fn has_fault(&self) -> bool {
  self.partitions.iter().any(|partition| partition.mode.mode() != Mode::Healthy)
  }
 
- /// Whether the partition of this entry has a fault in which no total is available, or none that may be used.
+ /// Whether the partition of this entry has a fault in which totals are missing or must not be used.
  pub fn lacks_total(&self, name: &CounterKey) -> bool {
  let mode = self.partitions[self.partition_of(name)].mode.mode();
  self.settings.is_guarded && matches!(mode, Mode::Lost | Mode::Late | Mode::Split)
  }
 
- /// The modes of all partitions at `now`.
+ /// Modes of all partitions at `now`.
  pub fn modes(&mut self, now: f64) -> Vec<PartitionMode> {
  self.sweep(now);
  let modes = self.partitions.iter().map(|partition| &partition.mode);
  modes.map(|mode| PartitionMode { mode: mode.mode(), since: mode.mode_since() }).collect()
  }
 
- /// The state at `now`, for operators.
+ /// State of the counter at `now`, for operators.
  pub fn report(&self, now: f64) -> CounterReport {
  let partitions = self.partitions.iter().enumerate().map(|(index, partition)| PartitionReport {
  partition: index as u32,
@@ -363,7 +371,7 @@
  }
  }
 
- /// The index of the partition that holds this name.
+ /// Index of the partition that holds this name.
  pub(super) fn partition_of(&self, name: &CounterKey) -> usize {
  (fnv1a(&name.0) % self.partitions.len() as u64) as usize
  }
@@ -383,8 +391,8 @@
  }
  }
 
- /// Lets modes change by time alone, and drops expired entries; where there are still too many, the least recently
- /// used.
+ /// Advances the modes of all partitions, and drops expired entries. If there are still too many, the least recently
+ /// used are evicted.
  fn sweep(&mut self, now: f64) {
  let max_entries = self.settings.max_entries;
  if now - self.swept_at < SWEEP_INTERVAL_SECS && self.entries.len() < max_entries {
--- a/src/quota/mode.rs
+++ b/src/quota/mode.rs
@@ -1,14 +1,14 @@
 //! The mode of one partition of the counter, from the outcomes of calls to it: a state machine with hysteresis.
 //!
 //! ```text
-//! in step ──> late (answers come after the timeout)     ──┐
-//!    ^   ├──> lost (no answers)                          ──┤
-//!    │   ├──> split (some names answer, others never,    ──┤──> rejoined ──> in step
-//!    │   │         or its totals miss what others use)     │       │
-//!    │   └──> replaced (totals fall)                     ──┘       └──> relapse: probation twice as long
+//! Healthy ──> Late (answers come after the timeout)                      ──┐
+//!         ├─> Lost (no answers)                                            ├─> Recovering ──> Healthy
+//!         ├─> Split (some names are answered and others never,             │       │
+//!         │          or totals miss what other gatekeepers use)            │       └─> any fault: a relapse,
+//!         └─> Replaced (totals fall)                                     ──┘           probation twice as long
 //! ```
 //!
-//! It knows no customers and rejects nothing: the guard and the decision module act on the mode.
+//! A mode has no effect by itself: the guard and the decision module act on it.
 
 use std::collections::BTreeMap;
 
@@ -26,12 +26,13 @@
     Split,
     /// Totals fell: the counter was replaced or emptied.
     Replaced,
-    /// Answers come in time again; on probation before it counts as healthy.
+    /// Answers come in time again. The partition is on probation before it counts as healthy.
     Recovering,
 }
 
 impl Mode {
-    /// Its name in log lines and reports, which `whinstall report` reads back.
+    /// Name of the mode in log lines and reports. The names are part of the log's format, which `whinstall report` reads
+    /// back.
     pub fn name(self) -> &'static str {
         match self {
             Mode::Healthy => "in step",
@@ -44,7 +45,7 @@
     }
 }
 
-/// What the outcome of one call says about its partition.
+/// Evidence about a partition from the outcome of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEvidence {
     /// Answered in time, with a plausible total.
@@ -57,43 +58,43 @@
     TotalFell,
 }
 
-/// Settings of the modes, in seconds.
+/// Settings of the mode state machine, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ModeSettings {
-    /// Evidence expires after this.
+    /// Time after which evidence expires.
     pub evidence_secs: f64,
-    /// A partition that leaves calls unanswered for this long is lost.
+    /// Time for which a partition leaves calls unanswered before it is lost.
     pub lost_after_secs: f64,
-    /// Answers in time for this long end a fault.
+    /// Time for which answers must come in time to end a fault.
     pub settle_secs: f64,
-    /// Probation of a partition that has rejoined; doubled at each relapse...
+    /// Length of the first probation of a recovering partition. Each relapse doubles it.
     pub probation_secs: f64,
-    /// ...up to this.
+    /// Upper bound of the probation.
     pub max_probation_secs: f64,
 }
 
-/// Calls in a row with the same result, after which a name counts as answering or failing.
+/// Number of calls in a row with the same result from which on a name counts as answering or failing.
 const MIN_NAME_STREAK: u32 = 2;
-/// Names answered again after a failure indicate an overloaded counter, not a split one. In a split they are at most
-/// this fraction of the names that only fail or only answer.
+/// Upper bound of the names with both answers and failures in a split, as a fraction of those that only fail or only
+/// answer. More of them indicate an overloaded counter.
 const MAX_MIXED_FRACTION: f64 = 0.2;
-/// Names that must fail, and names that must answer, for a split.
+/// Number of names that must fail, and number of names that must answer, for `Split`.
 const MIN_SPLIT_NAMES: i32 = 2;
-/// Bound on the names of which evidence is kept.
+/// Upper bound of the number of names of which evidence is kept.
 const MAX_NAMES: usize = 256;
-/// Unanswered calls in a row needed for `Lost`.
+/// Number of unanswered calls in a row needed for `Lost`.
 const MIN_UNANSWERED: u32 = 3;
-/// Late answers in a row needed for `Late`.
+/// Number of late answers in a row needed for `Late`.
 const MIN_LATE: u32 = 3;
-/// Names whose totals fell needed for `Replaced`.
+/// Number of names whose totals fell needed for `Replaced`.
 const MIN_FALLEN_NAMES: usize = 2;
-/// More doublings of the probation than this never matter; keeps the power finite.
+/// Upper bound of the doublings of the probation, which has reached its maximum long before: keeps the power finite.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// Recent calls of one name. Times are negative infinity before the first.
+/// Recent calls of one name. Times are negative infinity before the first call.
 #[derive(Clone, Copy, Debug)]
 struct NameEvidence {
-    /// Calls in a row with the result of the last one.
+    /// Number of calls in a row with the result of the last one.
     streak: u32,
     answered_at: f64,
     failed_at: f64,
@@ -129,24 +130,24 @@
 pub struct ModeTracker {
     mode: Mode,
     mode_since: f64,
-    /// The last answer in time.
+    /// When the last answer in time came.
     answered_at: Option<f64>,
-    /// The first failure since the last answer of any kind.
+    /// When the first call failed since the last answer of any kind.
     failing_since: Option<f64>,
-    /// When answers, in time or late, began again after a gap.
+    /// When answers, in time or late, began again after a run of failures.
     answering_since: Option<f64>,
-    /// The last failure.
+    /// When the last call failed.
     failed_at: Option<f64>,
-    /// Failures since the last answer.
+    /// Number of failures since the last answer.
     unanswered: u32,
-    /// Late answers since the last one in time.
+    /// Number of late answers since the last one in time.
     late: u32,
-    /// By the hash of the name.
+    /// Evidence by the hash of the name.
     names: BTreeMap<u64, NameEvidence>,
     fallen_names: Vec<FallenName>,
-    /// Whether totals miss what the meter or replicas say.
+    /// Whether totals miss what the meter or replicas show.
     is_split_by_totals: bool,
-    /// Faults during probation since it was last healthy.
+    /// Number of faults during probation since the partition was last healthy.
     relapses: u32,
 }
 
@@ -166,7 +167,7 @@
         self.is_split_by_totals
     }
 
-    /// Records the outcome of a call of the name with this hash.
+    /// Records the outcome of a call for the name with this hash.
     pub fn record_call(&mut self, now: f64, name_hash: u64, evidence: CallEvidence, settings: &ModeSettings) {
         let is_answered = evidence != CallEvidence::Unanswered;
         self.bound_names(now, settings);
@@ -196,7 +197,7 @@
         self.step(now, settings);
     }
 
-    /// Records whether totals miss too much of what the meter or replicas say.
+    /// Records whether totals miss too much of what the meter or replicas show.
     pub fn record_comparison(&mut self, now: f64, is_split: bool, settings: &ModeSettings) {
         self.is_split_by_totals = is_split;
         self.step(now, settings);
@@ -250,7 +251,7 @@
         failing >= MIN_SPLIT_NAMES && answering >= MIN_SPLIT_NAMES && is_mixed_rare
     }
 
-    /// The fault that the evidence implies, the gravest first.
+    /// The gravest fault that the evidence implies.
     fn fault(&self, now: f64, settings: &ModeSettings) -> Option<Mode> {
         let is_recent = |fallen: &&FallenName| now - fallen.at <= settings.evidence_secs;
         let is_lost = self.unanswered >= MIN_UNANSWERED
--- a/src/quota/settings.rs
+++ b/src/quota/settings.rs
@@ -1,7 +1,7 @@
 //! Operators' settings of the counter guard: the record `counter: {...}` of a settings file.
 //!
-//! Field names of the record are the operators' and stay. Without a file the defaults hold, by which the guard acts
-//! only while the counter has a fault.
+//! Field names of the record are part of the operators' interface and are fixed. Without a file the defaults apply, with
+//! which the guard acts only while the counter has a fault.
 
 use super::breaker::BreakerSettings;
 use super::mode::ModeSettings;
@@ -10,24 +10,24 @@
 /// All settings of the guard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// Whether the counter is guarded at all. Otherwise its answers are used as they are. `guard` in the file.
+    /// Whether the counter is guarded. If not, its answers are used as they are. `guard` in the file.
     pub is_guarded: bool,
     /// Partitions over which the counter spreads names, by FNV-1a of the name modulo their number. `parts` in the file.
     pub partitions: u32,
-    /// Bound on the counter entries of which state is kept. `counts_most` in the file.
+    /// Upper bound of the number of counter entries of which state is kept. `counts_most` in the file.
     pub max_entries: usize,
     /// Seconds within which gatekeepers send a replaced counter again what it lost. `retell` in the file.
     pub resend_secs: f64,
     /// Time constant with which a customer's learnt quota share decays once totals stop, in seconds. `fade` in the
     /// file.
     pub share_decay_secs: f64,
-    /// Seconds after the timeout for which an answer is still listened for; 0: not at all. `late` in the file.
+    /// Seconds after the timeout in which an answer is still accepted; 0: late answers are discarded. `late` in the file.
     pub late_answer_secs: f64,
     /// Whether totals are compared with the meter, to detect a split counter. `witness` in the file.
     pub compares_meter: bool,
-    /// Circuit breaker of each counter entry.
+    /// Circuit breaker of each counter entry. `failures`, `first_trial` and `last_trial` in the file.
     pub breaker: BreakerSettings,
-    /// Modes of a partition.
+    /// Modes of a partition. `span`, `lost_after`, `settle`, `watch` and `watch_most` in the file.
     pub mode: ModeSettings,
 }
 
@@ -102,13 +102,13 @@
     /// The settings in force, as `whinstall check` prints them.
     pub fn describe(&self) -> String {
         if !self.is_guarded {
-            return "counter: no guard; its answers pass as they are\n".into();
+            return "counter: not guarded; its answers are used as they are\n".into();
         }
         format!(
-            "counter in {} part(s); books of {} counts at the most; told again over {} s; shares fade over {} s; \
-             late answers heard for {} s; totals {} with the meter\n\
-             a count is tried again after {} failures, in {} s doubling to {} s\n\
-             evidence of {} s; lost after {} s; settled after {} s; watched {} s doubling to {} s\n",
+            "counter in {} part(s); state of at most {} entries; lost units sent again within {} s; \
+             learnt shares decay over {} s; late answers accepted for {} s; totals {} with the meter\n\
+             circuit breaker of an entry: opens after {} failures; first trial after {} s, doubling to {} s\n\
+             evidence expires after {} s; lost after {} s; settled after {} s; probation {} s, doubling to {} s\n",
             self.partitions,
             self.max_entries,
             self.resend_secs,
--- a/src/quota/share.rs
+++ b/src/quota/share.rs
@@ -9,40 +9,43 @@
 const EVEN_SHARE_WEIGHT: f64 = 0.5;
 /// Time constant of the learnt share, in seconds.
 const SHARE_MEMORY_SECS: f64 = 30.0;
-/// A customer of which nothing is known is assumed to use this fraction of its rate, with the weight of one unit.
+/// Use assumed of a customer of which nothing is known, as a fraction of its rate, with the weight of one unit.
 const PRIOR_USE: f64 = 0.5;
-/// Time constant that smooths the meter, in seconds: its periods are short...
+/// Time constant that smooths the metered use, in seconds. A single metering period is too short to be representative.
 const METER_MEMORY_SECS: f64 = 3.0;
-/// ...and the time constant with which confidence in it decays, in seconds.
+/// Time constant with which confidence in the metered use decays, in seconds.
 const METER_CONFIDENCE_SECS: f64 = 15.0;
 /// Upper bound of the metered use, as a multiple of the rate.
 const MAX_METERED_USE: f64 = 10.0;
-/// Confidence above which the metered use says whether a customer is inside its quota.
+/// Confidence above which the metered use decides whether a customer is inside its quota.
 const MIN_METER_CONFIDENCE: f64 = 0.5;
-/// Below this fraction of its rate all use is charged: beyond the quota some is served uncharged.
+/// Metered use, as a fraction of the rate, below which a customer is inside its quota, so that all of its use is
+/// charged. Beyond the quota some requests are served uncharged.
 const INSIDE_QUOTA_USE: f64 = 0.9;
-/// A customer that demands more than this fraction of its rate here alone is not surely inside its quota.
+/// Demand at this gatekeeper alone, as a fraction of the rate, above which a customer may be beyond its quota whatever
+/// the meter says.
 const INSIDE_QUOTA_DEMAND: f64 = 0.5;
-/// The allowance limits a customer only where it earns its largest request within this, in seconds.
+/// Upper bound of the time, in seconds, in which the allowance earns a largest request. Where it takes longer, the
+/// allowance does not limit the customer.
 const MAX_EARN_SECS: f64 = 10.0;
-/// Use below this fraction of the rate is light. Of customers just below their quota only lulls would be compared, with
-/// totals that hold a fifth more.
+/// Metered use, as a fraction of the rate, below which it is light. Customers just below their quota would be compared
+/// in their lulls only, with totals that hold a fifth more.
 const LIGHT_USE: f64 = 0.6;
-/// Smallest divisor: nothing is divided by zero.
+/// Lower bound of divisors, so that nothing is divided by zero.
 const MIN_DIVISOR: f64 = 1e-9;
 
 /// The limits of a customer's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaLimits {
-    /// Units per second.
+    /// Rate, in units per second.
     pub rate: f64,
-    /// Units that may be used at once.
+    /// Burst: units that may be used at once.
     pub burst: f64,
 }
 
 /// The estimates for one customer. Times are seconds on the caller's clock.
 ///
-/// It is part of the state handed over at a hot restart: the serialized names are fixed.
+/// `Share` is part of the state handed over at a hot restart: the serialized names are fixed.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize), serde(default))]
 pub struct Share {
@@ -55,9 +58,11 @@
     /// Use over all gatekeepers by the meter, as a fraction of the rate, smoothed.
     #[cfg_attr(feature = "adapter", serde(rename = "metered"))]
     metered_use: f64,
+    /// When the meter was last read.
     metered_at: f64,
-    /// Units of the fallback allowance as of `allowance_at`; `None` before it was first used.
+    /// Units of the fallback allowance as of `allowance_at`.
     allowance: f64,
+    /// When the allowance was last updated; `None` before it was first used.
     allowance_at: Option<f64>,
 }
 
@@ -81,17 +86,17 @@
         (self.own_units + prior / width) / (self.total_units + prior).max(MIN_DIVISOR)
     }
 
-    /// Estimates the units that all gatekeepers spent in `span_secs`: by the meter as far as it is believed, otherwise by
-    /// the `own` units spent here, where this gatekeeper's fraction is `fraction`. With very many gatekeepers one unit
-    /// here means next to nothing; scaled by their number it would exhaust a quota that is nearly unused, hence the
-    /// prior.
+    /// Estimates the units that all gatekeepers spent in `span_secs`: by the meter, to the degree of confidence in it,
+    /// and otherwise by the `own` units spent here, where this gatekeeper's fraction is `fraction`. The prior is needed
+    /// where gatekeepers are very many: one unit spent here, scaled by their number, would exhaust a quota that is
+    /// nearly unused.
     pub fn estimate_spent(&self, rate: f64, fraction: f64, own: f64, span_secs: f64, now: f64) -> f64 {
         let prior = (PRIOR_USE * rate * span_secs).max(MIN_DIVISOR);
         let by_own = (1.0 + own) / (1.0 / prior + fraction);
         by_own + self.meter_confidence(now) * (self.metered_use * rate * span_secs - by_own)
     }
 
-    /// How far the meter is believed, 0 to 1.
+    /// Confidence in the meter, 0 to 1.
     pub fn meter_confidence(&self, now: f64) -> f64 {
         ((self.metered_at - now) / METER_CONFIDENCE_SECS).exp()
     }
@@ -104,7 +109,7 @@
         self.total_units = self.total_units * decay + spent;
     }
 
-    /// No total was known for `age`, in units of the time constant: the fraction decays towards the even share.
+    /// Lets the fraction decay towards the even share, after no total was known for `age` time constants.
     pub fn decay(&mut self, age: f64) {
         let decay = (-age.max(0.0)).exp();
         self.own_units *= decay;
@@ -123,8 +128,8 @@
     /// burst or one request of the `largest` units, whichever is more. Over all gatekeepers it adds up to the rate, and
     /// to no more at once than the burst or a largest request each.
     ///
-    /// It is empty when the last total was known, or else at `started`, the start of this process: a predecessor may
-    /// have spent what there was.
+    /// The bucket is empty when the last total was known, or else at `started`, the start of this process: a predecessor
+    /// may have spent its content.
     pub fn allowance(
         &mut self,
         now: f64,
@@ -140,7 +145,7 @@
         self.allowance
     }
 
-    /// A total is known at `now`: the allowance is empty should totals stop.
+    /// Empties the allowance, as a total is known at `now`. Should totals stop, it fills from then on.
     pub fn reset_allowance(&mut self, now: f64) {
         (self.allowance, self.allowance_at) = (0.0, Some(now));
     }
@@ -150,19 +155,22 @@
         self.allowance = (self.allowance - units).max(0.0);
     }
 
-    /// The metered use as a fraction of the rate, where it is believed and below the quota, so that all of it is
-    /// charged.
+    /// Metered use as a fraction of the rate; `None` unless confidence in it is high enough and it is below the quota, so
+    /// that all of it is charged.
     pub fn use_inside_quota(&self, now: f64) -> Option<f64> {
-        let is_believed = self.meter_confidence(now) > MIN_METER_CONFIDENCE;
-        Some(self.metered_use).filter(|metered_use| *metered_use < INSIDE_QUOTA_USE && is_believed)
+        let is_trusted = self.meter_confidence(now) > MIN_METER_CONFIDENCE;
+        Some(self.metered_use).filter(|metered_use| *metered_use < INSIDE_QUOTA_USE && is_trusted)
     }
 
     /// Whether the customer is limited to its allowance while no total is usable.
     ///
-    /// Not where the meter shows it inside its quota and its `demand` here (units per second, rejected ones included) is
-    /// no more than a fraction of its rate; the meter alone takes a heavy customer that was just rejected for a light
-    /// one. Nor where the share here is so small that a request of the `largest` units takes long to earn: one of very
-    /// many gatekeepers has no complete request to hold back, and the estimated remainder decides at random.
+    /// The allowance does not apply in two cases:
+    ///
+    /// - The meter shows the customer inside its quota, and its `demand` here (units per second, rejected ones included)
+    ///   is at most a fraction of its rate. The meter alone is not enough: a heavy customer that was just rejected looks
+    ///   light to it.
+    /// - The share here is so small that a request of the `largest` units takes long to earn. One of very many
+    ///   gatekeepers has no complete request to hold back, and the estimated remainder would decide at random.
     pub fn is_limited_to_allowance(
         &self,
         now: f64,
@@ -177,7 +185,7 @@
         !is_share_small && (self.use_inside_quota(now).is_none() || is_demand_high)
     }
 
-    /// The metered use in units per second, where it is so light that a meter that lags cannot have sampled a lull of a
+    /// Metered use in units per second; `None` unless it is so light that a lagging meter cannot have sampled a lull of a
     /// heavy customer. Totals may be compared with it.
     pub fn light_use(&self, now: f64, rate: f64) -> Option<f64> {
         let metered_use = self.use_inside_quota(now)?;
--- a/src/quota/share_tests.rs
+++ b/src/quota/share_tests.rs
@@ -25,28 +25,37 @@
 #[test]
 fn a_fresh_meter_overrules_the_estimate() {
     let mut s = Share::default();
-    let guessed = s.estimate_spent(2.0, 0.25, 3.0, 4.0, 0.0);
+    let without_meter = s.estimate_spent(2.0, 0.25, 3.0, 4.0, 0.0);
     s.record_metered(0.0, 0.1);
     assert!((s.estimate_spent(2.0, 0.25, 3.0, 4.0, 0.0) - 0.8).abs() < 1e-9);
     assert_eq!(s.use_inside_quota(0.0), Some(0.1));
-    assert!(s.estimate_spent(2.0, 0.25, 3.0, 4.0, 200.0) > 0.99 * guessed);
+    assert!(s.estimate_spent(2.0, 0.25, 3.0, 4.0, 200.0) > 0.99 * without_meter);
     assert_eq!(s.use_inside_quota(200.0), None);
-    assert!(!s.is_limited_to_allowance(0.0, 0.5, LIMITS, 3.0, 4.0), "inside, and asks for a quarter here");
-    assert!(s.is_limited_to_allowance(0.0, 1.5, LIMITS, 3.0, 4.0), "asks for more than half here alone");
-    assert!(!s.is_limited_to_allowance(200.0, 1.5, LIMITS, 100.0, 4.0), "one of a hundred");
+    assert!(
+        !s.is_limited_to_allowance(0.0, 0.5, LIMITS, 3.0, 4.0),
+        "inside its quota, and demands a quarter of its rate here"
+    );
+    assert!(
+        s.is_limited_to_allowance(0.0, 1.5, LIMITS, 3.0, 4.0),
+        "demands more than half of its rate here alone"
+    );
+    assert!(
+        !s.is_limited_to_allowance(200.0, 1.5, LIMITS, 100.0, 4.0),
+        "the share is too small with a hundred gatekeepers"
+    );
     s.record_metered(201.0, 5.0);
-    assert!(s.is_limited_to_allowance(201.0, 0.1, LIMITS, 3.0, 4.0), "far over");
-    assert_eq!(s.use_inside_quota(201.0), None, "beyond its quota not all use is charged");
+    assert!(s.is_limited_to_allowance(201.0, 0.1, LIMITS, 3.0, 4.0), "far beyond its quota");
+    assert_eq!(s.use_inside_quota(201.0), None, "not all use is charged beyond the quota");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// Whatever is asked where and when, the allowances of all gatekeepers together let in no more than the rate
-    /// gives, and at once no more than the burst or a largest request each.
+    /// Whatever is requested where and when, the allowances of all gatekeepers together admit no more than the rate
+    /// allows, and at once no more than the burst or a largest request each.
     #[test]
     fn allowances_add_up_to_the_quota(
-        asks in prop::collection::vec((0usize..3, 0.0f64..0.4, 0.5f64..4.0), 1..300),
+        requests in prop::collection::vec((0usize..3, 0.0f64..0.4, 0.5f64..4.0), 1..300),
         learnt in prop::collection::vec(0.0f64..10.0, 3),
     ) {
         let (rate, burst, largest) = (2.0, 8.0, 4.0);
@@ -57,28 +66,27 @@
         }
         let (mut now, mut admitted) = (0.0, 0.0);
         let at_once: f64 = all.iter().map(|s| (s.fraction(burst, 3.0) * burst).max(largest)).sum();
-        for (gate, dt, units) in asks {
+        for (gatekeeper, dt, units) in requests {
             now += dt;
-            if all[gate].allowance(now, QuotaLimits { rate, burst }, 3.0, largest, 0.0) >= units {
-                all[gate].spend_allowance(units);
+            if all[gatekeeper].allowance(now, QuotaLimits { rate, burst }, 3.0, largest, 0.0) >= units {
+                all[gatekeeper].spend_allowance(units);
                 admitted += units;
             }
-            prop_assert!(admitted <= rate * now + 1e-6, "starts from nothing");
+            prop_assert!(admitted <= rate * now + 1e-6, "the allowances start empty");
             prop_assert!(at_once <= burst + 3.0 * largest);
         }
     }
 
-    /// Gatekeepers that learn from the same totals take parts that sum to one, and go on doing so as these
-    /// fade alike; one that lags behind by some windows makes the sum stray by what it misses.
+    /// The fractions of gatekeepers that learn from the same totals sum to one, also as they decay.
     #[test]
     fn fractions_of_all_gatekeepers_sum_to_one(
         windows in prop::collection::vec(prop::collection::vec(0.0f64..10.0, 3), 1..30),
         age in 0.0f64..3.0,
     ) {
         let mut all = [Share::default(), Share::default(), Share::default()];
-        for w in &windows {
-            let spent: f64 = w.iter().sum();
-            for (s, own) in all.iter_mut().zip(w) {
+        for window in &windows {
+            let spent: f64 = window.iter().sum();
+            for (s, own) in all.iter_mut().zip(window) {
                 s.learn_window(4.0, 0.0, *own, spent);
             }
         }
--- a/src/quota/split_detection.rs
+++ b/src/quota/split_detection.rs
@@ -1,34 +1,36 @@
-//! Detects a split counter: whether its totals hold what all gatekeepers use.
+//! Detection of a split counter, by whether its totals hold what all gatekeepers use.
 //!
 //! A counter that is split in two views, each with its own gatekeepers, answers every call in time and with totals that
-//! never fall; they only miss the other half. Two independent sources reveal it:
+//! never fall, but that miss the use in the other view. Two independent sources reveal a split:
 //!
 //! - [`MeterComparison`]: the meter in nodes' responses, summed over customers. It lags by seconds, so it says nothing
 //!   about a single customer.
 //! - [`ReplicaComparison`]: where gatekeepers replicate their usage, the counter's answer to a call must hold what it
-//!   had acknowledged to other gatekeepers before that call went out. This is proof, where the meter is a sample.
+//!   had acknowledged to other gatekeepers before that call went out. An answer that does not is proof of a split,
+//!   whereas the meter is only a sample.
 
 /// Time constant of the meter comparison, in seconds.
 const METER_MEMORY_SECS: f64 = 6.0;
 /// Metered units in memory below which the comparison has no result.
 const METER_MIN_UNITS: f64 = 25.0;
-/// Totals that hold a smaller fraction of the metered use are split...
+/// Fraction of the metered use below which totals are taken for those of a split counter.
 const METER_SPLIT_BELOW: f64 = 0.78;
-/// ...until they hold this fraction again (hysteresis).
+/// Fraction of the metered use from which on a split has healed (hysteresis).
 const METER_HEALED_FROM: f64 = 0.9;
 
 /// Time constant of the replica comparison, in seconds.
 const REPLICA_MEMORY_SECS: f64 = 2.0;
 /// Units acknowledged to other gatekeepers, in memory, below which the comparison has no result.
 const REPLICA_MIN_UNITS: f64 = 12.0;
-/// Answers in memory, the older ones weighing less, below which it has none: one odd answer is not enough.
+/// Answers in memory, the older ones weighing less, below which the comparison has no result: one odd answer is not
+/// enough.
 const REPLICA_MIN_ANSWERS: f64 = 1.7;
-/// Totals that hold a smaller fraction of what was acknowledged are split. Less than this is missing where gatekeepers
-/// return units that they reserved and then rejected, or settle an estimate.
+/// Fraction of the acknowledged units below which totals are taken for those of a split counter. Gatekeepers that return
+/// units that they reserved and then rejected, or that settle an estimate, leave totals above it.
 const REPLICA_SPLIT_BELOW: f64 = 0.8;
-/// They are split until they hold this fraction again...
+/// Fraction of the acknowledged units from which on a split has healed (hysteresis).
 const REPLICA_HEALED_FROM: f64 = 0.9;
-/// ...or until there was nothing to compare for this long, in seconds.
+/// Time without a comparison after which a split is no longer assumed, in seconds.
 const REPLICA_QUIET_SECS: f64 = 12.0;
 
 /// Expected and counted units with exponential decay, and whether too many are missing.
@@ -41,7 +43,7 @@
 }
 
 impl DecayingComparison {
-    /// Adds one comparison; returns the factor by which the older ones have decayed.
+    /// Adds one comparison. Returns the factor by which the earlier ones have decayed.
     fn add(&mut self, now: f64, memory_secs: f64, expected: f64, counted: f64) -> f64 {
         let decay = ((self.updated_at - now).min(0.0) / memory_secs).exp();
         self.expected = self.expected * decay + expected;
@@ -50,15 +52,15 @@
         decay
     }
 
-    /// Updates `is_split`: set where less than `split_below` of what is expected is counted, cleared from
+    /// Updates `is_split`: set where the counted fraction of the expected units is below `split_below`, cleared from
     /// `healed_from` on.
-    fn judge(&mut self, split_below: f64, healed_from: f64) {
+    fn update_split(&mut self, split_below: f64, healed_from: f64) {
         let threshold = if self.is_split { healed_from } else { split_below };
         self.is_split = self.counted / self.expected < threshold;
     }
 }
 
-/// Totals compared with the meter in nodes' responses.
+/// Comparison of totals with the meter in nodes' responses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MeterComparison {
     sums: DecayingComparison,
@@ -72,7 +74,7 @@
             self.sums.add(now, METER_MEMORY_SECS, metered, counted.clamp(0.0, 2.0 * metered));
         }
         if self.sums.expected >= METER_MIN_UNITS {
-            self.sums.judge(METER_SPLIT_BELOW, METER_HEALED_FROM);
+            self.sums.update_split(METER_SPLIT_BELOW, METER_HEALED_FROM);
         }
         self.sums.is_split
     }
@@ -91,24 +93,25 @@
 /// Units that the counter had acknowledged as a call went out: a lower bound of its answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AcknowledgedUnits {
-    /// To this gatekeeper.
+    /// Units acknowledged to this gatekeeper.
     pub own: f64,
-    /// To the others, by the replicas of their usage.
+    /// Units acknowledged to the other gatekeepers, by the replicas of their usage.
     pub others: f64,
 }
 
-/// A partition's totals compared with what replicas say it acknowledged.
+/// Comparison of a partition's totals with what it acknowledged, by the replicas of gatekeepers' usage.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplicaComparison {
     sums: DecayingComparison,
-    /// Units acknowledged to others, and the number of answers, with the same decay.
+    /// Units acknowledged to others, decaying like the sums.
     others: f64,
+    /// Number of answers, decaying like the sums.
     answers: f64,
 }
 
 impl ReplicaComparison {
-    /// Adds the answer to a call: `total` without what that call itself added. Ignored where nothing was acknowledged
-    /// to others, or a value is not finite.
+    /// Adds the answer to a call; `total` excludes what that call itself added. Answers are ignored where nothing was
+    /// acknowledged to others, or a value is not finite.
     pub fn add_answer(&mut self, now: f64, total: f64, acknowledged: AcknowledgedUnits) {
         let AcknowledgedUnits { own, others } = acknowledged;
         let expected = own + others;
@@ -119,11 +122,11 @@
         self.others = self.others * decay + others;
         self.answers = self.answers * decay + 1.0;
         if self.others >= REPLICA_MIN_UNITS && self.answers >= REPLICA_MIN_ANSWERS {
-            self.sums.judge(REPLICA_SPLIT_BELOW, REPLICA_HEALED_FROM);
+            self.sums.update_split(REPLICA_SPLIT_BELOW, REPLICA_HEALED_FROM);
         }
     }
 
-    /// Whether totals lack what was acknowledged to others, and this was compared lately.
+    /// Whether totals lacked what was acknowledged to others when last compared, unless that is too long ago.
     pub fn is_split(&self, now: f64) -> bool {
         self.sums.is_split && now - self.sums.updated_at <= REPLICA_QUIET_SECS
     }
