--- a/src/quota/call.rs
+++ b/src/quota/call.rs
@@ -12,7 +12,7 @@
     Total(f64),
     /// The amount was added, but the total must not be used.
     Withheld,
-    /// The amount may have been added: sending it again could count it twice.
+    /// The amount may have been added. It must never be sent again, as it could count twice.
     Undetermined,
     /// The amount was not added: the next call sends it again.
     NotAdded,
--- a/src/quota/share.rs
+++ b/src/quota/share.rs
@@ -2,7 +2,7 @@
 //! quota, the use over all gatekeepers, and the fallback allowance.
 //!
 //! The share is learnt from earlier totals and decays towards the even share as they age. The use over all gatekeepers
-//! comes from the meter in nodes' responses, which is believed for some seconds. What is admitted by these estimates is
+//! comes from the meter in nodes' responses, which is trusted for some seconds. What is admitted by these estimates is
 //! up to the decision module.
 
 /// Weight of the even share against learnt totals, as a fraction of the burst.
