--- a/tests/quota_model.rs
+++ b/tests/quota_model.rs
@@ -1,7 +1,7 @@
-//! A model of gatekeepers and their counter in simulated time: the decision module itself, many of it, before a
-//! counter with parts that can be lost, late, split, replaced or spoilt on cue. It audits quotas and ceilings from
-//! what was sent, never from the module's own books. The tests hold the stated bounds; `measure` prints the table
-//! of docs/quota.md: `cargo test --release --test quota_model -- --ignored --nocapture`.
+//! Discrete-event simulation of gatekeepers and their counter: many instances of the real decision module, with a
+//! modelled counter whose partitions can be unresponsive, late, split, replaced or answer garbage. Quotas and ceilings
+//! are audited from the requests sent, never from the module's own state. The tests check the stated bounds; `measure`
+//! prints the table of docs/quota.md: `cargo test --release --test quota_model -- --ignored --nocapture`.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -9,14 +9,14 @@
 use std::time::Duration;
 use whinstall::fleet::replica::{Key, Origin, Replica, ReplicaLimits, RowValue};
 use whinstall::quota::bound::{BoundInput, ErrorBound};
-use whinstall::quota::QuotaSettings;
+use whinstall::quota::{CounterReport, QuotaSettings};
 use whinstall::*;
 
 fn secs(s: f64) -> Duration {
     Duration::from_secs_f64(s)
 }
 
-/// SplitMix64: the model's only source of chance.
+/// SplitMix64, the simulation's only source of randomness.
 struct Rng(u64);
 impl Rng {
     fn next(&mut self) -> f64 {
@@ -28,58 +28,83 @@
     }
 }
 
-/// What befalls the counter while the trouble lasts.
+/// Fault of the counter, in some cases together with one of the gatekeepers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     None,
-    /// No part answers.
+    /// No partition answers.
     Lost,
-    /// One of two parts does not answer: some names do, others do not.
-    HalfLost,
-    /// Answers take 60 ms, twice the wait.
+    /// One of two partitions does not answer, so some names are answered and others are not.
+    PartitionLost,
+    /// Answers take 60 ms, twice the timeout.
     Late,
-    /// Two views: even gatekeepers reach one, odd ones the other, each from what it held.
-    Views,
-    /// Emptied once, as it begins.
+    /// The counter is split in two views with a copy of its totals each. Gatekeepers of even number reach one, the
+    /// others the other.
+    Split,
+    /// The counter loses all totals as the fault begins.
     Replaced,
-    /// Every fourth answer is no total that can be.
-    Spoilt,
-    /// Lost, and half of the gatekeepers are killed as it begins and start anew.
+    /// Every fourth answer is an implausible total.
+    Garbage,
+    /// The counter is lost, and every other gatekeeper restarts without its state as the fault begins.
     LostAndRestarted,
-    /// Lost, and the gatekeepers are cut in two halves, which clients reach both.
-    LostAndCut,
+    /// The counter is lost, and the network between gatekeepers is partitioned in two halves, both of which customers
+    /// reach.
+    LostAndPartitioned,
 }
 
-/// What helps the gatekeepers.
+/// Mechanisms that limit the error.
 #[derive(Clone, Debug, Default)]
-struct With {
-    /// The guard's settings; `None`: its defaults.
+struct Setup {
+    /// Settings of the guard; `None`: its defaults.
     quota: Option<QuotaSettings>,
-    /// Do they hold copies of each other's books?
-    copies: bool,
+    /// Whether gatekeepers replicate their usage to each other.
+    replicates: bool,
 }
 
-/// Seconds between two rounds of the copies, and what an exchange takes.
-const ROUND: f64 = 0.2;
-const WAY: f64 = 0.005;
-const PEERS: usize = 2;
-
-const FROM: f64 = 20.0;
-const FOR: f64 = 30.0;
-const END: f64 = 60.0;
-/// Gatekeepers, customers and the counter's time for a call, in seconds: what it bears is one over that.
+/// Mean time between two replication rounds of a gatekeeper, in seconds.
+const REPLICATION_INTERVAL_SECS: f64 = 0.2;
+/// Time that an exchange between two gatekeepers takes, in seconds.
+const EXCHANGE_SECS: f64 = 0.005;
+/// Number of peers that a gatekeeper exchanges with in a replication round.
+const PEERS_PER_ROUND: usize = 2;
+/// Upper bound of the data that an exchange returns, in bytes.
+const EXCHANGE_MAX_BYTES: usize = 1200;
+
+/// When the fault begins, in seconds.
+const FAULT_START_SECS: f64 = 20.0;
+/// Duration of the fault, in seconds.
+const FAULT_SECS: f64 = 30.0;
+/// Length of a run, in seconds.
+const RUN_SECS: f64 = 60.0;
+
+/// Size of a simulated site.
 #[derive(Clone, Copy)]
 struct Size {
-    gates: usize,
-    clients: usize,
-    service: f64,
+    gatekeepers: usize,
+    customers: usize,
+    /// Time that the counter works on a call, in seconds. The reciprocal is its capacity in calls per second.
+    call_secs: f64,
 }
-const SMALL: Size = Size { gates: 6, clients: 60, service: 0.0 };
-const WIDTH: usize = 3;
-const WAIT: f64 = 0.03;
-const LATENCY: f64 = 0.12;
 
-fn settings(ordinal: usize, gates: usize) -> Settings {
+const SMALL: Size = Size { gatekeepers: 6, customers: 60, call_secs: 0.0 };
+/// Number of gatekeepers that serve a customer.
+const WIDTH: usize = 3;
+/// Timeout of calls to the counter, in seconds.
+const COUNTER_TIMEOUT_SECS: f64 = 0.03;
+/// Mean time of an attempt, in seconds.
+const ATTEMPT_SECS: f64 = 0.12;
+/// The gatekeepers' clocks at the start of a run, in seconds.
+const CLOCK_START_SECS: f64 = 1e6;
+
+/// Plan of most customers. It has a quota, but no ceiling.
+const STANDARD: usize = 0;
+/// Plan of every fourth customer. It has a quota and a ceiling.
+const CABINET: usize = 1;
+const PLAN_NAMES: [&str; 2] = ["standard", "cabinet"];
+/// Ceiling tolerance of the cabinet plan, in units.
+const CEILING_TOLERANCE: f64 = 6.0;
+
+fn settings(ordinal: usize, gatekeepers: usize) -> Settings {
     let class = |name: &str, idempotency, gain| Class {
         name: name.into(),
         latency_target: secs(1.2),
@@ -89,7 +114,7 @@
         key_retention: Duration::ZERO,
     };
     let standard = Plan {
-        name: "standard".into(),
+        name: PLAN_NAMES[STANDARD].into(),
         rate: 2.4,
         burst: 10.0,
         max_concurrent: 0,
@@ -101,25 +126,25 @@
         excess_cost_fraction: 0.5,
     };
     let cabinet = Plan {
-        name: "cabinet".into(),
+        name: PLAN_NAMES[CABINET].into(),
         rate: 15.0,
         burst: 30.0,
         ceiling_rate: 30.0,
         ceiling_burst: 60.0,
-        ceiling_tolerance: 6.0,
+        ceiling_tolerance: CEILING_TOLERANCE,
         price: 1.6,
         excess_value_fraction: 0.1,
         excess_cost_fraction: 0.0,
         ..standard.clone()
     };
     Settings {
-        replicas: gates as u32,
+        replicas: gatekeepers as u32,
         ordinal: ordinal as u32,
         zone: "a".into(),
         classes: vec![class("preview", Idempotency::Repeatable, 1.0), class("issue", Idempotency::Once, 3.0)],
         plans: vec![standard, cabinet],
         uses_counter: true,
-        counter_timeout: secs(WAIT),
+        counter_timeout: secs(COUNTER_TIMEOUT_SECS),
         units_are_estimates: false,
         max_units: 4.0,
         may_cancel: true,
@@ -139,388 +164,472 @@
     }
 }
 
-/// A bucket that audits what was sent: `rate` a second, `store` at once.
+/// A token bucket that audits the units sent.
 #[derive(Clone)]
-struct Audit {
+struct TokenBucket {
+    /// Rate at which the bucket fills, in units per second.
     rate: f64,
-    store: f64,
+    /// Units that the bucket holds at most.
+    burst: f64,
     level: f64,
-    at: f64,
+    updated_at: f64,
 }
-impl Audit {
-    fn new(rate: f64, store: f64) -> Self {
-        Audit { rate, store, level: store, at: 0.0 }
+
+impl TokenBucket {
+    fn new(rate: f64, burst: f64) -> Self {
+        TokenBucket { rate, burst, level: burst, updated_at: 0.0 }
     }
-    fn to(&mut self, now: f64) {
-        self.level = (self.level + self.rate * (now - self.at)).min(self.store);
-        self.at = now;
+
+    fn refill(&mut self, now: f64) {
+        self.level = (self.level + self.rate * (now - self.updated_at)).min(self.burst);
+        self.updated_at = now;
     }
 }
 
-struct Client {
+/// Metered use of a customer, as a fraction of its rate. The value of a period is visible only some time after its end.
+#[derive(Clone, Copy)]
+struct Meter {
+    /// Value of the last period.
+    newest: f64,
+    /// Time from which on `newest` is visible, in seconds.
+    visible_from: f64,
+    /// Value of the period before.
+    previous: f64,
+}
+
+struct Customer {
     plan: usize,
-    /// Units asked a second, over all its gatekeepers.
-    asks: f64,
-    first: usize,
-    /// Weights of its gatekeepers, turned every so often.
+    /// Demand over all gatekeepers, in units per second.
+    demand: f64,
+    /// The first of the [`WIDTH`] consecutive gatekeepers that serve the customer.
+    first_gatekeeper: usize,
+    /// Distribution of the requests over these gatekeepers; changes from time to time.
     weights: [f64; WIDTH],
-    quota: Audit,
-    ceiling: Audit,
-    /// Units sent in the current meter period, and what the meter tells from when on.
-    used: f64,
-    told: (f64, f64, f64),
-    /// During the trouble: units sent beyond the quota, units refused with room, units asked.
-    beyond: f64,
-    refused_with_room: f64,
-    asked: f64,
-    worst_ceiling: f64,
-}
-
-enum What {
-    Ask(usize),
-    Outcome {
-        gate: usize,
-        life: usize,
+    quota: TokenBucket,
+    ceiling: TokenBucket,
+    /// Units sent in the current metering period.
+    period_units: f64,
+    meter: Meter,
+    /// Units sent beyond the quota during the fault.
+    excess_units: f64,
+    /// Units rejected during the fault although the quota had room for them.
+    rejected_inside_quota: f64,
+    /// Units requested during the fault.
+    requested_units: f64,
+    /// Lowest level of the ceiling's bucket in the run, in units.
+    min_ceiling_level: f64,
+}
+
+/// A simulated event. Those with an incarnation are dropped if the gatekeeper has restarted since.
+enum SimEvent {
+    /// A customer sends a request.
+    Request(usize),
+    /// An attempt of a customer's request is answered.
+    AttemptFinished {
+        gatekeeper: usize,
+        incarnation: usize,
         id: RequestId,
         attempt: u32,
         host: HostId,
-        client: usize,
+        customer: usize,
     },
     Timer {
-        gate: usize,
-        life: usize,
+        gatekeeper: usize,
+        incarnation: usize,
         token: String,
     },
-    /// The counter answers, or the wait is over.
-    Counted {
-        gate: usize,
-        life: usize,
+    /// The counter answers in time, or the call times out.
+    CounterReply {
+        gatekeeper: usize,
+        incarnation: usize,
         name: CounterKey,
         ending: Ending,
         total: f64,
         delay: f64,
     },
-    Late {
-        gate: usize,
-        life: usize,
+    /// The counter answers after the timeout.
+    LateCounterReply {
+        gatekeeper: usize,
+        incarnation: usize,
         name: CounterKey,
         total: f64,
         delay: f64,
     },
-    /// A gatekeeper's round of the copies; and what it asked a peer arrives.
-    Round(usize, usize),
-    Exchange(usize, usize),
-    Turn,
-    Period,
-    Begin,
-    Finish,
+    /// Replication round of a gatekeeper.
+    ReplicationRound {
+        gatekeeper: usize,
+        incarnation: usize,
+    },
+    /// Data that a gatekeeper requested from a peer arrives.
+    Exchange {
+        gatekeeper: usize,
+        peer: usize,
+    },
+    /// The distribution of requests over gatekeepers changes.
+    ShiftWeights,
+    /// A metering period ends.
+    MeterPeriodEnds,
+    FaultBegins,
+    FaultEnds,
 }
 
-/// What a run came to, over the trouble.
+/// Results of a run, during the fault unless said otherwise.
 #[derive(Debug, Clone, Default)]
 struct Figures {
-    /// Beyond the quota as a part of it: of the customers that ask for about all of theirs, of those far over, worst.
-    near: f64,
-    over: f64,
-    worst: f64,
-    /// Units refused with room to customers inside their quota, as a part of those they asked.
-    refused: f64,
-    /// Calls a second, in the trouble and in the second after it.
-    calls: f64,
-    calls_after: f64,
-    /// The lowest level of any ceiling's store, in units: under minus its tolerance is a broken rule.
-    ceiling: f64,
+    /// Excess units of customers that demand less than their quota, as a fraction of the quota.
+    excess_inside: f64,
+    /// Excess units of customers that demand more than their quota, as a fraction of the quota.
+    excess_beyond: f64,
+    /// Largest excess units of a customer, as a fraction of its quota.
+    max_excess: f64,
+    /// Units rejected although the quota had room, as a fraction of those requested by customers inside their quota.
+    rejected: f64,
+    /// Calls to the counter per second.
+    calls_per_sec: f64,
+    /// Calls to the counter per second in the two seconds after the fault.
+    calls_per_sec_after: f64,
+    /// Lowest level of any ceiling's bucket in the whole run, in units. A ceiling is violated below minus its tolerance.
+    min_ceiling_level: f64,
+}
+
+/// A customer's request that a gatekeeper decides on or serves.
+#[derive(Clone, Copy)]
+struct PendingRequest {
+    customer: usize,
+    /// Units to be audited as the first attempt is sent; 0 from then on.
+    units: f64,
 }
 
 struct Model {
     now: f64,
     rng: Rng,
+    /// Times, in microseconds, and sequence numbers of the events to come, earliest first.
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    events: BTreeMap<u64, What>,
+    /// Events to come, by sequence number.
+    events: BTreeMap<u64, SimEvent>,
     sequence: u64,
     size: Size,
-    /// The counter is at work until then, on what it has taken.
-    busy: f64,
-    gates: Vec<Gateway>,
-    lives: Vec<usize>,
-    with: With,
+    /// When the counter has finished the calls that it has accepted, in seconds.
+    counter_busy_until: f64,
+    gatekeepers: Vec<Gateway>,
+    /// Number of restarts of each gatekeeper.
+    incarnations: Vec<usize>,
+    setup: Setup,
     replicas: Vec<Replica>,
-    clients: Vec<Client>,
-    of_request: BTreeMap<RequestId, (usize, f64)>,
-    requests: u64,
-    counts: [BTreeMap<CounterKey, f64>; 2],
-    trouble: Trouble,
-    active: bool,
-    answers: u64,
+    customers: Vec<Customer>,
+    pending: BTreeMap<RequestId, PendingRequest>,
+    request_count: u64,
+    /// Totals of the counter, by view; the second is used only while the counter is split.
+    totals: [BTreeMap<CounterKey, f64>; 2],
+    fault: Fault,
+    is_fault_active: bool,
+    /// Number of calls that the counter has answered.
+    answer_count: u64,
+    /// Calls to the counter, by second.
     calls: Vec<u64>,
-    /// Of these, those that waited too long at a counter that answers.
+    /// Calls that timed out at a counter that answers, by second.
     unanswered: Vec<u64>,
 }
 
 impl Model {
-    fn at(&mut self, when: f64, what: What) {
+    fn schedule(&mut self, at: f64, event: SimEvent) {
         self.sequence += 1;
-        self.queue.push(Reverse(((when * 1e6) as u64, self.sequence)));
-        self.events.insert(self.sequence, what);
+        self.queue.push(Reverse(((at * 1e6) as u64, self.sequence)));
+        self.events.insert(self.sequence, event);
     }
 
-    fn gate(&self, ordinal: usize, seed: u64) -> Gateway {
-        let gateway = Gateway::new(settings(ordinal, self.size.gates), seed);
-        match &self.with.quota {
+    fn new_gatekeeper(&self, ordinal: usize, seed: u64) -> Gateway {
+        let gateway = Gateway::new(settings(ordinal, self.size.gatekeepers), seed);
+        match &self.setup.quota {
             Some(quota) => gateway.with_quota(quota.clone()),
             None => gateway,
         }
     }
 
-    fn replica(&self, gate: usize) -> Replica {
-        let origin = Origin { name: format!("g{gate}").into(), incarnation: 1 + self.lives[gate] as u64 };
+    fn new_replica(&self, gatekeeper: usize) -> Replica {
+        let origin = Origin {
+            name: format!("g{gatekeeper}").into(),
+            incarnation: 1 + self.incarnations[gatekeeper] as u64,
+        };
         Replica::new(origin, ReplicaLimits::default())
     }
 
-    /// Gatekeepers of two halves that cannot reach each other?
-    fn cut(&self, a: usize, b: usize) -> bool {
-        self.active && self.trouble == Trouble::LostAndCut && a % 2 != b % 2
+    /// Whether two gatekeepers cannot reach each other.
+    fn is_partitioned(&self, a: usize, b: usize) -> bool {
+        self.is_fault_active && self.fault == Fault::LostAndPartitioned && a % 2 != b % 2
     }
 
-    /// A round of the copies, as the carrier makes it.
-    fn round(&mut self, gate: usize) {
-        let (now, known) = (1e6 + self.now, self.gates[gate].local_state());
-        let replica = &mut self.replicas[gate];
+    /// Runs a replication round: records the gatekeeper's own usage, applies that of the others, and exchanges with
+    /// random peers.
+    fn replication_round(&mut self, gatekeeper: usize) {
+        let (now, local) = (CLOCK_START_SECS + self.now, self.gatekeepers[gatekeeper].local_state());
+        let replica = &mut self.replicas[gatekeeper];
         replica.record(now, Key::Heartbeat, RowValue::Heartbeat(self.now), 60.0);
-        for s in known.usage {
-            let said = RowValue::Usage { units: s.units, acknowledged: s.acknowledged_units };
-            replica.record(now, Key::Usage(s.customer, s.window), said, s.expires_at - now);
+        for s in local.usage {
+            let value = RowValue::Usage { units: s.units, acknowledged: s.acknowledged_units };
+            replica.record(now, Key::Usage(s.customer, s.window), value, s.expires_at - now);
         }
         replica.sweep(now, &Default::default());
-        let fresh = replica.fresh_fraction(now, self.size.gates as u32);
+        let fresh_fraction = replica.fresh_fraction(now, self.size.gatekeepers as u32);
         let usage = replica.take_changed_usage();
-        let state = RemoteState { usage, host_health: Vec::new(), fresh_fraction: fresh };
-        self.gates[gate].apply_remote_state(state);
-        for _ in 0..PEERS {
-            let peer =
-                (gate + 1 + (self.rng.next() * (self.size.gates - 1) as f64) as usize) % self.size.gates;
-            if !self.cut(gate, peer) {
-                self.at(self.now + WAY, What::Exchange(gate, peer));
+        let state = RemoteState { usage, host_health: Vec::new(), fresh_fraction };
+        self.gatekeepers[gatekeeper].apply_remote_state(state);
+        for _ in 0..PEERS_PER_ROUND {
+            let peer = (gatekeeper + 1 + (self.rng.next() * (self.size.gatekeepers - 1) as f64) as usize)
+                % self.size.gatekeepers;
+            if !self.is_partitioned(gatekeeper, peer) {
+                self.schedule(self.now + EXCHANGE_SECS, SimEvent::Exchange { gatekeeper, peer });
             }
         }
-        let wait = ROUND * (0.8 + 0.4 * self.rng.next());
-        let life = self.lives[gate];
-        self.at(self.now + wait, What::Round(gate, life));
+        let interval = REPLICATION_INTERVAL_SECS * (0.8 + 0.4 * self.rng.next());
+        let incarnation = self.incarnations[gatekeeper];
+        self.schedule(self.now + interval, SimEvent::ReplicationRound { gatekeeper, incarnation });
     }
 
-    fn exchange(&mut self, asker: usize, peer: usize) {
-        let now = 1e6 + self.now;
-        let upto = self.replicas[peer].digest();
-        let mine = self.replicas[asker].me().clone();
-        if let Some(piece) = self.replicas[asker].own_delta_after(now, upto.get(&mine).copied().unwrap_or(0))
-        {
-            self.replicas[peer].merge(now, piece);
+    /// Sends a gatekeeper's own new rows to a peer, and brings the gatekeeper up to date with what the peer has.
+    fn exchange(&mut self, gatekeeper: usize, peer: usize) {
+        let now = CLOCK_START_SECS + self.now;
+        let known_by_peer = self.replicas[peer].digest();
+        let own_origin = self.replicas[gatekeeper].me().clone();
+        let known_version = known_by_peer.get(&own_origin).copied().unwrap_or(0);
+        if let Some(delta) = self.replicas[gatekeeper].own_delta_after(now, known_version) {
+            self.replicas[peer].merge(now, delta);
         }
-        let digest = self.replicas[asker].digest();
-        for piece in self.replicas[peer].deltas_for(now, &digest, 1200, 0).0 {
-            self.replicas[asker].merge(now, piece);
+        let digest = self.replicas[gatekeeper].digest();
+        for delta in self.replicas[peer].deltas_for(now, &digest, EXCHANGE_MAX_BYTES, 0).0 {
+            self.replicas[gatekeeper].merge(now, delta);
         }
     }
 
-    fn give(&mut self, gate: usize, event: Event) {
+    /// Lets a gatekeeper handle an event, and carries out its actions.
+    fn deliver(&mut self, gatekeeper: usize, event: Event) {
         let mut actions = Vec::new();
-        self.gates[gate].handle(secs(1e6 + self.now), event, &mut actions);
-        let life = self.lives[gate];
+        self.gatekeepers[gatekeeper].handle(secs(CLOCK_START_SECS + self.now), event, &mut actions);
+        let incarnation = self.incarnations[gatekeeper];
         for action in actions {
             match action {
                 Action::Send { id, host, .. } => {
-                    let Some(&(client, units)) = self.of_request.get(&id) else { continue };
+                    let Some(&PendingRequest { customer, units }) = self.pending.get(&id) else { continue };
                     if units > 0.0 {
-                        self.sent(client, units);
-                        self.of_request.insert(id.clone(), (client, 0.0));
+                        self.record_sent(customer, units);
+                        self.pending.insert(id.clone(), PendingRequest { customer, units: 0.0 });
                     }
-                    let when = self.now + LATENCY * (0.7 + 0.6 * self.rng.next());
-                    self.at(when, What::Outcome { gate, life, id, attempt: 0, host, client });
+                    let at = self.now + ATTEMPT_SECS * (0.7 + 0.6 * self.rng.next());
+                    let finished =
+                        SimEvent::AttemptFinished { gatekeeper, incarnation, id, attempt: 0, host, customer };
+                    self.schedule(at, finished);
                 }
                 Action::Refuse { id, .. } | Action::Fail { id } => {
-                    if let Some((client, units)) = self.of_request.remove(&id) {
-                        self.refused(client, units);
+                    if let Some(PendingRequest { customer, units }) = self.pending.remove(&id) {
+                        self.record_rejected(customer, units);
                     }
                 }
-                Action::AddToCounter { name, amount, .. } => self.count(gate, name, amount),
+                Action::AddToCounter { name, amount, .. } => self.call_counter(gatekeeper, name, amount),
                 Action::SetTimer { after, token } => {
-                    let when = self.now + after.as_secs_f64();
-                    self.at(when, What::Timer { gate, life, token });
+                    let at = self.now + after.as_secs_f64();
+                    self.schedule(at, SimEvent::Timer { gatekeeper, incarnation, token });
                 }
                 _ => {}
             }
         }
     }
 
-    fn sent(&mut self, client: usize, units: f64) {
+    fn record_sent(&mut self, customer: usize, units: f64) {
         let now = self.now;
-        let c = &mut self.clients[client];
-        c.quota.to(now);
+        let c = &mut self.customers[customer];
+        c.quota.refill(now);
         let inside = c.quota.level.clamp(0.0, units);
         c.quota.level -= inside;
-        c.used += units;
-        if self.active {
-            c.beyond += units - inside;
+        c.period_units += units;
+        if self.is_fault_active {
+            c.excess_units += units - inside;
         }
-        c.ceiling.to(now);
+        c.ceiling.refill(now);
         c.ceiling.level -= units;
-        c.worst_ceiling = c.worst_ceiling.min(c.ceiling.level);
+        c.min_ceiling_level = c.min_ceiling_level.min(c.ceiling.level);
     }
 
-    fn refused(&mut self, client: usize, units: f64) {
-        let c = &mut self.clients[client];
-        c.quota.to(self.now);
-        if self.active && c.quota.level >= units {
-            c.refused_with_room += units;
+    fn record_rejected(&mut self, customer: usize, units: f64) {
+        let c = &mut self.customers[customer];
+        c.quota.refill(self.now);
+        if self.is_fault_active && c.quota.level >= units {
+            c.rejected_inside_quota += units;
         }
     }
 
-    fn count(&mut self, gate: usize, name: CounterKey, amount: f64) {
-        let life = self.lives[gate];
+    /// Simulates one call to the counter, from its arrival to the reply.
+    fn call_counter(&mut self, gatekeeper: usize, name: CounterKey, amount: f64) {
+        let incarnation = self.incarnations[gatekeeper];
         let second = (self.now as usize).min(self.calls.len() - 1);
         self.calls[second] += 1;
-        let part = name.0.bytes().fold(0u32, |h, b| h.wrapping_mul(31).wrapping_add(b.into())) % 2;
-        let trouble = if self.active { self.trouble } else { Trouble::None };
-        let silent = match trouble {
-            Trouble::Lost | Trouble::LostAndRestarted | Trouble::LostAndCut => true,
-            Trouble::HalfLost => part == 1,
+        let partition = name.0.bytes().fold(0u32, |h, b| h.wrapping_mul(31).wrapping_add(b.into())) % 2;
+        let fault = if self.is_fault_active { self.fault } else { Fault::None };
+        let is_unresponsive = match fault {
+            Fault::Lost | Fault::LostAndRestarted | Fault::LostAndPartitioned => true,
+            Fault::PartitionLost => partition == 1,
             _ => false,
         };
-        if silent {
-            let (ending, total, delay) = (Ending::Timeout, 0.0, WAIT);
-            self.at(self.now + WAIT, What::Counted { gate, life, name, ending, total, delay });
+        if is_unresponsive {
+            let (ending, total, delay) = (Ending::Timeout, 0.0, COUNTER_TIMEOUT_SECS);
+            let reply = SimEvent::CounterReply { gatekeeper, incarnation, name, ending, total, delay };
+            self.schedule(self.now + COUNTER_TIMEOUT_SECS, reply);
             return;
         }
-        let view = usize::from(trouble == Trouble::Views && gate % 2 == 1);
-        let total = self.counts[view].entry(name.clone()).or_default();
+        let view = usize::from(fault == Fault::Split && gatekeeper % 2 == 1);
+        let total = self.totals[view].entry(name.clone()).or_default();
         *total += amount;
         let mut total = *total;
-        self.answers += 1;
-        if trouble == Trouble::Spoilt && self.answers.is_multiple_of(4) {
-            total = [f64::INFINITY, -5.0, 0.0, 1e15][(self.answers / 4 % 4) as usize];
+        self.answer_count += 1;
+        if fault == Fault::Garbage && self.answer_count.is_multiple_of(4) {
+            total = [f64::INFINITY, -5.0, 0.0, 1e15][(self.answer_count / 4 % 4) as usize];
         }
-        self.busy = self.busy.max(self.now) + self.size.service;
-        let queued = (self.busy - self.now).max(0.0);
+        self.counter_busy_until = self.counter_busy_until.max(self.now) + self.size.call_secs;
+        let queued = (self.counter_busy_until - self.now).max(0.0);
         let delay = queued + 0.002 + 0.002 * self.rng.next();
-        if trouble == Trouble::Late || delay > WAIT {
-            let late = if trouble == Trouble::Late { 2.0 * WAIT } else { delay };
+        if fault == Fault::Late || delay > COUNTER_TIMEOUT_SECS {
+            let late = if fault == Fault::Late { 2.0 * COUNTER_TIMEOUT_SECS } else { delay };
             self.unanswered[second] += 1;
-            let (ending, delay) = (Ending::Timeout, WAIT);
-            let again = name.clone();
-            self.at(self.now + WAIT, What::Counted { gate, life, name, ending, total: 0.0, delay });
-            self.at(self.now + late, What::Late { gate, life, name: again, total, delay: late });
+            let (ending, delay) = (Ending::Timeout, COUNTER_TIMEOUT_SECS);
+            let timeout = SimEvent::CounterReply {
+                gatekeeper,
+                incarnation,
+                name: name.clone(),
+                ending,
+                total: 0.0,
+                delay,
+            };
+            self.schedule(self.now + COUNTER_TIMEOUT_SECS, timeout);
+            let reply = SimEvent::LateCounterReply { gatekeeper, incarnation, name, total, delay: late };
+            self.schedule(self.now + late, reply);
             return;
         }
         let ending = Ending::Ok;
-        self.at(self.now + delay, What::Counted { gate, life, name, ending, total, delay });
+        let reply = SimEvent::CounterReply { gatekeeper, incarnation, name, ending, total, delay };
+        self.schedule(self.now + delay, reply);
     }
 
-    fn ask(&mut self, client: usize) {
-        let c = &self.clients[client];
+    /// Sends a request of 1 to 3 units to one of the customer's gatekeepers, and schedules the next request.
+    fn send_request(&mut self, customer: usize) {
+        let c = &self.customers[customer];
         let units = 1.0 + (self.rng.next() * 3.0).floor();
         let mut draw = self.rng.next() * c.weights.iter().sum::<f64>();
-        let mut turn = 0;
-        while turn + 1 < WIDTH && draw > c.weights[turn] {
-            draw -= c.weights[turn];
-            turn += 1;
+        let mut offset = 0;
+        while offset + 1 < WIDTH && draw > c.weights[offset] {
+            draw -= c.weights[offset];
+            offset += 1;
         }
-        let gate = (c.first + turn) % self.size.gates;
-        let wait = -2.0 / c.asks * (1.0 - self.rng.next()).ln();
-        let (plan, issue) = (["standard", "cabinet"][c.plan], self.rng.next() < 0.42);
-        self.at(self.now + wait, What::Ask(client));
-        if self.active {
-            self.clients[client].asked += units;
+        let gatekeeper = (c.first_gatekeeper + offset) % self.size.gatekeepers;
+        let interval = -2.0 / c.demand * (1.0 - self.rng.next()).ln();
+        let (plan, is_issue) = (PLAN_NAMES[c.plan], self.rng.next() < 0.42);
+        self.schedule(self.now + interval, SimEvent::Request(customer));
+        if self.is_fault_active {
+            self.customers[customer].requested_units += units;
         }
-        self.requests += 1;
-        let id = RequestId(Arc::from(format!("r{}", self.requests)));
-        self.of_request.insert(id.clone(), (client, units));
+        self.request_count += 1;
+        let id = RequestId(Arc::from(format!("r{}", self.request_count)));
+        self.pending.insert(id.clone(), PendingRequest { customer, units });
         let event = Event::Request {
             id,
-            class: if issue { "issue" } else { "preview" }.into(),
+            class: if is_issue { "issue" } else { "preview" }.into(),
             plan: plan.into(),
-            customer: CustomerId(Arc::from(format!("{client:016x}"))),
+            customer: CustomerId(Arc::from(format!("{customer:016x}"))),
             budget: secs(3.0),
             units,
             gateway_count: WIDTH as u32,
         };
-        self.give(gate, event);
+        self.deliver(gatekeeper, event);
     }
 
-    fn step(&mut self, what: What) {
-        match what {
-            What::Ask(client) => self.ask(client),
-            What::Outcome { gate, life, id, attempt, host, client } => {
-                self.of_request.remove(&id);
-                let (told, from, was) = self.clients[client].told;
-                let metered = Some(if self.now >= from { told } else { was });
-                if self.lives[gate] == life {
-                    let (ending, delay) = (Ending::Ok, secs(LATENCY));
+    fn process(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Request(customer) => self.send_request(customer),
+            SimEvent::AttemptFinished { gatekeeper, incarnation, id, attempt, host, customer } => {
+                self.pending.remove(&id);
+                let Meter { newest, visible_from, previous } = self.customers[customer].meter;
+                let metered = Some(if self.now >= visible_from { newest } else { previous });
+                if self.incarnations[gatekeeper] == incarnation {
+                    let (ending, elapsed) = (Ending::Ok, secs(ATTEMPT_SECS));
                     let outcome = Event::AttemptFinished {
                         id,
                         attempt,
                         host,
                         ending,
                         request_done: true,
-                        elapsed: delay,
+                        elapsed,
                         cost: 0.0,
                         metered,
                     };
-                    self.give(gate, outcome);
+                    self.deliver(gatekeeper, outcome);
                 }
             }
-            What::Timer { gate, life, token } if self.lives[gate] == life => {
-                self.give(gate, Event::Timer { token });
+            SimEvent::Timer { gatekeeper, incarnation, token }
+                if self.incarnations[gatekeeper] == incarnation =>
+            {
+                self.deliver(gatekeeper, Event::Timer { token });
             }
-            What::Counted { gate, life, name, ending, total, delay } if self.lives[gate] == life => {
-                self.give(gate, Event::CounterReply { name, ending, total, elapsed: secs(delay) });
+            SimEvent::CounterReply { gatekeeper, incarnation, name, ending, total, delay }
+                if self.incarnations[gatekeeper] == incarnation =>
+            {
+                self.deliver(gatekeeper, Event::CounterReply { name, ending, total, elapsed: secs(delay) });
             }
-            What::Late { gate, life, name, total, delay } if self.lives[gate] == life => {
-                self.give(gate, Event::LateCounterReply { name, total, elapsed: secs(delay) });
+            SimEvent::LateCounterReply { gatekeeper, incarnation, name, total, delay }
+                if self.incarnations[gatekeeper] == incarnation =>
+            {
+                self.deliver(gatekeeper, Event::LateCounterReply { name, total, elapsed: secs(delay) });
             }
-            What::Turn => {
-                for c in 0..self.clients.len() {
-                    self.clients[c].weights = [0.6, 0.3, 0.1].map(|w| w * (0.5 + self.rng.next()));
-                    let turn = (self.rng.next() * 3.0) as usize;
-                    self.clients[c].weights.rotate_left(turn);
+            SimEvent::ShiftWeights => {
+                for c in 0..self.customers.len() {
+                    self.customers[c].weights = [0.6, 0.3, 0.1].map(|w| w * (0.5 + self.rng.next()));
+                    let rotation = (self.rng.next() * 3.0) as usize;
+                    self.customers[c].weights.rotate_left(rotation);
                 }
-                self.at(self.now + 10.0, What::Turn);
+                self.schedule(self.now + 10.0, SimEvent::ShiftWeights);
             }
-            What::Period => {
-                for c in &mut self.clients {
-                    let told = c.used / 2.0 / c.quota.rate;
-                    c.told = (told, self.now + 0.6, c.told.0);
-                    c.used = 0.0;
+            SimEvent::MeterPeriodEnds => {
+                for c in &mut self.customers {
+                    let newest = c.period_units / 2.0 / c.quota.rate;
+                    c.meter = Meter { newest, visible_from: self.now + 0.6, previous: c.meter.newest };
+                    c.period_units = 0.0;
                 }
-                self.at(self.now + 2.0, What::Period);
+                self.schedule(self.now + 2.0, SimEvent::MeterPeriodEnds);
             }
-            What::Begin => {
-                self.active = true;
-                if self.trouble == Trouble::Replaced {
-                    self.counts[0].clear();
-                }
-                if self.trouble == Trouble::Views {
-                    self.counts[1] = self.counts[0].clone();
-                }
-                if self.trouble == Trouble::LostAndRestarted {
-                    for gate in (0..self.size.gates).step_by(2) {
-                        self.lives[gate] += 1;
-                        self.gates[gate] = self.gate(gate, 77 + gate as u64);
-                        self.replicas[gate] = self.replica(gate);
-                        self.list(gate);
-                        if self.with.copies {
-                            self.at(self.now, What::Round(gate, self.lives[gate]));
-                        }
-                    }
-                }
+            SimEvent::FaultBegins => self.begin_fault(),
+            SimEvent::ReplicationRound { gatekeeper, incarnation }
+                if self.incarnations[gatekeeper] == incarnation =>
+            {
+                self.replication_round(gatekeeper);
             }
-            What::Round(gate, life) if self.lives[gate] == life => self.round(gate),
-            What::Exchange(asker, peer) => self.exchange(asker, peer),
-            What::Finish => self.active = false,
+            SimEvent::Exchange { gatekeeper, peer } => self.exchange(gatekeeper, peer),
+            SimEvent::FaultEnds => self.is_fault_active = false,
             _ => {}
         }
     }
 
-    fn list(&mut self, gate: usize) {
+    fn begin_fault(&mut self) {
+        self.is_fault_active = true;
+        if self.fault == Fault::Replaced {
+            self.totals[0].clear();
+        }
+        if self.fault == Fault::Split {
+            self.totals[1] = self.totals[0].clone();
+        }
+        if self.fault == Fault::LostAndRestarted {
+            for gatekeeper in (0..self.size.gatekeepers).step_by(2) {
+                self.incarnations[gatekeeper] += 1;
+                self.gatekeepers[gatekeeper] = self.new_gatekeeper(gatekeeper, 77 + gatekeeper as u64);
+                self.replicas[gatekeeper] = self.new_replica(gatekeeper);
+                self.list_hosts(gatekeeper);
+                if self.setup.replicates {
+                    self.schedule(
+                        self.now,
+                        SimEvent::ReplicationRound { gatekeeper, incarnation: self.incarnations[gatekeeper] },
+                    );
+                }
+            }
+        }
+    }
+
+    fn list_hosts(&mut self, gatekeeper: usize) {
         let entries = (0..9)
             .map(|n| HostEntry {
                 host: HostId(Arc::from(format!("h{n}"))),
@@ -532,158 +641,180 @@
                 last_start: None,
             })
             .collect();
-        self.give(gate, Event::Hosts { scope: ListScope::Restored, entries });
+        self.deliver(gatekeeper, Event::Hosts { scope: ListScope::Restored, entries });
     }
 }
 
-fn run(trouble: Trouble, with: &With, seed: u64) -> (Figures, Vec<whinstall::quota::CounterReport>) {
-    let played = play(SMALL, trouble, with, seed, 0.0);
-    played.0
+/// Calls to the counter in one second.
+#[derive(Clone, Copy, Debug)]
+struct CallCount {
+    calls: u64,
+    unanswered: u64,
 }
 
-/// A run of a size; also the calls, and those unanswered for their number, of each second after the trouble, and the
-/// modes `look` seconds after it.
-type Played = ((Figures, Vec<whinstall::quota::CounterReport>), Vec<(u64, u64)>, Vec<String>);
+/// SimEvent a run gave.
+struct RunResult {
+    figures: Figures,
+    /// Report of each gatekeeper one second before the fault ends.
+    reports: Vec<CounterReport>,
+    /// Calls to the counter by second from the end of the fault.
+    calls_after: Vec<CallCount>,
+    /// Mode of the counter at each gatekeeper, some time after the fault.
+    modes_after: Vec<String>,
+}
+
+fn run(fault: Fault, setup: &Setup, seed: u64) -> RunResult {
+    run_sized(SMALL, fault, setup, seed, 0.0)
+}
 
-fn play(size: Size, trouble: Trouble, with: &With, seed: u64, look: f64) -> Played {
+/// Runs a simulation of this size. `modes_after` are those `modes_delay_secs` after the fault.
+fn run_sized(size: Size, fault: Fault, setup: &Setup, seed: u64, modes_delay_secs: f64) -> RunResult {
     let mut rng = Rng(seed);
-    let clients = (0..size.clients)
+    let customers = (0..size.customers)
         .map(|n| {
-            let plan = usize::from(n % 4 == 3);
+            let plan = if n % 4 == 3 { CABINET } else { STANDARD };
             let (rate, burst) = [(2.4, 10.0), (15.0, 30.0)][plan];
-            // Most ask for a part of their quota, some for about all of it, some for three times as much.
-            let asks = rate * [0.3, 0.5, 0.95, 0.4, 3.0][n % 5];
-            Client {
+            // Most demand a fraction of their quota, some nearly all of it, some three times as much.
+            let demand = rate * [0.3, 0.5, 0.95, 0.4, 3.0][n % 5];
+            Customer {
                 plan,
-                asks,
-                first: (rng.next() * size.gates as f64) as usize,
+                demand,
+                first_gatekeeper: (rng.next() * size.gatekeepers as f64) as usize,
                 weights: [0.6, 0.3, 0.1],
-                quota: Audit::new(rate, burst),
-                ceiling: Audit::new(30.0, 60.0),
-                used: 0.0,
-                told: (0.0, 0.0, 0.0),
-                beyond: 0.0,
-                refused_with_room: 0.0,
-                asked: 0.0,
-                worst_ceiling: 0.0,
+                quota: TokenBucket::new(rate, burst),
+                ceiling: TokenBucket::new(30.0, 60.0),
+                period_units: 0.0,
+                meter: Meter { newest: 0.0, visible_from: 0.0, previous: 0.0 },
+                excess_units: 0.0,
+                rejected_inside_quota: 0.0,
+                requested_units: 0.0,
+                min_ceiling_level: 0.0,
             }
         })
         .collect();
     let mut m = Model {
         now: 0.0,
         size,
-        busy: 0.0,
+        counter_busy_until: 0.0,
         rng,
         queue: BinaryHeap::new(),
         events: BTreeMap::new(),
         sequence: 0,
-        gates: Vec::new(),
-        lives: vec![0; size.gates],
-        with: with.clone(),
+        gatekeepers: Vec::new(),
+        incarnations: vec![0; size.gatekeepers],
+        setup: setup.clone(),
         replicas: Vec::new(),
-        clients,
-        of_request: BTreeMap::new(),
-        requests: 0,
-        counts: Default::default(),
-        trouble,
-        active: false,
-        answers: 0,
-        calls: vec![0; END as usize + 2],
-        unanswered: vec![0; END as usize + 2],
+        customers,
+        pending: BTreeMap::new(),
+        request_count: 0,
+        totals: Default::default(),
+        fault,
+        is_fault_active: false,
+        answer_count: 0,
+        calls: vec![0; RUN_SECS as usize + 2],
+        unanswered: vec![0; RUN_SECS as usize + 2],
     };
-    for gate in 0..size.gates {
-        let gateway = m.gate(gate, seed ^ gate as u64);
-        m.gates.push(gateway);
-        let replica = m.replica(gate);
+    for gatekeeper in 0..size.gatekeepers {
+        let gateway = m.new_gatekeeper(gatekeeper, seed ^ gatekeeper as u64);
+        m.gatekeepers.push(gateway);
+        let replica = m.new_replica(gatekeeper);
         m.replicas.push(replica);
-        m.list(gate);
-        if with.copies {
-            let when = ROUND * m.rng.next();
-            m.at(when, What::Round(gate, 0));
+        m.list_hosts(gatekeeper);
+        if setup.replicates {
+            let at = REPLICATION_INTERVAL_SECS * m.rng.next();
+            m.schedule(at, SimEvent::ReplicationRound { gatekeeper, incarnation: 0 });
         }
     }
-    for client in 0..m.clients.len() {
-        let when = m.rng.next();
-        m.at(when, What::Ask(client));
+    for customer in 0..m.customers.len() {
+        let at = m.rng.next();
+        m.schedule(at, SimEvent::Request(customer));
     }
-    m.at(0.0, What::Turn);
-    m.at(2.0, What::Period);
-    m.at(FROM, What::Begin);
-    m.at(FROM + FOR, What::Finish);
-    let (mut reports, mut modes) = (Vec::new(), Vec::new());
+    let fault_end = FAULT_START_SECS + FAULT_SECS;
+    m.schedule(0.0, SimEvent::ShiftWeights);
+    m.schedule(2.0, SimEvent::MeterPeriodEnds);
+    m.schedule(FAULT_START_SECS, SimEvent::FaultBegins);
+    m.schedule(fault_end, SimEvent::FaultEnds);
+    let (mut reports, mut modes_after) = (Vec::new(), Vec::new());
     while let Some(Reverse((at, sequence))) = m.queue.pop() {
         m.now = (at as f64 / 1e6).max(m.now);
-        if m.now > END {
+        if m.now > RUN_SECS {
             break;
         }
-        if reports.is_empty() && m.now > FROM + FOR - 1.0 {
-            reports = m.gates.iter().map(Gateway::counter_report).collect();
+        if reports.is_empty() && m.now > fault_end - 1.0 {
+            reports = m.gatekeepers.iter().map(Gateway::counter_report).collect();
         }
-        if modes.is_empty() && m.now > FROM + FOR + look {
-            modes = m.gates.iter().map(|g| g.counter_report().partitions[0].mode.clone()).collect();
+        if modes_after.is_empty() && m.now > fault_end + modes_delay_secs {
+            modes_after =
+                m.gatekeepers.iter().map(|g| g.counter_report().partitions[0].mode.clone()).collect();
         }
-        let what = m.events.remove(&sequence).expect("queued");
-        m.step(what);
+        let event = m.events.remove(&sequence).expect("queued");
+        m.process(event);
     }
-    let part = |which: &dyn Fn(&Client) -> bool| {
-        let (mut beyond, mut quota) = (0.0, 0.0);
-        for c in m.clients.iter().filter(|c| c.plan == 0 && which(c)) {
-            beyond += c.beyond;
-            quota += c.quota.rate * FOR;
+    let excess = |is_counted: &dyn Fn(&Customer) -> bool| {
+        let (mut excess_units, mut quota) = (0.0, 0.0);
+        for c in m.customers.iter().filter(|c| c.plan == STANDARD && is_counted(c)) {
+            excess_units += c.excess_units;
+            quota += c.quota.rate * FAULT_SECS;
         }
-        beyond / quota
+        excess_units / quota
     };
-    let standard = m.clients.iter().filter(|c| c.plan == 0);
-    let (from, to) = (FROM as usize, (FROM + FOR) as usize);
-    let light = || m.clients.iter().filter(|c| c.asks < c.quota.rate);
+    let standard = m.customers.iter().filter(|c| c.plan == STANDARD);
+    let cabinet = m.customers.iter().filter(|c| c.plan == CABINET);
+    let (from, to) = (FAULT_START_SECS as usize, fault_end as usize);
+    let inside = || m.customers.iter().filter(|c| c.demand < c.quota.rate);
     let figures = Figures {
-        near: part(&|c| c.asks < c.quota.rate),
-        over: part(&|c| c.asks > c.quota.rate),
-        worst: standard.map(|c| c.beyond / (c.quota.rate * FOR)).fold(0.0, f64::max),
-        refused: light().map(|c| c.refused_with_room).sum::<f64>() / light().map(|c| c.asked).sum::<f64>(),
-        calls: m.calls[from..to].iter().sum::<u64>() as f64 / FOR,
-        calls_after: m.calls[to..to + 2].iter().sum::<u64>() as f64 / 2.0,
-        ceiling: m.clients.iter().filter(|c| c.plan == 1).map(|c| c.worst_ceiling).fold(0.0, f64::min),
+        excess_inside: excess(&|c| c.demand < c.quota.rate),
+        excess_beyond: excess(&|c| c.demand > c.quota.rate),
+        max_excess: standard.map(|c| c.excess_units / (c.quota.rate * FAULT_SECS)).fold(0.0, f64::max),
+        rejected: inside().map(|c| c.rejected_inside_quota).sum::<f64>()
+            / inside().map(|c| c.requested_units).sum::<f64>(),
+        calls_per_sec: m.calls[from..to].iter().sum::<u64>() as f64 / FAULT_SECS,
+        calls_per_sec_after: m.calls[to..to + 2].iter().sum::<u64>() as f64 / 2.0,
+        min_ceiling_level: cabinet.map(|c| c.min_ceiling_level).fold(0.0, f64::min),
     };
-    let after = (to..END as usize).map(|s| (m.calls[s], m.unanswered[s])).collect();
-    ((figures, reports), after, modes)
+    let call_count = |second: usize| CallCount { calls: m.calls[second], unanswered: m.unanswered[second] };
+    let calls_after = (to..RUN_SECS as usize).map(call_count).collect();
+    RunResult { figures, reports, calls_after, modes_after }
 }
 
-/// A hundred gatekeepers and a counter that bears 700 calls a second: after half a minute without it they do not meet
-/// it at once, and are in step with it again within some seconds.
+/// Guards against a returning counter that is overloaded by a hundred gatekeepers that call it at once. The counter
+/// bears 700 calls per second and was lost for half a minute. Most gatekeepers use it again within eight seconds.
 #[test]
-fn a_returning_counter_is_not_met_by_all_at_once() {
-    let size =
-        Size { gates: 100, clients: if cfg!(debug_assertions) { 150 } else { 600 }, service: 1.0 / 700.0 };
-    let (_, after, modes) = play(size, Trouble::Lost, &With::default(), 1, 8.0);
-    let lost: Vec<f64> = after.iter().map(|(calls, not)| *not as f64 / (*calls).max(1) as f64).collect();
-    let well = modes.iter().filter(|m| *m == "in step" || *m == "rejoined").count();
-    println!(
-        "calls, and of these unanswered, by second after the return: {after:?}; {well} of 100 well after 8 s"
+fn a_returning_counter_is_not_called_by_all_at_once() {
+    let customers = if cfg!(debug_assertions) { 150 } else { 600 };
+    let size = Size { gatekeepers: 100, customers, call_secs: 1.0 / 700.0 };
+    let RunResult { calls_after, modes_after, .. } = run_sized(size, Fault::Lost, &Setup::default(), 1, 8.0);
+    let unanswered: Vec<f64> =
+        calls_after.iter().map(|c| c.unanswered as f64 / c.calls.max(1) as f64).collect();
+    let recovered = modes_after.iter().filter(|m| *m == "in step" || *m == "rejoined").count();
+    println!("calls by second after the fault: {calls_after:?}; {recovered} of 100 recovered after 8 s");
+    assert!(calls_after[0].calls <= 700, "not all at once: {calls_after:?}");
+    assert!(
+        unanswered[0] < 0.1 && unanswered.iter().all(|fraction| *fraction < 0.5),
+        "most calls are answered: {calls_after:?}"
     );
-    assert!(after[0].0 <= 700, "not all at once: {after:?}");
-    assert!(lost[0] < 0.1 && lost.iter().all(|x| *x < 0.5), "answered as they come back: {after:?}");
-    assert!(well >= 70, "{modes:?}");
+    assert!(recovered >= 70, "{modes_after:?}");
 }
 
-fn all() -> [Trouble; 9] {
-    use Trouble::*;
-    [None, Lost, HalfLost, Late, Views, Replaced, Spoilt, LostAndRestarted, LostAndCut]
+fn all_faults() -> [Fault; 9] {
+    use Fault::*;
+    [None, Lost, PartitionLost, Late, Split, Replaced, Garbage, LostAndRestarted, LostAndPartitioned]
 }
 
-/// Beyond the quota over 30 s of trouble, as a part of it, at the most, for customers that ask for three times theirs:
-/// the aim of a tenth and what a few seeds stray by. Late answers and two views are not within it (docs/quota.md).
-fn most(trouble: Trouble) -> f64 {
-    match trouble {
-        Trouble::Views => 0.50,
-        Trouble::Late => 0.17,
+/// Bound on the mean excess of customers that demand three times their quota, over a fault of 30 s, as a fraction of the
+/// quota: the target of a tenth, and the deviation of the mean over a few seeds. The target does not cover late answers
+/// and split counters (docs/quota.md).
+fn max_excess_beyond(fault: Fault) -> f64 {
+    match fault {
+        Fault::Split => 0.50,
+        Fault::Late => 0.17,
         _ => 0.13,
     }
 }
 
-/// The bound of docs/quota.md for a customer that asks for three times its quota here, as a part of it: with the last
-/// total a quarter of a window old, and a largest request at each gatekeeper let in by chance.
-fn stated() -> f64 {
+/// The error bound of docs/quota.md for a customer that demands three times its quota, as a fraction of the quota. The
+/// last total is a quarter of a window old, and each gatekeeper admits one largest request too many.
+fn stated_bound() -> f64 {
     let (rate, burst) = (2.4, 10.0);
     let (width, total_age_secs, stale_fraction) = (WIDTH as f64, 0.25 * burst / rate, 0.34);
     let input = BoundInput {
@@ -696,166 +827,183 @@
         share_sum: 1.0,
         largest_request: 4.0,
     };
-    ErrorBound::over(&input, FOR).units() / (rate * FOR)
+    ErrorBound::over(&input, FAULT_SECS).units() / (rate * FAULT_SECS)
 }
 
-/// Some seeds of a trouble, on the mean: one run of nine such customers strays by a third.
-/// Seeds that a figure is the mean of: the tests make do with few, the table of docs/quota.md takes twelve.
+/// Number of seeds that figures are averaged over, as a single run of nine heavy customers deviates by a third. Debug
+/// builds are slow and use few; the table of docs/quota.md needs twelve.
 const SEEDS: u64 = if cfg!(debug_assertions) { 3 } else { 12 };
 
-fn mean_of(trouble: Trouble, with: &With) -> (Figures, Vec<Figures>) {
-    let runs: Vec<Figures> = (1..=SEEDS).map(|seed| run(trouble, with, seed).0).collect();
+/// Mean figures of a fault over the seeds, with the lowest ceiling level of all runs; and the figures of each run.
+fn mean_of(fault: Fault, setup: &Setup) -> (Figures, Vec<Figures>) {
+    let runs: Vec<Figures> = (1..=SEEDS).map(|seed| run(fault, setup, seed).figures).collect();
     let mean = |f: &dyn Fn(&Figures) -> f64| runs.iter().map(f).sum::<f64>() / runs.len() as f64;
     let figures = Figures {
-        near: mean(&|f| f.near),
-        over: mean(&|f| f.over),
-        worst: mean(&|f| f.worst),
-        refused: mean(&|f| f.refused),
-        calls: mean(&|f| f.calls),
-        calls_after: mean(&|f| f.calls_after),
-        ceiling: runs.iter().map(|f| f.ceiling).fold(0.0, f64::min),
+        excess_inside: mean(&|f| f.excess_inside),
+        excess_beyond: mean(&|f| f.excess_beyond),
+        max_excess: mean(&|f| f.max_excess),
+        rejected: mean(&|f| f.rejected),
+        calls_per_sec: mean(&|f| f.calls_per_sec),
+        calls_per_sec_after: mean(&|f| f.calls_per_sec_after),
+        min_ceiling_level: runs.iter().map(|f| f.min_ceiling_level).fold(0.0, f64::min),
     };
     (figures, runs)
 }
 
-/// The stated error, audited from what was sent: those inside their quota stay within it and are not refused for the
-/// trouble, those far over stay within the aim, and no ceiling is passed, whatever the counter does.
+/// The stated error bound holds in every fault, audited from the requests sent: customers inside their quota stay within
+/// it and are not rejected because of the fault, customers far beyond it stay within the target, and no ceiling is
+/// exceeded by more than its tolerance.
 #[test]
-fn quotas_hold_within_the_stated_error_in_every_trouble() {
-    for trouble in all() {
-        let (f, runs) = mean_of(trouble, &With::default());
-        assert!(runs.iter().all(|f| f.ceiling >= -6.0), "{trouble:?} passes a ceiling: {f:?}");
-        assert!(f.near < 0.03 && f.refused < 0.06, "{trouble:?}: {f:?}");
-        assert!(f.over <= most(trouble), "{trouble:?}: {f:?}");
-        // The worst of them, too, stays within the formula, which knows nothing of two views.
+fn quotas_hold_within_the_stated_error_in_every_fault() {
+    for fault in all_faults() {
+        let (f, runs) = mean_of(fault, &Setup::default());
+        let is_within_ceilings = runs.iter().all(|f| f.min_ceiling_level >= -CEILING_TOLERANCE);
+        assert!(is_within_ceilings, "{fault:?} exceeds a ceiling: {f:?}");
+        assert!(f.excess_inside < 0.03 && f.rejected < 0.06, "{fault:?}: {f:?}");
+        assert!(f.excess_beyond <= max_excess_beyond(fault), "{fault:?}: {f:?}");
+        // The formula covers the customer with the largest excess, too, but not a split counter.
         assert!(
-            trouble == Trouble::Views || f.worst <= stated(),
-            "{trouble:?}: {} over {}",
-            f.worst,
-            stated()
+            fault == Fault::Split || f.max_excess <= stated_bound(),
+            "{fault:?}: {} exceeds the bound {}",
+            f.max_excess,
+            stated_bound()
         );
-        assert!(f.calls < 250.0 && f.calls_after < 200.0, "{trouble:?}: {f:?}");
+        assert!(f.calls_per_sec < 250.0 && f.calls_per_sec_after < 200.0, "{fault:?}: {f:?}");
     }
 }
 
 proptest::proptest! {
     #![proptest_config(proptest::prelude::ProptestConfig { cases: 12, failure_persistence: None, ..Default::default() })]
 
-    /// Whatever befalls the counter, in whatever run: no ceiling is passed by more than its tolerance.
+    /// No ceiling is exceeded by more than its tolerance, whatever the fault, the setup and the seed.
     #[test]
-    fn ceilings_hold_in_any_run(trouble in 0usize..9, copies in 0usize..2, seed in 100u64..1_000_000) {
-        let (f, _) = run(all()[trouble], &With { copies: copies == 1, quota: None }, seed);
-        proptest::prop_assert!(f.ceiling >= -6.0, "{:?}: {}", all()[trouble], f.ceiling);
+    fn ceilings_hold_in_any_run(fault in 0usize..9, replicates in 0usize..2, seed in 100u64..1_000_000) {
+        let fault = all_faults()[fault];
+        let f = run(fault, &Setup { replicates: replicates == 1, quota: None }, seed).figures;
+        proptest::prop_assert!(f.min_ceiling_level >= -CEILING_TOLERANCE, "{fault:?}: {}", f.min_ceiling_level);
     }
 }
 
-/// Even shares only, as before the guard.
-fn without_guard() -> With {
-    With { quota: Some(QuotaSettings { is_guarded: false, ..QuotaSettings::default() }), copies: false }
+/// A setup without the guard, where gatekeepers fall back to even shares of the quota.
+fn without_guard() -> Setup {
+    let quota = QuotaSettings { is_guarded: false, ..QuotaSettings::default() };
+    Setup { quota: Some(quota), replicates: false }
 }
 
-fn with_copies() -> With {
-    With { copies: true, ..With::default() }
+fn with_replication() -> Setup {
+    Setup { replicates: true, ..Setup::default() }
 }
 
-/// With copies the troubles that the guard alone does not hold are held: late answers, two views, a cut; nobody inside
-/// its quota pays for it, and in a calm nothing is taken for a trouble.
+/// Replicated usage also bounds the error in the faults that the guard alone does not cover: late answers, a split
+/// counter, and partitioned gatekeepers. Customers inside their quota are not rejected, and without a fault none is
+/// detected.
 #[test]
-fn copies_hold_what_the_guard_alone_does_not() {
-    for trouble in all() {
-        let (f, runs) = mean_of(trouble, &with_copies());
-        assert!(runs.iter().all(|f| f.ceiling >= -6.0), "{trouble:?} passes a ceiling: {f:?}");
-        println!("{trouble:?}: {f:?}");
-        assert!(f.near < 0.02 && f.refused < 0.06, "{trouble:?}: {f:?}");
-        let most = if trouble == Trouble::LostAndCut { 0.10 } else { 0.04 };
-        assert!(f.over <= most, "{trouble:?}: {f:?}");
+fn replication_bounds_the_error_that_the_guard_alone_does_not() {
+    for fault in all_faults() {
+        let (f, runs) = mean_of(fault, &with_replication());
+        let is_within_ceilings = runs.iter().all(|f| f.min_ceiling_level >= -CEILING_TOLERANCE);
+        assert!(is_within_ceilings, "{fault:?} exceeds a ceiling: {f:?}");
+        println!("{fault:?}: {f:?}");
+        assert!(f.excess_inside < 0.02 && f.rejected < 0.06, "{fault:?}: {f:?}");
+        let max_excess_beyond = if fault == Fault::LostAndPartitioned { 0.10 } else { 0.04 };
+        assert!(f.excess_beyond <= max_excess_beyond, "{fault:?}: {f:?}");
     }
     for seed in 1..=SEEDS {
-        for r in run(Trouble::None, &with_copies(), seed).1 {
-            assert_eq!(r.partitions[0].mode, "in step", "a false alarm in a calm");
+        for report in run(Fault::None, &with_replication(), seed).reports {
+            assert_eq!(report.partitions[0].mode, "in step", "a fault is detected without one");
         }
-        // A view that nearly all of one gatekeeper's customers share looks whole to it now and then.
-        let split = run(Trouble::Views, &with_copies(), seed).1;
-        let split = split.iter().filter(|r| r.partitions[0].mode == "split").count();
-        assert!(split >= 5, "{split} of 6 name it");
+        // A view that is shared by nearly all customers of one gatekeeper can look complete to it.
+        let reports = run(Fault::Split, &with_replication(), seed).reports;
+        let split = reports.iter().filter(|r| r.partitions[0].mode == "split").count();
+        assert!(split >= 5, "{split} of 6 gatekeepers detect the split");
     }
 }
 
-/// The same model without the guard: what it is there for.
+/// Without the guard the error is larger, more requests are rejected for garbage totals, and an unresponsive partition
+/// slows down calls for the other.
 #[test]
 fn without_the_guard_the_error_is_larger() {
-    let off = without_guard();
-    for trouble in [Trouble::Lost, Trouble::HalfLost, Trouble::LostAndRestarted] {
-        let (with, without) = (mean_of(trouble, &With::default()).0, mean_of(trouble, &off).0);
-        assert!(with.over < 0.75 * without.over, "{trouble:?}: {} against {}", with.over, without.over);
+    let unguarded = without_guard();
+    for fault in [Fault::Lost, Fault::PartitionLost, Fault::LostAndRestarted] {
+        let (with, without) = (mean_of(fault, &Setup::default()).0, mean_of(fault, &unguarded).0);
+        assert!(
+            with.excess_beyond < 0.75 * without.excess_beyond,
+            "{fault:?}: {} with the guard, {} without",
+            with.excess_beyond,
+            without.excess_beyond
+        );
     }
-    let (with, without) = (mean_of(Trouble::Spoilt, &With::default()).0, mean_of(Trouble::Spoilt, &off).0);
+    let (with, without) =
+        (mean_of(Fault::Garbage, &Setup::default()).0, mean_of(Fault::Garbage, &unguarded).0);
     assert!(
-        with.refused < 0.5 * without.refused,
-        "spoilt totals refuse: {} against {}",
-        with.refused,
-        without.refused
+        with.rejected < 0.5 * without.rejected,
+        "rejected for garbage totals: {} with the guard, {} without",
+        with.rejected,
+        without.rejected
     );
     let (with, without) =
-        (mean_of(Trouble::HalfLost, &With::default()).0, mean_of(Trouble::HalfLost, &off).0);
+        (mean_of(Fault::PartitionLost, &Setup::default()).0, mean_of(Fault::PartitionLost, &unguarded).0);
     assert!(
-        with.calls > 2.0 * without.calls,
-        "one half spoils the other: {} against {}",
-        with.calls,
-        without.calls
+        with.calls_per_sec > 2.0 * without.calls_per_sec,
+        "calls with a partition lost: {} with the guard, {} without",
+        with.calls_per_sec,
+        without.calls_per_sec
     );
 }
 
-/// Each gatekeeper names the trouble that it is in, and none in a calm.
+/// Each gatekeeper reports the mode that corresponds to the fault, and the healthy mode without one.
 #[test]
-fn the_trouble_is_named() {
-    for (trouble, names) in [
-        (Trouble::None, ["in step", "in step"]),
-        (Trouble::Lost, ["lost", "lost"]),
-        (Trouble::HalfLost, ["split", "lost"]),
-        (Trouble::Late, ["late", "late"]),
-        (Trouble::LostAndRestarted, ["lost", "lost"]),
+fn gatekeepers_report_the_mode_of_each_fault() {
+    for (fault, modes) in [
+        (Fault::None, ["in step", "in step"]),
+        (Fault::Lost, ["lost", "lost"]),
+        (Fault::PartitionLost, ["split", "lost"]),
+        (Fault::Late, ["late", "late"]),
+        (Fault::LostAndRestarted, ["lost", "lost"]),
     ] {
-        let reports = run(trouble, &With::default(), 2).1;
-        for r in &reports {
-            assert!(names.contains(&r.partitions[0].mode.as_str()), "{trouble:?}: {reports:?}");
-            assert_eq!(
-                r.partitions[0].unverified_units > 0.0,
-                trouble != Trouble::None,
-                "{trouble:?}: {reports:?}"
-            );
+        let reports = run(fault, &Setup::default(), 2).reports;
+        for report in &reports {
+            let partition = &report.partitions[0];
+            assert!(modes.contains(&partition.mode.as_str()), "{fault:?}: {reports:?}");
+            assert_eq!(partition.unverified_units > 0.0, fault != Fault::None, "{fault:?}: {reports:?}");
         }
     }
-    let retold: f64 =
-        run(Trouble::Replaced, &With::default(), 2).1.iter().map(|r| r.partitions[0].resent_units).sum();
-    assert!(retold > 0.0, "a replaced counter is told again");
-    let spoilt: u64 =
-        run(Trouble::Spoilt, &With::default(), 2).1.iter().map(|r| r.partitions[0].implausible_answers).sum();
-    assert!(spoilt > 100, "spoilt answers are counted: {spoilt}");
+    let replaced = run(Fault::Replaced, &Setup::default(), 2).reports;
+    let resent: f64 = replaced.iter().map(|r| r.partitions[0].resent_units).sum();
+    assert!(resent > 0.0, "lost units are resent to a replaced counter");
+    let garbage = run(Fault::Garbage, &Setup::default(), 2).reports;
+    let implausible: u64 = garbage.iter().map(|r| r.partitions[0].implausible_answers).sum();
+    assert!(implausible > 100, "implausible answers are counted: {implausible}");
 }
 
 #[test]
 #[ignore = "prints a table: run by hand"]
 fn measure() {
-    println!("bound, far over, but for two views: {:.1}%", 100.0 * stated());
-    for (name, with) in
-        [("guard and copies", with_copies()), ("guard", With::default()), ("even shares", without_guard())]
-    {
+    println!("error bound beyond the quota, except for a split counter: {:.1}%", 100.0 * stated_bound());
+    for (name, setup) in [
+        ("guard and replication", with_replication()),
+        ("guard", Setup::default()),
+        ("even shares", without_guard()),
+    ] {
         println!("{name}");
-        for trouble in all() {
-            let f = mean_of(trouble, &with).0;
-            let modes = run(trouble, &with, 1).1;
+        for fault in all_faults() {
+            let f = mean_of(fault, &setup).0;
+            let reports = run(fault, &setup, 1).reports;
+            let mode = |r: &CounterReport| {
+                format!("{} {:.2}", r.partitions[0].mode, r.counted_fraction.unwrap_or(-1.0))
+            };
             println!(
-                "{:<17} near {:>5.1}%  over {:>5.1}%  worst {:>5.1}%  refused with room {:>4.1}%  calls/s {:>5.0}  after {:>5.0}  ceiling {:>5.1}  {}",
-                format!("{trouble:?}"),
-                100.0 * f.near,
-                100.0 * f.over,
-                100.0 * f.worst,
-                100.0 * f.refused,
-                f.calls,
-                f.calls_after,
-                f.ceiling,
-                modes.iter().map(|r| format!("{} {:.2}", r.partitions[0].mode, r.counted_fraction.unwrap_or(-1.0))).collect::<Vec<_>>().join(", "),
+                "{:<18} excess inside {:>5.1}%  beyond {:>5.1}%  largest {:>5.1}%  rejected inside {:>4.1}%  \
+                 calls/s {:>5.0}  after {:>5.0}  ceiling {:>5.1}  {}",
+                format!("{fault:?}"),
+                100.0 * f.excess_inside,
+                100.0 * f.excess_beyond,
+                100.0 * f.max_excess,
+                100.0 * f.rejected,
+                f.calls_per_sec,
+                f.calls_per_sec_after,
+                f.min_ceiling_level,
+                reports.iter().map(mode).collect::<Vec<_>>().join(", "),
             );
         }
     }
