--- a/src/quota/breaker.rs
+++ b/src/quota/breaker.rs
@@ -1,9 +1,9 @@
 //! A circuit breaker for calls of one kind.
 //!
 //! The breaker is closed while calls are answered, open after a number of consecutive failures, and half-open once its
-//! wait is over, when a single trial call may go out. Each failed trial doubles the wait, up to a maximum (exponential backoff). Waits are
-//! jittered, so that many gatekeepers do not all reach a counter at the moment it returns. The caller passes in time
-//! and random draws: the breaker reads no clock and has no generator.
+//! wait is over, when a single trial call may go out. Each failed trial doubles the wait, up to a maximum (exponential
+//! backoff). Waits are jittered, so that many gatekeepers do not all reach a counter at the moment it returns. The
+//! caller passes in time and random draws: the breaker reads no clock and has no generator.
 
 /// Settings of a circuit breaker.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/quota/mode.rs
+++ b/src/quota/mode.rs
@@ -1,11 +1,10 @@
 //! The mode of one partition of the counter, from the outcomes of calls to it: a state machine with hysteresis.
 //!
 //! ```text
-//! Healthy ──> Late (answers come after the timeout)                      ──┐
-//!         ├─> Lost (no answers)                                            ├─> Recovering ──> Healthy
-//!         ├─> Split (some names are answered and others never,             │       │
-//!         │          or totals miss what other gatekeepers use)            │       └─> any fault: a relapse,
-//!         └─> Replaced (totals fall)                                     ──┘           probation twice as long
+//! Healthy -> Late, Lost, Split, Replaced      a fault; of several, the gravest
+//! Late, Lost, Split, Replaced -> Recovering   answers have come in time for the settling time
+//! Recovering -> Healthy                       the probation is over
+//! Recovering -> Late, Lost, Split, Replaced   a relapse: the next probation is twice as long
 //! ```
 //!
 //! A mode has no effect by itself: the guard and the decision module act on it.
@@ -31,8 +30,8 @@
 }
 
 impl Mode {
-    /// Name of the mode in log lines and reports. The names are part of the log's format, which `whinstall report` reads
-    /// back.
+    /// Name of the mode in log lines and reports. The names are part of the log's format, which `whinstall report`
+    /// reads back.
     pub fn name(self) -> &'static str {
         match self {
             Mode::Healthy => "in step",
--- a/src/quota/reconciler.rs
+++ b/src/quota/reconciler.rs
@@ -1,8 +1,8 @@
 //! Reconciliation of one counter entry (one window of one customer): compares the counter's answers with what this
 //! gatekeeper added.
 //!
-//! The [`Reconciler`] of an entry tracks which of this gatekeeper's adds the counter has acknowledged, which it may have
-//! applied, the highest total that was proven, and how much of that the counter has since lost. Invariants:
+//! The [`Reconciler`] of an entry tracks which of this gatekeeper's adds the counter has acknowledged, which it may
+//! have applied, the highest total that was proven, and how much of that the counter has since lost. Invariants:
 //!
 //! - The reported total never falls below what is known to be spent, so a counter that restarts from zero does not
 //!   grant the quota a second time.
@@ -18,8 +18,8 @@
 /// A total below this fraction of the highest known one has fallen. Gatekeepers that settle their estimates return far
 /// fewer units than that.
 const FALLEN_FRACTION: f64 = 0.5;
-/// Missing units of this gatekeeper's adds from which on they count as lost. Gatekeepers return units that they reserved
-/// and then rejected, now and then from the entry of the next window.
+/// Missing units of this gatekeeper's adds from which on they count as lost. Gatekeepers return units that they
+/// reserved and then rejected, now and then from the entry of the next window.
 const MIN_LOSS_UNITS: f64 = 4.0;
 /// Upper bound of a plausible total.
 const MAX_TOTAL: f64 = 1e12;
@@ -78,8 +78,8 @@
 }
 
 impl Reconciler {
-    /// Records a call that is about to add `amount`. Returns the amount that the call must add, which includes the units
-    /// to be sent again.
+    /// Records a call that is about to add `amount`. Returns the amount that the call must add, which includes the
+    /// units to be sent again.
     pub fn call_sent(&mut self, amount: f64) -> f64 {
         let resent = std::mem::take(&mut self.to_resend);
         self.in_flight.push_back(CallInFlight { acknowledged: self.acknowledged, resent });
@@ -168,8 +168,8 @@
         self.acknowledged
     }
 
-    /// Adds of this gatekeeper that were acknowledged as the oldest call in flight was sent. The answer to that call must
-    /// include them.
+    /// Adds of this gatekeeper that were acknowledged as the oldest call in flight was sent. The answer to that call
+    /// must include them.
     pub fn acknowledged_before_oldest_call(&self) -> f64 {
         self.in_flight.front().map_or(self.acknowledged, |call| call.acknowledged.min(self.acknowledged))
     }
@@ -213,8 +213,8 @@
     }
 
     /// The deficit that still counts. Other gatekeepers send their part of it again within `resend_secs`, and an answer
-    /// does not distinguish these units from new adds. The deficit therefore fades over that time, so that no customer is
-    /// charged twice.
+    /// does not distinguish these units from new adds. The deficit therefore fades over that time, so that no customer
+    /// is charged twice.
     fn remaining_deficit(&self, now: f64, resend_secs: f64) -> f64 {
         let remaining = 1.0 - (now - self.fell_at) / resend_secs.max(MIN_RESEND_SECS);
         self.deficit * remaining.clamp(0.0, 1.0)
--- a/src/quota/settings.rs
+++ b/src/quota/settings.rs
@@ -1,7 +1,7 @@
 //! Operators' settings of the counter guard: the record `counter: {...}` of a settings file.
 //!
-//! Field names of the record are part of the operators' interface and are fixed. Without a file the defaults apply, with
-//! which the guard acts only while the counter has a fault.
+//! Field names of the record are part of the operators' interface and are fixed. Without a file the defaults apply,
+//! with which the guard acts only while the counter has a fault.
 
 use super::breaker::BreakerSettings;
 use super::mode::ModeSettings;
@@ -21,7 +21,8 @@
     /// Time constant with which a customer's learnt quota share decays once totals stop, in seconds. `fade` in the
     /// file.
     pub share_decay_secs: f64,
-    /// Seconds after the timeout in which an answer is still accepted; 0: late answers are discarded. `late` in the file.
+    /// Seconds after the timeout in which an answer is still accepted; 0: late answers are discarded. `late` in the
+    /// file.
     pub late_answer_secs: f64,
     /// Whether totals are compared with the meter, to detect a split counter. `witness` in the file.
     pub compares_meter: bool,
--- a/src/quota/share.rs
+++ b/src/quota/share.rs
@@ -124,12 +124,12 @@
         self.metered_at = now;
     }
 
-    /// The fallback allowance at `now`, in units: a token bucket with this gatekeeper's fraction of the rate, and of the
-    /// burst or one request of the `largest` units, whichever is more. Over all gatekeepers it adds up to the rate, and
-    /// to no more at once than the burst or a largest request each.
+    /// The fallback allowance at `now`, in units: a token bucket with this gatekeeper's fraction of the rate, and of
+    /// the burst or one request of the `largest` units, whichever is more. Over all gatekeepers it adds up to the rate,
+    /// and to no more at once than the burst or a largest request each.
     ///
-    /// The bucket is empty when the last total was known, or else at `started`, the start of this process: a predecessor
-    /// may have spent its content.
+    /// The bucket is empty when the last total was known, or else at `started`, the start of this process: a
+    /// predecessor may have spent its content.
     pub fn allowance(
         &mut self,
         now: f64,
@@ -155,8 +155,8 @@
         self.allowance = (self.allowance - units).max(0.0);
     }
 
-    /// Metered use as a fraction of the rate; `None` unless confidence in it is high enough and it is below the quota, so
-    /// that all of it is charged.
+    /// Metered use as a fraction of the rate; `None` unless confidence in it is high enough and it is below the quota,
+    /// so that all of it is charged.
     pub fn use_inside_quota(&self, now: f64) -> Option<f64> {
         let is_trusted = self.meter_confidence(now) > MIN_METER_CONFIDENCE;
         Some(self.metered_use).filter(|metered_use| *metered_use < INSIDE_QUOTA_USE && is_trusted)
@@ -166,9 +166,9 @@
     ///
     /// The allowance does not apply in two cases:
     ///
-    /// - The meter shows the customer inside its quota, and its `demand` here (units per second, rejected ones included)
-    ///   is at most a fraction of its rate. The meter alone is not enough: a heavy customer that was just rejected looks
-    ///   light to it.
+    /// - The meter shows the customer inside its quota, and its `demand` here (units per second, rejected ones
+    ///   included) is at most a fraction of its rate. The meter alone is not enough: a heavy customer that was just
+    ///   rejected looks light to it.
     /// - The share here is so small that a request of the `largest` units takes long to earn. One of very many
     ///   gatekeepers has no complete request to hold back, and the estimated remainder would decide at random.
     pub fn is_limited_to_allowance(
@@ -185,8 +185,8 @@
         !is_share_small && (self.use_inside_quota(now).is_none() || is_demand_high)
     }
 
-    /// Metered use in units per second; `None` unless it is so light that a lagging meter cannot have sampled a lull of a
-    /// heavy customer. Totals may be compared with it.
+    /// Metered use in units per second; `None` unless it is so light that a lagging meter cannot have sampled a lull of
+    /// a heavy customer. Totals may be compared with it.
     pub fn light_use(&self, now: f64, rate: f64) -> Option<f64> {
         let metered_use = self.use_inside_quota(now)?;
         (metered_use < LIGHT_USE).then_some(metered_use * rate)
--- a/src/quota/split_detection.rs
+++ b/src/quota/split_detection.rs
@@ -25,8 +25,8 @@
 /// Answers in memory, the older ones weighing less, below which the comparison has no result: one odd answer is not
 /// enough.
 const REPLICA_MIN_ANSWERS: f64 = 1.7;
-/// Fraction of the acknowledged units below which totals are taken for those of a split counter. Gatekeepers that return
-/// units that they reserved and then rejected, or that settle an estimate, leave totals above it.
+/// Fraction of the acknowledged units below which totals are taken for those of a split counter. Gatekeepers that
+/// return units that they reserved and then rejected, or that settle an estimate, leave totals above it.
 const REPLICA_SPLIT_BELOW: f64 = 0.8;
 /// Fraction of the acknowledged units from which on a split has healed (hysteresis).
 const REPLICA_HEALED_FROM: f64 = 0.9;
--- a/src/zone_failover/detection.rs
+++ b/src/zone_failover/detection.rs
@@ -9,7 +9,7 @@
 //! - no endpoint of the zone has responded since the first of these timeouts;
 //! - a whole detection timeout has passed since then, so that slow starts and dying endpoints do not count.
 //!
-//! A refused connection is no timeout: something in the zone responded. Any response of an endpoint clears its
+//! A refused connection is not a timeout: something in the zone responded. Any response of an endpoint clears its
 //! timeout, so a slow request class on endpoints that respond to other classes never makes a zone unreachable.
 
 use std::collections::BTreeMap;
@@ -52,9 +52,9 @@
 /// What is known of one endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointRecord {
-    /// Its zone, by index.
+    /// Zone of the endpoint, by index.
     pub(crate) zone: usize,
-    /// Its capacity relative to the other endpoints.
+    /// Capacity of the endpoint relative to the others.
     pub(crate) capacity: f64,
     /// Whether it accepts requests, by the endpoint list.
     pub(crate) is_ready: bool,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Whether it counts as usable capacity. A refusal counts for `timeout_secs`.
+    /// Whether the endpoint counts as usable capacity. A refusal makes it unusable for `timeout_secs`.
     fn is_usable(&self, now_secs: f64, timeout_secs: f64) -> bool {
         self.is_ready
             && self.timed_out_secs.is_none()
--- a/src/zone_failover/locality.rs
+++ b/src/zone_failover/locality.rs
@@ -11,11 +11,11 @@
 /// What the distribution needs of one zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneInput {
-    /// Whether it is this gatekeeper's local zone. Of several, the first counts.
+    /// Whether the zone is this gatekeeper's local zone. If several are, the first counts.
     pub is_local: bool,
-    /// Its locality weight; a zone whose weight is not above 0 takes no spillover.
+    /// Locality weight of the zone; a zone whose weight is not above 0 takes no spillover.
     pub weight: f64,
-    /// Fraction of its capacity that is usable, slow start included, 0 to 1.
+    /// Fraction of the zone's capacity that is usable, slow start included, 0 to 1.
     pub health: f64,
 }
 
@@ -67,9 +67,9 @@
 pub struct Headroom {
     /// Dispatches a second that the zone can serve.
     pub capacity_per_sec: f64,
-    /// Its utilization, as a fraction of the capacity.
+    /// Utilization of the zone, as a fraction of its capacity.
     pub utilization: f64,
-    /// Utilization up to which it takes spillover.
+    /// Utilization up to which the zone takes spillover.
     pub max_utilization: f64,
     /// Number of gatekeepers that spill into it; 0 counts as 1.
     pub spilling_gatekeepers: u32,
--- a/src/zone_failover/locality_tests.rs
+++ b/src/zone_failover/locality_tests.rs
@@ -10,7 +10,7 @@
 fn a_healthy_local_zone_takes_the_whole_load() {
     let s = distribute(&[zone(true, 1.0, 1.0), zone(false, 1.0, 1.0), zone(false, 1.0, 1.0)], 1.4);
     assert_eq!(s.shares, vec![1.0, 0.0, 0.0]);
-    // It may degrade to a health of 1 / 1.4 before anything spills.
+    // The local zone may degrade to a health of 1 / 1.4 before anything spills.
     let s = distribute(&[zone(true, 1.0, 0.75), zone(false, 1.0, 1.0)], 1.4);
     assert_eq!(s.shares[0], 1.0);
 }
--- a/src/zone_failover/mod.rs
+++ b/src/zone_failover/mod.rs
@@ -39,21 +39,21 @@
 use settings::ZoneDef;
 use slow_start::SlowStart;
 
-/// Health below one by less than this counts as one.
+/// Tolerance within which a health below 1 counts as 1.
 const HEALTH_EPSILON: f64 = 1e-9;
 
 /// An endpoint as the endpoint list describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name, unique in the list.
+    /// Name of the endpoint, unique in the list.
     pub name: String,
-    /// Its zone label.
+    /// Zone label of the endpoint.
     pub zone_label: String,
-    /// Its address, where known.
+    /// Address of the endpoint, where known.
     pub address: Option<std::net::IpAddr>,
-    /// Its capacity relative to the other endpoints; one that is not finite and above 0 counts as 1.
+    /// Capacity of the endpoint relative to the others; a value that is not finite and above 0 counts as 1.
     pub capacity: f64,
-    /// Whether it accepts requests.
+    /// Whether the endpoint accepts requests.
     pub is_ready: bool,
 }
 
@@ -71,7 +71,7 @@
 struct ZoneRecord {
     state: ZoneState,
     since_secs: f64,
-    /// The most listed capacity of ready endpoints so far: what health is measured against.
+    /// Highest listed capacity of ready endpoints so far, which health is relative to.
     peak_capacity: f64,
     slow_start: SlowStart,
 }
@@ -87,6 +87,7 @@
     local: Option<usize>,
     detector: OutlierDetector,
     latency: LatencyTracker,
+    /// Number in [0, 1) from which the jitter of slow starts derives.
     jitter_unit: f64,
 }
 
--- a/src/zone_failover/settings.rs
+++ b/src/zone_failover/settings.rs
@@ -6,7 +6,7 @@
 //! Beyond types and ranges, reading rejects: networks that overlap, a label in two zones, a local zone that the
 //! record does not define, a weight that is not above 0, and a zone without networks if zones are looked up by
 //! network. Not errors: with lookup by label, an endpoint whose label no zone names forms a zone of its own, of
-//! weight 1; with lookup by network, an endpoint in no network is in no zone, and is chosen as without this
+//! weight 1; with lookup by network, an endpoint in no network is in no zone, and is selected as without this
 //! record. A zone without endpoints takes no load and is never ejected.
 
 use super::slow_start::SlowStartSettings;
@@ -37,13 +37,13 @@
 /// Definition of a zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneDef {
-    /// Its name.
+    /// Name of the zone.
     pub name: String,
-    /// The zone labels of the endpoint list that belong to it; its own name if the settings give none.
+    /// Zone labels of the endpoint list that belong to the zone; the name of the zone if the settings give none.
     pub labels: Vec<String>,
-    /// Its networks, for [`ZoneLookup::Network`].
+    /// Networks of the zone, for [`ZoneLookup::Network`].
     pub networks: Vec<IpNet>,
-    /// Its locality weight among the zones that take spillover, above 0.
+    /// Locality weight of the zone among those that take spillover, above 0.
     pub weight: f64,
 }
 
@@ -73,8 +73,8 @@
     pub endpoint_rate_per_sec: f64,
     /// When spillover is limited (`bound`).
     pub spillover_bound: SpilloverBound,
-    /// A dispatch without a byte of response for so long has timed out; a refused connection counts for so long
-    /// (`notice`).
+    /// Time without a byte of response after which a dispatch has timed out, and for which a refused connection makes
+    /// its endpoint unusable (`notice`).
     pub detection_timeout: Duration,
     /// Slow start and backoff (`ramp`, `ramp_jitter`, `hold`, `hold_most`).
     pub slow_start: SlowStartSettings,
@@ -140,7 +140,7 @@
         let Some(local) = &self.local_zone else { return };
         if !self.zones.is_empty() && !self.zones.iter().any(|zone| &zone.name == local) {
             let at = r.node("own").map_or(r.at(), |node| node.at);
-            r.error_at(at, "own", format!("\"{local}\" is no hall of `hall`"));
+            r.error_at(at, "own", format!("\"{local}\" is not defined in `hall`"));
         }
     }
 
@@ -155,9 +155,9 @@
     /// The settings in force as text for `whinstall check`: one line, and one for each zone defined.
     pub fn describe(&self) -> String {
         let mut out = format!(
-            "halls by {}; own {}; overprovisioning {}; spill up to {} use of {} a second a node, {}; \
-             silence after {:.2} s; \
-             ramp {} s (jitter {}), hold-off {} s doubling to {} s\n",
+            "halls by {}; own hall {}; overprovisioning {}; \
+             spillover up to utilization {} of {} dispatches/s per node, {}; detection timeout {:.2} s; \
+             slow start {} s (jitter {}); backoff {} s, doubling to {} s\n",
             match self.lookup {
                 ZoneLookup::Label => "zone",
                 ZoneLookup::Network => "networks",
@@ -167,8 +167,8 @@
             self.max_spillover_utilization,
             self.endpoint_rate_per_sec,
             match self.spillover_bound {
-                SpilloverBound::Measured => "bound where answers slow down",
-                SpilloverBound::Rated => "bound always",
+                SpilloverBound::Measured => "limited under congestion",
+                SpilloverBound::Rated => "always limited",
             },
             self.detection_timeout.as_secs_f64(),
             self.slow_start.window_secs,
@@ -210,7 +210,7 @@
 fn read_zone(name: &str, r: Reader<'_>) -> ParsedZone {
     let weight = r.number("weight", 1.0, 0.0..=1e6);
     if let (Some(node), true) = (r.node("weight"), weight <= 0.0) {
-        r.error(node, "weight", "must be above 0: a hall that must take no spill is left out");
+        r.error(node, "weight", "must be above 0; leave out a hall that must not take spillover");
     }
     let mut labels: Vec<String> = r.texts("zones").into_iter().map(|(label, _)| label).collect();
     if labels.is_empty() {
@@ -231,7 +231,7 @@
         }
         if lookup == ZoneLookup::Network && zone.def.networks.is_empty() {
             let field = format!("hall.{}", zone.def.name);
-            r.error_at(zone.at, &field, "has no networks, and halls are found by networks");
+            r.error_at(zone.at, &field, "has no networks, although `key` is \"networks\"");
         }
     }
 }
@@ -241,7 +241,7 @@
     let (def, other_name) = (&zone.def, &other.name);
     if let Some(label) = def.labels.iter().find(|label| other.labels.contains(label)) {
         let field = format!("hall.{}.zones", def.name);
-        r.error_at(zone.at, &field, format!("zone \"{label}\" is also in hall \"{other_name}\""));
+        r.error_at(zone.at, &field, format!("zone \"{label}\" is already in hall \"{other_name}\""));
     }
     for (network, &at) in def.networks.iter().zip(&zone.network_positions) {
         let overlaps = |o: &&IpNet| o.contains(&network.network()) || network.contains(&o.network());
--- a/src/zone_failover/slow_start.rs
+++ b/src/zone_failover/slow_start.rs
@@ -24,7 +24,7 @@
 /// Slow-start and backoff state of one zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStart {
-    /// When the slow start began; `None`: none is in progress or remembered.
+    /// When the last slow start began; `None` if there was none, or the zone was ejected or stayed in service since.
     started_secs: Option<f64>,
     /// Flaps since the backoff was last reset.
     pub flaps: u32,
--- a/src/zone_failover/tests.rs
+++ b/src/zone_failover/tests.rs
@@ -99,7 +99,7 @@
         "overlaps 10.0.0.0/16",
         "out of range",
         "has no networks",
-        "\"hall-z\" is no hall",
+        "\"hall-z\" is not defined in `hall`",
     ] {
         assert!(messages.contains(expected), "{expected} missing from:\n{messages}");
     }
@@ -108,7 +108,7 @@
         "{messages}"
     );
     let zones = "halls: { hall: { a: { zones: [\"z\"] }, b: { zones: [\"z\"] } } }";
-    assert!(ZoneFailoverSettings::load(zones).unwrap_err()[0].message.contains("also in hall"));
+    assert!(ZoneFailoverSettings::load(zones).unwrap_err()[0].message.contains("already in hall"));
 }
 
 #[test]
@@ -118,7 +118,7 @@
     let at = |ip: &str| Endpoint { address: ip.parse().ok(), ..endpoint(0, "x") };
     assert_eq!(f.zone_of(&at("10.0.1.7")), Some(0));
     assert_eq!(f.zone_of(&at("fd00::1")), Some(1));
-    assert_eq!(f.zone_of(&at("10.0.2.7")), None, "in no zone: chosen as without zone failover");
+    assert_eq!(f.zone_of(&at("10.0.2.7")), None, "in no zone: selected as without zone failover");
 }
 
 #[test]
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -37,12 +37,13 @@
     Split,
 }
 
-/// Calls for an entry before which [`Behaviour::Resetting`] sets its total to zero, counted from 1. They are so many that
-/// one of the three gatekeepers finds the entry reset twice, and so early that each has already added units that it can
-/// resend.
+/// Calls for an entry before which [`Behaviour::Resetting`] sets its total to zero, counted from 1. They are so many
+/// that one of the three gatekeepers finds the entry reset twice, and so early that each has already added units that
+/// it can resend.
 const RESET_BEFORE_CALLS: std::ops::Range<u32> = 5..14;
 
-/// A scripted counter with a total per name. The two addresses are views of the same totals unless the counter is split.
+/// A scripted counter with a total per name. The two addresses are views of the same totals unless the counter is
+/// split.
 struct Counter {
     peers: [Peer; 2],
     state: Arc<State>,
@@ -287,8 +288,8 @@
         counter.set(if (4.0..10.0).contains(&t) { Behaviour::Unresponsive } else { Behaviour::Healthy });
     });
     let admitted = f.admitted(HEAVY, start, (4.0, 10.0));
-    // The bound of docs/quota.md: the quota and its burst, what is admitted unseen while the last totals are still used,
-    // and one request at each gatekeeper.
+    // The bound of docs/quota.md: the quota and its burst, what is admitted unseen while the last totals are still
+    // used, and one request at each gatekeeper.
     let unseen = 2.0 / 3.0 * 3.0 * RATE * (0.5 + 0.34 * BURST / RATE);
     let max_units = RATE * 6.0 + BURST + unseen + GATEKEEPERS as f64;
     let (ok, all) = served(&outcomes, &LIGHT, (4.0, 10.0));
@@ -336,8 +337,8 @@
     assert!(admitted <= RATE * 4.0 + 3.0 * BURST, "{admitted}");
 }
 
-/// The counter loses each entry early in its window: gatekeepers resend the lost units, and reject no customer inside its
-/// quota (20 units per second here). The counter then stops answering, so that the gatekeepers log a report.
+/// The counter loses each entry early in its window: gatekeepers resend the lost units, and reject no customer inside
+/// its quota (20 units per second here). The counter then stops answering, so that the gatekeepers log a report.
 #[test]
 fn lost_units_are_resent_to_a_replaced_counter() {
     let f = start_fleet_with_quota_factor(4.0);
@@ -382,8 +383,8 @@
     assert!(admitted <= RATE * 6.0 + 3.0 * BURST, "{admitted}");
 }
 
-/// The counter splits into two views that answer promptly, each with totals of its own, and heals with the totals of the
-/// second view lost. Gatekeepers resend the lost units, not repeatedly, and reject no customer inside its quota.
+/// The counter splits into two views that answer promptly, each with totals of its own, and heals with the totals of
+/// the second view lost. Gatekeepers resend the lost units, not repeatedly, and reject no customer inside its quota.
 #[test]
 fn two_views_of_a_split_counter_are_reconciled() {
     let f = start_fleet_with_quota_factor(4.0);
--- a/tests/quota_model.rs
+++ b/tests/quota_model.rs
@@ -288,7 +288,8 @@
     calls_per_sec: f64,
     /// Calls to the counter per second in the two seconds after the fault.
     calls_per_sec_after: f64,
-    /// Lowest level of any ceiling's bucket in the whole run, in units. A ceiling is violated below minus its tolerance.
+    /// Lowest level of any ceiling's bucket in the whole run, in units. A ceiling is violated below minus its
+    /// tolerance.
     min_ceiling_level: f64,
 }
 
@@ -801,9 +802,9 @@
     [None, Lost, PartitionLost, Late, Split, Replaced, Garbage, LostAndRestarted, LostAndPartitioned]
 }
 
-/// Bound on the mean excess of customers that demand three times their quota, over a fault of 30 s, as a fraction of the
-/// quota: the target of a tenth, and the deviation of the mean over a few seeds. The target does not cover late answers
-/// and split counters (docs/quota.md).
+/// Bound on the mean excess of customers that demand three times their quota, over a fault of 30 s, as a fraction of
+/// the quota: the target of a tenth, and the deviation of the mean over a few seeds. The target does not cover late
+/// answers and split counters (docs/quota.md).
 fn max_excess_beyond(fault: Fault) -> f64 {
     match fault {
         Fault::Split => 0.50,
@@ -850,9 +851,9 @@
     (figures, runs)
 }
 
-/// The stated error bound holds in every fault, audited from the requests sent: customers inside their quota stay within
-/// it and are not rejected because of the fault, customers far beyond it stay within the target, and no ceiling is
-/// exceeded by more than its tolerance.
+/// The stated error bound holds in every fault, audited from the requests sent: customers inside their quota stay
+/// within it and are not rejected because of the fault, customers far beyond it stay within the target, and no ceiling
+/// is exceeded by more than its tolerance.
 #[test]
 fn quotas_hold_within_the_stated_error_in_every_fault() {
     for fault in all_faults() {
--- a/tests/zone_failover_measure.rs
+++ b/tests/zone_failover_measure.rs
@@ -171,11 +171,11 @@
 struct Figures {
     /// Fraction of requests served in time.
     service: f64,
-    /// The same over the worst ten seconds.
+    /// Fraction of requests served in time over the worst ten seconds.
     worst_10s: f64,
     /// Peak utilization of the busier of the remaining zones.
     peak_utilization: f64,
-    /// Its mean during the outage, once settled.
+    /// Mean utilization of the busier of the remaining zones during the outage, once settled.
     outage_utilization: f64,
     /// Seconds of the outage in which hall-a still received more than a tenth of its requests before.
     detection_secs: f64,
