--- a/tests/zone_failover.rs
+++ b/tests/zone_failover.rs
@@ -94,7 +94,8 @@
         dispatches[seconds].iter().map(|second| second[zone]).fold(DispatchCount::default(), |a, b| a + b)
     };
     // Before the outage the local zone takes most requests, and none is dispatched twice. In the outage, once it is
-    // detected, the zone receives trials only; what it swallowed is retried elsewhere, within the retry budget.
+    // detected, the zone receives trials only. Requests that hang there are retried in other zones, within the retry
+    // budget.
     assert!(sum(0..2, 0).first > 40, "before: {dispatches:?}");
     assert!(sum(0..2, 1).repeated + sum(0..2, 2).repeated == 0, "before: {dispatches:?}");
     assert!(sum(3..5, 0).first <= 12, "in the outage: {dispatches:?}");
@@ -116,8 +117,8 @@
     assert!(last.is_some_and(|line| line.contains("current=healthy")), "healthy again");
 }
 
-/// The endpoints of a slow zone respond, if late: it stays in use, as the decision module sees fit (it prefers remote
-/// endpoints where local ones are much slower).
+/// The endpoints of a slow zone still respond, so the zone is not ejected. The decision module goes on to use it, though
+/// it prefers remote endpoints where local ones are much slower.
 #[test]
 fn a_slow_local_zone_is_not_ejected() {
     let f = LoadedFleet::start(SETTINGS, 2);
@@ -131,7 +132,7 @@
     assert!(log.is_empty(), "{log:?}");
 }
 
-/// The local zone hangs for good; meanwhile hall-b loses one of its two endpoints from the list. Spillover goes by
+/// The local zone hangs until the end; meanwhile hall-b loses one of its two endpoints from the list. Spillover goes by
 /// weight times health: by plan, hall-b takes half of what hall-c takes. Of 90 requests that is 30 to 60, give or
 /// take 5; a test of the decision module draws thousands.
 #[test]
