--- a/src/fleet/budget/allocator.rs
+++ b/src/fleet/budget/allocator.rs
@@ -1,274 +1,291 @@
-//! What one gatekeeper gives out while it leads: who supports it until when, and what each may still go by. It owns the
-//! ledger. It must never give without the support of a majority, count a part as free that anybody may go by, or know
-//! what a budget is good for.
+//! The leader's side: which members support this allocator, and what it has granted.
+//!
+//! A member supports at most one allocator at a time. An allocator is the leader while a majority of the members
+//! supports it, so there is at most one leader at any time.
+//!
+//! Invariants:
+//! - grants are made only with the support of a majority;
+//! - a share counts as free only when no holder can still use it.
+//!
+//! What a budget is for does not matter here.
 
 use super::{
     share, BudgetName, GrantRequest, GrantResponse, HeldGrant, LeaseTimes, Ms, Origin, Ppm, TOTAL_PPM,
 };
 use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
-/// What one may still go by, of one budget.
+/// What one holder may use of one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Account {
-    /// Parts given, by number, each counted until then.
-    given: BTreeMap<u64, (Ppm, Ms)>,
-    /// A part that another divider gave, which it said that it goes by.
-    foreign: Option<(Ppm, Ms)>,
-    wants: Ppm,
-    /// Its wants count until then.
-    wants_until: Ms,
+struct HolderState {
+    /// Grants of this allocator by number: the share, and until when it counts.
+    grants: BTreeMap<u64, (Ppm, Ms)>,
+    /// A grant of another allocator that the holder reported to use, and until when it counts.
+    foreign_grant: Option<(Ppm, Ms)>,
+    demand: Ppm,
+    /// Until then the demand counts.
+    demand_until: Ms,
 }
 
-impl Account {
-    /// The most it may go by.
-    fn counted(&self, now: Ms) -> Ppm {
-        let given = self.given.values().filter(|given| now < given.1).map(|given| given.0);
-        given
-            .chain(self.foreign.filter(|foreign| now < foreign.1).map(|foreign| foreign.0))
-            .max()
-            .unwrap_or(0)
+impl HolderState {
+    /// The largest share that the holder may be using.
+    fn max_share(&self, now: Ms) -> Ppm {
+        let own = self.grants.values().filter(|grant| now < grant.1).map(|grant| grant.0);
+        let foreign = self.foreign_grant.filter(|grant| now < grant.1).map(|grant| grant.0);
+        own.chain(foreign).max().unwrap_or(0)
     }
 }
 
-/// One budget's ledger.
+/// Holders of one budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Ledger {
-    accounts: BTreeMap<Origin, Account>,
-    /// Those that said in this reign what they go by of another divider.
-    told: BTreeSet<Origin>,
-    /// What a former divider may have given to whom nobody knows.
+struct BudgetState {
+    holders: BTreeMap<Origin, HolderState>,
+    /// Holders that reported in this epoch which grant of another allocator they use.
+    reported: BTreeSet<Origin>,
+    /// Share that a previous leader may have granted to holders that have not reported.
     unknown: Ppm,
 }
 
-impl Ledger {
-    fn counted(&self, now: Ms) -> Ppm {
-        self.accounts.values().map(|account| account.counted(now)).sum()
+impl BudgetState {
+    /// The sum of the largest shares that the holders may be using.
+    fn max_share(&self, now: Ms) -> Ppm {
+        self.holders.values().map(|holder| holder.max_share(now)).sum()
     }
 }
 
-/// One gatekeeper's side as the divider.
+/// State of one gatekeeper as an allocator.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Allocator {
     me: Origin,
     times: LeaseTimes,
-    /// Members that the platform says there are.
+    /// Configured number of members of the fleet.
     members: usize,
-    /// It may have led in a former life, or promised support to another, until then.
-    quiet_until: Ms,
-    /// By name: the life that supports it, and until when.
-    supporters: BTreeMap<std::sync::Arc<str>, (u64, Ms)>,
-    /// It leads until then, and since a reign began what is unknown is unknown until then.
-    leads_until: Ms,
+    /// Until then a previous incarnation may have been the leader, or this member may have promised its support to
+    /// another allocator.
+    not_leader_until: Ms,
+    /// By name of the member: the incarnation that supports this allocator, and until when.
+    supporters: BTreeMap<Arc<str>, (u64, Ms)>,
+    /// Until then this allocator is the leader.
+    leader_until: Ms,
+    /// Until then holders may use grants of a previous leader that this one does not know.
     unknown_until: Ms,
-    reigns: u64,
-    ledgers: BTreeMap<BudgetName, Ledger>,
-    given: u64,
-    /// Parts of this reign have this number or a greater one.
-    reign_from: u64,
-    /// By name: the last life that asked, and the number of its last request.
-    last: BTreeMap<std::sync::Arc<str>, (u64, u64)>,
-    gone: BTreeSet<Origin>,
+    epoch: u64,
+    budgets: BTreeMap<BudgetName, BudgetState>,
+    grant_count: u64,
+    /// Number of the first grant of this epoch.
+    first_grant_of_epoch: u64,
+    /// By name of the member: the last incarnation that sent a request, and the number of its last request.
+    last_requests: BTreeMap<Arc<str>, (u64, u64)>,
+    departed: BTreeSet<Origin>,
 }
 
-/// So many names of members that asked are remembered, and so many lives that have left.
-const NAMES_MOST: usize = 4096;
+/// Maximum number of member names whose last request is remembered, and of departed incarnations.
+const MAX_REMEMBERED: usize = 4096;
 
-/// What operators see of a budget.
+/// Allocation of one budget, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetReport {
-    /// Which.
+    /// The budget.
     pub budget: BudgetName,
-    /// By holder: the part that is counted for it.
+    /// For each holder, the largest share that it may be using.
     pub shares: Vec<(Origin, Ppm)>,
-    /// What is out of reach until the unknown is known.
+    /// Share that cannot be granted because a previous leader may have granted it.
     pub unknown: Ppm,
 }
 
 impl Allocator {
-    /// A process that begins, of so many members.
+    /// State of a process that starts now in a fleet of this many members.
     pub fn new(me: Origin, now: Ms, times: LeaseTimes, members: u32) -> Self {
         Allocator {
             me,
             times,
             members: members.max(1) as usize,
-            quiet_until: now + times.lease_with_margin_ms(),
+            not_leader_until: now + times.lease_with_margin_ms(),
             supporters: BTreeMap::new(),
-            leads_until: 0,
+            leader_until: 0,
             unknown_until: 0,
-            reigns: 0,
-            ledgers: BTreeMap::new(),
-            given: 0,
-            reign_from: 0,
-            last: BTreeMap::new(),
-            gone: BTreeSet::new(),
+            epoch: 0,
+            budgets: BTreeMap::new(),
+            grant_count: 0,
+            first_grant_of_epoch: 0,
+            last_requests: BTreeMap::new(),
+            departed: BTreeSet::new(),
         }
     }
 
-    /// Does it lead now?
+    /// Whether this allocator is the leader now.
     pub fn is_leader(&self, now: Ms) -> bool {
-        now < self.leads_until
+        now < self.leader_until
     }
 
-    /// Reigns so far.
+    /// Number of times that this allocator has become the leader.
     pub fn epoch(&self) -> u64 {
-        self.reigns
+        self.epoch
     }
 
-    /// Milliseconds for which it leads yet, and until nothing is unknown any more.
+    /// Milliseconds for which this allocator remains the leader, and until all grants of previous leaders have ended.
     pub fn remaining_ms(&self, now: Ms) -> (Ms, Ms) {
-        (self.leads_until.saturating_sub(now), self.unknown_until.saturating_sub(now))
+        (self.leader_until.saturating_sub(now), self.unknown_until.saturating_sub(now))
     }
 
-    fn support(&mut self, now: Ms, request: &GrantRequest) {
+    /// Counts the support that comes with a request, and becomes or remains the leader if a majority supports it.
+    fn record_support(&mut self, now: Ms, request: &GrantRequest) {
         let Some(stamp) = request.support_stamp.filter(|stamp| *stamp <= now) else { return };
+        // The supporter received the stamp after it was made and sent its promise after that, so the promise outlasts
+        // a lease that starts at the stamp.
         let until = stamp + self.times.lease_ms;
-        let life = request.from.incarnation;
-        let held = self.supporters.entry(request.from.name.clone()).or_insert((life, until));
-        *held = (*held).max((life, until)); // of a later life, or of the same one for longer
-                                            // A majority supports it until the last of that many stops.
-        let mut ends: Vec<Ms> = self.supporters.values().map(|s| s.1).collect();
-        let place = self.members / 2;
-        let until = match place < ends.len() {
-            true => *ends.select_nth_unstable_by(place, |a, b| b.cmp(a)).1,
+        let incarnation = request.from.incarnation;
+        let support = self.supporters.entry(request.from.name.clone()).or_insert((incarnation, until));
+        // Support of a later incarnation replaces that of an earlier one; within an incarnation it is only extended.
+        *support = (*support).max((incarnation, until));
+        // A majority supports this allocator until the support of the last member that completes it ends.
+        let mut ends: Vec<Ms> = self.supporters.values().map(|support| support.1).collect();
+        let majority_index = self.members / 2;
+        let majority_until = match majority_index < ends.len() {
+            true => *ends.select_nth_unstable_by(majority_index, |a, b| b.cmp(a)).1,
             false => 0,
         };
-        if now < until && now >= self.quiet_until {
-            if now >= self.leads_until {
-                self.begin(now);
+        if now < majority_until && now >= self.not_leader_until {
+            if now >= self.leader_until {
+                self.begin_epoch(now);
             }
-            self.leads_until = self.leads_until.max(until);
+            self.leader_until = self.leader_until.max(majority_until);
         }
     }
 
-    /// A reign begins: another may have led until just now. What this one gave before may since have been given again
-    /// by that one, so nothing is known but what holders say from now on.
-    fn begin(&mut self, now: Ms) {
-        self.reigns += 1;
-        self.reign_from = self.given + 1;
+    /// Starts an epoch as the leader. Another allocator may have been the leader until just now and may have granted
+    /// again what this one granted before. So nothing is known but what holders report from now on.
+    fn begin_epoch(&mut self, now: Ms) {
+        self.epoch += 1;
+        self.first_grant_of_epoch = self.grant_count + 1;
         self.unknown_until = now + self.times.lease_with_margin_ms();
-        self.ledgers.clear();
+        self.budgets.clear();
     }
 
-    /// Is it news, from the last life of its name and with a number that was not there before? What is repeated or late
-    /// tells of what is no longer so.
-    fn is_news(&mut self, request: &GrantRequest) -> bool {
+    /// Whether a request is addressed to this incarnation and newer than all requests of its sender so far. Repeated
+    /// and late requests describe an outdated state.
+    fn is_new_request(&mut self, request: &GrantRequest) -> bool {
         let this = (request.from.incarnation, request.number);
         if request.to != self.me
-            || (self.last.len() >= NAMES_MOST && !self.last.contains_key(&request.from.name))
+            || (self.last_requests.len() >= MAX_REMEMBERED
+                && !self.last_requests.contains_key(&request.from.name))
         {
             return false;
         }
-        let last = self.last.entry(request.from.name.clone()).or_default();
-        let news = *last < this;
+        let last = self.last_requests.entry(request.from.name.clone()).or_default();
+        let is_new = *last < this;
         *last = this.max(*last);
-        news
+        is_new
     }
 
-    /// Answers a request, which came at `now`.
+    /// Responds to a request received at `now`.
     pub fn handle_request(&mut self, now: Ms, request: &GrantRequest) -> GrantResponse {
-        let (mut parts, news) = (Vec::new(), self.is_news(request));
-        if news {
-            self.support(now, request);
+        let (mut grants, is_new) = (Vec::new(), self.is_new_request(request));
+        if is_new {
+            self.record_support(now, request);
         }
-        if !news {
-            // Its sender goes by no answer to it any more.
+        if !is_new {
+            // Nothing is granted: the sender no longer accepts a response to an old request.
         } else if request.is_leaving {
-            self.left(&request.from);
-        } else if self.is_leader(now) && !self.gone.contains(&request.from) {
-            self.hear(now, request);
-            for (budget, wants) in &request.demands {
-                if let Some((number, part)) = self.give(now, &request.from, budget, *wants) {
-                    parts.push((budget.clone(), number, part));
+            self.remove_holder(&request.from);
+        } else if self.is_leader(now) && !self.departed.contains(&request.from) {
+            self.record_held_grants(now, request);
+            for (budget, demand) in &request.demands {
+                if let Some((number, share)) = self.grant(now, &request.from, budget, *demand) {
+                    grants.push((budget.clone(), number, share));
                 }
             }
         }
-        let (from, leads) = (self.me.clone(), self.is_leader(now));
-        GrantResponse { from, request_number: request.number, stamp: now, is_leader: leads, grants: parts }
+        let (from, is_leader) = (self.me.clone(), self.is_leader(now));
+        GrantResponse { from, request_number: request.number, stamp: now, is_leader, grants }
     }
 
-    fn left(&mut self, who: &Origin) {
-        for ledger in self.ledgers.values_mut() {
-            ledger.accounts.remove(who);
+    fn remove_holder(&mut self, holder: &Origin) {
+        for budget in self.budgets.values_mut() {
+            budget.holders.remove(holder);
         }
-        if self.gone.len() < NAMES_MOST {
-            self.gone.insert(who.clone());
+        if self.departed.len() < MAX_REMEMBERED {
+            self.departed.insert(holder.clone());
         }
     }
 
-    fn ledger(&mut self, now: Ms, budget: &BudgetName) -> &mut Ledger {
+    fn budget_state(&mut self, now: Ms, budget: &BudgetName) -> &mut BudgetState {
         let unknown = if now < self.unknown_until { TOTAL_PPM } else { 0 };
-        self.ledgers.entry(budget.clone()).or_insert_with(|| Ledger { unknown, ..Ledger::default() })
+        self.budgets
+            .entry(budget.clone())
+            .or_insert_with(|| BudgetState { unknown, ..BudgetState::default() })
     }
 
-    /// What one says it goes by.
-    fn hear(&mut self, now: Ms, request: &GrantRequest) {
-        let (me, from, until) = (self.me.clone(), self.reign_from, now + self.times.lease_with_margin_ms());
-        // Only one that supports this divider takes nothing of another any more.
-        let supports = request.support_stamp.is_some() && now < self.unknown_until;
-        for HeldGrant { budget, granted_by: by, grant_number: number, share: part } in &request.held {
-            let ledger = self.ledger(now, budget);
-            let account = ledger.accounts.entry(request.from.clone()).or_default();
-            if *by == me && *number >= from {
-                // It takes no answer to an earlier request any more.
-                account.given.retain(|n, _| n >= number);
-                account.foreign = None;
-            } else if supports && ledger.told.insert(request.from.clone()) {
-                let known = account.counted(now);
-                account.foreign = Some((*part, until));
-                ledger.unknown = ledger.unknown.saturating_sub(part.saturating_sub(known));
+    /// Records which grants the sender of a request uses.
+    fn record_held_grants(&mut self, now: Ms, request: &GrantRequest) {
+        let (me, first_grant, until) =
+            (self.me.clone(), self.first_grant_of_epoch, now + self.times.lease_with_margin_ms());
+        // Reports of foreign grants count only with support: a supporter accepts no further grant of another allocator.
+        let is_supporter = request.support_stamp.is_some() && now < self.unknown_until;
+        for HeldGrant { budget, granted_by, grant_number, share } in &request.held {
+            let state = self.budget_state(now, budget);
+            let holder = state.holders.entry(request.from.clone()).or_default();
+            if *granted_by == me && *grant_number >= first_grant {
+                // The holder accepts no response to an earlier request, so it cannot use an earlier grant any more.
+                holder.grants.retain(|number, _| number >= grant_number);
+                holder.foreign_grant = None;
+            } else if is_supporter && state.reported.insert(request.from.clone()) {
+                let known = holder.max_share(now);
+                holder.foreign_grant = Some((*share, until));
+                state.unknown = state.unknown.saturating_sub(share.saturating_sub(known));
             }
         }
     }
 
-    /// The part that one is given of a budget, with its number.
-    fn give(&mut self, now: Ms, to: &Origin, budget: &BudgetName, wants: Ppm) -> Option<(u64, Ppm)> {
-        let (until, unknown) = (now + self.times.lease_with_margin_ms(), now < self.unknown_until);
-        let ledger = self.ledger(now, budget);
-        if !unknown {
-            ledger.unknown = 0;
+    /// Grants a share of a budget to a holder; returns the number of the grant and the share.
+    fn grant(&mut self, now: Ms, to: &Origin, budget: &BudgetName, demand: Ppm) -> Option<(u64, Ppm)> {
+        let (until, has_unknown) = (now + self.times.lease_with_margin_ms(), now < self.unknown_until);
+        let state = self.budget_state(now, budget);
+        if !has_unknown {
+            state.unknown = 0;
         }
-        let account = ledger.accounts.entry(to.clone()).or_default();
-        (account.wants, account.wants_until) = (wants.min(TOTAL_PPM), until);
-        let counted = account.counted(now);
-        let asking: Vec<(&Origin, Ppm)> = ledger
-            .accounts
+        let holder = state.holders.entry(to.clone()).or_default();
+        (holder.demand, holder.demand_until) = (demand.min(TOTAL_PPM), until);
+        let current = holder.max_share(now);
+        let demands: Vec<(&Origin, Ppm)> = state
+            .holders
             .iter()
-            .filter(|(_, account)| now < account.wants_until)
-            .map(|(who, account)| (who, account.wants))
+            .filter(|(_, holder)| now < holder.demand_until)
+            .map(|(origin, holder)| (origin, holder.demand))
             .collect();
-        let fair = share::max_min_fair(&asking.iter().map(|asking| asking.1).collect::<Vec<_>>());
-        let place = asking.iter().position(|asking| asking.0 == to)?;
-        let others = ledger.counted(now) - counted;
-        let room = TOTAL_PPM.saturating_sub(others + ledger.unknown);
-        let part = share::next_share(counted, fair[place], room);
-        self.given += 1;
-        let number = self.given;
-        let account = self.ledgers.get_mut(budget)?.accounts.get_mut(to)?;
-        account.given.retain(|_, given| now < given.1);
-        account.given.insert(number, (part, until));
-        Some((number, part))
+        let fair = share::max_min_fair(&demands.iter().map(|demand| demand.1).collect::<Vec<_>>());
+        let index = demands.iter().position(|demand| demand.0 == to)?;
+        let others = state.max_share(now) - current;
+        let available = TOTAL_PPM.saturating_sub(others + state.unknown);
+        let share = share::next_share(current, fair[index], available);
+        self.grant_count += 1;
+        let number = self.grant_count;
+        let holder = self.budgets.get_mut(budget)?.holders.get_mut(to)?;
+        holder.grants.retain(|_, grant| now < grant.1);
+        holder.grants.insert(number, (share, until));
+        Some((number, share))
     }
 
-    /// Forgets what is over.
+    /// Discards ended support, grants and demands.
     pub fn discard_expired(&mut self, now: Ms) {
-        self.supporters.retain(|_, supporter| now < supporter.1);
-        self.ledgers.retain(|_, ledger| {
-            ledger.accounts.retain(|_, account| account.counted(now) > 0 || now < account.wants_until);
-            !ledger.accounts.is_empty()
+        self.supporters.retain(|_, support| now < support.1);
+        self.budgets.retain(|_, budget| {
+            budget.holders.retain(|_, holder| holder.max_share(now) > 0 || now < holder.demand_until);
+            !budget.holders.is_empty()
         });
     }
 
-    /// What operators see, budget by budget.
+    /// Allocation of each budget, for operators.
     pub fn report(&self, now: Ms) -> Vec<BudgetReport> {
-        let one = |(budget, ledger): (&BudgetName, &Ledger)| BudgetReport {
+        let report = |(budget, state): (&BudgetName, &BudgetState)| BudgetReport {
             budget: budget.clone(),
-            shares: ledger
-                .accounts
+            shares: state
+                .holders
                 .iter()
-                .map(|(who, account)| (who.clone(), account.counted(now)))
+                .map(|(origin, holder)| (origin.clone(), holder.max_share(now)))
                 .collect(),
-            unknown: if now < self.unknown_until { ledger.unknown } else { 0 },
+            unknown: if now < self.unknown_until { state.unknown } else { 0 },
         };
-        self.ledgers.iter().map(one).collect()
+        self.budgets.iter().map(report).collect()
     }
 }
--- a/src/fleet/budget/holder.rs
+++ b/src/fleet/budget/holder.rs
@@ -1,109 +1,122 @@
-//! What one gatekeeper holds, and whom it supports as the divider. It owns the promise that support is, and the terms of
-//! its parts. It must never go by a part past its term, support two at once, or take an answer to any but its last
-//! request.
+//! The side of a member: the grants that it holds, and the allocator that it supports as the leader.
+//!
+//! Invariants:
+//! - a grant is not used beyond its lease;
+//! - a member supports at most one allocator at a time: support is a promise for the lease plus the margin;
+//! - only the response to the last request is accepted.
 
 use super::{BudgetName, GrantRequest, GrantResponse, HeldGrant, LeaseTimes, Ms, Origin, Ppm};
 use std::collections::BTreeMap;
 
+/// A grant in use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Part {
-    by: Origin,
+struct Grant {
+    granted_by: Origin,
     number: u64,
-    part: Ppm,
-    until: Ms,
+    share: Ppm,
+    expires_at: Ms,
 }
 
-/// One gatekeeper's side.
+/// State of one member as a holder of grants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
     me: Origin,
     times: LeaseTimes,
-    /// It may have promised support in a former life until then.
-    quiet_until: Ms,
-    /// Whom it supports, and until when it supports no other.
+    /// Until then a previous incarnation may still be bound by a promise of support, so none is given.
+    no_support_until: Ms,
+    /// The supported allocator, and until when no other may be supported.
     supports: Option<(Origin, Ms)>,
-    /// The last stamp it heard, and whose.
-    heard: Option<(Origin, u64)>,
-    /// Its last request: the number, to whom, and when.
-    asked: Option<(u64, Origin, Ms)>,
-    count: u64,
-    parts: BTreeMap<BudgetName, Part>,
-    left: bool,
+    /// The last stamp received, and its allocator.
+    last_stamp: Option<(Origin, u64)>,
+    /// The last request: its number, its allocator, and when it was sent.
+    last_request: Option<(u64, Origin, Ms)>,
+    request_count: u64,
+    grants: BTreeMap<BudgetName, Grant>,
+    is_leaving: bool,
 }
 
 impl Holder {
-    /// A process that begins: what a former life of it promised holds for a term and a margin.
+    /// State of a process that starts now. Promises of its previous incarnation may bind it for a lease and a margin.
     pub fn new(me: Origin, now: Ms, times: LeaseTimes) -> Self {
-        let quiet_until = now + times.lease_with_margin_ms();
-        let (parts, left) = (BTreeMap::new(), false);
-        Holder { me, times, quiet_until, supports: None, heard: None, asked: None, count: 0, parts, left }
+        Holder {
+            me,
+            times,
+            no_support_until: now + times.lease_with_margin_ms(),
+            supports: None,
+            last_stamp: None,
+            last_request: None,
+            request_count: 0,
+            grants: BTreeMap::new(),
+            is_leaving: false,
+        }
     }
 
-    /// The next request, to the one that is taken for the divider.
-    pub fn next_request(&mut self, now: Ms, to: &Origin, wants: Vec<(BudgetName, Ppm)>) -> GrantRequest {
-        self.parts.retain(|_, part| now < part.until);
-        let free = self.supports.as_ref().is_none_or(|(who, until)| who == to || now >= *until);
-        let stamp = self.heard.as_ref().filter(|heard| heard.0 == *to).map(|heard| heard.1);
-        let support = stamp.filter(|_| free && now >= self.quiet_until && !self.left);
-        if support.is_some() {
+    /// Makes the next request, to the allocator `to` that is taken for the leader. The caller sends it.
+    pub fn next_request(&mut self, now: Ms, to: &Origin, demands: Vec<(BudgetName, Ppm)>) -> GrantRequest {
+        self.grants.retain(|_, grant| now < grant.expires_at);
+        let may_support =
+            self.supports.as_ref().is_none_or(|(allocator, until)| allocator == to || now >= *until);
+        let stamp = self.last_stamp.as_ref().filter(|stamp| stamp.0 == *to).map(|stamp| stamp.1);
+        let support_stamp = stamp.filter(|_| may_support && now >= self.no_support_until && !self.is_leaving);
+        if support_stamp.is_some() {
             self.supports = Some((to.clone(), now + self.times.lease_with_margin_ms()));
         }
-        self.count += 1;
-        self.asked = Some((self.count, to.clone(), now));
-        let held = |(budget, p): (&BudgetName, &Part)| HeldGrant {
+        self.request_count += 1;
+        self.last_request = Some((self.request_count, to.clone(), now));
+        let held = |(budget, grant): (&BudgetName, &Grant)| HeldGrant {
             budget: budget.clone(),
-            granted_by: p.by.clone(),
-            grant_number: p.number,
-            share: p.part,
+            granted_by: grant.granted_by.clone(),
+            grant_number: grant.number,
+            share: grant.share,
         };
-        let held = self.parts.iter().map(held).collect();
-        let (from, to) = (self.me.clone(), to.clone());
         GrantRequest {
-            from,
-            to,
-            number: self.count,
-            support_stamp: support,
-            held,
-            demands: wants,
-            is_leaving: self.left,
+            from: self.me.clone(),
+            to: to.clone(),
+            number: self.request_count,
+            support_stamp,
+            held: self.grants.iter().map(held).collect(),
+            demands,
+            is_leaving: self.is_leaving,
         }
     }
 
-    /// An answer came. `false`: it is none to the last request.
-    pub fn handle_response(&mut self, answer: &GrantResponse) -> bool {
-        let Some((number, to, at)) = self.asked.as_ref() else { return false };
-        if *number != answer.request_number || *to != answer.from || self.left {
+    /// Takes the grants of a response. Their leases run from the time at which the request was sent. Returns `false`,
+    /// and takes nothing, unless it is the response to the last request.
+    pub fn handle_response(&mut self, response: &GrantResponse) -> bool {
+        let Some((number, to, sent_at)) = self.last_request.as_ref() else { return false };
+        if *number != response.request_number || *to != response.from || self.is_leaving {
             return false;
         }
-        self.heard = Some((answer.from.clone(), answer.stamp));
-        for (budget, number, part) in answer.grants.iter().filter(|_| answer.is_leader) {
-            let (by, until) = (answer.from.clone(), at + self.times.lease_ms);
-            self.parts.insert(budget.clone(), Part { by, number: *number, part: *part, until });
+        self.last_stamp = Some((response.from.clone(), response.stamp));
+        for (budget, number, share) in response.grants.iter().filter(|_| response.is_leader) {
+            let (granted_by, expires_at) = (response.from.clone(), sent_at + self.times.lease_ms);
+            let grant = Grant { granted_by, number: *number, share: *share, expires_at };
+            self.grants.insert(budget.clone(), grant);
         }
         true
     }
 
-    /// What it may go by now, of a budget: looked at as each session is admitted.
+    /// Share of a budget that this member may use now.
     pub fn share(&self, now: Ms, budget: &str) -> Ppm {
-        self.parts.get(budget).filter(|part| now < part.until).map_or(0, |part| part.part)
+        self.grants.get(budget).filter(|grant| now < grant.expires_at).map_or(0, |grant| grant.share)
     }
 
-    /// All that it may go by now, each with the time at which it ends.
+    /// All shares that this member may use now, each with the time at which its lease ends.
     pub fn shares(&self, now: Ms) -> impl Iterator<Item = (&BudgetName, Ppm, Ms)> {
-        self.parts
+        self.grants
             .iter()
-            .filter(move |(_, part)| now < part.until)
-            .map(|(b, part)| (b, part.part, part.until))
+            .filter(move |(_, grant)| now < grant.expires_at)
+            .map(|(budget, grant)| (budget, grant.share, grant.expires_at))
     }
 
-    /// Whom it supports now.
+    /// The allocator that this member supports now.
     pub fn supported_leader(&self, now: Ms) -> Option<&Origin> {
-        self.supports.as_ref().filter(|(_, until)| now < *until).map(|(who, _)| who)
+        self.supports.as_ref().filter(|(_, until)| now < *until).map(|(allocator, _)| allocator)
     }
 
-    /// It ends: it holds nothing from now on, and its next request says so.
+    /// Drops all grants for a shutdown; the next request tells the allocator.
     pub fn leave(&mut self) {
-        self.left = true;
-        self.parts.clear();
+        self.is_leaving = true;
+        self.grants.clear();
     }
 }
--- a/src/fleet/budget/mod.rs
+++ b/src/fleet/budget/mod.rs
@@ -1,10 +1,16 @@
-//! Budgets of the whole fleet, divided by demand among the gatekeepers that are there. [`holder`] owns what one of them
-//! holds and whom it supports, [`allocator`] what one that leads has given out, [`share`] how much each ought to have. What
-//! must hold at any instant: the parts that all processes hold together never pass the whole, whatever fails. Pure: time
-//! is passed in, whole milliseconds of each one's own clock, of which only the rate is trusted. It must never refuse a
-//! session: it hands the decision module parts.
+//! Budgets of the whole fleet, divided by demand among its live gatekeepers.
 //!
-//! See docs/budgets.md for the rules, and `tests/budget_check.rs` for the checker that plays all orders of events.
+//! A leader grants shares of each budget as leases. [`allocator`] is the leader's side: which members support it, and
+//! what it has granted. [`holder`] is the side of a member: the grants that it holds, and the allocator that it supports.
+//! [`share`] computes how large a share each holder should have.
+//!
+//! Invariant: at any instant, the shares that all processes use of a budget sum to at most the whole budget, whatever
+//! fails. Holders end a lease after its duration; the allocator counts it for that duration plus a margin for clock
+//! drift. Of clocks only the rate is trusted.
+//!
+//! Pure: the time is passed in, in milliseconds of each process's own clock. Nothing here rejects a request; the shares
+//! are handed to the decision module. See docs/budgets.md for the rules, and `tests/budget_check.rs` for the model
+//! checker that explores all orders of events.
 
 pub mod allocator;
 pub mod holder;
@@ -20,86 +26,87 @@
 /// Milliseconds of one process's own clock.
 pub type Ms = u64;
 
-/// Millionths of a whole.
+/// Parts per million of a budget.
 pub type Ppm = u64;
 
-/// The whole that is divided, of any budget.
+/// The whole of a budget.
 pub const TOTAL_PPM: Ppm = 1_000_000;
 
-/// What is divided: a customer's ceiling, by the customer's name.
+/// Identifies a budget: the ceiling of a customer, by the customer's name.
 pub type BudgetName = Arc<str>;
 
-/// LeaseTimes that all members of a fleet have in common.
+/// Durations that all members of a fleet agree on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
-    /// A part, and support, are good for so long.
+    /// Duration of a grant, and of support for a leader.
     pub lease_ms: Ms,
-    /// Two clocks run apart by less than this in a term.
+    /// Upper bound on the drift between two clocks during a lease.
     pub clock_margin_ms: Ms,
 }
 
 impl LeaseTimes {
-    /// A term as the one counts it who must not end it early.
+    /// Duration of a lease for a process that must not consider it ended too early.
     pub fn lease_with_margin_ms(&self) -> Ms {
         self.lease_ms + self.clock_margin_ms
     }
 }
 
-/// A part that its holder goes by.
+/// A grant that its holder uses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub struct HeldGrant {
-    /// Of what.
+    /// The budget that the share is of.
     pub budget: BudgetName,
-    /// Who gave it.
+    /// The allocator that made the grant.
     #[cfg_attr(feature = "adapter", serde(rename = "by"))]
     pub granted_by: Origin,
-    /// Its number with that one.
+    /// Number of the grant, unique at its allocator.
     #[cfg_attr(feature = "adapter", serde(rename = "number"))]
     pub grant_number: u64,
-    /// How much.
+    /// Granted share of the budget.
     #[cfg_attr(feature = "adapter", serde(rename = "part"))]
     pub share: Ppm,
 }
 
-/// What a member sends to the one that it takes for the allocator.
+/// Request of a member to the allocator that it takes for the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub struct GrantRequest {
-    /// Who asks.
+    /// The requesting member.
     pub from: Origin,
-    /// Whom: another life of it is another.
+    /// The addressed allocator. Another incarnation of it does not answer the request.
     pub to: Origin,
-    /// The number of its request, the next greater one each time.
+    /// Number of the request, increasing with each request of the member.
     pub number: u64,
-    /// It supports the receiver and promises to support no other: the receiver's stamp that it heard last.
+    /// If present, the sender supports the receiver as the leader and promises to support no other. The value is the
+    /// stamp of the last response received from it.
     #[cfg_attr(feature = "adapter", serde(rename = "support"))]
     pub support_stamp: Option<u64>,
-    /// The parts that it goes by.
+    /// The grants that the sender uses.
     pub held: Vec<HeldGrant>,
-    /// What it wants of each budget that it needs.
+    /// Demand of the sender for each budget that it needs.
     #[cfg_attr(feature = "adapter", serde(rename = "wants"))]
     pub demands: Vec<(BudgetName, Ppm)>,
-    /// It ends, and holds nothing any more.
+    /// The sender is shutting down and uses no grant any more.
     #[cfg_attr(feature = "adapter", serde(rename = "leaving"))]
     pub is_leaving: bool,
 }
 
-/// What comes back.
+/// Response of an allocator to a [`GrantRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub struct GrantResponse {
-    /// Who answers.
+    /// The responding allocator.
     pub from: Origin,
-    /// To which request.
+    /// Number of the request.
     #[cfg_attr(feature = "adapter", serde(rename = "number"))]
     pub request_number: u64,
-    /// Its clock, to be repeated with support.
+    /// Clock of the allocator, which the holder returns with its support.
     pub stamp: u64,
-    /// Does it lead?
+    /// Whether the allocator is the leader.
     #[cfg_attr(feature = "adapter", serde(rename = "leads"))]
     pub is_leader: bool,
-    /// The parts it gives, each with its number.
+    /// The grants: budget, grant number, share.
     #[cfg_attr(feature = "adapter", serde(rename = "parts"))]
     pub grants: Vec<(BudgetName, u64, Ppm)>,
 }
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -1,6 +1,8 @@
-//! Who is in the fleet: SWIM by the `foca` crate, driven with time passed in. It owns this gatekeeper's identity, what
-//! it believes of the others, the timers of the protocol, and the frame that names fleet and version on each datagram.
-//! It must never open a socket, believe a datagram of another fleet, or decide anything by who is there.
+//! Membership of the fleet: the SWIM protocol of the `foca` crate, driven with the time passed in.
+//!
+//! Owns the identity of this gatekeeper, its view of the other members, the timers of the protocol, and the frame around
+//! each datagram, which names fleet and protocol version. Pure: it opens no socket, accepts no datagram of another
+//! fleet, and decides nothing by who is a member.
 
 use super::replica::Origin;
 use foca::{
@@ -15,34 +17,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The version of datagrams and of the frame.
+/// Version of the frames of datagrams and of the preface of messages.
 pub const PROTOCOL_VERSION: u32 = 2;
-/// A datagram's longest payload, in bytes: it is to pass any link whole.
-const DATAGRAM_MOST: usize = 1300;
-/// Each piece of news is passed on so often by each member: where half of a fleet is out of reach, half of that is
-/// lost, and who misses it has to find each of the others silent by itself.
-const TOLD_TIMES: u8 = 30;
-/// What is to be sent or told waits here, so many at the most.
-const WAITING_MOST: usize = 4096;
+/// Maximum payload of a datagram in bytes, small enough to pass any link without fragmentation.
+const MAX_DATAGRAM_BYTES: usize = 1300;
+/// How often each member retransmits each update. If half of a fleet is unreachable, half of the retransmissions are
+/// lost, and a member that misses an update has to detect each unreachable member by its own probes.
+const MAX_TRANSMISSIONS: u8 = 30;
+/// Maximum number of datagrams, and of events, that wait to be taken. More are dropped.
+const MAX_PENDING: usize = 4096;
+/// Number of members that are asked to probe a silent member indirectly.
+const INDIRECT_PROBES: usize = 3;
+/// Shortest interval that is passed to the protocol, in seconds.
+const MIN_INTERVAL_SECS: f64 = 1e-3;
+/// Missing seeds are contacted once in this many probe intervals.
+const SEED_CONTACT_PROBE_INTERVALS: f64 = 4.0;
 
-/// One life of one gatekeeper, as members know each other.
+/// One incarnation of one gatekeeper as a member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name; empty for a seed of which only the address is known.
+    /// Name of the gatekeeper; empty for a seed of which only the address is known.
     pub name: Arc<str>,
-    /// Which life of the process: later ones have greater numbers.
+    /// Incarnation of the process: grows with each restart.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// How often it was given up in this life and came back.
+    /// How often this incarnation was declared down and rejoined.
     #[serde(rename = "turn")]
     pub rejoin_count: u32,
-    /// Where it listens, for datagrams and for connections.
+    /// Listening address, for datagrams and for connections.
     #[serde(rename = "at")]
     pub address: SocketAddr,
 }
 
 impl Member {
-    /// The same life, as rows and budgets name it.
+    /// The same incarnation as replicated rows and budgets name it.
     pub fn origin(&self) -> Origin {
         Origin { name: Arc::clone(&self.name), incarnation: self.incarnation }
     }
@@ -64,39 +72,40 @@
     }
 }
 
-/// SwimTimings of the protocol.
+/// Timings of the SWIM protocol.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwimTimings {
-    /// Seconds between two probes of this member, each of another one.
+    /// Interval in seconds between two probes by this member. Each probes another member.
     pub probe_interval_secs: f64,
-    /// A member that is suspected for so many seconds is given up.
+    /// Seconds after which a suspected member is declared down.
     pub suspicion_timeout_secs: f64,
-    /// One that is given up is remembered for so many seconds.
+    /// Seconds for which a member that is down is remembered.
     pub forget_after_secs: f64,
 }
 
-/// What has changed.
+/// A change of the membership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipEvent {
-    /// It is there.
+    /// The member is alive.
     Up(Member),
-    /// It is given up: dead, cut off, or it has left.
+    /// The member was declared down: it crashed, is unreachable, or has left.
     Down(Member),
-    /// This gatekeeper was given up by the others and has come back.
+    /// The other members had declared this gatekeeper down, and it has rejoined.
     Rejoined,
 }
 
-/// How one of the others is taken to be.
+/// State of another member, as this gatekeeper sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer, and will be given up.
+    /// The member did not answer a probe and is declared down unless it refutes the suspicion.
     Suspected,
-    /// It was given up.
+    /// The member was declared down.
     Down,
 }
 
+/// The frame around a datagram of the protocol.
 #[derive(Serialize, Deserialize)]
 struct Frame<'a> {
     version: u32,
@@ -108,184 +117,195 @@
     data: &'a [u8],
 }
 
-/// What the protocol wants done.
+/// Pending effects of the protocol: timers, outbound datagrams and events. Times are in microseconds.
 #[derive(Default)]
-struct Wants {
-    now: u64,
-    frame: (Arc<str>, Arc<str>),
+struct PendingEffects {
+    now_us: u64,
+    cluster: Arc<str>,
+    local_name: Arc<str>,
+    /// Timers by due time and order of submission.
     timers: BTreeMap<(u64, u64), Timer<Member>>,
-    count: u64,
-    send: VecDeque<(SocketAddr, Vec<u8>)>,
-    news: VecDeque<MembershipEvent>,
+    timers_submitted: u64,
+    datagrams: VecDeque<(SocketAddr, Vec<u8>)>,
+    events: VecDeque<MembershipEvent>,
 }
 
-impl Runtime<Member> for &mut Wants {
+impl Runtime<Member> for &mut PendingEffects {
     fn notify(&mut self, notification: Notification<'_, Member>) {
-        let news = match notification.to_owned() {
+        let event = match notification.to_owned() {
             OwnedNotification::MemberUp(member) => MembershipEvent::Up(member),
             OwnedNotification::MemberDown(member) => MembershipEvent::Down(member),
             OwnedNotification::Rejoin(_) => MembershipEvent::Rejoined,
             _ => return,
         };
-        if self.news.len() < WAITING_MOST {
-            self.news.push_back(news);
+        if self.events.len() < MAX_PENDING {
+            self.events.push_back(event);
         }
     }
 
     fn send_to(&mut self, to: Member, data: &[u8]) {
-        let frame = Frame { version: PROTOCOL_VERSION, cluster: &self.frame.0, from: &self.frame.1, data };
-        if let (Ok(bytes), true) = (postcard::to_stdvec(&frame), self.send.len() < WAITING_MOST) {
-            self.send.push_back((to.address, bytes));
+        let frame = Frame { version: PROTOCOL_VERSION, cluster: &self.cluster, from: &self.local_name, data };
+        if let (Ok(bytes), true) = (postcard::to_stdvec(&frame), self.datagrams.len() < MAX_PENDING) {
+            self.datagrams.push_back((to.address, bytes));
         }
     }
 
     fn submit_after(&mut self, event: Timer<Member>, after: Duration) {
-        self.count += 1;
-        self.timers.insert((self.now + after.as_micros() as u64, self.count), event);
+        self.timers_submitted += 1;
+        self.timers.insert((self.now_us + after.as_micros() as u64, self.timers_submitted), event);
     }
 }
 
 type Protocol = Foca<Member, PostcardCodec, SmallRng, foca::NoCustomBroadcast>;
 
-/// What one gatekeeper believes of the fleet.
+/// One gatekeeper's view of the members of its fleet.
 pub struct Membership {
     protocol: Protocol,
-    wants: Wants,
+    effects: PendingEffects,
     seeds: Vec<SocketAddr>,
-    /// When seeds that are not there are called next.
-    call_at: u64,
-    call_every: u64,
+    /// When seeds that are not live members are contacted next, in microseconds.
+    next_seed_contact_us: u64,
+    seed_contact_interval_us: u64,
 }
 
 fn micros(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1e6) as u64
 }
 
-fn at_least(seconds: f64) -> Duration {
-    Duration::from_secs_f64(seconds.max(1e-3))
+fn interval(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds.max(MIN_INTERVAL_SECS))
 }
 
-fn few(count: usize) -> NonZeroUsize {
+fn non_zero(count: usize) -> NonZeroUsize {
     NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN)
 }
 
 impl Membership {
-    /// One that knows only where some others should be. `now` in seconds, as in all calls.
+    /// A view that knows only `me` and the addresses of the seeds. `now` is in seconds, as in all methods.
     pub fn new(
         now: f64,
         cluster: &str,
         me: Member,
         seeds: Vec<SocketAddr>,
-        times: SwimTimings,
+        timings: SwimTimings,
         seed: u64,
     ) -> Self {
-        let every = |part: f64, num_members| {
+        let every = |probe_intervals: f64, num_members| {
             Some(PeriodicParams {
-                frequency: at_least(times.probe_interval_secs * part),
-                num_members: few(num_members),
+                frequency: interval(timings.probe_interval_secs * probe_intervals),
+                num_members: non_zero(num_members),
             })
         };
         let config = foca::Config {
-            probe_period: at_least(times.probe_interval_secs),
-            probe_rtt: at_least(times.probe_interval_secs / 3.0),
-            num_indirect_probes: few(3),
-            max_transmissions: NonZeroU8::new(TOLD_TIMES).unwrap_or(NonZeroU8::MIN),
-            suspect_to_down_after: at_least(times.suspicion_timeout_secs),
-            remove_down_after: at_least(times.forget_after_secs),
-            max_packet_size: few(DATAGRAM_MOST),
+            probe_period: interval(timings.probe_interval_secs),
+            probe_rtt: interval(timings.probe_interval_secs / 3.0),
+            num_indirect_probes: non_zero(INDIRECT_PROBES),
+            max_transmissions: NonZeroU8::new(MAX_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN),
+            suspect_to_down_after: interval(timings.suspicion_timeout_secs),
+            remove_down_after: interval(timings.forget_after_secs),
+            max_packet_size: non_zero(MAX_DATAGRAM_BYTES),
             notify_down_members: true,
             periodic_announce: every(20.0, 1),
             periodic_announce_to_down_members: every(3.0, 2),
             periodic_gossip: every(0.5, 4),
         };
         let seeds = seeds.into_iter().filter(|seed| *seed != me.address).collect();
-        let frame = (Arc::from(cluster), Arc::clone(&me.name));
-        let wants = Wants { now: micros(now), frame, ..Wants::default() };
+        let effects = PendingEffects {
+            now_us: micros(now),
+            cluster: Arc::from(cluster),
+            local_name: Arc::clone(&me.name),
+            ..PendingEffects::default()
+        };
         let protocol = Foca::new(me, config, SmallRng::seed_from_u64(seed), PostcardCodec);
-        Membership { protocol, wants, seeds, call_at: 0, call_every: micros(4.0 * times.probe_interval_secs) }
+        let seed_contact_interval_us = micros(SEED_CONTACT_PROBE_INTERVALS * timings.probe_interval_secs);
+        Membership { protocol, effects, seeds, next_seed_contact_us: 0, seed_contact_interval_us }
     }
 
-    /// This gatekeeper as the others know it.
+    /// This gatekeeper as the other members know it.
     pub fn local_member(&self) -> &Member {
         self.protocol.identity()
     }
 
-    /// A datagram came.
+    /// Processes a received datagram.
     ///
     /// # Errors
-    /// Why nothing of it was taken: of another fleet or version, or none of the protocol's.
+    /// Why the datagram was rejected: malformed, of another fleet or protocol version, or refused by the protocol.
     pub fn handle_datagram(&mut self, now: f64, datagram: &[u8]) -> Result<(), String> {
-        self.wants.now = micros(now);
+        self.effects.now_us = micros(now);
         let frame: Frame<'_> =
-            postcard::from_bytes(datagram).map_err(|_| "no datagram of a fleet".to_owned())?;
+            postcard::from_bytes(datagram).map_err(|_| "malformed fleet datagram".to_owned())?;
         if frame.version != PROTOCOL_VERSION {
-            return Err(format!("{:?} speaks version {}, not {PROTOCOL_VERSION}", frame.from, frame.version));
+            return Err(format!(
+                "{:?} uses fleet protocol version {}, expected {PROTOCOL_VERSION}",
+                frame.from, frame.version
+            ));
         }
-        if *frame.cluster != *self.wants.frame.0 {
+        if *frame.cluster != *self.effects.cluster {
             return Err(format!(
-                "{:?} is of fleet {:?}, not {:?}",
-                frame.from, frame.cluster, self.wants.frame.0
+                "{:?} belongs to fleet {:?}, expected {:?}",
+                frame.from, frame.cluster, self.effects.cluster
             ));
         }
-        self.protocol.handle_data(frame.data, &mut self.wants).map_err(|e| format!("{:?}: {e}", frame.from))
+        self.protocol.handle_data(frame.data, &mut self.effects).map_err(|e| format!("{:?}: {e}", frame.from))
     }
 
-    /// Does what is due, and calls seeds that are not there.
+    /// Runs the timers that are due, and contacts seeds that are not live members.
     pub fn run_due_timers(&mut self, now: f64) {
-        let now = micros(now);
-        while let Some(due) = self.wants.timers.first_entry().filter(|due| due.key().0 <= now) {
-            let ((at, _), timer) = due.remove_entry();
-            // At its own time, so that what it sets next does not drift; a process that was stopped makes up no time.
-            self.wants.now = if now - at > self.call_every { now } else { at };
-            let _ = self.protocol.handle_timer(timer, &mut self.wants);
+        let now_us = micros(now);
+        while let Some(due) = self.effects.timers.first_entry().filter(|due| due.key().0 <= now_us) {
+            let ((at_us, _), timer) = due.remove_entry();
+            // The timer runs at its due time, so that periodic timers do not drift. After a long pause of the process it
+            // runs at the present time, so that missed periods are not made up for.
+            self.effects.now_us = if now_us - at_us > self.seed_contact_interval_us { now_us } else { at_us };
+            let _ = self.protocol.handle_timer(timer, &mut self.effects);
         }
-        self.wants.now = now;
-        if now >= self.call_at {
-            self.call_at = now + self.call_every;
+        self.effects.now_us = now_us;
+        if now_us >= self.next_seed_contact_us {
+            self.next_seed_contact_us = now_us + self.seed_contact_interval_us;
             let missing =
                 |seed: &&SocketAddr| !self.protocol.iter_members().any(|m| m.id().address == **seed);
             let missing: Vec<SocketAddr> = self.seeds.iter().filter(missing).copied().collect();
-            for at in missing {
-                let seed = Member { name: Arc::from(""), incarnation: 0, rejoin_count: 0, address: at };
-                let _ = self.protocol.announce(seed, &mut self.wants);
+            for address in missing {
+                let seed = Member { name: Arc::from(""), incarnation: 0, rejoin_count: 0, address };
+                let _ = self.protocol.announce(seed, &mut self.effects);
             }
         }
     }
 
-    /// When [`Membership::step`] has something to do next, in seconds.
+    /// When [`Membership::run_due_timers`] is due next, in seconds.
     pub fn next_timer_at(&self) -> f64 {
-        let due = self.wants.timers.first_key_value().map_or(u64::MAX, |((at, _), _)| *at);
-        due.min(self.call_at) as f64 / 1e6
+        let due_us = self.effects.timers.first_key_value().map_or(u64::MAX, |((at_us, _), _)| *at_us);
+        due_us.min(self.next_seed_contact_us) as f64 / 1e6
     }
 
-    /// This gatekeeper ends: the others are told.
+    /// Announces to the other members that this gatekeeper leaves the fleet.
     pub fn leave(&mut self, now: f64) {
-        self.wants.now = micros(now);
-        let _ = self.protocol.leave_cluster(&mut self.wants);
+        self.effects.now_us = micros(now);
+        let _ = self.protocol.leave_cluster(&mut self.effects);
     }
 
-    /// Datagrams to send, each with where to.
+    /// Removes and returns the datagrams to send, each with its destination.
     pub fn take_outbound(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.wants.send.drain(..).collect()
+        self.effects.datagrams.drain(..).collect()
     }
 
-    /// What has changed since this was last asked.
+    /// Removes and returns the membership events since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
-        self.wants.news.drain(..).collect()
+        self.effects.events.drain(..).collect()
     }
 
-    /// The others that are taken to be there, suspected ones among them.
+    /// The other members that are not down, including suspected ones.
     pub fn live_members(&self) -> Vec<Member> {
         self.protocol.iter_members().map(|m| m.id().clone()).collect()
     }
 
-    /// All others that are known, and how each is taken to be.
+    /// All other known members with their states.
     pub fn member_states(&self) -> Vec<(Member, MemberState)> {
-        let standing = |state| match state {
+        let member_state = |state| match state {
             State::Alive => MemberState::Alive,
             State::Suspect => MemberState::Suspected,
             State::Down => MemberState::Down,
         };
-        self.protocol.iter_membership_state().map(|m| (m.id().clone(), standing(m.state()))).collect()
+        self.protocol.iter_membership_state().map(|m| (m.id().clone(), member_state(m.state()))).collect()
     }
 }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -1,9 +1,15 @@
-//! What gatekeepers hold of each other's state, where the deployment lets them talk. [`membership`] owns who is there,
-//! [`replica`] the copies and the one rule by which they become equal, [`token_bucket`] how much goes to one that lacks them,
-//! [`budget`] what the whole fleet may spend and who how much of it,
-//! [`wire`] the message between two of them, [`settings`] what operators say,
-//! [`site`] what is to be done when a whole site is lost. Pure: time is passed in, no I/O. It must never decide what is refused: it
-//! hands the decision module what others spent and saw.
+//! State that the gatekeepers of a fleet share, where the deployment lets them talk to each other.
+//!
+//! - [`membership`]: which gatekeepers are members (SWIM).
+//! - [`replica`]: replicated usage and node health, and the rule by which replicas converge.
+//! - [`token_bucket`]: the limit on replicated rows sent to other members.
+//! - [`budget`]: ceilings of the whole fleet, and which member may use how much of them.
+//! - [`wire`]: the encoding of messages between two members.
+//! - [`settings`]: the operators' settings.
+//! - [`site`]: the plan for the loss of a whole site.
+//!
+//! Pure: the time is passed in, and there is no I/O. Nothing here rejects a request; the decision module receives what
+//! other members admitted and observed.
 
 pub mod budget;
 #[cfg(feature = "gatekeeper")]
--- a/src/fleet/replica.rs
+++ b/src/fleet/replica.rs
@@ -1,142 +1,154 @@
-//! Copies of what each gatekeeper spent and saw, and how they become equal: every row has one writer, its origin, who
-//! numbers its changes; between two versions of a row the later stands, so merging commutes, associates and repeats
-//! without effect. What is missed is found by comparing, for each origin, up to which change one holds all rows. It
-//! must never let a row of one origin be changed by another, trust another machine's clock further than
-//! [`ReplicaLimits::keep`], or grow past its bounds.
+//! Replicated state of the gatekeepers of a fleet: quota usage, observed node health, heartbeats and departures.
 //!
-//! An origin is a gatekeeper's name with its incarnation: one that comes back under its old name is a new origin, and
-//! what its former self spent stays on that one's shelf until it is out of date.
+//! A state-based CRDT with delta synchronization. Every row has one writer, its origin, which numbers its changes with
+//! increasing versions. Of two versions of a row the later one wins, so merging is commutative, associative and
+//! idempotent. Replicas find missing changes by comparing digests: for each origin, the version up to which a replica
+//! holds every change.
+//!
+//! An origin is the name of a gatekeeper together with its incarnation. A gatekeeper that restarts under its old name
+//! is a new origin; the usage of its previous incarnation stays a separate entry until it expires.
+//!
+//! Invariants:
+//! - only its origin changes a row;
+//! - the clock of another machine never keeps a row for longer than [`ReplicaLimits::retention_secs`];
+//! - memory stays within [`ReplicaLimits`].
 
 use crate::identifiers::{fnv1a, CustomerId, HostId};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
 
-/// One life of one gatekeeper.
+/// One incarnation of one gatekeeper.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub struct Origin {
-    /// Its name, the same after a restart.
+    /// Name of the gatekeeper, unchanged by a restart.
     pub name: Arc<str>,
-    /// Which life: later ones have greater numbers.
+    /// Incarnation of the process: grows with each restart.
     pub incarnation: u64,
 }
 
-/// What a row is of; rows of one kind stand together, in this order.
+/// Key of a row. Rows of one variant are contiguous in the order of keys, and the variants sort as declared here.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub enum Key {
     /// Units of a customer that the origin admitted in the quota window of this number.
     #[cfg_attr(feature = "adapter", serde(rename = "Spent"))]
     Usage(CustomerId, i64),
-    /// What the origin saw of a node.
+    /// Health of a node as the origin observed it.
     #[cfg_attr(feature = "adapter", serde(rename = "Node"))]
     Health(HostId),
-    /// How long the origin has lived.
+    /// Uptime of the origin.
     #[cfg_attr(feature = "adapter", serde(rename = "Beat"))]
     Heartbeat,
-    /// The origin ends, as it was told to.
+    /// The origin has left the fleet by a regular shutdown.
     Left,
 }
 
-/// What a row says.
+/// Value of a row.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub enum RowValue {
-    /// Units.
+    /// Usage of one customer in one quota window.
     #[cfg_attr(feature = "adapter", serde(rename = "Spent"))]
     Usage {
-        /// Admitted; within one life they only grow, but for what is settled.
+        /// Admitted units. Within one incarnation they only grow, except when a reservation is settled.
         units: f64,
-        /// Units that the counter has answered of this origin, those that stand for untold ones among them.
+        /// Units that the counter has acknowledged to this origin, including units that stand for unreported ones.
         #[cfg_attr(feature = "adapter", serde(rename = "told"))]
         acknowledged: f64,
     },
-    /// How a node does.
+    /// Health of one node.
     #[cfg_attr(feature = "adapter", serde(rename = "Judged"))]
     Health(NodeHealth),
-    /// Seconds since the origin began, by its own clock.
+    /// Uptime of the origin in seconds, by its own clock.
     #[cfg_attr(feature = "adapter", serde(rename = "Beat"))]
     Heartbeat(f64),
-    /// There is no more to say.
+    /// The origin writes nothing after this row.
     Left,
 }
 
-/// One gatekeeper's judgement of one node.
+/// Health of one node as one gatekeeper observed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub struct NodeHealth {
-    /// The node's last start as told by discovery, in Unix seconds; 0: long ago. A judgement of an earlier life of the
-    /// node says nothing of this one.
+    /// Last start of the node by service discovery, in Unix seconds; 0 if it started long ago. Observations of an
+    /// earlier incarnation of the node do not apply to the present one.
     #[cfg_attr(feature = "adapter", serde(rename = "started"))]
     pub started_at: f64,
-    /// Share of its attempts that failed, 0 to 1.
+    /// Fraction of the attempts that failed, 0 to 1.
     #[cfg_attr(feature = "adapter", serde(rename = "fails"))]
     pub failure_rate: f64,
-    /// Its answers' latency over what was expected.
+    /// Latency of the responses divided by the expected latency.
     #[cfg_attr(feature = "adapter", serde(rename = "slow"))]
     pub latency_ratio: f64,
-    /// Seconds since the judgement's last evidence, as of `at`.
+    /// Age of the latest evidence in seconds, as of `recorded_at`.
     #[cfg_attr(feature = "adapter", serde(rename = "age"))]
     pub evidence_age_secs: f64,
-    /// When the row was written, by its origin's clock, in Unix seconds.
+    /// When the origin wrote the row, in Unix seconds of the origin's clock.
     #[cfg_attr(feature = "adapter", serde(rename = "at"))]
     pub recorded_at: f64,
 }
 
-/// A row as it travels.
+/// A row as it is replicated.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub struct Row {
-    /// What it is of.
+    /// What the row describes.
     pub key: Key,
-    /// The number of the change, among all of its origin.
+    /// Version of the change, unique among all changes of its origin.
     pub version: u64,
-    /// Out of date after this, in Unix seconds by its origin's clock.
+    /// When the row expires, in Unix seconds of the origin's clock.
     #[cfg_attr(feature = "adapter", serde(rename = "until"))]
     pub expires_at: f64,
-    /// What it says.
+    /// The replicated value.
     #[cfg_attr(feature = "adapter", serde(rename = "said"))]
     pub value: RowValue,
 }
 
-/// Starts of a node that two tell of no further apart, in seconds, are one: no node starts twice in it.
-const SAME_START_S: f64 = 1.5;
+/// Two reported starts of a node that differ by less than this, in seconds, are the same start: no node restarts that
+/// quickly.
+const SAME_START_TOLERANCE_SECS: f64 = 1.5;
 
-/// Spreads the bits of a number: 2^64 over the golden ratio.
+/// Multiplier that spreads the bits of a number: 2^64 divided by the golden ratio.
 const GOLDEN_BITS: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Up to which change of each origin one holds everything.
+/// Largest number of units that a usage row may hold.
+const MAX_UNITS: f64 = 1e12;
+
+/// For each origin, the version up to which a replica holds every change.
 pub type Digest = BTreeMap<Origin, u64>;
 
-/// Rows of one origin, in the order of their changes: all that stand of those after `from` and up to `upto`.
+/// Changes of one origin in the order of their versions: all live rows with a version after `after_version` and up to
+/// `through_version`.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub struct Delta {
-    /// Whose rows.
+    /// The origin that wrote the rows.
     pub origin: Origin,
-    /// The receiver was taken to hold everything up to this.
+    /// The receiver is assumed to hold every change up to this version.
     #[cfg_attr(feature = "adapter", serde(rename = "from"))]
     pub after_version: u64,
-    /// With these rows it holds everything up to this.
+    /// With these rows the receiver holds every change up to this version.
     #[cfg_attr(feature = "adapter", serde(rename = "upto"))]
     pub through_version: u64,
-    /// The rows.
+    /// The changed rows.
     pub rows: Vec<Row>,
 }
 
-/// ReplicaLimits of a replica.
+/// Limits of a replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaLimits {
-    /// Rows of one origin at the most, beside its beat and its end: one message holds them all.
+    /// Maximum number of rows of one origin, not counting its heartbeat and its departure. One message can carry all
+    /// of them.
     pub rows_per_origin: usize,
-    /// Origins at the most, beside this one.
+    /// Maximum number of origins besides the local one.
     pub remote_origins: usize,
-    /// Seconds that a row is kept at the most, whatever its origin's clock says.
+    /// Maximum number of seconds that a row is kept, whatever the clock of its origin says.
     pub retention_secs: f64,
-    /// Seconds after which an origin that is no longer heard of is forgotten.
+    /// Seconds after its last change until an origin that is not a live member is forgotten.
     pub forget_after_secs: f64,
-    /// Seconds by which a copy may lag behind its origin and still be fresh.
+    /// Maximum lag in seconds behind an origin for a replica of it to count as fresh.
     pub max_lag_secs: f64,
 }
 
@@ -152,360 +164,395 @@
     }
 }
 
-/// What all others hold of one customer's window.
+/// Usage of one customer in one quota window, summed over all origins except the local one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RemoteUsage {
     /// Units that other gatekeepers admitted.
     pub others: f64,
-    /// Units that former lives of this one admitted.
+    /// Units that previous incarnations of this gatekeeper admitted.
     pub previous_incarnations: f64,
-    /// Units that the counter has answered to both, those that stand for untold ones among them.
+    /// Units that the counter has acknowledged to both, including units that stand for unreported ones.
     pub acknowledged: f64,
 }
 
-/// How far one origin's copy here lags.
+/// Lag of the local replica behind one origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lag<'a> {
-    /// Whose copy.
+    /// The origin of the replicated rows.
     pub origin: &'a Origin,
-    /// Seconds behind the origin; infinite where nothing tells.
+    /// Seconds behind the origin; infinite while unknown.
     pub seconds: f64,
-    /// Changes that somebody was seen to hold and that are not here.
+    /// Number of versions that another member was seen to hold and the local replica does not.
     pub missing_versions: u64,
-    /// Did it end, as it was told to?
+    /// Whether the origin has left the fleet by a regular shutdown.
     pub has_left: bool,
 }
 
-/// What one holds of one origin.
+/// What the local replica holds of one origin.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Shelf {
-    /// Everything up to this change is here.
-    upto: u64,
+struct OriginState {
+    /// Every change up to this version is held.
+    version: u64,
     rows: BTreeMap<Key, Row>,
-    /// Rows by the number of their change.
-    order: BTreeMap<u64, Key>,
-    /// When a new change of it last came.
-    heard: f64,
-    /// The latest change of it that anybody was seen to hold.
-    seen: u64,
-    beat: Option<Beat>,
+    /// Keys of the rows by the version of their last change.
+    keys_by_version: BTreeMap<u64, Key>,
+    /// When a new change last arrived, in seconds.
+    last_change_at: f64,
+    /// The latest version that any member was seen to hold.
+    latest_seen_version: u64,
+    heartbeat: Option<HeartbeatClock>,
 }
 
-/// What beats of an origin tell.
+/// Estimate of an origin's clock from its heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Beat {
-    /// How long it had lived as of the last one.
-    lived: f64,
-    /// The least by which this reader's clock was ahead of that, which creeps up as clocks' rates differ.
-    ahead: f64,
-    /// Beats that came: the first one may have lain anywhere for any time.
+struct HeartbeatClock {
+    /// Uptime of the origin in seconds, by its last heartbeat.
+    uptime: f64,
+    /// Smallest difference between the local clock at receipt and the reported uptime, in seconds. It grows by the
+    /// maximum drift between two clocks.
+    min_offset: f64,
+    /// Heartbeats received. The first one may have been delayed by any amount of time.
     count: u32,
 }
 
-/// The rates of two clocks differ by less than this part.
-const RATES_DIFFER: f64 = 2e-4;
-
-impl Shelf {
-    /// Takes a row: what stood in its place before, or `Err` where it is no news or there is no room.
-    fn put(&mut self, now: f64, row: Row, most: usize) -> Result<Option<Row>, ()> {
-        // The two rows of which an origin has one each always have room.
-        let full = self.rows.len() >= most && !matches!(row.key, Key::Heartbeat | Key::Left);
-        if let RowValue::Heartbeat(lived) = row.value {
-            let first = Beat { lived, ahead: now - lived, count: 0 };
-            let last = self.beat.unwrap_or(first);
-            let crept = last.ahead + RATES_DIFFER * (lived - last.lived).max(0.0);
-            self.beat =
-                Some(Beat { lived, ahead: crept.min(now - lived), count: last.count.saturating_add(1) });
+/// Upper bound on the relative difference between the rates of two clocks.
+const MAX_CLOCK_DRIFT: f64 = 2e-4;
+
+impl OriginState {
+    /// Stores a row and returns the row that it replaces. `Err` if a later version is held or there is no room.
+    fn put(&mut self, now: f64, row: Row, max_rows: usize) -> Result<Option<Row>, ()> {
+        // An origin has one heartbeat row and one departure row, for which there is always room.
+        let is_full = self.rows.len() >= max_rows && !matches!(row.key, Key::Heartbeat | Key::Left);
+        if let RowValue::Heartbeat(uptime) = row.value {
+            let first = HeartbeatClock { uptime, min_offset: now - uptime, count: 0 };
+            let last = self.heartbeat.unwrap_or(first);
+            let drifted_offset = last.min_offset + MAX_CLOCK_DRIFT * (uptime - last.uptime).max(0.0);
+            self.heartbeat = Some(HeartbeatClock {
+                uptime,
+                min_offset: drifted_offset.min(now - uptime),
+                count: last.count.saturating_add(1),
+            });
         }
         match self.rows.entry(row.key.clone()) {
             Entry::Occupied(mut held) => {
                 if held.get().version >= row.version {
                     return Err(());
                 }
-                self.order.remove(&held.get().version);
-                self.order.insert(row.version, row.key.clone());
+                self.keys_by_version.remove(&held.get().version);
+                self.keys_by_version.insert(row.version, row.key.clone());
                 Ok(Some(held.insert(row)))
             }
-            Entry::Vacant(_) if full => Err(()),
-            Entry::Vacant(place) => {
-                self.order.insert(row.version, row.key.clone());
-                place.insert(row);
+            Entry::Vacant(_) if is_full => Err(()),
+            Entry::Vacant(vacant) => {
+                self.keys_by_version.insert(row.version, row.key.clone());
+                vacant.insert(row);
                 Ok(None)
             }
         }
     }
 
-    /// Seconds by which what is here lags behind its origin, whatever way it came: no clock is compared with another,
-    /// only rates are trusted. Before a second beat: for ever.
-    fn age(&self, now: f64) -> f64 {
-        let known = self.beat.filter(|beat| beat.count > 1);
-        known.map_or(f64::INFINITY, |beat| (now - beat.lived - beat.ahead).max(0.0))
+    /// Lag behind the origin in seconds, whatever path its rows took. No two clocks are compared; only a bounded
+    /// difference of their rates is assumed. Infinite until the second heartbeat.
+    fn lag_secs(&self, now: f64) -> f64 {
+        let known = self.heartbeat.filter(|heartbeat| heartbeat.count > 1);
+        known.map_or(f64::INFINITY, |heartbeat| (now - heartbeat.uptime - heartbeat.min_offset).max(0.0))
     }
 
-    /// All that stands of its changes after `from`; `None`: there are none.
-    fn after(&self, now: f64, origin: &Origin, from: u64) -> Option<Delta> {
+    /// Live rows that changed after `version`; `None` if there are no later changes.
+    fn delta_after(&self, now: f64, origin: &Origin, version: u64) -> Option<Delta> {
         let rows = || {
-            let after = self.order.range(from + 1..).map(|(_, key)| &self.rows[key]);
-            after.filter(|row| row.expires_at > now).cloned().collect()
+            let changed = self.keys_by_version.range(version + 1..).map(|(_, key)| &self.rows[key]);
+            changed.filter(|row| row.expires_at > now).cloned().collect()
         };
-        (from < self.upto).then(|| Delta {
+        (version < self.version).then(|| Delta {
             origin: origin.clone(),
-            after_version: from,
-            through_version: self.upto,
+            after_version: version,
+            through_version: self.version,
             rows: rows(),
         })
     }
 
-    /// Did its origin end, as it was told to?
-    fn left(&self) -> bool {
+    /// Whether the origin has left the fleet by a regular shutdown.
+    fn has_left(&self) -> bool {
         self.rows.contains_key(&Key::Left)
     }
 
-    /// Nodes of which it says anything.
+    /// Nodes whose health the origin reports.
     fn nodes(&self) -> impl Iterator<Item = &HostId> {
         let first = Key::Health(HostId(Arc::from("")));
         let nodes = self.rows.range(first..Key::Heartbeat).map(|(key, _)| key);
         nodes.filter_map(|key| if let Key::Health(node) = key { Some(node) } else { None })
     }
 
-    /// Drops what is out of date, and says what that was.
-    fn drop_old(&mut self, now: f64) -> Vec<Row> {
-        let old = self.rows.values().filter(|row| row.expires_at <= now).map(|row| row.key.clone());
-        let old: Vec<Key> = old.collect();
-        let dropped = old.iter().filter_map(|key| self.rows.remove(key));
-        let dropped: Vec<Row> = dropped.collect();
-        for row in &dropped {
-            self.order.remove(&row.version);
+    /// Removes expired rows and returns them.
+    fn remove_expired(&mut self, now: f64) -> Vec<Row> {
+        let expired = self.rows.values().filter(|row| row.expires_at <= now).map(|row| row.key.clone());
+        let expired: Vec<Key> = expired.collect();
+        let removed = expired.iter().filter_map(|key| self.rows.remove(key));
+        let removed: Vec<Row> = removed.collect();
+        for row in &removed {
+            self.keys_by_version.remove(&row.version);
         }
-        dropped
+        removed
     }
 }
 
-/// What the shelves hold of each customer's window, kept up with each row: with hundreds of origins adding it up each
-/// time would cost more than all the rest.
+/// Usage of each customer and window, summed over all origins except the local one. Updated with each row: summing
+/// over hundreds of origins at each query would dominate the cost of replication.
 #[derive(Clone, Debug, Default)]
-struct Totals {
-    /// With the rows that it is the sum of.
+struct UsageTotals {
+    /// Each sum with the number of rows that contribute to it.
     sums: HashMap<(CustomerId, i64), (RemoteUsage, u32)>,
-    /// Those that have changed since they were last asked for.
+    /// Customers and windows whose sum has changed since [`Replica::take_changed_usage`] was last called.
     changed: HashSet<(CustomerId, i64)>,
 }
 
-impl Totals {
-    /// A row of another origin, or of a former life, stands now (1) or does no more (-1).
-    fn count(&mut self, row: &Row, former: bool, by: i32) {
-        let (Key::Usage(customer, window), RowValue::Usage { units, acknowledged: told }) =
-            (&row.key, row.value)
+impl UsageTotals {
+    /// Adds (`sign` = 1) or removes (`sign` = -1) a usage row of another origin. `is_own_name`: the origin is a
+    /// previous incarnation of this gatekeeper.
+    fn apply(&mut self, row: &Row, is_own_name: bool, sign: i32) {
+        let (Key::Usage(customer, window), RowValue::Usage { units, acknowledged }) = (&row.key, row.value)
         else {
             return;
         };
         let key = (customer.clone(), *window);
         let (sum, rows) = self.sums.entry(key.clone()).or_default();
-        *(if former { &mut sum.previous_incarnations } else { &mut sum.others }) += units * f64::from(by);
-        sum.acknowledged += told * f64::from(by);
-        *rows = rows.saturating_add_signed(by);
+        *(if is_own_name { &mut sum.previous_incarnations } else { &mut sum.others }) +=
+            units * f64::from(sign);
+        sum.acknowledged += acknowledged * f64::from(sign);
+        *rows = rows.saturating_add_signed(sign);
         if *rows == 0 {
-            self.sums.remove(&key); // and with it what adding and taking away has left
+            self.sums.remove(&key); // Drops the accumulated rounding error, too.
         }
         self.changed.insert(key);
     }
 }
 
-/// What was merged, for the operators.
+/// Statistics of merged rows, for operators.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MergeStats {
-    /// Rows that were new here.
+    /// Rows that were new to the replica.
     pub applied: u64,
-    /// Rows that were here already, in this version or a later one.
+    /// Rows that the replica held already, in this version or a later one.
     pub already_known: u64,
-    /// Rows turned down: of this process's own origin, of a forgotten life, out of bounds or no number.
+    /// Rows rejected: written under this process's own origin or a forgotten incarnation, beyond a limit, or with
+    /// invalid values.
     pub rejected: u64,
 }
 
-/// All copies that one gatekeeper holds, its own rows among them.
+/// All replicated rows that one gatekeeper holds, including its own.
 #[derive(Clone, Debug)]
 pub struct Replica {
     me: Origin,
-    bounds: ReplicaLimits,
-    changes: u64,
-    shelves: BTreeMap<Origin, Shelf>,
-    totals: Totals,
-    /// The last life of each name that was forgotten, and when: nothing of it is taken again.
+    limits: ReplicaLimits,
+    /// Version of the last change of the local origin.
+    own_version: u64,
+    origins: BTreeMap<Origin, OriginState>,
+    totals: UsageTotals,
+    /// For each name, the last forgotten incarnation and when it was forgotten. Its rows are rejected.
     forgotten: BTreeMap<Arc<str>, (u64, f64)>,
-    tally: MergeStats,
+    stats: MergeStats,
 }
 
 impl Replica {
-    /// An empty one, of this life of this gatekeeper.
-    pub fn new(me: Origin, bounds: ReplicaLimits) -> Self {
-        let shelves = BTreeMap::from([(me.clone(), Shelf::default())]);
-        let (changes, forgotten, tally) = (0, BTreeMap::new(), MergeStats::default());
-        Replica { me, bounds, changes, shelves, totals: Totals::default(), forgotten, tally }
+    /// An empty replica of the gatekeeper with the origin `me`.
+    pub fn new(me: Origin, limits: ReplicaLimits) -> Self {
+        let origins = BTreeMap::from([(me.clone(), OriginState::default())]);
+        let (own_version, forgotten, stats) = (0, BTreeMap::new(), MergeStats::default());
+        Replica { me, limits, own_version, origins, totals: UsageTotals::default(), forgotten, stats }
     }
 
-    /// Notes what this gatekeeper itself spent or saw, valid for `valid` seconds. What says the same as before is no
-    /// change. `false`: there is no room.
-    pub fn record(&mut self, now: f64, key: Key, said: RowValue, valid: f64) -> bool {
-        let shelf = self.shelves.entry(self.me.clone()).or_default();
-        if shelf.rows.get(&key).is_some_and(|held| held.value == said) {
+    /// Writes a row of the local origin that expires after `valid_secs`. An unchanged value makes no new version.
+    /// Returns `false` if the origin has no room for another row.
+    pub fn record(&mut self, now: f64, key: Key, value: RowValue, valid_secs: f64) -> bool {
+        let state = self.origins.entry(self.me.clone()).or_default();
+        if state.rows.get(&key).is_some_and(|held| held.value == value) {
             return true;
         }
-        let until = now + valid.clamp(0.0, self.bounds.retention_secs);
-        let row = Row { key, version: self.changes + 1, expires_at: until, value: said };
-        let noted = shelf.put(now, row, self.bounds.rows_per_origin).is_ok();
-        if noted {
-            self.changes += 1;
-            (shelf.upto, shelf.heard, shelf.seen) = (self.changes, now, self.changes);
+        let expires_at = now + valid_secs.clamp(0.0, self.limits.retention_secs);
+        let row = Row { key, version: self.own_version + 1, expires_at, value };
+        let is_stored = state.put(now, row, self.limits.rows_per_origin).is_ok();
+        if is_stored {
+            self.own_version += 1;
+            state.version = self.own_version;
+            state.last_change_at = now;
+            state.latest_seen_version = self.own_version;
         }
-        noted
+        is_stored
     }
 
-    /// Notes a judgement of a node in steps, and no oftener than every `least` seconds where only its age has changed:
-    /// a row is no answer's echo.
-    pub fn record_health(&mut self, now: f64, node: HostId, judged: NodeHealth, least: f64) -> bool {
-        let step = |x: f64, by: f64| (x / by).round() * by;
-        let judged = NodeHealth {
-            failure_rate: step(judged.failure_rate, 0.1).min(1.0),
-            latency_ratio: step(judged.latency_ratio, 0.25),
-            ..judged
+    /// Writes the health of a node, quantized. If only the age of the evidence has changed, a new version is written
+    /// at most every `min_interval_secs`, so that not every response of a node is replicated.
+    pub fn record_health(
+        &mut self,
+        now: f64,
+        node: HostId,
+        health: NodeHealth,
+        min_interval_secs: f64,
+    ) -> bool {
+        let quantize = |x: f64, step: f64| (x / step).round() * step;
+        let health = NodeHealth {
+            failure_rate: quantize(health.failure_rate, 0.1).min(1.0),
+            latency_ratio: quantize(health.latency_ratio, 0.25),
+            ..health
         };
         let key = Key::Health(node);
-        let held = self.shelves.get(&self.me).and_then(|shelf| shelf.rows.get(&key));
-        let same = held.is_some_and(|held| match held.value {
+        let held = self.origins.get(&self.me).and_then(|state| state.rows.get(&key));
+        let is_unchanged = held.is_some_and(|held| match held.value {
             RowValue::Health(h) => {
                 (h.started_at, h.failure_rate, h.latency_ratio)
-                    == (judged.started_at, judged.failure_rate, judged.latency_ratio)
-                    && now - h.recorded_at < least
+                    == (health.started_at, health.failure_rate, health.latency_ratio)
+                    && now - h.recorded_at < min_interval_secs
             }
             _ => false,
         });
-        same || self.record(now, key, RowValue::Health(judged), self.bounds.retention_secs)
+        is_unchanged || self.record(now, key, RowValue::Health(health), self.limits.retention_secs)
     }
 
-    /// What this origin itself wrote after a change: goes with a question, so that news starts at once.
-    pub fn own_delta_after(&self, now: f64, from: u64) -> Option<Delta> {
-        self.shelves.get(&self.me)?.after(now, &self.me, from)
+    /// Changes of the local origin after `version`. Sent along with a request for missing changes, so that new local
+    /// changes spread without waiting to be asked for.
+    pub fn own_delta_after(&self, now: f64, version: u64) -> Option<Delta> {
+        self.origins.get(&self.me)?.delta_after(now, &self.me, version)
     }
 
-    /// Somebody holds this much: what is not here is known to be missing.
+    /// Records the digest of another member: versions that only the other member holds are known to be missing.
     pub fn observe_digest(&mut self, theirs: &Digest) {
-        for (origin, upto) in theirs {
-            if let Some(shelf) = self.shelves.get_mut(origin) {
-                shelf.seen = shelf.seen.max(*upto);
+        for (origin, version) in theirs {
+            if let Some(state) = self.origins.get_mut(origin) {
+                state.latest_seen_version = state.latest_seen_version.max(*version);
             }
         }
     }
 
-    /// Up to which change of an origin everything is here.
+    /// The version of an origin up to which every change is held.
     pub fn version_of(&self, origin: &Origin) -> u64 {
-        self.shelves.get(origin).map_or(0, |shelf| shelf.upto)
+        self.origins.get(origin).map_or(0, |state| state.version)
     }
 
-    /// Up to which change of each origin everything is here.
+    /// For each origin, the version up to which every change is held.
     pub fn digest(&self) -> Digest {
-        self.shelves.iter().map(|(origin, shelf)| (origin.clone(), shelf.upto)).collect()
+        self.origins.iter().map(|(origin, state)| (origin.clone(), state.version)).collect()
     }
 
-    /// What one who holds `theirs` lacks, and whether more is left: of `most` rows in all at the most, but always all
-    /// changes of one origin. What is left is found again by the next digest, so that a cut between two messages loses
-    /// nothing. Changes of one origin are never divided: a row that changed again has moved behind the division, and
-    /// the first part would pass for whole without it, for good if the origin dies there.
+    /// Changes that a member with the digest `theirs` lacks, and whether more are left. At most `max_rows` rows,
+    /// except that the changes of the first origin are always sent completely. The next digest shows what is left, so
+    /// a connection that breaks between two messages loses nothing.
     ///
-    /// Origins take turns by `turn`: none waits for ever behind the first ones. With no room nothing is sent.
-    pub fn deltas_for(&self, now: f64, theirs: &Digest, most: usize, turn: usize) -> (Vec<Delta>, bool) {
-        let (mut pieces, mut room) = (Vec::new(), most);
-        let first = turn % self.shelves.len().max(1);
-        for (origin, shelf) in self.shelves.iter().skip(first).chain(self.shelves.iter().take(first)) {
-            let from = theirs.get(origin).copied().unwrap_or(0);
-            let Some(piece) = shelf.after(now, origin, from) else { continue };
-            if most == 0 || piece.rows.len() > room && !pieces.is_empty() {
-                return (pieces, true);
+    /// The changes of one origin are never split over two messages. A row that changes again moves to a version beyond
+    /// the split; the receiver would take the first part for complete without that row, and would lack it for good if
+    /// the origin died before the second part.
+    ///
+    /// `rotation` selects the origin to start with, so that every origin is served even if the first ones always have
+    /// enough changes to fill a message. With `max_rows` = 0 nothing is sent.
+    pub fn deltas_for(
+        &self,
+        now: f64,
+        theirs: &Digest,
+        max_rows: usize,
+        rotation: usize,
+    ) -> (Vec<Delta>, bool) {
+        let (mut deltas, mut room) = (Vec::new(), max_rows);
+        let first = rotation % self.origins.len().max(1);
+        for (origin, state) in self.origins.iter().skip(first).chain(self.origins.iter().take(first)) {
+            let version = theirs.get(origin).copied().unwrap_or(0);
+            let Some(delta) = state.delta_after(now, origin, version) else { continue };
+            if max_rows == 0 || delta.rows.len() > room && !deltas.is_empty() {
+                return (deltas, true);
             }
-            room = room.saturating_sub(piece.rows.len());
-            pieces.push(piece);
+            room = room.saturating_sub(delta.rows.len());
+            deltas.push(delta);
         }
-        (pieces, false)
+        (deltas, false)
     }
 
-    /// Takes a piece over, where it goes on from what is here: one that runs ahead is found again by the next digest.
-    /// So a shelf is always all of its origin's rows as of one change, and so is what it passes on: a row kept ahead of
-    /// the others could not be passed on once its origin is dead, and the copies would differ for good.
-    pub fn merge(&mut self, now: f64, piece: Delta) -> MergeStats {
-        let mut tally = MergeStats::default();
-        let gone = self.forgotten.get(&piece.origin.name).is_some_and(|f| f.0 >= piece.origin.incarnation);
-        let held = self.shelves.get(&piece.origin).map(|shelf| shelf.upto);
-        let full = held.is_none() && self.shelves.len() > self.bounds.remote_origins;
-        let ahead = piece.after_version > held.unwrap_or(0) || piece.through_version < piece.after_version;
-        if piece.origin == self.me || gone || full || ahead {
-            tally.rejected = piece.rows.len() as u64;
+    /// Merges a delta, provided that it continues from the version held. A delta that starts later is rejected; the
+    /// next digest requests the missing changes again.
+    ///
+    /// Invariant: the state held of an origin is the complete set of its rows as of one version, and so are the deltas
+    /// made from it. A row stored ahead of missing ones could not be passed on after the death of its origin, and the
+    /// replicas would differ for good.
+    pub fn merge(&mut self, now: f64, delta: Delta) -> MergeStats {
+        let mut stats = MergeStats::default();
+        let is_forgotten =
+            self.forgotten.get(&delta.origin.name).is_some_and(|f| f.0 >= delta.origin.incarnation);
+        let held = self.origins.get(&delta.origin).map(|state| state.version);
+        let is_full = held.is_none() && self.origins.len() > self.limits.remote_origins;
+        let has_gap = delta.after_version > held.unwrap_or(0) || delta.through_version < delta.after_version;
+        if delta.origin == self.me || is_forgotten || is_full || has_gap {
+            stats.rejected = delta.rows.len() as u64;
         } else {
-            let former = piece.origin.name == self.me.name;
-            let shelf =
-                self.shelves.entry(piece.origin).or_insert_with(|| Shelf { heard: now, ..Shelf::default() });
-            let mut whole = true;
-            for mut row in piece.rows {
-                let wrong = row.version == 0 || row.version > piece.through_version || !row.sane();
-                row.expires_at = row.expires_at.min(now + self.bounds.retention_secs);
-                whole &= !wrong;
-                if wrong {
-                    tally.rejected += 1;
-                } else if row.version <= shelf.upto || row.expires_at <= now {
-                    tally.already_known += 1;
-                } else if let Ok(before) = shelf.put(now, row.clone(), self.bounds.rows_per_origin) {
-                    tally.applied += 1;
-                    before.iter().for_each(|before| self.totals.count(before, former, -1));
-                    self.totals.count(&row, former, 1);
+            let is_own_name = delta.origin.name == self.me.name;
+            let state = self
+                .origins
+                .entry(delta.origin)
+                .or_insert_with(|| OriginState { last_change_at: now, ..OriginState::default() });
+            let mut all_valid = true;
+            for mut row in delta.rows {
+                let is_invalid = row.version == 0 || row.version > delta.through_version || !row.is_valid();
+                row.expires_at = row.expires_at.min(now + self.limits.retention_secs);
+                all_valid &= !is_invalid;
+                if is_invalid {
+                    stats.rejected += 1;
+                } else if row.version <= state.version || row.expires_at <= now {
+                    stats.already_known += 1;
+                } else if let Ok(replaced) = state.put(now, row.clone(), self.limits.rows_per_origin) {
+                    stats.applied += 1;
+                    replaced.iter().for_each(|replaced| self.totals.apply(replaced, is_own_name, -1));
+                    self.totals.apply(&row, is_own_name, 1);
                 } else {
-                    tally.rejected += 1;
+                    stats.rejected += 1;
                 }
             }
-            // Where a row was none, nothing is proven of the others that may be missing.
-            if whole && piece.through_version > shelf.upto {
-                (shelf.upto, shelf.heard) = (piece.through_version, now);
-                shelf.seen = shelf.seen.max(piece.through_version);
+            // A delta with an invalid row does not prove that its other rows are complete.
+            if all_valid && delta.through_version > state.version {
+                (state.version, state.last_change_at) = (delta.through_version, now);
+                state.latest_seen_version = state.latest_seen_version.max(delta.through_version);
             }
         }
-        self.tally.applied += tally.applied;
-        self.tally.already_known += tally.already_known;
-        self.tally.rejected += tally.rejected;
-        tally
+        self.stats.applied += stats.applied;
+        self.stats.already_known += stats.already_known;
+        self.stats.rejected += stats.rejected;
+        stats
     }
 
-    /// Drops what is out of date, and origins not heard of for long; `alive` are the members' names. The last life of
-    /// a forgotten name is remembered as long again, so that a copy that lags does not bring it back.
+    /// Removes expired rows, and origins that are not among the live members (`alive`, by name) and have not changed
+    /// for `forget_after_secs`. The last incarnation of a forgotten name is remembered for twice that time, so that a
+    /// lagging replica does not bring it back.
     pub fn sweep(&mut self, now: f64, alive: &BTreeSet<Arc<str>>) {
-        let (me, forget) = (self.me.clone(), self.bounds.forget_after_secs);
-        self.forgotten.retain(|_, (_, at)| now - *at < 2.0 * forget);
+        let (me, forget_after_secs) = (self.me.clone(), self.limits.forget_after_secs);
+        self.forgotten.retain(|_, (_, at)| now - *at < 2.0 * forget_after_secs);
         let (forgotten, totals) = (&mut self.forgotten, &mut self.totals);
-        self.shelves.retain(|origin, shelf| {
-            let former = origin.name == me.name;
+        self.origins.retain(|origin, state| {
+            let is_own_name = origin.name == me.name;
             if *origin != me {
-                shelf.drop_old(now).iter().for_each(|row| totals.count(row, former, -1));
+                state.remove_expired(now).iter().for_each(|row| totals.apply(row, is_own_name, -1));
             } else {
-                shelf.drop_old(now);
+                state.remove_expired(now);
             }
-            let held = *origin == me || alive.contains(&origin.name) || now - shelf.heard < forget;
-            if !held {
-                shelf.rows.values().for_each(|row| totals.count(row, former, -1));
+            let is_kept = *origin == me
+                || alive.contains(&origin.name)
+                || now - state.last_change_at < forget_after_secs;
+            if !is_kept {
+                state.rows.values().for_each(|row| totals.apply(row, is_own_name, -1));
                 let last = forgotten.entry(origin.name.clone()).or_insert((0, now));
                 *last = (last.0.max(origin.incarnation), now);
             }
-            held
+            is_kept
         });
-        while self.forgotten.len() > self.bounds.remote_origins {
-            let first =
+        while self.forgotten.len() > self.limits.remote_origins {
+            let oldest =
                 self.forgotten.iter().min_by(|a, b| a.1 .1.total_cmp(&b.1 .1)).map(|(n, _)| n.clone());
-            let Some(first) = first else { break };
-            self.forgotten.remove(&first);
+            let Some(oldest) = oldest else { break };
+            self.forgotten.remove(&oldest);
         }
     }
 
-    /// What others than this life of this gatekeeper hold of a customer's window: never more than was admitted.
+    /// Usage of a customer in a window by all origins except the local one: never more than was admitted.
     pub fn remote_usage(&self, customer: &CustomerId, window: i64) -> RemoteUsage {
         self.totals.sums.get(&(customer.clone(), window)).map(|sum| sum.0).unwrap_or_default()
     }
 
-    /// The same of all customers and windows of which it has changed since this was last asked.
+    /// Remote usage of every customer and window in which it has changed since the last call.
     pub fn take_changed_usage(&mut self) -> Vec<((CustomerId, i64), RemoteUsage)> {
         let changed = std::mem::take(&mut self.totals.changed).into_iter();
         changed
@@ -513,110 +560,120 @@
             .collect()
     }
 
-    /// Part of the others in a fleet of `members` whose copies here are fresh, 0 to 1: each name once, by its last life.
-    /// One that ended as it was told to spends no more, and what it spent is here.
+    /// Fraction of the other gatekeepers, in a fleet of `members`, whose replicas here are fresh, 0 to 1. Each name
+    /// counts once, by its last incarnation. A gatekeeper that has left, and all of whose changes are held, is fresh:
+    /// it admits nothing more.
     pub fn fresh_fraction(&self, now: f64, members: u32) -> f64 {
-        let mut last = BTreeMap::<&str, bool>::new();
+        let mut is_fresh_by_name = BTreeMap::<&str, bool>::new();
         for lag in self.lags(now).filter(|lag| lag.origin.name != self.me.name) {
-            let fresh = lag.has_left && lag.missing_versions == 0 || lag.seconds <= self.bounds.max_lag_secs;
-            last.insert(&lag.origin.name, fresh); // lives come in order
+            let is_fresh =
+                lag.has_left && lag.missing_versions == 0 || lag.seconds <= self.limits.max_lag_secs;
+            is_fresh_by_name.insert(&lag.origin.name, is_fresh); // Incarnations come in ascending order.
         }
-        let fresh = last.values().filter(|fresh| **fresh).count();
+        let fresh = is_fresh_by_name.values().filter(|is_fresh| **is_fresh).count();
         (fresh as f64 / f64::from(members.saturating_sub(1).max(1))).min(1.0)
     }
 
-    /// Nodes of which somebody else wrote.
+    /// Nodes whose health another origin reports.
     pub fn remotely_observed_nodes(&self) -> BTreeSet<HostId> {
-        let others = self.shelves.iter().filter(|(origin, _)| **origin != self.me);
-        others.flat_map(|(_, shelf)| shelf.nodes().cloned()).collect()
+        let others = self.origins.iter().filter(|(origin, _)| **origin != self.me);
+        others.flat_map(|(_, state)| state.nodes().cloned()).collect()
     }
 
-    /// What others saw of a node in this life of it: the judgement on the freshest evidence, where two are as fresh
-    /// the more careful one. Its age now is told with it, by this gatekeeper's clock, and never less than nothing.
-    pub fn remote_health(&self, now: f64, node: &HostId, started: f64) -> Option<(NodeHealth, f64)> {
+    /// Health of a node since its start at `started_at` as other origins report it, with the present age of the
+    /// evidence in seconds by the local clock (at least its age when it was recorded). The report with the freshest
+    /// evidence wins; of equally fresh ones the worse.
+    pub fn remote_health(&self, now: f64, node: &HostId, started_at: f64) -> Option<(NodeHealth, f64)> {
         let key = Key::Health(node.clone());
-        let rows = self.shelves.iter().filter(|(origin, _)| **origin != self.me);
-        let rows = rows.filter_map(|(_, shelf)| match shelf.rows.get(&key)?.value {
-            RowValue::Health(judged) if (judged.started_at - started).abs() < SAME_START_S => Some(judged),
+        let rows = self.origins.iter().filter(|(origin, _)| **origin != self.me);
+        let reports = rows.filter_map(|(_, state)| match state.rows.get(&key)?.value {
+            RowValue::Health(health)
+                if (health.started_at - started_at).abs() < SAME_START_TOLERANCE_SECS =>
+            {
+                Some(health)
+            }
             _ => None,
         });
         let aged =
-            rows.map(|judged| (judged, judged.evidence_age_secs + (now - judged.recorded_at).max(0.0)));
+            reports.map(|health| (health, health.evidence_age_secs + (now - health.recorded_at).max(0.0)));
         aged.min_by(|(a, a_age), (b, b_age)| {
-            let careful = |j: &NodeHealth| (j.failure_rate, j.latency_ratio);
-            let by_care = careful(b).partial_cmp(&careful(a)).unwrap_or(std::cmp::Ordering::Equal);
-            a_age.total_cmp(b_age).then(by_care)
+            let badness = |h: &NodeHealth| (h.failure_rate, h.latency_ratio);
+            let worse_first = badness(b).partial_cmp(&badness(a)).unwrap_or(std::cmp::Ordering::Equal);
+            a_age.total_cmp(b_age).then(worse_first)
         })
     }
 
-    /// Whose replica it is.
+    /// The local origin.
     pub fn me(&self) -> &Origin {
         &self.me
     }
 
-    /// How long this origin had lived when it last wrote so.
+    /// Uptime in the last heartbeat of the local origin, in seconds.
     pub fn last_heartbeat(&self) -> Option<f64> {
-        self.shelves.get(&self.me)?.beat.map(|beat| beat.lived)
+        self.origins.get(&self.me)?.heartbeat.map(|heartbeat| heartbeat.uptime)
     }
 
-    /// Rows of what was spent, over all origins, and their sum: two replicas that have the same hold the same.
+    /// Number of usage rows over all origins, and a checksum of their keys and versions: replicas that hold the same
+    /// usage rows report the same values.
     pub fn usage_checksum(&self) -> (usize, u64) {
         let (mut count, mut sum) = (0, 0u64);
-        for (origin, shelf) in &self.shelves {
-            let of = fnv1a(&origin.name) ^ origin.incarnation.wrapping_mul(GOLDEN_BITS);
-            for (key, row) in &shelf.rows {
+        for (origin, state) in &self.origins {
+            let origin_hash = fnv1a(&origin.name) ^ origin.incarnation.wrapping_mul(GOLDEN_BITS);
+            for (key, row) in &state.rows {
                 if let Key::Usage(customer, window) = key {
-                    let what = fnv1a(&customer.0) ^ (*window as u64).wrapping_mul(GOLDEN_BITS);
-                    let one = (of ^ what.rotate_left(17)).wrapping_add(row.version).wrapping_mul(GOLDEN_BITS);
-                    (count, sum) = (count + 1, sum.wrapping_add(one ^ one >> 29));
+                    let key_hash = fnv1a(&customer.0) ^ (*window as u64).wrapping_mul(GOLDEN_BITS);
+                    let row_hash = (origin_hash ^ key_hash.rotate_left(17))
+                        .wrapping_add(row.version)
+                        .wrapping_mul(GOLDEN_BITS);
+                    (count, sum) = (count + 1, sum.wrapping_add(row_hash ^ row_hash >> 29));
                 }
             }
         }
         (count, sum)
     }
 
-    /// Rows held, over all origins.
+    /// Number of rows held, over all origins.
     pub fn row_count(&self) -> usize {
-        self.shelves.values().map(|shelf| shelf.rows.len()).sum()
+        self.origins.values().map(|state| state.rows.len()).sum()
     }
 
-    /// How far each origin's copy here lags, this one's own among them (by nothing).
+    /// Lag behind each origin, including the local one (whose lag is 0).
     pub fn lags(&self, now: f64) -> impl Iterator<Item = Lag<'_>> {
-        self.shelves.iter().map(move |(origin, shelf)| Lag {
+        self.origins.iter().map(move |(origin, state)| Lag {
             origin,
-            seconds: if *origin == self.me { 0.0 } else { shelf.age(now) },
-            missing_versions: shelf.seen - shelf.upto,
-            has_left: shelf.left(),
+            seconds: if *origin == self.me { 0.0 } else { state.lag_secs(now) },
+            missing_versions: state.latest_seen_version - state.version,
+            has_left: state.has_left(),
         })
     }
 
-    /// Did an origin end, as it was told to?
+    /// Whether an origin has left the fleet by a regular shutdown.
     pub fn has_left(&self, origin: &Origin) -> bool {
-        self.shelves.get(origin).is_some_and(Shelf::left)
+        self.origins.get(origin).is_some_and(OriginState::has_left)
     }
 
-    /// What was merged so far.
+    /// Totals of all merges so far.
     pub fn merge_stats(&self) -> MergeStats {
-        self.tally
+        self.stats
     }
 }
 
 impl Row {
-    /// Does it say what a row of its kind can say?
-    fn sane(&self) -> bool {
-        let figure = |x: f64| x.is_finite() && x >= 0.0;
+    /// Whether the value fits the key and its numbers are in range.
+    fn is_valid(&self) -> bool {
+        let is_magnitude = |x: f64| x.is_finite() && x >= 0.0;
         self.expires_at.is_finite()
             && match (&self.key, self.value) {
-                (Key::Usage(..), RowValue::Usage { units, acknowledged: told }) => {
-                    [units, told].into_iter().all(|x| figure(x) && x <= 1e12)
+                (Key::Usage(..), RowValue::Usage { units, acknowledged }) => {
+                    [units, acknowledged].into_iter().all(|x| is_magnitude(x) && x <= MAX_UNITS)
                 }
-                (Key::Heartbeat, RowValue::Heartbeat(lived)) => figure(lived),
+                (Key::Heartbeat, RowValue::Heartbeat(uptime)) => is_magnitude(uptime),
                 (Key::Left, RowValue::Left) => true,
-                (Key::Health(_), RowValue::Health(j)) => {
-                    [j.started_at, j.failure_rate, j.latency_ratio, j.evidence_age_secs, j.recorded_at]
+                (Key::Health(_), RowValue::Health(h)) => {
+                    [h.started_at, h.failure_rate, h.latency_ratio, h.evidence_age_secs, h.recorded_at]
                         .into_iter()
-                        .all(figure)
-                        && j.failure_rate <= 1.0
+                        .all(is_magnitude)
+                        && h.failure_rate <= 1.0
                 }
                 _ => false,
             }
--- a/src/fleet/site/mod.rs
+++ b/src/fleet/site/mod.rs
@@ -1,5 +1,5 @@
-//! Whole sites: what is to be done when one is lost, known before. [`settings`] owns what operators say of them,
-//! [`plan`] what follows from it. Pure. It must never look at a node, a clock or a socket.
+//! Planning for the loss of whole sites, ahead of time. [`settings`] holds what operators define of their sites,
+//! [`plan`] computes from it where load goes when sites are lost. Pure: nothing here uses live nodes, a clock or a socket.
 
 pub mod plan;
 pub mod settings;
--- a/src/fleet/site/settings.rs
+++ b/src/fleet/site/settings.rs
@@ -1,128 +1,137 @@
-//! The operators' settings of sites, read through the shared loader from a record `sites: {...}`. It owns their names,
-//! types, defaults and ranges, and refuses what has no meaning; it must never decide anything with them.
+//! The operators' settings of sites: the record `sites` of their settings file.
+//!
+//! The names in the file are those in service; each field below names its key where the two differ.
 
 use crate::config::Reader;
 
-/// A kind of load, by whatever operators tell it apart.
+/// A class of load, by whatever criterion operators tell classes apart: an entry of the record `kind`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadClass {
-    /// Its name, as `"standard preview"`.
+    /// Name of the class, such as `"standard preview"`.
     pub name: String,
-    /// Its part of each site's load, 0 to 1.
+    /// Fraction of each site's load, 0 to 1 (`part`).
     pub load_fraction: f64,
-    /// Its place in the order of refusal: the least is refused first.
+    /// Place in the order of load shedding (`refuse`): the class with the lowest is shed first.
     pub shed_order: u32,
-    /// Is it never to be refused?
+    /// Whether the class must never be shed (`must`).
     pub must_serve: bool,
 }
 
-/// Where a site's load goes.
+/// A site that takes load when another site is lost: an entry of the record `to`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailoverTarget {
-    /// To which site, by its index.
+    /// Index of the site.
     pub site: usize,
-    /// Its weight among those of its order.
+    /// Weight among the targets of the same priority.
     pub weight: f64,
-    /// Lower ones are filled first.
+    /// Targets with a lower priority number are filled first (`order`).
     pub priority: u32,
 }
 
-/// One site.
+/// A site: an entry of the record `site`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
-    /// Its name.
+    /// Name of the site.
     pub name: String,
-    /// Its halls.
+    /// Zones of the site (`halls`).
     pub zones: Vec<String>,
-    /// Units a second that it can serve.
+    /// Load that the site can serve, in units per second.
     pub capacity: f64,
-    /// Units a second that it is usually asked for.
+    /// Usual load of the site, in units per second.
     pub load: f64,
-    /// Use up to which it may be loaded, as a part of its capacity.
+    /// Maximum utilization, as a fraction of the capacity (`most`).
     pub max_utilization: f64,
-    /// Where its load goes when it is lost.
+    /// Sites that take the load when this site is lost (`to`).
     pub failover_targets: Vec<FailoverTarget>,
 }
 
-/// All the settings of sites.
+/// All settings of sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
-    /// The kinds of load, in the order of refusal.
+    /// Classes of load, in the order of load shedding.
     pub load_classes: Vec<LoadClass>,
-    /// The sites, by name.
+    /// The sites.
     pub sites: Vec<Site>,
 }
 
-/// The parts of kinds may stray so far from 1 together.
-const PARTS_STRAY: f64 = 1e-6;
+/// The load fractions of all classes may differ from a sum of 1 by this much.
+const FRACTION_SUM_TOLERANCE: f64 = 1e-6;
 
 impl SiteSettings {
     /// Reads the record `sites` of a settings file; `None` where the file has none.
     pub fn read(top: &Reader<'_>) -> Option<SiteSettings> {
         let r = top.record("sites")?;
-        let most = r.number("most", 0.85, (0.05, 1.0));
-        let mut kinds = Vec::<LoadClass>::new();
+        let default_max_utilization = r.number("most", 0.85, (0.05, 1.0));
+        let mut load_classes = Vec::<LoadClass>::new();
         if let Some(list) = r.record("kind") {
-            for (name, k) in list.entries() {
-                let kind = LoadClass {
+            for (name, c) in list.entries() {
+                let class = LoadClass {
                     name: name.to_string(),
-                    load_fraction: k.number("part", 0.0, (0.0, 1.0)),
-                    shed_order: k.whole("refuse", u32::MAX, (1, 1000)),
-                    must_serve: k.flag("must", false),
+                    load_fraction: c.number("part", 0.0, (0.0, 1.0)),
+                    shed_order: c.whole("refuse", u32::MAX, (1, 1000)),
+                    must_serve: c.flag("must", false),
                 };
-                match k.node("refuse") {
-                    None => k.missing("refuse"),
+                match c.node("refuse") {
+                    None => c.missing("refuse"),
                     Some(node) => {
-                        if let Some(same) = kinds.iter().find(|other| other.shed_order == kind.shed_order) {
-                            k.error(
+                        if let Some(same) =
+                            load_classes.iter().find(|other| other.shed_order == class.shed_order)
+                        {
+                            c.error(
                                 node,
                                 "refuse",
-                                format!("{:?} has this place in the order already", same.name),
+                                format!("{:?} already has this place in the order", same.name),
                             );
                         }
                     }
                 }
-                kinds.push(kind);
-                k.finish();
+                load_classes.push(class);
+                c.finish();
             }
         }
-        let parts: f64 = kinds.iter().map(|kind| kind.load_fraction).sum();
+        let fraction_sum: f64 = load_classes.iter().map(|class| class.load_fraction).sum();
         match r.node("kind") {
             None => r.missing("kind"),
-            Some(node) if (parts - 1.0).abs() > PARTS_STRAY => {
-                r.error(node, "kind", format!("the parts of all kinds add up to {parts}, not to 1"));
+            Some(node) if (fraction_sum - 1.0).abs() > FRACTION_SUM_TOLERANCE => {
+                r.error(node, "kind", format!("the parts of all kinds add up to {fraction_sum}, not to 1"));
             }
             Some(_) => {}
         }
-        kinds.sort_by_key(|kind| kind.shed_order);
+        load_classes.sort_by_key(|class| class.shed_order);
         let mut sites = Vec::<Site>::new();
         if let Some(list) = r.record("site") {
             let names: Vec<String> = list.entries().map(|(name, _)| name.to_string()).collect();
             for (name, s) in list.entries() {
-                let halls: Vec<String> = s.texts("halls").into_iter().map(|hall| hall.0).collect();
+                let zones: Vec<String> = s.texts("halls").into_iter().map(|zone| zone.0).collect();
                 match s.node("halls") {
                     None => s.missing("halls"),
-                    Some(node) if halls.is_empty() => s.error(node, "halls", "a site has one hall at least"),
+                    Some(node) if zones.is_empty() => {
+                        s.error(node, "halls", "a site must have at least one hall");
+                    }
                     Some(node) => {
-                        for hall in &halls {
-                            if let Some(other) = sites.iter().find(|other| other.zones.contains(hall)) {
-                                s.error(node, "halls", format!("{hall:?} is in {:?} already", other.name));
+                        for zone in &zones {
+                            if let Some(other) = sites.iter().find(|other| other.zones.contains(zone)) {
+                                s.error(
+                                    node,
+                                    "halls",
+                                    format!("{zone:?} already belongs to {:?}", other.name),
+                                );
                             }
                         }
                     }
                 }
-                for needed in ["capacity", "load"] {
-                    if s.node(needed).is_none() {
-                        s.missing(needed);
+                for required in ["capacity", "load"] {
+                    if s.node(required).is_none() {
+                        s.missing(required);
                     }
                 }
                 let site = Site {
                     name: name.to_string(),
-                    zones: halls,
+                    zones,
                     capacity: s.number("capacity", 1.0, (1e-3, 1e9)),
                     load: s.number("load", 0.0, (0.0, 1e9)),
-                    max_utilization: s.number("most", most, (0.05, 1.0)),
-                    failover_targets: ways(&s, name, &names),
+                    max_utilization: s.number("most", default_max_utilization, (0.05, 1.0)),
+                    failover_targets: read_failover_targets(&s, name, &names),
                 };
                 sites.push(site);
                 s.finish();
@@ -132,34 +141,35 @@
             r.missing("site");
         }
         r.finish();
-        Some(SiteSettings { load_classes: kinds, sites })
+        Some(SiteSettings { load_classes, sites })
     }
 
-    /// What is in force, for `whinstall check`.
+    /// Describes the settings in force, for `whinstall check`.
     pub fn describe(&self) -> String {
-        let order: Vec<&str> = self.load_classes.iter().map(|kind| kind.name.as_str()).collect();
+        let order: Vec<&str> = self.load_classes.iter().map(|class| class.name.as_str()).collect();
         format!(
-            "{} site(s); refused in this order: {} (`whinstall plan` tells what each loss leads to)\n",
+            "{} site(s); load is refused in this order: {} (`whinstall plan` prints the effect of each loss)\n",
             self.sites.len(),
             order.join(", ")
         )
     }
 }
 
-fn ways(s: &Reader<'_>, name: &str, names: &[String]) -> Vec<FailoverTarget> {
-    let mut ways = Vec::new();
-    let Some(list) = s.record("to") else { return ways };
-    for (to, w) in list.entries() {
-        let (weight, order) = (w.number("weight", 1.0, (0.0, 1e6)), w.whole("order", 1, (1, 100)));
-        if let (Some(node), true) = (w.node("weight"), weight <= 0.0) {
-            w.error(node, "weight", "must be above 0");
+/// Reads the record `to` of the site `name`; `names` are all sites of the file.
+fn read_failover_targets(s: &Reader<'_>, name: &str, names: &[String]) -> Vec<FailoverTarget> {
+    let mut targets = Vec::new();
+    let Some(list) = s.record("to") else { return targets };
+    for (to, t) in list.entries() {
+        let (weight, priority) = (t.number("weight", 1.0, (0.0, 1e6)), t.whole("order", 1, (1, 100)));
+        if let (Some(node), true) = (t.node("weight"), weight <= 0.0) {
+            t.error(node, "weight", "must be above 0");
         }
         match names.iter().position(|known| known == to) {
-            _ if to == name => w.refuse("a lost site cannot take its own load"),
-            None => w.refuse("is no site of this file"),
-            Some(to) => ways.push(FailoverTarget { site: to, weight, priority: order }),
+            _ if to == name => t.refuse("a lost site cannot take its own load"),
+            None => t.refuse("is not a site of this file"),
+            Some(site) => targets.push(FailoverTarget { site, weight, priority }),
         }
-        w.finish();
+        t.finish();
     }
-    ways
+    targets
 }
--- a/src/fleet/token_bucket.rs
+++ b/src/fleet/token_bucket.rs
@@ -1,74 +1,53 @@
-//! How much one gatekeeper sends to others that lack rows: a store of bytes that fills at a rate, so that one that
-//! returns, or many at once, never take more than that of a link or of this process. It must never hold back a digest:
-//! only rows wait.
-
-/// A store of bytes.
+//! Token bucket for the bytes of rows that one gatekeeper sends to others. It bounds the load on links and on this
+//! process when a gatekeeper rejoins with an empty replica, or many do at once. Only rows are limited: digests are always
+//! sent.
+
+/// Row size assumed before any row was sent, in bytes.
+const INITIAL_ROW_BYTES: f64 = 48.0;
+/// Capacity of the bucket, in seconds of its refill rate.
+const CAPACITY_SECS: f64 = 0.5;
+/// Weight of the last message in the moving average of the row size.
+const ROW_SIZE_WEIGHT: f64 = 0.1;
+
+/// A token bucket whose tokens are bytes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
-    rate: f64,
-    level: f64,
-    at: f64,
-    /// Bytes of a row, as they turned out, on the mean.
-    row: f64,
+    bytes_per_sec: f64,
+    tokens: f64,
+    refilled_at: f64,
+    /// Moving average of the row size, in bytes.
+    mean_row_bytes: f64,
 }
 
-/// Bytes of a row before any was sent.
-const ROW_FIRST: f64 = 48.0;
-/// The store holds what comes in so many seconds.
-const STORE_S: f64 = 0.5;
-/// Weight of the last message in the mean row.
-const ALPHA: f64 = 0.1;
-
 impl TokenBucket {
-    /// One that is full, of `rate` bytes a second.
-    pub fn new(now: f64, rate: f64) -> Self {
-        TokenBucket { rate, level: rate * STORE_S, at: now, row: ROW_FIRST }
+    /// A full bucket that refills at `bytes_per_sec`. `now` is in seconds.
+    pub fn new(now: f64, bytes_per_sec: f64) -> Self {
+        TokenBucket {
+            bytes_per_sec,
+            tokens: bytes_per_sec * CAPACITY_SECS,
+            refilled_at: now,
+            mean_row_bytes: INITIAL_ROW_BYTES,
+        }
     }
 
-    /// Rows that may go now, at the most `most`.
-    pub fn available_rows(&mut self, now: f64, most: usize) -> usize {
-        self.level = (self.level + self.rate * (now - self.at).max(0.0)).min(self.rate * STORE_S);
-        self.at = self.at.max(now);
-        ((self.level / self.row).max(0.0) as usize).min(most)
+    /// Number of rows that may be sent now, at most `max_rows`.
+    pub fn available_rows(&mut self, now: f64, max_rows: usize) -> usize {
+        let refilled = self.tokens + self.bytes_per_sec * (now - self.refilled_at).max(0.0);
+        self.tokens = refilled.min(self.bytes_per_sec * CAPACITY_SECS);
+        self.refilled_at = self.refilled_at.max(now);
+        ((self.tokens / self.mean_row_bytes).max(0.0) as usize).min(max_rows)
     }
 
-    /// So many rows went, in so many bytes. A message may take more than there is: the store owes it.
+    /// Takes the tokens of a message with this many rows and bytes. A message may need more tokens than there are; the
+    /// bucket then goes below zero.
     pub fn charge(&mut self, rows: usize, bytes: usize) {
         if rows > 0 {
-            self.level -= bytes as f64;
-            self.row += ALPHA * (bytes as f64 / rows as f64 - self.row);
+            self.tokens -= bytes as f64;
+            self.mean_row_bytes += ROW_SIZE_WEIGHT * (bytes as f64 / rows as f64 - self.mean_row_bytes);
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    proptest! {
-        /// However many ask for however much: over any time no more goes than the rate, the store, and one message.
-        #[test]
-        fn what_is_sent_is_bounded(asks in proptest::collection::vec((0.0..0.2f64, 1..2000usize, 20..120usize), 1..300)) {
-            let (rate, mut now, mut sent, mut largest) = (50_000.0, 0.0, 0.0, 0.0f64);
-            let mut pace = TokenBucket::new(now, rate);
-            for (wait, lacks, row) in asks {
-                now += wait;
-                let rows = pace.available_rows(now, 1600).min(lacks);
-                pace.charge(rows, rows * row);
-                sent += (rows * row) as f64;
-                largest = largest.max((rows * row) as f64);
-                prop_assert!(sent <= rate * (now + STORE_S) + largest, "{} in {} s", sent, now);
-            }
-        }
-    }
-
-    #[test]
-    fn it_goes_on_as_time_passes() {
-        let mut pace = TokenBucket::new(0.0, 1000.0);
-        let first = pace.available_rows(0.0, 1600);
-        pace.charge(first, first * 48);
-        assert!(first > 0 && pace.available_rows(0.0, 1600) == 0);
-        assert!(pace.available_rows(1.0, 1600) > 0);
-    }
-}
+#[path = "token_bucket_tests.rs"]
+mod tests;
--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -78,7 +78,7 @@
     socket: UdpSocket,
     /// Up to which of this one's changes each member held everything, as it last answered, and which life of it.
     known: RefCell<HashMap<SocketAddr, (u64, u64)>>,
-    /// Membership that answered last time they were asked; those that are being asked.
+    /// Members that answered last time they were asked; those that are being asked.
     answering: RefCell<BTreeSet<SocketAddr>>,
     asking: RefCell<BTreeSet<SocketAddr>>,
     /// Those that were given up and are not told of yet.
