--- a/src/fleet/budget/tests.rs
+++ b/src/fleet/budget/tests.rs
@@ -1,25 +1,29 @@
-//! Properties of budgets: whatever is lost, late, repeated, stopped or started again, the parts that all hold together
-//! never pass the whole; and what is wanted is found.
+//! Properties of budgets. Safety: with messages lost, late or repeated and processes paused or restarted, the shares in
+//! use never exceed the budget. Liveness: shares follow demand within a few leases.
 
 use super::*;
 use proptest::prelude::*;
 
 const TIMES: LeaseTimes = LeaseTimes { lease_ms: 2000, clock_margin_ms: 400 };
 
-fn who(n: usize, life: u64) -> Origin {
-    Origin { name: Arc::from(format!("g{n}")), incarnation: life }
+fn origin(n: usize, incarnation: u64) -> Origin {
+    Origin { name: Arc::from(format!("g{n}")), incarnation }
 }
 
-/// A fleet whose clocks differ, and run apart by less than the margin in a term.
+/// A fleet whose clocks differ and drift by less than the margin during a lease.
 struct Fleet {
+    /// True time in milliseconds.
     now: f64,
+    /// Offset in milliseconds, and rate, of each member's clock.
     clocks: Vec<(f64, f64)>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     holders: Vec<Holder>,
-    dividers: Vec<Allocator>,
-    wants: Vec<Ppm>,
+    allocators: Vec<Allocator>,
+    demands: Vec<Ppm>,
+    /// Requests sent so far. Each may be delivered at any time, any number of times, or never.
     requests: Vec<GrantRequest>,
-    answers: Vec<(usize, GrantResponse)>,
+    /// Responses sent so far, each with its receiver.
+    responses: Vec<(usize, GrantResponse)>,
 }
 
 fn budget() -> BudgetName {
@@ -32,73 +36,74 @@
         let mut fleet = Fleet {
             now: 0.0,
             clocks,
-            lives: vec![1; size],
+            incarnations: vec![1; size],
             holders: Vec::new(),
-            dividers: Vec::new(),
-            wants: vec![TOTAL_PPM; size],
+            allocators: Vec::new(),
+            demands: vec![TOTAL_PPM; size],
             requests: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
         };
         for n in 0..size {
-            let at = fleet.clock(n);
-            fleet.holders.push(Holder::new(who(n, 1), at, TIMES));
-            fleet.dividers.push(Allocator::new(who(n, 1), at, TIMES, size as u32));
+            let now = fleet.clock(n);
+            fleet.holders.push(Holder::new(origin(n, 1), now, TIMES));
+            fleet.allocators.push(Allocator::new(origin(n, 1), now, TIMES, size as u32));
         }
         fleet
     }
 
     fn clock(&self, n: usize) -> Ms {
-        let (from, rate) = self.clocks[n];
-        (from + rate * self.now) as Ms
+        let (offset, rate) = self.clocks[n];
+        (offset + rate * self.now) as Ms
     }
 
-    fn ask(&mut self, from: usize, to: usize) {
-        let (now, to) = (self.clock(from), who(to, self.lives[to]));
-        let request = self.holders[from].next_request(now, &to, vec![(budget(), self.wants[from])]);
+    fn send_request(&mut self, from: usize, to: usize) {
+        let (now, to) = (self.clock(from), origin(to, self.incarnations[to]));
+        let request = self.holders[from].next_request(now, &to, vec![(budget(), self.demands[from])]);
         self.requests.push(request);
     }
 
-    fn number(who: &Origin) -> usize {
-        who.name[1..].parse().expect("a number")
+    fn index(origin: &Origin) -> usize {
+        origin.name[1..].parse().expect("a number")
     }
 
-    fn request_arrives(&mut self, n: usize) {
+    fn deliver_request(&mut self, n: usize) {
         let Some(request) = self.requests.get(n).cloned() else { return };
-        let to = Fleet::number(&request.to);
+        let to = Fleet::index(&request.to);
         let now = self.clock(to);
-        let answer = self.dividers[to].handle_request(now, &request);
-        self.answers.push((Fleet::number(&request.from), answer));
+        let response = self.allocators[to].handle_request(now, &request);
+        self.responses.push((Fleet::index(&request.from), response));
     }
 
-    fn answer_arrives(&mut self, n: usize) {
-        let Some((to, answer)) = self.answers.get(n).cloned() else { return };
-        self.holders[to].handle_response(&answer);
+    fn deliver_response(&mut self, n: usize) {
+        let Some((to, response)) = self.responses.get(n).cloned() else { return };
+        self.holders[to].handle_response(&response);
     }
 
     fn exchange(&mut self, from: usize, to: usize) {
-        self.ask(from, to);
-        self.request_arrives(self.requests.len() - 1);
-        self.answer_arrives(self.answers.len() - 1);
+        self.send_request(from, to);
+        self.deliver_request(self.requests.len() - 1);
+        self.deliver_response(self.responses.len() - 1);
     }
 
     fn restart(&mut self, n: usize) {
-        self.lives[n] += 1;
-        let (at, me, size) = (self.clock(n), who(n, self.lives[n]), self.lives.len());
-        self.holders[n] = Holder::new(me.clone(), at, TIMES);
-        self.dividers[n] = Allocator::new(me, at, TIMES, size as u32);
+        self.incarnations[n] += 1;
+        let (now, me, size) = (self.clock(n), origin(n, self.incarnations[n]), self.incarnations.len());
+        self.holders[n] = Holder::new(me.clone(), now, TIMES);
+        self.allocators[n] = Allocator::new(me, now, TIMES, size as u32);
     }
 
-    fn held(&self) -> Vec<Ppm> {
+    fn shares(&self) -> Vec<Ppm> {
         (0..self.holders.len()).map(|n| self.holders[n].share(self.clock(n), "c1")).collect()
     }
 
-    /// All ask one, every third of a term, for so many rounds.
-    fn steady(&mut self, to: usize, among: &[usize], rounds: usize) {
+    /// Runs `rounds` rounds, one per third of a lease, in which each of the members `among` exchanges with the allocator
+    /// `to`.
+    fn run_rounds(&mut self, to: usize, among: &[usize], rounds: usize) {
         for _ in 0..rounds {
             self.now += TIMES.lease_ms as f64 / 3.0;
             for n in among {
                 self.exchange(*n, to);
-                assert!(self.held().iter().sum::<Ppm>() <= TOTAL_PPM);
+                assert!(self.shares().iter().sum::<Ppm>() <= TOTAL_PPM);
             }
         }
     }
@@ -106,24 +111,29 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u16),
-    Ask(usize, usize),
-    Request(usize),
-    Answer(usize),
+    /// Milliseconds pass.
+    Advance(u16),
+    /// A member sends a request to an allocator.
+    SendRequest(usize, usize),
+    /// The request that was sent this many requests ago is delivered.
+    DeliverRequest(usize),
+    /// The response that was sent this many responses ago is delivered.
+    DeliverResponse(usize),
+    /// A member sends a request to an allocator and receives the response, without delay.
     Exchange(usize, usize),
-    Want(usize, Ppm),
+    SetDemand(usize, Ppm),
     Restart(usize),
     Leave(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (1..900u16).prop_map(Step::Pass),
-        4 => (0..5usize, 0..2usize).prop_map(|(from, to)| Step::Ask(from, to)),
-        4 => (0..40usize).prop_map(Step::Request),
-        4 => (0..40usize).prop_map(Step::Answer),
+        6 => (1..900u16).prop_map(Step::Advance),
+        4 => (0..5usize, 0..2usize).prop_map(|(from, to)| Step::SendRequest(from, to)),
+        4 => (0..40usize).prop_map(Step::DeliverRequest),
+        4 => (0..40usize).prop_map(Step::DeliverResponse),
         12 => (0..5usize, 0..2usize).prop_map(|(from, to)| Step::Exchange(from, to)),
-        2 => (0..5usize, 0..=TOTAL_PPM).prop_map(|(n, want)| Step::Want(n, want)),
+        2 => (0..5usize, 0..=TOTAL_PPM).prop_map(|(n, demand)| Step::SetDemand(n, demand)),
         1 => (0..5usize).prop_map(Step::Restart),
         1 => (0..5usize).prop_map(Step::Leave),
     ]
@@ -132,113 +142,113 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    /// Messages lost, late, repeated; processes stopped (they just do nothing) and started again; two dividers that are
-    /// asked by turns; clocks that differ and run apart: never more than the whole, at any moment.
+    /// Lost, late and repeated messages, paused and restarted processes, two allocators that receive requests in turns, and
+    /// clocks that differ and drift: the shares in use never exceed the budget. A paused process is one that takes no step.
     #[test]
-    fn parts_never_pass_the_whole(steps in proptest::collection::vec(step(), 0..220)) {
+    fn shares_never_exceed_the_budget(steps in proptest::collection::vec(step(), 0..220)) {
         let mut fleet = Fleet::new(5);
         fleet.now = 3000.0;
-        fleet.steady(0, &[0, 1, 2, 3, 4], 3);
+        fleet.run_rounds(0, &[0, 1, 2, 3, 4], 3);
         for step in steps {
             match step {
-                Step::Pass(ms) => fleet.now += f64::from(ms),
-                Step::Ask(from, to) => fleet.ask(from, to),
-                // Counted from the last one: those of long ago seldom come.
-                Step::Request(n) => fleet.request_arrives(fleet.requests.len().wrapping_sub(1 + n)),
-                Step::Answer(n) => fleet.answer_arrives(fleet.answers.len().wrapping_sub(1 + n)),
+                Step::Advance(ms) => fleet.now += f64::from(ms),
+                Step::SendRequest(from, to) => fleet.send_request(from, to),
+                // Messages are numbered from the last one, so that most deliveries are of recent messages.
+                Step::DeliverRequest(n) => fleet.deliver_request(fleet.requests.len().wrapping_sub(1 + n)),
+                Step::DeliverResponse(n) => fleet.deliver_response(fleet.responses.len().wrapping_sub(1 + n)),
                 Step::Exchange(from, to) => fleet.exchange(from, to),
-                Step::Want(n, want) => fleet.wants[n] = want,
+                Step::SetDemand(n, demand) => fleet.demands[n] = demand,
                 Step::Restart(n) => fleet.restart(n),
                 Step::Leave(n) => fleet.holders[n].leave(),
             }
-            let held = fleet.held();
-            prop_assert!(held.iter().sum::<Ppm>() <= TOTAL_PPM, "{:?} after {:?}", held, step);
+            let shares = fleet.shares();
+            prop_assert!(shares.iter().sum::<Ppm>() <= TOTAL_PPM, "{:?} after {:?}", shares, step);
         }
     }
 
-    /// Whatever was before: with links that hold and a divider that is asked by all, the whole is in use within a few
-    /// terms, divided as it is wanted.
+    /// With working links and one allocator that all members ask, the whole budget is in use within eight leases, divided
+    /// by demand.
     #[test]
-    fn steady_wants_are_met(wants in proptest::collection::vec(0..=TOTAL_PPM, 5)) {
+    fn constant_demands_are_met(demands in proptest::collection::vec(0..=TOTAL_PPM, 5)) {
         let mut fleet = Fleet::new(5);
-        fleet.wants.clone_from(&wants);
-        fleet.steady(1, &[0, 1, 2, 3, 4], 24);
-        let (held, fair) = (fleet.held(), share::max_min_fair(&wants));
-        for (held, fair) in held.iter().zip(&fair) {
-            prop_assert!(held.abs_diff(*fair) <= TOTAL_PPM / 500, "{:?} {:?}", fleet.held(), fair);
+        fleet.demands.clone_from(&demands);
+        fleet.run_rounds(1, &[0, 1, 2, 3, 4], 24);
+        let (shares, fair) = (fleet.shares(), share::max_min_fair(&demands));
+        for (share, fair) in shares.iter().zip(&fair) {
+            prop_assert!(share.abs_diff(*fair) <= TOTAL_PPM / 500, "{:?} {:?}", fleet.shares(), fair);
         }
     }
 }
 
-/// A demand that moves to another member is followed within a term and a half.
+/// When all demand moves to another member, nine tenths of the budget follow within 2.5 leases.
 #[test]
-fn a_demand_that_moves_is_followed() {
+fn shares_follow_a_demand_that_moves() {
     let mut fleet = Fleet::new(4);
-    fleet.wants = vec![TOTAL_PPM, 0, 0, 0];
-    fleet.steady(0, &[0, 1, 2, 3], 12);
-    assert!(fleet.held()[0] > TOTAL_PPM * 95 / 100, "{:?}", fleet.held());
-    fleet.wants = vec![0, 0, TOTAL_PPM, 0];
-    let begun = fleet.now;
-    while fleet.held()[2] < TOTAL_PPM * 9 / 10 {
-        fleet.steady(0, &[0, 1, 2, 3], 1);
-        assert!(fleet.now - begun < 10.0 * TIMES.lease_ms as f64, "{:?}", fleet.held());
+    fleet.demands = vec![TOTAL_PPM, 0, 0, 0];
+    fleet.run_rounds(0, &[0, 1, 2, 3], 12);
+    assert!(fleet.shares()[0] > TOTAL_PPM * 95 / 100, "{:?}", fleet.shares());
+    fleet.demands = vec![0, 0, TOTAL_PPM, 0];
+    let start = fleet.now;
+    while fleet.shares()[2] < TOTAL_PPM * 9 / 10 {
+        fleet.run_rounds(0, &[0, 1, 2, 3], 1);
+        assert!(fleet.now - start < 10.0 * TIMES.lease_ms as f64, "{:?}", fleet.shares());
     }
-    let took = fleet.now - begun;
-    println!("nine tenths moved in {took} ms, a term is {} ms", TIMES.lease_ms);
+    let took = fleet.now - start;
+    println!("nine tenths moved in {took} ms; a lease is {} ms", TIMES.lease_ms);
     assert!(took <= 2.5 * TIMES.lease_ms as f64, "{took}");
 }
 
-/// A divider that is gone: holders keep what they hold to the end of its terms, the next one divides anew once what
-/// is unknown is known, and what the dead one itself held is given out again.
+/// After the death of the leader, holders use their grants until the leases end, and the next leader grants shares once
+/// the unknown grants are reported or ended. The dead leader's own share is granted again.
 #[test]
-fn a_divider_that_dies_is_followed_by_another() {
+fn another_allocator_takes_over_after_the_leader_dies() {
     let mut fleet = Fleet::new(5);
-    fleet.steady(0, &[0, 1, 2, 3, 4], 12);
-    let begun = fleet.now;
-    let mut least = TOTAL_PPM;
-    while fleet.held()[1..].iter().sum::<Ppm>() < TOTAL_PPM * 99 / 100 {
-        fleet.steady(1, &[1, 2, 3, 4], 1);
-        least = least.min(fleet.held()[1..].iter().sum());
-        assert!(fleet.now - begun < 6.0 * TIMES.lease_ms as f64, "{:?}", fleet.held());
+    fleet.run_rounds(0, &[0, 1, 2, 3, 4], 12);
+    let start = fleet.now;
+    let mut lowest_sum = TOTAL_PPM;
+    while fleet.shares()[1..].iter().sum::<Ppm>() < TOTAL_PPM * 99 / 100 {
+        fleet.run_rounds(1, &[1, 2, 3, 4], 1);
+        lowest_sum = lowest_sum.min(fleet.shares()[1..].iter().sum());
+        assert!(fleet.now - start < 6.0 * TIMES.lease_ms as f64, "{:?}", fleet.shares());
     }
-    println!("divided anew in {} ms; {least} ppm at the least meanwhile", fleet.now - begun);
+    println!("reallocated in {} ms; at least {lowest_sum} ppm in use meanwhile", fleet.now - start);
 }
 
-/// One that was stopped past its term goes by nothing; one that leaves gives back at once; one that starts again has
-/// nothing of its former self, whose part is not free before its term.
+/// A holder that was paused beyond its leases uses nothing. A holder that leaves returns its share at once. A restarted
+/// holder has no share of its previous incarnation, whose share is free only after its lease.
 #[test]
-fn terms_end_leavers_give_back_and_lives_do_not_add_up() {
+fn leases_end_and_incarnations_do_not_add_up() {
     let mut fleet = Fleet::new(3);
-    fleet.steady(0, &[0, 1, 2], 12);
-    let before = fleet.held();
-    assert!(before.iter().all(|held| *held > TOTAL_PPM / 4), "{before:?}");
+    fleet.run_rounds(0, &[0, 1, 2], 12);
+    let before = fleet.shares();
+    assert!(before.iter().all(|share| *share > TOTAL_PPM / 4), "{before:?}");
     fleet.now += 1.2 * TIMES.lease_ms as f64;
-    assert_eq!(fleet.held(), [0, 0, 0]);
-    fleet.steady(0, &[0, 1, 2], 12);
+    assert_eq!(fleet.shares(), [0, 0, 0]);
+    fleet.run_rounds(0, &[0, 1, 2], 12);
     fleet.restart(2);
     fleet.exchange(2, 0);
-    let now = fleet.held();
-    assert!(now[2] < TOTAL_PPM / 100, "what its former self held is not free: {now:?}");
-    fleet.steady(0, &[0, 1, 2], 12);
-    assert!(fleet.held()[2] > TOTAL_PPM / 4, "{:?}", fleet.held());
+    let now = fleet.shares();
+    assert!(now[2] < TOTAL_PPM / 100, "the share of its previous incarnation is not free: {now:?}");
+    fleet.run_rounds(0, &[0, 1, 2], 12);
+    assert!(fleet.shares()[2] > TOTAL_PPM / 4, "{:?}", fleet.shares());
     fleet.holders[1].leave();
     fleet.exchange(1, 0);
     fleet.exchange(0, 0);
     fleet.exchange(2, 0);
     assert!(
-        fleet.held()[1] == 0 && fleet.held().iter().sum::<Ppm>() > TOTAL_PPM * 99 / 100,
+        fleet.shares()[1] == 0 && fleet.shares().iter().sum::<Ppm>() > TOTAL_PPM * 99 / 100,
         "{:?}",
-        fleet.held()
+        fleet.shares()
     );
 }
 
-/// Without a majority nobody divides, and what was held ends with its term.
+/// Without a majority no allocator makes grants, and the shares in use end with their leases.
 #[test]
-fn without_a_majority_nobody_divides() {
+fn without_a_majority_nothing_is_granted() {
     let mut fleet = Fleet::new(5);
-    fleet.steady(0, &[0, 1, 2, 3, 4], 12);
-    fleet.steady(0, &[0, 1], 12);
-    assert_eq!(fleet.held()[..2], [0, 0]);
-    fleet.steady(2, &[2, 3, 4], 12);
-    assert!(fleet.held()[2..].iter().sum::<Ppm>() > TOTAL_PPM * 99 / 100, "{:?}", fleet.held());
+    fleet.run_rounds(0, &[0, 1, 2, 3, 4], 12);
+    fleet.run_rounds(0, &[0, 1], 12);
+    assert_eq!(fleet.shares()[..2], [0, 0]);
+    fleet.run_rounds(2, &[2, 3, 4], 12);
+    assert!(fleet.shares()[2..].iter().sum::<Ppm>() > TOTAL_PPM * 99 / 100, "{:?}", fleet.shares());
 }
