--- a/src/fleet/budget/allocator.rs
+++ b/src/fleet/budget/allocator.rs
@@ -220,7 +220,8 @@
     fn record_held_grants(&mut self, now: Ms, request: &GrantRequest) {
         let (me, first_grant, until) =
             (self.me.clone(), self.first_grant_of_epoch, now + self.times.lease_with_margin_ms());
-        // Reports of foreign grants count only with support: a supporter accepts no further grant of another allocator.
+        // Reports of foreign grants count only with support: a supporter accepts no further grant of another
+        // allocator.
         let is_supporter = request.support_stamp.is_some() && now < self.unknown_until;
         for HeldGrant { budget, granted_by, grant_number, share } in &request.held {
             let state = self.budget_state(now, budget);
--- a/src/fleet/budget/mod.rs
+++ b/src/fleet/budget/mod.rs
@@ -1,16 +1,16 @@
 //! Budgets of the whole fleet, divided by demand among its live gatekeepers.
 //!
 //! A leader grants shares of each budget as leases. [`allocator`] is the leader's side: which members support it, and
-//! what it has granted. [`holder`] is the side of a member: the grants that it holds, and the allocator that it supports.
-//! [`share`] computes how large a share each holder should have.
+//! what it has granted. [`holder`] is the side of a member: the grants that it holds, and the allocator that it
+//! supports. [`share`] computes how large a share each holder should have.
 //!
 //! Invariant: at any instant, the shares that all processes use of a budget sum to at most the whole budget, whatever
 //! fails. Holders end a lease after its duration; the allocator counts it for that duration plus a margin for clock
 //! drift. Of clocks only the rate is trusted.
 //!
-//! Pure: the time is passed in, in milliseconds of each process's own clock. Nothing here rejects a request; the shares
-//! are handed to the decision module. See docs/budgets.md for the rules, and `tests/budget_check.rs` for the model
-//! checker that explores all orders of events.
+//! Pure: the time is passed in, in milliseconds of each process's own clock. Nothing here rejects a request; the
+//! shares are handed to the decision module. See docs/budgets.md for the rules, and `tests/budget_check.rs` for the
+//! model checker that explores all orders of events.
 
 pub mod allocator;
 pub mod holder;
--- a/src/fleet/budget/share.rs
+++ b/src/fleet/budget/share.rs
@@ -1,5 +1,5 @@
-//! How large a share of a budget each holder should have: max-min fair by demand, with the surplus spread evenly. Shares
-//! sum to at most the whole budget.
+//! How large a share of a budget each holder should have: max-min fair by demand, with the surplus spread evenly.
+//! Shares sum to at most the whole budget.
 
 use super::{Ppm, TOTAL_PPM};
 
@@ -8,8 +8,8 @@
 /// A difference below this from the target share is closed at once.
 const CLOSE_ENOUGH_PPM: Ppm = TOTAL_PPM / 1000;
 
-/// Shares for these demands, in their order. A demand below an even share is met; the other holders divide evenly what
-/// that leaves. A surplus that no holder demands is spread evenly over all of them.
+/// Shares for these demands, in their order. A demand below an even share is met; the other holders divide evenly
+/// what that leaves. A surplus that no holder demands is spread evenly over all of them.
 pub fn max_min_fair(demands: &[Ppm]) -> Vec<Ppm> {
     let mut by_demand: Vec<usize> = (0..demands.len()).collect();
     by_demand.sort_by_key(|n| demands[*n]);
@@ -23,8 +23,8 @@
     shares
 }
 
-/// The next share of a holder that may use `current`, on the way to `target`, with `available` free beside the shares of
-/// all other holders. A share grows at once, and shrinks by three quarters of the difference.
+/// The next share of a holder that may use `current`, on the way to `target`, with `available` free beside the shares
+/// of all other holders. A share grows at once, and shrinks by three quarters of the difference.
 pub fn next_share(current: Ppm, target: Ppm, available: Ppm) -> Ppm {
     let share = if target >= current { target } else { target + (current - target) / SHRINK_DIVISOR };
     let share = if share.abs_diff(target) < CLOSE_ENOUGH_PPM { target } else { share };
--- a/src/fleet/budget/tests.rs
+++ b/src/fleet/budget/tests.rs
@@ -1,5 +1,5 @@
-//! Properties of budgets. Safety: with messages lost, late or repeated and processes paused or restarted, the shares in
-//! use never exceed the budget. Liveness: shares follow demand within a few leases.
+//! Properties of budgets. Safety: with messages lost, late or repeated and processes paused or restarted, the shares
+//! in use never exceed the budget. Liveness: shares follow demand within a few leases.
 
 use super::*;
 use proptest::prelude::*;
@@ -96,8 +96,8 @@
         (0..self.holders.len()).map(|n| self.holders[n].share(self.clock(n), "c1")).collect()
     }
 
-    /// Runs `rounds` rounds, one per third of a lease, in which each of the members `among` exchanges with the allocator
-    /// `to`.
+    /// Runs `rounds` rounds, one per third of a lease, in which each of the members `among` exchanges with the
+    /// allocator `to`.
     fn run_rounds(&mut self, to: usize, among: &[usize], rounds: usize) {
         for _ in 0..rounds {
             self.now += TIMES.lease_ms as f64 / 3.0;
@@ -142,8 +142,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    /// Lost, late and repeated messages, paused and restarted processes, two allocators that receive requests in turns, and
-    /// clocks that differ and drift: the shares in use never exceed the budget. A paused process is one that takes no step.
+    /// Lost, late and repeated messages, paused and restarted processes, two allocators that receive requests in
+    /// turns, and clocks that differ and drift: the shares in use never exceed the budget. A paused process is one
+    /// that takes no step.
     #[test]
     fn shares_never_exceed_the_budget(steps in proptest::collection::vec(step(), 0..220)) {
         let mut fleet = Fleet::new(5);
@@ -166,8 +167,8 @@
         }
     }
 
-    /// With working links and one allocator that all members ask, the whole budget is in use within eight leases, divided
-    /// by demand.
+    /// With working links and one allocator that all members ask, the whole budget is in use within eight leases,
+    /// divided by demand.
     #[test]
     fn constant_demands_are_met(demands in proptest::collection::vec(0..=TOTAL_PPM, 5)) {
         let mut fleet = Fleet::new(5);
@@ -198,8 +199,8 @@
     assert!(took <= 2.5 * TIMES.lease_ms as f64, "{took}");
 }
 
-/// After the death of the leader, holders use their grants until the leases end, and the next leader grants shares once
-/// the unknown grants are reported or ended. The dead leader's own share is granted again.
+/// After the death of the leader, holders use their grants until the leases end, and the next leader grants shares
+/// once the unknown grants are reported or ended. The dead leader's own share is granted again.
 #[test]
 fn another_allocator_takes_over_after_the_leader_dies() {
     let mut fleet = Fleet::new(5);
@@ -214,8 +215,8 @@
     println!("reallocated in {} ms; at least {lowest_sum} ppm in use meanwhile", fleet.now - start);
 }
 
-/// A holder that was paused beyond its leases uses nothing. A holder that leaves returns its share at once. A restarted
-/// holder has no share of its previous incarnation, whose share is free only after its lease.
+/// A holder that was paused beyond its leases uses nothing. A holder that leaves returns its share at once. A
+/// restarted holder has no share of its previous incarnation, whose share is free only after its lease.
 #[test]
 fn leases_end_and_incarnations_do_not_add_up() {
     let mut fleet = Fleet::new(3);
--- a/src/fleet/membership.rs
+++ b/src/fleet/membership.rs
@@ -1,8 +1,8 @@
 //! Membership of the fleet: the SWIM protocol of the `foca` crate, driven with the time passed in.
 //!
-//! Owns the identity of this gatekeeper, its view of the other members, the timers of the protocol, and the frame around
-//! each datagram, which names fleet and protocol version. Pure: it opens no socket, accepts no datagram of another
-//! fleet, and decides nothing by who is a member.
+//! Owns the identity of this gatekeeper, its view of the other members, the timers of the protocol, and the frame
+//! around each datagram, which names fleet and protocol version. Pure: it opens no socket, accepts no datagram of
+//! another fleet, and decides nothing by who is a member.
 
 use super::replica::Origin;
 use foca::{
@@ -254,8 +254,8 @@
         let now_us = micros(now);
         while let Some(due) = self.effects.timers.first_entry().filter(|due| due.key().0 <= now_us) {
             let ((at_us, _), timer) = due.remove_entry();
-            // The timer runs at its due time, so that periodic timers do not drift. After a long pause of the process it
-            // runs at the present time, so that missed periods are not made up for.
+            // The timer runs at its due time, so that periodic timers do not drift. After a long pause of the process
+            // it runs at the present time, so that missed periods are not made up for.
             self.effects.now_us = if now_us - at_us > self.seed_contact_interval_us { now_us } else { at_us };
             let _ = self.protocol.handle_timer(timer, &mut self.effects);
         }
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -8,8 +8,8 @@
 //! - [`settings`]: the operators' settings.
 //! - [`site`]: the plan for the loss of a whole site.
 //!
-//! Pure: the time is passed in, and there is no I/O. Nothing here rejects a request; the decision module receives what
-//! other members admitted and observed.
+//! Pure: the time is passed in, and there is no I/O. Nothing here rejects a request; the decision module receives
+//! what other members admitted and observed.
 
 pub mod budget;
 #[cfg(feature = "gatekeeper")]
--- a/src/fleet/replica.rs
+++ b/src/fleet/replica.rs
@@ -1,7 +1,7 @@
 //! Replicated state of the gatekeepers of a fleet: quota usage, observed node health, heartbeats and departures.
 //!
-//! A state-based CRDT with delta synchronization. Every row has one writer, its origin, which numbers its changes with
-//! increasing versions. Of two versions of a row the later one wins, so merging is commutative, associative and
+//! A state-based CRDT with delta synchronization. Every row has one writer, its origin, which numbers its changes
+//! with increasing versions. Of two versions of a row the later one wins, so merging is commutative, associative and
 //! idempotent. Replicas find missing changes by comparing digests: for each origin, the version up to which a replica
 //! holds every change.
 //!
@@ -438,9 +438,9 @@
     /// except that the changes of the first origin are always sent completely. The next digest shows what is left, so
     /// a connection that breaks between two messages loses nothing.
     ///
-    /// The changes of one origin are never split over two messages. A row that changes again moves to a version beyond
-    /// the split; the receiver would take the first part for complete without that row, and would lack it for good if
-    /// the origin died before the second part.
+    /// The changes of one origin are never split over two messages. A row that changes again moves to a version
+    /// beyond the split; the receiver would take the first part for complete without that row, and would lack it for
+    /// good if the origin died before the second part.
     ///
     /// `rotation` selects the origin to start with, so that every origin is served even if the first ones always have
     /// enough changes to fill a message. With `max_rows` = 0 nothing is sent.
@@ -468,9 +468,9 @@
     /// Merges a delta, provided that it continues from the version held. A delta that starts later is rejected; the
     /// next digest requests the missing changes again.
     ///
-    /// Invariant: the state held of an origin is the complete set of its rows as of one version, and so are the deltas
-    /// made from it. A row stored ahead of missing ones could not be passed on after the death of its origin, and the
-    /// replicas would differ for good.
+    /// Invariant: the state held of an origin is the complete set of its rows as of one version, and so are the
+    /// deltas made from it. A row stored ahead of missing ones could not be passed on after the death of its origin,
+    /// and the replicas would differ for good.
     pub fn merge(&mut self, now: f64, delta: Delta) -> MergeStats {
         let mut stats = MergeStats::default();
         let is_forgotten =
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -49,26 +49,26 @@
 }
 
 impl BudgetSettings {
-    fn read(r: &Reader<'_>) -> Option<Self> {
-        let b = r.record("budgets")?;
+    fn read(fleet: &Reader<'_>) -> Option<Self> {
+        let record = fleet.record("budgets")?;
         let settings = BudgetSettings {
-            floor: b.number("floor", 0.5, (0.0, 1e9)),
-            lease_secs: b.number("term", 2.0, (0.2, 60.0)),
-            clock_margin_secs: b.number("margin", 0.25, (0.01, 60.0)),
+            floor: record.number("floor", 0.5, (0.0, 1e9)),
+            lease_secs: record.number("term", 2.0, (0.2, 60.0)),
+            clock_margin_secs: record.number("margin", 0.25, (0.01, 60.0)),
         };
-        if let (Some(node), true) = (b.node("floor"), settings.floor > 1.0) {
-            b.error(
+        if let (Some(node), true) = (record.node("floor"), settings.floor > 1.0) {
+            record.error(
                 node,
                 "floor",
                 "must be at most 1 (the even share): the floors of all members would exceed the budget",
             );
         }
         if let (Some(node), true) =
-            (b.node("term").or(b.node("margin")), settings.lease_secs <= settings.clock_margin_secs)
+            (record.node("term").or(record.node("margin")), settings.lease_secs <= settings.clock_margin_secs)
         {
-            b.error(node, "term", "must be longer than `margin`");
+            record.error(node, "term", "must be longer than `margin`");
         }
-        b.finish();
+        record.finish();
         Some(settings)
     }
 }
@@ -76,12 +76,12 @@
 impl FleetSettings {
     /// Reads the record `fleet` of a settings file; `None` where the file has none.
     pub fn read(top: &Reader<'_>) -> Option<FleetSettings> {
-        let r = top.record("fleet")?;
+        let record = top.record("fleet")?;
         let address = |text: &str| text.parse::<SocketAddr>().ok();
         let required = |name: &str| {
-            let text = r.text(name);
-            if r.node(name).is_none() || text.as_deref() == Some("") {
-                r.missing(name);
+            let text = record.text(name);
+            if record.node(name).is_none() || text.as_deref() == Some("") {
+                record.missing(name);
             }
             text
         };
@@ -89,47 +89,47 @@
         let listen = required("listen");
         let optional_address = |name: &str, text: Option<&str>| {
             let parsed = text.and_then(address);
-            if let (Some(node), None, Some(_)) = (r.node(name), parsed, text) {
-                r.error(node, name, "must be an address with a port, such as \"127.0.0.1:7000\"");
+            if let (Some(node), None, Some(_)) = (record.node(name), parsed, text) {
+                record.error(node, name, "must be an address with a port, such as \"127.0.0.1:7000\"");
             }
             parsed
         };
         let listen_address = optional_address("listen", listen.as_deref());
-        let advertise = optional_address("advertise", r.text("advertise").as_deref());
+        let advertise = optional_address("advertise", record.text("advertise").as_deref());
         let mut seeds = Vec::new();
-        for (node, (text, _)) in r.list("seeds").iter().zip(r.texts("seeds")) {
+        for (node, (text, _)) in record.list("seeds").iter().zip(record.texts("seeds")) {
             match address(&text) {
                 Some(seed) if seeds.contains(&seed) => {
-                    r.error(node, "seeds", format!("{seed} is listed twice"))
+                    record.error(node, "seeds", format!("{seed} is listed twice"))
                 }
                 Some(seed) => seeds.push(seed),
-                None => r.error(node, "seeds", format!("{text:?} is not an address with a port")),
+                None => record.error(node, "seeds", format!("{text:?} is not an address with a port")),
             }
         }
-        if let (Some(node), Some(0)) = (r.node("advertise"), advertise.map(|address| address.port())) {
-            r.error(node, "advertise", "must name a port that others can reach");
+        if let (Some(node), Some(0)) = (record.node("advertise"), advertise.map(|address| address.port())) {
+            record.error(node, "advertise", "must name a port that others can reach");
         }
         let settings = FleetSettings {
             cluster,
             listen: listen_address.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))),
             advertise,
             seeds,
-            gossip_interval_secs: r.number("round", 0.2, (0.02, 10.0)),
-            fanout: r.whole("fanout", 2, (1, 16)),
-            bytes_per_sec: r.number("bytes", 2e6, (1e4, 1e9)),
-            max_lag_secs: r.number("fresh", 1.0, (0.1, 30.0)),
-            probe_interval_secs: r.number("probe", 0.5, (0.05, 30.0)),
-            suspicion_timeout_secs: r.number("suspect", 2.0, (0.1, 120.0)),
-            forget_after_secs: r.number("forget", 600.0, (10.0, 86_400.0)),
-            log_interval_secs: r.number("tell", 5.0, (0.05, 600.0)),
-            budgets: BudgetSettings::read(&r),
+            gossip_interval_secs: record.number("round", 0.2, (0.02, 10.0)),
+            fanout: record.whole("fanout", 2, (1, 16)),
+            bytes_per_sec: record.number("bytes", 2e6, (1e4, 1e9)),
+            max_lag_secs: record.number("fresh", 1.0, (0.1, 30.0)),
+            probe_interval_secs: record.number("probe", 0.5, (0.05, 30.0)),
+            suspicion_timeout_secs: record.number("suspect", 2.0, (0.1, 120.0)),
+            forget_after_secs: record.number("forget", 600.0, (10.0, 86_400.0)),
+            log_interval_secs: record.number("tell", 5.0, (0.05, 600.0)),
+            budgets: BudgetSettings::read(&record),
         };
         if let (Some(node), true) =
-            (r.node("forget"), settings.forget_after_secs < 2.0 * settings.suspicion_timeout_secs)
+            (record.node("forget"), settings.forget_after_secs < 2.0 * settings.suspicion_timeout_secs)
         {
-            r.error(node, "forget", "must be at least twice `suspect`");
+            record.error(node, "forget", "must be at least twice `suspect`");
         }
-        r.finish();
+        record.finish();
         Some(settings)
     }
 
@@ -158,9 +158,9 @@
             self.probe_interval_secs,
             self.suspicion_timeout_secs,
             self.forget_after_secs,
-            self.budgets.as_ref().map_or("ceilings shared evenly".into(), |b| format!(
+            self.budgets.as_ref().map_or("ceilings shared evenly".into(), |budgets| format!(
                 "ceilings divided by demand: floor {} of the even share, leases of {} s, clock margin {} s",
-                b.floor, b.lease_secs, b.clock_margin_secs
+                budgets.floor, budgets.lease_secs, budgets.clock_margin_secs
             )),
         )
     }
--- a/src/fleet/settings_tests.rs
+++ b/src/fleet/settings_tests.rs
@@ -6,24 +6,36 @@
 fn defaults_apply_and_every_error_names_its_field() {
     assert_eq!(FleetSettings::load("").unwrap(), None);
     let text = "fleet: { cluster: \"cluj\", listen: \"127.0.0.1:7000\", seeds: [\"127.0.0.1:7001\"] }";
-    let s = FleetSettings::load(text).unwrap().unwrap();
-    assert_eq!((s.cluster.as_str(), s.seeds.len(), s.fanout, s.advertise), ("cluj", 1, 2, None));
-    let bad =
+    let settings = FleetSettings::load(text).unwrap().unwrap();
+    assert_eq!(
+        (settings.cluster.as_str(), settings.seeds.len(), settings.fanout, settings.advertise),
+        ("cluj", 1, 2, None)
+    );
+    let invalid =
         "fleet: {\n  listen: \"here\"\n  seeds: [\"127.0.0.1:1\", \"127.0.0.1:1\", \"x\"]\n  round: 0\n  advertise: \"127.0.0.1:0\"\n}";
     let messages: Vec<String> =
-        FleetSettings::load(bad).unwrap_err().iter().map(ToString::to_string).collect();
+        FleetSettings::load(invalid).unwrap_err().iter().map(ToString::to_string).collect();
     assert_eq!(messages.len(), 6, "{messages:?}");
-    assert!(messages.iter().any(|e| e.contains("fleet.cluster")), "{messages:?}");
-    assert!(messages.iter().any(|e| e.starts_with("2:") && e.contains("fleet.listen")), "{messages:?}");
-    assert!(messages.iter().any(|e| e.starts_with("5:") && e.contains("others can reach")), "{messages:?}");
-    assert!(messages.iter().any(|e| e.starts_with("3:") && e.contains("listed twice")), "{messages:?}");
+    assert!(messages.iter().any(|message| message.contains("fleet.cluster")), "{messages:?}");
+    assert!(
+        messages.iter().any(|message| message.starts_with("2:") && message.contains("fleet.listen")),
+        "{messages:?}"
+    );
+    assert!(
+        messages.iter().any(|message| message.starts_with("5:") && message.contains("others can reach")),
+        "{messages:?}"
+    );
+    assert!(
+        messages.iter().any(|message| message.starts_with("3:") && message.contains("listed twice")),
+        "{messages:?}"
+    );
 }
 
 #[test]
 fn budgets_are_off_by_default_and_errors_name_their_field() {
     let read = |budgets: &str| {
         let text = format!("fleet: {{ cluster: \"cluj\", listen: \"127.0.0.1:7000\"\n{budgets} }}");
-        FleetSettings::load(&text).map(|s| s.unwrap().budgets)
+        FleetSettings::load(&text).map(|settings| settings.unwrap().budgets)
     };
     assert_eq!(read("").unwrap(), None);
     let defaults = BudgetSettings { floor: 0.5, lease_secs: 2.0, clock_margin_secs: 0.25 };
--- a/src/fleet/site/plan.rs
+++ b/src/fleet/site/plan.rs
@@ -41,8 +41,8 @@
     (site.max_utilization * site.capacity - load).max(0.0)
 }
 
-/// Distributes `load` over the targets (index, weight) in proportion to their weights, each up to its headroom. Updates
-/// `headrooms` and the load `moved` to each site; returns the load for which no target has headroom.
+/// Distributes `load` over the targets (index, weight) in proportion to their weights, each up to its headroom.
+/// Updates `headrooms` and the load `moved` to each site; returns the load for which no target has headroom.
 fn distribute(mut load: f64, targets: &[(usize, f64)], headrooms: &mut [f64], moved: &mut [f64]) -> f64 {
     let mut open: Vec<(usize, f64)> =
         targets.iter().filter(|target| headrooms[target.0] > MIN_LOAD).copied().collect();
@@ -159,18 +159,20 @@
 
     /// Describes the plan for operators, for `whinstall plan`.
     pub fn describe(&self) -> String {
-        let (s, mut out) = (self.settings, String::new());
+        let (settings, mut out) = (self.settings, String::new());
         for loss in &self.losses {
-            let names: Vec<&str> = loss.lost.iter().map(|site| s.sites[*site].name.as_str()).collect();
+            let names: Vec<&str> = loss.lost.iter().map(|site| settings.sites[*site].name.as_str()).collect();
             let _ = writeln!(out, "{} lost:", names.join(" and "));
-            for (index, site) in s.sites.iter().enumerate().filter(|(index, _)| !loss.lost.contains(index)) {
+            for (index, site) in
+                settings.sites.iter().enumerate().filter(|(index, _)| !loss.lost.contains(index))
+            {
                 let (before, after) = (site.load / site.capacity, loss.load_after[index] / site.capacity);
                 let sources: Vec<String> = loss
                     .lost
                     .iter()
                     .zip(&loss.moved)
                     .filter(|(_, moved)| moved[index] > MIN_REPORTED_LOAD)
-                    .map(|(lost, moved)| format!("{:.1} from {}", moved[index], s.sites[*lost].name))
+                    .map(|(lost, moved)| format!("{:.1} from {}", moved[index], settings.sites[*lost].name))
                     .collect();
                 let sources = if sources.is_empty() { "receives no load".into() } else { sources.join(", ") };
                 let _ = writeln!(
@@ -187,7 +189,7 @@
                 let _ = writeln!(out, "  nothing is refused");
             }
             for (n, class) in
-                s.load_classes.iter().enumerate().filter(|(n, _)| loss.shed[*n] > MIN_REPORTED_LOAD)
+                settings.load_classes.iter().enumerate().filter(|(n, _)| loss.shed[*n] > MIN_REPORTED_LOAD)
             {
                 let percent_of_class = 100.0 * loss.shed_fraction[n] / class.load_fraction.max(1e-12);
                 let violation = if class.must_serve { ": MUST NOT BE" } else { "" };
@@ -198,7 +200,8 @@
                 );
             }
         }
-        let infeasible = self.losses.iter().filter(|loss| !s.shed_but_required(loss).is_empty()).count();
+        let infeasible =
+            self.losses.iter().filter(|loss| !settings.shed_but_required(loss).is_empty()).count();
         let _ = match infeasible {
             0 => writeln!(out, "all {} losses can be carried", self.losses.len()),
             n => writeln!(out, "{n} of {} losses cannot be carried by this order", self.losses.len()),
--- a/src/fleet/site/settings.rs
+++ b/src/fleet/site/settings.rs
@@ -60,24 +60,24 @@
 impl SiteSettings {
     /// Reads the record `sites` of a settings file; `None` where the file has none.
     pub fn read(top: &Reader<'_>) -> Option<SiteSettings> {
-        let r = top.record("sites")?;
-        let default_max_utilization = r.number("most", 0.85, (0.05, 1.0));
+        let top_record = top.record("sites")?;
+        let default_max_utilization = top_record.number("most", 0.85, (0.05, 1.0));
         let mut load_classes = Vec::<LoadClass>::new();
-        if let Some(list) = r.record("kind") {
-            for (name, c) in list.entries() {
+        if let Some(list) = top_record.record("kind") {
+            for (name, class_record) in list.entries() {
                 let class = LoadClass {
                     name: name.to_string(),
-                    load_fraction: c.number("part", 0.0, (0.0, 1.0)),
-                    shed_order: c.whole("refuse", u32::MAX, (1, 1000)),
-                    must_serve: c.flag("must", false),
+                    load_fraction: class_record.number("part", 0.0, (0.0, 1.0)),
+                    shed_order: class_record.whole("refuse", u32::MAX, (1, 1000)),
+                    must_serve: class_record.flag("must", false),
                 };
-                match c.node("refuse") {
-                    None => c.missing("refuse"),
+                match class_record.node("refuse") {
+                    None => class_record.missing("refuse"),
                     Some(node) => {
                         if let Some(same) =
                             load_classes.iter().find(|other| other.shed_order == class.shed_order)
                         {
-                            c.error(
+                            class_record.error(
                                 node,
                                 "refuse",
                                 format!("{:?} already has this place in the order", same.name),
@@ -86,32 +86,36 @@
                     }
                 }
                 load_classes.push(class);
-                c.finish();
+                class_record.finish();
             }
         }
         let fraction_sum: f64 = load_classes.iter().map(|class| class.load_fraction).sum();
-        match r.node("kind") {
-            None => r.missing("kind"),
+        match top_record.node("kind") {
+            None => top_record.missing("kind"),
             Some(node) if (fraction_sum - 1.0).abs() > FRACTION_SUM_TOLERANCE => {
-                r.error(node, "kind", format!("the parts of all kinds add up to {fraction_sum}, not to 1"));
+                top_record.error(
+                    node,
+                    "kind",
+                    format!("the parts of all kinds add up to {fraction_sum}, not to 1"),
+                );
             }
             Some(_) => {}
         }
         load_classes.sort_by_key(|class| class.shed_order);
         let mut sites = Vec::<Site>::new();
-        if let Some(list) = r.record("site") {
+        if let Some(list) = top_record.record("site") {
             let names: Vec<String> = list.entries().map(|(name, _)| name.to_string()).collect();
-            for (name, s) in list.entries() {
-                let zones: Vec<String> = s.texts("halls").into_iter().map(|zone| zone.0).collect();
-                match s.node("halls") {
-                    None => s.missing("halls"),
+            for (name, site_record) in list.entries() {
+                let zones: Vec<String> = site_record.texts("halls").into_iter().map(|zone| zone.0).collect();
+                match site_record.node("halls") {
+                    None => site_record.missing("halls"),
                     Some(node) if zones.is_empty() => {
-                        s.error(node, "halls", "a site must have at least one hall");
+                        site_record.error(node, "halls", "a site must have at least one hall");
                     }
                     Some(node) => {
                         for zone in &zones {
                             if let Some(other) = sites.iter().find(|other| other.zones.contains(zone)) {
-                                s.error(
+                                site_record.error(
                                     node,
                                     "halls",
                                     format!("{zone:?} already belongs to {:?}", other.name),
@@ -121,26 +125,26 @@
                     }
                 }
                 for required in ["capacity", "load"] {
-                    if s.node(required).is_none() {
-                        s.missing(required);
+                    if site_record.node(required).is_none() {
+                        site_record.missing(required);
                     }
                 }
                 let site = Site {
                     name: name.to_string(),
                     zones,
-                    capacity: s.number("capacity", 1.0, (1e-3, 1e9)),
-                    load: s.number("load", 0.0, (0.0, 1e9)),
-                    max_utilization: s.number("most", default_max_utilization, (0.05, 1.0)),
-                    failover_targets: read_failover_targets(&s, name, &names),
+                    capacity: site_record.number("capacity", 1.0, (1e-3, 1e9)),
+                    load: site_record.number("load", 0.0, (0.0, 1e9)),
+                    max_utilization: site_record.number("most", default_max_utilization, (0.05, 1.0)),
+                    failover_targets: read_failover_targets(&site_record, name, &names),
                 };
                 sites.push(site);
-                s.finish();
+                site_record.finish();
             }
         }
         if sites.is_empty() {
-            r.missing("site");
+            top_record.missing("site");
         }
-        r.finish();
+        top_record.finish();
         Some(SiteSettings { load_classes, sites })
     }
 
@@ -156,20 +160,21 @@
 }
 
 /// Reads the record `to` of the site `name`; `names` are all sites of the file.
-fn read_failover_targets(s: &Reader<'_>, name: &str, names: &[String]) -> Vec<FailoverTarget> {
+fn read_failover_targets(site_record: &Reader<'_>, name: &str, names: &[String]) -> Vec<FailoverTarget> {
     let mut targets = Vec::new();
-    let Some(list) = s.record("to") else { return targets };
-    for (to, t) in list.entries() {
-        let (weight, priority) = (t.number("weight", 1.0, (0.0, 1e6)), t.whole("order", 1, (1, 100)));
-        if let (Some(node), true) = (t.node("weight"), weight <= 0.0) {
-            t.error(node, "weight", "must be above 0");
+    let Some(list) = site_record.record("to") else { return targets };
+    for (to, target_record) in list.entries() {
+        let (weight, priority) =
+            (target_record.number("weight", 1.0, (0.0, 1e6)), target_record.whole("order", 1, (1, 100)));
+        if let (Some(node), true) = (target_record.node("weight"), weight <= 0.0) {
+            target_record.error(node, "weight", "must be above 0");
         }
         match names.iter().position(|known| known == to) {
-            _ if to == name => t.refuse("a lost site cannot take its own load"),
-            None => t.refuse("is not a site of this file"),
+            _ if to == name => target_record.refuse("a lost site cannot take its own load"),
+            None => target_record.refuse("is not a site of this file"),
             Some(site) => targets.push(FailoverTarget { site, weight, priority }),
         }
-        t.finish();
+        target_record.finish();
     }
     targets
 }
--- a/src/fleet/site/tests.rs
+++ b/src/fleet/site/tests.rs
@@ -53,37 +53,38 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
 
-    /// For any loss: offered load equals load served plus load shed, no remaining site exceeds its maximum utilization,
-    /// lost sites serve nothing, and a class is shed only after all classes before it are shed completely.
+    /// For any loss: offered load equals load served plus load shed, no remaining site exceeds its maximum
+    /// utilization, lost sites serve nothing, and a class is shed only after all classes before it are shed
+    /// completely.
     #[test]
-    fn a_plan_accounts_for_all_load(s in sites(), first in 0..7usize, second in 0..7usize) {
-        let mut lost = vec![first % s.sites.len(), second % s.sites.len()];
+    fn a_plan_accounts_for_all_load(settings in sites(), first in 0..7usize, second in 0..7usize) {
+        let mut lost = vec![first % settings.sites.len(), second % settings.sites.len()];
         lost.dedup();
-        let loss = s.plan_loss(&lost);
-        let offered: f64 = s.sites.iter().map(|site| site.load).sum();
+        let loss = settings.plan_loss(&lost);
+        let offered: f64 = settings.sites.iter().map(|site| site.load).sum();
         let (served, shed): (f64, f64) = (loss.load_after.iter().sum(), loss.shed.iter().sum());
         prop_assert!((offered - served - shed).abs() < 1e-6 * (1.0 + offered), "{} {} {}", offered, served, shed);
-        for (index, site) in s.sites.iter().enumerate() {
+        for (index, site) in settings.sites.iter().enumerate() {
             prop_assert!(loss.load_after[index] <= site.max_utilization * site.capacity + 1e-6, "{:?}", loss);
             prop_assert!(!lost.contains(&index) || loss.load_after[index] == 0.0);
         }
-        for n in 1..s.load_classes.len() {
+        for n in 1..settings.load_classes.len() {
             let previous_is_shed_completely =
-                (loss.shed_fraction[n - 1] - s.load_classes[n - 1].load_fraction).abs() < 1e-9;
+                (loss.shed_fraction[n - 1] - settings.load_classes[n - 1].load_fraction).abs() < 1e-9;
             prop_assert!(loss.shed[n] < 1e-9 || previous_is_shed_completely, "{:?}", loss.shed_fraction);
         }
         for (nth, lost_site) in lost.iter().enumerate() {
             let moved: f64 = loss.moved[nth].iter().sum();
-            prop_assert!(moved <= s.sites[*lost_site].load + 1e-6);
+            prop_assert!(moved <= settings.sites[*lost_site].load + 1e-6);
         }
     }
 
     /// A larger capacity of any site never increases the load that is shed.
     #[test]
-    fn more_capacity_never_sheds_more(s in sites(), lost in 0..7usize, at in 0..7usize) {
-        let (lost, larger) = ([lost % s.sites.len()], at % s.sites.len());
-        let before: f64 = s.plan_loss(&lost).shed.iter().sum();
-        let mut enlarged = s;
+    fn more_capacity_never_sheds_more(settings in sites(), lost in 0..7usize, at in 0..7usize) {
+        let (lost, larger) = ([lost % settings.sites.len()], at % settings.sites.len());
+        let before: f64 = settings.plan_loss(&lost).shed.iter().sum();
+        let mut enlarged = settings;
         enlarged.sites[larger].capacity *= 1.5;
         let after: f64 = enlarged.plan_loss(&lost).shed.iter().sum();
         prop_assert!(after <= before + 1e-6, "{} {}", before, after);
@@ -105,9 +106,9 @@
 
 #[test]
 fn a_plan_moves_and_sheds_load_as_the_settings_say() {
-    let s = OperatorSettings::load(FILE).unwrap().sites.unwrap();
+    let settings = OperatorSettings::load(FILE).unwrap().sites.unwrap();
     // Loss of cluj (60 units/s): of the 40 for arad 28 fit, of the rest 4 fit at deva, and 28 are left.
-    let loss = s.plan_loss(&[0]);
+    let loss = settings.plan_loss(&[0]);
     assert!((loss.moved[0][1] - 28.0).abs() < 1e-6 && (loss.moved[0][2] - 4.0).abs() < 1e-6, "{loss:?}");
     assert!((loss.shed.iter().sum::<f64>() - 28.0).abs() < 1e-6, "{loss:?}");
     assert!(
@@ -115,9 +116,9 @@
         "the first class, a tenth of all 130 units/s, is shed first: {loss:?}"
     );
     // Loss of arad (40 units/s): cluj takes as much as fits, deva some of the rest.
-    let loss = s.plan_loss(&[1]);
+    let loss = settings.plan_loss(&[1]);
     assert!((loss.moved[0][0] - 25.0).abs() < 1e-6 && (loss.moved[0][2] - 4.0).abs() < 1e-6, "{loss:?}");
-    let plan = s.plan_all_losses();
+    let plan = settings.plan_all_losses();
     assert_eq!(plan.losses.len(), 6);
     assert!(!plan.is_feasible(), "deva alone cannot serve the required class of all sites");
     let description = plan.describe();
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -1,5 +1,6 @@
-//! Properties of replication: merging is commutative, associative and idempotent; replicas converge after any schedule of
-//! lost, reordered, repeated and partial messages once the links work; and memory stays within its limits.
+//! Properties of replication: merging is commutative, associative and idempotent; replicas converge after any
+//! schedule of lost, reordered, repeated and partial messages once the links work; and memory stays within its
+//! limits.
 
 use super::replica::*;
 use crate::identifiers::{CustomerId, HostId};
@@ -35,7 +36,8 @@
 enum Step {
     /// A member admits units of a customer: member, customer, units.
     Admit(usize, u8, u8),
-    /// A member sends another the changes that it lacks: sender, receiver, maximum number of rows. The message is kept.
+    /// A member sends another the changes that it lacks: sender, receiver, maximum number of rows. The message is
+    /// kept.
     Send(usize, usize, usize),
     /// A kept message is delivered to its receiver, or to another member. It may be delivered again later.
     Deliver(usize, Option<usize>),
@@ -120,8 +122,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 192, ..ProptestConfig::default() })]
 
-    /// After any schedule of lost, repeated, reordered and misdelivered messages, once the links work, all replicas are
-    /// equal, and no unit that a live incarnation admitted is missing or counted twice.
+    /// After any schedule of lost, repeated, reordered and misdelivered messages, once the links work, all replicas
+    /// are equal, and no unit that a live incarnation admitted is missing or counted twice.
     #[test]
     fn replicas_converge_after_any_schedule(steps in proptest::collection::vec(step(), 0..80)) {
         let mut fleet = Fleet::new();
@@ -199,13 +201,20 @@
     fn memory_is_bounded(
         deltas in proptest::collection::vec((0..40usize, 1..4u64, 0..200u8, 0..9i64, 0.0..1e4f64), 0..300),
     ) {
-        let limits = ReplicaLimits { rows_per_origin: 16, remote_origins: 8, retention_secs: 20.0, forget_after_secs: 30.0, ..ReplicaLimits::default() };
+        let limits = ReplicaLimits {
+            rows_per_origin: 16,
+            remote_origins: 8,
+            retention_secs: 20.0,
+            forget_after_secs: 30.0,
+            ..ReplicaLimits::default()
+        };
         let mut replica = Replica::new(origin(0, 1), limits);
         for (n, (member, incarnation, who, window, expires_at)) in deltas.into_iter().enumerate() {
             let now = n as f64;
             let row = Row { key: usage_key(who, window), version: n as u64 + 1, expires_at, value: admitted(1.0) };
             let rows = vec![row];
-            replica.merge(now, Delta { origin: origin(member, incarnation), after_version: 0, through_version: n as u64 + 1, rows });
+            let (origin, through_version) = (origin(member, incarnation), n as u64 + 1);
+            replica.merge(now, Delta { origin, after_version: 0, through_version, rows });
             replica.record(now, usage_key(who, window), admitted(now), 1e9);
             replica.sweep(now, &BTreeSet::new());
             prop_assert!(replica.lags(now).count() <= limits.remote_origins + 1);
@@ -296,8 +305,8 @@
     assert!(!peer.digest().contains_key(&origin(0, 1)));
 }
 
-/// Of the reports on a node the one with the freshest evidence wins, of equally fresh ones the worse; reports on another
-/// incarnation of the node do not count.
+/// Of the reports on a node the one with the freshest evidence wins, of equally fresh ones the worse; reports on
+/// another incarnation of the node do not count.
 #[test]
 fn the_freshest_report_on_the_present_incarnation_wins() {
     let mut replica = Replica::new(origin(0, 1), ReplicaLimits::default());
@@ -326,8 +335,8 @@
     assert_eq!(replica.remote_health(100.0, &node, 90.0), None);
 }
 
-/// Sends `count` heartbeats, one per 0.5 s from `start`, from `writer` to `reader`. Messages take `delay_secs`; the clock
-/// of the writer is ahead by `clock_offset` seconds.
+/// Sends `count` heartbeats, one per 0.5 s from `start`, from `writer` to `reader`. Messages take `delay_secs`; the
+/// clock of the writer is ahead by `clock_offset` seconds.
 fn send_heartbeats(
     reader: &mut Replica,
     writer: &mut Replica,
@@ -345,8 +354,8 @@
     }
 }
 
-/// The lag behind an origin is derived from its heartbeats: whatever the offset between the clocks, it is known from the
-/// second heartbeat on and grows while none arrive.
+/// The lag behind an origin is derived from its heartbeats: whatever the offset between the clocks, it is known from
+/// the second heartbeat on and grows while none arrive.
 #[test]
 fn a_replica_is_fresh_while_heartbeats_arrive() {
     for clock_offset in [0.0, -50.0, 3600.0] {
@@ -393,8 +402,8 @@
     assert_eq!(missing, [0, 0, 6]);
 }
 
-/// Node health is written again when it changes by a quantization step or its evidence is newer by the minimum interval,
-/// not with each response of the node.
+/// Node health is written again when it changes by a quantization step or its evidence is newer by the minimum
+/// interval, not with each response of the node.
 #[test]
 fn node_health_is_not_written_for_each_response() {
     let mut replica = Replica::new(origin(0, 1), ReplicaLimits::default());
@@ -449,7 +458,8 @@
     assert!(writer.deltas_for(100.0, &reader.digest(), 0, 0).0.is_empty(), "nothing is sent without room");
 }
 
-/// The usage totals follow the rows as these are replaced, expire and are forgotten, and each change is reported once.
+/// The usage totals follow the rows as these are replaced, expire and are forgotten, and each change is reported
+/// once.
 #[test]
 fn usage_totals_follow_the_rows() {
     let (mut reader, mut writer) = (
--- a/src/fleet/token_bucket.rs
+++ b/src/fleet/token_bucket.rs
@@ -1,6 +1,6 @@
 //! Token bucket for the bytes of rows that one gatekeeper sends to others. It bounds the load on links and on this
-//! process when a gatekeeper rejoins with an empty replica, or many do at once. Only rows are limited: digests are always
-//! sent.
+//! process when a gatekeeper rejoins with an empty replica, or many do at once. Only rows are limited: digests are
+//! always sent.
 
 /// Row size assumed before any row was sent, in bytes.
 const INITIAL_ROW_BYTES: f64 = 48.0;
@@ -38,8 +38,8 @@
         ((self.tokens / self.mean_row_bytes).max(0.0) as usize).min(max_rows)
     }
 
-    /// Takes the tokens of a message with this many rows and bytes. A message may need more tokens than there are; the
-    /// bucket then goes below zero.
+    /// Takes the tokens of a message with this many rows and bytes. A message may need more tokens than there are;
+    /// the bucket then goes below zero.
     pub fn charge(&mut self, rows: usize, bytes: usize) {
         if rows > 0 {
             self.tokens -= bytes as f64;
--- a/src/fleet/token_bucket_tests.rs
+++ b/src/fleet/token_bucket_tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Over any time, however many members ask for however many rows, the bytes sent are bounded by the refill rate, the
-    /// capacity of the bucket and one message.
+    /// Over any time, however many members ask for however many rows, the bytes sent are bounded by the refill rate,
+    /// the capacity of the bucket and one message.
     #[test]
     fn sent_bytes_are_bounded(requests in proptest::collection::vec((0.0..0.2f64, 1..2000usize, 20..120usize), 1..300)) {
         let (rate, mut now, mut sent, mut largest_message) = (50_000.0, 0.0, 0.0, 0.0f64);
--- a/src/fleet/wire_tests.rs
+++ b/src/fleet/wire_tests.rs
@@ -43,7 +43,12 @@
     /// A complete message decodes to what was encoded. A truncated message, or one of another fleet, is rejected. A
     /// corrupted message is rejected or decodes to another valid message, without a panic.
     #[test]
-    fn truncated_foreign_and_corrupted_messages_are_handled(rows in 0..40usize, cut in 0..4000usize, at in 0..4000usize, bits in 1..255u8) {
+    fn truncated_foreign_and_corrupted_messages_are_handled(
+        rows in 0..40usize,
+        cut in 0..4000usize,
+        at in 0..4000usize,
+        bits in 1..255u8,
+    ) {
         let sent = message(rows);
         let mut bytes = sent.encode("cluj");
         prop_assert_eq!(Message::decode(&bytes, "cluj"), Ok(sent));
--- a/tests/common/link.rs
+++ b/tests/common/link.rs
@@ -1,6 +1,6 @@
-//! Network links between gatekeepers, with faults. In front of each gatekeeper stands a proxy at which all other members
-//! reach it by datagram and by connection. The proxy knows which member sends and treats its traffic as the test
-//! configures. Random faults are drawn from a seed.
+//! Network links between gatekeepers, with faults. In front of each gatekeeper stands a proxy at which all other
+//! members reach it by datagram and by connection. The proxy knows which member sends and treats its traffic as the
+//! test configures. Random faults are drawn from a seed.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! A fleet of five processes of the program under faults: links between pairs that are cut, cut in one direction, slow,
-//! lossy or break in the middle of a message, and processes that are killed, paused and restarted. Most tests run under
-//! steady load from clients. Admitted requests are counted at a scripted node.
+//! A fleet of five processes of the program under faults: links between pairs that are cut, cut in one direction,
+//! slow, lossy or break in the middle of a message, and processes that are killed, paused and restarted. Most tests
+//! run under steady load from clients. Admitted requests are counted at a scripted node.
 
 mod common;
 #[path = "common/link.rs"]
@@ -211,7 +211,8 @@
         }
     }
 
-    /// Waits until each of these members logs this many live peers, none suspected, and this fraction of fresh replicas.
+    /// Waits until each of these members logs this many live peers, none suspected, and this fraction of fresh
+    /// replicas.
     fn wait_for_members(&self, members: &[usize], alive: usize, fresh: &str) {
         for n in members {
             let words = [format!("alive={alive} suspected=0"), format!("fresh=\"{fresh}\"")];
@@ -261,8 +262,8 @@
         served
     }
 
-    /// Units by which a customer ever exceeded its ceiling and the tolerance. The level of the ceiling is computed from
-    /// the requests that the node received.
+    /// Units by which a customer ever exceeded its ceiling and the tolerance. The level of the ceiling is computed
+    /// from the requests that the node received.
     fn ceiling_overshoot(&self, customer: u32) -> f64 {
         let (customer, rate) = (format!("{customer:016x}"), self.ceiling.expect("a ceiling"));
         let (mut level, mut lowest, mut last) = (CEILING_BURST, CEILING_BURST, None);
@@ -324,8 +325,8 @@
 /// Elapsed fraction of a quota window that is half over.
 const WINDOW_HALF_OVER: f64 = 0.5;
 
-/// Customers that no test has used yet, and of whose quota windows (in seconds) this fraction has elapsed, so that the
-/// result of a test does not depend on the time of day.
+/// Customers that no test has used yet, and of whose quota windows (in seconds) this fraction has elapsed, so that
+/// the result of a test does not depend on the time of day.
 fn new_customers((window_secs, elapsed): (f64, f64), count: usize) -> Vec<u32> {
     static NEXT: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(1);
     let from = NEXT.fetch_add(100_000, Ordering::Relaxed);
@@ -346,8 +347,8 @@
 /// Responses that clients received: request id and body; `None` if the connection ended first.
 type Responses = Arc<Mutex<Vec<(String, Option<String>)>>>;
 
-/// Steady load: a client at each member that sends requests of some customers in turn, each far beyond its quota. Every
-/// fifth request is an issue. A client reconnects when its connection ends.
+/// Steady load: a client at each member that sends requests of some customers in turn, each far beyond its quota.
+/// Every fifth request is an issue. A client reconnects when its connection ends.
 struct Load {
     is_stopped: Arc<AtomicBool>,
     responses: Responses,
@@ -403,9 +404,10 @@
         self.addresses.lock().expect("not poisoned")[n] = fleet.members[n].address;
     }
 
-    /// Stops the load, and checks the responses against the requests that the node received: a rejected request never ran,
-    /// a served request ran, and an issue ran at most once. Only requests whose connection ended lack a response. Returns
-    /// the mean overshoot of the quota over the customers, in units, and the number of served requests.
+    /// Stops the load, and checks the responses against the requests that the node received: a rejected request never
+    /// ran, a served request ran, and an issue ran at most once. Only requests whose connection ended lack a
+    /// response. Returns the mean overshoot of the quota over the customers, in units, and the number of served
+    /// requests.
     fn audit(self, fleet: &Fleet) -> (f64, usize) {
         self.is_stopped.store(true, Ordering::Relaxed);
         for client in self.clients {
@@ -440,8 +442,8 @@
     std::thread::sleep(Duration::from_secs_f64(seconds));
 }
 
-/// The counter is split per member, so that to each member it seems that no other one admits anything. With replication
-/// the members together admit one quota; without it each admits the full quota.
+/// The counter is split per member, so that to each member it seems that no other one admits anything. With
+/// replication the members together admit one quota; without it each admits the full quota.
 #[test]
 fn replication_prevents_double_admission_with_a_split_counter() {
     let admitted_units = |fleet: &Fleet| {
@@ -466,8 +468,8 @@
     assert!(without > 3 * BURST, "{with} with replication, {without} without");
 }
 
-/// A member that is killed and restarted under its name receives the usage of its previous incarnation from its peers, and
-/// does not admit it again.
+/// A member that is killed and restarted under its name receives the usage of its previous incarnation from its
+/// peers, and does not admit it again.
 #[test]
 fn a_restarted_member_counts_the_usage_of_its_previous_incarnation() {
     let mut fleet = Fleet::start(true, Counter::Silent, 0.02);
@@ -484,8 +486,8 @@
     assert!(before >= 1 && before + after <= BURST, "{before}, then {after}");
 }
 
-/// Five members with two seeds find each other. The others log a killed member as gone and a regularly stopped member as
-/// left; both rejoin after a restart.
+/// Five members with two seeds find each other. The others log a killed member as gone and a regularly stopped member
+/// as left; both rejoin after a restart.
 #[test]
 fn members_find_each_other_and_distinguish_crash_from_leave() {
     let mut fleet = Fleet::start(true, Counter::Silent, 0.02);
@@ -508,7 +510,8 @@
     fleet.wait_for_members(&ALL, 4, "1.00");
 }
 
-/// A cut link between two members is bridged by the other members: no member is declared down, and replicas stay fresh.
+/// A cut link between two members is bridged by the other members: no member is declared down, and replicas stay
+/// fresh.
 #[test]
 fn a_cut_link_between_two_members_is_bridged() {
     let fleet = Fleet::start(true, Counter::Silent, 0.02);
@@ -543,8 +546,8 @@
     fleet.wait_for_rows(&ALL, 1);
 }
 
-/// In a partition each side declares the other down and admits its share of the quota. After the partition has healed, all
-/// members rejoin and the replicas converge.
+/// In a partition each side declares the other down and admits its share of the quota. After the partition has
+/// healed, all members rejoin and the replicas converge.
 #[test]
 fn a_partitioned_fleet_rejoins() {
     let fleet = Fleet::start(true, Counter::Silent, 0.02);
@@ -573,8 +576,8 @@
 }
 
 /// Under steady load with a silent counter and one fault at a time: after each fault replicas converge within
-/// [`CONVERGENCE_BOUND`], every request gets at most one response, and the fleet holds its quotas. Without replication and
-/// with a split counter the same load exceeds the quotas by far.
+/// [`CONVERGENCE_BOUND`], every request gets at most one response, and the fleet holds its quotas. Without
+/// replication and with a split counter the same load exceeds the quotas by far.
 #[test]
 fn quotas_hold_under_load_through_each_fault() {
     let _alone = LOAD_TESTS.lock();
@@ -629,9 +632,9 @@
         ));
         println!("{}", results.last().expect("a result"));
         assert!(convergence < CONVERGENCE_BOUND, "{results:?}");
-        // In 3.5 s a customer's quota is 17 units. Each of the five members may add one or two units while a row is in
-        // transit, and a member whose links fail misses the usage of the others until their replicas no longer count as
-        // fresh. On an idle machine that makes an overshoot of 6 to 8.5 units.
+        // In 3.5 s a customer's quota is 17 units. Each of the five members may add one or two units while a row is
+        // in transit, and a member whose links fail misses the usage of the others until their replicas no longer
+        // count as fresh. On an idle machine that makes an overshoot of 6 to 8.5 units.
         assert!(overshoot <= 25.0, "{results:?}");
     }
     drop(fleet);
@@ -643,8 +646,8 @@
     assert!(overshoot > 40.0, "{overshoot}");
 }
 
-/// A counter that is split in two is detected by most members within 2 s of load (with a reserve for a busy machine), and
-/// by all within some quota windows.
+/// A counter that is split in two is detected by most members within 2 s of load (with a reserve for a busy machine),
+/// and by all within some quota windows.
 #[test]
 fn a_split_counter_is_detected() {
     let _alone = LOAD_TESTS.lock();
@@ -681,8 +684,8 @@
     }
 }
 
-/// A customer that sends all its requests to one gatekeeper is served far more than an even share if its ceiling is divided
-/// by demand, and never more than the ceiling.
+/// A customer that sends all its requests to one gatekeeper is served far more than an even share if its ceiling is
+/// divided by demand, and never more than the ceiling.
 #[test]
 fn a_ceiling_follows_demand() {
     let _alone = LOAD_TESTS.lock();
@@ -709,9 +712,9 @@
     assert!(divided as f64 > 1.6 * even as f64, "{even} {divided}");
 }
 
-/// Under steady load of one customer its ceiling holds while the leader is killed and restarted, a holder is paused beyond
-/// its lease, links are cut in both directions and in one, half of the other members are killed at once, and one member
-/// leaves.
+/// Under steady load of one customer its ceiling holds while the leader is killed and restarted, a holder is paused
+/// beyond its lease, links are cut in both directions and in one, half of the other members are killed at once, and
+/// one member leaves.
 #[test]
 fn a_ceiling_holds_through_faults() {
     let _alone = LOAD_TESTS.lock();
@@ -830,7 +833,8 @@
     fleet.members[4].logged(&["fleet: copies", "alive=0", "rows=1 "]);
 }
 
-/// Without the settings of a fleet nothing is logged about it. With them and an operator endpoint the program does not start.
+/// Without the settings of a fleet nothing is logged about it. With them and an operator endpoint the program does
+/// not start.
 #[test]
 fn replication_is_off_without_settings() {
     let node = Peer::start(|_| Reply::Ok("drafted"));
