--- a/src/gateway/caps.rs
+++ b/src/gateway/caps.rs
@@ -1,90 +1,122 @@
-//! The open cap, by the same counter, and the ceiling, a hard store at each gateway with no trust in it. It
-//! must never let more through because the counter is silent.
+//! The concurrency limit, which gateways share through the quota counter, and the hard ceiling, a token bucket at each
+//! gateway that does not rely on the counter. Neither admits more because the counter does not answer.
+
 use crate::gateway::interface::*;
 use crate::gateway::rules::Actions;
 use crate::gateway::state::*;
-use crate::gateway::window::{ASKED_S, OPEN_TELL, OPEN_WINDOW};
+use crate::gateway::window::{CONCURRENCY_SYNC_SECS, CONCURRENCY_WINDOW_SECS, DEMAND_SECS};
 
-const ASKED_AGE: f64 = 8.0; // head start of a new gateway's age in it: one request is no rate
-const ASKED_OWN: f64 = 0.2; // ...nor counts the one that is judged in full: light customers come once
-const OPEN_PART: f64 = 0.5; // of a cap that gateways cannot share whole, let in so much: the rest is chance
-const SURGE_S: f64 = 1.0; // time constant of what it asked just before: surges last seconds
-const OPEN_FRESH: f64 = 0.25; // attempts last tenths of a second, so does news of them
+/// Added to the age of a gateway in the estimate of a customer's demand, in seconds: one request is no rate.
+const DEMAND_AGE_PRIOR_SECS: f64 = 8.0;
+/// The request that is being decided counts with this fraction of its units in its customer's demand, because
+/// customers of low demand send single requests.
+const OWN_REQUEST_WEIGHT: f64 = 0.2;
+/// Where a concurrency limit is below the number of gateways, the mean of the attempts in flight is held at this
+/// fraction of it. The rest is for random variation.
+const CONCURRENCY_TARGET: f64 = 0.5;
+/// Time constant of the demand by which that is decided, in seconds: bursts last for seconds.
+const BURST_DEMAND_SECS: f64 = 1.0;
+/// Age up to which the other gateways' attempts in flight are current, in seconds: attempts last for tenths of a
+/// second.
+const CONCURRENCY_FRESH_SECS: f64 = 0.25;
 
 impl Gateway {
-    /// Is there room for one more attempt? By the others' last statement where it is fresh, else within the
-    /// even share. A cap below the width is no whole attempt each: nobody tells, and requests are drawn so
-    /// that what is asked here, everywhere and held as usual, comes to a part of the cap: no floor adds up
-    /// over hundreds of gateways. Harm: a customer that asks unevenly is judged by the gateway it asks most.
-    pub(super) fn open_fits(&mut self, id: &CustomerId, units: f64) -> bool {
-        let (now, asked, hold) = (self.now, self.asked(id, units), self.hold());
+    /// Whether the concurrency limit permits one more attempt: by the other gateways' last report if it is current,
+    /// otherwise within the even share.
+    ///
+    /// A limit below the number of gateways does not give each of them a complete attempt. Attempts are not reported
+    /// then, and requests are admitted at random, so that the expected number in flight over all gateways is a fraction
+    /// of the limit; a minimum per gateway would add up over hundreds of gateways. A customer with uneven demand is
+    /// limited by the gateway that receives most of it.
+    pub(super) fn fits_concurrency_limit(&mut self, id: &CustomerId, units: f64) -> bool {
+        let (now, demand) = (self.now, self.demand(id, units));
+        let secs_per_unit = self.mean_secs_per_unit();
         let Some(c) = self.customers.get_mut(id) else { return false };
-        let cap = f64::from(self.s.plans[c.plan].max_concurrent);
-        if cap > 0.0 && cap < c.width {
-            let held = hold * c.width * asked.max(c.surge.rate(now, SURGE_S));
-            c.surge.add(now, units, SURGE_S);
-            return self.rng.f64() * held < OPEN_PART * cap
-                || self.s.plans[c.plan].excess_cost_fraction <= 0.0;
+        let plan = &self.settings.plans[c.plan];
+        let limit = f64::from(plan.max_concurrent);
+        if limit > 0.0 && limit < c.gateway_count {
+            let demand = demand.max(c.burst_demand.rate(now, BURST_DEMAND_SECS));
+            let expected = secs_per_unit * c.gateway_count * demand;
+            c.burst_demand.add(now, units, BURST_DEMAND_SECS);
+            return self.rng.f64() * expected < CONCURRENCY_TARGET * limit
+                || plan.excess_cost_fraction <= 0.0;
         }
-        if cap == 0.0 || now - c.others_at <= OPEN_FRESH {
-            return cap == 0.0 || c.out + c.others + 1.0 <= cap;
+        if limit == 0.0 || now - c.remote_in_flight_at <= CONCURRENCY_FRESH_SECS {
+            return limit == 0.0 || c.in_flight + c.remote_in_flight + 1.0 <= limit;
         }
-        c.open_at = c.open_at.min(now);
-        c.out < (cap / c.width).floor()
+        c.concurrency_sync_at = c.concurrency_sync_at.min(now);
+        c.in_flight < (limit / c.gateway_count).floor()
     }
 
-    /// Units a second that a customer lately asks at this gateway.
-    pub(super) fn asked(&self, id: &CustomerId, units: f64) -> f64 {
-        let age = self.now - self.started.unwrap_or(self.now) + ASKED_AGE;
-        let rate = self.customers.get(id).map_or(0.0, |c| c.asked.rate(self.now, ASKED_S));
-        (rate - (1.0 - ASKED_OWN) * units / ASKED_S).max(0.0) / (1.0 - (-age / ASKED_S).exp())
+    /// Recent demand of a customer at this gateway, in units per second. `units`: those of the request that is being
+    /// decided, which are part of the demand already.
+    pub(super) fn demand(&self, id: &CustomerId, units: f64) -> f64 {
+        let age = self.now - self.started_at.unwrap_or(self.now) + DEMAND_AGE_PRIOR_SECS;
+        let rate = self.customers.get(id).map_or(0.0, |c| c.demand.rate(self.now, DEMAND_SECS));
+        (rate - (1.0 - OWN_REQUEST_WEIGHT) * units / DEMAND_SECS).max(0.0)
+            / (1.0 - (-age / DEMAND_SECS).exp())
     }
 
-    /// An attempt of a customer starts (+1) or ends (-1).
-    pub(super) fn opened(&mut self, id: &CustomerId, by: f64) {
+    /// Records that an attempt of a customer starts (`change` 1) or ends (`change` -1), and schedules its report.
+    pub(super) fn change_in_flight(&mut self, id: &CustomerId, change: f64) {
         let now = self.now;
         let Some(c) = self.customers.get_mut(id) else { return };
-        c.out = (c.out + by).max(0.0);
-        let plan = &self.s.plans[c.plan];
-        if f64::from(plan.max_concurrent) >= c.width {
-            // Where a try beyond the cap costs nothing, only long attempts are worth a call.
-            let wait = if plan.excess_cost_fraction > 0.0 { OPEN_TELL } else { OPEN_FRESH };
-            let wait = if by > 0.0 && now - c.others_at > 2.0 * wait { wait * 0.05 } else { wait };
-            c.open_at = c.open_at.min(now + wait);
+        c.in_flight = (c.in_flight + change).max(0.0);
+        let plan = &self.settings.plans[c.plan];
+        if f64::from(plan.max_concurrent) >= c.gateway_count {
+            // Where an attempt beyond the limit costs nothing, only long attempts justify a call.
+            let delay =
+                if plan.excess_cost_fraction > 0.0 { CONCURRENCY_SYNC_SECS } else { CONCURRENCY_FRESH_SECS };
+            let is_outdated = change > 0.0 && now - c.remote_in_flight_at > 2.0 * delay;
+            let delay = if is_outdated { delay * 0.05 } else { delay };
+            c.concurrency_sync_at = c.concurrency_sync_at.min(now + delay);
         }
     }
 
-    /// Tells the counter what changed in the attempts out, or only reads while this gateway is at its share.
-    pub(super) fn sync_open(&mut self, id: &CustomerId, actions: &mut Actions) {
+    /// Reports the change of the attempts in flight to the counter. Without a change, the counter is only read, and only
+    /// while this gateway is at its share of the limit.
+    pub(super) fn sync_concurrency(&mut self, id: &CustomerId, actions: &mut Actions) {
         let now = self.now;
         let Some(c) = self.customers.get_mut(id) else { return };
-        let amount = c.out - c.open_told;
-        let at_share = c.out >= (f64::from(self.s.plans[c.plan].max_concurrent) / c.width).floor();
-        if c.open_calling || (amount == 0.0 && !(at_share && now - c.others_at > OPEN_FRESH / 2.0)) {
-            c.open_at = if c.open_calling { now + OPEN_TELL } else { f64::INFINITY };
+        let amount = c.in_flight - c.reported_in_flight;
+        let limit = f64::from(self.settings.plans[c.plan].max_concurrent);
+        let is_at_share = c.in_flight >= (limit / c.gateway_count).floor();
+        let is_outdated = now - c.remote_in_flight_at > CONCURRENCY_FRESH_SECS / 2.0;
+        if c.is_concurrency_calling || (amount == 0.0 && !(is_at_share && is_outdated)) {
+            c.concurrency_sync_at =
+                if c.is_concurrency_calling { now + CONCURRENCY_SYNC_SECS } else { f64::INFINITY };
             return;
         }
-        (c.open_told, c.open_calling, c.open_at) = (c.out, true, f64::INFINITY);
-        let name = count_name('o', id, c.open_window);
-        let call = Call { customer: id.clone(), window: c.open_window, amount, open: true, asks: None };
-        self.call(name, call, amount, OPEN_WINDOW, actions);
+        (c.reported_in_flight, c.is_concurrency_calling) = (c.in_flight, true);
+        c.concurrency_sync_at = f64::INFINITY;
+        let name = counter_key('o', id, c.concurrency_window);
+        let call = PendingCall {
+            customer: id.clone(),
+            window: c.concurrency_window,
+            amount,
+            is_concurrency: true,
+            held_request: None,
+        };
+        self.send_call(name, call, amount, CONCURRENCY_WINDOW_SECS, actions);
     }
 
-    /// The ceiling's store at this gateway: the even share of rate, burst and tolerance, with no trust in the
-    /// counter. It starts at its bottom, as a killed predecessor may have spent everything just before.
-    pub(crate) fn ceiling_takes(&mut self, id: &CustomerId, units: f64, take: bool) -> bool {
+    /// Whether the ceiling permits the units, which are taken from its token bucket if `take` is set.
+    ///
+    /// Each gateway holds its share of rate, burst and tolerance. The token bucket starts overdrawn by the tolerance,
+    /// because a predecessor that was killed may have spent everything just before.
+    pub(crate) fn fits_ceiling(&mut self, id: &CustomerId, units: f64, take: bool) -> bool {
         let now = self.now;
         let Some(c) = self.customers.get_mut(id) else { return false };
-        let plan = &self.s.plans[c.plan];
+        let plan = &self.settings.plans[c.plan];
         if plan.ceiling_rate <= 0.0 {
             return true;
         }
-        let ways = c.ways(self.floor, now);
-        let fill = plan.ceiling_rate / ways * (now - c.ceiling_at);
-        c.ceiling = (c.ceiling + fill).min(plan.ceiling_burst / ways);
-        c.ceiling_at = now;
-        let fits = c.ceiling - units >= -plan.ceiling_tolerance / ways + 1e-6 && !self.bequeathed;
-        c.ceiling -= if fits && take { units } else { 0.0 };
+        let divisor = c.ceiling_divisor(self.ceiling_floor, now);
+        let refill = plan.ceiling_rate / divisor * (now - c.ceiling_tokens_at);
+        c.ceiling_tokens = (c.ceiling_tokens + refill).min(plan.ceiling_burst / divisor);
+        c.ceiling_tokens_at = now;
+        let fits = c.ceiling_tokens - units >= -plan.ceiling_tolerance / divisor + 1e-6 && !self.is_exported;
+        c.ceiling_tokens -= if fits && take { units } else { 0.0 };
         fits
     }
 }
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -1,253 +1,333 @@
-//! The choice of a host: ready ones only, the better of two, failing ones left out, cold ones fed by a
-//! budget; and what outcomes tell of hosts and connections. It must never choose one that is not on the list.
+//! Host selection: the better of a few random candidates, without failing hosts and with a token bucket for cold ones;
+//! and what outcomes show about hosts and connections. Only ready hosts of the host list are ever chosen.
+
 use crate::gateway::interface::*;
 use crate::gateway::rules::Actions;
 use crate::gateway::state::*;
-use crate::gateway::window::FLOW_S;
-
-const SUSPECT_AT: f64 = 0.3; // share of a class's failures at which its requests pass a host over
-const HEALTH_MEMORY: f64 = 6.0; // outcomes that a host's failures are judged by; the first weighs one half
-pub(super) const HEALTH_FADE: f64 = 30.0; // what is known of failures fades so, and the host is tried again
-const HEARD_S: f64 = 1.0; // a host that answered so lately lives, whatever else it refuses
-const SLOW_ALPHA: f64 = 0.18; // weight of the newest outcome in a host's slowness
-const IDLE_LEAST: f64 = 0.5; // connections are told apart by how long they stood idle: up to this...
-const IDLE_PRIOR: f64 = 2.0; // ...each further span twice as long; so many good outcomes are taken as given
-const IDLE_EXCESS: f64 = 0.25; // so much more silence than on lively ones, and they are renewed...
-const IDLE_FADE: f64 = 300.0; // ...until this fades: what forgets connections stays, a handshake is cheap
-const KIND_ALPHA: f64 = 0.04; // weight of the newest outcome in the slowness of a kind of host
-const DRAWS: usize = 8; // draws for two candidates that fit: finds one also with most hosts failing
-const TABLE_S: f64 = 0.5; // the weights that candidates are drawn by are kept so long
-const SUBSET_HOSTS: f64 = 10.0; // a gateway draws from so many hosts at least: some outlive a lost zone...
-const SUBSET_SHARED: f64 = 20.0; // ...and from so many that so many gateways share each: none weighs much
-const SLOW_FADE: f64 = 8.0; // what is known of a host's slowness fades so, and it is tried again
-const CROSS_AT: f64 = 1.5; // where crossing zones is charged it must promise to be so many times quicker
-const COLD_STORE: f64 = 1.0; // a cold host's store, as a part of its rate over the time it takes to fall
-const COLD_LARGEST: f64 = 1.5; // largest request for it, in mean requests: one could spend the whole budget
+use crate::gateway::window::WORK_RATE_SECS;
+
+/// A host is passed over for a class when more than this fraction of the class's recent attempts there failed.
+const SUSPECT_FAILURE_RATIO: f64 = 0.3;
+/// Outcomes that a failure ratio is averaged over, at the most.
+const MAX_FAILURE_OUTCOMES: f64 = 6.0;
+/// Successes assumed before the first outcome of a host and class, so that the first failure weighs one half.
+const FAILURE_PRIOR: f64 = 1.0;
+/// Time constant with which failures of a host are forgotten, in seconds, so that the host is tried again.
+pub(super) const FAILURE_DECAY_SECS: f64 = 30.0;
+/// A host that responded within this time, in seconds, is alive even if it refuses a connection.
+const ALIVE_SECS: f64 = 1.0;
+/// A rejection by a host at its capacity counts as this fraction of a failure.
+const REJECTION_FAILURE: f64 = 0.3;
+/// Weight of the newest outcome in the slowness of a host.
+const SLOWNESS_WEIGHT: f64 = 0.18;
+/// Time constant with which the slowness of a host returns to that of its hardware type, in seconds, so that a slow
+/// host is tried again.
+const SLOWNESS_DECAY_SECS: f64 = 8.0;
+/// Weight of the newest outcome in the slowness of a hardware type.
+const KIND_SLOWNESS_WEIGHT: f64 = 0.04;
+/// Longest idle time of the first bucket of connections, in seconds; each further bucket reaches twice as far.
+const MIN_IDLE_SECS: f64 = 0.5;
+/// Successes assumed before the first outcome of a bucket of idle times.
+const IDLE_PRIOR: f64 = 2.0;
+/// Idle connections are renewed when their failure ratio exceeds that of active ones by more than this.
+const MAX_IDLE_EXCESS: f64 = 0.25;
+/// Time constant with which failures of idle connections are forgotten, in seconds. Timeouts of middleboxes rarely
+/// change, and a handshake costs little.
+const IDLE_DECAY_SECS: f64 = 300.0;
+/// Random draws for the candidates of an attempt, at the least. With 8 an eligible host is found even if most fail.
+const MIN_DRAWS: usize = 8;
+/// Time for which the tables of draw weights are used, in seconds.
+const DRAW_TABLE_SECS: f64 = 0.5;
+/// Hosts that a gateway draws from, at the least, so that some remain when a zone is lost.
+const MIN_SUBSET_HOSTS: f64 = 10.0;
+/// Gateways that draw from each host, at the least, so that no gateway alone determines the load of a host.
+const MIN_GATEWAYS_PER_HOST: f64 = 20.0;
+/// Where crossing zones has a price, a remote host must promise a latency lower by this factor.
+const CROSS_ZONE_ADVANTAGE: f64 = 1.5;
+/// Capacity of a cold host's token bucket, in multiples of what is added to it during the overload duration.
+const COLD_BURST: f64 = 1.0;
+/// Largest request for a cold host, in multiples of the mean latency. A larger one could empty the token bucket.
+const MAX_COLD_REQUEST: f64 = 1.5;
 
 impl Gateway {
-    /// The halls' shares: a factor on each host's size, 0 for none.
-    pub(super) fn halls_told(&mut self, parts: Vec<(HostId, f64)>) {
-        for (id, part) in parts {
+    /// Applies the zones' factors on the capacity of hosts; 0: the host takes no load.
+    pub(super) fn apply_zone_factors(&mut self, factors: Vec<(HostId, f64)>) {
+        for (id, factor) in factors {
             let Some(h) = self.hosts.get_mut(&id) else { continue };
-            if h.part == Some(0.0) && part > 0.0 {
-                h.reached(self.now); // its hall is tried again: what was learnt in the cut says nothing
+            if h.zone_factor == Some(0.0) && factor > 0.0 {
+                // The zone is tried again: observations made while it was unreachable are not valid.
+                h.reset_after_outage(self.now);
             }
-            h.part = Some(sane(part));
+            h.zone_factor = Some(sanitize(factor));
         }
-        self.table_until = self.now;
+        self.draw_tables_valid_until = self.now;
     }
 
-    /// Part of its full capacity that a host surely has.
-    pub(super) fn warmth(&self, h: &Host) -> f64 {
-        let Some(started) = h.started else { return 1.0 };
-        let share = sane(self.s.cold_capacity_fraction).min(1.0);
-        let warm_after = self.s.warmup.as_secs_f64().max(0.001);
-        (share + (1.0 - share) * (self.now - started).max(0.0) / warm_after).min(1.0)
+    /// Fraction of its full capacity that a host has by the time since its start.
+    pub(super) fn warm_fraction(&self, h: &Host) -> f64 {
+        let Some(started_at) = h.started_at else { return 1.0 };
+        let initial = sanitize(self.settings.cold_capacity_fraction).min(1.0);
+        let warmup = self.settings.warmup.as_secs_f64().max(0.001);
+        (initial + (1.0 - initial) * (self.now - started_at).max(0.0) / warmup).min(1.0)
     }
 
-    /// Work a second that a cold host may be sent by this gateway: what its warm hosts take, by size, times
-    /// the warmth: under the multiple at any load.
+    /// Work per second that this gateway may send to a cold host: the work that its warm hosts receive, in proportion
+    /// to capacity and warm-up. This stays below the overload factor at any load.
     pub(super) fn cold_rate(&self, h: &Host) -> f64 {
-        let limit = self.s.overload_factor.clamp(0.5, 3.0) / 2.0;
-        // No warm host left: none shows what this one can take, and it gets nothing.
-        let warm = if self.warm_size > 0.0 { self.warm_size } else { f64::INFINITY };
-        self.sent.rate(self.now, FLOW_S) * h.nominal_capacity / warm * self.warmth(h) * limit
+        let limit = self.settings.overload_factor.clamp(0.5, 3.0) / 2.0;
+        // Without warm hosts nothing shows what a cold one can take, so it receives no work.
+        let warm_capacity = if self.warm_capacity > 0.0 { self.warm_capacity } else { f64::INFINITY };
+        self.warm_work_rate.rate(self.now, WORK_RATE_SECS) * h.nominal_capacity / warm_capacity
+            * self.warm_fraction(h)
+            * limit
     }
 
-    /// What a cold host's store holds now; nothing before warm hosts have shown a rate.
-    pub(super) fn cold_level(&self, h: &Host) -> f64 {
+    /// Work in a cold host's token bucket now; negative before warm hosts have shown a rate.
+    pub(super) fn available_cold_tokens(&self, h: &Host) -> f64 {
         let rate = self.cold_rate(h);
-        let store = COLD_STORE * self.mean_latency().max(rate * self.s.overload_duration.as_secs_f64());
-        Some(rate).filter(|r| *r > 0.0).map_or(-1.0, |r| (h.cold + r * (self.now - h.cold_at)).min(store))
+        let overload_duration = self.settings.overload_duration.as_secs_f64();
+        let max = COLD_BURST * self.mean_latency().max(rate * overload_duration);
+        let refilled = |rate: f64| (h.cold_tokens + rate * (self.now - h.cold_tokens_at)).min(max);
+        Some(rate).filter(|rate| *rate > 0.0).map_or(-1.0, refilled)
     }
 
-    /// Latency expected of a request, by its class and units.
-    pub(super) fn expected(&self, class: usize, units: f64) -> f64 {
-        let (latency, mean, _) = self.seen[class];
-        latency * (0.2 + 0.8 * units / mean)
+    /// Expected latency of a request by its class and units, in seconds. A fifth of the mean does not depend on units.
+    pub(super) fn expected_latency(&self, class: usize, units: f64) -> f64 {
+        let stats = &self.class_stats[class];
+        stats.latency * (0.2 + 0.8 * units / stats.units)
     }
 
-    /// Latency of a host over what is expected; of one long not met, that of its kind.
-    pub(super) fn slowness(&self, h: &Host) -> f64 {
-        let kind = self.kinds.get(&h.kind).copied().unwrap_or(1.0);
-        kind + (h.slow - kind) * ((h.slow_at - self.now) / SLOW_FADE).exp()
+    /// Ratio of actual to expected latency of a host; without recent observations, that of its hardware type.
+    pub(super) fn current_slowness(&self, h: &Host) -> f64 {
+        let kind = self.kind_slowness.get(&h.kind).copied().unwrap_or(1.0);
+        kind + (h.slowness - kind) * ((h.slowness_at - self.now) / SLOWNESS_DECAY_SECS).exp()
     }
 
-    /// Brings up to date what candidates are drawn by: ready hosts, by size, warmth and speed. A cold host
-    /// gets its part of the fleet's capacity, however many gateways there are and however little they know.
-    pub(super) fn refresh(&mut self) {
-        if self.now < self.table_until {
+    /// Rebuilds the tables of draw weights if they are outdated: ready hosts by capacity, warm-up and speed.
+    ///
+    /// Each gateway draws from a subset of the hosts. Hosts lie on a ring in the order of their hash, each with a length
+    /// of its capacity, and each gateway covers an arc of it. Together the gateways send a cold host its fraction of
+    /// the load, however many gateways there are and however little each of them knows.
+    pub(super) fn refresh_draw_tables(&mut self) {
+        if self.now < self.draw_tables_valid_until {
             return;
         }
-        self.table_until = self.now + TABLE_S;
-        (self.warm_size, self.ready) = (0.0, 0.0);
-        // Hosts on a ring, in an order of nobody's choosing, each as long as it has capacity.
+        self.draw_tables_valid_until = self.now + DRAW_TABLE_SECS;
+        (self.warm_capacity, self.ready_hosts) = (0.0, 0.0);
         let mut rings: [Vec<(u64, f64, &HostId, &Host)>; 2] = Default::default();
-        for (id, h) in self.hosts.iter().filter(|(_, h)| h.ready) {
-            let warmth = self.warmth(h);
-            self.ready += warmth;
-            let far = self.s.cross_zone_price > 0.0 && h.zone != self.s.zone;
-            rings[usize::from(far)].push((
-                fnv1a(&id.0),
-                h.nominal_capacity * warmth * h.part.unwrap_or(1.0),
-                id,
-                h,
-            ));
+        for (id, h) in self.hosts.iter().filter(|(_, h)| h.is_ready) {
+            let warm_fraction = self.warm_fraction(h);
+            self.ready_hosts += warm_fraction;
+            let is_remote = self.settings.cross_zone_price > 0.0 && h.zone != self.settings.zone;
+            let capacity = h.nominal_capacity * warm_fraction * h.zone_factor.unwrap_or(1.0);
+            rings[usize::from(is_remote)].push((fnv1a(&id.0), capacity, id, h));
         }
         let mut tables: [Vec<(f64, HostId)>; 2] = Default::default();
         for (ring, table) in rings.iter_mut().zip(&mut tables) {
             ring.sort_unstable_by_key(|x| (x.0, x.2));
-            let whole: f64 = ring.iter().map(|x| x.1).sum();
-            let part = (SUBSET_HOSTS / ring.len() as f64).max(SUBSET_SHARED / f64::from(self.s.replicas));
-            // Golden steps: any number of gateways lies evenly on the ring, neighbours far apart.
-            let (mut end, from) = (0.0, (f64::from(self.s.ordinal) * GOLDEN_RATIO_FRACTION).fract() * whole);
-            let to = from + part.min(1.0) * whole;
+            let ring_length: f64 = ring.iter().map(|x| x.1).sum();
+            let arc = (MIN_SUBSET_HOSTS / ring.len() as f64)
+                .max(MIN_GATEWAYS_PER_HOST / f64::from(self.settings.replicas));
+            // Steps of the golden ratio spread any number of gateways evenly over the ring.
+            let start = (f64::from(self.settings.ordinal) * GOLDEN_RATIO_FRACTION).fract() * ring_length;
+            let end = start + arc.min(1.0) * ring_length;
+            let mut position = 0.0;
             for (_, length, id, h) in ring.iter() {
-                let covered = |at: f64| ((at + length).min(to) - at.max(from)).max(0.0);
-                let mine = covered(end) + covered(end + whole);
-                end += length;
-                if mine > 1e-9 * length {
-                    self.warm_size += if self.warmth(h) < 1.0 { 0.0 } else { mine };
+                let covered = |at: f64| ((at + length).min(end) - at.max(start)).max(0.0);
+                let capacity = covered(position) + covered(position + ring_length);
+                position += length;
+                if capacity > 1e-9 * length {
+                    self.warm_capacity += if self.warm_fraction(h) < 1.0 { 0.0 } else { capacity };
                     let sum = table.last().map_or(0.0, |t| t.0);
-                    table.push((sum + mine / self.slowness(h), (*id).clone()));
+                    table.push((sum + capacity / self.current_slowness(h), (*id).clone()));
                 }
             }
         }
-        self.tables = tables;
+        self.draw_tables = tables;
     }
 
-    /// The better of two candidates of a table, with its expected latency; the suspect only if all drawn are.
-    pub(super) fn draw(&mut self, table: usize, need: &Need) -> Option<(HostId, f64)> {
-        let sum = self.tables[table].last()?.0;
-        let (mut best, mut found, mut resort) = (None::<(HostId, f64)>, 0, None);
-        for _ in 0..DRAWS.max(2 * self.draws) {
+    /// Draws candidates from a table and returns the best with its expected latency in seconds. A suspect host is
+    /// returned only if all eligible hosts that were drawn are suspect.
+    pub(super) fn draw_host(
+        &mut self,
+        table: usize,
+        requirements: &HostRequirements,
+    ) -> Option<(HostId, f64)> {
+        let sum = self.draw_tables[table].last()?.0;
+        let (mut best, mut found, mut suspect) = (None::<(HostId, f64)>, 0, None);
+        for _ in 0..MIN_DRAWS.max(2 * self.candidate_count) {
             let at = self.rng.f64() * sum;
-            let table = &self.tables[table];
+            let table = &self.draw_tables[table];
             let id = &table[table.partition_point(|t| t.0 <= at).min(table.len() - 1)].1;
-            let Some(h) = self.hosts.get(id).filter(|h| self.fits(id, h, need)) else { continue };
-            let score = ((h.work + h.elsewhere) / (h.nominal_capacity * self.warmth(h)) + need.work)
-                * self.slowness(h).max(1.0);
-            if self.suspect(h, need.class) {
-                resort = Some((id.clone(), score));
+            let Some(h) = self.hosts.get(id).filter(|h| self.is_eligible(id, h, requirements)) else {
+                continue;
+            };
+            let queued = (h.in_flight_work + h.remote_work) / (h.nominal_capacity * self.warm_fraction(h));
+            let latency = (queued + requirements.work) * self.current_slowness(h).max(1.0);
+            if self.is_suspect(h, requirements.class) {
+                suspect = Some((id.clone(), latency));
                 continue;
             }
-            if best.as_ref().is_none_or(|b| score < b.1) {
-                best = Some((id.clone(), score));
+            if best.as_ref().is_none_or(|b| latency < b.1) {
+                best = Some((id.clone(), latency));
             }
             found += 1;
-            if found == self.draws {
+            if found == self.candidate_count {
                 break;
             }
         }
-        best.or(resort)
+        best.or(suspect)
     }
 
-    /// May this host be sent that request at all?
-    pub(super) fn fits(&self, id: &HostId, h: &Host, need: &Need) -> bool {
-        let in_group = match (&need.bound, self.s.classes[need.class].idempotency) {
-            (Some(bound), Idempotency::ByKey(KeyScope::Zone)) => bound.0 == h.zone,
-            (Some(bound), Idempotency::ByKey(KeyScope::Cell)) => bound.1 == h.group,
+    /// Whether a host may receive an attempt with these requirements.
+    pub(super) fn is_eligible(&self, id: &HostId, h: &Host, requirements: &HostRequirements) -> bool {
+        let idempotency = self.settings.classes[requirements.class].idempotency;
+        let knows_key = match (&requirements.key_origin, idempotency) {
+            (Some((zone, _)), Idempotency::ByKey(KeyScope::Zone)) => *zone == h.zone,
+            (Some((_, group)), Idempotency::ByKey(KeyScope::Cell)) => *group == h.group,
             _ => true,
         };
-        let warm = self.warmth(h) >= 1.0
-            || (self.cold_level(h) >= 0.0 && need.work <= COLD_LARGEST * self.mean_latency());
-        h.ready && h.part != Some(0.0) && in_group && warm && !need.tried.contains(id)
-    }
-
-    /// The host for an attempt. With no new one to be had, a warm one that was tried already.
-    pub(super) fn pick(&mut self, mut need: Need) -> Option<HostId> {
-        self.refresh();
-        let spill = self.spill.map(|part| self.rng.f64() < part);
-        let chosen = match (self.draw(0, &need), self.draw(1, &need)) {
-            (Some(near), Some(far)) if spill.unwrap_or(far.1 * CROSS_AT < near.1) => Some(far),
-            (near, far) => near.or(far),
+        let has_capacity = self.warm_fraction(h) >= 1.0
+            || (self.available_cold_tokens(h) >= 0.0
+                && requirements.work <= MAX_COLD_REQUEST * self.mean_latency());
+        h.is_ready
+            && h.zone_factor != Some(0.0)
+            && knows_key
+            && has_capacity
+            && !requirements.tried.contains(id)
+    }
+
+    /// Chooses the host of an attempt. If no untried one is eligible, a warm one that was tried is chosen again.
+    pub(super) fn choose_host(&mut self, mut requirements: HostRequirements) -> Option<HostId> {
+        self.refresh_draw_tables();
+        let prefers_remote = self.remote_share.map(|share| self.rng.f64() < share);
+        let chosen = match (self.draw_host(0, &requirements), self.draw_host(1, &requirements)) {
+            (Some(local), Some(remote))
+                if prefers_remote.unwrap_or(remote.1 * CROSS_ZONE_ADVANTAGE < local.1) =>
+            {
+                Some(remote)
+            }
+            (local, remote) => local.or(remote),
         };
         chosen.map(|c| c.0).or_else(|| {
-            need.tried.clear();
-            let last = self.hosts.iter().filter(|(id, h)| self.warmth(h) >= 1.0 && self.fits(id, h, &need));
-            last.min_by(|a, b| a.1.work.total_cmp(&b.1.work)).map(|(id, _)| id.clone())
+            requirements.tried.clear();
+            let eligible = self
+                .hosts
+                .iter()
+                .filter(|(id, h)| self.warm_fraction(h) >= 1.0 && self.is_eligible(id, h, &requirements));
+            eligible
+                .min_by(|a, b| a.1.in_flight_work.total_cmp(&b.1.in_flight_work))
+                .map(|(id, _)| id.clone())
         })
     }
 
-    /// Did a host lately fail much of this class? A thin sample decides only that others are drawn first.
-    pub(super) fn suspect(&self, h: &Host, class: usize) -> bool {
-        h.health.get(class).is_some_and(|x| x.fails * ((x.at - self.now) / HEALTH_FADE).exp() > SUSPECT_AT)
+    /// Whether a host recently failed much of a class. The sample may be thin, so other hosts are only preferred.
+    pub(super) fn is_suspect(&self, h: &Host, class: usize) -> bool {
+        h.class_failures.get(class).is_some_and(|x| {
+            x.failure_ratio * ((x.updated_at - self.now) / FAILURE_DECAY_SECS).exp() > SUSPECT_FAILURE_RATIO
+        })
     }
 
-    /// Passive health: an outcome of a host. Failures count by class, as a host may fail one class and serve
-    /// the others; one that cannot be reached fails all of them.
-    pub(super) fn judge(&mut self, id: &HostId, class: usize, ending: Ending, (delay, work): (f64, f64)) {
-        let (now, classes) = (self.now, self.s.classes.len());
-        let known = self.hosts.get(id).filter(|h| now - delay >= h.since); // else it tells of another life
-        let slow = known.map(|h| (self.slowness(h), self.warmth(h) < 1.0));
-        let (Some(h), Some((slow, cold))) = (self.hosts.get_mut(id), slow) else { return };
+    /// Passive health checking: records an outcome of a host. Failures count by class, because a host may fail one
+    /// class and serve the others; a host that cannot be reached fails all of them.
+    pub(super) fn record_outcome(
+        &mut self,
+        id: &HostId,
+        class: usize,
+        ending: Ending,
+        (latency, work): (f64, f64),
+    ) {
+        let (now, classes) = (self.now, self.settings.classes.len());
+        let valid = self.hosts.get(id).filter(|h| now - latency >= h.valid_since);
+        let observed = valid.map(|h| (self.current_slowness(h), self.warm_fraction(h) < 1.0));
+        let (Some(h), Some((slowness, is_cold))) = (self.hosts.get_mut(id), observed) else { return };
         if matches!(ending, Ending::Ok | Ending::Timeout) {
-            // Slowness: answers by what was expected of them, time-outs as answers at least that late.
-            let ratio = (delay / work.max(1e-6)).clamp(0.2, 20.0);
-            (h.slow, h.slow_at) = (slow + SLOW_ALPHA * (ratio - slow), now);
-            let kind = self.kinds.entry(h.kind.clone()).or_insert(1.0);
-            *kind += if cold { 0.0 } else { KIND_ALPHA * (ratio - *kind) };
+            // A timeout counts as a response that is at least this late.
+            let ratio = (latency / work.max(1e-6)).clamp(0.2, 20.0);
+            (h.slowness, h.slowness_at) = (slowness + SLOWNESS_WEIGHT * (ratio - slowness), now);
+            let kind = self.kind_slowness.entry(h.kind.clone()).or_insert(1.0);
+            *kind += if is_cold { 0.0 } else { KIND_SLOWNESS_WEIGHT * (ratio - *kind) };
         }
-        // Refused by a host that answered just now: its table of connections is full, which is no failure.
-        let refused = ending == Ending::ConnectFailed;
-        let full = refused && now - h.heard < HEARD_S;
-        h.heard = match ending {
+        // A host that responded just now and refuses a connection is alive: its connection table is full. A second
+        // refusal without a response in between counts as a failure.
+        let is_refused = ending == Ending::ConnectFailed;
+        let is_alive = is_refused && now - h.last_response_at < ALIVE_SECS;
+        h.last_response_at = match ending {
             Ending::Ok | Ending::Error | Ending::Full => now,
-            _ if refused => f64::NEG_INFINITY, // a second time without an answer in between it is one
-            _ => h.heard,
+            _ if is_refused => f64::NEG_INFINITY,
+            _ => h.last_response_at,
         };
         let failed = match ending {
             Ending::Ok => 0.0,
-            Ending::ConnectFailed if full => 0.3,
+            Ending::ConnectFailed if is_alive => REJECTION_FAILURE,
             Ending::Error | Ending::ConnectFailed | Ending::Reset => 1.0,
-            Ending::Full => 0.3,
-            Ending::Timeout | Ending::Cancelled | Ending::NotSent => return, // neither health nor failure
+            Ending::Full => REJECTION_FAILURE,
+            // Timeouts count towards slowness, not failures.
+            Ending::Timeout | Ending::Cancelled | Ending::NotSent => return,
         };
-        h.health.resize_with(classes, Health::default);
-        for (_, x) in h.health.iter_mut().enumerate().filter(|(c, _)| refused && !full || *c == class) {
-            x.note(now, failed, 1.0, HEALTH_MEMORY, HEALTH_FADE);
+        let fails_all = is_refused && !is_alive;
+        h.class_failures.resize_with(classes, FailureStats::default);
+        for (_, x) in h.class_failures.iter_mut().enumerate().filter(|(c, _)| fails_all || *c == class) {
+            x.record(now, failed, FAILURE_PRIOR, MAX_FAILURE_OUTCOMES, FAILURE_DECAY_SECS);
         }
     }
 
-    /// Must a connection that stood idle so long be renewed before use? Guards against whatever forgets idle
-    /// ones and swallows what comes on them later (incident L53ec7e), and peers that hang up unheard. Learned
-    /// over all hosts, as one pair is met once in seconds, against outcomes on lively connections: slow hosts
-    /// fail on both. Harm: a handshake an attempt for minutes after a false alarm.
-    pub(super) fn stale(&self, idle: usize) -> bool {
-        let share = |x: &Health| x.fails * ((x.at - self.now) / IDLE_FADE).exp();
-        self.idle[1..=idle].iter().any(|x| share(x) > share(&self.idle[0]) + IDLE_EXCESS)
+    /// Whether connections of this bucket of idle times must be renewed before use.
+    ///
+    /// Guards against middleboxes that forget idle connections and discard what is sent on them later (incident
+    /// L53ec7e), and against hosts that close connections unnoticed. Outcomes are shared by all hosts, because each
+    /// host is met only once in seconds, and compared with those on active connections, because slow hosts fail on
+    /// both. A false alarm costs a handshake per attempt for some minutes.
+    pub(super) fn is_idle_stale(&self, idle_bucket: usize) -> bool {
+        let ratio = |x: &FailureStats| x.failure_ratio * ((x.updated_at - self.now) / IDLE_DECAY_SECS).exp();
+        let max = ratio(&self.idle_failures[0]) + MAX_IDLE_EXCESS;
+        self.idle_failures[1..=idle_bucket].iter().any(|x| ratio(x) > max)
     }
 
-    /// Chooses the connection for an attempt, closing the idle ones where they are not to be trusted; returns
-    /// its span of idleness, 0 for a new or lively one.
-    pub(super) fn connect(&mut self, id: &HostId, actions: &mut Actions) -> usize {
-        let Some((used, out)) = self.hosts.get(id).map(|h| (h.used, h.out)) else { return 0 };
-        let span = |at: f64| ((self.now - at) / IDLE_LEAST).max(0.5).log2().ceil().max(0.0) as usize;
-        let idle = used.map_or(0, span).min(self.idle.len() - 1);
-        let renew = out == 0 && self.stale(idle);
+    /// Prepares the connection of an attempt and closes the idle ones if they must be renewed. Returns the connection's
+    /// bucket of idle times; 0: it is new or active.
+    pub(super) fn prepare_connection(&mut self, id: &HostId, actions: &mut Actions) -> usize {
+        let host = self.hosts.get(id).map(|h| (h.connection_used_at, h.in_flight));
+        let Some((used_at, in_flight)) = host else { return 0 };
+        let bucket = |at: f64| ((self.now - at) / MIN_IDLE_SECS).max(0.5).log2().ceil().max(0.0) as usize;
+        let idle_bucket = used_at.map_or(0, bucket).min(self.idle_failures.len() - 1);
+        let renew = in_flight == 0 && self.is_idle_stale(idle_bucket);
         actions.extend(renew.then(|| Action::CloseIdle { host: id.clone() }));
-        let opened = if renew { self.now } else { used.unwrap_or(self.now) };
-        self.hosts.entry(id.clone()).and_modify(|h| h.used = Some(opened));
-        idle * usize::from(!renew)
+        let used_at = if renew { self.now } else { used_at.unwrap_or(self.now) };
+        self.hosts.entry(id.clone()).and_modify(|h| h.connection_used_at = Some(used_at));
+        idle_bucket * usize::from(!renew)
     }
 
-    /// What an outcome tells of its connection. One that stood idle and then stays silent is closed.
-    pub(super) fn connection(&mut self, id: &HostId, idle: usize, ending: Ending, actions: &mut Actions) {
-        let silent = match ending {
+    /// Records what an outcome shows about its connection. An idle connection on which nothing came back is closed.
+    pub(super) fn record_connection_outcome(
+        &mut self,
+        id: &HostId,
+        idle_bucket: usize,
+        ending: Ending,
+        actions: &mut Actions,
+    ) {
+        let is_silent = match ending {
             Ending::Timeout | Ending::Reset => true,
             Ending::Ok | Ending::Error | Ending::Full => false,
             Ending::ConnectFailed | Ending::Cancelled | Ending::NotSent => return,
         };
-        self.idle[idle].note(self.now, f64::from(u8::from(silent)), IDLE_PRIOR, HEALTH_MEMORY, IDLE_FADE);
+        self.idle_failures[idle_bucket].record(
+            self.now,
+            f64::from(u8::from(is_silent)),
+            IDLE_PRIOR,
+            MAX_FAILURE_OUTCOMES,
+            IDLE_DECAY_SECS,
+        );
         let Some(h) = self.hosts.get_mut(id) else { return };
-        let close = silent && idle > 0 && h.out == 0;
-        h.used = if silent { h.used.filter(|_| !close) } else { Some(self.now) };
+        let close = is_silent && idle_bucket > 0 && h.in_flight == 0;
+        h.connection_used_at =
+            if is_silent { h.connection_used_at.filter(|_| !close) } else { Some(self.now) };
         actions.extend(close.then(|| Action::CloseIdle { host: id.clone() }));
     }
 
-    /// Ready hosts for each gateway, cold ones by their warmth.
-    pub(super) fn ready_each(&mut self) -> f64 {
-        self.refresh();
-        self.ready / f64::from(self.s.replicas)
+    /// Ready hosts per gateway, cold ones weighted by their warm-up.
+    pub(super) fn ready_hosts_per_gateway(&mut self) -> f64 {
+        self.refresh_draw_tables();
+        self.ready_hosts / f64::from(self.settings.replicas)
     }
 }
--- a/src/gateway/external.rs
+++ b/src/gateway/external.rs
@@ -1,25 +1,27 @@
-//! What an embedder may set from outside: further attempts, where a budget of its own, shared with others, rules them,
-//! and what other gateways have out, where they tell. It must never decide on a request.
+//! Inputs of an embedder that manages the retry budget itself or knows the load of other gateways. Nothing here decides
+//! on a request.
 
 use crate::gateway::state::Gateway;
 use crate::identifiers::HostId;
 
 impl Gateway {
-    /// Further attempts that may be sent until this is told again; fractions of one count for nothing.
+    /// Sets the number of retries and hedged attempts that may be sent until the next call, rounded down. This replaces
+    /// the retry budget of this gateway.
     pub fn set_retry_allowance(&mut self, attempts: f64) {
-        self.retries = attempts.max(0.0).floor();
+        self.retry_tokens = attempts.max(0.0).floor();
     }
 
-    /// So many candidates are compared for an attempt, two at the least: more where what others have out is known.
+    /// Sets the number of hosts that are compared for an attempt, at least two. More than two are useful only if the
+    /// load of other gateways is known.
     pub fn set_candidate_count(&mut self, candidates: usize) {
-        self.draws = candidates.max(2);
+        self.candidate_count = candidates.max(2);
     }
 
-    /// Attempts that other gateways have out at a host.
+    /// Sets the number of attempts that other gateways have in flight at a host.
     pub fn set_remote_in_flight(&mut self, host: &HostId, attempts: u32) {
-        let mean = self.mean_latency();
+        let mean_latency = self.mean_latency();
         if let Some(h) = self.hosts.get_mut(host) {
-            h.elsewhere = f64::from(attempts) * mean;
+            h.remote_work = f64::from(attempts) * mean_latency;
         }
     }
 }
--- a/src/gateway/interface.rs
+++ b/src/gateway/interface.rs
@@ -1,21 +1,21 @@
-//! What goes in and out of the decisions: settings, events, actions, ids. Nothing here decides.
+//! The interface of the decision module: settings, events, actions and identifiers. Nothing here decides.
 
 pub use crate::identifiers::{CounterKey, CustomerId, Ending, HostId, RequestId};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a request of a class may run.
+/// How often a request of a class may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Any number of times.
     Repeatable,
-    /// Again only where its key is remembered.
+    /// Again only at hosts that still hold its idempotency key.
     ByKey(KeyScope),
-    /// Never twice.
+    /// At most once.
     Once,
 }
 
-/// The hosts that drop a keyed repeat.
+/// The hosts that share idempotency keys: each of them discards a repeated request of a key that one of them has seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every host.
@@ -29,310 +29,311 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name on requests.
+    /// The name that requests carry.
     pub name: String,
-    /// Answers within this earn the full worth.
+    /// Responses within this time have the full value.
     pub latency_target: Duration,
-    /// Worth of one request.
+    /// Value of one request.
     pub value: f64,
-    /// Part of the worth that a late answer earns.
+    /// Fraction of the value that a response after the latency target still has.
     pub late_value_fraction: f64,
-    /// May it run again?
+    /// How often a request may be executed.
     pub idempotency: Idempotency,
-    /// How long a key is remembered, from the first send that may have run.
+    /// Time for which hosts remember an idempotency key, from the first dispatch that may have executed.
     pub key_retention: Duration,
 }
 
 /// A plan: the quotas of each of its customers over all gateways together.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name on requests.
+    /// The name that requests carry.
     pub name: String,
-    /// Units a second; 0: no quota on the rate.
+    /// Quota in units per second; 0: no quota.
     pub rate: f64,
-    /// Units that may be used at once.
+    /// Units that may be spent at once.
     pub burst: f64,
-    /// Attempts out at once; 0: no such quota.
+    /// Attempts in flight at the same time; 0: no limit.
     pub max_concurrent: u32,
-    /// Units a second of the hard ceiling; 0: none.
+    /// Hard ceiling in units per second; 0: none.
     pub ceiling_rate: f64,
-    /// Units the ceiling's store holds.
+    /// Capacity of the ceiling's token bucket, in units.
     pub ceiling_burst: f64,
-    /// Units by which that store may fall below nothing.
+    /// Units by which the ceiling's token bucket may be overdrawn.
     pub ceiling_tolerance: f64,
-    /// Multiplier on the worth.
+    /// Multiplier on the value of a request.
     pub price: f64,
-    /// Part of its worth earned beyond the quota.
+    /// Fraction of its value that a request beyond the quota has.
     pub excess_value_fraction: f64,
-    /// Part of its worth that a send beyond the quota costs.
+    /// Fraction of its value that dispatching a request beyond the quota costs.
     pub excess_cost_fraction: f64,
 }
 
-/// How load reports reach a gateway.
+/// How load reports of hosts reach a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
     /// Not at all.
     Off,
-    /// With answers and probes.
+    /// With responses and probes.
     Inline,
     /// With probes only.
     OnProbe,
 }
 
-/// All that a gateway is told at its start.
+/// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Gateways of this tier, this one included.
+    /// Number of gateways of this tier, this one included.
     pub replicas: u32,
-    /// The number of this one among them, from 0.
+    /// Index of this gateway among them, from 0.
     pub ordinal: u32,
-    /// The zone of this gateway.
+    /// Zone of this gateway.
     pub zone: String,
     /// Classes of requests.
     pub classes: Vec<Class>,
     /// Plans of customers.
     pub plans: Vec<Plan>,
-    /// May the counter service be called?
+    /// Whether the quota counter may be called.
     pub uses_counter: bool,
-    /// A call to it is given up after this.
+    /// Timeout of a call to the quota counter.
     pub counter_timeout: Duration,
-    /// Are units guesses, the true ones told with the answer?
+    /// Whether the units of a request are an estimate and its response reports the actual ones.
     pub units_are_estimates: bool,
-    /// The most units of one request.
+    /// Upper bound on the units of one request.
     pub max_units: f64,
-    /// May an attempt be called off?
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// May a request have two attempts out?
+    /// Whether a request may have two attempts in flight (hedging).
     pub may_hedge: bool,
-    /// May hosts be probed?
+    /// Whether hosts may be probed.
     pub may_probe: bool,
-    /// Attempts of one request, at most.
+    /// Upper bound on the attempts of one request.
     pub max_attempts: u32,
-    /// Do clients hear how long to stay away?
+    /// Whether refused clients receive a `Retry-After`.
     pub sends_retry_after: bool,
-    /// The longest such span that they heed.
+    /// The longest `Retry-After` that clients respect.
     pub max_retry_after: Duration,
-    /// Must the host list be asked for?
+    /// Whether the host list is sent only after an [`Action::Subscribe`].
     pub subscribes_to_hosts: bool,
-    /// How load reports come.
+    /// How load reports arrive.
     pub load_reports: LoadReports,
-    /// A host starts at this part of its capacity.
+    /// Fraction of its capacity that a host has just after its start.
     pub cold_capacity_fraction: f64,
-    /// Beyond this multiple of its present capacity...
+    /// A cold host fails when its load exceeds this multiple of its present capacity for `overload_duration`.
     pub overload_factor: f64,
-    /// ...for this long, a cold host falls over.
+    /// Time for which a cold host withstands a load above `overload_factor`.
     pub overload_duration: Duration,
-    /// A host is warm this long after its start.
+    /// Time from its start after which a host has its full capacity.
     pub warmup: Duration,
-    /// Price of attempts that cross zones.
+    /// Price of an attempt that crosses zones.
     pub cross_zone_price: f64,
-    /// Price of a probe a request.
+    /// Price of a probe, relative to a request.
     pub probe_price: f64,
 }
 
-/// State of a host on the list.
+/// State of a host on the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Takes work.
+    /// Accepts new requests.
     Ready,
-    /// Completes its work; nothing new.
+    /// Completes its requests and accepts no new ones.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// One line of the host list.
+/// One entry of the host list.
 #[derive(Clone, Debug)]
 pub struct HostEntry {
-    /// Which host.
+    /// The host.
     pub host: HostId,
-    /// Its zone.
+    /// Zone of the host.
     pub zone: String,
-    /// Its cell.
+    /// Cell of the host.
     pub group: i64,
-    /// Its kind of machine: hosts of one kind are taken to be alike. Any word; empty: not told.
+    /// Hardware type, any text; hosts of one type are assumed to be equally fast. Empty: unknown.
     pub kind: Arc<str>,
-    /// Its state.
+    /// State of the host.
     pub availability: Availability,
-    /// Its size compared to the others.
+    /// Capacity relative to the other hosts.
     pub nominal_capacity: f64,
     /// Clock time of its last start; `None`: long ago.
     pub last_start: Option<Duration>,
 }
 
-/// What a `Hosts` event carries.
+/// What the entries of an [`Event::Hosts`] are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Changed lines only.
+    /// The changed entries only.
     Update,
-    /// The whole list.
+    /// The complete list.
     Replace,
-    /// The whole list as it was last known; maybe old.
+    /// The complete list as it was last known, possibly outdated.
     Restored,
-    /// A call for the list failed; no lines.
+    /// No entries: the call for the list has failed.
     Unavailable,
 }
 
-/// What a gateway hears.
+/// Input of the decision module.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The host list or changes to it.
     Hosts {
-        /// What the lines are.
+        /// What the entries are.
         scope: ListScope,
-        /// The lines.
+        /// Entries of the list.
         entries: Vec<HostEntry>,
     },
-    /// A client's request.
+    /// A client's request has arrived.
     Request {
-        /// Its id.
+        /// Identifier of the request.
         id: RequestId,
         /// Name of its class.
         class: String,
         /// Name of its customer's plan.
         plan: String,
-        /// Its customer.
+        /// Customer that it is charged to.
         customer: CustomerId,
         /// Time until the client gives up.
         budget: Duration,
-        /// Its units, or a guess at them.
+        /// Cost of the request in units, possibly an estimate.
         units: f64,
-        /// Gateways through which this customer's requests come.
+        /// Number of gateways that receive this customer's requests; 0: all of them.
         gateway_count: u32,
     },
-    /// A streamed answer has begun.
+    /// The first part of a streamed response has arrived.
     ResponseStarted {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// The client has left.
+    /// The client has disconnected.
     ClientDisconnected {
-        /// Which request.
+        /// The request.
         id: RequestId,
     },
     /// An attempt has ended.
     AttemptFinished {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
-        /// On which host.
+        /// Host that the attempt was sent to.
         host: HostId,
-        /// How.
+        /// Outcome of the attempt.
         ending: Ending,
-        /// Is the request over?
+        /// Whether the request needs no further attempt.
         request_done: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Duration,
-        /// True units; 0: not told.
+        /// Actual units; 0: not reported.
         cost: f64,
-        /// What the customer used over all gateways in the meter's last period, as a part of its rate, if told.
+        /// Use of the customer over all gateways in the meter's last period, as a fraction of its rate, if reported.
         metered: Option<f64>,
     },
     /// A probe has ended.
     ProbeFinished {
-        /// Which host.
+        /// The host.
         host: HostId,
-        /// How.
+        /// Outcome of the probe.
         ending: Ending,
-        /// Recent service time, where reported.
+        /// Recent service time, if reported.
         latency: Option<Duration>,
     },
-    /// The counter has answered, or not.
+    /// A call to the quota counter has ended, with or without an answer.
     CounterReply {
-        /// Which count.
+        /// The counter entry.
         name: CounterKey,
-        /// How.
+        /// Outcome of the call.
         ending: Ending,
-        /// The number after the call.
+        /// Total of the entry after the call.
         total: f64,
         /// Time since the call.
         elapsed: Duration,
     },
-    /// A call to the counter that had ended without an answer was answered after all.
+    /// The answer to a call to the quota counter arrived after the call had timed out.
     LateCounterReply {
-        /// Which count.
+        /// The counter entry.
         name: CounterKey,
-        /// The number after the call.
+        /// Total of the entry after the call.
         total: f64,
         /// Time since the call.
         elapsed: Duration,
     },
-    /// Shares of load by hall, from the halls' module: a factor on each host's size (0: its hall takes
-    /// nothing now), and the part of requests that fits in no hall. Never told: no halls in force.
+    /// Load shares by zone, from the zone failover module. Without this event zones have no shares and the hosts of the
+    /// own zone are preferred.
     ZoneShares {
-        /// Hosts and their factors; hosts not named keep theirs.
+        /// Factors on the capacity of hosts; 0: the host's zone takes no load. Hosts not listed keep their factor.
         capacity_factors: Vec<(HostId, f64)>,
-        /// Part of the work that goes to hosts of other zones while the own hall is short; `None`: near hosts
-        /// first, as without halls.
+        /// Fraction of the load that goes to hosts of other zones while the own zone lacks capacity; `None`: hosts of
+        /// the own zone are preferred.
         remote_share: Option<f64>,
-        /// Part of requests to refuse at once, those of least worth for their work first.
+        /// Fraction of the requests that no zone has capacity for. These are refused at once, those with the least
+        /// value for their work first.
         unassigned: f64,
     },
-    /// A timer is due.
+    /// A timer has expired.
     Timer {
-        /// The token it was set with.
+        /// Token of the [`Action::SetTimer`].
         token: String,
     },
 }
 
-/// What a gateway does.
+/// Output of the decision module, for the embedder to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// To which host.
+        /// Host to send it to.
         host: HostId,
-        /// Its time-out; `None`: until the client gives up.
+        /// Timeout of the attempt; `None`: until the client gives up.
         timeout: Option<Duration>,
     },
-    /// Give up waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Final answer: refused, harmless to try again.
+    /// Answer the client: the request is refused and may be sent again.
     Refuse {
-        /// Which request.
+        /// The request.
         id: RequestId,
-        /// How long the client should stay away.
+        /// Time that the client should wait before it retries.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed, promising nothing.
+    /// Answer the client: the request has failed and may have been executed.
     Fail {
-        /// Which request.
+        /// The request.
         id: RequestId,
     },
-    /// Add to a count and read it.
+    /// Add to an entry of the quota counter and read its total.
     AddToCounter {
-        /// Which count.
+        /// The counter entry.
         name: CounterKey,
-        /// How much; 0 only reads.
+        /// Amount to add; 0 only reads.
         amount: f64,
-        /// How long a new count is kept.
+        /// Time to live of the entry, if the call creates it.
         ttl: Duration,
     },
     /// Probe a host.
     Probe {
-        /// Which host.
+        /// The host.
         host: HostId,
     },
-    /// Close the idle connections to a host: the next attempt there opens a new one.
+    /// Close the idle connections to a host, so that the next attempt opens a new one.
     CloseIdle {
-        /// Which host.
+        /// The host.
         host: HostId,
     },
     /// Set a timer.
     SetTimer {
-        /// Due after this.
+        /// Time until it expires.
         after: Duration,
-        /// Comes back with the event.
+        /// Token that the [`Event::Timer`] carries.
         token: String,
     },
     /// Subscribe to the host list.
--- a/src/gateway/pressure.rs
+++ b/src/gateway/pressure.rs
@@ -1,61 +1,83 @@
-//! Overload: what would come too late is refused at once. It must never hold a request or its answer.
-use crate::gateway::attempts::DONE_S;
+//! Overload protection: a request whose answer would come too late is refused at once. Requests are never queued here.
+
+use crate::gateway::attempts::ANSWER_RATE_SECS;
 use crate::gateway::interface::*;
 use crate::gateway::state::*;
 
-const PRESSED: [f64; 3] = [0.35, 0.55, 0.85]; // refuse when predicted so late in the latency_target: low to high worth
-const HOPELESS: f64 = 1.5; // an answer expected so much later than its client leaves is not begun
-const LOST_GAIN: f64 = 3.0; // bars fall so steeply with the share of time-outs, to a half at the most...
-const LOST_FREE: f64 = 0.04; // ...past this: a few very heavy requests are no sign of press
-const CALM_OUT: f64 = 2.0; // so many attempts out a host, over all gateways, are no press at any rate
-const YOUNG_OUT: f64 = 2.0; // ...and so many times that, before answers can tell anything
-const SPARE_OUT: f64 = 1.5; // under so many attempts out a host, over all gateways, there is work to spare
-const THIN: f64 = 0.25; // answers a second at the mean latency mixed in: none at all are no sign of press
+/// Bar on the predicted latency of requests with the least value, as a fraction of the latency target.
+const MIN_LATENCY_BAR: f64 = 0.35;
+/// Bar on the predicted latency of requests with the mean value for their work.
+const MEAN_LATENCY_BAR: f64 = 0.55;
+/// Bar on the predicted latency of requests with the highest value.
+const MAX_LATENCY_BAR: f64 = 0.85;
+/// A request is refused when its expected latency exceeds its client's patience by this factor.
+const HOPELESS_FACTOR: f64 = 1.5;
+/// The bar falls by this multiple of the fraction of attempts that time out, to one half at the least.
+const TIMEOUT_GAIN: f64 = 3.0;
+/// Fraction of timeouts that does not lower the bar: a few very heavy requests are no sign of overload.
+const TOLERATED_TIMEOUTS: f64 = 0.04;
+/// Attempts in flight per ready host, over all gateways, below which there is no overload.
+const CALM_IN_FLIGHT: f64 = 2.0;
+/// Before answers allow a prediction, a gateway is overloaded at this multiple of `CALM_IN_FLIGHT`.
+const UNKNOWN_LATENCY_FACTOR: f64 = 2.0;
+/// Attempts in flight per ready host, over all gateways, below which hosts have spare capacity.
+const SPARE_IN_FLIGHT: f64 = 1.5;
+/// Answers per second, at the mean latency, that are assumed besides the observed ones. Without them a gateway that
+/// has no answers yet would appear overloaded.
+const ANSWER_RATE_PRIOR: f64 = 0.25;
+/// Weight of the newest request in the mean value per unit of work.
+const VALUE_DENSITY_WEIGHT: f64 = 0.02;
 
 impl Gateway {
-    /// Would the answer come too late? Predicted by what is out over what gets done, by Little's law; the bar
-    /// is higher the more worth a request has for its work, and falls as attempts run out of time: then
-    /// predictions were too hopeful. Harm: where answers get lost on idle hosts.
-    pub(super) fn pressed(&mut self, class: usize, price: f64, units: f64, left: f64) -> bool {
-        let work = self.expected(class, units);
-        let density = self.s.classes[class].value * price * units / work.max(1e-6);
-        self.density += 0.02 * (density - self.density);
-        let unplaced = self.unplaced > 0.0 && self.rng.f64() * density < self.unplaced * self.density;
-        self.turned_out += u64::from(unplaced);
-        let hopeless = unplaced || work > HOPELESS * left;
-        // Answers begin to come after a mean latency, and tell something after another one.
-        let mean = self.mean_latency();
-        let age = self.now - self.serving.unwrap_or(self.now) - mean;
-        let calm = CALM_OUT * self.ready_each();
-        if hopeless || self.queue < calm || age < mean {
-            return hopeless || self.queue >= YOUNG_OUT * calm;
+    /// Whether a request must be refused because its answer would come too late, or because no zone has capacity for
+    /// it.
+    ///
+    /// The latency is predicted from the attempts in flight and the rate of answers, by Little's law. The bar on it is
+    /// higher the more value a request has for its work, and falls as attempts time out, because the predictions were
+    /// too low then. Where responses are lost although hosts are idle, this refuses more than necessary.
+    pub(super) fn is_overloaded(&mut self, class: usize, price: f64, units: f64, time_left: f64) -> bool {
+        let work = self.expected_latency(class, units);
+        let value_density = self.settings.classes[class].value * price * units / work.max(1e-6);
+        self.mean_value_density += VALUE_DENSITY_WEIGHT * (value_density - self.mean_value_density);
+        let is_unassigned = self.unassigned > 0.0
+            && self.rng.f64() * value_density < self.unassigned * self.mean_value_density;
+        self.zone_rejections += u64::from(is_unassigned);
+        let is_hopeless = is_unassigned || work > HOPELESS_FACTOR * time_left;
+        // Answers begin to arrive after a mean latency and are representative after another one.
+        let mean_latency = self.mean_latency();
+        let age = self.now - self.first_request_at.unwrap_or(self.now) - mean_latency;
+        let calm = CALM_IN_FLIGHT * self.ready_hosts_per_gateway();
+        if is_hopeless || self.mean_in_flight < calm || age < mean_latency {
+            return is_hopeless || self.mean_in_flight >= UNKNOWN_LATENCY_FACTOR * calm;
         }
-        let queue = self.queue + 1.0 / f64::from(self.s.replicas);
-        // A gateway that serves for less than the flows' time has seen only so much of its rates.
-        let seen = 1.0 - (-age / DONE_S).exp();
-        let done = self.done.rate(self.now, DONE_S) / seen + THIN;
-        let lost = self.lost.rate(self.now, DONE_S) / seen;
-        let wait = (queue + THIN * mean) / done;
-        let predicted = wait * (0.5 + 0.5 * work / mean);
-        let bar = (PRESSED[1] * (density / self.density.max(1e-9)).sqrt()).clamp(PRESSED[0], PRESSED[2]);
-        let bar = bar * (1.0 - LOST_GAIN * (lost / (lost + done) - LOST_FREE).max(0.0)).max(0.5);
-        predicted > bar * self.s.classes[class].latency_target.as_secs_f64().min(left)
+        let in_flight = self.mean_in_flight + 1.0 / f64::from(self.settings.replicas);
+        // A gateway younger than the time constant of the rates has seen only this fraction of them.
+        let seen = 1.0 - (-age / ANSWER_RATE_SECS).exp();
+        let answers = self.answer_rate.rate(self.now, ANSWER_RATE_SECS) / seen + ANSWER_RATE_PRIOR;
+        let timeouts = self.timeout_rate.rate(self.now, ANSWER_RATE_SECS) / seen;
+        let mean_predicted = (in_flight + ANSWER_RATE_PRIOR * mean_latency) / answers;
+        let predicted = mean_predicted * (0.5 + 0.5 * work / mean_latency);
+        let relative_density = value_density / self.mean_value_density.max(1e-9);
+        let bar = (MEAN_LATENCY_BAR * relative_density.sqrt()).clamp(MIN_LATENCY_BAR, MAX_LATENCY_BAR);
+        let excess_timeouts = (timeouts / (timeouts + answers) - TOLERATED_TIMEOUTS).max(0.0);
+        let bar = bar * (1.0 - TIMEOUT_GAIN * excess_timeouts).max(0.5);
+        predicted > bar * self.settings.classes[class].latency_target.as_secs_f64().min(time_left)
     }
 
-    /// The final answer to what is given up, at once; clients that hear it are told when to come back.
-    pub(super) fn refuse(&self, id: RequestId, seconds: f64) -> Action {
-        // Where nothing tells when there will be room: once what is out now has ended.
-        let seconds = if seconds > 0.0 { seconds } else { self.mean_latency() };
-        let away = span(seconds).min(self.s.max_retry_after);
-        Action::Refuse {
-            id,
-            retry_after: Some(away).filter(|away| self.s.sends_retry_after && !away.is_zero()),
-        }
+    /// The final answer to a refused request. `retry_after_secs` of 0 stands for the mean latency, after which the
+    /// attempts that are in flight now have ended.
+    pub(super) fn refusal(&self, id: RequestId, retry_after_secs: f64) -> Action {
+        let secs = if retry_after_secs > 0.0 { retry_after_secs } else { self.mean_latency() };
+        let retry_after = duration(secs).min(self.settings.max_retry_after);
+        let retry_after = Some(retry_after).filter(|time| self.settings.sends_retry_after && !time.is_zero());
+        Action::Refuse { id, retry_after }
     }
 
-    /// Beyond the quota only where that earns more than it costs, and only while hosts are calm.
-    pub(super) fn spare(&mut self, plan: usize) -> bool {
-        let calm = self.queue < SPARE_OUT * self.ready_each();
-        calm && self.s.plans[plan].excess_value_fraction > self.s.plans[plan].excess_cost_fraction
+    /// Whether requests beyond the quota are admitted: only for plans whose excess earns more than it costs, and only
+    /// while hosts have spare capacity.
+    pub(super) fn admits_excess(&mut self, plan: usize) -> bool {
+        let has_spare = self.mean_in_flight < SPARE_IN_FLIGHT * self.ready_hosts_per_gateway();
+        let plan = &self.settings.plans[plan];
+        has_spare && plan.excess_value_fraction > plan.excess_cost_fraction
     }
 }
--- a/src/gateway/records.rs
+++ b/src/gateway/records.rs
@@ -1,100 +1,119 @@
-//! Bookkeeping around the decisions: a gateway at its start, the host list, calls that are out, customers by when they
-//! are due. Nothing here decides.
-use crate::gateway::attempts::{RETRY, SEEN_PRIOR};
-use crate::gateway::choice::HEALTH_FADE;
+//! Bookkeeping around the decisions: the initial state, the host list, calls in flight and the schedule of customers.
+//! Nothing here decides.
+
+use crate::gateway::attempts::{INITIAL_ANSWERS, MAX_RETRY_TOKENS};
+use crate::gateway::choice::FAILURE_DECAY_SECS;
 use crate::gateway::interface::*;
 use crate::gateway::rules::Actions;
 use crate::gateway::state::*;
-use crate::gateway::upkeep::TICK;
-use crate::gateway::window::PACE_FIRST;
+use crate::gateway::upkeep::TICK_SECS;
+use crate::gateway::window::INITIAL_CALL_RATE;
 use std::cmp::Reverse;
 use std::time::Duration;
 
-const IDLE: f64 = 60.0; // a customer not seen for this long, and with a full ceiling, is forgotten
+/// A customer without requests for this time, in seconds, and with a full ceiling is forgotten.
+const CUSTOMER_IDLE_SECS: f64 = 60.0;
+/// Time to live of a counter entry in seconds, at the most.
+const MAX_COUNTER_TTL_SECS: f64 = 60.0;
 
 impl Gateway {
-    pub(super) fn call(&mut self, name: CounterKey, call: Call, amount: f64, window: f64, to: &mut Actions) {
-        let keep = span((2.0 * window + 1.0).min(60.0));
-        to.push(Action::AddToCounter { name: name.clone(), amount, ttl: keep });
-        self.calls.entry(name).or_default().push_back(call);
+    /// Sends a call to the counter and records it as pending. `amount` is what the counter adds and `window_secs` the
+    /// length of the entry's window.
+    pub(super) fn send_call(
+        &mut self,
+        name: CounterKey,
+        call: PendingCall,
+        amount: f64,
+        window_secs: f64,
+        actions: &mut Actions,
+    ) {
+        let ttl = duration((2.0 * window_secs + 1.0).min(MAX_COUNTER_TTL_SECS));
+        actions.push(Action::AddToCounter { name: name.clone(), amount, ttl });
+        self.pending_calls.entry(name).or_default().push_back(call);
     }
 
-    pub(super) fn hosts_told(&mut self, scope: ListScope, entries: Vec<HostEntry>) {
-        self.hosts.values_mut().for_each(|h| h.ready &= scope == ListScope::Update);
-        let (now, mean) = (self.now, self.mean_latency());
-        for e in entries {
-            let ready = e.availability == Availability::Ready;
-            let started = e.last_start.map(|t| t.as_secs_f64());
-            let nominal = if e.nominal_capacity.is_finite() && e.nominal_capacity > 0.0 {
-                e.nominal_capacity
+    /// Applies a host list or changes to it.
+    pub(super) fn update_hosts(&mut self, scope: ListScope, entries: Vec<HostEntry>) {
+        self.hosts.values_mut().for_each(|h| h.is_ready &= scope == ListScope::Update);
+        let (now, mean_latency) = (self.now, self.mean_latency());
+        for entry in entries {
+            let is_ready = entry.availability == Availability::Ready;
+            let started_at = entry.last_start.map(|t| t.as_secs_f64());
+            let nominal_capacity = if entry.nominal_capacity.is_finite() && entry.nominal_capacity > 0.0 {
+                entry.nominal_capacity
             } else {
                 1.0
             };
-            let new = !self.hosts.contains_key(&e.host);
-            let h = self.hosts.entry(e.host).or_default();
-            if new || h.started != started {
-                h.forget();
-                // Not all gateways begin at once: each waits for its part of one request's share.
-                (h.cold, h.cold_at) = (-self.rng.f64() * 0.5 * mean, now);
+            let is_new = !self.hosts.contains_key(&entry.host);
+            let h = self.hosts.entry(entry.host).or_default();
+            if is_new || h.started_at != started_at {
+                h.reset();
+                // A random start keeps the gateways from sending a new host their first requests all at once.
+                (h.cold_tokens, h.cold_tokens_at) = (-self.rng.f64() * 0.5 * mean_latency, now);
             }
-            (h.zone, h.group, h.nominal_capacity, h.ready, h.started) =
-                (e.zone, e.group, nominal, ready, started);
-            h.kind = e.kind;
+            (h.zone, h.group, h.kind) = (entry.zone, entry.group, entry.kind);
+            (h.nominal_capacity, h.is_ready, h.started_at) = (nominal_capacity, is_ready, started_at);
         }
-        // What is known of a host outlives an empty list, or one that lost it for a moment.
-        let fresh = |x: &Health| now - x.at < HEALTH_FADE;
-        self.hosts.retain(|_, h| h.ready || h.out > 0 || h.health.iter().any(fresh));
-        self.kinds.retain(|kind, _| self.hosts.values().any(|h| h.kind == *kind));
-        self.table_until = now;
+        // Hosts with recent outcomes are kept, so that their failures outlast a list that is empty or lacks them for a
+        // moment.
+        let is_recent = |x: &FailureStats| now - x.updated_at < FAILURE_DECAY_SECS;
+        self.hosts.retain(|_, h| h.is_ready || h.in_flight > 0 || h.class_failures.iter().any(is_recent));
+        self.kind_slowness.retain(|kind, _| self.hosts.values().any(|h| h.kind == *kind));
+        self.draw_tables_valid_until = now;
     }
 
-    /// A gateway with these settings; the seed feeds its own generator.
+    /// A gateway with these settings. `seed` determines its random decisions.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let mut s = sane_settings(settings);
-        // An unknown class is handled as one that must never run twice.
-        let aim = s.classes.iter().map(|c| c.latency_target).max().unwrap_or(Duration::from_secs(1));
-        s.classes.push(Class {
+        let mut settings = sanitize_settings(settings);
+        // Requests of an unknown class are executed at most once.
+        let latency_target =
+            settings.classes.iter().map(|c| c.latency_target).max().unwrap_or(Duration::from_secs(1));
+        settings.classes.push(Class {
             name: String::new(),
-            latency_target: aim,
+            latency_target,
             value: 1.0,
             late_value_fraction: 0.0,
             idempotency: Idempotency::Once,
             key_retention: Duration::ZERO,
         });
-        let seen = s.classes.iter().map(|c| c.first_guess(SEEN_PRIOR)).collect();
+        let class_stats = settings.classes.iter().map(|c| c.initial_stats(INITIAL_ANSWERS)).collect();
         Gateway {
-            seen,
-            pace: PACE_FIRST / f64::from(s.replicas),
-            allowance: (1.0, 0.0),
-            retries: RETRY.1,
-            ..Gateway::blank(s, seed)
+            class_stats,
+            call_rate: INITIAL_CALL_RATE / f64::from(settings.replicas),
+            call_tokens: 1.0,
+            call_tokens_at: 0.0,
+            retry_tokens: MAX_RETRY_TOKENS,
+            ..Gateway::blank(settings, seed)
         }
     }
 
-    pub(super) fn book(&mut self, id: &CustomerId, units: f64) {
+    /// Adds units to a customer's charges without scheduling a sync.
+    pub(super) fn add_unsynced(&mut self, id: &CustomerId, units: f64) {
         let Some(c) = self.customers.get_mut(id) else { return };
-        (c.unsynced, c.own) = (c.unsynced + units, (c.own + units).max(0.0));
+        (c.unsynced_units, c.own_units) = (c.unsynced_units + units, (c.own_units + units).max(0.0));
     }
 
-    /// Queues a customer for when its next call is due, or for when the pace should have room.
+    /// Schedules a customer for its next call. One that is overdue is scheduled for when the call rate should permit a
+    /// call.
     pub(crate) fn schedule(&mut self, id: &CustomerId) {
-        let again = self.now + TICK.max(1.0 / self.pace.max(0.1));
+        let retry_at = self.now + TICK_SECS.max(1.0 / self.call_rate.max(0.1));
         let Some(c) = self.customers.get_mut(id) else { return };
-        let next = c.sync_at.min(c.open_at);
-        let next = micros(if next <= self.now { again } else { next }).max(micros(self.now) + 1);
-        if c.sync_at.min(c.open_at).is_finite() && next < c.queued.unwrap_or(u64::MAX) {
-            c.queued = Some(next);
-            self.due.push(Reverse((next, id.clone())));
+        let next = c.sync_at.min(c.concurrency_sync_at);
+        let next_us = micros(if next <= self.now { retry_at } else { next }).max(micros(self.now) + 1);
+        if next.is_finite() && next_us < c.timer_us.unwrap_or(u64::MAX) {
+            c.timer_us = Some(next_us);
+            self.customer_timers.push(Reverse((next_us, id.clone())));
         }
     }
 
-    pub(super) fn sweep(&mut self) {
-        let (now, s) = (self.now, &self.s);
+    /// Removes customers that had no request for long, have no attempt in flight and whose ceiling is full again.
+    pub(super) fn remove_idle_customers(&mut self) {
+        let (now, settings) = (self.now, &self.settings);
         self.swept_at = now;
         self.customers.retain(|_, c| {
-            let plan = &s.plans[c.plan];
-            let fill = (plan.ceiling_burst + plan.ceiling_tolerance) / plan.ceiling_rate.max(1e-3);
-            c.out > 0.0 || now - c.seen < IDLE.max(fill)
+            let plan = &settings.plans[c.plan];
+            let refill_secs = (plan.ceiling_burst + plan.ceiling_tolerance) / plan.ceiling_rate.max(1e-3);
+            c.in_flight > 0.0 || now - c.last_request_at < CUSTOMER_IDLE_SECS.max(refill_secs)
         });
     }
 }
--- a/src/gateway/rules.rs
+++ b/src/gateway/rules.rs
@@ -1,136 +1,151 @@
-//! The events, and the ordinary path of a request through the decisions: quota (`window`), caps (`caps`),
-//! pressure (`pressure`), host (`choice`), attempts (`attempts`), upkeep (`upkeep`). Types are in
-//! `interface.rs`.
+//! Event handling and the admission of a request: quota (`window`), concurrency limit and ceiling (`caps`), overload
+//! (`pressure`), host (`choice`), attempts (`attempts`). Types are in `interface` and `state`.
+
 use crate::gateway::interface::*;
 use crate::gateway::state::*;
-use crate::gateway::window::ASKED_S;
+use crate::gateway::window::DEMAND_SECS;
 use std::time::Duration;
 
-const QUEUE_ALPHA: f64 = 0.1; // least weight of the newest request's sight of the attempts out
+/// Weight of the newest request in the mean number of attempts in flight, at the least.
+const MIN_IN_FLIGHT_WEIGHT: f64 = 0.1;
 
 pub(super) type Actions = Vec<Action>;
-pub(super) type Fate = Result<(), f64>;
+
+/// Whether a request is admitted. `Err`: refused; the value is the time in seconds after which the client may retry,
+/// or 0 if unknown.
+pub(super) type Admission = Result<(), f64>;
 
 impl Gateway {
-    /// Takes an event at the time `now` and appends what to do.
+    /// Handles an event at the time `now` and appends the actions to execute. A time before that of the last event
+    /// counts as that of the last event.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = now.as_secs_f64().max(self.now);
-        if self.started.is_none() {
-            self.started = Some(self.now);
-            actions.extend(self.s.subscribes_to_hosts.then_some(Action::Subscribe));
+        if self.started_at.is_none() {
+            self.started_at = Some(self.now);
+            actions.extend(self.settings.subscribes_to_hosts.then_some(Action::Subscribe));
         }
         match event {
             Event::Hosts { scope, entries } => {
                 if scope != ListScope::Unavailable {
-                    self.hosts_told(scope, entries);
-                } else if self.s.subscribes_to_hosts {
+                    self.update_hosts(scope, entries);
+                } else if self.settings.subscribes_to_hosts {
                     actions
                         .push(Action::SetTimer { after: Duration::from_secs(1), token: "subscribe".into() });
                 }
             }
-            Event::Request { .. } => self.request(event, actions),
+            Event::Request { .. } => self.on_request(event, actions),
             Event::ResponseStarted { id, .. } => {
                 let now = self.now;
-                self.requests.entry(id).and_modify(|r| (r.copy_at, r.deadline) = (f64::INFINITY, now));
+                self.requests.entry(id).and_modify(|r| (r.hedge_at, r.deadline) = (f64::INFINITY, now));
             }
             Event::ClientDisconnected { id } => self.finish(&id, actions),
-            Event::AttemptFinished { .. } => self.outcome(event, actions),
-            Event::CounterReply { name, ending, total, elapsed: delay } => {
-                if let Some((call, ok)) = self.counted(name, ending, total, delay.as_secs_f64()) {
+            Event::AttemptFinished { .. } => self.on_attempt_finished(event, actions),
+            Event::CounterReply { name, ending, total, elapsed } => {
+                let reply = self.on_counter_reply(name, ending, total, elapsed.as_secs_f64());
+                if let Some((call, has_total)) = reply {
                     self.schedule(&call.customer);
-                    if let Some((id, cost)) = call.asks {
-                        self.told(&id, &call.customer, cost, ok, actions);
+                    if let Some((id, cost)) = call.held_request {
+                        self.decide_held_request(&id, &call.customer, cost, has_total, actions);
                     }
                 }
             }
-            Event::LateCounterReply { name, total, elapsed: delay } => {
-                self.counted_late(name, total, delay.as_secs_f64())
+            Event::LateCounterReply { name, total, elapsed } => {
+                self.on_late_counter_reply(name, total, elapsed.as_secs_f64());
             }
             Event::Timer { token } if token == "tick" => self.timer_at = f64::INFINITY,
             Event::Timer { token } if token == "subscribe" => actions.push(Action::Subscribe),
-            Event::ZoneShares { capacity_factors: parts, remote_share: spill, unassigned: unplaced } => {
-                (self.spill, self.unplaced) = (spill, sane(unplaced).min(1.0));
-                self.halls_told(parts);
+            Event::ZoneShares { capacity_factors, remote_share, unassigned } => {
+                (self.remote_share, self.unassigned) = (remote_share, sanitize(unassigned).min(1.0));
+                self.apply_zone_factors(capacity_factors);
             }
             Event::ProbeFinished { .. } | Event::Timer { .. } => {}
         }
-        self.upkeep(actions);
+        self.run_timers(actions);
     }
 
-    pub(super) fn request(&mut self, e: Event, actions: &mut Actions) {
-        self.serving = self.serving.or(Some(self.now));
-        let Event::Request { id, class, plan, customer, budget, units, gateway_count: width } = e else {
+    /// Handles [`Event::Request`]. A request whose identifier is in use is ignored.
+    pub(super) fn on_request(&mut self, event: Event, actions: &mut Actions) {
+        self.first_request_at = self.first_request_at.or(Some(self.now));
+        let Event::Request { id, class, plan, customer, budget, units, gateway_count } = event else {
             return;
         };
         if self.requests.contains_key(&id) {
             return;
         }
-        let plan = self.s.plans.iter().position(|p| p.name == plan).filter(|_| !budget.is_zero());
-        let (class, most) = (self.s.class(&class), self.s.max_attempts);
-        let r = Request::new(class, customer, sane(units), (self.now, budget.as_secs_f64()), most);
-        let fate = plan.map_or(Err(0.0), |plan| self.admit(&id, r, plan, width, actions));
-        let Err(away) = fate else { return };
-        actions.push(self.refuse(id, away));
+        let plan = self.settings.plans.iter().position(|p| p.name == plan).filter(|_| !budget.is_zero());
+        let (class, max_attempts) = (self.settings.class_index(&class), self.settings.max_attempts);
+        let times = (self.now, budget.as_secs_f64());
+        let request = Request::new(class, customer, sanitize(units), times, max_attempts);
+        let admission = plan.map_or(Err(0.0), |plan| self.admit(&id, request, plan, gateway_count, actions));
+        let Err(retry_after) = admission else { return };
+        actions.push(self.refusal(id, retry_after));
     }
 
-    /// The ordinary path. `Err`: refused at once, with advice where it helps.
+    /// Admits a request and sends its first attempt, holds it until the counter answers, or refuses it.
     pub(super) fn admit(
         &mut self,
         id: &RequestId,
-        mut r: Request,
-        plan: usize,
-        width: u32,
-        to: &mut Actions,
-    ) -> Fate {
-        let (now, customer, units) = (self.now, &r.customer.clone(), r.units);
-        let weight = (2.0 / f64::from(self.s.replicas)).clamp(QUEUE_ALPHA, 1.0);
-        self.queue += weight * (f64::from(self.out) - self.queue);
-        let p = &self.s.plans[plan];
-        let (max_cost, limited) = (p.burst.max(self.s.max_units), p.rate > 0.0);
-        let width = f64::from(if width == 0 { self.s.replicas } else { width });
-        let phase = (fnv1a(&customer.0) >> 40) as f64 / (1u64 << 24) as f64;
-        let phase_of = |at: f64| at / Self::window_s(p) + phase;
-        let window = phase_of(now).floor();
-        // Full when this gateway started: what the rate added to the window before went over the brim.
-        let before = (phase_of(self.started.unwrap_or(now)) - window).max(0.0) * Self::window_s(p);
+        mut request: Request,
+        plan_index: usize,
+        gateway_count: u32,
+        actions: &mut Actions,
+    ) -> Admission {
+        let (now, customer, units) = (self.now, &request.customer.clone(), request.units);
+        let weight = (2.0 / f64::from(self.settings.replicas)).clamp(MIN_IN_FLIGHT_WEIGHT, 1.0);
+        self.mean_in_flight += weight * (f64::from(self.in_flight) - self.mean_in_flight);
+        let plan = &self.settings.plans[plan_index];
+        let (max_cost, has_quota) = (plan.burst.max(self.settings.max_units), plan.rate > 0.0);
+        let gateway_count =
+            f64::from(if gateway_count == 0 { self.settings.replicas } else { gateway_count });
+        let offset = (fnv1a(&customer.0) >> 40) as f64 / (1u64 << 24) as f64;
+        let windows = |at: f64| at / Self::window_secs(plan) + offset;
+        let window = windows(now).floor();
+        // The bucket is full when the gateway starts, so what the rate added to this window before that is lost.
+        let before_start =
+            (windows(self.started_at.unwrap_or(now)) - window).max(0.0) * Self::window_secs(plan);
         let c = self.customers.entry(customer.clone()).or_insert_with(|| Customer {
             window: window as i64,
-            store: p.burst - p.rate * before - self.elsewhere.owed(customer, window as i64, p),
-            ceiling: -p.ceiling_tolerance / width,
-            ceiling_at: self.started.unwrap_or(now),
-            ..Customer::new(plan, width, phase)
+            opening_balance: plan.burst
+                - plan.rate * before_start
+                - self.remote_usage.owed(customer, window as i64, plan),
+            ceiling_tokens: -plan.ceiling_tolerance / gateway_count,
+            ceiling_tokens_at: self.started_at.unwrap_or(now),
+            ..Customer::new(plan_index, gateway_count, offset)
         });
-        c.asked.add(now, units, ASKED_S);
-        c.seen = now;
-        (c.plan, c.width) = (plan, c.width.max(width));
-        self.turn(customer);
-        self.look_up(customer, units);
-        if limited && units > max_cost {
+        c.demand.add(now, units, DEMAND_SECS);
+        c.last_request_at = now;
+        (c.plan, c.gateway_count) = (plan_index, c.gateway_count.max(gateway_count));
+        self.roll_window(customer);
+        self.merge_remote_usage(customer, units);
+        if has_quota && units > max_cost {
             return Err(0.0);
         }
-        let room = self.ceiling_takes(customer, units, false) && self.open_fits(customer, units);
-        let fits = self.quota_fits(customer, units);
-        r.chance = fits.err().unwrap_or(1.0);
-        let soon = r.deadline - now < 2.0 * self.s.counter_timeout.as_secs_f64();
-        let inside = room && fits.unwrap_or(soon && self.rng.f64() < r.chance);
-        let may = inside || self.spare(plan) && self.ceiling_takes(customer, units, false);
-        if room && fits.is_err() && !soon {
-            // Asked first: held for one answer of the counter, which always comes; then served or refused.
-            self.requests.insert(id.clone(), r);
-            self.book(customer, units);
-            self.sync(customer, Some((id.clone(), units)), to);
+        let has_room =
+            self.fits_ceiling(customer, units, false) && self.fits_concurrency_limit(customer, units);
+        let quota = self.fits_quota(customer, units);
+        request.admit_probability = quota.err().unwrap_or(1.0);
+        let is_urgent = request.deadline - now < 2.0 * self.settings.counter_timeout.as_secs_f64();
+        let fits = has_room && quota.unwrap_or(is_urgent && self.rng.f64() < request.admit_probability);
+        let is_admitted = fits || self.admits_excess(plan_index) && self.fits_ceiling(customer, units, false);
+        if has_room && quota.is_err() && !is_urgent {
+            // The request is held until the call to the counter ends, which it always does.
+            self.requests.insert(id.clone(), request);
+            self.add_unsynced(customer, units);
+            self.sync_units(customer, Some((id.clone(), units)), actions);
             return Ok(());
         }
-        if !may {
-            self.flush_syncs(customer, to);
-            let (p, c) = (&self.s.plans[plan], self.customers.get(customer).filter(|_| limited));
-            return Err(c.map_or(0.0, |c| (c.spent() + units - c.limit(p, now)) / p.rate));
+        if !is_admitted {
+            self.send_due_syncs(customer, actions);
+            let plan = &self.settings.plans[plan_index];
+            let c = self.customers.get(customer).filter(|_| has_quota);
+            return Err(c.map_or(0.0, |c| (c.spent() + units - c.limit(plan, now)) / plan.rate));
         }
-        r.settled = !inside; // beyond the quota nothing is drawn, so nothing is settled
-        self.requests.insert(id.clone(), r);
-        self.proceed(id, to)?;
-        self.charge(customer, if inside { units } else { 0.0 });
-        self.flush_syncs(customer, to);
+        // A request beyond the quota is not charged, so its actual units need not be settled.
+        request.is_settled = !fits;
+        self.requests.insert(id.clone(), request);
+        self.dispatch(id, actions)?;
+        self.charge(customer, if fits { units } else { 0.0 });
+        self.send_due_syncs(customer, actions);
         Ok(())
     }
 }
--- a/src/gateway/window.rs
+++ b/src/gateway/window.rs
@@ -1,265 +1,341 @@
-//! The quota: each request is charged its cost against its customer's global window total, which is told to
-//! the counter and read from it. It must never decide where a request goes.
+//! The quota: each request is charged its cost against its customer's window, whose total over all gateways is kept by
+//! the quota counter. This module never chooses hosts.
+
 use crate::gateway::interface::*;
 use crate::gateway::rules::Actions;
 use crate::gateway::state::*;
 use crate::quota::share::QuotaLimits;
 use crate::quota::{CallOutcome, CustomerWindow, LateTotal, Verdict, WindowSpan};
 
-const SYNC_PART: f64 = 0.25; // sync after this part of the time that the rest lasts: dense near the limit
-const SYNCS_A_WINDOW: f64 = 4.0; // several syncs a window, at the least...
-const SYNC_MIN: f64 = 0.02; // ...but no closer: within a few round trips a total tells nothing new
-const SOON_PART: f64 = 0.5; // past this part of its share a first total is wanted at once
-const STALE_PART: f64 = 0.34; // a total older than this part of a window says too little of the others
-const PACE_LEAST: f64 = 20.0; // calls a second over all gateways while the counter fails: it always drains...
-pub(super) const PACE_FIRST: f64 = 500.0; // ...before anything is known of it...
-const PACE_MOST: f64 = 4000.0; // ...and at the most
-const PACE_UP: f64 = 0.3; // an answer in time adds so many calls a second...
-const PACE_GROW: f64 = 0.04; // ...but no more than this part of the pace, where answers are few
-const PACE_MISS: f64 = 0.15; // share of calls late, lost or turned away, about the last ten, past which...
-const PACE_CUT: f64 = 0.7; // ...the pace is cut to this part...
-const PACE_CUT_S: f64 = 0.1; // ...once in so long
-const UNTOLD_MOST: f64 = 10.0; // told charges stand for so many untold ones at the most
-const SHARE_GAIN: (f64, f64) = (1.44, 0.3); // shares: the first over second and cost beyond
-const ROOM_LEAST: f64 = 0.25; // where no total tells, requests are drawn from so far beyond the guessed room
-pub(super) const ASKED_S: f64 = 20.0; // time constant of what a customer asks at this gateway
-const OVERDUE: f64 = 0.1; // ...and so does one whose next sync the pace holds back for this long
-pub(super) const OPEN_TELL: f64 = 0.04; // attempts shorter than this are not worth a call
-pub(super) const OPEN_WINDOW: f64 = 4.0; // attempts out are re-stated this often: what the dead left goes
-pub(super) const FLOW_S: f64 = 1.5; // time constant of the rates of work sent and done
+/// A customer is synced after this fraction of the time in which it would spend the rest of its quota, so that syncs
+/// are dense near the limit.
+const SYNC_TIME_FRACTION: f64 = 0.25;
+/// Syncs per window and customer, at the least.
+const MIN_SYNCS_PER_WINDOW: f64 = 4.0;
+/// Interval between syncs of a customer in seconds, at the least. Within a few round trips the total hardly changes.
+const MIN_SYNC_INTERVAL_SECS: f64 = 0.02;
+/// A customer without a total is synced at once when it has spent this fraction of its share.
+const FIRST_SYNC_SHARE: f64 = 0.5;
+/// A total is stale after this fraction of the window, because other gateways have spent too much since.
+const STALE_TOTAL_FRACTION: f64 = 0.34;
+/// A total is also stale if the call rate delays the customer's next sync by more than this, in seconds.
+const MAX_SYNC_DELAY_SECS: f64 = 0.1;
+/// Calls per second over all gateways while the counter fails, so that charges are still reported at some time.
+const MIN_CALL_RATE: f64 = 20.0;
+/// Calls per second over all gateways before anything is known of the counter's capacity.
+pub(super) const INITIAL_CALL_RATE: f64 = 500.0;
+/// Calls per second over all gateways, at the most.
+const MAX_CALL_RATE: f64 = 4000.0;
+/// An answer in time raises the call rate by this many calls per second (additive increase).
+const CALL_RATE_INCREMENT: f64 = 0.3;
+/// Bound on that increase as a fraction of the call rate; it applies at low rates, where answers are few.
+const MAX_CALL_RATE_GROWTH: f64 = 0.04;
+/// The call rate is cut when more than this fraction of the last ten or so calls was late, lost or rejected.
+const MAX_MISS_RATIO: f64 = 0.15;
+/// Factor by which the call rate is cut (multiplicative decrease).
+const CALL_RATE_CUT: f64 = 0.7;
+/// Interval between cuts of the call rate in seconds, at the least. It is also the burst of the call rate's bucket.
+const CALL_RATE_CUT_INTERVAL_SECS: f64 = 0.1;
+/// Units that are sent to the counter are scaled by at most this factor to make up for units that are not sent.
+const MAX_REPORT_FACTOR: f64 = 10.0;
+/// Numerator of the factor on the admission probability where no total is known.
+const ADMIT_GAIN: f64 = 1.44;
+/// Added to a plan's excess cost in the denominator of that factor: plans whose excess is costly admit less.
+const ADMIT_COST_OFFSET: f64 = 0.3;
+/// Where no total is known, requests are admitted at random until the estimated usage exceeds the limit by this
+/// fraction of the burst.
+const ADMIT_MARGIN: f64 = 0.25;
+/// Time constant of a customer's demand at this gateway, in seconds.
+pub(super) const DEMAND_SECS: f64 = 20.0;
+/// Delay after which a change of the attempts in flight is reported, in seconds. Shorter attempts do not justify a call.
+pub(super) const CONCURRENCY_SYNC_SECS: f64 = 0.04;
+/// Window of the concurrency counter in seconds. Each window starts at zero, which removes the attempts of gateways
+/// that were killed.
+pub(super) const CONCURRENCY_WINDOW_SECS: f64 = 4.0;
+/// Time constant of the rates of work sent and of calls wanted, in seconds.
+pub(super) const WORK_RATE_SECS: f64 = 1.5;
 
 impl Customer {
-    /// What the rate adds by now in this window.
-    pub(super) fn added(&self, plan: &Plan, now: f64) -> f64 {
-        plan.rate * self.elapsed(plan, now)
+    /// Units that the rate has added since the window began.
+    pub(super) fn refilled(&self, plan: &Plan, now: f64) -> f64 {
+        plan.rate * self.window_elapsed(plan, now)
     }
 
-    /// What may be spent in this window by now: what was left at its start and what the rate added, and never
-    /// more than the burst on top of what is spent.
+    /// Units that may be spent in the window by now: the opening balance and what the rate has added, but never more
+    /// than the burst beyond what is spent.
     pub(super) fn limit(&self, plan: &Plan, now: f64) -> f64 {
-        (self.store + self.added(plan, now)).min(self.spent() + plan.burst)
+        (self.opening_balance + self.refilled(plan, now)).min(self.spent() + plan.burst)
     }
 }
 
 impl Gateway {
-    /// Window length: about burst over rate, the same at every gateway.
-    pub(crate) fn window_s(plan: &Plan) -> f64 {
+    /// Window length in seconds: about burst over rate, identical at every gateway.
+    pub(crate) fn window_secs(plan: &Plan) -> f64 {
         (plan.burst / plan.rate).clamp(0.5, 20.0)
     }
 
-    /// Turns to the window of now; a new one restarts total and charges at nought. Windows are aligned on the
-    /// clock, shifted by the customer's name: the heaviest do not all start at once.
-    pub(super) fn turn(&mut self, id: &CustomerId) {
+    /// Moves a customer to the current windows of its quota and of its concurrency limit. A new window starts without
+    /// total and charges. Windows are aligned to the clock and shifted by the hash of the customer's name, so that they
+    /// do not all begin at once.
+    pub(super) fn roll_window(&mut self, id: &CustomerId) {
         let now = self.now;
         let Some(c) = self.customers.get_mut(id) else { return };
-        let plan = &self.s.plans[c.plan];
-        let window = (now / Self::window_s(plan) + c.phase).floor() as i64;
+        let plan = &self.settings.plans[c.plan];
+        let window = (now / Self::window_secs(plan) + c.window_offset).floor() as i64;
         if plan.rate > 0.0 && window != c.window {
-            // Carry: what the last window took beyond the rate is owed, what it left is there to spend,
-            // as in the store that the quota is. No total known: as if every gateway were asked alike.
-            let turns = (window - c.window).clamp(1, 1000) as f64 * Self::window_s(plan);
-            let told = c.told_at > (now - turns).max(c.seen - 0.5 * turns);
-            let known = c.total.is_some() && told || self.elsewhere.fresh >= 1.0;
-            let guess = c.guess(plan, c.own.min(c.asked.rate(now, ASKED_S) * turns), turns, now);
-            let length = Self::window_s(plan);
-            match known {
-                true => c.share.learn_window(length, turns / length - 1.0, c.own, c.spent()),
-                false => c.share.decay(turns / self.guard.settings().share_decay_secs),
+            // The new window starts with what the old one left or owes, as in the token bucket that the quota
+            // describes. Without a known total, usage is estimated as if all gateways had the same demand.
+            let span = (window - c.window).clamp(1, 1000) as f64 * Self::window_secs(plan);
+            let is_recent = c.total_at > (now - span).max(c.last_request_at - 0.5 * span);
+            let is_known = c.total.is_some() && is_recent || self.remote_usage.fresh_fraction >= 1.0;
+            let own = c.own_units.min(c.demand.rate(now, DEMAND_SECS) * span);
+            let estimate = c.estimate_spent(plan, own, span, now);
+            let length = Self::window_secs(plan);
+            match is_known {
+                true => c.quota_share.learn_window(length, span / length - 1.0, c.own_units, c.spent()),
+                false => c.quota_share.decay(span / self.guard.settings().share_decay_secs),
             }
-            let used = c.share.light_use(now, plan.rate).filter(|_| self.misses < PACE_MISS);
-            let span = WindowSpan { start: (c.window as f64 - c.phase) * length, length_secs: length };
-            self.guard.window_finished(now, || count_name('q', id, c.window), span, used);
-            let spent = if known { c.spent() } else { c.spent().max(guess) };
-            // What a silent counter was not told says nothing of how much the pace leaves out.
-            self.untold.add(now, c.unsynced.max(0.0) * (1.0 - self.misses), ASKED_S);
-            let left = c.store + plan.rate * turns - spent;
-            c.earlier = if window == c.window + 1 { (spent - c.own).max(0.0) } else { 0.0 };
-            c.earlier += (left - plan.burst).clamp(0.0, plan.rate * length); // what went over the brim
-            c.store = left.clamp(-plan.burst, plan.burst);
+            let used = c.quota_share.light_use(now, plan.rate).filter(|_| self.miss_ratio < MAX_MISS_RATIO);
+            let window_span =
+                WindowSpan { start: (c.window as f64 - c.window_offset) * length, length_secs: length };
+            self.guard.window_finished(now, || counter_key('q', id, c.window), window_span, used);
+            let spent = if is_known { c.spent() } else { c.spent().max(estimate) };
+            // Units that were not sent because the counter fails are left out by the miss ratio: they do not show how
+            // much the call rate leaves out.
+            self.unreported_rate.add(now, c.unsynced_units.max(0.0) * (1.0 - self.miss_ratio), DEMAND_SECS);
+            let left = c.opening_balance + plan.rate * span - spent;
+            c.previous_remote_units =
+                if window == c.window + 1 { (spent - c.own_units).max(0.0) } else { 0.0 };
+            // Late charges to the old window first use up what exceeded the burst.
+            c.previous_remote_units += (left - plan.burst).clamp(0.0, plan.rate * length);
+            c.opening_balance = left.clamp(-plan.burst, plan.burst);
             (c.window, c.total, c.sync_at) = (window, None, f64::INFINITY);
-            (c.unsynced, c.calling, c.own, c.elsewhere, c.former) = (0.0, 0.0, 0.0, 0.0, 0.0);
+            (c.unsynced_units, c.calling_units, c.own_units) = (0.0, 0.0, 0.0);
+            (c.remote_units, c.predecessor_units) = (0.0, 0.0);
         }
-        let open_window = (now / OPEN_WINDOW + c.phase).floor() as i64;
-        if open_window != c.open_window {
-            // Re-state the attempts out: what a killed gateway left in the old count is gone with it.
-            (c.open_window, c.open_told) = (open_window, 0.0);
-            c.open_at = if c.out > 0.0 { now } else { c.open_at };
+        let concurrency_window = (now / CONCURRENCY_WINDOW_SECS + c.window_offset).floor() as i64;
+        if concurrency_window != c.concurrency_window {
+            // All attempts in flight are reported again. Those of a killed gateway remain in the old counter entry.
+            (c.concurrency_window, c.reported_in_flight) = (concurrency_window, 0.0);
+            c.concurrency_sync_at = if c.in_flight > 0.0 { now } else { c.concurrency_sync_at };
         }
     }
 
-    /// Does a cost fit the window? Total, charges and cost within the limit; where the total is missing or
-    /// stale (first sync, a silent or slow counter) the gateway's own charges within its share as well.
-    /// `Err`: to be asked of the counter first, with the chance where it does not answer.
-    pub(super) fn quota_fits(&mut self, id: &CustomerId, cost: f64) -> Result<bool, f64> {
+    /// Whether a cost fits the quota: total, charges and cost must be within the limit. If the total is missing or
+    /// stale (first sync, slow or failing counter), this gateway's own charges must also be within its share.
+    ///
+    /// `Err`: the counter must be asked first; the value is the admission probability if it does not answer.
+    pub(super) fn fits_quota(&mut self, id: &CustomerId, cost: f64) -> Result<bool, f64> {
         let now = self.now;
         let Some(c) = self.customers.get_mut(id) else { return Ok(false) };
-        let plan = &self.s.plans[c.plan];
+        let plan = &self.settings.plans[c.plan];
         if plan.rate <= 0.0 {
             return Ok(true);
         }
-        let recent = now - c.told_at <= STALE_PART * Self::window_s(plan);
-        let trust = self.guard.has_fault() && self.guard.lacks_total(&count_name('q', id, c.window));
-        let fresh = c.total.is_some() && recent && now - c.sync_at <= OVERDUE && !trust;
+        let is_recent = now - c.total_at <= STALE_TOTAL_FRACTION * Self::window_secs(plan);
+        let lacks_total = self.guard.has_fault() && self.guard.lacks_total(&counter_key('q', id, c.window));
+        let is_fresh =
+            c.total.is_some() && is_recent && now - c.sync_at <= MAX_SYNC_DELAY_SECS && !lacks_total;
         let limit = c.limit(plan, now);
-        let mut wanted = false;
-        if fresh {
-            c.store += (limit - c.store - c.added(plan, now)).min(0.0); // a full store gains nothing
-        } else if c.calling == 0.0 {
-            wanted = c.sync_at == f64::INFINITY;
-            c.sync_at = c.sync_at.min(c.called_at + 4.0 * SYNC_MIN);
+        let mut needs_sync = false;
+        if is_fresh {
+            // A full token bucket gains nothing: what the rate adds beyond the burst is lost.
+            c.opening_balance += (limit - c.opening_balance - c.refilled(plan, now)).min(0.0);
+        } else if c.calling_units == 0.0 {
+            needs_sync = c.sync_at == f64::INFINITY;
+            c.sync_at = c.sync_at.min(c.last_sync_at + 4.0 * MIN_SYNC_INTERVAL_SECS);
         }
         let fits = c.spent() + cost <= limit;
-        // No fresh total: its share, and past it at random, by the room that is guessed to be left.
-        let share = limit.max(0.0) * c.part(plan);
-        let gain = SHARE_GAIN.0 / (SHARE_GAIN.1 + plan.excess_cost_fraction);
-        let room = limit - c.guess(plan, c.own, c.elapsed(plan, now), now).max(c.spent()) - cost;
-        let even = gain * (ROOM_LEAST + room / plan.burst.max(1e-9));
-        let drawn = fits && !fresh && c.own + cost > share;
-        let believed = c.share.meter_confidence(now);
-        let below = share < cost.max(self.s.max_units);
-        // No total to be had, or none to go by: fresh copies stand in, else what may be beyond is held back.
+        // Without a fresh total the share is admitted, and beyond it a random part by the estimated remainder.
+        let share = limit.max(0.0) * c.quota_fraction(plan);
+        let gain = ADMIT_GAIN / (ADMIT_COST_OFFSET + plan.excess_cost_fraction);
+        let estimate = c.estimate_spent(plan, c.own_units, c.window_elapsed(plan, now), now);
+        let remainder = limit - estimate.max(c.spent()) - cost;
+        let probability = gain * (ADMIT_MARGIN + remainder / plan.burst.max(1e-9));
+        let exceeds_share = fits && !is_fresh && c.own_units + cost > share;
+        let meter_confidence = c.quota_share.meter_confidence(now);
+        let is_share_small = share < cost.max(self.settings.max_units);
+        // If the counter has no usable total, fresh replicas replace it; otherwise the customer is limited to its
+        // allowance.
         let limits = QuotaLimits { rate: plan.rate, burst: plan.burst };
-        let (top, asked) = (self.s.max_units, c.asked.rate(now, ASKED_S));
-        let held = trust && c.share.is_limited_to_allowance(now, asked, limits, c.width, top);
-        let shared = if trust { self.elsewhere.part(c.width) } else { 0.0 };
-        if fresh {
-            c.share.reset_allowance(now);
-        } else if shared >= 1.0 || held && shared > 0.0 {
-            c.share.reset_allowance(now);
-            return Ok(limit * shared - c.spent() >= cost * (self.rng.f64() * c.width).max(1.0));
-        } else if held {
-            let since = self.started.unwrap_or(now);
-            return Ok(fits && cost <= c.share.allowance(now, limits, c.width, top, since));
+        let (max_units, demand) = (self.settings.max_units, c.demand.rate(now, DEMAND_SECS));
+        let is_limited = lacks_total
+            && c.quota_share.is_limited_to_allowance(now, demand, limits, c.gateway_count, max_units);
+        let replicated = if lacks_total { self.remote_usage.quota_fraction(c.gateway_count) } else { 0.0 };
+        if is_fresh {
+            c.quota_share.reset_allowance(now);
+        } else if replicated >= 1.0 || is_limited && replicated > 0.0 {
+            c.quota_share.reset_allowance(now);
+            // The last units are admitted at random, because all gateways see them at once.
+            return Ok(limit * replicated - c.spent() >= cost * (self.rng.f64() * c.gateway_count).max(1.0));
+        } else if is_limited {
+            let since = self.started_at.unwrap_or(now);
+            let allowance = c.quota_share.allowance(now, limits, c.gateway_count, max_units, since);
+            return Ok(fits && cost <= allowance);
         }
-        let ask = drawn && below && (even < 1.0 || believed < 0.5) && self.s.uses_counter;
-        let ask = ask && self.guard.next_call_at(&count_name('q', id, c.window)) <= now;
-        let ask = ask && self.draw_call() && self.may_call();
-        let chance = if below { even } else { believed * even };
-        let fits = ask || fits && (!drawn || self.rng.f64() < chance);
-        if ask || wanted && !self.draw_call() {
+        let ask = exceeds_share
+            && is_share_small
+            && (probability < 1.0 || meter_confidence < 0.5)
+            && self.settings.uses_counter;
+        let ask = ask && self.guard.next_call_at(&counter_key('q', id, c.window)) <= now;
+        let ask = ask && self.draw_call() && self.take_call_token();
+        let admit_probability = if is_share_small { probability } else { meter_confidence * probability };
+        let fits = ask || fits && (!exceeds_share || self.rng.f64() < admit_probability);
+        if ask || needs_sync && !self.draw_call() {
             self.customers.entry(id.clone()).and_modify(|c| c.sync_at = f64::INFINITY);
         }
-        Some(fits).filter(|_| !ask).ok_or(even)
+        Some(fits).filter(|_| !ask).ok_or(probability)
     }
 
-    /// Books units of this gateway in the window and sets when to tell.
+    /// Charges units to the customer's window and schedules the next sync.
     pub(super) fn charge(&mut self, id: &CustomerId, units: f64) {
         let (now, jitter) = (self.now, 0.8 + 0.4 * self.rng.f64());
         let Some(c) = self.customers.get_mut(id) else { return };
-        let plan = &self.s.plans[c.plan];
+        let plan = &self.settings.plans[c.plan];
         if plan.rate <= 0.0 || units == 0.0 {
             return;
         }
-        c.unsynced += units;
-        c.own = (c.own + units).max(0.0);
-        c.share.spend_allowance(units);
-        let known = c.total.is_some() && now - c.told_at <= STALE_PART * Self::window_s(plan);
-        self.guard.record_admitted(|| count_name('q', id, c.window), units, known);
-        let window = Self::window_s(plan);
-        let elapsed = c.elapsed(plan, now).max(0.05);
+        c.unsynced_units += units;
+        c.own_units = (c.own_units + units).max(0.0);
+        c.quota_share.spend_allowance(units);
+        let is_known =
+            c.total.is_some() && now - c.total_at <= STALE_TOTAL_FRACTION * Self::window_secs(plan);
+        self.guard.record_admitted(|| counter_key('q', id, c.window), units, is_known);
+        let window = Self::window_secs(plan);
+        let elapsed = c.window_elapsed(plan, now).max(0.05);
         let (limit, spent) = (c.limit(plan, now), c.spent());
-        let speed = (spent / elapsed).max(plan.rate);
-        let rest = (SYNC_PART * (limit - spent).max(0.0) / speed).clamp(SYNC_MIN, window / SYNCS_A_WINDOW);
-        let soon = c.total.is_none() && c.own > SOON_PART * limit * c.part(plan);
-        let wait = if soon { 0.0 } else { rest * jitter };
+        let spending_rate = (spent / elapsed).max(plan.rate);
+        let interval = (SYNC_TIME_FRACTION * (limit - spent).max(0.0) / spending_rate)
+            .clamp(MIN_SYNC_INTERVAL_SECS, window / MIN_SYNCS_PER_WINDOW);
+        let is_urgent = c.total.is_none() && c.own_units > FIRST_SYNC_SHARE * limit * c.quota_fraction(plan);
+        let delay = if is_urgent { 0.0 } else { interval * jitter };
         if c.sync_at == f64::INFINITY && !self.draw_call() {
             return;
         }
-        self.customers.entry(id.clone()).and_modify(|c| c.sync_at = c.sync_at.min(now + wait));
+        self.customers.entry(id.clone()).and_modify(|c| c.sync_at = c.sync_at.min(now + delay));
     }
 
-    /// May one more customer be due? Drawn, where more calls are wanted than the pace allows: what
-    /// is not told when its window ends is made up for by `untold`.
+    /// Whether one more call may be scheduled: at random, if more calls are wanted than the call rate allows. Charges
+    /// that are not reported before their window ends are made up for through `unreported_rate`.
     pub(super) fn draw_call(&mut self) -> bool {
-        self.wants.add(self.now, 1.0, FLOW_S);
-        self.rng.f64() * self.wants.rate(self.now, FLOW_S) < self.pace
+        self.call_demand.add(self.now, 1.0, WORK_RATE_SECS);
+        self.rng.f64() * self.call_demand.rate(self.now, WORK_RATE_SECS) < self.call_rate
     }
 
-    /// Adds this gateway's charges and reads the total.
-    pub(super) fn sync(&mut self, id: &CustomerId, asks: Option<(RequestId, f64)>, actions: &mut Actions) {
+    /// Sends a customer's unsynced charges to the counter and requests the total. `held_request` is decided by the
+    /// answer.
+    pub(super) fn sync_units(
+        &mut self,
+        id: &CustomerId,
+        held_request: Option<(RequestId, f64)>,
+        actions: &mut Actions,
+    ) {
         let Some(c) = self.customers.get_mut(id) else { return };
-        let window = Self::window_s(&self.s.plans[c.plan]);
-        (c.sync_at, c.called_at) = (f64::INFINITY, self.now);
-        let amount = std::mem::take(&mut c.unsynced);
-        c.calling += amount;
-        self.told.add(self.now, amount.max(0.0), ASKED_S);
-        // Told for those whose turn did not come, too: totals keep the right mean at any pace.
-        let untold = self.untold.rate(self.now, ASKED_S) / self.told.rate(self.now, ASKED_S).max(1e-9);
-        let amount = amount * (1.0 + untold).min(UNTOLD_MOST);
-        let name = count_name('q', id, c.window);
-        let of = CustomerWindow { customer: id.clone(), window: c.window };
-        let told = self.guard.call_sent(self.now, &name, of, amount, 2.0 * window + 1.0);
-        let call = Call { customer: id.clone(), window: c.window, amount, open: false, asks };
-        self.call(name, call, told, window, actions);
+        let window = Self::window_secs(&self.settings.plans[c.plan]);
+        (c.sync_at, c.last_sync_at) = (f64::INFINITY, self.now);
+        let amount = std::mem::take(&mut c.unsynced_units);
+        c.calling_units += amount;
+        self.reported_rate.add(self.now, amount.max(0.0), DEMAND_SECS);
+        // The amount also stands for charges that are never sent, so that totals have the right mean at any call rate.
+        let unreported = self.unreported_rate.rate(self.now, DEMAND_SECS)
+            / self.reported_rate.rate(self.now, DEMAND_SECS).max(1e-9);
+        let amount = amount * (1.0 + unreported).min(MAX_REPORT_FACTOR);
+        let name = counter_key('q', id, c.window);
+        let customer_window = CustomerWindow { customer: id.clone(), window: c.window };
+        let amount_sent = self.guard.call_sent(self.now, &name, customer_window, amount, 2.0 * window + 1.0);
+        let call = PendingCall {
+            customer: id.clone(),
+            window: c.window,
+            amount,
+            is_concurrency: false,
+            held_request,
+        };
+        self.send_call(name, call, amount_sent, window, actions);
     }
 
-    /// An answer of the counter. What may have been added is dropped, what was not is told again later.
-    /// Silence and being turned away cut the pace of calls, as does an answer after half of the allowed wait.
-    pub(super) fn counted(
+    /// Handles the end of a call to the counter. An amount that may have been added is dropped; one that was certainly
+    /// not added is sent again later. Calls that are lost, rejected or answered after half of their timeout cut the
+    /// call rate.
+    ///
+    /// Returns the call and whether its total is usable.
+    pub(super) fn on_counter_reply(
         &mut self,
         name: CounterKey,
         ending: Ending,
         total: f64,
-        delay: f64,
-    ) -> Option<(Call, bool)> {
-        let queue = self.calls.get_mut(&name)?;
-        let told = queue.pop_front()?;
+        elapsed: f64,
+    ) -> Option<(PendingCall, bool)> {
+        let queue = self.pending_calls.get_mut(&name)?;
+        let call = queue.pop_front()?;
         if queue.is_empty() {
-            self.calls.remove(&name);
+            self.pending_calls.remove(&name);
         }
-        let ok = ending == Ending::Ok && total.is_finite();
-        let (now, replicas) = (self.now, f64::from(self.s.replicas));
-        let wait = self.s.counter_timeout.as_secs_f64();
-        let late = delay > 0.5 * wait;
-        let verdict = match told.open {
+        let is_ok = ending == Ending::Ok && total.is_finite();
+        let (now, replicas) = (self.now, f64::from(self.settings.replicas));
+        let timeout = self.settings.counter_timeout.as_secs_f64();
+        let is_late = elapsed > 0.5 * timeout;
+        let verdict = match call.is_concurrency {
             true => Verdict::Withheld,
             false => {
-                let outcome = CallOutcome { ending, total, timeout_fraction: delay / wait };
-                self.guard.call_finished(now, &name, told.amount, outcome)
+                let outcome = CallOutcome { ending, total, timeout_fraction: elapsed / timeout };
+                self.guard.call_finished(now, &name, call.amount, outcome)
             }
         };
-        // A broken call or a spoilt answer says nothing of what the counter takes, nor does one lone silence.
-        let spoilt =
+        // A reset connection or an invalid answer does not indicate overload, nor does a single timeout of a counter
+        // that otherwise answers promptly.
+        let is_unrelated =
             ending == Ending::Reset || (ending == Ending::Timeout && self.guard.answers_promptly(now));
-        self.misses += 0.1 * (f64::from(u8::from(!ok || late)) - self.misses) * f64::from(u8::from(!spoilt));
-        if ok && !late {
-            self.answered = true;
-            // Slow start up to where calls last began to fail, then step by step while more are wanted.
-            let factor = if self.pace < self.pace_goal { 1.0 } else { PACE_GROW.min(PACE_UP / self.pace) };
-            self.pace = (self.pace * (1.0 + factor)).min(PACE_MOST / replicas);
-        } else if !spoilt && self.misses > PACE_MISS && now - self.cut_at > PACE_CUT_S {
-            // A counter that answers some calls takes fewer; one that answers none tells nothing.
-            if std::mem::take(&mut self.answered) {
-                self.pace_goal = self.pace * PACE_CUT;
+        self.miss_ratio += 0.1
+            * (f64::from(u8::from(!is_ok || is_late)) - self.miss_ratio)
+            * f64::from(u8::from(!is_unrelated));
+        if is_ok && !is_late {
+            self.was_answered_since_cut = true;
+            // Slow start up to the rate at which calls last began to fail, then additive increase.
+            let growth = match self.call_rate < self.call_rate_threshold {
+                true => 1.0,
+                false => MAX_CALL_RATE_GROWTH.min(CALL_RATE_INCREMENT / self.call_rate),
+            };
+            self.call_rate = (self.call_rate * (1.0 + growth)).min(MAX_CALL_RATE / replicas);
+        } else if !is_unrelated
+            && self.miss_ratio > MAX_MISS_RATIO
+            && now - self.call_rate_cut_at > CALL_RATE_CUT_INTERVAL_SECS
+        {
+            // The threshold follows only a counter that answered some calls: one that answers none shows no capacity.
+            if std::mem::take(&mut self.was_answered_since_cut) {
+                self.call_rate_threshold = self.call_rate * CALL_RATE_CUT;
             }
-            (self.pace, self.cut_at) = ((self.pace * PACE_CUT).max(PACE_LEAST / replicas), now);
+            self.call_rate = (self.call_rate * CALL_RATE_CUT).max(MIN_CALL_RATE / replicas);
+            self.call_rate_cut_at = now;
         }
-        let c = self.customers.get_mut(&told.customer)?;
-        if told.open {
-            c.open_calling = false;
-            if told.window == c.open_window && ok {
-                (c.others, c.others_at) = ((total - c.open_told).max(0.0), now);
-            } else if told.window == c.open_window && ending.never_ran() {
-                c.open_told -= told.amount;
-                c.open_at = now + OPEN_TELL;
+        let c = self.customers.get_mut(&call.customer)?;
+        if call.is_concurrency {
+            c.is_concurrency_calling = false;
+            if call.window == c.concurrency_window && is_ok {
+                (c.remote_in_flight, c.remote_in_flight_at) = ((total - c.reported_in_flight).max(0.0), now);
+            } else if call.window == c.concurrency_window && ending.never_ran() {
+                c.reported_in_flight -= call.amount;
+                c.concurrency_sync_at = now + CONCURRENCY_SYNC_SECS;
             }
         }
-        if told.open || told.window != c.window {
-            return Some((told, false));
+        if call.is_concurrency || call.window != c.window {
+            return Some((call, false));
         }
-        c.calling = (c.calling - told.amount).max(0.0);
+        c.calling_units = (c.calling_units - call.amount).max(0.0);
         match verdict {
-            Verdict::Total(total) => (c.total, c.told_at) = (Some(total), now),
-            Verdict::NotAdded => c.unsynced += told.amount,
+            Verdict::Total(total) => (c.total, c.total_at) = (Some(total), now),
+            Verdict::NotAdded => c.unsynced_units += call.amount,
             Verdict::Withheld | Verdict::Undetermined => {}
         }
-        let again = if ok && !self.guard.wants_call(&name) { f64::INFINITY } else { now + 4.0 * SYNC_MIN };
-        c.sync_at = c.sync_at.min(again);
-        Some((told, matches!(verdict, Verdict::Total(_))))
+        let sync_at = match is_ok && !self.guard.wants_call(&name) {
+            true => f64::INFINITY,
+            false => now + 4.0 * MIN_SYNC_INTERVAL_SECS,
+        };
+        c.sync_at = c.sync_at.min(sync_at);
+        Some((call, matches!(verdict, Verdict::Total(_))))
     }
 
-    /// A call that was given up was answered after all: what it proves is the least that is spent.
-    pub(super) fn counted_late(&mut self, name: CounterKey, total: f64, delay: f64) {
+    /// Handles the answer to a call that had timed out: its total is a lower bound on what is spent.
+    pub(super) fn on_late_counter_reply(&mut self, name: CounterKey, total: f64, elapsed: f64) {
         let now = self.now;
         let Some(LateTotal { customer_window, min_spent }) = self.guard.late_answer(now, &name, total) else {
             return;
@@ -270,31 +346,34 @@
             return;
         };
         c.total = Some(c.total.map_or(min_spent, |t| t.max(min_spent)));
-        c.told_at = c.told_at.max(now - delay);
+        c.total_at = c.total_at.max(now - elapsed);
     }
 
-    /// The pace of calls to the counter, whose capacity is told nowhere: a token bucket, its rate found by
-    /// additive increase and multiplicative decrease. What must wait is told with the next call.
-    pub(super) fn may_call(&mut self) -> bool {
-        let (level, at) = self.allowance;
-        let level = (level + self.pace * (self.now - at)).min(1.0 + self.pace * PACE_CUT_S);
-        let may = level >= 1.0;
-        self.allowance = (level - f64::from(u8::from(may)), self.now);
-        may
+    /// Takes a token for a call to the counter, if there is one. The counter's capacity is unknown, so the rate of this
+    /// token bucket follows additive increase and multiplicative decrease. Charges that get no token are sent with the
+    /// next call.
+    pub(super) fn take_call_token(&mut self) -> bool {
+        let tokens = self.call_tokens + self.call_rate * (self.now - self.call_tokens_at);
+        let tokens = tokens.min(1.0 + self.call_rate * CALL_RATE_CUT_INTERVAL_SECS);
+        let is_taken = tokens >= 1.0;
+        self.call_tokens = tokens - f64::from(u8::from(is_taken));
+        self.call_tokens_at = self.now;
+        is_taken
     }
 
-    pub(super) fn flush_syncs(&mut self, id: &CustomerId, actions: &mut Actions) {
+    /// Sends the calls of a customer that are due and that the call rate allows, and schedules the next ones.
+    pub(super) fn send_due_syncs(&mut self, id: &CustomerId, actions: &mut Actions) {
         let now = self.now;
-        let Some(c) = self.customers.get_mut(id).filter(|_| self.s.uses_counter) else { return };
+        let Some(c) = self.customers.get_mut(id).filter(|_| self.settings.uses_counter) else { return };
         if c.sync_at <= now {
-            c.sync_at = c.sync_at.max(self.guard.next_call_at(&count_name('q', id, c.window)));
+            c.sync_at = c.sync_at.max(self.guard.next_call_at(&counter_key('q', id, c.window)));
         }
-        let (quota, open) = (c.sync_at <= now, c.open_at <= now);
-        if quota && self.may_call() {
-            self.sync(id, None, actions);
+        let (units_due, concurrency_due) = (c.sync_at <= now, c.concurrency_sync_at <= now);
+        if units_due && self.take_call_token() {
+            self.sync_units(id, None, actions);
         }
-        if open && self.may_call() {
-            self.sync_open(id, actions);
+        if concurrency_due && self.take_call_token() {
+            self.sync_concurrency(id, actions);
         }
         self.schedule(id);
     }
--- a/src/identifiers.rs
+++ b/src/identifiers.rs
@@ -1,21 +1,22 @@
 //! Identifiers of requests, hosts, customers and counter entries, the outcome of an exchange, and the hash that all
 //! gateways share.
 //!
-//! The lowest layer of the crate: it uses no other module. Hash and golden ratio are part of what gateways agree on
-//! without messages (counter names, phases of windows), so neither may change between versions that run side by side.
+//! This is the lowest layer of the crate and uses no other module. Gateways derive counter keys and window offsets from
+//! the hash and the golden ratio without exchanging messages, so neither may change between versions that run side by
+//! side.
 
 use std::borrow::Borrow;
 use std::sync::Arc;
 
 /// The fractional part of the golden ratio. Multiples of it, modulo 1, are spread evenly over [0, 1) whatever their
-/// number (Weyl sequence); used for phases and for jitter without a random number generator.
+/// number (Weyl sequence); used to spread gateways and timers without a random number generator.
 pub const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_894_9;
 
-/// A request, unique at one gateway and never reused.
+/// Identifier of a request, unique at one gateway and never reused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
 
-/// A host of the back end.
+/// Identifier of a host of the back end.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub struct HostId(pub Arc<str>);
@@ -26,7 +27,7 @@
     }
 }
 
-/// A customer. Its quota is shared by all gateways.
+/// Identifier of a customer, whose quota is shared by all gateways.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "adapter", derive(serde::Serialize, serde::Deserialize))]
 pub struct CustomerId(pub Arc<str>);
@@ -37,14 +38,14 @@
     }
 }
 
-/// Name of an entry at the quota counter, usually one customer's window.
+/// Key of an entry at the quota counter, usually of one customer's window.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CounterKey(pub Arc<str>);
 
 /// Outcome of an attempt, a health check or a call to the quota counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Answered.
+    /// A response arrived.
     Ok,
     /// The host answered with an error. The request may have run.
     Error,
@@ -58,19 +59,19 @@
     Reset,
     /// Cancelled by the gateway. The request may have run.
     Cancelled,
-    /// Never sent.
+    /// Nothing was sent.
     NotSent,
 }
 
 impl Ending {
-    /// Whether this outcome proves that the request never ran, so that even one that is not idempotent may be sent
-    /// again.
+    /// Whether this outcome proves that the request never ran, so that even a request that is not idempotent may be
+    /// sent again.
     pub fn never_ran(self) -> bool {
         matches!(self, Ending::Full | Ending::ConnectFailed | Ending::NotSent)
     }
 }
 
-/// The 64-bit FNV-1a hash of the text's bytes: the same at every gateway and in every version.
+/// The 64-bit FNV-1a hash of the text's bytes, identical at every gateway and in every version.
 pub fn fnv1a(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
