--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -39,7 +39,7 @@
             key_origin: may_have_run.map(|a| (a.zone.clone(), a.group)),
             tried: request.attempts.iter().map(|a| a.host.clone()).collect(),
         };
-        let host = if self.may_send(&request) { self.choose_host(requirements) } else { None };
+        let host = if self.may_send(&request) { self.select_host(requirements) } else { None };
         let is_sent = host.is_some();
         if let Some(host) = host {
             let idle_bucket = self.prepare_connection(&host, actions);
--- a/src/gateway/caps.rs
+++ b/src/gateway/caps.rs
@@ -31,28 +31,28 @@
     pub(super) fn fits_concurrency_limit(&mut self, id: &CustomerId, units: f64) -> bool {
         let (now, demand) = (self.now, self.demand(id, units));
         let secs_per_unit = self.mean_secs_per_unit();
-        let Some(c) = self.customers.get_mut(id) else { return false };
-        let plan = &self.settings.plans[c.plan];
+        let Some(customer) = self.customers.get_mut(id) else { return false };
+        let plan = &self.settings.plans[customer.plan];
         let limit = f64::from(plan.max_concurrent);
-        if limit > 0.0 && limit < c.gateway_count {
-            let demand = demand.max(c.burst_demand.rate(now, BURST_DEMAND_SECS));
-            let expected = secs_per_unit * c.gateway_count * demand;
-            c.burst_demand.add(now, units, BURST_DEMAND_SECS);
+        if limit > 0.0 && limit < customer.gateway_count {
+            let demand = demand.max(customer.burst_demand.rate(now, BURST_DEMAND_SECS));
+            let expected = secs_per_unit * customer.gateway_count * demand;
+            customer.burst_demand.add(now, units, BURST_DEMAND_SECS);
             return self.rng.f64() * expected < CONCURRENCY_TARGET * limit
                 || plan.excess_cost_fraction <= 0.0;
         }
-        if limit == 0.0 || now - c.remote_in_flight_at <= CONCURRENCY_FRESH_SECS {
-            return limit == 0.0 || c.in_flight + c.remote_in_flight + 1.0 <= limit;
+        if limit == 0.0 || now - customer.remote_in_flight_at <= CONCURRENCY_FRESH_SECS {
+            return limit == 0.0 || customer.in_flight + customer.remote_in_flight + 1.0 <= limit;
         }
-        c.concurrency_sync_at = c.concurrency_sync_at.min(now);
-        c.in_flight < (limit / c.gateway_count).floor()
+        customer.concurrency_sync_at = customer.concurrency_sync_at.min(now);
+        customer.in_flight < (limit / customer.gateway_count).floor()
     }
 
     /// Recent demand of a customer at this gateway, in units per second. `units`: those of the request that is being
     /// decided, which are part of the demand already.
     pub(super) fn demand(&self, id: &CustomerId, units: f64) -> f64 {
         let age = self.now - self.started_at.unwrap_or(self.now) + DEMAND_AGE_PRIOR_SECS;
-        let rate = self.customers.get(id).map_or(0.0, |c| c.demand.rate(self.now, DEMAND_SECS));
+        let rate = self.customers.get(id).map_or(0.0, |customer| customer.demand.rate(self.now, DEMAND_SECS));
         (rate - (1.0 - OWN_REQUEST_WEIGHT) * units / DEMAND_SECS).max(0.0)
             / (1.0 - (-age / DEMAND_SECS).exp())
     }
@@ -60,16 +60,16 @@
     /// Records that an attempt of a customer starts (`change` 1) or ends (`change` -1), and schedules its report.
     pub(super) fn change_in_flight(&mut self, id: &CustomerId, change: f64) {
         let now = self.now;
-        let Some(c) = self.customers.get_mut(id) else { return };
-        c.in_flight = (c.in_flight + change).max(0.0);
-        let plan = &self.settings.plans[c.plan];
-        if f64::from(plan.max_concurrent) >= c.gateway_count {
+        let Some(customer) = self.customers.get_mut(id) else { return };
+        customer.in_flight = (customer.in_flight + change).max(0.0);
+        let plan = &self.settings.plans[customer.plan];
+        if f64::from(plan.max_concurrent) >= customer.gateway_count {
             // Where an attempt beyond the limit costs nothing, only long attempts justify a call.
             let delay =
                 if plan.excess_cost_fraction > 0.0 { CONCURRENCY_SYNC_SECS } else { CONCURRENCY_FRESH_SECS };
-            let is_outdated = change > 0.0 && now - c.remote_in_flight_at > 2.0 * delay;
+            let is_outdated = change > 0.0 && now - customer.remote_in_flight_at > 2.0 * delay;
             let delay = if is_outdated { delay * 0.05 } else { delay };
-            c.concurrency_sync_at = c.concurrency_sync_at.min(now + delay);
+            customer.concurrency_sync_at = customer.concurrency_sync_at.min(now + delay);
         }
     }
 
@@ -77,22 +77,22 @@
     /// while this gateway is at its share of the limit.
     pub(super) fn sync_concurrency(&mut self, id: &CustomerId, actions: &mut Actions) {
         let now = self.now;
-        let Some(c) = self.customers.get_mut(id) else { return };
-        let amount = c.in_flight - c.reported_in_flight;
-        let limit = f64::from(self.settings.plans[c.plan].max_concurrent);
-        let is_at_share = c.in_flight >= (limit / c.gateway_count).floor();
-        let is_outdated = now - c.remote_in_flight_at > CONCURRENCY_FRESH_SECS / 2.0;
-        if c.is_concurrency_calling || (amount == 0.0 && !(is_at_share && is_outdated)) {
-            c.concurrency_sync_at =
-                if c.is_concurrency_calling { now + CONCURRENCY_SYNC_SECS } else { f64::INFINITY };
+        let Some(customer) = self.customers.get_mut(id) else { return };
+        let amount = customer.in_flight - customer.reported_in_flight;
+        let limit = f64::from(self.settings.plans[customer.plan].max_concurrent);
+        let is_at_share = customer.in_flight >= (limit / customer.gateway_count).floor();
+        let is_outdated = now - customer.remote_in_flight_at > CONCURRENCY_FRESH_SECS / 2.0;
+        if customer.is_concurrency_calling || (amount == 0.0 && !(is_at_share && is_outdated)) {
+            customer.concurrency_sync_at =
+                if customer.is_concurrency_calling { now + CONCURRENCY_SYNC_SECS } else { f64::INFINITY };
             return;
         }
-        (c.reported_in_flight, c.is_concurrency_calling) = (c.in_flight, true);
-        c.concurrency_sync_at = f64::INFINITY;
-        let name = counter_key('o', id, c.concurrency_window);
+        (customer.reported_in_flight, customer.is_concurrency_calling) = (customer.in_flight, true);
+        customer.concurrency_sync_at = f64::INFINITY;
+        let name = counter_key('o', id, customer.concurrency_window);
         let call = PendingCall {
             customer: id.clone(),
-            window: c.concurrency_window,
+            window: customer.concurrency_window,
             amount,
             is_concurrency: true,
             held_request: None,
@@ -106,17 +106,18 @@
     /// because a predecessor that was killed may have spent everything just before.
     pub(crate) fn fits_ceiling(&mut self, id: &CustomerId, units: f64, take: bool) -> bool {
         let now = self.now;
-        let Some(c) = self.customers.get_mut(id) else { return false };
-        let plan = &self.settings.plans[c.plan];
+        let Some(customer) = self.customers.get_mut(id) else { return false };
+        let plan = &self.settings.plans[customer.plan];
         if plan.ceiling_rate <= 0.0 {
             return true;
         }
-        let divisor = c.ceiling_divisor(self.ceiling_floor, now);
-        let refill = plan.ceiling_rate / divisor * (now - c.ceiling_tokens_at);
-        c.ceiling_tokens = (c.ceiling_tokens + refill).min(plan.ceiling_burst / divisor);
-        c.ceiling_tokens_at = now;
-        let fits = c.ceiling_tokens - units >= -plan.ceiling_tolerance / divisor + 1e-6 && !self.is_exported;
-        c.ceiling_tokens -= if fits && take { units } else { 0.0 };
+        let divisor = customer.ceiling_divisor(self.ceiling_floor, now);
+        let refill = plan.ceiling_rate / divisor * (now - customer.ceiling_tokens_at);
+        customer.ceiling_tokens = (customer.ceiling_tokens + refill).min(plan.ceiling_burst / divisor);
+        customer.ceiling_tokens_at = now;
+        let fits =
+            customer.ceiling_tokens - units >= -plan.ceiling_tolerance / divisor + 1e-6 && !self.is_exported;
+        customer.ceiling_tokens -= if fits && take { units } else { 0.0 };
         fits
     }
 }
--- a/src/gateway/ceiling_shares.rs
+++ b/src/gateway/ceiling_shares.rs
@@ -67,17 +67,17 @@
     pub fn assign_ceilings(&mut self, now: f64, shares: Vec<CeilingShare>) {
         self.now = self.now.max(now);
         let (now, floor) = (self.now, self.ceiling_floor);
-        for CeilingShare { customer, share, expires_at } in shares {
+        for CeilingShare { customer: id, share, expires_at } in shares {
             // Refills the token bucket by the share so far.
-            self.fits_ceiling(&customer, 0.0, false);
-            let Some(c) = self.customers.get_mut(&customer) else { continue };
-            let plan = &self.settings.plans[c.plan];
-            let before = 1.0 / c.ceiling_divisor(floor, now);
-            (c.assigned_share, c.assigned_until) =
+            self.fits_ceiling(&id, 0.0, false);
+            let Some(customer) = self.customers.get_mut(&id) else { continue };
+            let plan = &self.settings.plans[customer.plan];
+            let before = 1.0 / customer.ceiling_divisor(floor, now);
+            (customer.assigned_share, customer.assigned_until) =
                 (share.min(TOTAL_PPM) as f64 / TOTAL_PPM as f64, expires_at);
-            let after = 1.0 / c.ceiling_divisor(floor, now);
-            c.ceiling_tokens -= plan.ceiling_tolerance * (after - before).max(0.0);
-            c.ceiling_tokens = c.ceiling_tokens.min(plan.ceiling_burst * after);
+            let after = 1.0 / customer.ceiling_divisor(floor, now);
+            customer.ceiling_tokens -= plan.ceiling_tolerance * (after - before).max(0.0);
+            customer.ceiling_tokens = customer.ceiling_tokens.min(plan.ceiling_burst * after);
         }
     }
 }
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -1,5 +1,5 @@
 //! Host selection: the better of a few random candidates, without failing hosts and with a token bucket for cold ones;
-//! and what outcomes show about hosts and connections. Only ready hosts of the host list are ever chosen.
+//! and what outcomes show about hosts and connections. Only ready hosts of the host list are used.
 
 use crate::gateway::interface::*;
 use crate::gateway::rules::Actions;
@@ -53,19 +53,19 @@
     /// Applies the zones' factors on the capacity of hosts; 0: the host takes no load.
     pub(super) fn apply_zone_factors(&mut self, factors: Vec<(HostId, f64)>) {
         for (id, factor) in factors {
-            let Some(h) = self.hosts.get_mut(&id) else { continue };
-            if h.zone_factor == Some(0.0) && factor > 0.0 {
+            let Some(host) = self.hosts.get_mut(&id) else { continue };
+            if host.zone_factor == Some(0.0) && factor > 0.0 {
                 // The zone is tried again: observations made while it was unreachable are not valid.
-                h.reset_after_outage(self.now);
+                host.reset_after_outage(self.now);
             }
-            h.zone_factor = Some(sanitize(factor));
+            host.zone_factor = Some(sanitize(factor));
         }
         self.draw_tables_valid_until = self.now;
     }
 
     /// Fraction of its full capacity that a host has by the time since its start.
-    pub(super) fn warm_fraction(&self, h: &Host) -> f64 {
-        let Some(started_at) = h.started_at else { return 1.0 };
+    pub(super) fn warm_fraction(&self, host: &Host) -> f64 {
+        let Some(started_at) = host.started_at else { return 1.0 };
         let initial = sanitize(self.settings.cold_capacity_fraction).min(1.0);
         let warmup = self.settings.warmup.as_secs_f64().max(0.001);
         (initial + (1.0 - initial) * (self.now - started_at).max(0.0) / warmup).min(1.0)
@@ -73,21 +73,21 @@
 
     /// Work per second that this gateway may send to a cold host: the work that its warm hosts receive, in proportion
     /// to capacity and warm-up. This stays below the overload factor at any load.
-    pub(super) fn cold_rate(&self, h: &Host) -> f64 {
+    pub(super) fn cold_rate(&self, host: &Host) -> f64 {
         let limit = self.settings.overload_factor.clamp(0.5, 3.0) / 2.0;
         // Without warm hosts nothing shows what a cold one can take, so it receives no work.
         let warm_capacity = if self.warm_capacity > 0.0 { self.warm_capacity } else { f64::INFINITY };
-        self.warm_work_rate.rate(self.now, WORK_RATE_SECS) * h.nominal_capacity / warm_capacity
-            * self.warm_fraction(h)
+        self.warm_work_rate.rate(self.now, WORK_RATE_SECS) * host.nominal_capacity / warm_capacity
+            * self.warm_fraction(host)
             * limit
     }
 
     /// Work in a cold host's token bucket now; negative before warm hosts have shown a rate.
-    pub(super) fn available_cold_tokens(&self, h: &Host) -> f64 {
-        let rate = self.cold_rate(h);
+    pub(super) fn available_cold_tokens(&self, host: &Host) -> f64 {
+        let rate = self.cold_rate(host);
         let overload_duration = self.settings.overload_duration.as_secs_f64();
         let max = COLD_BURST * self.mean_latency().max(rate * overload_duration);
-        let refilled = |rate: f64| (h.cold_tokens + rate * (self.now - h.cold_tokens_at)).min(max);
+        let refilled = |rate: f64| (host.cold_tokens + rate * (self.now - host.cold_tokens_at)).min(max);
         Some(rate).filter(|rate| *rate > 0.0).map_or(-1.0, refilled)
     }
 
@@ -98,9 +98,9 @@
     }
 
     /// Ratio of actual to expected latency of a host; without recent observations, that of its hardware type.
-    pub(super) fn current_slowness(&self, h: &Host) -> f64 {
-        let kind = self.kind_slowness.get(&h.kind).copied().unwrap_or(1.0);
-        kind + (h.slowness - kind) * ((h.slowness_at - self.now) / SLOWNESS_DECAY_SECS).exp()
+    pub(super) fn current_slowness(&self, host: &Host) -> f64 {
+        let kind = self.kind_slowness.get(&host.kind).copied().unwrap_or(1.0);
+        kind + (host.slowness - kind) * ((host.slowness_at - self.now) / SLOWNESS_DECAY_SECS).exp()
     }
 
     /// Rebuilds the tables of draw weights if they are outdated: ready hosts by capacity, warm-up and speed.
@@ -115,12 +115,12 @@
         self.draw_tables_valid_until = self.now + DRAW_TABLE_SECS;
         (self.warm_capacity, self.ready_hosts) = (0.0, 0.0);
         let mut rings: [Vec<(u64, f64, &HostId, &Host)>; 2] = Default::default();
-        for (id, h) in self.hosts.iter().filter(|(_, h)| h.is_ready) {
-            let warm_fraction = self.warm_fraction(h);
+        for (id, host) in self.hosts.iter().filter(|(_, host)| host.is_ready) {
+            let warm_fraction = self.warm_fraction(host);
             self.ready_hosts += warm_fraction;
-            let is_remote = self.settings.cross_zone_price > 0.0 && h.zone != self.settings.zone;
-            let capacity = h.nominal_capacity * warm_fraction * h.zone_factor.unwrap_or(1.0);
-            rings[usize::from(is_remote)].push((fnv1a(&id.0), capacity, id, h));
+            let is_remote = self.settings.cross_zone_price > 0.0 && host.zone != self.settings.zone;
+            let capacity = host.nominal_capacity * warm_fraction * host.zone_factor.unwrap_or(1.0);
+            rings[usize::from(is_remote)].push((fnv1a(&id.0), capacity, id, host));
         }
         let mut tables: [Vec<(f64, HostId)>; 2] = Default::default();
         for (ring, table) in rings.iter_mut().zip(&mut tables) {
@@ -132,14 +132,14 @@
             let start = (f64::from(self.settings.ordinal) * GOLDEN_RATIO_FRACTION).fract() * ring_length;
             let end = start + arc.min(1.0) * ring_length;
             let mut position = 0.0;
-            for (_, length, id, h) in ring.iter() {
+            for (_, length, id, host) in ring.iter() {
                 let covered = |at: f64| ((at + length).min(end) - at.max(start)).max(0.0);
                 let capacity = covered(position) + covered(position + ring_length);
                 position += length;
                 if capacity > 1e-9 * length {
-                    self.warm_capacity += if self.warm_fraction(h) < 1.0 { 0.0 } else { capacity };
+                    self.warm_capacity += if self.warm_fraction(host) < 1.0 { 0.0 } else { capacity };
                     let sum = table.last().map_or(0.0, |t| t.0);
-                    table.push((sum + capacity / self.current_slowness(h), (*id).clone()));
+                    table.push((sum + capacity / self.current_slowness(host), (*id).clone()));
                 }
             }
         }
@@ -159,12 +159,14 @@
             let at = self.rng.f64() * sum;
             let table = &self.draw_tables[table];
             let id = &table[table.partition_point(|t| t.0 <= at).min(table.len() - 1)].1;
-            let Some(h) = self.hosts.get(id).filter(|h| self.is_eligible(id, h, requirements)) else {
+            let Some(host) = self.hosts.get(id).filter(|host| self.is_eligible(id, host, requirements))
+            else {
                 continue;
             };
-            let queued = (h.in_flight_work + h.remote_work) / (h.nominal_capacity * self.warm_fraction(h));
-            let latency = (queued + requirements.work) * self.current_slowness(h).max(1.0);
-            if self.is_suspect(h, requirements.class) {
+            let queued =
+                (host.in_flight_work + host.remote_work) / (host.nominal_capacity * self.warm_fraction(host));
+            let latency = (queued + requirements.work) * self.current_slowness(host).max(1.0);
+            if self.is_suspect(host, requirements.class) {
                 suspect = Some((id.clone(), latency));
                 continue;
             }
@@ -180,28 +182,28 @@
     }
 
     /// Whether a host may receive an attempt with these requirements.
-    pub(super) fn is_eligible(&self, id: &HostId, h: &Host, requirements: &HostRequirements) -> bool {
+    pub(super) fn is_eligible(&self, id: &HostId, host: &Host, requirements: &HostRequirements) -> bool {
         let idempotency = self.settings.classes[requirements.class].idempotency;
         let knows_key = match (&requirements.key_origin, idempotency) {
-            (Some((zone, _)), Idempotency::ByKey(KeyScope::Zone)) => *zone == h.zone,
-            (Some((_, group)), Idempotency::ByKey(KeyScope::Cell)) => *group == h.group,
+            (Some((zone, _)), Idempotency::ByKey(KeyScope::Zone)) => *zone == host.zone,
+            (Some((_, group)), Idempotency::ByKey(KeyScope::Cell)) => *group == host.group,
             _ => true,
         };
-        let has_capacity = self.warm_fraction(h) >= 1.0
-            || (self.available_cold_tokens(h) >= 0.0
+        let has_capacity = self.warm_fraction(host) >= 1.0
+            || (self.available_cold_tokens(host) >= 0.0
                 && requirements.work <= MAX_COLD_REQUEST * self.mean_latency());
-        h.is_ready
-            && h.zone_factor != Some(0.0)
+        host.is_ready
+            && host.zone_factor != Some(0.0)
             && knows_key
             && has_capacity
             && !requirements.tried.contains(id)
     }
 
-    /// Chooses the host of an attempt. If no untried one is eligible, a warm one that was tried is chosen again.
-    pub(super) fn choose_host(&mut self, mut requirements: HostRequirements) -> Option<HostId> {
+    /// Selects the host of an attempt. If no untried host is eligible, a warm one that was tried is used again.
+    pub(super) fn select_host(&mut self, mut requirements: HostRequirements) -> Option<HostId> {
         self.refresh_draw_tables();
         let prefers_remote = self.remote_share.map(|share| self.rng.f64() < share);
-        let chosen = match (self.draw_host(0, &requirements), self.draw_host(1, &requirements)) {
+        let selected = match (self.draw_host(0, &requirements), self.draw_host(1, &requirements)) {
             (Some(local), Some(remote))
                 if prefers_remote.unwrap_or(remote.1 * CROSS_ZONE_ADVANTAGE < local.1) =>
             {
@@ -209,12 +211,11 @@
             }
             (local, remote) => local.or(remote),
         };
-        chosen.map(|c| c.0).or_else(|| {
+        selected.map(|c| c.0).or_else(|| {
             requirements.tried.clear();
-            let eligible = self
-                .hosts
-                .iter()
-                .filter(|(id, h)| self.warm_fraction(h) >= 1.0 && self.is_eligible(id, h, &requirements));
+            let eligible = self.hosts.iter().filter(|(id, host)| {
+                self.warm_fraction(host) >= 1.0 && self.is_eligible(id, host, &requirements)
+            });
             eligible
                 .min_by(|a, b| a.1.in_flight_work.total_cmp(&b.1.in_flight_work))
                 .map(|(id, _)| id.clone())
@@ -222,8 +223,8 @@
     }
 
     /// Whether a host recently failed much of a class. The sample may be thin, so other hosts are only preferred.
-    pub(super) fn is_suspect(&self, h: &Host, class: usize) -> bool {
-        h.class_failures.get(class).is_some_and(|x| {
+    pub(super) fn is_suspect(&self, host: &Host, class: usize) -> bool {
+        host.class_failures.get(class).is_some_and(|x| {
             x.failure_ratio * ((x.updated_at - self.now) / FAILURE_DECAY_SECS).exp() > SUSPECT_FAILURE_RATIO
         })
     }
@@ -238,24 +239,24 @@
         (latency, work): (f64, f64),
     ) {
         let (now, classes) = (self.now, self.settings.classes.len());
-        let valid = self.hosts.get(id).filter(|h| now - latency >= h.valid_since);
-        let observed = valid.map(|h| (self.current_slowness(h), self.warm_fraction(h) < 1.0));
-        let (Some(h), Some((slowness, is_cold))) = (self.hosts.get_mut(id), observed) else { return };
+        let valid = self.hosts.get(id).filter(|host| now - latency >= host.valid_since);
+        let observed = valid.map(|host| (self.current_slowness(host), self.warm_fraction(host) < 1.0));
+        let (Some(host), Some((slowness, is_cold))) = (self.hosts.get_mut(id), observed) else { return };
         if matches!(ending, Ending::Ok | Ending::Timeout) {
             // A timeout counts as a response that is at least this late.
             let ratio = (latency / work.max(1e-6)).clamp(0.2, 20.0);
-            (h.slowness, h.slowness_at) = (slowness + SLOWNESS_WEIGHT * (ratio - slowness), now);
-            let kind = self.kind_slowness.entry(h.kind.clone()).or_insert(1.0);
+            (host.slowness, host.slowness_at) = (slowness + SLOWNESS_WEIGHT * (ratio - slowness), now);
+            let kind = self.kind_slowness.entry(host.kind.clone()).or_insert(1.0);
             *kind += if is_cold { 0.0 } else { KIND_SLOWNESS_WEIGHT * (ratio - *kind) };
         }
         // A host that responded just now and refuses a connection is alive: its connection table is full. A second
         // refusal without a response in between counts as a failure.
         let is_refused = ending == Ending::ConnectFailed;
-        let is_alive = is_refused && now - h.last_response_at < ALIVE_SECS;
-        h.last_response_at = match ending {
+        let is_alive = is_refused && now - host.last_response_at < ALIVE_SECS;
+        host.last_response_at = match ending {
             Ending::Ok | Ending::Error | Ending::Full => now,
             _ if is_refused => f64::NEG_INFINITY,
-            _ => h.last_response_at,
+            _ => host.last_response_at,
         };
         let failed = match ending {
             Ending::Ok => 0.0,
@@ -266,8 +267,8 @@
             Ending::Timeout | Ending::Cancelled | Ending::NotSent => return,
         };
         let fails_all = is_refused && !is_alive;
-        h.class_failures.resize_with(classes, FailureStats::default);
-        for (_, x) in h.class_failures.iter_mut().enumerate().filter(|(c, _)| fails_all || *c == class) {
+        host.class_failures.resize_with(classes, FailureStats::default);
+        for (_, x) in host.class_failures.iter_mut().enumerate().filter(|(c, _)| fails_all || *c == class) {
             x.record(now, failed, FAILURE_PRIOR, MAX_FAILURE_OUTCOMES, FAILURE_DECAY_SECS);
         }
     }
@@ -276,7 +277,7 @@
     ///
     /// Guards against middleboxes that forget idle connections and discard what is sent on them later (incident
     /// L53ec7e), and against hosts that close connections unnoticed. Outcomes are shared by all hosts, because each
-    /// host is met only once in seconds, and compared with those on active connections, because slow hosts fail on
+    /// host is used only once in seconds, and compared with those on active connections, because slow hosts fail on
     /// both. A false alarm costs a handshake per attempt for some minutes.
     pub(super) fn is_idle_stale(&self, idle_bucket: usize) -> bool {
         let ratio = |x: &FailureStats| x.failure_ratio * ((x.updated_at - self.now) / IDLE_DECAY_SECS).exp();
@@ -287,14 +288,14 @@
     /// Prepares the connection of an attempt and closes the idle ones if they must be renewed. Returns the connection's
     /// bucket of idle times; 0: it is new or active.
     pub(super) fn prepare_connection(&mut self, id: &HostId, actions: &mut Actions) -> usize {
-        let host = self.hosts.get(id).map(|h| (h.connection_used_at, h.in_flight));
+        let host = self.hosts.get(id).map(|host| (host.connection_used_at, host.in_flight));
         let Some((used_at, in_flight)) = host else { return 0 };
         let bucket = |at: f64| ((self.now - at) / MIN_IDLE_SECS).max(0.5).log2().ceil().max(0.0) as usize;
         let idle_bucket = used_at.map_or(0, bucket).min(self.idle_failures.len() - 1);
         let renew = in_flight == 0 && self.is_idle_stale(idle_bucket);
         actions.extend(renew.then(|| Action::CloseIdle { host: id.clone() }));
         let used_at = if renew { self.now } else { used_at.unwrap_or(self.now) };
-        self.hosts.entry(id.clone()).and_modify(|h| h.connection_used_at = Some(used_at));
+        self.hosts.entry(id.clone()).and_modify(|host| host.connection_used_at = Some(used_at));
         idle_bucket * usize::from(!renew)
     }
 
@@ -318,10 +319,10 @@
             MAX_FAILURE_OUTCOMES,
             IDLE_DECAY_SECS,
         );
-        let Some(h) = self.hosts.get_mut(id) else { return };
-        let close = is_silent && idle_bucket > 0 && h.in_flight == 0;
-        h.connection_used_at =
-            if is_silent { h.connection_used_at.filter(|_| !close) } else { Some(self.now) };
+        let Some(host) = self.hosts.get_mut(id) else { return };
+        let close = is_silent && idle_bucket > 0 && host.in_flight == 0;
+        host.connection_used_at =
+            if is_silent { host.connection_used_at.filter(|_| !close) } else { Some(self.now) };
         actions.extend(close.then(|| Action::CloseIdle { host: id.clone() }));
     }
 
--- a/src/gateway/handover.rs
+++ b/src/gateway/handover.rs
@@ -66,7 +66,7 @@
     ExportedCustomer {
         /// Identifier of the customer.
         id: String,
-        /// Name of its plan.
+        /// Name of the customer's plan.
         plan: String,
         /// Number of gateways that receive its requests.
         gateway_count as "width": f64,
@@ -104,7 +104,7 @@
     ExportedHost {
         /// Identifier of the host.
         id: String,
-        /// Its last start. Observations of another incarnation are not imported.
+        /// Last start of the host. Observations of another incarnation are not imported.
         started_at as "started": Option<f64>,
         /// When it last sent a response of any kind.
         last_response_at as "heard": f64,
@@ -146,26 +146,26 @@
     /// spent, and the charges that are not synced are reported, by the next process.
     pub fn export_state(&mut self) -> ExportedState {
         let plans: Vec<String> = self.settings.plans.iter().map(|p| p.name.clone()).collect();
-        let customers = self.customers.iter_mut().map(|(id, c)| {
+        let customers = self.customers.iter_mut().map(|(id, customer)| {
             let exported = ExportedCustomer {
                 id: id.0.to_string(),
-                plan: plans[c.plan].clone(),
-                gateway_count: c.gateway_count,
-                window_offset: c.window_offset,
-                last_request_at: c.last_request_at,
-                window: c.window,
-                total: c.total.map(|t| t + c.calling_units),
-                total_at: c.total_at,
-                unsynced_units: std::mem::take(&mut c.unsynced_units),
-                own_units: c.own_units,
-                opening_balance: c.opening_balance,
-                demand: (c.demand.per_second, c.demand.updated_at),
-                burst_demand: (c.burst_demand.per_second, c.burst_demand.updated_at),
-                quota_share: c.quota_share.clone(),
-                ceiling_tokens: c.ceiling_tokens,
-                ceiling_tokens_at: c.ceiling_tokens_at,
+                plan: plans[customer.plan].clone(),
+                gateway_count: customer.gateway_count,
+                window_offset: customer.window_offset,
+                last_request_at: customer.last_request_at,
+                window: customer.window,
+                total: customer.total.map(|t| t + customer.calling_units),
+                total_at: customer.total_at,
+                unsynced_units: std::mem::take(&mut customer.unsynced_units),
+                own_units: customer.own_units,
+                opening_balance: customer.opening_balance,
+                demand: (customer.demand.per_second, customer.demand.updated_at),
+                burst_demand: (customer.burst_demand.per_second, customer.burst_demand.updated_at),
+                quota_share: customer.quota_share.clone(),
+                ceiling_tokens: customer.ceiling_tokens,
+                ceiling_tokens_at: customer.ceiling_tokens_at,
             };
-            c.total = c.total.map(|t| t + exported.unsynced_units);
+            customer.total = customer.total.map(|t| t + exported.unsynced_units);
             exported
         });
         let customers = customers.collect();
@@ -232,7 +232,7 @@
         for exported in state.customers {
             let plan = self.settings.plans.iter().rposition(|p| p.name == exported.plan);
             let Some(plan) = plan else { continue };
-            let c = Customer {
+            let customer = Customer {
                 last_request_at: exported.last_request_at,
                 window: exported.window,
                 total: exported.total,
@@ -249,19 +249,19 @@
                 ..Customer::new(plan, exported.gateway_count.max(1.0), exported.window_offset)
             };
             let id = CustomerId(Arc::from(exported.id));
-            self.customers.insert(id.clone(), c);
+            self.customers.insert(id.clone(), customer);
             self.schedule(&id);
         }
         for exported in state.hosts {
             let host = self.hosts.get_mut(exported.id.as_str());
-            let Some(h) = host.filter(|h| h.started_at == exported.started_at) else { continue };
-            h.last_response_at = exported.last_response_at;
-            (h.slowness, h.slowness_at) = exported.slowness;
-            (h.cold_tokens, h.cold_tokens_at) = exported.cold_tokens;
-            h.class_failures.resize_with(self.settings.classes.len(), FailureStats::default);
+            let Some(host) = host.filter(|host| host.started_at == exported.started_at) else { continue };
+            host.last_response_at = exported.last_response_at;
+            (host.slowness, host.slowness_at) = exported.slowness;
+            (host.cold_tokens, host.cold_tokens_at) = exported.cold_tokens;
+            host.class_failures.resize_with(self.settings.classes.len(), FailureStats::default);
             for (record, index) in exported.class_failures.into_iter().zip(&class_indices) {
                 if let Some(index) = index {
-                    h.class_failures[*index] = from_record(record);
+                    host.class_failures[*index] = from_record(record);
                 }
             }
         }
--- a/src/gateway/records.rs
+++ b/src/gateway/records.rs
@@ -45,14 +45,15 @@
                 1.0
             };
             let is_new = !self.hosts.contains_key(&entry.host);
-            let h = self.hosts.entry(entry.host).or_default();
-            if is_new || h.started_at != started_at {
-                h.reset();
+            let host = self.hosts.entry(entry.host).or_default();
+            if is_new || host.started_at != started_at {
+                host.reset();
                 // A random start keeps the gateways from sending a new host their first requests all at once.
-                (h.cold_tokens, h.cold_tokens_at) = (-self.rng.f64() * 0.5 * mean_latency, now);
+                (host.cold_tokens, host.cold_tokens_at) = (-self.rng.f64() * 0.5 * mean_latency, now);
             }
-            (h.zone, h.group, h.kind) = (entry.zone, entry.group, entry.kind);
-            (h.nominal_capacity, h.is_ready, h.started_at) = (nominal_capacity, is_ready, started_at);
+            (host.zone, host.group, host.kind) = (entry.zone, entry.group, entry.kind);
+            (host.nominal_capacity, host.is_ready, host.started_at) =
+                (nominal_capacity, is_ready, started_at);
         }
         // Hosts with recent outcomes are kept, so that their failures outlast a list that is empty or lacks them for a
         // moment.
--- a/src/gateway/rules.rs
+++ b/src/gateway/rules.rs
@@ -90,62 +90,64 @@
         gateway_count: u32,
         actions: &mut Actions,
     ) -> Admission {
-        let (now, customer, units) = (self.now, &request.customer.clone(), request.units);
+        let (now, customer_id, units) = (self.now, &request.customer.clone(), request.units);
         let weight = (2.0 / f64::from(self.settings.replicas)).clamp(MIN_IN_FLIGHT_WEIGHT, 1.0);
         self.mean_in_flight += weight * (f64::from(self.in_flight) - self.mean_in_flight);
         let plan = &self.settings.plans[plan_index];
         let (max_cost, has_quota) = (plan.burst.max(self.settings.max_units), plan.rate > 0.0);
         let gateway_count =
             f64::from(if gateway_count == 0 { self.settings.replicas } else { gateway_count });
-        let offset = (fnv1a(&customer.0) >> 40) as f64 / (1u64 << 24) as f64;
+        let offset = (fnv1a(&customer_id.0) >> 40) as f64 / (1u64 << 24) as f64;
         let windows = |at: f64| at / Self::window_secs(plan) + offset;
         let window = windows(now).floor();
         // The bucket is full when the gateway starts, so what the rate added to this window before that is lost.
         let before_start =
             (windows(self.started_at.unwrap_or(now)) - window).max(0.0) * Self::window_secs(plan);
-        let c = self.customers.entry(customer.clone()).or_insert_with(|| Customer {
+        let customer = self.customers.entry(customer_id.clone()).or_insert_with(|| Customer {
             window: window as i64,
             opening_balance: plan.burst
                 - plan.rate * before_start
-                - self.remote_usage.owed(customer, window as i64, plan),
+                - self.remote_usage.owed(customer_id, window as i64, plan),
             ceiling_tokens: -plan.ceiling_tolerance / gateway_count,
             ceiling_tokens_at: self.started_at.unwrap_or(now),
             ..Customer::new(plan_index, gateway_count, offset)
         });
-        c.demand.add(now, units, DEMAND_SECS);
-        c.last_request_at = now;
-        (c.plan, c.gateway_count) = (plan_index, c.gateway_count.max(gateway_count));
-        self.roll_window(customer);
-        self.merge_remote_usage(customer, units);
+        customer.demand.add(now, units, DEMAND_SECS);
+        customer.last_request_at = now;
+        (customer.plan, customer.gateway_count) = (plan_index, customer.gateway_count.max(gateway_count));
+        self.roll_window(customer_id);
+        self.merge_remote_usage(customer_id, units);
         if has_quota && units > max_cost {
             return Err(0.0);
         }
         let has_room =
-            self.fits_ceiling(customer, units, false) && self.fits_concurrency_limit(customer, units);
-        let quota = self.fits_quota(customer, units);
+            self.fits_ceiling(customer_id, units, false) && self.fits_concurrency_limit(customer_id, units);
+        let quota = self.fits_quota(customer_id, units);
         request.admit_probability = quota.err().unwrap_or(1.0);
         let is_urgent = request.deadline - now < 2.0 * self.settings.counter_timeout.as_secs_f64();
         let fits = has_room && quota.unwrap_or(is_urgent && self.rng.f64() < request.admit_probability);
-        let is_admitted = fits || self.admits_excess(plan_index) && self.fits_ceiling(customer, units, false);
+        let is_admitted =
+            fits || self.admits_excess(plan_index) && self.fits_ceiling(customer_id, units, false);
         if has_room && quota.is_err() && !is_urgent {
             // The request is held until the call to the counter ends, which it always does.
             self.requests.insert(id.clone(), request);
-            self.add_unsynced(customer, units);
-            self.sync_units(customer, Some((id.clone(), units)), actions);
+            self.add_unsynced(customer_id, units);
+            self.sync_units(customer_id, Some((id.clone(), units)), actions);
             return Ok(());
         }
         if !is_admitted {
-            self.send_due_syncs(customer, actions);
+            self.send_due_syncs(customer_id, actions);
             let plan = &self.settings.plans[plan_index];
-            let c = self.customers.get(customer).filter(|_| has_quota);
-            return Err(c.map_or(0.0, |c| (c.spent() + units - c.limit(plan, now)) / plan.rate));
+            let customer = self.customers.get(customer_id).filter(|_| has_quota);
+            return Err(customer
+                .map_or(0.0, |customer| (customer.spent() + units - customer.limit(plan, now)) / plan.rate));
         }
         // A request beyond the quota is not charged, so its actual units need not be settled.
         request.is_settled = !fits;
         self.requests.insert(id.clone(), request);
         self.dispatch(id, actions)?;
-        self.charge(customer, if fits { units } else { 0.0 });
-        self.send_due_syncs(customer, actions);
+        self.charge(customer_id, if fits { units } else { 0.0 });
+        self.send_due_syncs(customer_id, actions);
         Ok(())
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -153,7 +153,7 @@
     pub(crate) nominal_capacity: f64,
     /// Whether it accepts new requests, by the host list.
     pub(crate) is_ready: bool,
-    /// Its last start; `None`: long ago.
+    /// Last start of the host; `None`: long ago.
     pub(crate) started_at: Option<f64>,
     /// When its connection was opened or last used; `None`: there is none.
     pub(crate) connection_used_at: Option<f64>,
@@ -206,7 +206,7 @@
     pub(crate) may_have_run: bool,
     /// When it was sent.
     pub(crate) sent_at: f64,
-    /// Its expected latency, in seconds.
+    /// Expected latency of the request, in seconds.
     pub(crate) work: f64,
     /// Zone of its host.
     pub(crate) zone: String,
@@ -222,7 +222,7 @@
     pub(crate) class: usize,
     /// Customer that it is charged to.
     pub(crate) customer: CustomerId,
-    /// Its cost in units, possibly an estimate.
+    /// Cost of the request in units, possibly an estimate.
     pub(crate) units: f64,
     /// Arrival time.
     pub(crate) arrived_at: f64,
@@ -238,7 +238,7 @@
     pub(crate) admit_probability: f64,
     /// Upper bound on its attempts, by the settings in force at its arrival.
     pub(crate) max_attempts: usize,
-    /// Its attempts, in the order in which they were sent.
+    /// Attempts of the request, in the order in which they were sent.
     pub(crate) attempts: Vec<Attempt>,
 }
 
--- a/src/gateway/window.rs
+++ b/src/gateway/window.rs
@@ -1,5 +1,5 @@
 //! The quota: each request is charged its cost against its customer's window, whose total over all gateways is kept by
-//! the quota counter. This module never chooses hosts.
+//! the quota counter. This module does not select hosts.
 
 use crate::gateway::interface::*;
 use crate::gateway::rules::Actions;
@@ -79,45 +79,58 @@
     /// do not all begin at once.
     pub(super) fn roll_window(&mut self, id: &CustomerId) {
         let now = self.now;
-        let Some(c) = self.customers.get_mut(id) else { return };
-        let plan = &self.settings.plans[c.plan];
-        let window = (now / Self::window_secs(plan) + c.window_offset).floor() as i64;
-        if plan.rate > 0.0 && window != c.window {
+        let Some(customer) = self.customers.get_mut(id) else { return };
+        let plan = &self.settings.plans[customer.plan];
+        let window = (now / Self::window_secs(plan) + customer.window_offset).floor() as i64;
+        if plan.rate > 0.0 && window != customer.window {
             // The new window starts with what the old one left or owes, as in the token bucket that the quota
             // describes. Without a known total, usage is estimated as if all gateways had the same demand.
-            let span = (window - c.window).clamp(1, 1000) as f64 * Self::window_secs(plan);
-            let is_recent = c.total_at > (now - span).max(c.last_request_at - 0.5 * span);
-            let is_known = c.total.is_some() && is_recent || self.remote_usage.fresh_fraction >= 1.0;
-            let own = c.own_units.min(c.demand.rate(now, DEMAND_SECS) * span);
-            let estimate = c.estimate_spent(plan, own, span, now);
+            let span = (window - customer.window).clamp(1, 1000) as f64 * Self::window_secs(plan);
+            let is_recent = customer.total_at > (now - span).max(customer.last_request_at - 0.5 * span);
+            let is_known = customer.total.is_some() && is_recent || self.remote_usage.fresh_fraction >= 1.0;
+            let own = customer.own_units.min(customer.demand.rate(now, DEMAND_SECS) * span);
+            let estimate = customer.estimate_spent(plan, own, span, now);
             let length = Self::window_secs(plan);
             match is_known {
-                true => c.quota_share.learn_window(length, span / length - 1.0, c.own_units, c.spent()),
-                false => c.quota_share.decay(span / self.guard.settings().share_decay_secs),
+                true => customer.quota_share.learn_window(
+                    length,
+                    span / length - 1.0,
+                    customer.own_units,
+                    customer.spent(),
+                ),
+                false => customer.quota_share.decay(span / self.guard.settings().share_decay_secs),
             }
-            let used = c.quota_share.light_use(now, plan.rate).filter(|_| self.miss_ratio < MAX_MISS_RATIO);
-            let window_span =
-                WindowSpan { start: (c.window as f64 - c.window_offset) * length, length_secs: length };
-            self.guard.window_finished(now, || counter_key('q', id, c.window), window_span, used);
-            let spent = if is_known { c.spent() } else { c.spent().max(estimate) };
+            let used =
+                customer.quota_share.light_use(now, plan.rate).filter(|_| self.miss_ratio < MAX_MISS_RATIO);
+            let window_span = WindowSpan {
+                start: (customer.window as f64 - customer.window_offset) * length,
+                length_secs: length,
+            };
+            self.guard.window_finished(now, || counter_key('q', id, customer.window), window_span, used);
+            let spent = if is_known { customer.spent() } else { customer.spent().max(estimate) };
             // Units that were not sent because the counter fails are left out by the miss ratio: they do not show how
             // much the call rate leaves out.
-            self.unreported_rate.add(now, c.unsynced_units.max(0.0) * (1.0 - self.miss_ratio), DEMAND_SECS);
-            let left = c.opening_balance + plan.rate * span - spent;
-            c.previous_remote_units =
-                if window == c.window + 1 { (spent - c.own_units).max(0.0) } else { 0.0 };
+            self.unreported_rate.add(
+                now,
+                customer.unsynced_units.max(0.0) * (1.0 - self.miss_ratio),
+                DEMAND_SECS,
+            );
+            let left = customer.opening_balance + plan.rate * span - spent;
+            customer.previous_remote_units =
+                if window == customer.window + 1 { (spent - customer.own_units).max(0.0) } else { 0.0 };
             // Late charges to the old window first use up what exceeded the burst.
-            c.previous_remote_units += (left - plan.burst).clamp(0.0, plan.rate * length);
-            c.opening_balance = left.clamp(-plan.burst, plan.burst);
-            (c.window, c.total, c.sync_at) = (window, None, f64::INFINITY);
-            (c.unsynced_units, c.calling_units, c.own_units) = (0.0, 0.0, 0.0);
-            (c.remote_units, c.predecessor_units) = (0.0, 0.0);
+            customer.previous_remote_units += (left - plan.burst).clamp(0.0, plan.rate * length);
+            customer.opening_balance = left.clamp(-plan.burst, plan.burst);
+            (customer.window, customer.total, customer.sync_at) = (window, None, f64::INFINITY);
+            (customer.unsynced_units, customer.calling_units, customer.own_units) = (0.0, 0.0, 0.0);
+            (customer.remote_units, customer.predecessor_units) = (0.0, 0.0);
         }
-        let concurrency_window = (now / CONCURRENCY_WINDOW_SECS + c.window_offset).floor() as i64;
-        if concurrency_window != c.concurrency_window {
+        let concurrency_window = (now / CONCURRENCY_WINDOW_SECS + customer.window_offset).floor() as i64;
+        if concurrency_window != customer.concurrency_window {
             // All attempts in flight are reported again. Those of a killed gateway remain in the old counter entry.
-            (c.concurrency_window, c.reported_in_flight) = (concurrency_window, 0.0);
-            c.concurrency_sync_at = if c.in_flight > 0.0 { now } else { c.concurrency_sync_at };
+            (customer.concurrency_window, customer.reported_in_flight) = (concurrency_window, 0.0);
+            customer.concurrency_sync_at =
+                if customer.in_flight > 0.0 { now } else { customer.concurrency_sync_at };
         }
     }
 
@@ -127,62 +140,76 @@
     /// `Err`: the counter must be asked first; the value is the admission probability if it does not answer.
     pub(super) fn fits_quota(&mut self, id: &CustomerId, cost: f64) -> Result<bool, f64> {
         let now = self.now;
-        let Some(c) = self.customers.get_mut(id) else { return Ok(false) };
-        let plan = &self.settings.plans[c.plan];
+        let Some(customer) = self.customers.get_mut(id) else { return Ok(false) };
+        let plan = &self.settings.plans[customer.plan];
         if plan.rate <= 0.0 {
             return Ok(true);
         }
-        let is_recent = now - c.total_at <= STALE_TOTAL_FRACTION * Self::window_secs(plan);
-        let lacks_total = self.guard.has_fault() && self.guard.lacks_total(&counter_key('q', id, c.window));
-        let is_fresh =
-            c.total.is_some() && is_recent && now - c.sync_at <= MAX_SYNC_DELAY_SECS && !lacks_total;
-        let limit = c.limit(plan, now);
+        let is_recent = now - customer.total_at <= STALE_TOTAL_FRACTION * Self::window_secs(plan);
+        let lacks_total =
+            self.guard.has_fault() && self.guard.lacks_total(&counter_key('q', id, customer.window));
+        let is_fresh = customer.total.is_some()
+            && is_recent
+            && now - customer.sync_at <= MAX_SYNC_DELAY_SECS
+            && !lacks_total;
+        let limit = customer.limit(plan, now);
         let mut needs_sync = false;
         if is_fresh {
             // A full token bucket gains nothing: what the rate adds beyond the burst is lost.
-            c.opening_balance += (limit - c.opening_balance - c.refilled(plan, now)).min(0.0);
-        } else if c.calling_units == 0.0 {
-            needs_sync = c.sync_at == f64::INFINITY;
-            c.sync_at = c.sync_at.min(c.last_sync_at + 4.0 * MIN_SYNC_INTERVAL_SECS);
+            customer.opening_balance +=
+                (limit - customer.opening_balance - customer.refilled(plan, now)).min(0.0);
+        } else if customer.calling_units == 0.0 {
+            needs_sync = customer.sync_at == f64::INFINITY;
+            customer.sync_at = customer.sync_at.min(customer.last_sync_at + 4.0 * MIN_SYNC_INTERVAL_SECS);
         }
-        let fits = c.spent() + cost <= limit;
+        let fits = customer.spent() + cost <= limit;
         // Without a fresh total the share is admitted, and beyond it a random part by the estimated remainder.
-        let share = limit.max(0.0) * c.quota_fraction(plan);
+        let share = limit.max(0.0) * customer.quota_fraction(plan);
         let gain = ADMIT_GAIN / (ADMIT_COST_OFFSET + plan.excess_cost_fraction);
-        let estimate = c.estimate_spent(plan, c.own_units, c.window_elapsed(plan, now), now);
-        let remainder = limit - estimate.max(c.spent()) - cost;
+        let estimate =
+            customer.estimate_spent(plan, customer.own_units, customer.window_elapsed(plan, now), now);
+        let remainder = limit - estimate.max(customer.spent()) - cost;
         let probability = gain * (ADMIT_MARGIN + remainder / plan.burst.max(1e-9));
-        let exceeds_share = fits && !is_fresh && c.own_units + cost > share;
-        let meter_confidence = c.quota_share.meter_confidence(now);
+        let exceeds_share = fits && !is_fresh && customer.own_units + cost > share;
+        let meter_confidence = customer.quota_share.meter_confidence(now);
         let is_share_small = share < cost.max(self.settings.max_units);
         // If the counter has no usable total, fresh replicas replace it; otherwise the customer is limited to its
         // allowance.
         let limits = QuotaLimits { rate: plan.rate, burst: plan.burst };
-        let (max_units, demand) = (self.settings.max_units, c.demand.rate(now, DEMAND_SECS));
+        let (max_units, demand) = (self.settings.max_units, customer.demand.rate(now, DEMAND_SECS));
         let is_limited = lacks_total
-            && c.quota_share.is_limited_to_allowance(now, demand, limits, c.gateway_count, max_units);
-        let replicated = if lacks_total { self.remote_usage.quota_fraction(c.gateway_count) } else { 0.0 };
+            && customer.quota_share.is_limited_to_allowance(
+                now,
+                demand,
+                limits,
+                customer.gateway_count,
+                max_units,
+            );
+        let replicated =
+            if lacks_total { self.remote_usage.quota_fraction(customer.gateway_count) } else { 0.0 };
         if is_fresh {
-            c.quota_share.reset_allowance(now);
+            customer.quota_share.reset_allowance(now);
         } else if replicated >= 1.0 || is_limited && replicated > 0.0 {
-            c.quota_share.reset_allowance(now);
+            customer.quota_share.reset_allowance(now);
             // The last units are admitted at random, because all gateways see them at once.
-            return Ok(limit * replicated - c.spent() >= cost * (self.rng.f64() * c.gateway_count).max(1.0));
+            return Ok(limit * replicated - customer.spent()
+                >= cost * (self.rng.f64() * customer.gateway_count).max(1.0));
         } else if is_limited {
             let since = self.started_at.unwrap_or(now);
-            let allowance = c.quota_share.allowance(now, limits, c.gateway_count, max_units, since);
+            let allowance =
+                customer.quota_share.allowance(now, limits, customer.gateway_count, max_units, since);
             return Ok(fits && cost <= allowance);
         }
         let ask = exceeds_share
             && is_share_small
             && (probability < 1.0 || meter_confidence < 0.5)
             && self.settings.uses_counter;
-        let ask = ask && self.guard.next_call_at(&counter_key('q', id, c.window)) <= now;
+        let ask = ask && self.guard.next_call_at(&counter_key('q', id, customer.window)) <= now;
         let ask = ask && self.draw_call() && self.take_call_token();
         let admit_probability = if is_share_small { probability } else { meter_confidence * probability };
         let fits = ask || fits && (!exceeds_share || self.rng.f64() < admit_probability);
         if ask || needs_sync && !self.draw_call() {
-            self.customers.entry(id.clone()).and_modify(|c| c.sync_at = f64::INFINITY);
+            self.customers.entry(id.clone()).and_modify(|customer| customer.sync_at = f64::INFINITY);
         }
         Some(fits).filter(|_| !ask).ok_or(probability)
     }
@@ -190,29 +217,32 @@
     /// Charges units to the customer's window and schedules the next sync.
     pub(super) fn charge(&mut self, id: &CustomerId, units: f64) {
         let (now, jitter) = (self.now, 0.8 + 0.4 * self.rng.f64());
-        let Some(c) = self.customers.get_mut(id) else { return };
-        let plan = &self.settings.plans[c.plan];
+        let Some(customer) = self.customers.get_mut(id) else { return };
+        let plan = &self.settings.plans[customer.plan];
         if plan.rate <= 0.0 || units == 0.0 {
             return;
         }
-        c.unsynced_units += units;
-        c.own_units = (c.own_units + units).max(0.0);
-        c.quota_share.spend_allowance(units);
-        let is_known =
-            c.total.is_some() && now - c.total_at <= STALE_TOTAL_FRACTION * Self::window_secs(plan);
-        self.guard.record_admitted(|| counter_key('q', id, c.window), units, is_known);
+        customer.unsynced_units += units;
+        customer.own_units = (customer.own_units + units).max(0.0);
+        customer.quota_share.spend_allowance(units);
+        let is_known = customer.total.is_some()
+            && now - customer.total_at <= STALE_TOTAL_FRACTION * Self::window_secs(plan);
+        self.guard.record_admitted(|| counter_key('q', id, customer.window), units, is_known);
         let window = Self::window_secs(plan);
-        let elapsed = c.window_elapsed(plan, now).max(0.05);
-        let (limit, spent) = (c.limit(plan, now), c.spent());
+        let elapsed = customer.window_elapsed(plan, now).max(0.05);
+        let (limit, spent) = (customer.limit(plan, now), customer.spent());
         let spending_rate = (spent / elapsed).max(plan.rate);
         let interval = (SYNC_TIME_FRACTION * (limit - spent).max(0.0) / spending_rate)
             .clamp(MIN_SYNC_INTERVAL_SECS, window / MIN_SYNCS_PER_WINDOW);
-        let is_urgent = c.total.is_none() && c.own_units > FIRST_SYNC_SHARE * limit * c.quota_fraction(plan);
+        let is_urgent = customer.total.is_none()
+            && customer.own_units > FIRST_SYNC_SHARE * limit * customer.quota_fraction(plan);
         let delay = if is_urgent { 0.0 } else { interval * jitter };
-        if c.sync_at == f64::INFINITY && !self.draw_call() {
+        if customer.sync_at == f64::INFINITY && !self.draw_call() {
             return;
         }
-        self.customers.entry(id.clone()).and_modify(|c| c.sync_at = c.sync_at.min(now + delay));
+        self.customers
+            .entry(id.clone())
+            .and_modify(|customer| customer.sync_at = customer.sync_at.min(now + delay));
     }
 
     /// Whether one more call may be scheduled: at random, if more calls are wanted than the call rate allows. Charges
@@ -230,22 +260,22 @@
         held_request: Option<(RequestId, f64)>,
         actions: &mut Actions,
     ) {
-        let Some(c) = self.customers.get_mut(id) else { return };
-        let window = Self::window_secs(&self.settings.plans[c.plan]);
-        (c.sync_at, c.last_sync_at) = (f64::INFINITY, self.now);
-        let amount = std::mem::take(&mut c.unsynced_units);
-        c.calling_units += amount;
+        let Some(customer) = self.customers.get_mut(id) else { return };
+        let window = Self::window_secs(&self.settings.plans[customer.plan]);
+        (customer.sync_at, customer.last_sync_at) = (f64::INFINITY, self.now);
+        let amount = std::mem::take(&mut customer.unsynced_units);
+        customer.calling_units += amount;
         self.reported_rate.add(self.now, amount.max(0.0), DEMAND_SECS);
         // The amount also stands for charges that are never sent, so that totals have the right mean at any call rate.
         let unreported = self.unreported_rate.rate(self.now, DEMAND_SECS)
             / self.reported_rate.rate(self.now, DEMAND_SECS).max(1e-9);
         let amount = amount * (1.0 + unreported).min(MAX_REPORT_FACTOR);
-        let name = counter_key('q', id, c.window);
-        let customer_window = CustomerWindow { customer: id.clone(), window: c.window };
+        let name = counter_key('q', id, customer.window);
+        let customer_window = CustomerWindow { customer: id.clone(), window: customer.window };
         let amount_sent = self.guard.call_sent(self.now, &name, customer_window, amount, 2.0 * window + 1.0);
         let call = PendingCall {
             customer: id.clone(),
-            window: c.window,
+            window: customer.window,
             amount,
             is_concurrency: false,
             held_request,
@@ -307,30 +337,31 @@
             self.call_rate = (self.call_rate * CALL_RATE_CUT).max(MIN_CALL_RATE / replicas);
             self.call_rate_cut_at = now;
         }
-        let c = self.customers.get_mut(&call.customer)?;
+        let customer = self.customers.get_mut(&call.customer)?;
         if call.is_concurrency {
-            c.is_concurrency_calling = false;
-            if call.window == c.concurrency_window && is_ok {
-                (c.remote_in_flight, c.remote_in_flight_at) = ((total - c.reported_in_flight).max(0.0), now);
-            } else if call.window == c.concurrency_window && ending.never_ran() {
-                c.reported_in_flight -= call.amount;
-                c.concurrency_sync_at = now + CONCURRENCY_SYNC_SECS;
+            customer.is_concurrency_calling = false;
+            if call.window == customer.concurrency_window && is_ok {
+                (customer.remote_in_flight, customer.remote_in_flight_at) =
+                    ((total - customer.reported_in_flight).max(0.0), now);
+            } else if call.window == customer.concurrency_window && ending.never_ran() {
+                customer.reported_in_flight -= call.amount;
+                customer.concurrency_sync_at = now + CONCURRENCY_SYNC_SECS;
             }
         }
-        if call.is_concurrency || call.window != c.window {
+        if call.is_concurrency || call.window != customer.window {
             return Some((call, false));
         }
-        c.calling_units = (c.calling_units - call.amount).max(0.0);
+        customer.calling_units = (customer.calling_units - call.amount).max(0.0);
         match verdict {
-            Verdict::Total(total) => (c.total, c.total_at) = (Some(total), now),
-            Verdict::NotAdded => c.unsynced_units += call.amount,
+            Verdict::Total(total) => (customer.total, customer.total_at) = (Some(total), now),
+            Verdict::NotAdded => customer.unsynced_units += call.amount,
             Verdict::Withheld | Verdict::Undetermined => {}
         }
         let sync_at = match is_ok && !self.guard.wants_call(&name) {
             true => f64::INFINITY,
             false => now + 4.0 * MIN_SYNC_INTERVAL_SECS,
         };
-        c.sync_at = c.sync_at.min(sync_at);
+        customer.sync_at = customer.sync_at.min(sync_at);
         Some((call, matches!(verdict, Verdict::Total(_))))
     }
 
@@ -340,13 +371,15 @@
         let Some(LateTotal { customer_window, min_spent }) = self.guard.late_answer(now, &name, total) else {
             return;
         };
-        let Some(c) =
-            self.customers.get_mut(&customer_window.customer).filter(|c| c.window == customer_window.window)
+        let Some(customer) = self
+            .customers
+            .get_mut(&customer_window.customer)
+            .filter(|customer| customer.window == customer_window.window)
         else {
             return;
         };
-        c.total = Some(c.total.map_or(min_spent, |t| t.max(min_spent)));
-        c.total_at = c.total_at.max(now - elapsed);
+        customer.total = Some(customer.total.map_or(min_spent, |t| t.max(min_spent)));
+        customer.total_at = customer.total_at.max(now - elapsed);
     }
 
     /// Takes a token for a call to the counter, if there is one. The counter's capacity is unknown, so the rate of this
@@ -364,11 +397,14 @@
     /// Sends the calls of a customer that are due and that the call rate allows, and schedules the next ones.
     pub(super) fn send_due_syncs(&mut self, id: &CustomerId, actions: &mut Actions) {
         let now = self.now;
-        let Some(c) = self.customers.get_mut(id).filter(|_| self.settings.uses_counter) else { return };
-        if c.sync_at <= now {
-            c.sync_at = c.sync_at.max(self.guard.next_call_at(&counter_key('q', id, c.window)));
+        let Some(customer) = self.customers.get_mut(id).filter(|_| self.settings.uses_counter) else {
+            return;
+        };
+        if customer.sync_at <= now {
+            customer.sync_at =
+                customer.sync_at.max(self.guard.next_call_at(&counter_key('q', id, customer.window)));
         }
-        let (units_due, concurrency_due) = (c.sync_at <= now, c.concurrency_sync_at <= now);
+        let (units_due, concurrency_due) = (customer.sync_at <= now, customer.concurrency_sync_at <= now);
         if units_due && self.take_call_token() {
             self.sync_units(id, None, actions);
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! **whinstall** decides for a gateway that keeps each customer of a shared back end to its plan: whether a
-//! request passes, which host gets it, how often it is tried, what the client hears.
+//! **whinstall** is the decision library of a gateway that enforces the quotas of the customers of a shared back end. It
+//! decides whether a request is admitted, which host receives it, whether it is retried, and how the client is answered.
 //!
-//! The mechanism is the global window count of Kong's GraphQL Rate Limiting Advanced plugin: a request is
-//! charged its cost in units against its customer's window total, which all gateways sync through a counter
-//! service; what would pass the limit is refused at once. `docs/design.md` has the rest.
+//! Quotas are windows with a global total, as in Kong's GraphQL Rate Limiting Advanced plugin: a request is charged its
+//! cost in units against its customer's window, whose total all gateways sync through a counter service. A request that
+//! would exceed the limit is refused at once. `docs/design.md` has the details.
 //!
-//! The library is pure and single-threaded: no clock, no I/O, no globals. The embedder feeds [`Event`]s with
-//! the time and carries out the [`Action`]s.
+//! The library is pure and single-threaded: it has no clock, no I/O and no global state. The embedder passes [`Event`]s
+//! with the time and executes the [`Action`]s.
 //!
 //! ```
 //! use whinstall::*;
