--- a/src/lib.rs
+++ b/src/lib.rs
@@ -75,7 +75,7 @@
 //!     customer: CustomerId(Arc::from("c1")),
 //!     budget: secs(2.0),
 //!     units: 2.0,
-//!     width: 2,
+//!     gateway_count: 2,
 //! };
 //! gateway.handle(secs(1.1), request, &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -700,7 +700,7 @@
     next_attempt: u32,
 }
 
-fn check_rules(
+fn check_invariants(
     actions: &[Action],
     now: f64,
     requests: &mut BTreeMap<RequestId, RequestModel>,
@@ -820,11 +820,11 @@
                 }
                 _ => gateway.tick(),
             };
-            check_rules(&actions, now, &mut requests, &ready);
+            check_invariants(&actions, now, &mut requests, &ready);
         }
         // Requests held for the counter are decided by its answer.
         let actions = gateway.answer_counter(|_, _| (Ending::Ok, 0.0));
-        check_rules(&actions, gateway.now, &mut requests, &ready);
+        check_invariants(&actions, gateway.now, &mut requests, &ready);
         assert!(
             requests.values().all(|request| request.is_answered || !request.in_flight.is_empty()),
             "a request is neither answered nor in flight"
