--- a/crates/gateway/src/data_plane/quota_admission/standing_share.rs
+++ b/crates/gateway/src/data_plane/quota_admission/standing_share.rs
@@ -4,7 +4,7 @@
 //! request. A share with a depth below one token is spent in time slots. A slot is the time in which the share accrues one
 //! token, and that token is available only during the first fraction `depth` of the slot. The slots of different nodes
 //! start evenly spread, so the tokens available at any moment add up to about the sum of the depths. If each of many nodes
-//! held a whole token instead, all of them together could exceed the allowed overshoot.
+//! held a full token instead, all of them together could exceed the allowed overshoot.
 
 use super::tenant_account::TenantAccount;
 use super::{AdmissionDecision, QuotaAdmissionConfig};
