--- a/src/net/counter/tests.rs
+++ b/src/net/counter/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
-use crate::net::peer::{held, Peer as Scripted, Reply};
+use crate::net::peer::{delayed_reply, ScriptedPeer, ScriptedReply};
 
 /// Totals must come back in call order: on two connections the later call of a name could overtake the earlier one.
 #[test]
 fn calls_of_one_name_wait_for_each_other_and_for_no_other_name() {
-    let (say, first) = held();
+    let (say, first) = delayed_reply();
     let first = std::sync::Mutex::new(Some(first));
-    let peer = Scripted::start(move |call| match call.start.contains("/a?by=1&") {
-        true => first.lock().expect("whole").take().unwrap_or(Reply::Hangup),
-        false => Reply::Ok("7"),
+    let peer = ScriptedPeer::start(move |call| match call.start.contains("/a?by=1&") {
+        true => first.lock().expect("whole").take().unwrap_or(ScriptedReply::Close),
+        false => ScriptedReply::Ok("7"),
     });
     actix_rt::System::new().block_on(async {
         let (core, mut messages) = tokio::sync::mpsc::unbounded_channel();
@@ -36,7 +36,7 @@
         }
         assert_eq!(reported, ["b Answered 7", "a Answered 1", "a Answered 7"]);
         // Whatever was answered was seen, but on two connections in no order.
-        let mut seen = peer.requests();
+        let mut seen = peer.take_requests();
         seen.retain(|call| call.contains("/a?"));
         let calls = ["1", "-2.5"].map(|by| format!("POST /counters/a?by={by}&expire_ms=4000 []"));
         assert_eq!(seen, calls);
@@ -47,8 +47,8 @@
 /// reported as late, once.
 #[test]
 fn a_call_answered_after_its_timeout_is_reported_twice_and_sent_once() {
-    let (say, reply) = held();
-    let peer = Scripted::start(move |_| reply.clone());
+    let (say, reply) = delayed_reply();
+    let peer = ScriptedPeer::start(move |_| reply.clone());
     actix_rt::System::new().block_on(async {
         let (core, mut messages) = tokio::sync::mpsc::unbounded_channel();
         let (wait, late) = (Duration::from_millis(50), Duration::from_secs(30));
@@ -65,5 +65,5 @@
         assert_eq!((&*name.0, total), ("a", 9.0));
         assert!(messages.try_recv().is_err(), "nothing more");
     });
-    assert_eq!(peer.requests().len(), 1);
+    assert_eq!(peer.take_requests().len(), 1);
 }
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::peer::{ok, Peer as ScriptedPeer, Reply as ScriptedReply, Seen, BOUND};
+use crate::net::peer::{ok_response, PeerEvent, ScriptedPeer, ScriptedReply, BOUND};
 use std::time::Instant;
 
 fn peer(name: &str, scripted: &ScriptedPeer) -> Peer {
@@ -23,8 +23,8 @@
         })
     };
     assert_eq!((outcome(1, false), outcome(0, true)), (ExchangeOutcome::Withdrawn, ExchangeOutcome::NotSent));
-    assert_eq!(scripted.requests().len(), 0);
-    assert_eq!((outcome(1, true), scripted.requests().len()), (ExchangeOutcome::Answered, 1));
+    assert_eq!(scripted.take_requests().len(), 0);
+    assert_eq!((outcome(1, true), scripted.take_requests().len()), (ExchangeOutcome::Answered, 1));
 }
 
 /// At the limit only the connection idle longest is closed, not all idle ones.
@@ -46,19 +46,19 @@
 #[test]
 fn only_the_complete_response_to_a_request_is_accepted() {
     let early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
-    let twice = ok("first") + &ok("second");
+    let twice = ok_response("first") + &ok_response("second");
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfirst\r\n";
     let claim = format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}", "x".repeat(1000));
     let answers = [
-        (early.to_owned() + &ok("first"), ExchangeOutcome::Answered),
+        (early.to_owned() + &ok_response("first"), ExchangeOutcome::Answered),
         (twice, ExchangeOutcome::Answered),
-        (ok("first") + "noise", ExchangeOutcome::Answered),
+        (ok_response("first") + "noise", ExchangeOutcome::Answered),
         (chunked.to_owned() + "0\r\n\r\n", ExchangeOutcome::Answered),
         (chunked.to_owned() + "five\r\n", ExchangeOutcome::InvalidResponse),
         (claim, ExchangeOutcome::InvalidResponse),
         ("HTTP/1.1 200 OK\r\n\r\nfirst".to_owned(), ExchangeOutcome::InvalidResponse),
         (
-            ok("first").replace("Content-Length", "Content-Length: 3\r\nContent-Length"),
+            ok_response("first").replace("Content-Length", "Content-Length: 3\r\nContent-Length"),
             ExchangeOutcome::InvalidResponse,
         ),
     ];
@@ -67,7 +67,7 @@
         (chunked, ExchangeOutcome::ConnectionLost),
     ];
     let answers = answers.map(|(text, end)| (ScriptedReply::Raw(text), end)).into_iter();
-    for (says, end) in answers.chain(torn.map(|(text, end)| (ScriptedReply::Torn(text), end))) {
+    for (says, end) in answers.chain(torn.map(|(text, end)| (ScriptedReply::ThenClose(text), end))) {
         let what = format!("{says:?}");
         let says = std::sync::Mutex::new(Some(says));
         let scripted = ScriptedPeer::start(move |_| {
@@ -90,7 +90,8 @@
 #[test]
 fn an_informational_response_costs_no_time() {
     let early = "HTTP/1.1 100 Continue\r\n\r\n".to_owned();
-    let scripted = ScriptedPeer::start(move |_| ScriptedReply::Parts([early.clone(), ok("drafted")]));
+    let scripted =
+        ScriptedPeer::start(move |_| ScriptedReply::TwoParts([early.clone(), ok_response("drafted")]));
     actix_rt::System::new().block_on(async {
         let client = UpstreamClient::new(BOUND, BOUND, 2);
         let mut times = Vec::new();
@@ -118,8 +119,9 @@
         assert_eq!(client.open_connections(), 2);
         client.retain_idle(|name, _| name == "n1");
         assert_eq!((client.open_connections(), client.pool.idle_peers().len()), (1, 1));
-        let closed =
-            std::iter::from_fn(|| Some(scripted.next())).take(4).filter(|s| matches!(s, Seen::Closed));
+        let closed = std::iter::from_fn(|| Some(scripted.next_event()))
+            .take(4)
+            .filter(|s| matches!(s, PeerEvent::Closed));
         assert_eq!(closed.count(), 1);
     });
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -14,32 +14,32 @@
 use std::sync::mpsc::{channel, Receiver};
 
 /// A quota counter that answers 1 to every call: enough for tests with one customer.
-pub fn counter() -> Peer {
-    Peer::start(|_| Reply::Ok("1"))
+pub fn start_counter() -> ScriptedPeer {
+    ScriptedPeer::start(|_| ScriptedReply::Ok("1"))
 }
 
 /// A node's entry on discovery's list.
-pub fn node(uid: &str, address: SocketAddr, state: &str) -> String {
-    node_in(uid, address, state, "hall-a")
+pub fn endpoint_entry(uid: &str, address: SocketAddr, state: &str) -> String {
+    endpoint_entry_in_zone(uid, address, state, "hall-a")
 }
 
 /// A node's entry on discovery's list, in this zone.
-pub fn node_in(uid: &str, address: SocketAddr, state: &str, hall: &str) -> String {
+pub fn endpoint_entry_in_zone(uid: &str, address: SocketAddr, state: &str, hall: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"{hall}","model":"std","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
 /// Discovery's response.
-pub fn list(rev: u32, all: bool, nodes: &[String]) -> String {
+pub fn endpoint_list(rev: u32, all: bool, nodes: &[String]) -> String {
     format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, nodes.join(","))
 }
 
 /// A discovery that sends this full list and then no changes.
-pub fn settled_discovery(whole: String) -> Peer {
-    Peer::start(move |call| match call.start.contains("after=") {
-        true => Reply::Silence,
-        false => Reply::Raw(ok(&whole)),
+pub fn start_static_discovery(whole: String) -> ScriptedPeer {
+    ScriptedPeer::start(move |call| match call.start.contains("after=") {
+        true => ScriptedReply::NoResponse,
+        false => ScriptedReply::Raw(ok_response(&whole)),
     })
 }
 
@@ -62,12 +62,15 @@
 
 impl Gatekeeper {
     /// Starts it with these nodes, a quota counter and a discovery without changes.
-    pub fn before(nodes: &[&Peer]) -> Gatekeeper {
-        let lines: Vec<_> =
-            nodes.iter().enumerate().map(|(n, p)| node(&format!("n{n}"), p.address, "SERVING")).collect();
-        let whole = list(1, true, &lines);
-        let (known, discovery) = (whole.clone(), settled_discovery(whole));
-        Gatekeeper::start(&known, discovery.address, counter().address, 1024)
+    pub fn in_front_of(nodes: &[&ScriptedPeer]) -> Gatekeeper {
+        let lines: Vec<_> = nodes
+            .iter()
+            .enumerate()
+            .map(|(n, p)| endpoint_entry(&format!("n{n}"), p.address, "SERVING"))
+            .collect();
+        let whole = endpoint_list(1, true, &lines);
+        let (known, discovery) = (whole.clone(), start_static_discovery(whole));
+        Gatekeeper::start(&known, discovery.address, start_counter().address, 1024)
     }
 
     /// Starts it with these peers.
@@ -88,7 +91,7 @@
 
     /// Starts it with this configuration and command-line arguments.
     pub fn start_configured(configuration: &str, args: &[&str]) -> Gatekeeper {
-        Gatekeeper::start_in(&directory(), configuration, args)
+        Gatekeeper::start_in(&temporary_directory(), configuration, args)
     }
 
     /// Starts it with this `$TMPDIR`, configuration and command-line arguments.
@@ -97,8 +100,8 @@
     }
 
     /// Starts it with this configuration and arguments; also returns what it logged before it served.
-    pub fn start_logged(configuration: &str, args: &[&str]) -> (Gatekeeper, Vec<String>) {
-        Gatekeeper::start_and_read(&directory(), configuration, args)
+    pub fn start_and_take_log(configuration: &str, args: &[&str]) -> (Gatekeeper, Vec<String>) {
+        Gatekeeper::start_and_read(&temporary_directory(), configuration, args)
     }
 
     fn start_and_read(directory: &Path, configuration: &str, args: &[&str]) -> (Gatekeeper, Vec<String>) {
@@ -120,28 +123,28 @@
 
     /// Starts the program with this configuration.
     pub fn spawn(configuration: &str) -> Child {
-        Gatekeeper::run(&directory(), &Gatekeeper::file(configuration), &[])
+        Gatekeeper::run(&temporary_directory(), &Gatekeeper::file(configuration), &[])
     }
 
     /// Starts the program with this configuration and command-line arguments.
     pub fn spawn_with(configuration: &str, args: &[&str]) -> Child {
-        Gatekeeper::run(&directory(), &Gatekeeper::file(configuration), args)
+        Gatekeeper::run(&temporary_directory(), &Gatekeeper::file(configuration), args)
     }
 
     /// Writes an operators' settings file.
-    pub fn settings_file(text: &str) -> PathBuf {
+    pub fn write_settings_file(text: &str) -> PathBuf {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("settings-{}.cue", unique()));
         std::fs::write(&path, text).expect("a file");
         path
     }
 
     /// The lines of its log so far that were not returned before.
-    pub fn log_so_far(&self) -> Vec<String> {
+    pub fn take_log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
     /// Waits for the next line of its log that contains all these texts.
-    pub fn logged(&self, words: &[&str]) -> String {
+    pub fn wait_for_log(&self, words: &[&str]) -> String {
         let until = std::time::Instant::now() + BOUND;
         loop {
             let left = until.saturating_duration_since(std::time::Instant::now());
@@ -175,7 +178,7 @@
     pub fn sighup(&self, configuration: &str, words: &str) {
         std::fs::write(&self.path, configuration).expect("a file");
         self.signal("HUP");
-        self.logged(&[words]);
+        self.wait_for_log(&[words]);
     }
 
     pub fn connect(&self) -> Client {
@@ -199,7 +202,7 @@
         self.child.id()
     }
 
-    pub fn exit(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         self.child.wait().expect("it exits")
     }
 }
@@ -212,7 +215,7 @@
 }
 
 /// An empty directory of its own.
-pub fn directory() -> PathBuf {
+pub fn temporary_directory() -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("d{}-{}", std::process::id(), unique()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).expect("a directory");
@@ -259,12 +262,12 @@
     }
 
     /// Reads the next response.
-    pub fn answer(&mut self) -> Message {
+    pub fn read_response(&mut self) -> Message {
         Message::read(&mut self.0).expect("an answer")
     }
 
     /// Whether the connection is closed without a further response.
-    pub fn closed(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         Message::read(&mut self.0).is_none()
     }
 }
--- a/tests/common/peer.rs
+++ b/tests/common/peer.rs
@@ -44,7 +44,7 @@
     }
 
     /// The status or the request line without the version, and the body.
-    pub fn brief(&self) -> String {
+    pub fn summary(&self) -> String {
         let start = self.start.trim_start_matches("HTTP/1.1 ").trim_end_matches(" HTTP/1.1");
         format!("{start} [{}]", self.body)
     }
@@ -52,49 +52,49 @@
 
 /// What a scripted peer does with a request.
 #[derive(Clone, Debug)]
-pub enum Reply {
+pub enum ScriptedReply {
     /// Writes this body with status 200.
     Ok(&'static str),
     /// Writes this text, valid or not.
     Raw(String),
     /// Writes this body with status 200 when the test sends it.
-    Held(Arc<Mutex<Receiver<String>>>),
+    Delayed(Arc<Mutex<Receiver<String>>>),
     /// Writes this in two parts; the kernel may hold the second until the first is acknowledged.
-    Parts([String; 2]),
+    TwoParts([String; 2]),
     /// Writes this and closes the connection.
-    Torn(&'static str),
+    ThenClose(&'static str),
     /// Closes the connection.
-    Hangup,
+    Close,
     /// Sends nothing until the gatekeeper closes the connection.
-    Silence,
+    NoResponse,
 }
 
 /// A reply that is sent later, by `send` on the returned sender.
-pub fn held() -> (Sender<String>, Reply) {
+pub fn delayed_reply() -> (Sender<String>, ScriptedReply) {
     let (say, hear) = channel();
-    (say, Reply::Held(Arc::new(Mutex::new(hear))))
+    (say, ScriptedReply::Delayed(Arc::new(Mutex::new(hear))))
 }
 
 /// A response with status 200 and this body.
-pub fn ok(body: &str) -> String {
+pub fn ok_response(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
 /// What a peer received.
 #[derive(Debug)]
-pub enum Seen {
+pub enum PeerEvent {
     Request(Message),
     Closed,
 }
 
 /// A peer that replies by script and records what it receives.
-pub struct Peer {
+pub struct ScriptedPeer {
     pub address: SocketAddr,
-    seen: Receiver<Seen>,
+    seen: Receiver<PeerEvent>,
 }
 
-impl Peer {
-    pub fn start(script: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Peer {
+impl ScriptedPeer {
+    pub fn start(script: impl Fn(&Message) -> ScriptedReply + Send + Sync + 'static) -> ScriptedPeer {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let (see, seen) = channel();
@@ -105,68 +105,68 @@
                 std::thread::spawn(move || converse(stream, &*script, &see));
             }
         });
-        Peer { address, seen }
+        ScriptedPeer { address, seen }
     }
 
     /// Waits for the next event.
-    pub fn next(&self) -> Seen {
+    pub fn next_event(&self) -> PeerEvent {
         self.seen.recv_timeout(BOUND).expect("the peer sees something")
     }
 
     /// Waits for the next request.
-    pub fn request(&self) -> Message {
+    pub fn next_request(&self) -> Message {
         loop {
-            if let Seen::Request(message) = self.next() {
+            if let PeerEvent::Request(message) = self.next_event() {
                 return message;
             }
         }
     }
 
     /// Waits for the next request, for at most this time.
-    pub fn request_within(&self, timeout: Duration) -> Option<Message> {
+    pub fn next_request_within(&self, timeout: Duration) -> Option<Message> {
         let deadline = Instant::now() + timeout;
         loop {
             match self.seen.recv_timeout(deadline.saturating_duration_since(Instant::now())) {
-                Ok(Seen::Request(message)) => return Some(message),
-                Ok(Seen::Closed) => {}
+                Ok(PeerEvent::Request(message)) => return Some(message),
+                Ok(PeerEvent::Closed) => {}
                 Err(_) => return None,
             }
         }
     }
 
     /// All requests so far that were not returned before.
-    pub fn requests(&self) -> Vec<String> {
+    pub fn take_requests(&self) -> Vec<String> {
         let brief = |seen| match seen {
-            Seen::Request(message) => Some(message.brief()),
-            Seen::Closed => None,
+            PeerEvent::Request(message) => Some(message.summary()),
+            PeerEvent::Closed => None,
         };
         self.seen.try_iter().filter_map(brief).collect()
     }
 }
 
-fn converse(stream: TcpStream, script: &dyn Fn(&Message) -> Reply, see: &Sender<Seen>) {
+fn converse(stream: TcpStream, script: &dyn Fn(&Message) -> ScriptedReply, see: &Sender<PeerEvent>) {
     let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
     let mut writer = stream;
     while let Some(message) = Message::read(&mut reader) {
         let reply = script(&message);
-        let _ = see.send(Seen::Request(message));
+        let _ = see.send(PeerEvent::Request(message));
         let text = match reply {
-            Reply::Ok(body) => ok(body),
-            Reply::Raw(text) => text,
-            Reply::Parts([first, second]) => {
+            ScriptedReply::Ok(body) => ok_response(body),
+            ScriptedReply::Raw(text) => text,
+            ScriptedReply::TwoParts([first, second]) => {
                 let _ = writer.write_all(first.as_bytes());
                 second
             }
-            Reply::Held(hear) => match hear.lock().expect("one listener").recv_timeout(BOUND) {
-                Ok(body) => ok(&body),
+            ScriptedReply::Delayed(hear) => match hear.lock().expect("one listener").recv_timeout(BOUND) {
+                Ok(body) => ok_response(&body),
                 Err(_) => return,
             },
-            Reply::Torn(text) => {
+            ScriptedReply::ThenClose(text) => {
                 let _ = writer.write_all(text.as_bytes());
                 return drop(writer.shutdown(Shutdown::Both));
             }
-            Reply::Hangup => return drop(writer.shutdown(Shutdown::Both)),
-            Reply::Silence => {
+            ScriptedReply::Close => return drop(writer.shutdown(Shutdown::Both)),
+            ScriptedReply::NoResponse => {
                 let _ = reader.read(&mut [0]);
                 break;
             }
@@ -175,5 +175,5 @@
             break;
         }
     }
-    let _ = see.send(Seen::Closed);
+    let _ = see.send(PeerEvent::Closed);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -40,10 +40,10 @@
 static LOAD_TESTS: Mutex<()> = Mutex::new(());
 
 struct Fleet {
-    node: Peer,
+    node: ScriptedPeer,
     received: ReceivedRequests,
     /// The counters that members see.
-    counters: Vec<Peer>,
+    counters: Vec<ScriptedPeer>,
     /// For each member, the index of its counter.
     counter_of: [usize; MEMBERS],
     members: Vec<Gatekeeper>,
@@ -108,18 +108,18 @@
             .map(|n| LinkProxy::start(MEMBERS, Arc::clone(&sender_ports), 7 + n as u64))
             .collect();
         let (counters, counter_of) = match counter {
-            Counter::Silent => (vec![Peer::start(|_| Reply::Silence)], [0; MEMBERS]),
+            Counter::Silent => (vec![ScriptedPeer::start(|_| ScriptedReply::NoResponse)], [0; MEMBERS]),
             Counter::SplitPerMember => ((0..MEMBERS).map(|_| summing_counter()).collect(), ALL),
             Counter::SplitInTwo => (vec![summing_counter(), summing_counter()], [0, 1, 0, 1, 0]),
         };
         let received = ReceivedRequests::default();
         let log = Arc::clone(&received);
-        let node = Peer::start(move |call| {
+        let node = ScriptedPeer::start(move |call| {
             let id = call.header("request-id").unwrap_or_default().to_owned();
             let customer =
                 call.start.split("client=").nth(1).map_or("", |text| &text[..text.len().min(16)]).to_owned();
             log.lock().expect("not poisoned").push((Instant::now(), customer, id));
-            Reply::Ok("drafted")
+            ScriptedReply::Ok("drafted")
         });
         let members = Vec::new();
         let mut fleet = Fleet {
@@ -145,7 +145,7 @@
 
     /// Starts a member, or restarts it under its old name. The addresses of two members are its seeds.
     fn start_member(&self, n: usize) -> Gatekeeper {
-        let endpoint_list = list(1, true, &[common::node("n0", self.node.address, "SERVING")]);
+        let endpoint_list = endpoint_list(1, true, &[endpoint_entry("n0", self.node.address, "SERVING")]);
         let counter = self.counters[self.counter_of[n]].address;
         let configuration = configuration(&endpoint_list, counter, counter, 384);
         let configuration = configuration
@@ -177,9 +177,9 @@
             round,
             self.extra_settings,
         );
-        let file = Gatekeeper::settings_file(&settings);
+        let file = Gatekeeper::write_settings_file(&settings);
         let (member, startup_log) =
-            Gatekeeper::start_logged(&configuration, &["--fleet", file.to_str().expect("UTF-8")]);
+            Gatekeeper::start_and_take_log(&configuration, &["--fleet", file.to_str().expect("UTF-8")]);
         let line = startup_log
             .iter()
             .find(|l| l.contains("replication among gatekeepers enabled"))
@@ -207,7 +207,7 @@
     /// Waits until these members hold this many usage rows.
     fn wait_for_rows(&self, members: &[usize], rows: usize) {
         for n in members {
-            self.members[*n].logged(&["fleet: copies", &format!("rows={rows} ")]);
+            self.members[*n].wait_for_log(&["fleet: copies", &format!("rows={rows} ")]);
         }
     }
 
@@ -216,14 +216,14 @@
     fn wait_for_members(&self, members: &[usize], alive: usize, fresh: &str) {
         for n in members {
             let words = [format!("alive={alive} suspected=0"), format!("fresh=\"{fresh}\"")];
-            self.members[*n].logged(&["fleet: copies", &words[0], &words[1]]);
+            self.members[*n].wait_for_log(&["fleet: copies", &words[0], &words[1]]);
         }
     }
 
     /// Waits until all of these members log the same checksum of usage rows; returns how long it took.
     fn wait_for_equal_replicas(&self, members: &[usize]) -> Duration {
         let start = Instant::now();
-        members.iter().for_each(|n| drop(self.members[*n].log_so_far()));
+        members.iter().for_each(|n| drop(self.members[*n].take_log()));
         let field = |line: &str, name: &str| {
             line.split(name).nth(1).map(|t| t.split(' ').next().unwrap_or("").to_owned()).unwrap_or_default()
         };
@@ -232,7 +232,7 @@
         while start.elapsed() < BOUND {
             for n in members {
                 // The first line may describe the state before the start.
-                for line in self.members[*n].log_so_far().iter().filter(|l| l.contains("fleet: copies")) {
+                for line in self.members[*n].take_log().iter().filter(|l| l.contains("fleet: copies")) {
                     let entry = checksums.entry(*n).or_default();
                     *entry = (entry.0 + 1, field(line, "sum="));
                 }
@@ -254,7 +254,7 @@
         while denied < 6 && sent < 60 {
             sent += 1;
             let text = preview(&format!("m{n}-{customer}-{sent}"), customer);
-            match client.write(&text).answer().body.as_str() {
+            match client.write(&text).read_response().body.as_str() {
                 "drafted" => (served, denied) = (served + 1, 0),
                 _ => denied += 1,
             }
@@ -307,16 +307,16 @@
 }
 
 /// A counter that sums the increments of each name.
-fn summing_counter() -> Peer {
+fn summing_counter() -> ScriptedPeer {
     let totals = Mutex::new(HashMap::<String, f64>::new());
-    Peer::start(move |call| {
+    ScriptedPeer::start(move |call| {
         let target = call.start.split(' ').nth(1).unwrap_or_default();
-        let Some((name, by)) = target.split_once("?by=") else { return Reply::Silence };
+        let Some((name, by)) = target.split_once("?by=") else { return ScriptedReply::NoResponse };
         let by: f64 = by.split('&').next().and_then(|by| by.parse().ok()).unwrap_or(0.0);
         let mut totals = totals.lock().expect("not poisoned");
         let total = totals.entry(name.to_owned()).or_default();
         *total += by;
-        Reply::Raw(ok(&total.to_string()))
+        ScriptedReply::Raw(ok_response(&total.to_string()))
     })
 }
 
@@ -478,7 +478,7 @@
     let before = fleet.use_quota(0, customer);
     fleet.wait_for_rows(&[1, 2, 3, 4], 1);
     fleet.members[0].signal("KILL");
-    fleet.members[0].exit();
+    fleet.members[0].wait_for_exit();
     fleet.members[0] = fleet.start_member(0);
     fleet.wait_for_rows(&[0], 1);
     let after = fleet.use_quota(0, customer);
@@ -493,15 +493,15 @@
     let mut fleet = Fleet::start(true, Counter::Silent, 0.02);
     fleet.wait_for_members(&ALL, 4, "1.00");
     fleet.members[3].signal("KILL");
-    fleet.members[3].exit();
+    fleet.members[3].wait_for_exit();
     for n in [0, 1, 2, 4] {
-        fleet.members[n].logged(&["a member is gone", "member=\"g3\""]);
+        fleet.members[n].wait_for_log(&["a member is gone", "member=\"g3\""]);
     }
     fleet.wait_for_members(&[0, 1, 2, 4], 3, "0.75");
     fleet.members[2].sigterm();
-    assert!(fleet.members[2].exit().success());
+    assert!(fleet.members[2].wait_for_exit().success());
     for n in [0, 1, 4] {
-        fleet.members[n].logged(&["a member has left", "member=\"g2\""]);
+        fleet.members[n].wait_for_log(&["a member has left", "member=\"g2\""]);
     }
     fleet.wait_for_members(&[0, 1, 4], 2, "0.75");
     for n in [3, 2] {
@@ -523,7 +523,7 @@
     fleet.wait_for_rows(&ALL, 1);
     wait(2.0);
     for n in ALL {
-        let log = fleet.members[n].log_so_far();
+        let log = fleet.members[n].take_log();
         assert!(log.iter().all(|l| !l.contains("a member is gone")), "{log:?}");
     }
     fleet.wait_for_members(&ALL, 4, "1.00");
@@ -536,12 +536,12 @@
     fleet.wait_for_members(&ALL, 4, "1.00");
     fleet.members[2].signal("STOP");
     for n in [0, 1, 3, 4] {
-        fleet.members[n].logged(&["a member is gone", "member=\"g2\""]);
+        fleet.members[n].wait_for_log(&["a member is gone", "member=\"g2\""]);
     }
     let customer = new_customer();
     assert!(fleet.use_quota(0, customer) >= 1);
     fleet.members[2].signal("CONT");
-    fleet.members[2].logged(&["given up by the others, and is back"]);
+    fleet.members[2].wait_for_log(&["given up by the others, and is back"]);
     fleet.wait_for_members(&ALL, 4, "1.00");
     fleet.wait_for_rows(&ALL, 1);
 }
@@ -586,7 +586,7 @@
     // The silence of the counter is detected under a first load, whose overshoot is not checked.
     let warm_up = Load::start(&fleet, 4, WINDOW_STARTED);
     for n in ALL {
-        fleet.members[n].logged(&["counter in trouble"]);
+        fleet.members[n].wait_for_log(&["counter in trouble"]);
     }
     warm_up.audit(&fleet);
     let mut results = Vec::new();
@@ -609,7 +609,7 @@
             "stop" => fleet.members[1].signal("STOP"),
             "kill" => {
                 fleet.members[1].signal("KILL");
-                fleet.members[1].exit();
+                fleet.members[1].wait_for_exit();
             }
             _ => {}
         }
@@ -659,7 +659,7 @@
     while detected_after.len() < MEMBERS && start.elapsed() < BOUND {
         for n in ALL {
             let reports_split = |line: &String| line.contains("counter in trouble") && line.contains("split");
-            if fleet.members[n].log_so_far().iter().any(reports_split) {
+            if fleet.members[n].take_log().iter().any(reports_split) {
                 detected_after.entry(n).or_insert(start.elapsed());
             }
         }
@@ -678,9 +678,9 @@
 
 /// Waits until `leader` logs that it leads and knows all grants, and these members log that they support it.
 fn wait_for_leader(fleet: &Fleet, supporters: &[usize], leader: usize) {
-    fleet.members[leader].logged(&["fleet: budgets", "leads=true", "unknown_ms=0 "]);
+    fleet.members[leader].wait_for_log(&["fleet: budgets", "leads=true", "unknown_ms=0 "]);
     for n in supporters {
-        fleet.members[*n].logged(&["fleet: budgets", &format!("supports=\"g{leader}\"")]);
+        fleet.members[*n].wait_for_log(&["fleet: budgets", &format!("supports=\"g{leader}\"")]);
     }
 }
 
@@ -697,8 +697,9 @@
         let (start, mut sent, mut served) = (Instant::now(), 0, 0);
         while start.elapsed().as_secs_f64() < 6.0 * LEASE_SECS {
             sent += 1;
-            served +=
-                usize::from(client.write(&preview(&format!("c{sent}"), customer)).answer().body == "drafted");
+            served += usize::from(
+                client.write(&preview(&format!("c{sent}"), customer)).read_response().body == "drafted",
+            );
             wait(0.01);
         }
         assert!(fleet.ceiling_overshoot(customer) <= 1.0, "{}", fleet.ceiling_overshoot(customer));
@@ -726,7 +727,7 @@
     wait(3.0 * LEASE_SECS);
     // The leader is killed under load, and another member takes over.
     fleet.members[0].signal("KILL");
-    fleet.members[0].exit();
+    fleet.members[0].wait_for_exit();
     wait_for_leader(&fleet, &[1, 2, 3, 4], 1);
     fleet.members[0] = fleet.start_member(0);
     load.update_address(0, &fleet);
@@ -751,14 +752,14 @@
     // Two members are killed at once and restarted; one leaves.
     for n in [1, 2] {
         fleet.members[n].signal("KILL");
-        fleet.members[n].exit();
+        fleet.members[n].wait_for_exit();
     }
     for n in [1, 2] {
         fleet.members[n] = fleet.start_member(n);
         load.update_address(n, &fleet);
     }
     fleet.members[4].sigterm();
-    assert!(fleet.members[4].exit().success());
+    assert!(fleet.members[4].wait_for_exit().success());
     wait_for_leader(&fleet, &[0, 1, 2, 3], 0);
     wait(LEASE_SECS);
     let overshoot = fleet.ceiling_overshoot(customer);
@@ -802,7 +803,7 @@
                 let mut sent = 0u32;
                 while start.elapsed().as_secs_f64() < duration_secs {
                     sent += 1;
-                    client.write(&preview(&format!("q{n}-{sent}"), 0x6000_0000 + sent % 60)).answer();
+                    client.write(&preview(&format!("q{n}-{sent}"), 0x6000_0000 + sent % 60)).read_response();
                 }
                 sent
             })
@@ -825,26 +826,26 @@
 #[test]
 fn messages_of_another_fleet_are_rejected() {
     let fleet = Fleet::with_clusters(true, Counter::Silent, 0.02, ["cluj", "cluj", "cluj", "cluj", "arad"]);
-    fleet.members[0].logged(&["a message is turned away", "g4", "arad"]);
+    fleet.members[0].wait_for_log(&["a message is turned away", "g4", "arad"]);
     fleet.wait_for_members(&[0, 1, 2, 3], 3, "0.75");
     let customer = new_customer();
     assert!(fleet.use_quota(4, customer) >= 1 && fleet.use_quota(0, customer) >= 1);
     fleet.wait_for_rows(&[0, 1, 2, 3], 1);
-    fleet.members[4].logged(&["fleet: copies", "alive=0", "rows=1 "]);
+    fleet.members[4].wait_for_log(&["fleet: copies", "alive=0", "rows=1 "]);
 }
 
 /// Without the settings of a fleet nothing is logged about it. With them and an operator endpoint the program does
 /// not start.
 #[test]
 fn replication_is_off_without_settings() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let gatekeeper = Gatekeeper::before(&[&node]);
-    assert_eq!(gatekeeper.connect().preview("r1").answer().body, "drafted");
-    assert!(gatekeeper.log_so_far().iter().all(|l| !l.contains("fleet") && !l.contains("copies")));
-    let endpoint_list = list(1, true, &[common::node("n0", node.address, "SERVING")]);
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let gatekeeper = Gatekeeper::in_front_of(&[&node]);
+    assert_eq!(gatekeeper.connect().preview("r1").read_response().body, "drafted");
+    assert!(gatekeeper.take_log().iter().all(|l| !l.contains("fleet") && !l.contains("copies")));
+    let endpoint_list = endpoint_list(1, true, &[endpoint_entry("n0", node.address, "SERVING")]);
     let configuration = configuration(&endpoint_list, node.address, node.address, 384);
     let configuration = configuration.replacen('{', "{\"operator\":\"127.0.0.1:0\",", 1);
-    let file = Gatekeeper::settings_file("fleet: { cluster: \"cluj\", listen: \"127.0.0.1:0\" }");
+    let file = Gatekeeper::write_settings_file("fleet: { cluster: \"cluj\", listen: \"127.0.0.1:0\" }");
     let child = Gatekeeper::spawn_with(&configuration, &["--fleet", file.to_str().expect("UTF-8")]);
     let output = child.wait_with_output().expect("it exits");
     assert_eq!(output.status.code(), Some(1));
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -20,11 +20,14 @@
 }
 
 /// Its configuration: a hot restart repeats it but for the operator endpoint's port.
-fn operated(nodes: &[&Peer], counter: &Peer) -> String {
-    let lines: Vec<_> =
-        nodes.iter().enumerate().map(|(n, p)| node(&format!("n{n}"), p.address, "SERVING")).collect();
-    let whole = list(1, true, &lines);
-    let discovery = settled_discovery(whole.clone());
+fn operated(nodes: &[&ScriptedPeer], counter: &ScriptedPeer) -> String {
+    let lines: Vec<_> = nodes
+        .iter()
+        .enumerate()
+        .map(|(n, p)| endpoint_entry(&format!("n{n}"), p.address, "SERVING"))
+        .collect();
+    let whole = endpoint_list(1, true, &lines);
+    let discovery = start_static_discovery(whole.clone());
     let configuration = configuration(&whole, discovery.address, counter.address, 384);
     configuration.replacen('{', "{\"operator\":\"127.0.0.1:0\",", 1)
 }
@@ -32,7 +35,7 @@
 impl Operated {
     fn start(directory: &Path, configuration: &str) -> Operated {
         let gatekeeper = Gatekeeper::start_in(directory, configuration, &[]);
-        let line = gatekeeper.logged(&["operator endpoint listening"]);
+        let line = gatekeeper.wait_for_log(&["operator endpoint listening"]);
         let endpoint =
             line.split("operator=").nth(1).and_then(|a| a.trim().parse().ok()).expect("an address");
         Operated { gatekeeper, endpoint }
@@ -55,7 +58,7 @@
     }
 
     fn ready(&self) -> bool {
-        self.gatekeeper.connect().write(READY).answer().start.contains("200")
+        self.gatekeeper.connect().write(READY).read_response().start.contains("200")
     }
 }
 
@@ -86,12 +89,12 @@
 /// The second process once ended with "Address already in use", and a listener that closes resets its queue.
 #[test]
 fn a_hot_restart_under_load_loses_nothing() {
-    let (say, reply) = held();
-    let node = Peer::start(move |call| match call.start.starts_with("POST") {
+    let (say, reply) = delayed_reply();
+    let node = ScriptedPeer::start(move |call| match call.start.starts_with("POST") {
         true => reply.clone(),
-        false => Reply::Ok("drafted"),
+        false => ScriptedReply::Ok("drafted"),
     });
-    let (directory, counter) = (directory(), counter());
+    let (directory, counter) = (temporary_directory(), start_counter());
     let configuration = operated(&[&node], &counter);
     let mut old = Operated::start(&directory, &configuration);
     let at = old.gatekeeper.address;
@@ -100,26 +103,26 @@
     let clients = crowd(at, &stop);
     let (mut taken, mut quiet) = (old.gatekeeper.connect(), old.gatekeeper.connect());
     taken.issue("r1", "contract");
-    assert!(quiet.write(READY).answer().start.contains("200"));
+    assert!(quiet.write(READY).read_response().start.contains("200"));
     let mut generations = Vec::new();
     for _ in 0..3 {
         let new = Operated::start(&directory, &configuration);
         assert_eq!(new.gatekeeper.address, at);
         new.until("status", "200");
         old.gatekeeper.sigterm();
-        old.gatekeeper.logged(&["handover to the new process", "taken=true"]);
-        new.gatekeeper.logged(&["taking over"]);
+        old.gatekeeper.wait_for_log(&["handover to the new process", "taken=true"]);
+        new.gatekeeper.wait_for_log(&["taking over"]);
         generations.push(std::mem::replace(&mut old, new));
     }
     // What the first process took is answered by it, long after others have taken over.
-    assert!(quiet.closed());
+    assert!(quiet.is_closed());
     say.send("issued".into()).expect("the node hears");
-    let answer = taken.answer();
+    let answer = taken.read_response();
     assert_eq!((answer.body.as_str(), answer.header("connection")), ("issued", Some("close")));
     for mut ended in generations {
-        assert!(ended.gatekeeper.exit().success());
+        assert!(ended.gatekeeper.wait_for_exit().success());
     }
-    old.gatekeeper.logged(&["the old process has exited"]);
+    old.gatekeeper.wait_for_log(&["the old process has exited"]);
     assert!(old.ready());
     stop.store(true, Ordering::Relaxed);
     let answered: Vec<_> = clients.into_iter().map(|c| c.join().expect("no panic")).collect();
@@ -130,14 +133,14 @@
 /// twice.
 #[test]
 fn usage_of_the_old_process_counts_at_the_new_one() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let (directory, silent) = (directory(), Peer::start(|_| Reply::Silence));
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let (directory, silent) = (temporary_directory(), ScriptedPeer::start(|_| ScriptedReply::NoResponse));
     let configuration = operated(&[&node], &silent);
     let old = Operated::start(&directory, &configuration);
     old.until("status", "200");
     let served = |at: &Operated, who: &str| {
         let mut client = at.gatekeeper.connect();
-        (0..30).filter(|n| client.preview(&format!("{who}{n}")).answer().body == "drafted").count()
+        (0..30).filter(|n| client.preview(&format!("{who}{n}")).read_response().body == "drafted").count()
     };
     // Of ten units the last ones are drawn, with no total to go by; half a unit a second comes back.
     let begun = Instant::now();
@@ -146,7 +149,7 @@
     let new = Operated::start(&directory, &configuration);
     new.until("status", "200");
     old.gatekeeper.sigterm();
-    new.gatekeeper.logged(&["taking over", "customers=1"]);
+    new.gatekeeper.wait_for_log(&["taking over", "customers=1"]);
     let second = served(&new, "b");
     let most = 12 + begun.elapsed().as_secs() as usize / 2;
     assert!(first + second <= most, "{first} and {second}, of {most}");
@@ -155,38 +158,38 @@
 /// Whichever of the two processes dies, the other serves.
 #[test]
 fn the_death_of_either_process_leaves_the_other_serving() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let (directory, counter) = (directory(), counter());
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let (directory, counter) = (temporary_directory(), start_counter());
     let configuration = operated(&[&node], &counter);
     let mut old = Operated::start(&directory, &configuration);
     old.until("status", "200");
     let mut stillborn = Operated::start(&directory, &configuration);
     stillborn.gatekeeper.signal("KILL");
-    stillborn.gatekeeper.exit();
+    stillborn.gatekeeper.wait_for_exit();
     assert!(old.ready());
     // A further one may wait then, and takes over when the old one is killed outright.
     let new = Operated::start(&directory, &configuration);
     new.until("status", "200");
     old.gatekeeper.signal("KILL");
-    old.gatekeeper.exit();
-    new.gatekeeper.logged(&["exited without a handover"]);
-    assert_eq!(new.gatekeeper.connect().preview("r1").answer().body, "drafted");
+    old.gatekeeper.wait_for_exit();
+    new.gatekeeper.wait_for_log(&["exited without a handover"]);
+    assert_eq!(new.gatekeeper.connect().preview("r1").read_response().body, "drafted");
     // With its new one dead it drains as at a planned restart.
     let mut stillborn = Operated::start(&directory, &configuration);
     stillborn.gatekeeper.signal("KILL");
-    stillborn.gatekeeper.exit();
+    stillborn.gatekeeper.wait_for_exit();
     let mut new = new;
     new.gatekeeper.sigterm();
-    new.gatekeeper.logged(&["this one continues to serve"]);
-    assert_eq!(new.gatekeeper.connect().preview("r2").answer().body, "drafted");
-    assert!(new.gatekeeper.exit().success());
+    new.gatekeeper.wait_for_log(&["this one continues to serve"]);
+    assert_eq!(new.gatekeeper.connect().preview("r2").read_response().body, "drafted");
+    assert!(new.gatekeeper.wait_for_exit().success());
 }
 
 /// A stopped process sends no listening socket: the new one listens alongside it.
 #[test]
 fn a_stopped_process_does_not_delay_its_successor() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let (directory, counter) = (directory(), counter());
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let (directory, counter) = (temporary_directory(), start_counter());
     let configuration = operated(&[&node], &counter);
     let old = Operated::start(&directory, &configuration);
     let listen = format!("\"listen\":\"{}\"", old.gatekeeper.address);
@@ -199,8 +202,8 @@
 /// A process of the same name at another address is no predecessor: it keeps its clients.
 #[test]
 fn a_process_at_another_address_takes_nothing_over() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let (directory, counter) = (directory(), counter());
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let (directory, counter) = (temporary_directory(), start_counter());
     let configuration = operated(&[&node], &counter);
     let first = Operated::start(&directory, &configuration);
     let elsewhere = but(&configuration, "\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.2:0\"");
@@ -213,9 +216,9 @@
 /// Without an operator endpoint there is no hot restart.
 #[test]
 fn without_an_operator_endpoint_there_is_no_hot_restart() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let directory = directory();
-    let configuration = operated(&[&node], &counter()).replace("\"operator\":\"127.0.0.1:0\",", "");
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let directory = temporary_directory();
+    let configuration = operated(&[&node], &start_counter()).replace("\"operator\":\"127.0.0.1:0\",", "");
     let first = Gatekeeper::start_in(&directory, &configuration, &[]);
     let listen = format!("\"listen\":\"{}\"", first.address);
     let second = configuration.replace("\"listen\":\"127.0.0.1:0\"", &listen);
@@ -227,9 +230,9 @@
 /// The endpoint responds within a second beside connections on which no complete line is sent.
 #[test]
 fn the_operator_endpoint_responds_beside_idle_connections() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let directory = directory();
-    let operated = Operated::start(&directory, &operated(&[&node], &counter()));
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let directory = temporary_directory();
+    let operated = Operated::start(&directory, &operated(&[&node], &start_counter()));
     operated.until("status", "200");
     let holding: Vec<_> = (0..40)
         .map(|n| {
@@ -250,56 +253,56 @@
 /// On standby no request is lost and all client connections are closed after a while; then clients are served again.
 #[test]
 fn standby_closes_client_connections_and_active_serves_again() {
-    let (say, reply) = held();
-    let node = Peer::start(move |call| match call.start.starts_with("POST") {
+    let (say, reply) = delayed_reply();
+    let node = ScriptedPeer::start(move |call| match call.start.starts_with("POST") {
         true => reply.clone(),
-        false => Reply::Ok("drafted"),
+        false => ScriptedReply::Ok("drafted"),
     });
-    let directory = directory();
-    let operated = Operated::start(&directory, &operated(&[&node], &counter()));
+    let directory = temporary_directory();
+    let operated = Operated::start(&directory, &operated(&[&node], &start_counter()));
     operated.until("status", "200");
     assert!(operated.call("active").starts_with("200 active already"));
     let (mut taken, mut used, mut quiet) =
         (operated.gatekeeper.connect(), operated.gatekeeper.connect(), operated.gatekeeper.connect());
     taken.issue("r1", "contract");
-    assert_eq!(used.preview("r2").answer().header("connection"), None);
-    assert_eq!(quiet.preview("r3").answer().header("connection"), None);
+    assert_eq!(used.preview("r2").read_response().header("connection"), None);
+    assert_eq!(quiet.preview("r3").read_response().header("connection"), None);
     assert!(operated.call("standby").starts_with("200 "));
-    operated.gatekeeper.logged(&["operator command"]);
+    operated.gatekeeper.wait_for_log(&["operator command"]);
     assert!(!operated.ready());
     assert!(operated.call("standby").starts_with("200 on standby already"));
     // What comes all the same is served, on kept connections and new ones, and its answer ends the connection.
     for client in [&mut used, &mut operated.gatekeeper.connect()] {
-        let answer = client.preview("r4").answer();
+        let answer = client.preview("r4").read_response();
         assert_eq!((answer.body.as_str(), answer.header("connection")), ("drafted", Some("close")));
-        assert!(client.closed());
+        assert!(client.is_closed());
     }
-    assert!(quiet.closed());
+    assert!(quiet.is_closed());
     say.send("issued".into()).expect("the node hears");
-    assert_eq!(taken.answer().header("connection"), Some("close"));
+    assert_eq!(taken.read_response().header("connection"), Some("close"));
     assert!(operated.call("active").starts_with("200 "));
-    operated.gatekeeper.logged(&["operator command"]);
+    operated.gatekeeper.wait_for_log(&["operator command"]);
     assert!(operated.ready());
-    assert_eq!(operated.gatekeeper.connect().preview("r5").answer().header("connection"), None);
+    assert_eq!(operated.gatekeeper.connect().preview("r5").read_response().header("connection"), None);
 }
 
 /// A standby during a hot restart holds for the new process, and SIGTERM during standby ends the old one.
 #[test]
 fn standby_is_handed_over_to_the_new_process() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let directory = directory();
-    let configuration = operated(&[&node], &counter());
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let directory = temporary_directory();
+    let configuration = operated(&[&node], &start_counter());
     let mut old = Operated::start(&directory, &configuration);
     let new = Operated::start(&directory, &configuration);
     new.until("status", "200");
     assert!(old.call("standby").starts_with("200 "));
-    old.gatekeeper.logged(&["operator command"]);
+    old.gatekeeper.wait_for_log(&["operator command"]);
     old.gatekeeper.sigterm();
-    assert!(old.gatekeeper.exit().success());
-    new.gatekeeper.logged(&["taking over"]);
+    assert!(old.gatekeeper.wait_for_exit().success());
+    new.gatekeeper.wait_for_log(&["taking over"]);
     assert!(!new.ready());
     assert!(new.call("active").starts_with("200 active"));
-    new.gatekeeper.logged(&["operator command"]);
+    new.gatekeeper.wait_for_log(&["operator command"]);
     assert!(new.ready());
 }
 
@@ -313,17 +316,18 @@
 /// a new class goes by its own.
 #[test]
 fn retuning_changes_what_comes_and_nothing_that_is_open() {
-    let (say, reply) = held();
-    let replies = std::sync::Mutex::new(vec![Reply::Ok("drafted"), Reply::Hangup, reply]);
-    let node = Peer::start(move |_| replies.lock().expect("whole").pop().unwrap_or(Reply::Hangup));
-    let directory = directory();
-    let before = operated(&[&node], &counter());
+    let (say, reply) = delayed_reply();
+    let replies = std::sync::Mutex::new(vec![ScriptedReply::Ok("drafted"), ScriptedReply::Close, reply]);
+    let node =
+        ScriptedPeer::start(move |_| replies.lock().expect("whole").pop().unwrap_or(ScriptedReply::Close));
+    let directory = temporary_directory();
+    let before = operated(&[&node], &start_counter());
     let operated = Operated::start(&directory, &before);
     operated.until("status", "200");
     let mut open = operated.gatekeeper.connect();
     // Held by the node until the settings have changed, then reset: its old class permits a second attempt.
     open.preview("r1");
-    node.request();
+    node.next_request();
     let after = but(&before, r#""name": "preview", "aimS": 1.2"#, r#""name": "draft", "aimS": 2.5"#);
     let after = but(&after, "repeatable", "once");
     let after = but(&after, r#""maxAttempts": 5"#, r#""maxAttempts": 1"#);
@@ -331,28 +335,28 @@
     let draft = |id: &str| {
         let head = headers(id, "draft", "4");
         let text = format!("POST /draft?client=00000000b4d65522 HTTP/1.1\r\n{head}Content-Length: 0\r\n\r\n");
-        operated.gatekeeper.connect().write(&text).answer().start
+        operated.gatekeeper.connect().write(&text).read_response().start
     };
     assert_eq!(draft("r2"), "HTTP/1.1 502 Bad Gateway", "once, and torn");
     drop(say);
-    assert_eq!(open.answer().body, "drafted");
+    assert_eq!(open.read_response().body, "drafted");
     // Requests of the removed class are served for a while; a class that never existed is rejected.
     assert_eq!(
-        operated.gatekeeper.connect().preview("r3").answer().start,
+        operated.gatekeeper.connect().preview("r3").read_response().start,
         "HTTP/1.1 503 Service Unavailable"
     );
     let unknown = headers("r4", "sketch", "4");
     let unknown = format!("GET /sketch?client=00000000b4d65521 HTTP/1.1\r\n{unknown}\r\n");
-    assert_eq!(operated.gatekeeper.connect().write(&unknown).answer().body, "no such Request-Class");
+    assert_eq!(operated.gatekeeper.connect().write(&unknown).read_response().body, "no such Request-Class");
 }
 
 /// A file with an invalid deadline once moved discovery to where nobody listened. A rejected file changes nothing, and
 /// the log names the field.
 #[test]
 fn an_invalid_file_is_rejected_as_a_whole() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let (elsewhere, directory) = (Peer::start(|_| Reply::Silence), directory());
-    let before = operated(&[&node], &counter());
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let (elsewhere, directory) = (ScriptedPeer::start(|_| ScriptedReply::NoResponse), temporary_directory());
+    let before = operated(&[&node], &start_counter());
     let operated = Operated::start(&directory, &before);
     operated.until("status", "200");
     let discovery =
@@ -382,9 +386,9 @@
     for (n, (file, field)) in wrong.into_iter().enumerate() {
         operated.gatekeeper.sighup(&file, field);
         let mut client = operated.gatekeeper.connect();
-        assert_eq!(client.preview_for(&format!("r{n}"), n as u32).answer().body, "drafted", "{field}");
+        assert_eq!(client.preview_for(&format!("r{n}"), n as u32).read_response().body, "drafted", "{field}");
     }
-    assert!(elsewhere.requests().is_empty());
+    assert!(elsewhere.take_requests().is_empty());
     operated.gatekeeper.sighup(&moved, "configuration reloaded");
-    assert!(elsewhere.request().start.starts_with("GET /v1/endpoints"));
+    assert!(elsewhere.next_request().start.starts_with("GET /v1/endpoints"));
 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -45,7 +45,7 @@
 /// A scripted counter with a total per name. The two addresses are views of the same totals unless the counter is
 /// split.
 struct Counter {
-    peers: [Peer; 2],
+    peers: [ScriptedPeer; 2],
     state: Arc<State>,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl State {
-    fn answer(&self, view: usize, start: &str) -> Reply {
+    fn answer(&self, view: usize, start: &str) -> ScriptedReply {
         let target = start.split(' ').nth(1).unwrap_or("");
         let (name, query) = target.split_once('?').unwrap_or((target, ""));
         let amount = query.split('&').find_map(|p| p.strip_prefix("by=")?.parse::<f64>().ok()).unwrap_or(0.0);
@@ -84,7 +84,7 @@
         // customers are on each partition, whatever the number of the window.
         let partition = name.bytes().map(u32::from).sum::<u32>() % 2;
         if is(Behaviour::Unresponsive) || (is(Behaviour::PartitionDown) && partition == 1) {
-            return Reply::Silence;
+            return ScriptedReply::NoResponse;
         }
         let customer = name.rsplit(':').next().unwrap_or("").to_string();
         *self.added.lock().expect("no holder panics").entry(customer).or_default() += amount;
@@ -105,16 +105,16 @@
             std::thread::sleep(Duration::from_millis(120));
         } else if is(Behaviour::Garbage) {
             match self.garbage_answers.fetch_add(1, Ordering::SeqCst) % 7 {
-                0 => return Reply::Ok("NaN"),
-                1 => return Reply::Ok("-3"),
-                2 => return Reply::Ok("inf"),
-                3 => return Reply::Ok("0"),
-                4 => return Reply::Torn("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n12"),
-                5 => return Reply::Hangup,
+                0 => return ScriptedReply::Ok("NaN"),
+                1 => return ScriptedReply::Ok("-3"),
+                2 => return ScriptedReply::Ok("inf"),
+                3 => return ScriptedReply::Ok("0"),
+                4 => return ScriptedReply::ThenClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n12"),
+                5 => return ScriptedReply::Close,
                 _ => {}
             }
         }
-        Reply::Raw(ok(&total.to_string()))
+        ScriptedReply::Raw(ok_response(&total.to_string()))
     }
 }
 
@@ -122,7 +122,7 @@
     let state = Arc::new(State::default());
     let peers = [0, 1].map(|view| {
         let state = Arc::clone(&state);
-        Peer::start(move |call| state.answer(view, &call.start))
+        ScriptedPeer::start(move |call| state.answer(view, &call.start))
     });
     Counter { peers, state }
 }
@@ -140,7 +140,7 @@
     gatekeepers: Vec<Gatekeeper>,
     counter: Counter,
     receipts: Receipts,
-    _peers: Vec<Peer>,
+    _peers: Vec<ScriptedPeer>,
 }
 
 /// Configuration of the gatekeeper with this ordinal. `factor` multiplies the rate of the quota and the length of its
@@ -169,20 +169,23 @@
     let receipts = Receipts::default();
     let node = |receipts: &Receipts| {
         let receipts = Arc::clone(receipts);
-        Peer::start(move |m| {
+        ScriptedPeer::start(move |m| {
             let customer =
                 m.start.split("client=").nth(1).and_then(|c| u32::from_str_radix(&c[..16], 16).ok());
             let receipt = Receipt { customer: customer.unwrap_or(0), at: Instant::now() };
             receipts.lock().expect("no holder panics").push(receipt);
             std::thread::sleep(Duration::from_millis(10));
-            Reply::Ok("drafted")
+            ScriptedReply::Ok("drafted")
         })
     };
-    let mut peers: Vec<Peer> = (0..3).map(|_| node(&receipts)).collect();
-    let lines: Vec<String> =
-        peers.iter().enumerate().map(|(n, p)| common::node(&format!("n{n}"), p.address, "SERVING")).collect();
-    let known = list(1, true, &lines);
-    let discovery = settled_discovery(known.clone());
+    let mut peers: Vec<ScriptedPeer> = (0..3).map(|_| node(&receipts)).collect();
+    let lines: Vec<String> = peers
+        .iter()
+        .enumerate()
+        .map(|(n, p)| endpoint_entry(&format!("n{n}"), p.address, "SERVING"))
+        .collect();
+    let known = endpoint_list(1, true, &lines);
+    let discovery = start_static_discovery(known.clone());
     let counter = scripted_counter();
     let gatekeepers = (0..GATEKEEPERS)
         .map(|n| {
@@ -266,7 +269,7 @@
 
     /// The lines that each gatekeeper has logged so far.
     fn logs(&self) -> Vec<Vec<String>> {
-        self.gatekeepers.iter().map(Gatekeeper::log_so_far).collect()
+        self.gatekeepers.iter().map(Gatekeeper::take_log).collect()
     }
 }
 
@@ -299,7 +302,7 @@
     assert!(admitted <= max_units && admitted >= RATE, "{admitted} admitted, bound {max_units}");
     assert!(ok * 10 >= all * 9, "light customers: {ok} of {all}");
     for gatekeeper in &f.gatekeepers {
-        gatekeeper.logged(&["counter in step again"]);
+        gatekeeper.wait_for_log(&["counter in step again"]);
     }
     let logs = f.logs();
     assert!(logs.iter().all(|log| !log.iter().any(|l| l.contains("overdue"))));
@@ -312,8 +315,8 @@
     f.drive(3.0, |t, counter| {
         counter.set(if t >= 1.0 { Behaviour::Unresponsive } else { Behaviour::Healthy });
     });
-    let line = f.gatekeepers[0].logged(&["counter in trouble", "\"mode\":\"lost\""]);
-    let log = Gatekeeper::settings_file(&line);
+    let line = f.gatekeepers[0].wait_for_log(&["counter in trouble", "\"mode\":\"lost\""]);
+    let log = Gatekeeper::write_settings_file(&line);
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_whinstall")).arg("report").arg(&log).output();
     let out = out.expect("whinstall runs");
     let summary = String::from_utf8_lossy(&out.stdout).into_owned();
@@ -329,7 +332,7 @@
         counter.set(if t >= 2.0 { Behaviour::Late } else { Behaviour::Healthy });
     });
     for gatekeeper in &f.gatekeepers {
-        let line = gatekeeper.logged(&["counter in trouble", "\"mode\":\"late\""]);
+        let line = gatekeeper.wait_for_log(&["counter in trouble", "\"mode\":\"late\""]);
         assert!(!line.contains("\"late\":0,"), "late answers were used: {line}");
     }
     let admitted = f.admitted(HEAVY, start, (2.0, 6.0));
@@ -348,7 +351,7 @@
     let rejected = outcomes.iter().filter(|o| o.sent_secs < 11.0 && !o.is_served()).count();
     assert_eq!(rejected, 0, "all are inside their quota");
     let resent = |gatekeeper: &Gatekeeper| {
-        let line = gatekeeper.logged(&["counter in trouble", "\"mode\":\"lost\""]);
+        let line = gatekeeper.wait_for_log(&["counter in trouble", "\"mode\":\"lost\""]);
         let units =
             line.split("\"retold\":").nth(1).and_then(|x| x.split(['}', ',']).next()?.parse::<f64>().ok());
         units.expect("a number")
@@ -418,9 +421,9 @@
 /// An invalid settings file of the guard fails the start with one message.
 #[test]
 fn an_invalid_quota_file_fails_the_start_with_one_message() {
-    let file = Gatekeeper::settings_file("counter: {\n  parts: 0\n  fade: -1\n}\n");
+    let file = Gatekeeper::write_settings_file("counter: {\n  parts: 0\n  fade: -1\n}\n");
     let unused: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    let text = configuration(&list(1, true, &[]), unused, unused, 256);
+    let text = configuration(&endpoint_list(1, true, &[]), unused, unused, 256);
     let child = Gatekeeper::spawn_with(&text, &["--quota", file.to_str().expect("a path")]);
     let out = child.wait_with_output().expect("it ends");
     let stderr = String::from_utf8_lossy(&out.stderr);
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -14,13 +14,14 @@
 
 #[test]
 fn requests_and_answers_pass_unchanged() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let gatekeeper = Gatekeeper::before(&[&node]);
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let mut client = gatekeeper.connect();
-    let heard = [client.preview("r1").answer(), client.issue("r2", "{\"n\": 1}").answer()].map(|a| a.brief());
-    let sent = [node.request(), node.request()];
+    let heard = [client.preview("r1").read_response(), client.issue("r2", "{\"n\": 1}").read_response()]
+        .map(|a| a.summary());
+    let sent = [node.next_request(), node.next_request()];
     let ids = sent.iter().map(|m| m.header("request-id").unwrap_or("none").to_owned());
-    assert_snapshot!(lines(heard.into_iter().chain(sent.iter().map(Message::brief)).chain(ids)), @r#"
+    assert_snapshot!(lines(heard.into_iter().chain(sent.iter().map(Message::summary)).chain(ids)), @r#"
     200 OK [drafted]
     200 OK [drafted]
     GET /preview/a%20b?client=00000000b4d65521&x=1 []
@@ -34,8 +35,8 @@
 /// pipelined requests after it are not served.
 #[test]
 fn malformed_requests_never_reach_the_module() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let gatekeeper = Gatekeeper::before(&[&node]);
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let whole =
         format!("GET /preview?client=00000000b4d65521 HTTP/1.1\r\n{}\r\n", headers("r1", "preview", "4"));
     let issue = |extra: &str| {
@@ -69,9 +70,9 @@
     ];
     let told = spoilt.map(|text| {
         let mut client = gatekeeper.connect();
-        let answer = client.write(&text).write(&whole).answer();
-        assert!(client.closed(), "{text}");
-        answer.brief()
+        let answer = client.write(&text).write(&whole).read_response();
+        assert!(client.is_closed(), "{text}");
+        answer.summary()
     });
     assert_snapshot!(lines(told), @"
     400 Bad Request [not HTTP]
@@ -100,8 +101,8 @@
     ");
     // A time-out that no clock can add once ended the core.
     let endless = whole.replace("Request-Timeout: 4", "Request-Timeout: 1e18");
-    assert_eq!(gatekeeper.connect().write(&endless).answer().body, "drafted");
-    assert_eq!(node.requests().len(), 1);
+    assert_eq!(gatekeeper.connect().write(&endless).read_response().body, "drafted");
+    assert_eq!(node.take_requests().len(), 1);
 }
 
 /// Whether a `once` request may have run depends on the response and on how much was written.
@@ -112,34 +113,45 @@
         "HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\nissued",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nsix\r\nissued\r\n",
         "HTTP/1.1 101 Switching Protocols\r\n\r\n",
-        &ok(&"x".repeat(70_000)),
+        &ok_response(&"x".repeat(70_000)),
     ];
-    let garbled = garbled.map(|text| (Reply::Raw(text.into()), "HTTP/1.1 502 Bad Gateway", 1));
+    let garbled = garbled.map(|text| (ScriptedReply::Raw(text.into()), "HTTP/1.1 502 Bad Gateway", 1));
     let refused = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n";
     let told = [
-        (Reply::Hangup, "HTTP/1.1 502 Bad Gateway", 1),
+        (ScriptedReply::Close, "HTTP/1.1 502 Bad Gateway", 1),
         // A body that breaks off once passed for a whole one.
-        (Reply::Torn("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nissu"), "HTTP/1.1 502 Bad Gateway", 1),
+        (
+            ScriptedReply::ThenClose("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nissu"),
+            "HTTP/1.1 502 Bad Gateway",
+            1,
+        ),
         // An answer that ends with its connection is whole where it says so beforehand: 5% were thrown away once.
-        (Reply::Torn("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nissued"), "HTTP/1.1 200 OK", 1),
-        (Reply::Torn("HTTP/1.1 200 OK\r\n\r\nissued"), "HTTP/1.1 502 Bad Gateway", 1),
-        (Reply::Raw(format!("{refused}\r\n")), "HTTP/1.1 502 Bad Gateway", 1),
-        (Reply::Raw(format!("{refused}Not-Started: 1\r\n\r\n")), "HTTP/1.1 200 OK", 2),
+        (
+            ScriptedReply::ThenClose("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nissued"),
+            "HTTP/1.1 200 OK",
+            1,
+        ),
+        (ScriptedReply::ThenClose("HTTP/1.1 200 OK\r\n\r\nissued"), "HTTP/1.1 502 Bad Gateway", 1),
+        (ScriptedReply::Raw(format!("{refused}\r\n")), "HTTP/1.1 502 Bad Gateway", 1),
+        (ScriptedReply::Raw(format!("{refused}Not-Started: 1\r\n\r\n")), "HTTP/1.1 200 OK", 2),
     ];
     for (reply, status, sends) in garbled.into_iter().chain(told) {
         // The first send of all goes wrong, wherever it goes.
         let first = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
         let node = || {
             let (first, reply) = (first.clone(), reply.clone());
-            Peer::start(move |_| match first.swap(false, std::sync::atomic::Ordering::Relaxed) {
+            ScriptedPeer::start(move |_| match first.swap(false, std::sync::atomic::Ordering::Relaxed) {
                 true => reply.clone(),
-                false => Reply::Ok("issued"),
+                false => ScriptedReply::Ok("issued"),
             })
         };
         let (a, b) = (node(), node());
-        let gatekeeper = Gatekeeper::before(&[&a, &b]);
-        let answer = gatekeeper.connect().issue("r1", "contract").answer();
-        assert_eq!((answer.start.as_str(), a.requests().len() + b.requests().len()), (status, sends));
+        let gatekeeper = Gatekeeper::in_front_of(&[&a, &b]);
+        let answer = gatekeeper.connect().issue("r1", "contract").read_response();
+        assert_eq!(
+            (answer.start.as_str(), a.take_requests().len() + b.take_requests().len()),
+            (status, sends)
+        );
     }
 }
 
@@ -147,13 +159,16 @@
 fn a_node_that_refuses_connections_costs_a_once_request_nothing() {
     let unused =
         std::net::TcpListener::bind("127.0.0.77:0").expect("a port").local_addr().expect("an address");
-    let node = Peer::start(|_| Reply::Ok("issued"));
-    let known =
-        list(1, true, &[common::node("n0", unused, "SERVING"), common::node("n1", node.address, "SERVING")]);
-    let gatekeeper = Gatekeeper::start(&known, unused, counter().address, 1024);
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("issued"));
+    let known = endpoint_list(
+        1,
+        true,
+        &[endpoint_entry("n0", unused, "SERVING"), endpoint_entry("n1", node.address, "SERVING")],
+    );
+    let gatekeeper = Gatekeeper::start(&known, unused, start_counter().address, 1024);
     let mut client = gatekeeper.connect();
     for id in ["r1", "r2", "r3", "r4", "r5"] {
-        assert_eq!(client.issue(id, "contract").answer().body, "issued");
+        assert_eq!(client.issue(id, "contract").read_response().body, "issued");
     }
 }
 
@@ -162,54 +177,56 @@
 /// target, so some are answered first.
 #[test]
 fn a_silent_node_sees_the_end_of_an_attempt_before_the_next_is_answered() {
-    let (say, second) = held();
-    let mut replies = vec![second, Reply::Silence];
-    replies.extend(vec![Reply::Ok("known"); 6]);
+    let (say, second) = delayed_reply();
+    let mut replies = vec![second, ScriptedReply::NoResponse];
+    replies.extend(vec![ScriptedReply::Ok("known"); 6]);
     let replies = std::sync::Mutex::new(replies);
-    let node = Peer::start(move |_| replies.lock().expect("whole").pop().unwrap_or(Reply::Hangup));
-    let whole = list(1, true, &[common::node("n0", node.address, "SERVING")]);
-    let (known, discovery) = (whole.clone(), common::settled_discovery(whole));
-    let settings = common::configuration(&known, discovery.address, counter().address, 1024);
+    let node =
+        ScriptedPeer::start(move |_| replies.lock().expect("whole").pop().unwrap_or(ScriptedReply::Close));
+    let whole = endpoint_list(1, true, &[endpoint_entry("n0", node.address, "SERVING")]);
+    let (known, discovery) = (whole.clone(), start_static_discovery(whole));
+    let settings = configuration(&known, discovery.address, start_counter().address, 1024);
     let gatekeeper = Gatekeeper::start_configured(&settings.replace(r#""aimS": 1.2"#, r#""aimS": 3.0"#), &[]);
     let mut client = gatekeeper.connect();
     for n in 0..6 {
-        assert_eq!(client.preview(&format!("known-{n}")).answer().body, "known");
-        node.request();
+        assert_eq!(client.preview(&format!("known-{n}")).read_response().body, "known");
+        node.next_request();
     }
     client.preview("r1");
-    let mut seen = [node.next(), node.next(), node.next()].map(|s| matches!(s, Seen::Closed));
+    let mut seen =
+        [node.next_event(), node.next_event(), node.next_event()].map(|s| matches!(s, PeerEvent::Closed));
     seen.sort_unstable();
     assert_eq!(seen, [false, false, true]);
     say.send("drafted".into()).expect("the node hears");
-    assert_eq!(client.answer().body, "drafted");
+    assert_eq!(client.read_response().body, "drafted");
 }
 
 /// Clients that sent one request and kept their connections once filled the table, and no other client was accepted.
 #[test]
 fn silent_and_idle_connections_are_closed_but_never_one_with_an_accepted_request() {
-    let (say, reply) = held();
-    let node = Peer::start(move |call| match call.start.starts_with("POST") {
+    let (say, reply) = delayed_reply();
+    let node = ScriptedPeer::start(move |call| match call.start.starts_with("POST") {
         true => reply.clone(),
-        false => Reply::Ok("drafted"),
+        false => ScriptedReply::Ok("drafted"),
     });
-    let gatekeeper = Gatekeeper::before(&[&node]);
+    let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let (mut taken, mut silent, mut idle) =
         (gatekeeper.connect(), gatekeeper.connect(), gatekeeper.connect());
     taken.issue("r1", "contract");
     silent.write("POST /issue");
-    assert_eq!(idle.preview("r2").answer().body, "drafted");
-    assert!(idle.closed());
+    assert_eq!(idle.preview("r2").read_response().body, "drafted");
+    assert!(idle.is_closed());
     // It may be told first that it was too slow.
-    assert!(silent.closed() || silent.closed());
+    assert!(silent.is_closed() || silent.is_closed());
     say.send("issued".into()).expect("the node hears");
-    assert_eq!(taken.answer().body, "issued");
+    assert_eq!(taken.read_response().body, "issued");
 }
 
 /// A head may take its client 2 s and a body arrives at 64 kB/s; a limit of 2 s on both together once cut them off.
 #[test]
 fn a_request_that_arrives_slowly_is_served() {
-    let node = Peer::start(|_| Reply::Ok("issued"));
-    let gatekeeper = Gatekeeper::before(&[&node]);
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("issued"));
+    let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let mut client = gatekeeper.connect();
     let body = "x".repeat(60_000);
     let text = headers("r1", "issue", "6");
@@ -223,41 +240,42 @@
         client.write(std::str::from_utf8(piece).expect("ASCII"));
         pause(100);
     }
-    assert_eq!(client.answer().body, "issued");
-    assert_eq!(node.request().body.len(), 60_000);
+    assert_eq!(client.read_response().body, "issued");
+    assert_eq!(node.next_request().body.len(), 60_000);
 }
 
 #[test]
 fn a_disconnect_cancels_the_attempt() {
-    let node = Peer::start(|_| Reply::Silence);
-    let gatekeeper = Gatekeeper::before(&[&node]);
+    let node = ScriptedPeer::start(|_| ScriptedReply::NoResponse);
+    let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let mut client = gatekeeper.connect();
     client.issue("r1", "contract");
-    node.request();
+    node.next_request();
     drop(client);
-    assert!(matches!(node.next(), Seen::Closed));
+    assert!(matches!(node.next_event(), PeerEvent::Closed));
 }
 
 /// The module ignores a second session of the same id, which once would have waited for ever.
 #[test]
 fn a_second_session_of_one_id_is_rejected() {
-    let (say, reply) = held();
-    let node = Peer::start(move |_| reply.clone());
-    let gatekeeper = Gatekeeper::before(&[&node]);
+    let (say, reply) = delayed_reply();
+    let node = ScriptedPeer::start(move |_| reply.clone());
+    let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let mut first = gatekeeper.connect();
     first.issue("r1", "contract");
-    node.request();
-    assert_eq!(gatekeeper.connect().issue("r1", "contract").answer().start, "HTTP/1.1 409 Conflict");
+    node.next_request();
+    assert_eq!(gatekeeper.connect().issue("r1", "contract").read_response().start, "HTTP/1.1 409 Conflict");
     say.send("issued".into()).expect("the node hears");
-    assert_eq!((first.answer().body.as_str(), node.requests().len()), ("issued", 0));
+    assert_eq!((first.read_response().body.as_str(), node.take_requests().len()), ("issued", 0));
 }
 
 #[test]
 fn a_session_that_the_module_refuses_is_denied_at_once_with_retry_after() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let gatekeeper = Gatekeeper::before(&[&node]);
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let mut client = gatekeeper.connect();
-    let denied = (0..40).map(|n| client.preview(&format!("r{n}")).answer()).find(|a| a.body.is_empty());
+    let denied =
+        (0..40).map(|n| client.preview(&format!("r{n}")).read_response()).find(|a| a.body.is_empty());
     let denied = denied.expect("the quota ends");
     let advice: f64 = denied.header("retry-after").and_then(|s| s.parse().ok()).expect("advice");
     assert_eq!(denied.start, "HTTP/1.1 503 Service Unavailable");
@@ -266,41 +284,42 @@
 
 #[test]
 fn a_silent_counter_delays_nothing_for_long() {
-    let node = Peer::start(|_| Reply::Ok("drafted"));
-    let known = list(1, true, &[common::node("n0", node.address, "SERVING")]);
-    let silent = Peer::start(|_| Reply::Silence);
+    let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
+    let known = endpoint_list(1, true, &[endpoint_entry("n0", node.address, "SERVING")]);
+    let silent = ScriptedPeer::start(|_| ScriptedReply::NoResponse);
     let gatekeeper = Gatekeeper::start(&known, silent.address, silent.address, 1024);
     let mut client = gatekeeper.connect();
-    let answers = (0..20).map(|n| client.preview(&format!("r{n}")).answer().start);
+    let answers = (0..20).map(|n| client.preview(&format!("r{n}")).read_response().start);
     assert!(answers.filter(|a| a == "HTTP/1.1 200 OK").count() >= 5);
 }
 
 #[test]
 fn the_watch_survives_and_drains_are_kept() {
-    let (a, b) = (Peer::start(|_| Reply::Ok("a")), Peer::start(|_| Reply::Ok("b")));
-    let (say, next) = held();
+    let (a, b) =
+        (ScriptedPeer::start(|_| ScriptedReply::Ok("a")), ScriptedPeer::start(|_| ScriptedReply::Ok("b")));
+    let (say, next) = delayed_reply();
     let answers = std::sync::Mutex::new(vec![
-        Reply::Raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"re".into()),
-        Reply::Hangup,
-        Reply::Raw(ok(&list(
+        ScriptedReply::Raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"re".into()),
+        ScriptedReply::Close,
+        ScriptedReply::Raw(ok_response(&endpoint_list(
             7,
             true,
-            &[node("n0", a.address, "SERVING"), node("n1", a.address, "DRAINING")],
+            &[endpoint_entry("n0", a.address, "SERVING"), endpoint_entry("n1", a.address, "DRAINING")],
         ))),
         next.clone(),
         next,
     ]);
-    let discovery = Peer::start(move |_| {
+    let discovery = ScriptedPeer::start(move |_| {
         let mut answers = answers.lock().expect("whole");
         if answers.is_empty() {
-            Reply::Silence
+            ScriptedReply::NoResponse
         } else {
             answers.remove(0)
         }
     });
-    let known = list(1, true, &[node("n0", b.address, "DRAINING")]);
-    let gatekeeper = Gatekeeper::start(&known, discovery.address, counter().address, 1024);
-    let targets = |n: usize| lines((0..n).map(|_| discovery.request().start));
+    let known = endpoint_list(1, true, &[endpoint_entry("n0", b.address, "DRAINING")]);
+    let gatekeeper = Gatekeeper::start(&known, discovery.address, start_counter().address, 1024);
+    let targets = |n: usize| lines((0..n).map(|_| discovery.next_request().start));
     // A torn answer to the watch from the version it was left with, a hang-up, then the whole list; the next call
     // shows that it was taken over.
     assert_snapshot!(targets(4), @"
@@ -310,89 +329,96 @@
     GET /v1/endpoints?after=7&wait_ms=5000 HTTP/1.1
     ");
     let mut client = gatekeeper.connect();
-    assert_eq!(client.preview("r1").answer().body, "a");
+    assert_eq!(client.preview("r1").read_response().body, "a");
     // n0 is at another address now.
-    say.send(list(8, false, &[node("n0", b.address, "SERVING")])).expect("discovery hears");
+    say.send(endpoint_list(8, false, &[endpoint_entry("n0", b.address, "SERVING")]))
+        .expect("discovery hears");
     assert_snapshot!(targets(1), @"GET /v1/endpoints?after=8&wait_ms=5000 HTTP/1.1");
-    assert_eq!(client.preview("r2").answer().body, "b");
+    assert_eq!(client.preview("r2").read_response().body, "b");
     // Now it drains, and nothing is left to send to.
-    say.send(list(9, false, &[node("n0", b.address, "DRAINING")])).expect("discovery hears");
+    say.send(endpoint_list(9, false, &[endpoint_entry("n0", b.address, "DRAINING")]))
+        .expect("discovery hears");
     assert_snapshot!(targets(1), @"GET /v1/endpoints?after=9&wait_ms=5000 HTTP/1.1");
-    assert_eq!(client.preview("r3").answer().start, "HTTP/1.1 503 Service Unavailable");
-    assert_eq!((a.requests().len(), b.requests().len()), (1, 1));
+    assert_eq!(client.preview("r3").read_response().start, "HTTP/1.1 503 Service Unavailable");
+    assert_eq!((a.take_requests().len(), b.take_requests().len()), (1, 1));
 }
 
 /// SIGHUP once ended the program. Discovery and counter are at other addresses afterwards; sessions in progress go on.
 #[test]
 fn sighup_moves_discovery_and_counter_and_affects_no_session_in_progress() {
-    let (say, reply) = held();
-    let (old, new) = (Peer::start(move |_| reply.clone()), Peer::start(|_| Reply::Ok("new")));
+    let (say, reply) = delayed_reply();
+    let (old, new) =
+        (ScriptedPeer::start(move |_| reply.clone()), ScriptedPeer::start(|_| ScriptedReply::Ok("new")));
     // Each counts its versions its own way, and a watch is answered by nothing.
-    let discovery = |rev, uid, node: &Peer| {
-        let whole = list(rev, true, &[common::node(uid, node.address, "SERVING")]);
-        Peer::start(move |call| match call.start.contains("after=") && !call.start.contains("after=0") {
-            true => Reply::Silence,
-            false => Reply::Raw(ok(&whole)),
+    let discovery = |rev, uid, node: &ScriptedPeer| {
+        let whole = endpoint_list(rev, true, &[endpoint_entry(uid, node.address, "SERVING")]);
+        ScriptedPeer::start(move |call| {
+            match call.start.contains("after=") && !call.start.contains("after=0") {
+                true => ScriptedReply::NoResponse,
+                false => ScriptedReply::Raw(ok_response(&whole)),
+            }
         })
     };
     let (before, after) = (discovery(41, "n0", &old), discovery(3, "n1", &new));
-    let (first, second) = (counter(), counter());
-    let known = list(0, true, &[]);
+    let (first, second) = (start_counter(), start_counter());
+    let known = endpoint_list(0, true, &[]);
     let gatekeeper = Gatekeeper::start(&known, before.address, first.address, 1024);
-    let asked = |peer: &Peer| [peer.request().start, peer.request().start];
+    let asked = |peer: &ScriptedPeer| [peer.next_request().start, peer.next_request().start];
     let watch = |rev| format!("GET /v1/endpoints?after={rev}&wait_ms=5000 HTTP/1.1");
     assert_eq!(asked(&before), [watch(0), watch(41)]);
     let mut taken = gatekeeper.connect();
     taken.issue("r1", "contract");
-    old.request();
+    old.next_request();
     let usable = configuration(&known, after.address, second.address, 1024);
     gatekeeper.sighup(&usable[..usable.len() - 1], "keeping the current one");
     gatekeeper.sighup(&usable, "configuration reloaded");
     assert_eq!(asked(&after), ["GET /v1/endpoints HTTP/1.1".to_owned(), watch(3)]);
     let mut client = gatekeeper.connect();
     for n in 0..8 {
-        assert_eq!(client.preview(&format!("p{n}")).answer().body, "new");
+        assert_eq!(client.preview(&format!("p{n}")).read_response().body, "new");
     }
     // Charges of a quota window that has ended are no longer reported. If the customer's window ends between the
     // previews and the call to the counter that they cause, only requests of the next window cause one.
     let begun = Instant::now();
     let mut further = 8..;
     let call = loop {
-        if let Some(call) = second.request_within(Duration::from_secs(2)) {
+        if let Some(call) = second.next_request_within(Duration::from_secs(2)) {
             break call;
         }
         assert!(begun.elapsed() < BOUND, "no call to the second counter within {BOUND:?}");
-        gatekeeper.connect().preview(&format!("p{}", further.next().expect("unbounded"))).answer();
+        gatekeeper.connect().preview(&format!("p{}", further.next().expect("unbounded"))).read_response();
     };
     assert!(call.start.starts_with("POST /counters/"));
     say.send("issued".into()).expect("the node hears");
-    assert_eq!(taken.answer().body, "issued");
+    assert_eq!(taken.read_response().body, "issued");
 }
 
 #[test]
 fn sigterm_finishes_accepted_requests() {
-    let (say, reply) = held();
+    let (say, reply) = delayed_reply();
     let reply = std::sync::Mutex::new(Some(reply));
-    let node = Peer::start(move |_| reply.lock().expect("whole").take().unwrap_or(Reply::Ok("late")));
-    let mut gatekeeper = Gatekeeper::before(&[&node]);
+    let node = ScriptedPeer::start(move |_| {
+        reply.lock().expect("whole").take().unwrap_or(ScriptedReply::Ok("late"))
+    });
+    let mut gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let (mut taken, mut idle) = (gatekeeper.connect(), gatekeeper.connect());
     taken.issue("r1", "contract");
-    node.request();
+    node.next_request();
     gatekeeper.sigterm();
     // Readiness tells that the signal has arrived; what comes then is served all the same.
-    while gatekeeper.connect().write(READY).answer().start.contains("200") {}
-    let late = gatekeeper.connect().preview("r2").answer();
-    let kept = idle.preview("r3").answer();
+    while gatekeeper.connect().write(READY).read_response().start.contains("200") {}
+    let late = gatekeeper.connect().preview("r2").read_response();
+    let kept = idle.preview("r3").read_response();
     say.send("issued".into()).expect("the node hears");
-    let answer = taken.answer();
-    let told = [&late, &kept, &answer].map(|a| format!("{} {:?}", a.brief(), a.header("connection")));
+    let answer = taken.read_response();
+    let told = [&late, &kept, &answer].map(|a| format!("{} {:?}", a.summary(), a.header("connection")));
     assert_snapshot!(lines(told), @r#"
     200 OK [late] Some("close")
     200 OK [late] Some("close")
     200 OK [issued] Some("close")
     "#);
-    assert!(taken.closed() && idle.closed());
-    assert!(gatekeeper.exit().success());
+    assert!(taken.is_closed() && idle.is_closed());
+    assert!(gatekeeper.wait_for_exit().success());
 }
 
 #[test]
--- a/tests/zone_failover.rs
+++ b/tests/zone_failover.rs
@@ -20,7 +20,7 @@
     f.set_cut(0, true);
     let statuses = f.previews(3, 30);
     assert!(statuses.iter().all(|s| s == "200"), "every request served: {statuses:?}");
-    f.gatekeeper.logged(&["zone=\"hall-a\"", "current=ejected"]);
+    f.gatekeeper.wait_for_log(&["zone=\"hall-a\"", "current=ejected"]);
     assert!(f.take_requests(0) <= 2, "only the two dispatches that timed out");
     assert!(f.take_requests(1) > 5 && f.take_requests(2) > 5, "spread by weight over the others");
 }
@@ -33,11 +33,11 @@
     f.warm_up();
     f.set_cut(0, true);
     assert!(f.previews(2, 10).iter().all(|s| s == "200"));
-    f.gatekeeper.logged(&["zone=\"hall-a\"", "current=ejected"]);
+    f.gatekeeper.wait_for_log(&["zone=\"hall-a\"", "current=ejected"]);
     f.set_cut(0, false);
     f.take_requests(0);
-    f.gatekeeper.logged(&["zone=\"hall-a\"", "current=recovering"]);
-    f.gatekeeper.logged(&["zone=\"hall-a\"", "current=healthy"]);
+    f.gatekeeper.wait_for_log(&["zone=\"hall-a\"", "current=recovering"]);
+    f.gatekeeper.wait_for_log(&["zone=\"hall-a\"", "current=healthy"]);
     let statuses = f.previews(100, 20);
     assert!(statuses.iter().all(|s| s == "200"), "{statuses:?}");
     assert!(f.take_requests(0) >= 5, "healthy again: the local zone takes load");
@@ -45,9 +45,9 @@
 
 #[test]
 fn an_invalid_settings_file_fails_the_start_with_one_message() {
-    let file = Gatekeeper::settings_file("halls: {\n  ramp: -1\n  hall: { a: { weight: 0 } }\n}\n");
+    let file = Gatekeeper::write_settings_file("halls: {\n  ramp: -1\n  hall: { a: { weight: 0 } }\n}\n");
     let unused = "127.0.0.1:9".parse().unwrap();
-    let configuration = configuration(&list(1, true, &[]), unused, unused, 256);
+    let configuration = configuration(&endpoint_list(1, true, &[]), unused, unused, 256);
     let child = Gatekeeper::spawn_with(&configuration, &["--halls", file.to_str().unwrap()]);
     let out = child.wait_with_output().expect("it ends");
     assert_eq!(out.status.code(), Some(1));
@@ -63,7 +63,7 @@
 #[test]
 fn check_prints_the_settings_in_force_or_every_error() {
     let check = |text: &str| {
-        let file = Gatekeeper::settings_file(text);
+        let file = Gatekeeper::write_settings_file(text);
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_whinstall"));
         command.arg("check").arg(&file).output().expect("it runs")
     };
@@ -86,7 +86,7 @@
     let outcomes = f.drive(12.0, 30.0, |t| f.switches[0].set_cut((2.0..5.0).contains(&t)));
     let service = service_by_second(&outcomes);
     eprintln!("service by second: {service:?}");
-    let log = f.gatekeeper.log_so_far();
+    let log = f.gatekeeper.take_log();
     print_zone_lines(&log);
     f.assert_one_answer_and_no_repeated_issue(&outcomes);
     let dispatches = f.dispatches(start, 13);
@@ -128,7 +128,7 @@
     assert!(outcomes.iter().all(|o| o.answers == 1 && o.is_served()));
     let received = f.received(|_| true);
     assert!(received[0] > 0, "still used: {received:?}");
-    let mut log = f.gatekeeper.log_so_far();
+    let mut log = f.gatekeeper.take_log();
     log.retain(|line| line.contains("current=ejected"));
     assert!(log.is_empty(), "{log:?}");
 }
@@ -153,7 +153,7 @@
     let received = f.received(|n| n >= 4 * 30);
     let ratio = received[1] as f64 / received[2].max(1) as f64;
     eprintln!("hall-b over hall-c without hall-b-1: {ratio:.2} of {received:?}");
-    print_zone_lines(&f.gatekeeper.log_so_far());
+    print_zone_lines(&f.gatekeeper.take_log());
     assert!(received[0] == 0 && (0.15..0.75).contains(&ratio), "{ratio} of {received:?}");
 }
 
@@ -163,7 +163,7 @@
     let f = LoadedFleet::start(SETTINGS, 2);
     let outcomes = f.drive(8.0, 30.0, |t| f.switches[0].set_cut(t >= 1.0 && (t as u32) % 2 == 1));
     f.assert_one_answer_and_no_repeated_issue(&outcomes);
-    let log = f.gatekeeper.log_so_far();
+    let log = f.gatekeeper.take_log();
     let recoveries = local_zone_entries(&log, "recovering");
     let ejections = local_zone_entries(&log, "ejected");
     eprintln!("{ejections} ejections, {recoveries} recoveries, service {:?}", service_by_second(&outcomes));
@@ -182,7 +182,7 @@
     f.switches[2].set(Behaviour::Hang);
     let outcomes = f.drive(4.0, 20.0, |_| {});
     f.assert_one_answer_and_no_repeated_issue(&outcomes);
-    let is_isolated = f.gatekeeper.log_so_far().iter().any(|line| line.contains("isolated=true"));
+    let is_isolated = f.gatekeeper.take_log().iter().any(|line| line.contains("isolated=true"));
     let received = f.received(|n| n >= 2 * 20);
     eprintln!("isolated {is_isolated}; requests by zone from 2 s on: {received:?}");
     assert!(is_isolated, "both others were tried: {:?}", f.received(|_| true));
@@ -236,7 +236,7 @@
         }
     }
     eprintln!("requests to hall-a by second after its restart: {by_second:?}");
-    print_zone_lines(&f.gatekeeper.log_so_far());
+    print_zone_lines(&f.gatekeeper.take_log());
     assert!(by_second[0] + by_second[1] < 60, "half-open, then slow start: {by_second:?}");
     assert!(by_second[8..].iter().sum::<usize>() > 40, "it takes load again: {by_second:?}");
     let served = served(&outcomes);
--- a/tests/zone_failover/harness.rs
+++ b/tests/zone_failover/harness.rs
@@ -37,12 +37,12 @@
 /// The configuration of the gatekeeper, with dispatches to other zones priced as in production: local endpoints are
 /// preferred.
 fn configuration_with_zone_price(known: &str, discovery: SocketAddr) -> String {
-    configuration(known, discovery, counter().address, 1024)
+    configuration(known, discovery, start_counter().address, 1024)
         .replace("\"crossZone\": 0.0", "\"crossZone\": 0.02")
 }
 
 fn start_gatekeeper(settings: &str, configuration: &str) -> Gatekeeper {
-    let file = Gatekeeper::settings_file(settings);
+    let file = Gatekeeper::write_settings_file(settings);
     Gatekeeper::start_configured(configuration, &["--halls", file.to_str().expect("a path")])
 }
 
@@ -50,22 +50,23 @@
 pub struct Fleet {
     pub gatekeeper: Gatekeeper,
     /// Endpoints by zone.
-    endpoints: Vec<Vec<Peer>>,
+    endpoints: Vec<Vec<ScriptedPeer>>,
     is_cut: Vec<Arc<AtomicBool>>,
 }
 
 impl Fleet {
     pub fn start(settings: &str) -> Fleet {
         let is_cut: Vec<Arc<AtomicBool>> = ZONES.iter().map(|_| Arc::default()).collect();
-        let endpoints: Vec<Vec<Peer>> = is_cut.iter().map(|c| vec![endpoint(c), endpoint(c)]).collect();
+        let endpoints: Vec<Vec<ScriptedPeer>> =
+            is_cut.iter().map(|c| vec![endpoint(c), endpoint(c)]).collect();
         let mut lines = Vec::new();
         for (zone, endpoints) in ZONES.iter().zip(&endpoints) {
             for (n, endpoint) in endpoints.iter().enumerate() {
-                lines.push(node_in(&format!("{zone}-{n}"), endpoint.address, "SERVING", zone));
+                lines.push(endpoint_entry_in_zone(&format!("{zone}-{n}"), endpoint.address, "SERVING", zone));
             }
         }
-        let list = list(1, true, &lines);
-        let discovery = settled_discovery(list.clone());
+        let list = endpoint_list(1, true, &lines);
+        let discovery = start_static_discovery(list.clone());
         let configuration = configuration_with_zone_price(&list, discovery.address);
         Fleet { gatekeeper: start_gatekeeper(settings, &configuration), endpoints, is_cut }
     }
@@ -77,7 +78,7 @@
 
     /// Number of requests that the endpoints of a zone received since the last call.
     pub fn take_requests(&self, zone: usize) -> usize {
-        self.endpoints[zone].iter().map(|endpoint| endpoint.requests().len()).sum()
+        self.endpoints[zone].iter().map(|endpoint| endpoint.take_requests().len()).sum()
     }
 
     /// Teaches the gatekeeper how long a preview takes, so that its detection timeout falls to its minimum, a quarter
@@ -97,15 +98,21 @@
     pub fn previews(&self, first: u32, count: u32) -> Vec<String> {
         let mut client = self.gatekeeper.connect();
         (first..first + count)
-            .map(|n| status(&client.preview_for(&format!("p{n}"), n + 1).answer()).unwrap_or_default())
+            .map(|n| status(&client.preview_for(&format!("p{n}"), n + 1).read_response()).unwrap_or_default())
             .collect()
     }
 }
 
 /// An endpoint that responds at once, or hangs while `is_cut` is set.
-fn endpoint(is_cut: &Arc<AtomicBool>) -> Peer {
+fn endpoint(is_cut: &Arc<AtomicBool>) -> ScriptedPeer {
     let is_cut = Arc::clone(is_cut);
-    Peer::start(move |_| if is_cut.load(Ordering::SeqCst) { Reply::Silence } else { Reply::Ok("drafted") })
+    ScriptedPeer::start(move |_| {
+        if is_cut.load(Ordering::SeqCst) {
+            ScriptedReply::NoResponse
+        } else {
+            ScriptedReply::Ok("drafted")
+        }
+    })
 }
 
 fn status(answer: &Message) -> Option<String> {
@@ -162,9 +169,9 @@
 type Receipts = Arc<Mutex<Vec<Receipt>>>;
 
 /// An endpoint that behaves as the switch of its zone says, and records every request as it arrives.
-fn recording_endpoint(zone: usize, endpoint: usize, switch: &Switch, receipts: &Receipts) -> Peer {
+fn recording_endpoint(zone: usize, endpoint: usize, switch: &Switch, receipts: &Receipts) -> ScriptedPeer {
     let (switch, receipts) = (switch.clone(), Arc::clone(receipts));
-    Peer::start(move |m| {
+    ScriptedPeer::start(move |m| {
         let id = m.header("request-id").unwrap_or("?").to_string();
         let receipt = Receipt { zone, endpoint, id, at: Instant::now() };
         receipts.lock().expect("no writer panics").push(receipt);
@@ -177,7 +184,7 @@
                 }
             }
         }
-        Reply::Ok("drafted")
+        ScriptedReply::Ok("drafted")
     })
 }
 
@@ -215,7 +222,7 @@
     list: Arc<Mutex<String>>,
     /// Answers the open watch of the list.
     watch: Sender<String>,
-    _peers: Vec<Peer>,
+    _peers: Vec<ScriptedPeer>,
 }
 
 impl LoadedFleet {
@@ -235,19 +242,19 @@
         for (z, zone) in ZONES.iter().enumerate() {
             for n in 0..endpoints_per_zone {
                 let endpoint = recording_endpoint(z, n, &switches[z], &receipts);
-                lines.push(node_in(&format!("{zone}-{n}"), endpoint.address, "SERVING", zone));
+                lines.push(endpoint_entry_in_zone(&format!("{zone}-{n}"), endpoint.address, "SERVING", zone));
                 peers.push(endpoint);
             }
         }
-        let known = list(1, true, &lines);
+        let known = endpoint_list(1, true, &lines);
         let list = Arc::new(Mutex::new(known.clone()));
-        let (watch, watched) = held();
+        let (watch, watched) = delayed_reply();
         let current = Arc::clone(&list);
-        let discovery = Peer::start(move |call| match call.start.contains("after=") {
+        let discovery = ScriptedPeer::start(move |call| match call.start.contains("after=") {
             true if call.start.contains("after=1&") => watched.clone(),
-            true => Reply::Silence,
+            true => ScriptedReply::NoResponse,
             // After a watch without an answer, the whole list is asked for again.
-            false => Reply::Raw(ok(&current.lock().expect("no writer panics"))),
+            false => ScriptedReply::Raw(ok_response(&current.lock().expect("no writer panics"))),
         });
         let configuration = adjust(configuration_with_zone_price(&known, discovery.address));
         let gatekeeper = start_gatekeeper(settings, &configuration);
@@ -257,7 +264,7 @@
 
     /// Publishes a second endpoint list with these lines. At most once.
     pub fn publish_list(&self, lines: &[String]) {
-        let text = list(2, true, lines);
+        let text = endpoint_list(2, true, lines);
         *self.list.lock().expect("no reader panics") = text.clone();
         self.watch.send(text).expect("discovery listens");
     }
--- a/tests/zone_failover_measure.rs
+++ b/tests/zone_failover_measure.rs
@@ -66,17 +66,17 @@
     }
 }
 
-fn endpoint(zone: usize, is_cut: Arc<AtomicBool>, loads: Loads, start: Instant) -> Peer {
+fn endpoint(zone: usize, is_cut: Arc<AtomicBool>, loads: Loads, start: Instant) -> ScriptedPeer {
     let slots = Slots { free: Mutex::new(SLOTS), released: Condvar::new() };
     let second = move || (start.elapsed().as_secs_f64() as usize).min(SECONDS + TAIL_SECONDS - 1);
-    Peer::start(move |_| {
+    ScriptedPeer::start(move |_| {
         loads.lock().expect("no holder panics")[zone].received[second()] += 1;
         while is_cut.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(5));
         }
         slots.work();
         loads.lock().expect("no holder panics")[zone].busy[second()] += WORK.as_secs_f64();
-        Reply::Ok("drafted")
+        ScriptedReply::Ok("drafted")
     })
 }
 
@@ -86,7 +86,7 @@
     loads: Loads,
     /// Lines of the endpoint list.
     lines: Vec<String>,
-    _peers: Vec<Peer>,
+    _peers: Vec<ScriptedPeer>,
 }
 
 impl Zones {
@@ -97,7 +97,7 @@
             for n in 0..ENDPOINTS_PER_ZONE {
                 let is_cut = if z == 0 { Arc::clone(&is_cut) } else { Arc::default() };
                 let peer = endpoint(z, is_cut, Arc::clone(&loads), start);
-                lines.push(node_in(&format!("{zone}-{n}"), peer.address, "SERVING", zone));
+                lines.push(endpoint_entry_in_zone(&format!("{zone}-{n}"), peer.address, "SERVING", zone));
                 peers.push(peer);
             }
         }
@@ -112,7 +112,7 @@
     discovery: SocketAddr,
     counter: SocketAddr,
 ) -> Vec<Gatekeeper> {
-    let file = settings.map(Gatekeeper::settings_file);
+    let file = settings.map(Gatekeeper::write_settings_file);
     let args: Vec<&str> = file.iter().flat_map(|f| ["--halls", f.to_str().expect("a path")]).collect();
     let start = |(ordinal, zone): (usize, &&str)| {
         let text = configuration(known, discovery, counter, 1024)
@@ -210,8 +210,8 @@
 
 fn run(settings: Option<&str>, per_second: f64) -> Figures {
     let zones = Zones::start(Instant::now());
-    let known = list(1, true, &zones.lines);
-    let (discovery, counter) = (settled_discovery(known.clone()), counter());
+    let known = endpoint_list(1, true, &zones.lines);
+    let (discovery, counter) = (start_static_discovery(known.clone()), start_counter());
     let gatekeepers = start_gatekeepers(settings, &known, discovery.address, counter.address);
     let outcomes = drive(&gatekeepers, &zones.is_cut, per_second);
     let loads = *zones.loads.lock().expect("no holder panics");
