--- a/tests/budget_check.rs
+++ b/tests/budget_check.rs
@@ -1,92 +1,113 @@
-//! All orders of events in a fleet of three, two of which may divide: messages lost, late, repeated and in any order, a
-//! process that starts again, one that is stopped (it does nothing for as long as it likes), clocks that run apart by a
-//! tick. The checker plays the program's own state machines and holds, in each state that can be reached within the bounds,
-//! the one invariant: the parts that all go by never pass the whole. With the margin taken away it must find the state
-//! in which they do.
+//! Model checking of budget allocation. The model is a fleet of three members, of which two may be allocators. Messages
+//! may be lost, delayed, duplicated and reordered, a process may restart or pause for any time, and clocks drift apart
+//! by a tick. The checker runs the program's own state machines and checks one invariant in each state that is
+//! reachable within the bounds: the shares in use never add up to more than the total. Without the clock margin it
+//! must find a state that violates the invariant.
 
 use stateright::{Checker, Model, Property};
 use std::sync::Arc;
+use std::time::{Duration, Instant};
 use whinstall::fleet::budget::{
     Allocator, GrantRequest, GrantResponse, Holder, LeaseTimes, Ms, Origin, TOTAL_PPM,
 };
 
 const MEMBERS: usize = 3;
-const DIVIDERS: usize = 2;
+/// Number of members that may be allocators.
+const ALLOCATORS: usize = 2;
+/// Name of the invariant.
+const NO_OVERALLOCATION: &str = "shares in use never exceed the total";
+/// Name of the property that the model reaches a change of the leader.
+const SECOND_LEADS: &str = "the second allocator becomes the leader";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Each one's clock, and ticks that it has missed.
+    /// Clock of each member.
     clocks: [Ms; MEMBERS],
+    /// Number of ticks so far that one clock missed.
     missed: u8,
     ticks: u8,
     restarts: u8,
-    lives: [u64; MEMBERS],
+    incarnations: [u64; MEMBERS],
     holders: Vec<Holder>,
-    dividers: Vec<Allocator>,
+    allocators: Vec<Allocator>,
+    /// Requests in flight.
     requests: Vec<GrantRequest>,
-    answers: Vec<(usize, GrantResponse)>,
+    /// Responses in flight, each with the member that it goes to.
+    responses: Vec<(usize, GrantResponse)>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
-    /// Time passes; the clock of one may miss it.
+    /// Time passes; the clock of one member may miss the tick.
     Tick(Option<usize>),
-    /// Of some, one after the other: asked, answered and heard at once.
+    /// Each member of a group in turn exchanges a request and its response with an allocator, without delay.
     Exchange(&'static [usize], usize),
-    /// Asked: what is sent may come at any time, twice, or never.
-    Ask(usize, usize),
-    Request(usize, bool),
-    Answer(usize, bool),
-    Lose,
+    /// A member sends a request to an allocator. The request may arrive at any time, more than once, or never.
+    SendRequest(usize, usize),
+    /// A request in flight arrives; if true, a duplicate of it remains in flight.
+    DeliverRequest(usize, bool),
+    /// A response in flight arrives; if true, a duplicate of it remains in flight.
+    DeliverResponse(usize, bool),
+    /// All messages in flight are lost.
+    DropMessages,
     Restart(usize),
 }
 
-/// One, two or all of them.
+/// Groups of one, two or all members.
 const ANY: &[&[usize]] = &[&[0, 1, 2], &[0, 2], &[1, 2], &[0, 1], &[0], &[1], &[2]];
-/// A cut: the first one alone, or the other two.
-const CUT: &[&[usize]] = &[&[0], &[1, 2]];
-/// The third one alone, or the other two.
-const LAST: &[&[usize]] = &[&[0, 1], &[2]];
+/// Both sides of a partition between the first member and the other two.
+const FIRST_ISOLATED: &[&[usize]] = &[&[0], &[1, 2]];
+/// Both sides of a partition between the third member and the other two.
+const LAST_ISOLATED: &[&[usize]] = &[&[0, 1], &[2]];
 
+/// The model, with its bounds.
 struct Fleet {
     times: LeaseTimes,
-    /// Origin exchange with a divider in one step.
-    some: &'static [&'static [usize]],
-    /// Ticks since all asked, as it starts.
-    late: u64,
-    dividers: usize,
-    ticks: u8,
-    missed: u8,
-    restarts: u8,
-    waiting: usize,
+    /// Groups whose members exchange messages with an allocator in one step.
+    groups: &'static [&'static [usize]],
+    /// Ticks between the last exchange of all members and the initial state.
+    ticks_since_exchange: u64,
+    /// Number of allocators that members send requests to.
+    allocators: usize,
+    max_ticks: u8,
+    max_missed: u8,
+    max_restarts: u8,
+    max_in_flight: usize,
 }
 
-fn who(n: usize, life: u64) -> Origin {
-    Origin { name: Arc::from(format!("g{n}")), incarnation: life }
+fn origin(member: usize, incarnation: u64) -> Origin {
+    Origin { name: Arc::from(format!("g{member}")), incarnation }
 }
 
-fn number(who: &Origin) -> usize {
-    who.name[1..].parse().expect("a number")
+fn member_index(origin: &Origin) -> usize {
+    origin.name[1..].parse().expect("a number")
 }
 
 impl State {
-    fn ask(&mut self, from: usize, to: usize) -> GrantRequest {
-        let to = who(to, self.lives[to]);
+    /// Number of messages in flight.
+    fn in_flight(&self) -> usize {
+        self.requests.len() + self.responses.len()
+    }
+
+    fn next_request(&mut self, from: usize, to: usize) -> GrantRequest {
+        let to = origin(to, self.incarnations[to]);
         self.holders[from].next_request(self.clocks[from], &to, vec![(Arc::from("b"), TOTAL_PPM)])
     }
 
-    fn answer(&mut self, request: &GrantRequest) -> (usize, GrantResponse) {
-        let to = number(&request.to);
-        (number(&request.from), self.dividers[to].handle_request(self.clocks[to], request))
+    /// The response to a request, and the member that it goes to.
+    fn handle_request(&mut self, request: &GrantRequest) -> (usize, GrantResponse) {
+        let to = member_index(&request.to);
+        (member_index(&request.from), self.allocators[to].handle_request(self.clocks[to], request))
     }
 
     fn exchange(&mut self, from: usize, to: usize) {
-        let request = self.ask(from, to);
-        let (from, answer) = self.answer(&request);
-        self.holders[from].handle_response(&answer);
+        let request = self.next_request(from, to);
+        let (from, response) = self.handle_request(&request);
+        self.holders[from].handle_response(&response);
     }
 
-    fn held(&self) -> u64 {
+    /// Sum of the shares that the members may use now.
+    fn shares_in_use(&self) -> u64 {
         self.holders.iter().zip(self.clocks).map(|(holder, now)| holder.share(now, "b")).sum()
     }
 }
@@ -95,107 +116,107 @@
     type State = State;
     type Action = Action;
 
-    /// The first one leads, and all have a part.
+    /// The first member is the leader, and all members have a share.
     fn init_states(&self) -> Vec<State> {
-        let lives = [1; MEMBERS];
+        let incarnations = [1; MEMBERS];
         let start = self.times.lease_with_margin_ms() + 1;
         let mut state = State {
             clocks: [start; MEMBERS],
             missed: 0,
             ticks: 0,
             restarts: 0,
-            lives,
-            holders: (0..MEMBERS).map(|n| Holder::new(who(n, 1), 0, self.times)).collect(),
-            dividers: (0..DIVIDERS)
-                .map(|n| Allocator::new(who(n, 1), 0, self.times, MEMBERS as u32))
+            incarnations,
+            holders: (0..MEMBERS).map(|n| Holder::new(origin(n, 1), 0, self.times)).collect(),
+            allocators: (0..ALLOCATORS)
+                .map(|n| Allocator::new(origin(n, 1), 0, self.times, MEMBERS as u32))
                 .collect(),
             requests: Vec::new(),
-            answers: Vec::new(),
+            responses: Vec::new(),
         };
         for _ in 0..2 * self.times.lease_with_margin_ms() + 2 {
             (0..MEMBERS).for_each(|n| state.exchange(n, 0));
             state.clocks.iter_mut().for_each(|clock| *clock += 1);
         }
         (0..MEMBERS).for_each(|n| state.exchange(n, 0));
-        assert!(state.held() > TOTAL_PPM / 2, "{state:?}");
-        state.clocks.iter_mut().for_each(|clock| *clock += self.late);
+        assert!(state.shares_in_use() > TOTAL_PPM / 2, "{state:?}");
+        state.clocks.iter_mut().for_each(|clock| *clock += self.ticks_since_exchange);
         vec![state]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.ticks < self.ticks {
+        if state.ticks < self.max_ticks {
             actions.push(Action::Tick(None));
-            if state.missed < self.missed {
+            if state.missed < self.max_missed {
                 actions.extend((0..MEMBERS).map(|n| Action::Tick(Some(n))));
             }
         }
-        for to in 0..self.dividers {
-            actions.extend(self.some.iter().map(|some| Action::Exchange(some, to)));
+        for to in 0..self.allocators {
+            actions.extend(self.groups.iter().map(|group| Action::Exchange(group, to)));
         }
         for from in 0..MEMBERS {
-            for to in 0..self.dividers {
-                if state.requests.len() + state.answers.len() < self.waiting {
-                    actions.push(Action::Ask(from, to));
+            for to in 0..self.allocators {
+                if state.in_flight() < self.max_in_flight {
+                    actions.push(Action::SendRequest(from, to));
                 }
             }
-            if state.restarts < self.restarts {
+            if state.restarts < self.max_restarts {
                 actions.push(Action::Restart(from));
             }
         }
         for n in 0..state.requests.len() {
-            actions.extend([Action::Request(n, false), Action::Request(n, true)]);
+            actions.extend([Action::DeliverRequest(n, false), Action::DeliverRequest(n, true)]);
         }
-        for n in 0..state.answers.len() {
-            actions.extend([Action::Answer(n, false), Action::Answer(n, true)]);
+        for n in 0..state.responses.len() {
+            actions.extend([Action::DeliverResponse(n, false), Action::DeliverResponse(n, true)]);
         }
-        if self.waiting > 0 && state.requests.len() + state.answers.len() == self.waiting {
-            actions.push(Action::Lose);
+        if self.max_in_flight > 0 && state.in_flight() == self.max_in_flight {
+            actions.push(Action::DropMessages);
         }
     }
 
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Tick(misses) => {
+            Action::Tick(missing) => {
                 state.ticks += 1;
-                state.missed += u8::from(misses.is_some());
+                state.missed += u8::from(missing.is_some());
                 for (n, clock) in state.clocks.iter_mut().enumerate() {
-                    *clock += u64::from(misses != Some(n));
+                    *clock += u64::from(missing != Some(n));
                 }
             }
-            Action::Exchange(some, to) => some.iter().for_each(|from| state.exchange(*from, to)),
-            Action::Ask(from, to) => {
-                let request = state.ask(from, to);
+            Action::Exchange(group, to) => group.iter().for_each(|from| state.exchange(*from, to)),
+            Action::SendRequest(from, to) => {
+                let request = state.next_request(from, to);
                 state.requests.push(request);
             }
-            Action::Request(n, again) => {
+            Action::DeliverRequest(n, is_duplicated) => {
                 let request = state.requests[n].clone();
-                if !again {
+                if !is_duplicated {
                     state.requests.remove(n);
                 }
-                let answer = state.answer(&request);
-                if state.requests.len() + state.answers.len() < self.waiting {
-                    state.answers.push(answer);
+                let response = state.handle_request(&request);
+                if state.in_flight() < self.max_in_flight {
+                    state.responses.push(response);
                 }
             }
-            Action::Answer(n, again) => {
-                let (to, answer) = state.answers[n].clone();
-                if !again {
-                    state.answers.remove(n);
+            Action::DeliverResponse(n, is_duplicated) => {
+                let (to, response) = state.responses[n].clone();
+                if !is_duplicated {
+                    state.responses.remove(n);
                 }
-                state.holders[to].handle_response(&answer);
+                state.holders[to].handle_response(&response);
             }
-            Action::Lose => {
+            Action::DropMessages => {
                 state.requests.clear();
-                state.answers.clear();
+                state.responses.clear();
             }
             Action::Restart(n) => {
                 state.restarts += 1;
-                state.lives[n] += 1;
-                let me = who(n, state.lives[n]);
+                state.incarnations[n] += 1;
+                let me = origin(n, state.incarnations[n]);
                 state.holders[n] = Holder::new(me.clone(), state.clocks[n], self.times);
-                if n < DIVIDERS {
-                    state.dividers[n] = Allocator::new(me, state.clocks[n], self.times, MEMBERS as u32);
+                if n < ALLOCATORS {
+                    state.allocators[n] = Allocator::new(me, state.clocks[n], self.times, MEMBERS as u32);
                 }
             }
         }
@@ -204,64 +225,99 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never more than the whole", |_, state: &State| state.held() <= TOTAL_PPM),
-            Property::sometimes("the second one divides", |_, state: &State| {
-                state.dividers[1].is_leader(state.clocks[1]) && state.held() > 0
+            Property::always(NO_OVERALLOCATION, |_, state: &State| state.shares_in_use() <= TOTAL_PPM),
+            Property::sometimes(SECOND_LEADS, |_, state: &State| {
+                state.allocators[1].is_leader(state.clocks[1]) && state.shares_in_use() > 0
             }),
         ]
     }
 }
 
-fn check(fleet: Fleet, states: usize) -> (usize, usize, std::time::Duration, bool, bool) {
-    let begun = std::time::Instant::now();
+/// The outcome of a check.
+struct Checked {
+    states: usize,
+    depth: usize,
+    elapsed: Duration,
+    /// Whether the shares in use stay within the total in all states.
+    holds: bool,
+    /// Whether the second allocator is the leader in some state.
+    second_leads: bool,
+}
+
+/// Checks a model breadth first until about `states` states are visited. Prints the actions that lead to a violation.
+fn check(fleet: Fleet, states: usize) -> Checked {
+    let start = Instant::now();
     let checker = fleet.checker().threads(4).target_state_count(states).spawn_bfs().join();
-    let (never, second) =
-        (checker.discovery("never more than the whole"), checker.discovery("the second one divides"));
-    if let Some(path) = never {
+    let (violation, second) = (checker.discovery(NO_OVERALLOCATION), checker.discovery(SECOND_LEADS));
+    let holds = violation.is_none();
+    if let Some(path) = violation {
         println!("{}", path.into_actions().iter().map(|a| format!("{a:?}")).collect::<Vec<_>>().join(", "));
-        return (checker.unique_state_count(), checker.max_depth(), begun.elapsed(), false, second.is_some());
     }
-    (checker.unique_state_count(), checker.max_depth(), begun.elapsed(), true, second.is_some())
+    Checked {
+        states: checker.unique_state_count(),
+        depth: checker.max_depth(),
+        elapsed: start.elapsed(),
+        holds,
+        second_leads: second.is_some(),
+    }
 }
 
+/// Number of states to check in each model.
 const STATES: usize = if cfg!(debug_assertions) { 60_000 } else { 3_000_000 };
 const TIMES: LeaseTimes = LeaseTimes { lease_ms: 3, clock_margin_ms: 1 };
 
-/// With the margin that covers what clocks miss: no state passes the whole.
+/// With a margin that covers the ticks that clocks miss, the shares in use never exceed the total.
 #[test]
-fn no_order_of_events_passes_the_whole() {
+fn no_order_of_events_overallocates_a_budget() {
     let base = || Fleet {
         times: TIMES,
-        some: ANY,
-        late: 0,
-        dividers: 2,
-        ticks: 12,
-        missed: 1,
-        restarts: 1,
-        waiting: 0,
+        groups: ANY,
+        ticks_since_exchange: 0,
+        allocators: 2,
+        max_ticks: 12,
+        max_missed: 1,
+        max_restarts: 1,
+        max_in_flight: 0,
     };
-    for (what, fleet) in [
-        ("messages one at a time", Fleet { waiting: 1, ..base() }),
-        ("messages two at a time, late", Fleet { waiting: 2, late: 2, restarts: 0, ..base() }),
-        ("whole exchanges", base()),
-        ("cut", Fleet { some: CUT, late: 1, restarts: 0, ticks: 6, ..base() }),
-        ("cut and started again", Fleet { some: CUT, late: 1, ticks: 6, missed: 0, ..base() }),
+    let partition = || Fleet { groups: FIRST_ISOLATED, ticks_since_exchange: 1, max_ticks: 6, ..base() };
+    for (name, fleet) in [
+        ("one message in flight", Fleet { max_in_flight: 1, ..base() }),
+        (
+            "two messages in flight, late",
+            Fleet { max_in_flight: 2, ticks_since_exchange: 2, max_restarts: 0, ..base() },
+        ),
+        ("atomic exchanges", base()),
+        ("partition", Fleet { max_restarts: 0, ..partition() }),
+        ("partition and restart", Fleet { max_missed: 0, ..partition() }),
     ] {
-        let cut = what.starts_with("cut");
-        let (states, depth, took, never, second) = check(fleet, if cut { 3 * STATES } else { STATES });
-        println!("{what}: {states} states, {depth} deep, {took:.1?}; the second one divides: {second}");
-        assert!(never, "{what}");
-        assert!(second || what != "cut", "the second one's reign is not among what is checked");
+        let is_partition = name.starts_with("partition");
+        let checked = check(fleet, if is_partition { 3 * STATES } else { STATES });
+        let Checked { states, depth, elapsed, holds, second_leads } = checked;
+        println!(
+            "{name}: {states} states, depth {depth}, {elapsed:.1?}; second allocator leads: {second_leads}"
+        );
+        assert!(holds, "{name}");
+        assert!(
+            second_leads || name != "partition",
+            "no checked state has the second allocator as the leader"
+        );
     }
 }
 
-/// The checker can find what it looks for: without the margin it does.
+/// The checker is able to find a violation: without the clock margin there is one.
 #[test]
-fn without_the_margin_the_checker_finds_it() {
-    let times = LeaseTimes { lease_ms: 3, clock_margin_ms: 0 };
-    let fleet =
-        Fleet { times, some: LAST, late: 0, dividers: 1, ticks: 3, missed: 1, restarts: 0, waiting: 0 };
-    let (states, depth, took, never, _) = check(fleet, 20 * STATES);
-    println!("without the margin: found among {states} states, {depth} deep, {took:.1?}");
-    assert!(!never);
+fn without_the_clock_margin_the_checker_finds_a_violation() {
+    let fleet = Fleet {
+        times: LeaseTimes { lease_ms: 3, clock_margin_ms: 0 },
+        groups: LAST_ISOLATED,
+        ticks_since_exchange: 0,
+        allocators: 1,
+        max_ticks: 3,
+        max_missed: 1,
+        max_restarts: 0,
+        max_in_flight: 0,
+    };
+    let Checked { states, depth, elapsed, holds, .. } = check(fleet, 20 * STATES);
+    println!("without the clock margin: violation found among {states} states, depth {depth}, {elapsed:.1?}");
+    assert!(!holds);
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! The gatekeeper as a process, over loopback sockets against scripted peers: a scenario for each failure met.
+//! Scenarios of the gatekeeper as a process, over loopback sockets and with scripted peers. Each test guards against
+//! one kind of failure.
 
 mod common;
 
@@ -8,7 +9,7 @@
 
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: api.internal\r\n\r\n";
 
-fn lines(lines: impl IntoIterator<Item = String>) -> String {
+fn join_lines(lines: impl IntoIterator<Item = String>) -> String {
     lines.into_iter().collect::<Vec<_>>().join("\n")
 }
 
@@ -17,11 +18,12 @@
     let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
     let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let mut client = gatekeeper.connect();
-    let heard = [client.preview("r1").read_response(), client.issue("r2", "{\"n\": 1}").read_response()]
+    let responses = [client.preview("r1").read_response(), client.issue("r2", "{\"n\": 1}").read_response()]
         .map(|a| a.summary());
-    let sent = [node.next_request(), node.next_request()];
-    let ids = sent.iter().map(|m| m.header("request-id").unwrap_or("none").to_owned());
-    assert_snapshot!(lines(heard.into_iter().chain(sent.iter().map(Message::summary)).chain(ids)), @r#"
+    let forwarded = [node.next_request(), node.next_request()];
+    let ids = forwarded.iter().map(|m| m.header("request-id").unwrap_or("none").to_owned());
+    let forwarded = forwarded.iter().map(Message::summary);
+    assert_snapshot!(join_lines(responses.into_iter().chain(forwarded).chain(ids)), @r#"
     200 OK [drafted]
     200 OK [drafted]
     GET /preview/a%20b?client=00000000b4d65521&x=1 []
@@ -31,19 +33,19 @@
     "#);
 }
 
-/// A malformed request gets an error and a close before the decision module sees it, whichever customer it names, and
-/// pipelined requests after it are not served.
+/// A malformed request is rejected before the decision module sees it, whichever customer it names. The connection is
+/// closed, so pipelined requests after the malformed one are not served.
 #[test]
 fn malformed_requests_never_reach_the_module() {
     let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
     let gatekeeper = Gatekeeper::in_front_of(&[&node]);
-    let whole =
+    let valid =
         format!("GET /preview?client=00000000b4d65521 HTTP/1.1\r\n{}\r\n", headers("r1", "preview", "4"));
     let issue = |extra: &str| {
         format!("POST /issue?client=00000000b4d65521 HTTP/1.1\r\n{}{extra}", headers("r2", "issue", "4"))
     };
-    let with = |from: &str, to: &str| whole.replace(from, to);
-    let spoilt = [
+    let with = |from: &str, to: &str| valid.replace(from, to);
+    let malformed = [
         "nonsense\r\n\r\n".to_owned(),
         with("Host", &format!("A: {}\r\nHost", "x".repeat(20_000))),
         with("Request-Id: r1\r\n", ""),
@@ -68,13 +70,13 @@
         issue(&format!("Transfer-Encoding: chunked\r\n\r\n11170\r\n{}", "x".repeat(0x11170))),
         issue("Content-Length: 60000\r\n\r\nhalf"),
     ];
-    let told = spoilt.map(|text| {
+    let responses = malformed.map(|text| {
         let mut client = gatekeeper.connect();
-        let answer = client.write(&text).write(&whole).read_response();
+        let response = client.write(&text).write(&valid).read_response();
         assert!(client.is_closed(), "{text}");
-        answer.summary()
+        response.summary()
     });
-    assert_snapshot!(lines(told), @"
+    assert_snapshot!(join_lines(responses), @"
     400 Bad Request [not HTTP]
     431 Request Header Fields Too Large [head too long]
     400 Bad Request [no Request-Id]
@@ -99,33 +101,34 @@
     413 Payload Too Large [body of over 64 KiB]
     408 Request Timeout [not whole in time]
     ");
-    // A time-out that no clock can add once ended the core.
-    let endless = whole.replace("Request-Timeout: 4", "Request-Timeout: 1e18");
-    assert_eq!(gatekeeper.connect().write(&endless).read_response().body, "drafted");
+    // A timeout that is too long to be added to the current time must not end the core.
+    let long_timeout = valid.replace("Request-Timeout: 4", "Request-Timeout: 1e18");
+    assert_eq!(gatekeeper.connect().write(&long_timeout).read_response().body, "drafted");
     assert_eq!(node.take_requests().len(), 1);
 }
 
-/// Whether a `once` request may have run depends on the response and on how much was written.
+/// A `once` request must not run twice. Whether an attempt may have run depends on its response: it did not run if the
+/// node says so, and it may have run after any other error.
 #[test]
 fn a_once_request_is_retried_only_if_it_never_ran() {
-    let garbled = [
+    let invalid = [
         "HTTP/1.1 two hundred\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\nissued",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nsix\r\nissued\r\n",
         "HTTP/1.1 101 Switching Protocols\r\n\r\n",
         &ok_response(&"x".repeat(70_000)),
     ];
-    let garbled = garbled.map(|text| (ScriptedReply::Raw(text.into()), "HTTP/1.1 502 Bad Gateway", 1));
+    let invalid = invalid.map(|text| (ScriptedReply::Raw(text.into()), "HTTP/1.1 502 Bad Gateway", 1));
     let refused = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n";
-    let told = [
+    let others = [
         (ScriptedReply::Close, "HTTP/1.1 502 Bad Gateway", 1),
-        // A body that breaks off once passed for a whole one.
+        // A truncated body must not pass for a complete one.
         (
             ScriptedReply::ThenClose("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nissu"),
             "HTTP/1.1 502 Bad Gateway",
             1,
         ),
-        // An answer that ends with its connection is whole where it says so beforehand: 5% were thrown away once.
+        // A body that ends with the connection is complete if the response announces the close.
         (
             ScriptedReply::ThenClose("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nissued"),
             "HTTP/1.1 200 OK",
@@ -135,8 +138,8 @@
         (ScriptedReply::Raw(format!("{refused}\r\n")), "HTTP/1.1 502 Bad Gateway", 1),
         (ScriptedReply::Raw(format!("{refused}Not-Started: 1\r\n\r\n")), "HTTP/1.1 200 OK", 2),
     ];
-    for (reply, status, sends) in garbled.into_iter().chain(told) {
-        // The first send of all goes wrong, wherever it goes.
+    for (reply, status, sends) in invalid.into_iter().chain(others) {
+        // The first attempt gets this reply, whichever node it goes to.
         let first = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
         let node = || {
             let (first, reply) = (first.clone(), reply.clone());
@@ -147,16 +150,17 @@
         };
         let (a, b) = (node(), node());
         let gatekeeper = Gatekeeper::in_front_of(&[&a, &b]);
-        let answer = gatekeeper.connect().issue("r1", "contract").read_response();
+        let response = gatekeeper.connect().issue("r1", "contract").read_response();
         assert_eq!(
-            (answer.start.as_str(), a.take_requests().len() + b.take_requests().len()),
+            (response.start.as_str(), a.take_requests().len() + b.take_requests().len()),
             (status, sends)
         );
     }
 }
 
+/// A request that could not connect to its node cannot have run, so it is sent to another node.
 #[test]
-fn a_node_that_refuses_connections_costs_a_once_request_nothing() {
+fn a_once_request_is_retried_after_a_refused_connection() {
     let unused =
         std::net::TcpListener::bind("127.0.0.77:0").expect("a port").local_addr().expect("an address");
     let node = ScriptedPeer::start(|_| ScriptedReply::Ok("issued"));
@@ -172,57 +176,60 @@
     }
 }
 
-/// Two attempts of a request must not be in flight together: the connection of the first ends while the second is
-/// still unanswered. Before the module has learnt how long a preview takes, it leaves the first attempt the full latency
-/// target, so some are answered first.
+/// Two attempts of a request must not be in flight together: the connection of the first attempt is closed while the
+/// second is still unanswered. The first attempt may take the full latency target until the module has learnt how long
+/// a preview takes, so some previews are answered beforehand.
 #[test]
-fn a_silent_node_sees_the_end_of_an_attempt_before_the_next_is_answered() {
-    let (say, second) = delayed_reply();
+fn an_unanswered_attempt_is_cancelled_before_the_next_is_answered() {
+    let (body, second) = delayed_reply();
     let mut replies = vec![second, ScriptedReply::NoResponse];
     replies.extend(vec![ScriptedReply::Ok("known"); 6]);
     let replies = std::sync::Mutex::new(replies);
-    let node =
-        ScriptedPeer::start(move |_| replies.lock().expect("whole").pop().unwrap_or(ScriptedReply::Close));
-    let whole = endpoint_list(1, true, &[endpoint_entry("n0", node.address, "SERVING")]);
-    let (known, discovery) = (whole.clone(), start_static_discovery(whole));
-    let settings = configuration(&known, discovery.address, start_counter().address, 1024);
-    let gatekeeper = Gatekeeper::start_configured(&settings.replace(r#""aimS": 1.2"#, r#""aimS": 3.0"#), &[]);
+    let node = ScriptedPeer::start(move |_| {
+        replies.lock().expect("no holder panics").pop().unwrap_or(ScriptedReply::Close)
+    });
+    let known = endpoint_list(1, true, &[endpoint_entry("n0", node.address, "SERVING")]);
+    let discovery = start_static_discovery(known.clone());
+    let text = configuration(&known, discovery.address, start_counter().address, 1024);
+    let gatekeeper = Gatekeeper::start_configured(&text.replace(r#""aimS": 1.2"#, r#""aimS": 3.0"#), &[]);
     let mut client = gatekeeper.connect();
     for n in 0..6 {
         assert_eq!(client.preview(&format!("known-{n}")).read_response().body, "known");
         node.next_request();
     }
     client.preview("r1");
-    let mut seen =
+    let mut is_close =
         [node.next_event(), node.next_event(), node.next_event()].map(|s| matches!(s, PeerEvent::Closed));
-    seen.sort_unstable();
-    assert_eq!(seen, [false, false, true]);
-    say.send("drafted".into()).expect("the node hears");
+    is_close.sort_unstable();
+    assert_eq!(is_close, [false, false, true]);
+    body.send("drafted".into()).expect("the node waits");
     assert_eq!(client.read_response().body, "drafted");
 }
 
-/// Clients that sent one request and kept their connections once filled the table, and no other client was accepted.
+/// Idle connections are closed; otherwise, clients that send one request and keep their connections fill the connection
+/// table, and no other client is accepted. A connection with an accepted request is never closed.
 #[test]
-fn silent_and_idle_connections_are_closed_but_never_one_with_an_accepted_request() {
-    let (say, reply) = delayed_reply();
+fn idle_connections_are_closed_but_never_one_with_an_accepted_request() {
+    let (body, reply) = delayed_reply();
     let node = ScriptedPeer::start(move |call| match call.start.starts_with("POST") {
         true => reply.clone(),
         false => ScriptedReply::Ok("drafted"),
     });
     let gatekeeper = Gatekeeper::in_front_of(&[&node]);
-    let (mut taken, mut silent, mut idle) =
+    let (mut accepted, mut incomplete, mut idle) =
         (gatekeeper.connect(), gatekeeper.connect(), gatekeeper.connect());
-    taken.issue("r1", "contract");
-    silent.write("POST /issue");
+    accepted.issue("r1", "contract");
+    incomplete.write("POST /issue");
     assert_eq!(idle.preview("r2").read_response().body, "drafted");
     assert!(idle.is_closed());
-    // It may be told first that it was too slow.
-    assert!(silent.is_closed() || silent.is_closed());
-    say.send("issued".into()).expect("the node hears");
-    assert_eq!(taken.read_response().body, "issued");
+    // The client may first get a response to the incomplete request.
+    assert!(incomplete.is_closed() || incomplete.is_closed());
+    body.send("issued".into()).expect("the node waits");
+    assert_eq!(accepted.read_response().body, "issued");
 }
 
-/// A head may take its client 2 s and a body arrives at 64 kB/s; a limit of 2 s on both together once cut them off.
+/// A slow client's head may take up to 2 s, and its body may arrive at 64 kB/s: the limit of 2 s must not apply to both
+/// together.
 #[test]
 fn a_request_that_arrives_slowly_is_served() {
     let node = ScriptedPeer::start(|_| ScriptedReply::Ok("issued"));
@@ -255,50 +262,54 @@
     assert!(matches!(node.next_event(), PeerEvent::Closed));
 }
 
-/// The module ignores a second session of the same id, which once would have waited for ever.
+/// The decision module ignores a request whose id is in use, so the request must be rejected: otherwise it would never
+/// be answered.
 #[test]
-fn a_second_session_of_one_id_is_rejected() {
-    let (say, reply) = delayed_reply();
+fn a_second_request_of_one_id_is_rejected() {
+    let (body, reply) = delayed_reply();
     let node = ScriptedPeer::start(move |_| reply.clone());
     let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let mut first = gatekeeper.connect();
     first.issue("r1", "contract");
     node.next_request();
     assert_eq!(gatekeeper.connect().issue("r1", "contract").read_response().start, "HTTP/1.1 409 Conflict");
-    say.send("issued".into()).expect("the node hears");
+    body.send("issued".into()).expect("the node waits");
     assert_eq!((first.read_response().body.as_str(), node.take_requests().len()), ("issued", 0));
 }
 
 #[test]
-fn a_session_that_the_module_refuses_is_denied_at_once_with_retry_after() {
+fn a_request_over_quota_is_rejected_at_once_with_retry_after() {
     let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
     let gatekeeper = Gatekeeper::in_front_of(&[&node]);
     let mut client = gatekeeper.connect();
-    let denied =
+    let rejected =
         (0..40).map(|n| client.preview(&format!("r{n}")).read_response()).find(|a| a.body.is_empty());
-    let denied = denied.expect("the quota ends");
-    let advice: f64 = denied.header("retry-after").and_then(|s| s.parse().ok()).expect("advice");
-    assert_eq!(denied.start, "HTTP/1.1 503 Service Unavailable");
-    assert!(advice > 0.0 && advice <= 0.5, "{advice}");
+    let rejected = rejected.expect("the quota ends");
+    let retry_after_secs: f64 =
+        rejected.header("retry-after").and_then(|s| s.parse().ok()).expect("a number of seconds");
+    assert_eq!(rejected.start, "HTTP/1.1 503 Service Unavailable");
+    assert!(retry_after_secs > 0.0 && retry_after_secs <= 0.5, "{retry_after_secs}");
 }
 
+/// Requests are admitted without an answer of the quota counter.
 #[test]
-fn a_silent_counter_delays_nothing_for_long() {
+fn requests_are_served_while_the_counter_does_not_answer() {
     let node = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
     let known = endpoint_list(1, true, &[endpoint_entry("n0", node.address, "SERVING")]);
-    let silent = ScriptedPeer::start(|_| ScriptedReply::NoResponse);
-    let gatekeeper = Gatekeeper::start(&known, silent.address, silent.address, 1024);
+    let unresponsive = ScriptedPeer::start(|_| ScriptedReply::NoResponse);
+    let gatekeeper = Gatekeeper::start(&known, unresponsive.address, unresponsive.address, 1024);
     let mut client = gatekeeper.connect();
-    let answers = (0..20).map(|n| client.preview(&format!("r{n}")).read_response().start);
-    assert!(answers.filter(|a| a == "HTTP/1.1 200 OK").count() >= 5);
+    let responses = (0..20).map(|n| client.preview(&format!("r{n}")).read_response().start);
+    assert!(responses.filter(|start| start == "HTTP/1.1 200 OK").count() >= 5);
 }
 
+/// The watch of the endpoint list goes on after invalid responses, and nodes that drain get no requests.
 #[test]
-fn the_watch_survives_and_drains_are_kept() {
+fn the_watch_survives_errors_and_draining_nodes_get_nothing() {
     let (a, b) =
         (ScriptedPeer::start(|_| ScriptedReply::Ok("a")), ScriptedPeer::start(|_| ScriptedReply::Ok("b")));
-    let (say, next) = delayed_reply();
-    let answers = std::sync::Mutex::new(vec![
+    let (body, next) = delayed_reply();
+    let replies = std::sync::Mutex::new(vec![
         ScriptedReply::Raw("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{\"re".into()),
         ScriptedReply::Close,
         ScriptedReply::Raw(ok_response(&endpoint_list(
@@ -310,19 +321,19 @@
         next,
     ]);
     let discovery = ScriptedPeer::start(move |_| {
-        let mut answers = answers.lock().expect("whole");
-        if answers.is_empty() {
+        let mut replies = replies.lock().expect("no holder panics");
+        if replies.is_empty() {
             ScriptedReply::NoResponse
         } else {
-            answers.remove(0)
+            replies.remove(0)
         }
     });
     let known = endpoint_list(1, true, &[endpoint_entry("n0", b.address, "DRAINING")]);
     let gatekeeper = Gatekeeper::start(&known, discovery.address, start_counter().address, 1024);
-    let targets = |n: usize| lines((0..n).map(|_| discovery.next_request().start));
-    // A torn answer to the watch from the version it was left with, a hang-up, then the whole list; the next call
-    // shows that it was taken over.
-    assert_snapshot!(targets(4), @"
+    let calls = |n: usize| join_lines((0..n).map(|_| discovery.next_request().start));
+    // The watch from the version of the configuration gets a truncated response. The next call is closed, and the one
+    // after it gets the full list. The last call shows that the list was accepted.
+    assert_snapshot!(calls(4), @"
     GET /v1/endpoints?after=1&wait_ms=5000 HTTP/1.1
     GET /v1/endpoints HTTP/1.1
     GET /v1/endpoints HTTP/1.1
@@ -330,32 +341,33 @@
     ");
     let mut client = gatekeeper.connect();
     assert_eq!(client.preview("r1").read_response().body, "a");
-    // n0 is at another address now.
-    say.send(endpoint_list(8, false, &[endpoint_entry("n0", b.address, "SERVING")]))
-        .expect("discovery hears");
-    assert_snapshot!(targets(1), @"GET /v1/endpoints?after=8&wait_ms=5000 HTTP/1.1");
+    // The node n0 moves to another address.
+    body.send(endpoint_list(8, false, &[endpoint_entry("n0", b.address, "SERVING")]))
+        .expect("discovery waits");
+    assert_snapshot!(calls(1), @"GET /v1/endpoints?after=8&wait_ms=5000 HTTP/1.1");
     assert_eq!(client.preview("r2").read_response().body, "b");
-    // Now it drains, and nothing is left to send to.
-    say.send(endpoint_list(9, false, &[endpoint_entry("n0", b.address, "DRAINING")]))
-        .expect("discovery hears");
-    assert_snapshot!(targets(1), @"GET /v1/endpoints?after=9&wait_ms=5000 HTTP/1.1");
+    // The node n0 drains, and no other node is left.
+    body.send(endpoint_list(9, false, &[endpoint_entry("n0", b.address, "DRAINING")]))
+        .expect("discovery waits");
+    assert_snapshot!(calls(1), @"GET /v1/endpoints?after=9&wait_ms=5000 HTTP/1.1");
     assert_eq!(client.preview("r3").read_response().start, "HTTP/1.1 503 Service Unavailable");
     assert_eq!((a.take_requests().len(), b.take_requests().len()), (1, 1));
 }
 
-/// SIGHUP once ended the program. Discovery and counter are at other addresses afterwards; sessions in progress go on.
+/// SIGHUP reloads the configuration: discovery and the counter are at other addresses afterwards, and requests in
+/// progress go on. A signal that is not handled would end the program.
 #[test]
-fn sighup_moves_discovery_and_counter_and_affects_no_session_in_progress() {
-    let (say, reply) = delayed_reply();
+fn sighup_moves_discovery_and_counter_and_affects_no_request_in_progress() {
+    let (body, reply) = delayed_reply();
     let (old, new) =
         (ScriptedPeer::start(move |_| reply.clone()), ScriptedPeer::start(|_| ScriptedReply::Ok("new")));
-    // Each counts its versions its own way, and a watch is answered by nothing.
-    let discovery = |rev, uid, node: &ScriptedPeer| {
-        let whole = endpoint_list(rev, true, &[endpoint_entry(uid, node.address, "SERVING")]);
+    // Each discovery has versions of its own, and leaves watches from them unanswered.
+    let discovery = |version, uid, node: &ScriptedPeer| {
+        let full_list = endpoint_list(version, true, &[endpoint_entry(uid, node.address, "SERVING")]);
         ScriptedPeer::start(move |call| {
             match call.start.contains("after=") && !call.start.contains("after=0") {
                 true => ScriptedReply::NoResponse,
-                false => ScriptedReply::Raw(ok_response(&whole)),
+                false => ScriptedReply::Raw(ok_response(&full_list)),
             }
         })
     };
@@ -363,67 +375,68 @@
     let (first, second) = (start_counter(), start_counter());
     let known = endpoint_list(0, true, &[]);
     let gatekeeper = Gatekeeper::start(&known, before.address, first.address, 1024);
-    let asked = |peer: &ScriptedPeer| [peer.next_request().start, peer.next_request().start];
-    let watch = |rev| format!("GET /v1/endpoints?after={rev}&wait_ms=5000 HTTP/1.1");
-    assert_eq!(asked(&before), [watch(0), watch(41)]);
-    let mut taken = gatekeeper.connect();
-    taken.issue("r1", "contract");
+    let two_calls = |peer: &ScriptedPeer| [peer.next_request().start, peer.next_request().start];
+    let watch = |version| format!("GET /v1/endpoints?after={version}&wait_ms=5000 HTTP/1.1");
+    assert_eq!(two_calls(&before), [watch(0), watch(41)]);
+    let mut accepted = gatekeeper.connect();
+    accepted.issue("r1", "contract");
     old.next_request();
-    let usable = configuration(&known, after.address, second.address, 1024);
-    gatekeeper.sighup(&usable[..usable.len() - 1], "keeping the current one");
-    gatekeeper.sighup(&usable, "configuration reloaded");
-    assert_eq!(asked(&after), ["GET /v1/endpoints HTTP/1.1".to_owned(), watch(3)]);
+    let valid = configuration(&known, after.address, second.address, 1024);
+    gatekeeper.sighup(&valid[..valid.len() - 1], "keeping the current one");
+    gatekeeper.sighup(&valid, "configuration reloaded");
+    assert_eq!(two_calls(&after), ["GET /v1/endpoints HTTP/1.1".to_owned(), watch(3)]);
     let mut client = gatekeeper.connect();
     for n in 0..8 {
         assert_eq!(client.preview(&format!("p{n}")).read_response().body, "new");
     }
     // Charges of a quota window that has ended are no longer reported. If the customer's window ends between the
     // previews and the call to the counter that they cause, only requests of the next window cause one.
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut further = 8..;
     let call = loop {
         if let Some(call) = second.next_request_within(Duration::from_secs(2)) {
             break call;
         }
-        assert!(begun.elapsed() < BOUND, "no call to the second counter within {BOUND:?}");
+        assert!(start.elapsed() < BOUND, "no call to the second counter within {BOUND:?}");
         gatekeeper.connect().preview(&format!("p{}", further.next().expect("unbounded"))).read_response();
     };
     assert!(call.start.starts_with("POST /counters/"));
-    say.send("issued".into()).expect("the node hears");
-    assert_eq!(taken.read_response().body, "issued");
+    body.send("issued".into()).expect("the node waits");
+    assert_eq!(accepted.read_response().body, "issued");
 }
 
 #[test]
 fn sigterm_finishes_accepted_requests() {
-    let (say, reply) = delayed_reply();
+    let (body, reply) = delayed_reply();
     let reply = std::sync::Mutex::new(Some(reply));
     let node = ScriptedPeer::start(move |_| {
-        reply.lock().expect("whole").take().unwrap_or(ScriptedReply::Ok("late"))
+        reply.lock().expect("no holder panics").take().unwrap_or(ScriptedReply::Ok("late"))
     });
     let mut gatekeeper = Gatekeeper::in_front_of(&[&node]);
-    let (mut taken, mut idle) = (gatekeeper.connect(), gatekeeper.connect());
-    taken.issue("r1", "contract");
+    let (mut accepted, mut idle) = (gatekeeper.connect(), gatekeeper.connect());
+    accepted.issue("r1", "contract");
     node.next_request();
     gatekeeper.sigterm();
-    // Readiness tells that the signal has arrived; what comes then is served all the same.
+    // The gatekeeper is not ready once the signal has arrived. Requests that still come are served.
     while gatekeeper.connect().write(READY).read_response().start.contains("200") {}
     let late = gatekeeper.connect().preview("r2").read_response();
-    let kept = idle.preview("r3").read_response();
-    say.send("issued".into()).expect("the node hears");
-    let answer = taken.read_response();
-    let told = [&late, &kept, &answer].map(|a| format!("{} {:?}", a.summary(), a.header("connection")));
-    assert_snapshot!(lines(told), @r#"
+    let on_idle = idle.preview("r3").read_response();
+    body.send("issued".into()).expect("the node waits");
+    let response = accepted.read_response();
+    let responses =
+        [&late, &on_idle, &response].map(|r| format!("{} {:?}", r.summary(), r.header("connection")));
+    assert_snapshot!(join_lines(responses), @r#"
     200 OK [late] Some("close")
     200 OK [late] Some("close")
     200 OK [issued] Some("close")
     "#);
-    assert!(taken.is_closed() && idle.is_closed());
+    assert!(accepted.is_closed() && idle.is_closed());
     assert!(gatekeeper.wait_for_exit().success());
 }
 
 #[test]
-fn bad_configuration_is_a_plain_message() {
-    let output = Gatekeeper::spawn("{\"name\":\"g0\"}").wait_with_output().expect("it exits");
+fn an_invalid_configuration_fails_the_start_with_a_message() {
+    let output = Gatekeeper::spawn("{\"name\":\"g0\"}").wait_with_output().expect("the program exits");
     let message = String::from_utf8(output.stderr).expect("UTF-8");
     assert_eq!(output.status.code(), Some(1));
     assert!(message.starts_with("whinstall: ") && message.contains("missing field `listen`"), "{message}");
--- a/tests/simhost.rs
+++ b/tests/simhost.rs
@@ -1,4 +1,4 @@
-//! The built adapter as a process, over standard input and output.
+//! Tests of the simulator adapter as a process, over standard input and output.
 
 use serde_json::Value;
 use std::io::Write;
@@ -11,7 +11,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may stop reading at a bad line: a broken pipe is its right.
+    // The adapter exits at an invalid line without reading the rest, so a broken pipe is no failure.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
@@ -21,7 +21,7 @@
     text.lines().map(|l| serde_json::from_str(l).expect("JSON alone on standard output")).collect()
 }
 
-fn start(gateway: u32) -> String {
+fn start_event(gateway: u32) -> String {
     format!(
         r#"{{"what":"Start","gateway":{gateway},"initSeed":7,"bootInfo":{{"replicasOfMe":2,"zone":"a","future":[1],
 "classes":[{{"name":"read","aimS":1,"hardLimitS":3,"idempotency":"repeatable","gain":1}}],
@@ -32,13 +32,13 @@
     .replace('\n', "")
 }
 
-fn members(gateway: u32) -> String {
+fn members_event(gateway: u32) -> String {
     format!(
         r#"{{"what":"Members","gateway":{gateway},"scope":"restored","serial":1,"hosts":[{{"host":"10.0.0.1:80","failureDomain":"a","group":0,"availability":"ready","nominal":1}}]}}"#
     )
 }
 
-fn ask(gateway: u32) -> String {
+fn request_event(gateway: u32) -> String {
     format!(
         r#"{{"what":"Ask","gateway":{gateway},"job":"q{gateway}","tierClass":"read","tariff":"basic","userKey":"c","budgetS":2,"quotaUnits":2,"width":2,"base":0,"new":true}}"#
     )
@@ -52,12 +52,13 @@
     )
 }
 
+/// Each batch is answered by its round number. An unknown event is reported once and otherwise ignored.
 #[test]
 fn replies_to_batches_for_several_instances() {
-    let odd = r#"{"what":"Weather","gateway":3,"sun":1}"#.to_string();
+    let unknown = r#"{"what":"Weather","gateway":3,"sun":1}"#.to_string();
     let input = batch(0, &[])
-        + &batch(1, &[start(3), members(3), start(5), members(5)])
-        + &batch(2, &[ask(3), odd.clone(), ask(5), odd]);
+        + &batch(1, &[start_event(3), members_event(3), start_event(5), members_event(5)])
+        + &batch(2, &[request_event(3), unknown.clone(), request_event(5), unknown]);
     let output = run(&input);
     assert!(output.status.success());
     let lines = lines(&output);
@@ -72,23 +73,26 @@
     assert_eq!(errors.matches("Weather").count(), 1, "{errors}");
 }
 
+/// A power-off discards the state of an instance, its endpoint list included.
 #[test]
-fn a_killed_instance_knows_nothing_of_before() {
-    let off = r#"{"what":"PowerOff","gateway":3}"#.to_string();
-    let input = batch(1, &[start(3), members(3)]) + &batch(2, &[off, start(3)]) + &batch(3, &[ask(3)]);
+fn an_instance_starts_without_state_after_a_power_off() {
+    let power_off = r#"{"what":"PowerOff","gateway":3}"#.to_string();
+    let input = batch(1, &[start_event(3), members_event(3)])
+        + &batch(2, &[power_off, start_event(3)])
+        + &batch(3, &[request_event(3)]);
     let output = run(&input);
     assert!(output.status.success());
-    assert!(lines(&output).iter().any(|l| l["what"] == "TurnAway"), "no list, no host");
+    assert!(lines(&output).iter().any(|l| l["what"] == "TurnAway"), "rejected without an endpoint list");
 }
 
 #[test]
-fn bad_lines_end_it_with_their_number() {
+fn an_invalid_line_ends_the_adapter_with_its_number() {
     for (input, line) in [
         ("not json\n".to_string(), "line 1"),
-        (batch(1, &[ask(9)]), "line 2"),
+        (batch(1, &[request_event(9)]), "line 2"),
         ("{\"what\":\"Sync\",\"simTimeS\":1,\"round\":1}\n".to_string(), "line 2"),
-        (batch(1, &[start(3)]) + "{\"what\":\"OverToYou\"}\n", "line 4"),
-        (batch(1, &[start(3), r#"{"what":"Ask","gateway":3,"budgetS":"soon"}"#.into()]), "line 3"),
+        (batch(1, &[start_event(3)]) + "{\"what\":\"OverToYou\"}\n", "line 4"),
+        (batch(1, &[start_event(3), r#"{"what":"Ask","gateway":3,"budgetS":"soon"}"#.into()]), "line 3"),
     ] {
         let output = run(&input);
         assert!(!output.status.success(), "{input}");
