--- a/src/net/core/actions.rs
+++ b/src/net/core/actions.rs
@@ -29,7 +29,7 @@
             }
             Action::Fail { id } => self.finish_session(&id, SessionResult::Failed),
             Action::AddToCounter { name, amount, ttl } => {
-                self.transport.call_counter(CounterCall { name, amount, expiry: ttl });
+                self.transport.call_counter(CounterCall { name, amount, ttl });
             }
             Action::CloseIdle { host } => self.transport.close_idle(&host),
             Action::SetTimer { after, token } => {
--- a/src/net/core/message.rs
+++ b/src/net/core/message.rs
@@ -18,7 +18,7 @@
     type Response;
     /// Starts an attempt, which reports exactly one [`CoreMessage::AttemptFinished`].
     fn start_attempt(&self, attempt: Attempt<Self::Request>);
-    /// Calls the quota counter, which reports exactly one [`CoreMessage::Counted`].
+    /// Calls the quota counter, which reports exactly one [`CoreMessage::CounterReply`].
     fn call_counter(&self, call: CounterCall);
     /// Closes the idle connections to a node.
     fn close_idle(&self, node: &HostId);
@@ -65,7 +65,7 @@
     /// Amount to add.
     pub amount: f64,
     /// Life of the name, if the call creates it.
-    pub expiry: Duration,
+    pub ttl: Duration,
 }
 
 /// The final result of a session.
@@ -99,7 +99,7 @@
     /// Units it is charged.
     pub units: f64,
     /// Gatekeepers that its customer's traffic is spread over.
-    pub width: u32,
+    pub gateway_count: u32,
     /// What attempts send.
     pub request: T::Request,
     /// Gets the one result. Closed by the receiver when the client disconnects.
@@ -115,7 +115,7 @@
     /// An attempt has ended.
     AttemptFinished(AttemptReport<T::Response>),
     /// A call to the quota counter has ended.
-    Counted {
+    CounterReply {
         /// Name of the count.
         name: CounterKey,
         /// How it ended.
@@ -126,7 +126,7 @@
         elapsed: Duration,
     },
     /// A call to the quota counter was answered after it had timed out.
-    CountedLate {
+    LateCounterReply {
         /// Name of the count.
         name: CounterKey,
         /// The total.
--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -16,7 +16,7 @@
     Attempt, AttemptReport, CoreMessage, CounterCall, NewSession, Sender, SessionResult, Transport,
 };
 
-use super::outcome::Upstream;
+use super::outcome::UpstreamKind;
 use super::report::CounterLog;
 use super::zone_failover::ZoneBalancer;
 use sessions::{Session, SessionTable};
@@ -132,11 +132,11 @@
             CoreMessage::NewSession(session) => self.start_session(*session),
             CoreMessage::ClientDisconnected(id) => self.client_disconnected(&id),
             CoreMessage::AttemptFinished(report) => self.attempt_finished(report),
-            CoreMessage::Counted { name, outcome, total, elapsed } => {
-                let ending = outcome.to_ending(Upstream::Counter);
+            CoreMessage::CounterReply { name, outcome, total, elapsed } => {
+                let ending = outcome.to_ending(UpstreamKind::Counter);
                 self.handle_event(Event::CounterReply { name, ending, total, elapsed });
             }
-            CoreMessage::CountedLate { name, total, elapsed } => {
+            CoreMessage::LateCounterReply { name, total, elapsed } => {
                 self.handle_event(Event::LateCounterReply { name, total, elapsed });
             }
             CoreMessage::Endpoints { scope, entries } => self.update_endpoints(scope, entries),
@@ -187,7 +187,7 @@
             customer,
             budget,
             units: new.units,
-            gateway_count: new.width,
+            gateway_count: new.gateway_count,
         });
     }
 
@@ -213,7 +213,7 @@
 
     fn attempt_finished(&mut self, report: AttemptReport<T::Response>) {
         let AttemptReport { id, number, node, outcome, response, usage, elapsed } = report;
-        let ending = outcome.to_ending(Upstream::Node);
+        let ending = outcome.to_ending(UpstreamKind::Node);
         tracing::debug!(session = %id.0, number, node = %node.0, ?outcome, ?elapsed, "attempt finished");
         self.sessions.attempt_finished(&id, number);
         if let Some(zones) = self.zones.as_mut() {
--- a/src/net/core/tests.rs
+++ b/src/net/core/tests.rs
@@ -42,7 +42,7 @@
         customer: CustomerId("c".into()),
         deadline: Instant::now() + Duration::from_millis(500),
         units: 1.0,
-        width: 1,
+        gateway_count: 1,
         request: (),
         result: sends_result,
     })));
--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -101,7 +101,7 @@
     }
 
     /// Starts a call, or queues it behind the last one of its name. The core gets exactly one
-    /// [`CoreMessage::Counted`] for it.
+    /// [`CoreMessage::CounterReply`] for it.
     pub fn call(&self, call: CounterCall) {
         let call = QueuedCall { call, queued: Instant::now() };
         if let Some(queue) = self.0.queues.borrow_mut().get_mut(&call.call.name) {
@@ -159,7 +159,7 @@
         let (name, elapsed) = (self.queue.name.clone(), self.queued.elapsed());
         let (outcome, total) = (self.outcome, self.total);
         tracing::debug!(name = %name.0, ?outcome, total, ?elapsed, "counter call finished");
-        let _ = self.queue.inner.core.send(CoreMessage::Counted { name, outcome, total, elapsed });
+        let _ = self.queue.inner.core.send(CoreMessage::CounterReply { name, outcome, total, elapsed });
     }
 }
 
@@ -187,7 +187,7 @@
         if let (ExchangeOutcome::Answered, total) = answer.await {
             let elapsed = queued.elapsed();
             tracing::debug!(name = %name.0, total, ?elapsed, "counter call answered late");
-            let _ = late_call.0.core.send(CoreMessage::CountedLate { name, total, elapsed });
+            let _ = late_call.0.core.send(CoreMessage::LateCounterReply { name, total, elapsed });
         }
     });
     // If it is not written yet it may still be: the amount must not be added again.
@@ -232,7 +232,7 @@
 fn target(call: &CounterCall) -> Option<PathAndQuery> {
     let name = path_segment(&call.name.0);
     let amount = call.amount.clamp(-MAX_AMOUNT, MAX_AMOUNT);
-    let expiry_ms = call.expiry.as_millis().clamp(1, MAX_EXPIRY_MS);
+    let expiry_ms = call.ttl.as_millis().clamp(1, MAX_EXPIRY_MS);
     PathAndQuery::try_from(format!("/counters/{name}?by={amount}&expire_ms={expiry_ms}")).ok()
 }
 
--- a/src/net/counter/tests.rs
+++ b/src/net/counter/tests.rs
@@ -22,11 +22,11 @@
         );
         for (name, amount) in [("a", 1.0), ("a", -2.5), ("b", 1.0)] {
             let name = CounterKey(name.into());
-            counter.call(CounterCall { name, amount, expiry: Duration::from_secs(4) });
+            counter.call(CounterCall { name, amount, ttl: Duration::from_secs(4) });
         }
         let mut reported = Vec::new();
         for _ in 0..3 {
-            let Some(CoreMessage::Counted { name, outcome, total, .. }) = messages.recv().await else {
+            let Some(CoreMessage::CounterReply { name, outcome, total, .. }) = messages.recv().await else {
                 panic!("no answer")
             };
             if reported.is_empty() {
@@ -55,11 +55,13 @@
         let counter =
             CounterClient::new(peer.address, late, CallTimeouts { call: wait, late }, MAX_CONNECTIONS, core);
         let name = CounterKey("a".into());
-        counter.call(CounterCall { name, amount: 1.0, expiry: Duration::from_secs(4) });
-        let Some(CoreMessage::Counted { outcome, .. }) = messages.recv().await else { panic!("no outcome") };
+        counter.call(CounterCall { name, amount: 1.0, ttl: Duration::from_secs(4) });
+        let Some(CoreMessage::CounterReply { outcome, .. }) = messages.recv().await else {
+            panic!("no outcome")
+        };
         assert_eq!(outcome, ExchangeOutcome::TimedOut { written: true });
         say.send("9".into()).expect("the counter hears");
-        let Some(CoreMessage::CountedLate { name, total, .. }) = messages.recv().await else {
+        let Some(CoreMessage::LateCounterReply { name, total, .. }) = messages.recv().await else {
             panic!("no answer")
         };
         assert_eq!((&*name.0, total), ("a", 9.0));
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -59,10 +59,10 @@
         })
     }
 
-    /// Enters a state, if the current one permits it ([`ServingState::permits`]).
+    /// Enters a state, if the current one permits it ([`ServingState::can_transition_to`]).
     pub fn set_state(&self, new: ServingState) {
         self.state.send_if_modified(|state| {
-            let is_permitted = state.permits(&new);
+            let is_permitted = state.can_transition_to(&new);
             if is_permitted {
                 *state = new;
             }
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -77,7 +77,7 @@
 /// The fields of an `X-Metering` header that are used.
 struct Metering {
     units: f64,
-    width: u32,
+    gateway_count: u32,
 }
 
 impl RequestRules {
@@ -122,7 +122,7 @@
         }
         let timeout = parse_timeout(request).ok_or(bad("no usable Request-Timeout"))?;
         let metering = header(request, "x-metering").and_then(|text| self.parse_metering(text));
-        let Metering { units, width } = metering.ok_or(bad("no usable X-Metering"))?;
+        let Metering { units, gateway_count } = metering.ok_or(bad("no usable X-Metering"))?;
         let customer = request.uri().query().and_then(parse_customer).ok_or(bad("no usable client"))?;
         let target = request.uri().path_and_query().cloned().ok_or(bad("no path"))?;
         Ok(NewSession {
@@ -132,7 +132,7 @@
             customer: CustomerId(Arc::from(customer)),
             deadline: received + timeout.saturating_sub(NETWORK_ALLOWANCE),
             units,
-            width,
+            gateway_count,
             request: ForwardedRequest { method: request.method().clone(), target, id, body },
             result,
         })
@@ -165,9 +165,9 @@
             pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
         };
         let units = field("units")?.parse::<f64>().ok().filter(|u| *u > 0.0 && *u <= self.max_units)?;
-        let width = field("spread")?.parse().ok().filter(|n| (1..=self.replicas).contains(n))?;
+        let gateway_count = field("spread")?.parse().ok().filter(|n| (1..=self.replicas).contains(n))?;
         field("first")?.parse::<u32>().ok().filter(|n| *n < self.replicas)?;
-        Some(Metering { units, width })
+        Some(Metering { units, gateway_count })
     }
 }
 
--- a/src/net/downstream/serving_state.rs
+++ b/src/net/downstream/serving_state.rs
@@ -25,7 +25,7 @@
 impl ServingState {
     /// Whether a process may go from this state to `new`. The end of service is final, and a state that is entered
     /// again keeps the time at which it was first entered.
-    pub fn permits(&self, new: &ServingState) -> bool {
+    pub fn can_transition_to(&self, new: &ServingState) -> bool {
         let is_same = std::mem::discriminant(self) == std::mem::discriminant(new);
         let is_ending = matches!(self, ServingState::Draining | ServingState::HandedOver { .. });
         let is_return = matches!(new, ServingState::Active | ServingState::Standby { .. });
--- a/src/net/outcome.rs
+++ b/src/net/outcome.rs
@@ -11,7 +11,7 @@
 
 /// The kind of upstream that an exchange was with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Upstream {
+pub enum UpstreamKind {
     /// A drafting node.
     Node,
     /// The quota counter.
@@ -55,19 +55,19 @@
 impl ExchangeOutcome {
     /// The outcome in the decision module's terms. A counter call that may have been added must map to a timeout
     /// or a reset: only after these the module drops the amount instead of adding it again.
-    pub fn to_ending(self, upstream: Upstream) -> Ending {
+    pub fn to_ending(self, upstream: UpstreamKind) -> Ending {
         match (self, upstream) {
             (ExchangeOutcome::Answered, _) => Ending::Ok,
             (ExchangeOutcome::NotStarted, _) => Ending::Full,
             // Says nothing about a node's health: one client's bad requests must not get nodes ejected.
-            (ExchangeOutcome::ClientError, Upstream::Node) => Ending::Cancelled,
-            (ExchangeOutcome::ClientError, Upstream::Counter) => Ending::Full,
-            (ExchangeOutcome::UnexpectedStatus, Upstream::Node) => Ending::Error,
-            (ExchangeOutcome::UnexpectedStatus, Upstream::Counter) => Ending::Full,
-            (ExchangeOutcome::InvalidResponse, Upstream::Node) => Ending::Error,
+            (ExchangeOutcome::ClientError, UpstreamKind::Node) => Ending::Cancelled,
+            (ExchangeOutcome::ClientError, UpstreamKind::Counter) => Ending::Full,
+            (ExchangeOutcome::UnexpectedStatus, UpstreamKind::Node) => Ending::Error,
+            (ExchangeOutcome::UnexpectedStatus, UpstreamKind::Counter) => Ending::Full,
+            (ExchangeOutcome::InvalidResponse, UpstreamKind::Node) => Ending::Error,
             (ExchangeOutcome::NotSent, _) => Ending::ConnectFailed,
-            (ExchangeOutcome::ConnectionLost, Upstream::Node) => Ending::Reset,
-            (ExchangeOutcome::InvalidResponse | ExchangeOutcome::ConnectionLost, Upstream::Counter) => {
+            (ExchangeOutcome::ConnectionLost, UpstreamKind::Node) => Ending::Reset,
+            (ExchangeOutcome::InvalidResponse | ExchangeOutcome::ConnectionLost, UpstreamKind::Counter) => {
                 Ending::Reset
             }
             (ExchangeOutcome::TimedOut { written: true }, _) => Ending::Timeout,
@@ -81,7 +81,7 @@
     /// What an outcome after `elapsed` shows about the node's zone: that it answers, that something there refuses
     /// at once, or that nothing came for the `silence_timeout`. A cancelled exchange, or one not begun, shows
     /// nothing.
-    pub fn zone_signal(self, elapsed: Duration, silence_timeout: Duration) -> Option<Observation> {
+    pub fn zone_observation(self, elapsed: Duration, silence_timeout: Duration) -> Option<Observation> {
         match self {
             ExchangeOutcome::Answered
             | ExchangeOutcome::NotStarted
--- a/src/net/zone_failover.rs
+++ b/src/net/zone_failover.rs
@@ -178,7 +178,7 @@
     /// Records the outcome of a dispatch.
     pub fn dispatch_ended(&mut self, now: Duration, host: &HostId, end: ExchangeOutcome, took: Duration) {
         let now_secs = now.as_secs_f64();
-        if let Some(observation) = end.zone_signal(took, self.detection_timeout) {
+        if let Some(observation) = end.zone_observation(took, self.detection_timeout) {
             self.failover.record(now_secs, &host.0, observation);
         }
         if end == ExchangeOutcome::Answered {
