--- a/src/net/attempt.rs
+++ b/src/net/attempt.rs
@@ -1,8 +1,8 @@
-//! Executes attempts: sends a session's request to the node that the core chose and reports the outcome to the
-//! core, exactly once.
+//! Attempt execution: sends a session's request to the node that the core selected and reports the outcome to the
+//! core exactly once.
 //!
-//! It neither chooses nodes nor retries, and it writes nothing to a node that the endpoint table lists as draining
-//! or no longer lists.
+//! Node selection and retries are the core's. Nothing is written to a node that is draining or absent in the
+//! endpoint table.
 
 use super::core::{Attempt, AttemptReport, CoreMessage};
 use super::downstream::ForwardedRequest;
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 use whinstall::{HostId, RequestId};
 
-/// Sends attempts to nodes.
+/// Executes the core's attempts, each in a task of its own.
 pub struct AttemptRunner {
     client: Rc<UpstreamClient>,
     endpoints: Rc<EndpointTable>,
@@ -26,7 +26,7 @@
 }
 
 impl AttemptRunner {
-    /// Sends to the nodes of this table and reports outcomes to this core.
+    /// Creates a runner that resolves nodes in `endpoints`, sends through `client` and reports outcomes to `core`.
     pub fn new(client: Rc<UpstreamClient>, endpoints: Rc<EndpointTable>, core: CoreSender) -> Self {
         AttemptRunner { client, endpoints, core }
     }
@@ -58,12 +58,12 @@
     }
 }
 
-/// What an attempt led to.
+/// Result of an attempt, as reported to the core.
 struct AttemptResult {
     outcome: ExchangeOutcome,
-    /// The body for the session's client, only with `Answered`.
+    /// Response body for the session's client; present only with [`ExchangeOutcome::Answered`].
     response: Option<Bytes>,
-    /// The customer's use over all gatekeepers, as a fraction of its rate.
+    /// Usage of the customer over all gatekeepers, as a fraction of its rate, if the node reported one.
     usage: Option<f64>,
 }
 
@@ -73,8 +73,9 @@
     }
 }
 
-/// Reports an attempt when it is dropped, thus exactly once. Should the task panic, the initial result stands: the
-/// request may have run. Without it the session would wait for ever.
+/// Drop guard that reports the attempt to the core exactly once, also if the task panics. A panic reports the
+/// initial result, `ConnectionLost`, since the request may have run. Without the report the session would never
+/// finish.
 struct ReportOnDrop {
     core: CoreSender,
     id: RequestId,
@@ -128,7 +129,7 @@
     };
     let options = ExchangeOptions { timeout, may_send };
     let (outcome, response) = client.exchange(&peer, request, options, cancelled).await;
-    // The node may have been replaced during the attempt: its connections must not be kept for the address.
+    // The node may have been removed or moved during the attempt: connections to its old address must not be reused.
     if endpoints.address(node) != Some(address) {
         close_idle(client, node);
     }
@@ -148,7 +149,8 @@
     client.retain_idle(|name, _| name != &*node.0);
 }
 
-/// Only these statuses, and only with the node's own statement, prove that a request never ran.
+/// Whether the response proves that the node did not begin the request, so that a retry is safe. Both are required:
+/// status 503 or 504, and the header `Not-Started: 1`.
 fn proves_not_started(response: &Response) -> bool {
     let status = matches!(response.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     status && response.not_started
--- a/src/net/core/actions.rs
+++ b/src/net/core/actions.rs
@@ -10,7 +10,7 @@
 use whinstall::{Action, Event, HostId, RequestId};
 
 impl<T: Transport> Core<T> {
-    /// Passes an event to the decision module and executes its actions.
+    /// Passes an event to the decision module and executes the actions that it returns, in order.
     pub(super) fn handle_event(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.gateway.handle(self.clock.now(), event, &mut actions);
@@ -36,8 +36,11 @@
                 let at = self.clock.now() + after;
                 self.timers.insert(at, Timer::Module(token));
             }
-            // Nodes may not be probed in this deployment, and discovery is watched in any case.
-            Action::Probe { host } => tracing::warn!(node = %host.0, "health check not permitted: ignored"),
+            // Active health checks of nodes are not permitted in this deployment.
+            Action::Probe { host } => {
+                tracing::warn!(node = %host.0, "active health checks are not permitted: request for one ignored");
+            }
+            // Discovery is always watched.
             Action::Subscribe => {}
         }
     }
@@ -47,8 +50,8 @@
         self.remove_if_finished(id);
     }
 
-    /// Starts an attempt. One that the session has no time or attempts left for, or no client, is reported as
-    /// `NotAttempted` through the queue, like any other outcome.
+    /// Starts an attempt. If the client has disconnected, the deadline has passed or no attempts are left, nothing is
+    /// sent and `NotAttempted` is reported through the message queue, like any other outcome.
     fn start_attempt(&mut self, id: RequestId, node: HostId, timeout: Option<Duration>) {
         let now = self.clock.now();
         let Some(session) = self.sessions.get_mut(&id) else { return };
@@ -74,8 +77,8 @@
         let request = Rc::clone(&session.request);
         if let Some(zones) = self.zones.as_mut() {
             zones.dispatch_started(now);
-            let silent = Timer::AttemptSilent { id: id.clone(), number, node: node.clone() };
-            self.timers.insert(now + zones.detection_timeout(), silent);
+            let timer = Timer::DetectionTimeout { id: id.clone(), number, node: node.clone() };
+            self.timers.insert(now + zones.detection_timeout(), timer);
         }
         self.transport.start_attempt(Attempt { id, number, node, request, timeout, cancelled });
     }
--- a/src/net/core/clock.rs
+++ b/src/net/core/clock.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant, SystemTime};
 
-/// Unix time that never jumps: the system clock is read once and only elapsed time is added. All gatekeepers thus
-/// have the same windows, and a node's start time can be compared with it.
+/// Monotonic Unix time: the system clock is read once at the start, and elapsed monotonic time is added. Unix time
+/// aligns the quota windows of all gatekeepers and is comparable with the start times of nodes.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -11,7 +11,7 @@
 }
 
 impl Clock {
-    /// Starts from the system clock.
+    /// Creates a clock that starts at the current time of the system clock.
     pub fn start() -> Self {
         let unix_at_start = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         Clock { started: Instant::now(), unix_at_start }
--- a/src/net/core/message.rs
+++ b/src/net/core/message.rs
@@ -1,4 +1,4 @@
-//! The interface of the core: the messages it receives and the [`Transport`] it acts through.
+//! Interface of the core: the messages that it receives and the [`Transport`] that executes its decisions.
 
 use crate::net::outcome::ExchangeOutcome;
 use std::rc::Rc;
@@ -10,99 +10,99 @@
     RemoteState, RequestId, Settings,
 };
 
-/// Carries out the core's decisions on the network.
+/// Executes the core's decisions on the network.
 pub trait Transport {
-    /// A session's request as the downstream side submits it; attempts get it back unchanged.
+    /// Request as the downstream side submits it; passed to each attempt unchanged.
     type Request;
-    /// A node's response; the session's downstream side gets it unchanged.
+    /// Response of a node; passed to the downstream side unchanged.
     type Response;
-    /// Starts an attempt, which reports exactly one [`CoreMessage::AttemptFinished`].
+    /// Starts an attempt. The transport reports its outcome with exactly one [`CoreMessage::AttemptFinished`].
     fn start_attempt(&self, attempt: Attempt<Self::Request>);
-    /// Calls the quota counter, which reports exactly one [`CoreMessage::CounterReply`].
+    /// Calls the quota counter. The transport reports the outcome with exactly one [`CoreMessage::CounterReply`].
     fn call_counter(&self, call: CounterCall);
     /// Closes the idle connections to a node.
     fn close_idle(&self, node: &HostId);
 }
 
-/// One attempt of a session at a node.
+/// One attempt to execute a session's request at a node.
 pub struct Attempt<Q> {
-    /// The session.
+    /// Request id of the session.
     pub id: RequestId,
-    /// Its number within the session, from 0.
+    /// Number of the attempt within the session, from 0.
     pub number: u32,
-    /// The node, as discovery names it.
+    /// Node that the decision module selected.
     pub node: HostId,
-    /// What to send.
+    /// Request to send.
     pub request: Rc<Q>,
-    /// Time to the complete response.
+    /// Time limit for the complete response, from the start of the attempt.
     pub timeout: Duration,
-    /// Resolves when the attempt is cancelled; its outcome is reported all the same.
+    /// Resolves when the core cancels the attempt. The outcome of a cancelled attempt is reported too.
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// The result of an attempt.
+/// Report of a finished attempt.
 pub struct AttemptReport<A> {
-    /// Its session.
+    /// Request id of the session.
     pub id: RequestId,
-    /// Its number within the session.
+    /// Number of the attempt within the session, from 0.
     pub number: u32,
-    /// Its node.
+    /// Node that the attempt addressed.
     pub node: HostId,
-    /// How it ended.
+    /// Outcome of the exchange.
     pub outcome: ExchangeOutcome,
-    /// The response, if it is to be returned to the client.
+    /// Response for the client; present only with [`ExchangeOutcome::Answered`].
     pub response: Option<A>,
-    /// The customer's use over all gatekeepers as the node reported it, as a fraction of its rate.
+    /// Usage of the customer over all gatekeepers, as a fraction of its rate, if the node reported one.
     pub usage: Option<f64>,
-    /// Time since its start.
+    /// Time from the start to the end of the attempt.
     pub elapsed: Duration,
 }
 
 /// One call to the quota counter.
 pub struct CounterCall {
-    /// Name of the count.
+    /// Key of the counter to add to.
     pub name: CounterKey,
-    /// Amount to add.
+    /// Units to add.
     pub amount: f64,
-    /// Life of the name, if the call creates it.
+    /// Time until the counter expires, if the call creates it.
     pub ttl: Duration,
 }
 
-/// The final result of a session.
+/// Final result of a session.
 #[derive(Debug, PartialEq)]
 pub enum SessionResult<A> {
-    /// A node's response.
+    /// A node executed the request and returned this response.
     Response(A),
-    /// Refused without having run; a retry is harmless, preferably after this time.
+    /// The request was refused and did not run, so the client may retry it.
     Denied {
-        /// Advised wait.
+        /// Delay after which the client should retry, if one is advised.
         retry_after: Option<Duration>,
     },
-    /// Failed; the request may have run.
+    /// The request failed and may have run.
     Failed,
-    /// A session of this id is already in progress.
+    /// The request was refused: a session with this request id is in progress.
     DuplicateId,
 }
 
-/// A client's request that enters the core.
+/// A client request that starts a session.
 pub struct NewSession<T: Transport> {
-    /// Its id.
+    /// Request id that the client chose.
     pub id: RequestId,
-    /// Its class.
+    /// Name of the request class.
     pub class: String,
-    /// Its customer's plan.
+    /// Name of the customer's plan.
     pub plan: String,
-    /// Its customer.
+    /// Customer that the request is charged to.
     pub customer: CustomerId,
-    /// When its client gives up.
+    /// Time at which the client stops waiting for the response.
     pub deadline: Instant,
-    /// Units it is charged.
+    /// Units that the request is charged.
     pub units: f64,
-    /// Gatekeepers that its customer's traffic is spread over.
+    /// Number of gatekeepers that the customer's traffic is spread over.
     pub gateway_count: u32,
-    /// What attempts send.
+    /// Request that the attempts send.
     pub request: T::Request,
-    /// Gets the one result. Closed by the receiver when the client disconnects.
+    /// Sender of the session's one result. The receiver is closed when the client disconnects.
     pub result: oneshot::Sender<SessionResult<T::Response>>,
 }
 
@@ -110,57 +110,57 @@
 pub enum CoreMessage<T: Transport> {
     /// A session starts.
     NewSession(Box<NewSession<T>>),
-    /// A session's client has disconnected.
+    /// The client of the session with this request id has disconnected.
     ClientDisconnected(RequestId),
     /// An attempt has ended.
     AttemptFinished(AttemptReport<T::Response>),
     /// A call to the quota counter has ended.
     CounterReply {
-        /// Name of the count.
+        /// Key of the counter.
         name: CounterKey,
-        /// How it ended.
+        /// Outcome of the exchange.
         outcome: ExchangeOutcome,
-        /// The total, meaningful only with `Answered`.
+        /// Total of the counter in units; meaningful only with [`ExchangeOutcome::Answered`].
         total: f64,
-        /// Time since the call.
+        /// Time from the start of the call to its end.
         elapsed: Duration,
     },
-    /// A call to the quota counter was answered after it had timed out.
+    /// The quota counter answered a call after the timeout of the call had been reported.
     LateCounterReply {
-        /// Name of the count.
+        /// Key of the counter.
         name: CounterKey,
-        /// The total.
+        /// Total of the counter in units.
         total: f64,
-        /// Time since the call.
+        /// Time from the start of the call to its end.
         elapsed: Duration,
     },
     /// The endpoint list has changed.
     Endpoints {
-        /// Whether the entries replace the list or update it.
+        /// Whether the entries replace the endpoint list or update it.
         scope: ListScope,
-        /// Its nodes.
+        /// Nodes that the list contains or that changed.
         entries: Vec<HostEntry>,
     },
-    /// New settings of zones; they replace those in force, if any.
+    /// New settings of zone failover. Ignored if zone failover is not enabled.
     ZoneSettings(Box<ZoneFailoverSettings>),
-    /// Requests what this gatekeeper charged and observed, for replication.
+    /// Requests the charges and observations of this gatekeeper, for replication.
     ReadLocalState(oneshot::Sender<LocalState>),
-    /// What other gatekeepers, and earlier incarnations of this one, charged and observed. It replaces what was
+    /// Charges and observations of the other gatekeepers and of earlier incarnations of this one. Replaces the state
     /// received before.
     ReplicatedState(Box<RemoteState>),
-    /// From now on hard ceilings are divided over the fleet, except for this fraction of the even shares.
+    /// Divides hard ceilings over the fleet from now on, except for this fraction of the equal shares.
     DivideCeilings(f64),
-    /// The parts of ceilings that were assigned to this gatekeeper.
+    /// Shares of ceilings that are assigned to this gatekeeper.
     AssignedCeilings(Vec<CeilingShare>),
-    /// New settings, for sessions that start from now on.
+    /// New settings. Running sessions keep the maximum number of attempts that they started with.
     Settings(Box<Settings>),
-    /// Requests the decision module's state for handover to a new process.
+    /// Requests the decision module's state, to hand it over to a new process.
     ExportState(oneshot::Sender<ExportedState>),
-    /// The handover failed: the exported state is this process's again.
+    /// Takes the exported state back after a failed handover.
     ResumeState(Box<ExportedState>),
-    /// The state of the process that this one replaces.
+    /// Imports the state of the process that this one replaces.
     ImportState(Box<ExportedState>),
 }
 
-/// Sends messages to the core.
+/// Sending half of the core's message queue.
 pub type Sender<T> = mpsc::UnboundedSender<CoreMessage<T>>;
--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core: the one task that owns the decision module ([`Gateway`]), the sessions and all timers.
 //!
-//! It is an actor. Messages arrive through one queue ([`CoreMessage`]) and decisions leave through the
-//! [`Transport`]; the core itself touches no socket and knows neither HTTP nor JSON.
+//! The core is an actor: it receives messages through one queue ([`CoreMessage`]) and acts through the [`Transport`].
+//! It performs no I/O itself and is independent of HTTP and JSON.
 
 mod actions;
 mod clock;
@@ -28,32 +28,32 @@
 use whinstall::zone_failover::ZoneFailoverSettings;
 use whinstall::{Action, Ending, Event, Gateway, HostEntry, HostId, ListScope, RequestId};
 
-/// Grace after a client's deadline, after which the core itself fails a session that nothing has ended.
+/// Time after a client's deadline at which the core fails a session that no other event has finished.
 const OVERDUE_GRACE: Duration = Duration::from_millis(5);
-/// Interval at which zones are evaluated for their slow starts and hold-offs.
-const ZONE_INTERVAL: Duration = Duration::from_millis(250);
-/// Interval at which the counter's modes are checked, to be logged.
+/// Interval at which zone weights are re-evaluated: slow starts and backoffs progress without events.
+const ZONE_EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which mode changes of the quota counter are logged.
 const COUNTER_LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The state of the task.
+/// State of the core task.
 pub struct Core<T: Transport> {
     gateway: Gateway,
     clock: Clock,
     transport: T,
-    /// Leads back to this task.
+    /// Sends to this task's own queue.
     sender: Sender<T>,
-    /// Attempts of a session at the most.
+    /// Maximum number of attempts of a session that starts now.
     max_attempts: usize,
     sessions: SessionTable<T>,
     timers: TimerQueue,
-    /// Kept between events for its allocation.
+    /// Buffer for the actions of one event, reused to avoid an allocation for each.
     actions: Vec<Action>,
     zones: Option<ZoneBalancer>,
     counter_log: CounterLog,
 }
 
 impl<T: Transport> Core<T> {
-    /// A core around this module; `sender` leads back to this task.
+    /// Creates the core of `gateway`; `sender` sends to the queue that [`Core::run`] receives from.
     pub fn new(gateway: Gateway, clock: Clock, transport: T, sender: Sender<T>, max_attempts: u32) -> Self {
         let mut timers = TimerQueue::default();
         timers.insert(clock.now() + COUNTER_LOG_INTERVAL, Timer::LogCounter);
@@ -71,14 +71,14 @@
         }
     }
 
-    /// Weighs nodes by their zones' shares from now on.
+    /// Enables zone failover: the decision module weights nodes by the shares of their zones.
     pub fn with_zones(mut self, zones: ZoneBalancer) -> Self {
         self.zones = Some(zones);
-        self.timers.insert(self.clock.now() + ZONE_INTERVAL, Timer::EvaluateZones);
+        self.timers.insert(self.clock.now() + ZONE_EVALUATION_INTERVAL, Timer::EvaluateZones);
         self
     }
 
-    /// Serves messages and timers for as long as the program runs.
+    /// Handles messages and timers until all senders are dropped.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<CoreMessage<T>>) {
         loop {
             let next_timer = self.next_timer();
@@ -87,7 +87,7 @@
                 message = messages.recv() => {
                     let Some(message) = message else { return };
                     self.handle_message(message);
-                    // All messages that are ready are handled in one wake-up.
+                    // Handles all queued messages in one wake-up.
                     while let Ok(message) = messages.try_recv() {
                         self.handle_message(message);
                     }
@@ -114,14 +114,16 @@
             match timer {
                 Timer::Module(token) => self.handle_event(Event::Timer { token }),
                 Timer::SessionOverdue(id) => self.fail_overdue(&id),
-                Timer::AttemptSilent { id, number, node } => self.attempt_silent(now, &id, number, &node),
+                Timer::DetectionTimeout { id, number, node } => {
+                    self.detection_timeout_expired(now, &id, number, &node);
+                }
                 Timer::LogCounter => {
                     self.counter_log.update(now, self.gateway.counter_report());
                     self.timers.insert(now + COUNTER_LOG_INTERVAL, Timer::LogCounter);
                 }
                 Timer::EvaluateZones => {
-                    self.update_zone_shares();
-                    self.timers.insert(now + ZONE_INTERVAL, Timer::EvaluateZones);
+                    self.update_zone_weights();
+                    self.timers.insert(now + ZONE_EVALUATION_INTERVAL, Timer::EvaluateZones);
                 }
             }
         }
@@ -162,7 +164,7 @@
     }
 
     fn start_session(&mut self, new: NewSession<T>) {
-        // The module ignores a second session of an id in use, so its client would never get a result.
+        // The decision module ignores a request whose id is in use, so the second client would never get a result.
         if self.sessions.contains(&new.id) {
             let _ = new.result.send(SessionResult::DuplicateId);
             return;
@@ -192,8 +194,8 @@
     }
 
     fn client_disconnected(&mut self, id: &RequestId) {
-        // If the result crossed the disconnect, the session has ended and there is nothing to do. If its receiver
-        // is still there, the session is another client's that uses the same id.
+        // The session is absent if it finished before the disconnect was handled. An open receiver means that the
+        // session belongs to another client, which uses the same id.
         let Some(session) = self.sessions.get_mut(id) else { return };
         if session.result.take_if(|result| result.is_closed()).is_some() {
             self.handle_event(Event::ClientDisconnected { id: id.clone() });
@@ -201,10 +203,10 @@
         }
     }
 
-    /// Fails a session that nothing has ended, so that its client gets a result at all.
+    /// Fails a session that no other event has finished by its deadline, so that the client gets a result.
     fn fail_overdue(&mut self, id: &RequestId) {
         if self.sessions.awaits_result(id) {
-            tracing::warn!(session = %id.0, "session overdue: failed by the core");
+            tracing::warn!(session = %id.0, "session failed: no result by the client's deadline");
             self.sessions.finish(id, SessionResult::Failed);
             self.handle_event(Event::ClientDisconnected { id: id.clone() });
             self.remove_if_finished(id);
@@ -232,17 +234,18 @@
             cost: 0.0,
             metered: usage,
         });
-        self.update_zone_shares();
+        self.update_zone_weights();
         self.remove_if_finished(&id);
     }
 
-    fn attempt_silent(&mut self, now: Duration, id: &RequestId, number: u32, node: &HostId) {
+    /// Records a timeout for the zone of a node that has not responded for the detection timeout. The attempt goes on.
+    fn detection_timeout_expired(&mut self, now: Duration, id: &RequestId, number: u32, node: &HostId) {
         if !self.sessions.is_in_flight(id, number) {
             return;
         }
         if let Some(zones) = self.zones.as_mut() {
             zones.dispatch_timed_out(now, node);
-            self.update_zone_shares();
+            self.update_zone_weights();
         }
     }
 
@@ -251,18 +254,18 @@
             zones.update_endpoints(self.clock.now(), scope, &entries);
         }
         self.handle_event(Event::Hosts { scope, entries });
-        self.update_zone_shares();
+        self.update_zone_weights();
     }
 
     fn update_zone_settings(&mut self, settings: ZoneFailoverSettings) {
         if let Some(zones) = self.zones.take() {
             self.zones = Some(zones.with_settings(settings, self.clock.now()));
-            self.update_zone_shares();
+            self.update_zone_weights();
         }
     }
 
-    /// Passes the zones' shares to the module where they changed.
-    fn update_zone_shares(&mut self) {
+    /// Passes the zones' weights to the decision module if they changed.
+    fn update_zone_weights(&mut self) {
         let now = self.clock.now();
         let Some(zones) = self.zones.as_mut() else { return };
         zones.record_rejected(now, self.gateway.zone_rejections());
--- a/src/net/core/tests.rs
+++ b/src/net/core/tests.rs
@@ -2,10 +2,10 @@
 use tokio::sync::oneshot;
 use whinstall::{settings, Availability, CustomerId};
 
-/// A transport that swallows every attempt: its outcome is never reported.
-struct BlackHole;
+/// A transport that discards every attempt and never reports an outcome.
+struct DiscardingTransport;
 
-impl Transport for BlackHole {
+impl Transport for DiscardingTransport {
     type Request = ();
     type Response = ();
     fn start_attempt(&self, _: Attempt<()>) {}
@@ -13,8 +13,8 @@
     fn close_idle(&self, _: &HostId) {}
 }
 
-/// Starts a core with one node that swallows everything.
-fn start() -> Sender<BlackHole> {
+/// Starts a core with one node and a transport that discards every attempt.
+fn start() -> Sender<DiscardingTransport> {
     let json = serde_json::from_str(include_str!("../../../tests/common/settings.json"));
     let (settings, _) = settings::read(json.expect("JSON")).expect("settings");
     let node = HostEntry {
@@ -27,14 +27,14 @@
         last_start: None,
     };
     let (sender, messages) = mpsc::unbounded_channel();
-    let core = Core::new(Gateway::new(settings, 7), Clock::start(), BlackHole, sender.clone(), 5);
+    let core = Core::new(Gateway::new(settings, 7), Clock::start(), DiscardingTransport, sender.clone(), 5);
     actix_rt::spawn(core.run(messages));
     let _ = sender.send(CoreMessage::Endpoints { scope: ListScope::Restored, entries: vec![node] });
     sender
 }
 
-fn submit(sender: &Sender<BlackHole>) -> oneshot::Receiver<SessionResult<()>> {
-    let (sends_result, result) = oneshot::channel();
+fn submit(sender: &Sender<DiscardingTransport>) -> oneshot::Receiver<SessionResult<()>> {
+    let (result_sender, result) = oneshot::channel();
     let _ = sender.send(CoreMessage::NewSession(Box::new(NewSession {
         id: RequestId("r1".into()),
         class: "issue".into(),
@@ -44,21 +44,21 @@
         units: 1.0,
         gateway_count: 1,
         request: (),
-        result: sends_result,
+        result: result_sender,
     })));
     result
 }
 
-/// A session that nothing ends must not leave its client without a result.
+/// A session whose attempt is never reported must still give its client a result.
 #[test]
-fn a_session_that_nothing_ends_fails_at_its_deadline() {
+fn a_session_without_an_outcome_fails_at_its_deadline() {
     let result = actix_rt::System::new().block_on(async { submit(&start()).await });
     assert_eq!(result, Ok(SessionResult::Failed));
 }
 
-/// A client must not be affected by another one that sends the id of its open request and disconnects.
+/// A second client that sends the id of an open request and disconnects must not end the first client's session.
 #[test]
-fn a_second_client_of_an_id_that_disconnects_ends_nothing() {
+fn a_disconnect_of_a_second_client_with_the_same_id_ends_no_session() {
     let (first, second) = actix_rt::System::new().block_on(async {
         let sender = start();
         let (first, second) = (submit(&sender), submit(&sender));
--- a/src/net/core/timers.rs
+++ b/src/net/core/timers.rs
@@ -4,50 +4,50 @@
 use std::time::Duration;
 use whinstall::{HostId, RequestId};
 
-/// What a timer is for.
+/// Purpose of a timer.
 pub(super) enum Timer {
-    /// A timer of the decision module, with its token.
+    /// A timer that the decision module set, with the module's token.
     Module(String),
-    /// The session is past its client's deadline.
+    /// The deadline of the session's client has passed.
     SessionOverdue(RequestId),
-    /// The attempt has run for the zones' silence timeout.
-    AttemptSilent { id: RequestId, number: u32, node: HostId },
-    /// Zones are evaluated for their slow starts and hold-offs.
+    /// The attempt has run for the detection timeout of zone failover.
+    DetectionTimeout { id: RequestId, number: u32, node: HostId },
+    /// Zone weights are due for re-evaluation: slow starts and backoffs progress without events.
     EvaluateZones,
-    /// The counter's modes are checked, to be logged.
+    /// Mode changes of the quota counter are due to be logged.
     LogCounter,
 }
 
-/// Identifies a timer; ordered by due time, then by the order of insertion.
+/// Key of a timer: due time on the core's clock, then order of insertion.
 pub(super) type TimerKey = (Duration, u64);
 
-/// Timers by due time.
+/// Timer queue ordered by due time.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     timers: BTreeMap<TimerKey, Timer>,
-    inserted: u64,
+    insert_count: u64,
 }
 
 impl TimerQueue {
-    /// Inserts a timer that is due at this time of the core's clock.
+    /// Inserts a timer that is due at `at` on the core's clock.
     pub(super) fn insert(&mut self, at: Duration, timer: Timer) -> TimerKey {
-        self.inserted += 1;
-        let key = (at, self.inserted);
+        self.insert_count += 1;
+        let key = (at, self.insert_count);
         self.timers.insert(key, timer);
         key
     }
 
-    /// Removes a timer, if it has not fired.
+    /// Removes a timer; no effect if it has fired.
     pub(super) fn remove(&mut self, key: &TimerKey) {
         self.timers.remove(key);
     }
 
-    /// When the next timer is due.
+    /// Due time of the next timer.
     pub(super) fn next_due(&self) -> Option<Duration> {
         self.timers.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Removes the next timer that is due by `now`.
+    /// Removes and returns the next timer if it is due by `now`.
     pub(super) fn pop_due(&mut self, now: Duration) -> Option<Timer> {
         let first = self.timers.first_entry().filter(|e| e.key().0 <= now)?;
         Some(first.remove())
--- a/src/net/downstream/accept.rs
+++ b/src/net/downstream/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop.
+//! Accept loop of the client listener.
 
 use super::connection::Connection;
 use super::connection_table::ConnectionTable;
@@ -7,13 +7,13 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections accepted beyond the limit where none can be evicted; their requests are denied.
+/// Number of connections accepted beyond the limit if none can be evicted; their requests are denied.
 const OVERFLOW_CONNECTIONS: usize = 8;
-/// Pause after a failed accept.
-const ACCEPT_RETRY: Duration = Duration::from_millis(10);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 impl Listener {
-    /// Accepts connections for as long as the program runs, except while another process does.
+    /// Accepts connections until the program exits, except while the service is handed over to another process.
     pub async fn serve(self: Rc<Self>, socket: TcpListener) {
         let mut state = self.state.subscribe();
         loop {
@@ -26,12 +26,12 @@
             match accepted {
                 Some(Ok((stream, _))) => self.start_connection(stream).await,
                 Some(Err(error)) => {
-                    tracing::warn!(%error, "accept failed");
-                    tokio::time::sleep(ACCEPT_RETRY).await;
+                    tracing::warn!(%error, "cannot accept a client connection");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
                 None => {
-                    // The socket stays open until this process ends: connections in its backlog are the other
-                    // process's to accept.
+                    // The socket stays open until this process exits: the other process accepts the connections in
+                    // its backlog.
                     let _ = state.wait_for(|s| !s.is_handed_over()).await;
                 }
             }
@@ -40,16 +40,16 @@
 
     async fn start_connection(self: &Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        // Clients keep connections open and have only so many: idle ones are closed well before the limit leaves no
-        // room for others.
+        // Clients keep idle connections open. Eviction starts at half of the limit, so that a burst of new connections
+        // does not reach it.
         let (open, max) = (self.connections.len(), self.max_connections.get());
         if open >= max / 2 {
             self.connections.evict_one(open >= max);
         }
         let guard = ConnectionTable::register(&self.connections);
         actix_rt::spawn(Connection::new(Rc::clone(self), guard, stream).run());
-        // Lets the connection read before the next one is accepted, so that a request that is already there is
-        // seen before its connection could be evicted.
+        // Lets the connection read before the next one is accepted: otherwise the connection could be evicted although
+        // its request has arrived.
         tokio::task::yield_now().await;
     }
 }
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: serves its requests one after another until it is closed or evicted.
+//! Client connection: serves requests one after another until the connection is closed or evicted.
 
 use super::connection_table::ConnectionGuard;
 use super::http_stream::{Disconnected, HttpStream, IncomingRequest, OutgoingResponse, ReadError};
@@ -12,12 +12,12 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-/// Path of the readiness check.
+/// Path of the readiness endpoint.
 const READY_PATH: &str = "/ready";
 
 /// One client connection.
 pub(super) struct Connection {
-    // Dropped before the guard: the socket is closed before its entry in the table is free.
+    // Declared before the guard and thus dropped first: the socket is closed before its table entry is removed.
     stream: HttpStream,
     guard: ConnectionGuard,
     listener: Rc<Listener>,
@@ -29,7 +29,7 @@
         Connection { stream, guard, listener }
     }
 
-    /// Serves the connection for as long as it lasts, or until it is evicted.
+    /// Serves the connection until it is closed or evicted.
     pub(super) async fn run(mut self) {
         let state = Rc::clone(&self.guard.state);
         tokio::select! {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Serves one request after another; pipelined ones wait.
+    /// Serves requests one after another; pipelined requests wait in the buffer.
     async fn serve_requests(&mut self) -> Result<(), Disconnected> {
         loop {
             let state = &self.guard.state;
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Answers the readiness check, rejects or denies a request, or submits it to the core and waits for the result.
+    /// Answers the readiness check, denies a request beyond the connection limit, rejects an invalid request, or submits
+    /// a valid one to the core and waits for the result.
     async fn respond(&mut self, request: IncomingRequest) -> Result<OutgoingResponse, Disconnected> {
         let IncomingRequest { head, body } = request;
         if head.path() == READY_PATH {
@@ -94,8 +95,8 @@
         }
     }
 
-    /// The session's result; `None` if the client disconnects first. The receiver is closed then, by which the core
-    /// tells this client from another one with the same id.
+    /// Waits for the result of the session; `None` if the client disconnects first. In that case the receiver is
+    /// dropped, by which the core distinguishes this client from another one with the same request id.
     async fn await_result(
         &mut self,
         mut result: oneshot::Receiver<SessionResult<Bytes>>,
--- a/src/net/downstream/connection_table.rs
+++ b/src/net/downstream/connection_table.rs
@@ -1,4 +1,4 @@
-//! The open connections, and the eviction of idle ones when there are too many.
+//! Table of the open client connections, and eviction of idle ones near the connection limit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -6,36 +6,36 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// A client sends the first request on a new connection within this, even over a slow network.
+/// Time within which a client sends the first request on a new connection, even over a slow network.
 pub(super) const FIRST_REQUEST_WINDOW: Duration = Duration::from_millis(250);
-/// Evictions are logged once in this time at the most.
+/// Minimum interval between two log lines on evictions.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The state of an open connection.
+/// State of an open connection.
 pub(super) struct ConnectionState {
-    /// Whether a request on it has been answered.
+    /// Whether a request on the connection has been answered.
     pub(super) has_served: Cell<bool>,
-    /// Whether an accepted request on it has not been answered in full.
+    /// Whether an accepted request on the connection has not been answered completely.
     is_busy: Cell<bool>,
     /// Whether a request has been received at least in part and not been answered.
     pub(super) is_reading: Cell<bool>,
-    /// Since when `is_busy` has had its value.
+    /// Time at which `is_busy` was last set.
     pub(super) idle_since: Cell<Instant>,
-    /// Tells the connection to close.
+    /// Notified when the connection is evicted and must close.
     pub(super) evicted: Notify,
 }
 
-/// Which connections are evicted first.
+/// Eviction priority of connections; the lowest is evicted first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionOrder {
-    /// It never sent anything.
+    /// No request has arrived, and the first one is overdue.
     Unused,
-    /// It was used and is idle.
+    /// The connection has served a request and is idle.
     Idle,
-    /// A request is being received, perhaps slowly. From here on the client would lose a request, so these are
-    /// evicted only at the limit.
+    /// A request is being received. Eviction at this priority or a higher one loses a client's request and happens only
+    /// if the table is full.
     Reading,
-    /// It was just accepted, and its first request may be on the way.
+    /// The connection was accepted within [`FIRST_REQUEST_WINDOW`], so its first request may be in transit.
     New,
 }
 
@@ -53,19 +53,20 @@
     }
 }
 
-/// The open connections by their serial number.
+/// Open connections by serial number.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     connections: RefCell<HashMap<u64, Rc<ConnectionState>>>,
-    /// Connections accepted so far.
+    /// Number of connections accepted so far; the serial number of the next one.
     accepted: Cell<u64>,
+    /// Number of connections with an accepted request that is not answered completely.
     busy: Cell<usize>,
-    /// A connection has closed.
+    /// Notified when a connection is removed.
     closed: Notify,
     evictions: Cell<EvictionLog>,
 }
 
-/// Evictions that have not been logged yet, and when they last were.
+/// Evictions not logged yet, and the time of the last log line.
 #[derive(Clone, Copy, Default)]
 struct EvictionLog {
     pending: usize,
@@ -85,14 +86,14 @@
         self.connections.borrow().values().any(|c| c.is_reading.get())
     }
 
-    /// Waits until there are fewer connections than `limit` says.
+    /// Waits until fewer connections than `limit()` are open.
     pub(super) async fn wait_below(&self, limit: impl Fn() -> usize) {
         while self.len() >= limit() {
             self.closed.notified().await;
         }
     }
 
-    /// Adds a connection; it is removed when the guard is dropped.
+    /// Adds a connection to the table, which is removed when the guard is dropped.
     pub(super) fn register(table: &Rc<Self>) -> ConnectionGuard {
         let number = table.accepted.get();
         table.accepted.set(number + 1);
@@ -107,8 +108,8 @@
         ConnectionGuard { table: Rc::clone(table), number, state }
     }
 
-    /// Evicts the connection that comes first in [`EvictionOrder`] and has been idle longest. One with an accepted
-    /// request is never evicted, and one whose client would lose a request only if the table is full.
+    /// Evicts the connection of the lowest [`EvictionOrder`] that has been idle longest. A connection with an accepted
+    /// request is never evicted; one whose client would lose a request is evicted only if `is_full`.
     pub(super) fn evict_one(&self, is_full: bool) {
         let mut connections = self.connections.borrow_mut();
         let candidates = connections.iter().filter(|(_, c)| !c.is_busy.get());
@@ -125,7 +126,10 @@
         let EvictionLog { pending, logged } = self.evictions.get();
         let is_due = logged.is_none_or(|at| at.elapsed() > LOG_INTERVAL);
         if is_due {
-            tracing::info!(connections = pending + 1, "evicted silent or idle connections");
+            tracing::info!(
+                connections = pending + 1,
+                "evicted idle client connections near the connection limit"
+            );
         }
         self.evictions.set(if is_due {
             EvictionLog { pending: 0, logged: Some(Instant::now()) }
@@ -135,7 +139,7 @@
     }
 }
 
-/// A connection's entry in the table. Its drop removes the entry and all that it was counted for.
+/// Entry of a connection in the table. Dropping the guard removes the entry and updates the counts.
 pub(super) struct ConnectionGuard {
     table: Rc<ConnectionTable>,
     number: u64,
@@ -143,7 +147,7 @@
 }
 
 impl ConnectionGuard {
-    /// Records whether an accepted request is on the connection.
+    /// Records whether the connection has an accepted request that is not answered completely.
     pub(super) fn set_busy(&self, is_busy: bool) {
         let was_busy = self.state.is_busy.replace(is_busy);
         let busy = &self.table.busy;
--- a/src/net/downstream/http_stream.rs
+++ b/src/net/downstream/http_stream.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 server side of one connection: reads requests within their time limits and writes responses.
+//! HTTP/1.1 server side of one client connection: reads requests and writes responses, within time limits.
 
 use super::connection_table::FIRST_REQUEST_WINDOW;
 use super::request::RequestError;
@@ -19,35 +19,42 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, timeout};
 
-/// A connection without a request is closed after this.
+/// Time without a request after which a connection is closed.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same on standby; connections in use are closed by their responses.
+/// Time without a request after which a connection is closed on standby. Connections in use are closed by their
+/// responses.
 const STANDBY_IDLE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time for a request head from its first byte: clients may take 2 s, and the network some more.
+/// Time limit for a request head, from its first byte: 2 s for the client and 0.5 s for the network.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The longest head, in bytes.
+/// Maximum length of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Minimum rate of a body, half of the slowest client's...
+/// Minimum rate of a request body, in bytes per second: half the rate of the slowest client.
 const MIN_BODY_BYTES_PER_SEC: f64 = 32.0 * 1024.0;
-/// ...after an initial wait of this.
+/// Time added to the limit of a request body, for the arrival of the first bytes.
 const BODY_START_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for a client to take a response.
+/// Time limit for writing a response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for which a connection is read and discarded before it is closed: one that is closed with unread bytes is
-/// reset, which can cost its client the response.
+/// Time limit for reading and discarding bytes before a connection is closed. The kernel resets a connection that is
+/// closed with unread bytes, and the client can lose the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Bytes that are discarded at the most.
+/// Maximum number of bytes discarded before a connection is closed.
 const MAX_LINGER_BYTES: usize = 4 * MAX_BODY_BYTES;
-/// Buffer space for each read, in bytes.
+/// Minimum buffer space for a read, in bytes.
 const READ_BYTES: usize = 2048;
 
-/// The connection is over: the client closed it, it failed or a time limit expired.
+/// Body of the error response when [`HEAD_TIMEOUT`] expires.
+const HEAD_TIMEOUT_REASON: &str = "request head not complete within 2.5 s of its first byte";
+/// Body of the error response when the time limit of a request body expires.
+const BODY_TIMEOUT_REASON: &str =
+    "request body not complete within its time limit of 1 s plus 1 s per 32 KiB";
+
+/// The connection has ended: the client closed it, an I/O error occurred or a time limit expired.
 pub(super) struct Disconnected;
 
-/// Why there is no complete request.
+/// Reason why no complete request was read.
 pub(super) enum ReadError {
     Disconnected,
-    /// The client is to be told what is wrong.
+    /// The request is invalid, and the client gets an error response.
     Invalid(RequestError),
 }
 
@@ -57,13 +64,13 @@
     }
 }
 
-/// A request with its body.
+/// Request head and complete body.
 pub(super) struct IncomingRequest {
     pub(super) head: Request,
     pub(super) body: Bytes,
 }
 
-/// A response, and whether the connection may serve further requests after it.
+/// Response, and whether the connection may serve further requests after it.
 pub(super) struct OutgoingResponse {
     pub(super) head: ResponseBuilder,
     pub(super) body: Bytes,
@@ -76,12 +83,12 @@
     }
 }
 
-/// The HTTP/1.1 server side of one connection.
+/// HTTP/1.1 server side of one client connection.
 pub(super) struct HttpStream {
     stream: TcpStream,
     codec: Codec,
     state: watch::Receiver<ServingState>,
-    /// Bytes that were read and not decoded yet.
+    /// Bytes read and not decoded yet.
     buffer: BytesMut,
 }
 
@@ -95,8 +102,8 @@
         HttpStream { stream, codec, state, buffer: BytesMut::with_capacity(READ_BYTES) }
     }
 
-    /// Waits for the first byte of a request on a connection that has been idle since then. How long depends on the
-    /// serving state and on whether the connection has served a request before.
+    /// Waits for the first byte of a request on a connection that is idle since `idle_since`. The time limit depends on
+    /// the serving state and on whether the connection has served a request before.
     pub(super) async fn wait_for_request(
         &mut self,
         idle_since: Instant,
@@ -107,7 +114,7 @@
                 ServingState::Active | ServingState::Draining => idle_since + IDLE_TIMEOUT,
                 ServingState::Standby { since } => idle_since.max(since) + STANDBY_IDLE_TIMEOUT,
                 ServingState::HandedOver { since } if has_served => since,
-                // Its first request may be on the way.
+                // The first request of a new connection may be in transit.
                 ServingState::HandedOver { since } => since.max(idle_since + FIRST_REQUEST_WINDOW),
             };
             tokio::select! {
@@ -117,7 +124,7 @@
                 }
                 Ok(()) = self.state.changed() => {}
                 () = sleep_until(deadline.into()) => {
-                    if self.is_quiet() || deadline + IDLE_TIMEOUT < Instant::now() {
+                    if self.has_no_unread_bytes() || deadline + IDLE_TIMEOUT < Instant::now() {
                         return Err(Disconnected);
                     }
                     tokio::task::yield_now().await;
@@ -127,16 +134,16 @@
         Ok(())
     }
 
-    /// Whether the kernel holds no bytes to read. The runtime may not have been notified yet of a request that has
-    /// just arrived, and closing the connection over it would lose the request.
-    fn is_quiet(&self) -> bool {
+    /// Whether the connection is open and the kernel holds no unread bytes. The runtime may not have been notified yet of
+    /// a request that has just arrived; closing the connection would lose that request.
+    fn has_no_unread_bytes(&self) -> bool {
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     }
 
-    /// Reads the next request with its body.
+    /// Reads the head and the body of the next request, each within its time limit.
     pub(super) async fn read_request(&mut self) -> Result<IncomingRequest, ReadError> {
-        let head = within(HEAD_TIMEOUT, self.read_head()).await?;
+        let head = with_timeout(HEAD_TIMEOUT, HEAD_TIMEOUT_REASON, self.read_head()).await?;
         let length = head.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.trim().parse().ok());
         if length.is_some_and(|length: u64| length > MAX_BODY_BYTES as u64) {
             return Err(body_too_long());
@@ -149,7 +156,7 @@
         }
         let max_bytes = length.map_or(MAX_BODY_BYTES as f64, |length| length as f64);
         let limit = BODY_START_TIMEOUT + Duration::from_secs_f64(max_bytes / MIN_BODY_BYTES_PER_SEC);
-        let body = within(limit, self.read_body()).await?;
+        let body = with_timeout(limit, BODY_TIMEOUT_REASON, self.read_body()).await?;
         Ok(IncomingRequest { head, body })
     }
 
@@ -160,10 +167,10 @@
                 Ok(None) if self.buffer.len() < MAX_HEAD_BYTES => self.fill().await?,
                 Ok(None) | Err(ParseError::TooLarge) => {
                     let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
-                    return Err(RequestError::new(status, "head too long").into());
+                    return Err(RequestError::new(status, "request head longer than 16 KiB").into());
                 }
                 Ok(Some(Message::Chunk(_))) | Err(_) => {
-                    return Err(RequestError::bad_request("not HTTP").into())
+                    return Err(RequestError::bad_request("malformed HTTP/1.1 request head").into())
                 }
             }
         }
@@ -180,7 +187,9 @@
                 Ok(Some(Message::Chunk(Some(chunk)))) => body.extend_from_slice(&chunk),
                 Ok(None) => self.fill().await?,
                 Ok(Some(Message::Item(_))) | Err(_) => {
-                    return Err(RequestError::bad_request("body not whole").into())
+                    return Err(
+                        RequestError::bad_request("malformed chunked encoding of the request body").into()
+                    )
                 }
             }
         }
@@ -194,8 +203,8 @@
         }
     }
 
-    /// Resolves when the client closes its connection. Pipelined bytes are buffered for later, up to the longest
-    /// request.
+    /// Resolves when the client closes the connection. Pipelined bytes are buffered, up to the maximum length of a
+    /// request; beyond it nothing is read, and a disconnect goes unnoticed.
     pub(super) async fn disconnected(&mut self) {
         while self.buffer.len() < MAX_HEAD_BYTES + MAX_BODY_BYTES {
             if self.fill().await.is_err() {
@@ -205,7 +214,7 @@
         std::future::pending().await
     }
 
-    /// Writes a response within its time limit.
+    /// Writes a response within [`WRITE_TIMEOUT`].
     pub(super) async fn write(&mut self, response: OutgoingResponse) -> Result<(), Disconnected> {
         timeout(WRITE_TIMEOUT, self.write_all(response)).await.map_err(|_| Disconnected)?
     }
@@ -220,12 +229,13 @@
         self.stream.write_all(&out).await.map_err(|_| Disconnected)
     }
 
-    /// Whether the connection may serve a further request after the last response.
+    /// Whether the connection may serve further requests after the last response.
     pub(super) fn is_keep_alive(&self) -> bool {
         self.codec.keep_alive()
     }
 
-    /// Closes the sending side, then reads and discards for a short time.
+    /// Shuts down the sending side, then reads and discards bytes until the client closes the connection,
+    /// [`LINGER_TIMEOUT`] expires or [`MAX_LINGER_BYTES`] were read.
     pub(super) async fn linger(&mut self) {
         let _ = self.stream.shutdown().await;
         let _ = timeout(LINGER_TIMEOUT, async {
@@ -242,15 +252,16 @@
     }
 }
 
-/// Rejects a part of a request that is not complete within the limit.
-async fn within<T>(
+/// Rejects a request with status 408 and this reason if a part of it is not complete within `limit`.
+async fn with_timeout<T>(
     limit: Duration,
+    reason: &'static str,
     part: impl Future<Output = Result<T, ReadError>>,
 ) -> Result<T, ReadError> {
-    let late = RequestError::new(StatusCode::REQUEST_TIMEOUT, "not whole in time");
-    timeout(limit, part).await.unwrap_or(Err(late.into()))
+    let timed_out = RequestError::new(StatusCode::REQUEST_TIMEOUT, reason);
+    timeout(limit, part).await.unwrap_or(Err(timed_out.into()))
 }
 
 fn body_too_long() -> ReadError {
-    RequestError::new(StatusCode::PAYLOAD_TOO_LARGE, "body of over 64 KiB").into()
+    RequestError::new(StatusCode::PAYLOAD_TOO_LARGE, "request body longer than 64 KiB").into()
 }
--- a/src/net/downstream/mod.rs
+++ b/src/net/downstream/mod.rs
@@ -1,8 +1,8 @@
-//! The client-facing side: accepts connections, turns requests into sessions and writes the one response to each,
-//! on actix-http's codec.
+//! Downstream side: accepts client connections, submits each valid request to the core as a session and writes the
+//! one response to it, with actix-http's codec.
 //!
-//! It decides nothing about a session and delays no response. A malformed request never reaches the core, and a
-//! connection with an accepted request on it is never evicted.
+//! All decisions about sessions are the core's, and no response is delayed here. An invalid request never reaches the
+//! core, and a connection with an accepted request is never evicted.
 
 mod accept;
 mod connection;
@@ -25,7 +25,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The listener and what all its connections share.
+/// Listener for clients, with the state that all its connections share.
 pub struct Listener {
     core: CoreSender,
     endpoints: Rc<EndpointTable>,
@@ -38,8 +38,8 @@
 }
 
 impl Listener {
-    /// A listener that submits sessions to this core. `max_retry_after` is what it advises when it denies a request
-    /// for want of connections.
+    /// Creates a listener that submits sessions to `core`. `max_retry_after` is the `Retry-After` of requests that are
+    /// denied because more than `max_connections` connections are open.
     pub fn new(
         core: CoreSender,
         endpoints: Rc<EndpointTable>,
@@ -59,52 +59,53 @@
         })
     }
 
-    /// Enters a state, if the current one permits it ([`ServingState::can_transition_to`]).
+    /// Changes the serving state; no effect if [`ServingState::can_transition_to`] forbids it.
     pub fn set_state(&self, new: ServingState) {
         self.state.send_if_modified(|state| {
-            let is_permitted = state.can_transition_to(&new);
-            if is_permitted {
+            let is_allowed = state.can_transition_to(&new);
+            if is_allowed {
                 *state = new;
             }
-            is_permitted
+            is_allowed
         });
     }
 
-    /// The current state.
+    /// Current serving state.
     pub fn state(&self) -> ServingState {
         *self.state.borrow()
     }
 
-    /// Whether responses close their connections.
+    /// Whether each response closes its connection.
     fn is_closing(&self) -> bool {
         self.state() != ServingState::Active
     }
 
-    /// Validates further requests by these rules. Classes that were removed stay valid for a short time, for the
-    /// requests that are on their way.
+    /// Validates requests by `rules` from now on. Removed classes stay valid for a few seconds, for requests that
+    /// clients sent before the change.
     pub fn update_rules(&self, rules: RequestRules, max_retry_after: Duration) {
         let mut current = self.rules.borrow_mut();
         *current = Rc::new(rules.replacing(&current));
         self.max_retry_after.set(max_retry_after);
     }
 
-    /// Changes the limit on connections; open ones beyond it are evicted as others are accepted.
+    /// Changes the limit on open connections. Connections beyond a lower limit are evicted one by one, as new ones are
+    /// accepted.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
     }
 
-    /// Open connections.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether any request has been received in part.
+    /// Whether any connection has received a request at least in part and not answered it.
     pub fn is_reading(&self) -> bool {
         self.connections.is_reading()
     }
 
-    /// Whether any session is in progress or its response not yet written. A request received in part is not a
-    /// session yet.
+    /// Whether any session is in progress or has a response that is not written yet. A request that is received in
+    /// part is not a session.
     pub fn is_busy(&self) -> bool {
         self.connections.is_busy()
     }
--- a/src/net/downstream/request.rs
+++ b/src/net/downstream/request.rs
@@ -1,7 +1,7 @@
-//! Validation of requests: from an HTTP request to a session, or to the error response.
+//! Validation of HTTP requests: each becomes a session or an error response.
 //!
-//! A request that the settings do not provide for is rejected before the core sees it: nothing can be learnt from
-//! it, least of all in another customer's name.
+//! A request with a class, plan, customer or metering that the settings do not define is rejected before it reaches the
+//! core: otherwise the decision module would keep state for invalid requests, possibly under another customer's id.
 
 use crate::net::core::{NewSession, SessionResult};
 use crate::net::HttpTransport;
@@ -15,31 +15,46 @@
 use tokio::sync::oneshot;
 use whinstall::{CustomerId, Idempotency, RequestId, Settings};
 
-/// `Request-Timeout` runs from the moment the client sends: this much of it has passed when the request is read,
-/// and the response must be back before the rest has.
+/// Part of `Request-Timeout` reserved for the network in both directions: the timeout starts when the client sends the
+/// request and ends when the client has the response.
 const NETWORK_ALLOWANCE: Duration = Duration::from_millis(5);
-/// Upper bound of `Request-Timeout`, so that every deadline can be represented.
+/// Upper bound of `Request-Timeout`; longer timeouts are reduced to it. Without the bound, adding a huge timeout to the
+/// current time overflows and panics.
 const MAX_TIMEOUT: Duration = Duration::from_secs(3600);
-/// Customer numbers are below this.
-const CUSTOMER_LIMIT: u64 = 1 << 33;
-/// Hexadecimal digits of a customer number.
+/// Exclusive upper bound of customer numbers.
+const CUSTOMER_NUMBER_LIMIT: u64 = 1 << 33;
+/// Number of hexadecimal digits of a customer number.
 const CUSTOMER_DIGITS: usize = 16;
-/// Classes that were removed are accepted for this long, for requests on their way.
+/// Time for which removed classes are still accepted, for requests that clients sent before the change.
 const RETIRED_CLASS_GRACE: Duration = Duration::from_secs(3);
 
-/// The parts of a request that attempts forward unchanged.
+/// Reason for rejecting a request whose method or body does not fit its class.
+const METHOD_MISMATCH: &str =
+    "wrong method or body: idempotent classes require GET without a body, other classes require POST";
+/// Reason for rejecting a request without a valid `Request-Timeout`.
+const INVALID_TIMEOUT: &str =
+    "header Request-Timeout is missing or not a number of seconds that is 0 or more";
+/// Reason for rejecting a request without a valid `X-Metering`.
+const INVALID_METERING: &str =
+    "header X-Metering is missing or invalid: units must be above 0 and at most the \
+    configured maximum, spread from 1 to the number of gatekeepers, first below that number";
+/// Reason for rejecting a request whose customer number is not below [`CUSTOMER_NUMBER_LIMIT`].
+const INVALID_CUSTOMER: &str =
+    "query parameter client is missing or not 16 lowercase hexadecimal digits of a number below 2^33";
+
+/// Parts of a client request that attempts forward unchanged.
 pub struct ForwardedRequest {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub target: PathAndQuery,
-    /// Its `Request-Id`.
+    /// Value of the header `Request-Id`.
     pub id: HeaderValue,
-    /// Its body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// Why a request is rejected before it becomes a session: the status and the body of the response.
+/// Rejection of an invalid request: the status and the body of the error response.
 #[derive(Debug)]
 pub(super) struct RequestError {
     pub(super) status: StatusCode,
@@ -56,10 +71,10 @@
     }
 }
 
-/// Classes by name, and whether their requests are idempotent.
+/// Request classes: name, and whether the requests are idempotent.
 type Classes = HashMap<String, bool>;
 
-/// What requests may say, by the settings.
+/// Values that the settings allow in requests.
 pub struct RequestRules {
     classes: Classes,
     retired: Option<RetiredClasses>,
@@ -68,20 +83,22 @@
     replicas: u32,
 }
 
-/// Classes that are no longer in force, and until when they are accepted.
+/// Classes that the current settings no longer define, and the time until which they are accepted.
 struct RetiredClasses {
     classes: Classes,
     until: Instant,
 }
 
-/// The fields of an `X-Metering` header that are used.
+/// Fields of an `X-Metering` header that are passed to the core.
 struct Metering {
+    /// Units that the request is charged (`units`).
     units: f64,
+    /// Number of gatekeepers that the customer's traffic is spread over (`spread`).
     gateway_count: u32,
 }
 
 impl RequestRules {
-    /// The rules of these settings.
+    /// Derives the rules from the settings.
     pub fn from_settings(settings: &Settings) -> Self {
         let is_idempotent = |i: &Idempotency| *i == Idempotency::Repeatable;
         let classes = settings.classes.iter().map(|c| (c.name.clone(), is_idempotent(&c.idempotency)));
@@ -94,7 +111,7 @@
         }
     }
 
-    /// These rules in place of `previous`, whose removed classes are accepted for a while.
+    /// Returns these rules with the classes that only `previous` defines, accepted for [`RETIRED_CLASS_GRACE`].
     pub(super) fn replacing(mut self, previous: &RequestRules) -> Self {
         let removed = previous.classes.iter().filter(|(name, _)| !self.classes.contains_key(*name));
         let classes = removed.map(|(name, idempotent)| (name.clone(), *idempotent)).collect();
@@ -102,29 +119,42 @@
         self
     }
 
-    /// Validates a request that has just been received and makes it a session.
+    /// Validates a complete request and converts it to a session whose result goes to `result`.
     pub(super) fn parse(
         &self,
         request: &Request,
         body: Bytes,
         result: oneshot::Sender<SessionResult<Bytes>>,
     ) -> Result<NewSession<HttpTransport>, RequestError> {
-        let (received, bad) = (Instant::now(), RequestError::bad_request);
+        let (received, bad_request) = (Instant::now(), RequestError::bad_request);
         if !matches!(*request.method(), Method::GET | Method::POST) {
-            return Err(RequestError::new(StatusCode::METHOD_NOT_ALLOWED, "GET or POST only"));
+            return Err(RequestError::new(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "unsupported method: only GET and POST are accepted",
+            ));
         }
-        let id = request.headers().get("request-id").cloned().ok_or(bad("no Request-Id"))?;
-        let id_text = id.to_str().ok().filter(|id| !id.is_empty()).ok_or(bad("no usable Request-Id"))?;
+        let id = request
+            .headers()
+            .get("request-id")
+            .cloned()
+            .ok_or(bad_request("header Request-Id is missing"))?;
+        let id_text = id
+            .to_str()
+            .ok()
+            .filter(|id| !id.is_empty())
+            .ok_or(bad_request("header Request-Id is empty or not ASCII text"))?;
         let class = self.parse_class(request, &body)?;
-        let plan = header(request, "x-contract").ok_or(bad("no X-Contract"))?;
+        let plan = header(request, "x-contract")
+            .ok_or(bad_request("header X-Contract is missing or not ASCII text"))?;
         if !self.plans.iter().any(|p| p == plan) {
-            return Err(bad("no such X-Contract"));
+            return Err(bad_request("header X-Contract names an unknown plan"));
         }
-        let timeout = parse_timeout(request).ok_or(bad("no usable Request-Timeout"))?;
+        let timeout = parse_timeout(request).ok_or(bad_request(INVALID_TIMEOUT))?;
         let metering = header(request, "x-metering").and_then(|text| self.parse_metering(text));
-        let Metering { units, gateway_count } = metering.ok_or(bad("no usable X-Metering"))?;
-        let customer = request.uri().query().and_then(parse_customer).ok_or(bad("no usable client"))?;
-        let target = request.uri().path_and_query().cloned().ok_or(bad("no path"))?;
+        let Metering { units, gateway_count } = metering.ok_or(bad_request(INVALID_METERING))?;
+        let customer = request.uri().query().and_then(parse_customer).ok_or(bad_request(INVALID_CUSTOMER))?;
+        let target =
+            request.uri().path_and_query().cloned().ok_or(bad_request("request target has no path"))?;
         Ok(NewSession {
             id: RequestId(Arc::from(id_text)),
             class: class.to_owned(),
@@ -138,22 +168,24 @@
         })
     }
 
-    /// The request's class, if its path, method and body fit.
+    /// Returns the class of the request after checking that the path, method and body fit it.
     fn parse_class<'a>(&self, request: &'a Request, body: &Bytes) -> Result<&'a str, RequestError> {
-        let bad = RequestError::bad_request;
-        let class = header(request, "request-class").ok_or(bad("no Request-Class"))?;
-        let is_idempotent = self.is_idempotent(class).ok_or(bad("no such Request-Class"))?;
+        let bad_request = RequestError::bad_request;
+        let class = header(request, "request-class")
+            .ok_or(bad_request("header Request-Class is missing or not ASCII text"))?;
+        let is_idempotent =
+            self.is_idempotent(class).ok_or(bad_request("header Request-Class names an unknown class"))?;
         if request.path().split('/').nth(1) != Some(class) {
-            return Err(bad("a path of another class"));
+            return Err(bad_request("first segment of the path differs from header Request-Class"));
         }
         let is_get = *request.method() == Method::GET;
         if is_idempotent != is_get || is_idempotent && !body.is_empty() {
-            return Err(bad("GET without a body for what may be repeated, POST for all else"));
+            return Err(bad_request(METHOD_MISMATCH));
         }
         Ok(class)
     }
 
-    /// Whether requests of a class are idempotent; `None` for an unknown class.
+    /// Whether requests of `class` are idempotent; `None` for an unknown class.
     fn is_idempotent(&self, class: &str) -> Option<bool> {
         let retired = self.retired.as_ref().filter(|retired| Instant::now() < retired.until);
         self.classes.get(class).or_else(|| retired?.classes.get(class)).copied()
@@ -181,11 +213,11 @@
     timeout.map(|timeout| timeout.min(MAX_TIMEOUT))
 }
 
-/// The customer in a query: `client=` and 16 lowercase hexadecimal digits.
+/// Extracts the customer from a query: `client=` followed by 16 lowercase hexadecimal digits.
 fn parse_customer(query: &str) -> Option<&str> {
     let value = query.split('&').find_map(|pair| pair.strip_prefix("client="))?;
     let is_digit = |b: u8| matches!(b, b'0'..=b'9' | b'a'..=b'f');
     let is_hex = value.len() == CUSTOMER_DIGITS && value.bytes().all(is_digit);
     let number = is_hex.then(|| u64::from_str_radix(value, 16).ok())?;
-    number.filter(|n| *n < CUSTOMER_LIMIT).map(|_| value)
+    number.filter(|n| *n < CUSTOMER_NUMBER_LIMIT).map(|_| value)
 }
--- a/src/net/downstream/serving_state.rs
+++ b/src/net/downstream/serving_state.rs
@@ -1,38 +1,39 @@
-//! Whether the gatekeeper wants clients.
+//! Serving state of the gatekeeper.
 
 use std::time::Instant;
 
-/// Whether the gatekeeper wants clients. In every state but `Active`, `/ready` answers 503, requests are still
-/// served, and their responses close the connections.
+/// Whether the gatekeeper accepts new clients. In all states other than `Active`, `/ready` answers 503, and requests
+/// are served with responses that close the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServingState {
-    /// Serves normally.
+    /// Normal service.
     Active,
-    /// Told by operators to be without clients: idle connections are closed soon.
+    /// Standby, requested by an operator: idle connections are closed after a shorter timeout, to move clients away.
     Standby {
-        /// Since when.
+        /// Time at which the state was entered.
         since: Instant,
     },
-    /// Shutting down after SIGTERM. Idle connections stay, as their clients may have nowhere else to go yet.
+    /// Shutdown after SIGTERM. Idle connections keep the normal timeout, as their clients may not have found another
+    /// gatekeeper yet.
     Draining,
-    /// A new process accepts at this address: idle connections are closed at once and none are accepted.
+    /// A new process accepts connections at this address: this one accepts none and closes idle ones at once.
     HandedOver {
-        /// Since when.
+        /// Time at which the state was entered.
         since: Instant,
     },
 }
 
 impl ServingState {
-    /// Whether a process may go from this state to `new`. The end of service is final, and a state that is entered
-    /// again keeps the time at which it was first entered.
+    /// Whether the transition from this state to `new` is allowed. `Draining` and `HandedOver` cannot return to `Active`
+    /// or `Standby`. A transition to the current state is not allowed, so that the time of entry is kept.
     pub fn can_transition_to(&self, new: &ServingState) -> bool {
         let is_same = std::mem::discriminant(self) == std::mem::discriminant(new);
         let is_ending = matches!(self, ServingState::Draining | ServingState::HandedOver { .. });
-        let is_return = matches!(new, ServingState::Active | ServingState::Standby { .. });
-        !(is_same || is_ending && is_return)
+        let is_serving = matches!(new, ServingState::Active | ServingState::Standby { .. });
+        !(is_same || is_ending && is_serving)
     }
 
-    /// Whether another process accepts at this address.
+    /// Whether another process accepts connections at this address.
     pub fn is_handed_over(&self) -> bool {
         matches!(self, ServingState::HandedOver { .. })
     }
--- a/src/net/downstream/tests.rs
+++ b/src/net/downstream/tests.rs
@@ -13,12 +13,12 @@
 use whinstall::settings;
 
 const REQUEST: &str = "GET /preview?client=00000000b4d65521 HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nRequest-Class: preview\r\nX-Contract: standard\r\nRequest-Timeout: 4\r\nX-Metering: units=1,spread=1,first=0\r\n\r\n";
-/// A part of the request line: where a slow client pauses.
-const HALF_A_LINE: usize = "GET /preview?client=00000000b4d65521 HTT".len();
+/// Length of the part of the request line that a slow client sends before it pauses.
+const PARTIAL_LINE_BYTES: usize = "GET /preview?client=00000000b4d65521 HTT".len();
 const READY: &str = "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n";
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A listener in service, and what it submits to the core.
+/// A running listener, and the receiver of the messages that it sends to the core.
 struct Fixture {
     listener: Rc<Listener>,
     address: SocketAddr,
@@ -39,7 +39,7 @@
     }
 
     async fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.address).await.expect("it listens")
+        TcpStream::connect(self.address).await.expect("connect to the listener")
     }
 
     async fn connect_and_write(&self, text: &str) -> TcpStream {
@@ -51,36 +51,36 @@
     async fn next_session(&mut self) -> Box<crate::net::core::NewSession<HttpTransport>> {
         match timeout(BOUND, self.messages.recv()).await.expect("a message") {
             Some(CoreMessage::NewSession(session)) => session,
-            _ => panic!("no session"),
+            _ => panic!("expected a new session"),
         }
     }
 }
 
 async fn write(client: &mut TcpStream, text: &str) {
-    client.write_all(text.as_bytes()).await.expect("it takes it");
+    client.write_all(text.as_bytes()).await.expect("write to the listener");
 }
 
-/// What the client reads next; nothing if the connection is closed.
+/// Reads the next bytes that the client receives; an empty string if the connection is closed.
 async fn read(client: &mut TcpStream) -> String {
     let mut bytes = vec![0; 1024];
-    let count = timeout(BOUND, client.read(&mut bytes)).await.expect("something").unwrap_or(0);
+    let count = timeout(BOUND, client.read(&mut bytes)).await.expect("a read within the bound").unwrap_or(0);
     String::from_utf8_lossy(&bytes[..count]).into_owned()
 }
 
-/// New connections whose first request may be on the way, and accepted requests, must survive a shortage of
-/// connections.
+/// At the connection limit, idle connections are evicted first and unused ones next. Connections with an accepted
+/// request must not be evicted, and a connection beyond the limit gets a response with `Retry-After`.
 #[test]
 fn idle_connections_are_evicted_then_unused_ones_and_never_one_with_an_accepted_request() {
     actix_rt::System::new().block_on(async {
         let mut fixture = Fixture::start(2).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut idle = fixture.connect_and_write(READY).await;
         assert!(read(&mut idle).await.starts_with("HTTP/1.1 503"));
-        let mut silent = fixture.connect().await;
-        // Half full, and the idle one is evicted.
+        let mut unused = fixture.connect().await;
+        // At half of the limit the idle connection is evicted.
         assert_eq!(read(&mut idle).await, "");
         let (mut accepted, mut sessions) = (Vec::new(), Vec::new());
-        for evicted in [&mut idle, &mut silent] {
+        for evicted in [&mut idle, &mut unused] {
             let client = fixture.connect_and_write(REQUEST).await;
             let session = fixture.next_session().await;
             assert_eq!(read(evicted).await, "");
@@ -94,23 +94,23 @@
             let _ = session.result.send(SessionResult::Response("drafted".into()));
             assert!(read(&mut client).await.ends_with("drafted"));
         }
-        // Later on all would have been closed as silent or idle in any case.
-        assert!(begun.elapsed() < IDLE_TIMEOUT);
+        // After the idle timeout, all connections without a request are closed in any case.
+        assert!(started.elapsed() < IDLE_TIMEOUT);
     });
 }
 
-/// A client whose head arrives slowly must survive a crowd of silent connections: 359 of 434 such requests were
-/// cut off once, as whichever connection was silent for longest was evicted, half a head or not.
+/// A client whose request head arrives slowly must not be evicted while idle or unused connections exist. Eviction by
+/// idle time alone cuts off clients within their request head: 359 of 434 such requests under many unused connections.
 #[test]
-fn half_a_head_stays_while_silent_and_idle_connections_can_be_evicted() {
+fn a_partial_head_is_not_evicted_while_unused_or_idle_connections_exist() {
     actix_rt::System::new().block_on(async {
         let mut fixture = Fixture::start(4).await;
-        let (first_half, second_half) = REQUEST.split_at(HALF_A_LINE);
+        let (first_half, second_half) = REQUEST.split_at(PARTIAL_LINE_BYTES);
         let mut slow = fixture.connect_and_write(first_half).await;
         while !fixture.listener.is_reading() {
             tokio::task::yield_now().await;
         }
-        // It no longer counts as new.
+        // From here on the connection no longer counts as new.
         tokio::time::sleep(FIRST_REQUEST_WINDOW).await;
         for n in 0..12 {
             let mut other = fixture.connect().await;
--- a/src/net/endpoints/mod.rs
+++ b/src/net/endpoints/mod.rs
@@ -1,8 +1,8 @@
-//! Endpoint discovery: the table of nodes as discovery last reported it ([`EndpointTable`]), the watch that keeps
-//! it up to date ([`mod@watch`]) and the schedule of its requests ([`schedule`]).
+//! Endpoint discovery: the table of nodes as discovery last reported them ([`EndpointTable`]), the watch that updates
+//! the table ([`mod@watch`]) and the schedule of discovery requests ([`schedule`]).
 //!
-//! The table survives every failure of discovery: nothing is dropped because discovery is silent, fails or
-//! restarts.
+//! The table is kept through every failure of discovery: no node is removed because discovery does not answer, answers
+//! with an error or restarts.
 
 mod schedule;
 #[cfg(test)]
@@ -19,11 +19,12 @@
 use std::time::Duration;
 use whinstall::{Availability, HostEntry, HostId, ListScope};
 
-/// An endpoint list as discovery sends it.
+/// Endpoint list as discovery sends it.
 #[derive(Debug, Deserialize)]
 pub struct EndpointList {
+    /// Revision of the list.
     rev: u64,
-    /// Whether this is the full list; otherwise it holds changes only.
+    /// Whether this is the full list; otherwise the list holds only changes.
     #[serde(default)]
     all: bool,
     #[serde(default)]
@@ -31,7 +32,7 @@
 }
 
 impl EndpointList {
-    /// Its revision.
+    /// Revision of the list.
     pub fn revision(&self) -> u64 {
         self.rev
     }
@@ -41,31 +42,40 @@
     }
 }
 
-/// One endpoint on discovery's list.
+/// One endpoint of an [`EndpointList`].
 #[derive(Debug, Deserialize)]
 struct Target {
+    /// Id of the node.
     uid: String,
+    /// Socket address of the node.
     #[serde(default)]
     endpoint: String,
+    /// Zone label.
     #[serde(default)]
     az: String,
+    /// Hardware type.
     #[serde(default)]
     model: String,
+    /// Group of nodes within the zone.
     #[serde(default)]
     pod_group: i64,
+    /// `SERVING` or `DRAINING`; any other state counts as gone.
     state: String,
-    #[serde(default = "one")]
+    /// Nominal capacity relative to a standard node.
+    #[serde(default = "default_capacity_hint")]
     capacity_hint: f64,
+    /// Time of the node's last start, in Unix milliseconds; 0 if unknown.
     #[serde(default)]
     boot_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_capacity_hint() -> f64 {
     1.0
 }
 
 impl Target {
-    /// The address, unless the endpoint is gone. One without a usable address counts as gone.
+    /// Availability, and the address unless the endpoint is gone. An endpoint whose address cannot be parsed counts as
+    /// gone.
     fn status(&self) -> (Availability, Option<SocketAddr>) {
         match (self.state.as_str(), self.endpoint.parse().ok()) {
             ("SERVING", Some(address)) => (Availability::Ready, Some(address)),
@@ -83,7 +93,7 @@
             kind: self.model.into(),
             availability,
             nominal_capacity: self.capacity_hint,
-            // Unix time, like the decision module's clock.
+            // The decision module's clock is Unix time too.
             last_start: Some(boot).filter(|b| !b.is_zero()),
         }
     }
@@ -94,40 +104,41 @@
     accepts_work: bool,
 }
 
-/// The nodes by id: where each is and whether it accepts new work.
+/// Table of the listed nodes by id, with address and readiness.
 #[derive(Default)]
 pub struct EndpointTable {
     endpoints: RefCell<HashMap<HostId, Endpoint>>,
+    /// Whether discovery has sent a list since the start.
     is_synced: Cell<bool>,
 }
 
 impl EndpointTable {
-    /// The address of a listed node.
+    /// Address of a node; `None` if the node is not listed.
     pub fn address(&self, node: &HostId) -> Option<SocketAddr> {
         self.endpoints.borrow().get(node).map(|e| e.address)
     }
 
-    /// Whether the node of this name is at this address.
-    fn is_at(&self, node: &str, address: SocketAddr) -> bool {
+    /// Whether the node is listed with this address.
+    fn has_address(&self, node: &str, address: SocketAddr) -> bool {
         self.endpoints.borrow().get(node).is_some_and(|e| e.address == address)
     }
 
-    /// Whether new work may be sent to a node: it is listed and not draining.
+    /// Whether requests may be sent to a node, that is, whether it is listed and not draining.
     pub fn accepts_work(&self, node: &HostId) -> bool {
         self.endpoints.borrow().get(node).is_some_and(|e| e.accepts_work)
     }
 
-    /// Whether discovery has answered since the start.
+    /// Whether discovery has sent a list since the start.
     pub fn is_synced(&self) -> bool {
         self.is_synced.get()
     }
 
-    /// Whether any node accepts work.
+    /// Whether at least one node accepts requests.
     pub fn can_serve(&self) -> bool {
         self.endpoints.borrow().values().any(|e| e.accepts_work)
     }
 
-    /// Applies a list and returns it in the decision module's terms.
+    /// Applies a list to the table and converts it to entries for the decision module.
     pub fn apply(&self, list: EndpointList) -> (ListScope, Vec<HostEntry>) {
         let mut endpoints = self.endpoints.borrow_mut();
         if list.all {
--- a/src/net/endpoints/tests.rs
+++ b/src/net/endpoints/tests.rs
@@ -11,9 +11,9 @@
     PollSchedule::new(41, replicas, seed)
 }
 
-/// Protects discovery from the whole fleet: it handles 20 requests a second, in turn, and rejects one that has
-/// waited for 2 s but works on it all the same. With a fixed interval of 100 ms, a hundred gatekeepers that start at
-/// once send ten requests a second for good, and hardly any of them is ever answered.
+/// A fleet that starts at once must not overload discovery. The simulated discovery handles 20 requests per second in
+/// order of arrival and rejects a request that has waited for more than 2 s, after the work on it. With a fixed retry
+/// interval of 100 ms, a hundred gatekeepers keep the queue full for good, and hardly any request is answered in time.
 #[test]
 fn a_fleet_that_starts_at_once_is_answered_by_a_slow_discovery() {
     for replicas in [3, 30, 100, 300] {
@@ -21,12 +21,12 @@
             (0..replicas).map(|n| schedule(replicas, u64::from(n) + 7)).collect();
         let mut requests: std::collections::BinaryHeap<_> =
             (0..replicas as usize).map(|n| std::cmp::Reverse((fleet[n].start_delay(), n))).collect();
-        let (mut free, mut answered, mut sent) = (Duration::ZERO, 0, 0);
+        let (mut idle_at, mut answered, mut sent) = (Duration::ZERO, 0, 0);
         while let Some(std::cmp::Reverse((at, n))) = requests.pop().filter(|r| r.0 .0 < LIST_TIMEOUT * 120) {
             sent += 1;
-            let begun = free.max(at);
-            free = begun + Duration::from_millis(50);
-            let is_late = begun - at > LIST_TIMEOUT;
+            let started_at = idle_at.max(at);
+            idle_at = started_at + Duration::from_millis(50);
+            let is_late = started_at - at > LIST_TIMEOUT;
             answered += u32::from(!is_late);
             if is_late {
                 let backoff = fleet[n].on_failure(ExchangeOutcome::UnexpectedStatus);
@@ -38,17 +38,17 @@
     }
 }
 
-/// A watch continues from the revision held while discovery lives; what may be another incarnation is asked for the
-/// full list.
+/// The watch continues from its revision as long as discovery runs. The full list is requested only if discovery may
+/// have restarted, since its revisions then count from zero.
 #[test]
 fn the_full_list_is_requested_only_where_the_watch_cannot_continue() {
     let is_full = |s: &PollSchedule| s.next_request().0.as_str() == LIST_PATH;
     let mut s = schedule(100, 1);
-    assert!(!is_full(&s), "it starts from the configured revision");
+    assert!(!is_full(&s), "the first request continues from the configured revision");
     s.on_failure(ExchangeOutcome::UnexpectedStatus);
-    assert!(!is_full(&s), "rejected");
+    assert!(!is_full(&s), "a rejected request does not request the full list");
     assert!(s.on_list(&list(45, false)) && !is_full(&s));
-    assert!(!s.on_list(&list(7, false)) && is_full(&s), "another incarnation counts from zero");
+    assert!(!s.on_list(&list(7, false)) && is_full(&s), "a lower revision requests the full list");
     assert!(s.on_list(&list(7, true)) && !is_full(&s));
     for outcome in
         [ExchangeOutcome::ConnectionLost, ExchangeOutcome::NotSent, ExchangeOutcome::InvalidResponse]
--- a/src/net/endpoints/watch.rs
+++ b/src/net/endpoints/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: long-polls for changes and applies them to the endpoint table.
+//! Watch on discovery: long-polls for changes and applies them to the endpoint table.
 
 use super::schedule::{PollSchedule, WATCH_WAIT};
 use super::{EndpointList, EndpointTable};
@@ -12,23 +12,23 @@
 use std::time::Duration;
 use tokio::sync::watch::Receiver;
 
-/// Connections to discovery: the one in use, and one to the address it moved from.
+/// Maximum number of connections to discovery: one in use, and one to the address before a move.
 const MAX_CONNECTIONS: usize = 2;
 
-/// Parameters of the watch.
+/// Parameters of the discovery watch.
 pub struct WatchOptions {
-    /// Time to establish a connection.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// Revision of the configured list, from which the watch continues.
+    /// Revision of the configured endpoint list, from which the watch continues.
     pub revision: u64,
-    /// Gatekeepers of the fleet, this one included.
+    /// Number of gatekeepers in the fleet, including this one.
     pub replicas: u32,
-    /// Seed of the schedule's jitter.
+    /// Seed for the random delays of the schedule.
     pub seed: u64,
 }
 
-/// Watches discovery for as long as the program runs, at the address that the receiver holds. Changes go to the
-/// table and the core; pooled connections of `nodes` that lead to removed or moved nodes are closed.
+/// Watches discovery until the program exits, at the address that `discovery` holds. Applies changes to `table`, sends
+/// them to the core and closes the idle connections of `nodes` to removed or moved nodes.
 pub async fn watch(
     discovery: Receiver<SocketAddr>,
     options: WatchOptions,
@@ -45,11 +45,12 @@
 }
 
 struct DiscoveryWatch {
+    /// Configured address of discovery.
     discovery: Receiver<SocketAddr>,
     client: UpstreamClient,
     peer: Peer,
     schedule: PollSchedule,
-    /// Whether the last request was answered with a usable list.
+    /// Whether the last request returned a valid list. Limits log lines to changes of this state.
     is_healthy: bool,
     table: Rc<EndpointTable>,
     nodes: Rc<UpstreamClient>,
@@ -69,8 +70,8 @@
             discovery,
             client: UpstreamClient::new(options.connect_timeout, WATCH_WAIT * 2, MAX_CONNECTIONS),
             peer: Peer { name: "discovery".into(), address },
-            // The configured list may be old, so the watch continues from its revision: the full list is needed
-            // only where discovery has restarted its count since.
+            // The watch continues from the revision of the configured list, which may be outdated. The full list is
+            // needed only if discovery has restarted its revision count since.
             schedule: PollSchedule::new(options.revision, options.replicas, !options.seed),
             is_healthy: true,
             table,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// One request, its result and, after a failure, the backoff.
+    /// Sends one request and handles the result; after a failure, waits for the backoff.
     async fn poll(&mut self) {
         let (target, timeout) = self.schedule.next_request();
         let request = Request::plain(Method::GET, target);
@@ -101,16 +102,19 @@
         self.schedule.on_moved();
         self.is_healthy = true;
         self.client.retain_idle(|_, address| address == self.peer.address);
-        tracing::info!(discovery = %self.peer.address, "watching discovery");
+        tracing::info!(discovery = %self.peer.address, "discovery address changed: watching the new address");
     }
 
     fn on_list(&mut self, list: EndpointList) {
         if !std::mem::replace(&mut self.is_healthy, true) {
-            tracing::info!(rev = list.rev, "discovery recovered");
+            tracing::info!(rev = list.rev, "discovery returned an endpoint list again");
         }
         self.table.is_synced.set(true);
         if !self.schedule.on_list(&list) {
-            tracing::warn!(rev = list.rev, "discovery revision went back: requesting the full endpoint list");
+            tracing::warn!(
+                rev = list.rev,
+                "discovery sent a lower revision than before: requesting the full endpoint list"
+            );
             return;
         }
         if list.is_unchanged() {
@@ -119,22 +123,23 @@
         let (rev, all, entries) = (list.rev, list.all, list.targets.len());
         tracing::info!(rev, all, entries, "endpoint list updated");
         let (scope, entries) = self.table.apply(list);
-        self.nodes.retain_idle(|name, address| self.table.is_at(name, address));
+        self.nodes.retain_idle(|name, address| self.table.has_address(name, address));
         let _ = self.core.send(CoreMessage::Endpoints { scope, entries });
     }
 
-    async fn on_failure(&mut self, outcome: ExchangeOutcome, unreadable: Option<serde_json::Error>) {
+    async fn on_failure(&mut self, outcome: ExchangeOutcome, error: Option<serde_json::Error>) {
         if std::mem::replace(&mut self.is_healthy, false) {
-            tracing::warn!(?outcome, ?unreadable, "discovery failed: keeping the current endpoint list");
+            tracing::warn!(?outcome, ?error, "discovery request failed: keeping the current endpoint list");
         }
         let backoff = self.schedule.on_failure(outcome);
-        // A new address of discovery ends the backoff; `poll` handles it. The clone leaves the change unseen.
+        // A change of the address ends the backoff. The clone leaves the change unseen by `self.discovery`, so that
+        // `poll` handles it.
         let mut moved = self.discovery.clone();
         let _ = tokio::time::timeout(backoff, moved.changed()).await;
     }
 }
 
-/// The list in a response; `None` without a response of status 200.
+/// Parses the list in a response; `None` without a response of status 200.
 fn parse(
     outcome: ExchangeOutcome,
     response: Option<Response>,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The gatekeeper on the network: the process ([`process`]), the core that owns the decision module ([`mod@core`]),
-//! and the connections to clients, nodes, the quota counter, discovery and other gatekeepers.
+//! Network layer of the gatekeeper: the process ([`process`]), the core task that owns the decision module
+//! ([`mod@core`]), and the connections to clients, nodes, the quota counter, discovery and other gatekeepers.
 //!
 //! The core reaches the network only through [`HttpTransport`].
 
@@ -30,7 +30,7 @@
 use bytes::Bytes;
 use whinstall::HostId;
 
-/// The core's transport over HTTP/1.1.
+/// HTTP/1.1 implementation of the core's [`Transport`].
 pub struct HttpTransport {
     /// Sends attempts to nodes.
     pub attempts: AttemptRunner,
@@ -38,7 +38,7 @@
     pub counter: CounterClient,
 }
 
-/// Sends messages to the core.
+/// Sending half of the core's message queue.
 pub type CoreSender = core::Sender<HttpTransport>;
 
 impl Transport for HttpTransport {
--- a/src/net/outcome.rs
+++ b/src/net/outcome.rs
@@ -1,6 +1,7 @@
-//! How an exchange with an upstream ended, and the one mapping of that to the decision module's [`Ending`].
+//! Outcomes of exchanges with upstreams and their mapping to the decision module's [`Ending`].
 //!
-//! Whether a request may have run is decided here and nowhere else, so nothing else may build an [`Ending`].
+//! This module alone decides whether a request may have run; no other module of the network layer constructs an
+//! [`Ending`].
 
 #[cfg(test)]
 mod tests;
@@ -9,22 +10,22 @@
 use whinstall::zone_failover::Observation;
 use whinstall::Ending;
 
-/// The kind of upstream that an exchange was with.
+/// Kind of upstream that an exchange addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamKind {
-    /// A drafting node.
+    /// A node that executes clients' requests.
     Node,
     /// The quota counter.
     Counter,
 }
 
-/// How an exchange ended. A request certainly did not run after `NotStarted`, `NotSent`, `NotAttempted` and
-/// `Withdrawn`, or after an exchange that ended with `written: false`; after any other outcome it may have run.
+/// Outcome of an exchange. The request did not run if the outcome is `NotStarted`, `NotSent`, `NotAttempted`,
+/// `Withdrawn` or has `written: false`; after any other outcome it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeOutcome {
     /// A complete response with status 200.
     Answered,
-    /// A complete response that proves that the request was not begun.
+    /// A complete response that proves that the upstream did not begin the request.
     NotStarted,
     /// A complete response with a status from 400 to 499: the request is at fault, not the upstream.
     ClientError,
@@ -32,34 +33,36 @@
     UnexpectedStatus,
     /// The response is malformed or too long.
     InvalidResponse,
-    /// The connection was refused, not established, or broke before the last byte was written.
+    /// The connection was refused, was not established, or broke before the last byte of the request was written.
     NotSent,
-    /// The connection broke or ended after the last byte was written.
+    /// The connection broke or was closed after the last byte of the request was written and before the response was
+    /// complete.
     ConnectionLost,
-    /// The timeout expired.
+    /// The timeout of the exchange expired.
     TimedOut {
-        /// Whether the last byte had been written.
+        /// Whether the last byte of the request had been written.
         written: bool,
     },
     /// The core cancelled the exchange.
     Cancelled {
-        /// Whether the last byte had been written.
+        /// Whether the last byte of the request had been written.
         written: bool,
     },
-    /// Not begun: the session was over, out of time or out of attempts.
+    /// Nothing was sent: the session had ended, its deadline had passed or its attempts were used up.
     NotAttempted,
-    /// Not begun: the node began to drain or was removed from the endpoint table.
+    /// Nothing was sent: the node was draining or was removed from the endpoint table.
     Withdrawn,
 }
 
 impl ExchangeOutcome {
-    /// The outcome in the decision module's terms. A counter call that may have been added must map to a timeout
-    /// or a reset: only after these the module drops the amount instead of adding it again.
+    /// Maps the outcome to the decision module's terms. A counter call whose amount may have been added must map to
+    /// [`Ending::Timeout`] or [`Ending::Reset`]: after any other failure the module adds the amount again, which
+    /// would count it twice.
     pub fn to_ending(self, upstream: UpstreamKind) -> Ending {
         match (self, upstream) {
             (ExchangeOutcome::Answered, _) => Ending::Ok,
             (ExchangeOutcome::NotStarted, _) => Ending::Full,
-            // Says nothing about a node's health: one client's bad requests must not get nodes ejected.
+            // `Cancelled` does not affect the node's health: invalid requests of one client must not eject nodes.
             (ExchangeOutcome::ClientError, UpstreamKind::Node) => Ending::Cancelled,
             (ExchangeOutcome::ClientError, UpstreamKind::Counter) => Ending::Full,
             (ExchangeOutcome::UnexpectedStatus, UpstreamKind::Node) => Ending::Error,
@@ -78,20 +81,20 @@
         }
     }
 
-    /// What an outcome after `elapsed` shows about the node's zone: that it answers, that something there refuses
-    /// at once, or that nothing came for the `silence_timeout`. A cancelled exchange, or one not begun, shows
-    /// nothing.
-    pub fn zone_observation(self, elapsed: Duration, silence_timeout: Duration) -> Option<Observation> {
+    /// The observation for outlier detection that this outcome gives about the node's zone, `elapsed` after the start
+    /// of the exchange: a response, a connection refused or lost before `detection_timeout`, or no response for
+    /// `detection_timeout`. `None` for an exchange that was cancelled or never sent.
+    pub fn zone_observation(self, elapsed: Duration, detection_timeout: Duration) -> Option<Observation> {
         match self {
             ExchangeOutcome::Answered
             | ExchangeOutcome::NotStarted
             | ExchangeOutcome::ClientError
             | ExchangeOutcome::UnexpectedStatus
             | ExchangeOutcome::InvalidResponse => Some(Observation::Responded),
-            ExchangeOutcome::NotSent | ExchangeOutcome::ConnectionLost if elapsed < silence_timeout => {
+            ExchangeOutcome::NotSent | ExchangeOutcome::ConnectionLost if elapsed < detection_timeout => {
                 Some(Observation::Refused)
             }
-            ExchangeOutcome::NotSent | ExchangeOutcome::TimedOut { .. } if elapsed >= silence_timeout => {
+            ExchangeOutcome::NotSent | ExchangeOutcome::TimedOut { .. } if elapsed >= detection_timeout => {
                 Some(Observation::TimedOut)
             }
             _ => None,
--- a/src/net/upstream/codec.rs
+++ b/src/net/upstream/codec.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 on an upstream connection: encodes one request and reads the one response to it.
+//! HTTP/1.1 codec of upstream connections: encodes a request and reads its response.
 //!
-//! A response is accepted only as a whole. One that is framed ambiguously, is longer than [`MAX_BODY_BYTES`] or
-//! breaks off is an error, and its connection is not reused.
+//! Only complete responses are accepted. A response that is framed ambiguously, has a body longer than
+//! [`MAX_BODY_BYTES`] or is truncated is an error, and its connection is not reused.
 
 use super::{ExchangeError, Peer, Request, Response, MAX_BODY_BYTES};
 use actix_codec::{Decoder, Encoder};
@@ -14,10 +14,10 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Bytes of an invalid response that are logged.
+/// Maximum number of bytes of an invalid response that are logged.
 const MAX_LOGGED_BYTES: usize = 200;
 
-/// Encodes a request for a peer.
+/// Encodes a request to a peer, with its `Host` header.
 pub(super) fn encode(
     codec: &mut ClientCodec,
     peer: &Peer,
@@ -40,7 +40,7 @@
     Ok(out)
 }
 
-/// Reads the one response; also returns whether the connection may be reused.
+/// Reads the final response to a request. Also returns whether the connection may be reused.
 pub(super) async fn read_response(
     mut codec: ClientCodec,
     stream: &mut TcpStream,
@@ -59,11 +59,12 @@
     } else {
         Bytes::new()
     };
-    // Bytes after a response belong to no request, and neither does anything that follows on this connection.
+    // Bytes after a response belong to no request: a later response on this connection could not be matched to its
+    // request.
     Ok((response(&head, body), is_reusable && buffer.is_empty()))
 }
 
-/// Reads the head of the final response, skipping informational ones.
+/// Reads the head of the final response, skipping informational (1xx) responses.
 async fn read_head(
     codec: &mut ClientCodec,
     stream: &mut TcpStream,
@@ -77,8 +78,8 @@
                 if head.status == StatusCode::SWITCHING_PROTOCOLS || has_body {
                     return Err(ExchangeError::InvalidResponse);
                 }
-                // The peer may hold the final response back until its informational one is acknowledged, which
-                // the kernel would delay by 40 ms.
+                // The peer may not send the final response until the informational one is acknowledged, and the kernel
+                // delays acknowledgements by up to 40 ms.
                 #[cfg(target_os = "linux")]
                 let _ = stream.set_quickack(true);
             }
@@ -87,7 +88,7 @@
     }
 }
 
-/// Reads a body that ends with its connection. A reset is no end, and fails.
+/// Reads a body that is delimited by the close of the connection. A reset of the connection is an error.
 async fn read_until_close(stream: &mut TcpStream, mut body: BytesMut) -> Result<Bytes, ExchangeError> {
     while body.len() <= MAX_BODY_BYTES && stream.read_buf(&mut body).await? > 0 {}
     if body.len() > MAX_BODY_BYTES {
@@ -96,7 +97,7 @@
     Ok(body.freeze())
 }
 
-/// Reads a body with a length or in chunks.
+/// Reads a body that is delimited by `Content-Length` or chunked encoding.
 async fn read_framed_body(
     codec: &mut ClientPayloadCodec,
     stream: &mut TcpStream,
@@ -122,7 +123,7 @@
     Response { status: head.status, not_started, usage_percent, body }
 }
 
-/// Reads more of a response. End of file is an error here: a response that is cut off is not complete.
+/// Reads more bytes of a response. End of file is an error, as the response is truncated.
 async fn fill(stream: &mut TcpStream, buffer: &mut BytesMut) -> Result<(), ExchangeError> {
     if stream.read_buf(buffer).await? == 0 {
         return Err(ExchangeError::ConnectionLost);
@@ -130,24 +131,25 @@
     Ok(())
 }
 
-/// Whether a response announces that its connection ends with it.
+/// Whether a response carries `Connection: close`.
 fn announces_close(head: &ResponseHead) -> bool {
     let mut values = head.headers.get_all(header::CONNECTION).filter_map(|v| v.to_str().ok());
     values.any(|v| v.split(',').any(|token| token.trim().eq_ignore_ascii_case("close")))
 }
 
+/// Logs an invalid response and returns the error.
 fn invalid(error: &dyn std::fmt::Debug, buffer: &BytesMut) -> ExchangeError {
     let read = String::from_utf8_lossy(&buffer[..buffer.len().min(MAX_LOGGED_BYTES)]);
-    tracing::debug!(?error, %read, "invalid upstream response");
+    tracing::debug!(?error, %read, "cannot decode an upstream response");
     ExchangeError::InvalidResponse
 }
 
-/// How a response delimits its body.
+/// Delimiter of a response body.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BodyFraming {
     ContentLength,
     Chunked,
-    /// It has no body, or one that only the end of the connection delimits.
+    /// Neither: no body, or a body that is delimited by the close of the connection.
     UntilClose,
 }
 
@@ -156,14 +158,14 @@
         let length = head.headers.get(header::CONTENT_LENGTH);
         let length = length.map(|v| v.to_str().ok().and_then(|v| v.trim().parse::<usize>().ok()));
         match (length, head.headers.contains_key(header::TRANSFER_ENCODING)) {
-            // A longer body is not read at all: a response once claimed 3 GB and kept sending.
+            // A longer body is rejected unread: a peer may announce several GB and keep sending.
             (Some(Some(length)), false) if length <= MAX_BODY_BYTES => Ok(BodyFraming::ContentLength),
             (None, true) => Ok(BodyFraming::Chunked),
             (None, false) if head.status != StatusCode::OK => Ok(BodyFraming::UntilClose),
-            // Only if the peer announced the close: otherwise a broken connection would pass for the end.
+            // Only if the peer announced the close: otherwise a truncated body would count as complete.
             (None, false) if announces_close(head) => Ok(BodyFraming::UntilClose),
             framing => {
-                tracing::debug!(?framing, headers = ?head.headers, "upstream response with unusable framing");
+                tracing::debug!(?framing, max_body_bytes = MAX_BODY_BYTES, headers = ?head.headers, "upstream response rejected: ambiguous framing, or body over the limit");
                 Err(ExchangeError::InvalidResponse)
             }
         }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,8 +1,7 @@
-//! HTTP/1.1 client towards the nodes, the quota counter, discovery and other gatekeepers: sends one request,
-//! returns the one response to it, and pools connections by peer ([`pool`]).
+//! HTTP/1.1 client for nodes, the quota counter, discovery and other gatekeepers. Sends a request, returns its response
+//! and pools connections by peer ([`pool`]).
 //!
-//! The client never sends a request a second time; what may be retried is decided by its callers, from the
-//! [`ExchangeOutcome`] that it reports.
+//! The client never retries a request; callers decide on retries from the [`ExchangeOutcome`].
 
 mod codec;
 mod pool;
@@ -26,73 +25,75 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// The longest body in either direction, in bytes.
+/// Maximum length of a request or response body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The server that a request goes to. It is identified by name, not by address: a node that starts where another
-/// one stopped is another peer, and gets none of its connections.
+/// Server that a request is sent to. Peers are identified by name, not by address: a node that starts at the address of
+/// a former node is another peer and does not inherit pooled connections.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the peer, which identifies it in the connection pool.
     pub name: Arc<str>,
-    /// Where it listens.
+    /// Address that the peer listens on.
     pub address: SocketAddr,
 }
 
-/// A request to a peer.
+/// Request to a peer.
 pub struct Request {
-    /// Its method.
+    /// HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub target: PathAndQuery,
-    /// Its headers beside `Host` and `Content-Length`.
+    /// Headers other than `Host` and `Content-Length`.
     pub headers: Vec<(HeaderName, HeaderValue)>,
-    /// Its body. If it is empty, no `Content-Length` is sent.
+    /// Request body. Without a body, no `Content-Length` is sent.
     pub body: Bytes,
 }
 
 impl Request {
-    /// A request with neither headers nor a body.
+    /// Creates a request without additional headers and without a body.
     pub fn plain(method: Method, target: PathAndQuery) -> Self {
         Request { method, target, headers: Vec::new(), body: Bytes::new() }
     }
 }
 
-/// A complete response.
+/// Complete response of a peer.
 pub struct Response {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Whether it carries `Not-Started: 1`: the peer states that it did not begin the request.
+    /// Whether the header `Not-Started: 1` is present, by which the peer states that it did not begin the request.
     pub not_started: bool,
-    /// `X-Meter`: the customer's use over all gatekeepers, in percent of its rate.
+    /// Usage of the customer over all gatekeepers, in percent of its rate (header `X-Meter`).
     pub usage_percent: Option<f64>,
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
 }
 
 /// Limits of one exchange.
 pub struct ExchangeOptions {
-    /// Time from the start to the complete response.
+    /// Time limit from the start of the exchange to the complete response.
     pub timeout: Duration,
-    /// Checked immediately before the first byte is written; `false` abandons the request.
+    /// Checked immediately before the first byte is written; `false` abandons the request unsent.
     pub may_send: Box<dyn Fn() -> bool>,
 }
 
 impl ExchangeOptions {
-    /// A limit of time alone.
+    /// Options with a timeout and without a check before sending.
     pub fn timeout(timeout: Duration) -> Self {
         ExchangeOptions { timeout, may_send: Box::new(|| true) }
     }
 }
 
-/// How much of a request was written. It outlives the exchange, which may be dropped at any await point.
+/// Progress of writing a request. Kept outside the future of the exchange, which may be dropped at any await point.
 #[derive(Default)]
 struct WriteProgress {
+    /// Whether at least one byte was written.
     started: Cell<bool>,
+    /// Whether the last byte was written.
     finished: Cell<bool>,
 }
 
-/// An HTTP/1.1 client with a connection pool.
+/// HTTP/1.1 client with a connection pool.
 pub struct UpstreamClient {
     pool: Rc<ConnectionPool>,
     connect_timeout: Duration,
@@ -100,7 +101,7 @@
 }
 
 impl UpstreamClient {
-    /// A client with at most `max_connections` connections, each established within `connect_timeout` and closed
+    /// Creates a client with at most `max_connections` connections, each established within `connect_timeout` and closed
     /// after `idle_timeout` without use.
     pub fn new(connect_timeout: Duration, idle_timeout: Duration, max_connections: usize) -> Self {
         let pool = ConnectionPool::new(max_connections, idle_timeout);
@@ -108,17 +109,17 @@
         UpstreamClient { pool, connect_timeout, config }
     }
 
-    /// Changes the limit on connections; open ones beyond it are not closed.
+    /// Changes the limit on connections. Open connections beyond a lower limit are not closed.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.pool.set_max_connections(max_connections);
     }
 
-    /// Connections that are open or being established.
+    /// Number of connections that are open or being established.
     pub fn open_connections(&self) -> usize {
         self.pool.open_connections()
     }
 
-    /// Closes the idle connections whose peer's name and address do not satisfy the predicate.
+    /// Closes the idle connections for whose peer name and address `keep` returns `false`.
     pub fn retain_idle(&self, keep: impl Fn(&str, SocketAddr) -> bool) {
         self.pool.retain(keep);
     }
@@ -128,9 +129,9 @@
         self.pool.retain(|_, _| false);
     }
 
-    /// Sends a request once and waits for the complete response, until `cancelled` resolves or time is up. Unless
-    /// a complete response came, the connection is closed when this returns: the peer sees the end of one attempt
-    /// before the next begins.
+    /// Sends a request once and waits for the complete response, until `cancelled` resolves or the timeout expires.
+    /// Without a complete response the connection is closed before this returns, so that the peer sees the end of one
+    /// attempt before the next attempt begins.
     ///
     /// The response is returned with the outcomes `Answered`, `ClientError` and `UnexpectedStatus`.
     pub async fn exchange(
@@ -203,12 +204,12 @@
     }
 }
 
-/// Why there is no complete response.
+/// Reason why no complete response was received.
 enum ExchangeError {
     Cancelled,
     TimedOut,
     InvalidResponse,
-    /// The connection could not be established, was refused for want of a permit, or broke.
+    /// The connection could not be established, exceeded the connection limit, or broke.
     ConnectionLost,
 }
 
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -1,8 +1,7 @@
-//! Keep-alive pool of upstream connections, keyed by the peer's name.
+//! Pool of keep-alive upstream connections, keyed by peer name.
 //!
-//! The pool counts every connection that holds a descriptor: idle ones, those in use and those that are still
-//! being established. It never hands out a connection on which anything is unread, and never one that leads to
-//! another address than the peer's.
+//! The connection limit covers every connection that holds a file descriptor: idle, in use or being established. A
+//! connection is reused only if no unread bytes are on it and its remote address is the peer's current one.
 
 use super::Peer;
 use std::cell::{Cell, RefCell};
@@ -15,10 +14,10 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Interval at which idle connections are checked for expiry and for a close by the peer.
+/// Interval at which expired idle connections and those closed by the peer are removed.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// An upstream connection. It counts against the pool's limit until it is dropped.
+/// Upstream connection. Counts towards the connection limit of the pool until dropped.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     _permit: ConnectionPermit,
@@ -29,16 +28,16 @@
         Connection { stream, _permit: permit }
     }
 
-    /// Whether the connection is open with nothing to read. The kernel is asked, as the runtime may not have
-    /// been notified yet of bytes that have just arrived.
-    fn is_quiet(&self) -> bool {
+    /// Whether the connection is open and has no unread bytes. Peeks at the socket, as the runtime may not have been
+    /// notified yet of bytes that have just arrived.
+    fn is_reusable(&self) -> bool {
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// The right to hold one connection. A connection that is being established already holds one, as it holds a
-/// descriptor.
+/// Permit to hold one connection, counted until dropped. Acquired before connecting, as a connection that is being
+/// established holds a file descriptor.
 pub(super) struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl ConnectionPermit {
@@ -54,22 +53,25 @@
     }
 }
 
-/// A pooled connection between two requests.
+/// Pooled connection that is not in use.
 struct IdleConnection {
     connection: Connection,
     address: SocketAddr,
+    /// Time at which the connection was released.
     since: Instant,
 }
 
-/// Idle connections by peer, the one idle longest first, and the count of all open connections.
+/// Idle connections by peer name, and the number of all connections.
 pub(super) struct ConnectionPool {
+    /// Idle connections of each peer, longest idle first.
     idle: RefCell<HashMap<Arc<str>, Vec<IdleConnection>>>,
+    /// Number of connections that are open or being established.
     open: Rc<Cell<usize>>,
     max_connections: Cell<usize>,
 }
 
 impl ConnectionPool {
-    /// A pool of at most `max_connections`, which closes connections after `idle_timeout` without use.
+    /// Creates a pool of at most `max_connections` connections, each closed after `idle_timeout` without use.
     pub(super) fn new(max_connections: usize, idle_timeout: Duration) -> Rc<Self> {
         let pool = Rc::new(ConnectionPool {
             idle: RefCell::default(),
@@ -84,20 +86,20 @@
         self.max_connections.set(max_connections);
     }
 
-    /// Connections that are open or being established.
+    /// Number of connections that are open or being established.
     pub(super) fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// Takes the most recently used connection to a peer, if one is usable. A connection that received bytes
-    /// while idle is closed instead: nobody asked for them.
+    /// Takes the most recently used connection to a peer, if one is reusable. A connection that received bytes while
+    /// idle is closed, as those bytes belong to no request.
     pub(super) fn checkout(&self, peer: &Peer) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let candidates = idle.get_mut(&peer.name)?;
         let mut usable = None;
         while usable.is_none() {
             let Some(last) = candidates.pop() else { break };
-            usable = Some(last.connection).filter(|c| last.address == peer.address && c.is_quiet());
+            usable = Some(last.connection).filter(|c| last.address == peer.address && c.is_reusable());
         }
         if candidates.is_empty() {
             idle.remove(&peer.name);
@@ -105,15 +107,15 @@
         usable
     }
 
-    /// Puts a connection back for reuse; one with unread bytes is closed.
+    /// Returns a connection to the pool for reuse. A connection with unread bytes is closed.
     pub(super) fn release(&self, peer: &Peer, connection: Connection) {
-        if connection.is_quiet() {
+        if connection.is_reusable() {
             let idle = IdleConnection { connection, address: peer.address, since: Instant::now() };
             self.idle.borrow_mut().entry(Arc::clone(&peer.name)).or_default().push(idle);
         }
     }
 
-    /// Keeps the idle connections whose peer's name and address satisfy the predicate; closes the others.
+    /// Closes the idle connections for whose peer name and address `keep` returns `false`.
     pub(super) fn retain(&self, keep: impl Fn(&str, SocketAddr) -> bool) {
         self.retain_idle(|name, idle| keep(name, idle.address));
     }
@@ -125,8 +127,8 @@
         });
     }
 
-    /// Permission for one more connection, at the limit by evicting the one idle longest. Only one is evicted:
-    /// closing all idle connections cost a handshake each soon after. `None`: all are in use.
+    /// Acquires a permit for a new connection; `None` if all connections are in use. At the limit, only the connection
+    /// idle longest is closed: closing all idle ones would cost a new TCP handshake for each soon after.
     pub(super) fn acquire_permit(&self) -> Option<ConnectionPermit> {
         if self.open.get() >= self.max_connections.get() {
             let mut idle = self.idle.borrow_mut();
@@ -148,13 +150,13 @@
     }
 }
 
-/// Closes connections that are idle for too long or were closed by their peer, for as long as the pool exists:
-/// each holds a descriptor.
+/// Closes connections that are idle for `idle_timeout` or were closed by their peer, until the pool is dropped. Without
+/// this, connections to peers that get no more requests would keep their file descriptors.
 async fn prune(pool: Weak<ConnectionPool>, idle_timeout: Duration) {
     let mut interval = tokio::time::interval(PRUNE_INTERVAL);
     loop {
         interval.tick().await;
         let Some(pool) = pool.upgrade() else { return };
-        pool.retain_idle(|_, idle| idle.since.elapsed() < idle_timeout && idle.connection.is_quiet());
+        pool.retain_idle(|_, idle| idle.since.elapsed() < idle_timeout && idle.connection.is_reusable());
     }
 }
--- a/src/net/upstream/tests.rs
+++ b/src/net/upstream/tests.rs
@@ -13,7 +13,8 @@
     (outcome, response.map(|r| r.body).unwrap_or_default())
 }
 
-/// Protects nodes that begin to drain while a connection is established, and the limit on descriptors.
+/// Nothing may be sent to a node that begins to drain while a connection is established, nor beyond the connection
+/// limit, which bounds the file descriptors.
 #[test]
 fn nothing_is_sent_without_permission_or_without_a_free_connection() {
     let scripted = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
@@ -27,7 +28,8 @@
     assert_eq!((outcome(1, true), scripted.requests().len()), (ExchangeOutcome::Answered, 1));
 }
 
-/// At the limit only the connection idle longest is closed, not all idle ones.
+/// At the connection limit only the connection idle longest is closed: closing all idle ones costs a new handshake
+/// for each.
 #[test]
 fn the_connection_idle_longest_is_evicted_at_the_limit() {
     let peers = [(); 3].map(|()| ScriptedPeer::start(|_| ScriptedReply::Ok("drafted")));
@@ -41,8 +43,8 @@
     });
 }
 
-/// Only a complete response to the request is accepted, and no valid response is rejected. Each of these was sent by
-/// a node.
+/// Only a complete response to the request is accepted, and no valid response is rejected. Nodes in service send each
+/// of these responses.
 #[test]
 fn only_the_complete_response_to_a_request_is_accepted() {
     let early = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
@@ -62,52 +64,53 @@
             ExchangeOutcome::InvalidResponse,
         ),
     ];
-    let torn = [
+    let truncated = [
         ("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nfirst", ExchangeOutcome::ConnectionLost),
         (chunked, ExchangeOutcome::ConnectionLost),
     ];
     let answers = answers.map(|(text, end)| (ScriptedReply::Raw(text), end)).into_iter();
-    for (says, end) in answers.chain(torn.map(|(text, end)| (ScriptedReply::Torn(text), end))) {
-        let what = format!("{says:?}");
-        let says = std::sync::Mutex::new(Some(says));
+    for (reply, expected) in answers.chain(truncated.map(|(text, end)| (ScriptedReply::Torn(text), end))) {
+        let what = format!("{reply:?}");
+        let reply = std::sync::Mutex::new(Some(reply));
         let scripted = ScriptedPeer::start(move |_| {
-            says.lock().expect("whole").take().unwrap_or(ScriptedReply::Ok("next"))
+            reply.lock().expect("lock not poisoned").take().unwrap_or(ScriptedReply::Ok("next"))
         });
         let peer = peer("n0", &scripted);
         actix_rt::System::new().block_on(async {
             let client = UpstreamClient::new(BOUND, BOUND, 2);
             let (first, next) = (get(&client, &peer, true).await, get(&client, &peer, true).await);
-            let body = if end == ExchangeOutcome::Answered { "first" } else { "" };
-            assert_eq!((first.0, &first.1[..]), (end, body.as_bytes()), "{what}");
+            let body = if expected == ExchangeOutcome::Answered { "first" } else { "" };
+            assert_eq!((first.0, &first.1[..]), (expected, body.as_bytes()), "{what}");
             assert_eq!((next.0, &next.1[..]), (ExchangeOutcome::Answered, &b"next"[..]), "after {what}");
         });
     }
 }
 
-/// Without an immediate acknowledgement of an informational response, its sender may wait 40 ms for the kernel's
-/// delayed one before it goes on.
+/// An informational response must be acknowledged at once: a peer may wait for the acknowledgement before it sends the
+/// final response, and the kernel delays acknowledgements by up to 40 ms.
 #[cfg(target_os = "linux")]
 #[test]
-fn an_informational_response_costs_no_time() {
+fn an_informational_response_does_not_delay_the_final_one() {
     let early = "HTTP/1.1 100 Continue\r\n\r\n".to_owned();
     let scripted = ScriptedPeer::start(move |_| ScriptedReply::Parts([early.clone(), ok("drafted")]));
     actix_rt::System::new().block_on(async {
         let client = UpstreamClient::new(BOUND, BOUND, 2);
         let mut times = Vec::new();
         for _ in 0..9 {
-            let begun = Instant::now();
+            let started = Instant::now();
             let outcome = get(&client, &peer("n0", &scripted), true).await;
             assert_eq!(outcome, (ExchangeOutcome::Answered, "drafted".into()));
-            times.push(begun.elapsed());
+            times.push(started.elapsed());
         }
         times.sort_unstable();
         assert!(times[4] < Duration::from_millis(30), "{times:?}");
     });
 }
 
-/// A pooled connection must not be used for a node that started where another one stopped, nor after bytes came on it.
+/// A pooled connection must not be used for a node that started at the address of a former node, and closing the idle
+/// connections of one peer must not close those of another at the same address.
 #[test]
-fn a_connection_serves_its_own_peer_and_only_while_it_is_quiet() {
+fn a_connection_is_reused_only_for_its_own_peer() {
     let scripted = ScriptedPeer::start(|_| ScriptedReply::Ok("drafted"));
     actix_rt::System::new().block_on(async {
         let client = UpstreamClient::new(BOUND, BOUND, 4);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -343,7 +343,10 @@
     );
     let unknown = headers("r4", "sketch", "4");
     let unknown = format!("GET /sketch?client=00000000b4d65521 HTTP/1.1\r\n{unknown}\r\n");
-    assert_eq!(operated.gatekeeper.connect().write(&unknown).answer().body, "no such Request-Class");
+    assert_eq!(
+        operated.gatekeeper.connect().write(&unknown).answer().body,
+        "header Request-Class names an unknown class"
+    );
 }
 
 /// A file with an invalid deadline once moved discovery to where nobody listened. A rejected file changes nothing, and
