--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -126,7 +126,7 @@
     }
 
     /// An integer within `range`, or the default.
-    pub fn whole(&self, name: &str, default: u32, range: impl Into<Range<u32>>) -> u32 {
+    pub fn integer(&self, name: &str, default: u32, range: impl Into<Range<u32>>) -> u32 {
         let Range { min, max } = range.into();
         let x = self.number(name, f64::from(default), f64::from(min)..=f64::from(max));
         if x.fract() != 0.0 {
--- a/src/fleet/settings.rs
+++ b/src/fleet/settings.rs
@@ -115,7 +115,7 @@
             advertise,
             seeds,
             gossip_interval_secs: record.number("round", 0.2, (0.02, 10.0)),
-            fanout: record.whole("fanout", 2, (1, 16)),
+            fanout: record.integer("fanout", 2, (1, 16)),
             bytes_per_sec: record.number("bytes", 2e6, (1e4, 1e9)),
             max_lag_secs: record.number("fresh", 1.0, (0.1, 30.0)),
             probe_interval_secs: record.number("probe", 0.5, (0.05, 30.0)),
--- a/src/fleet/site/settings.rs
+++ b/src/fleet/site/settings.rs
@@ -68,7 +68,7 @@
                 let class = LoadClass {
                     name: name.to_string(),
                     load_fraction: class_record.number("part", 0.0, (0.0, 1.0)),
-                    shed_order: class_record.whole("refuse", u32::MAX, (1, 1000)),
+                    shed_order: class_record.integer("refuse", u32::MAX, (1, 1000)),
                     must_serve: class_record.flag("must", false),
                 };
                 match class_record.node("refuse") {
@@ -165,7 +165,7 @@
     let Some(list) = site_record.record("to") else { return targets };
     for (to, target_record) in list.entries() {
         let (weight, priority) =
-            (target_record.number("weight", 1.0, (0.0, 1e6)), target_record.whole("order", 1, (1, 100)));
+            (target_record.number("weight", 1.0, (0.0, 1e6)), target_record.integer("order", 1, (1, 100)));
         if let (Some(node), true) = (target_record.node("weight"), weight <= 0.0) {
             target_record.error(node, "weight", "must be above 0");
         }
--- a/src/net/process/reload.rs
+++ b/src/net/process/reload.rs
@@ -61,7 +61,7 @@
         self.discovery.send_if_modified(|at| std::mem::replace(at, discovery) != discovery);
         let retuned = new.document["settings"] != self.in_force["settings"];
         if retuned {
-            self.service.counter.set_call_timeout(new.sockets.count_wait);
+            self.service.counter.set_call_timeout(new.sockets.counter_timeout);
             let rules = RequestRules::from_settings(&new.settings);
             self.service.listener.update_rules(rules, new.sockets.max_retry_after);
             let _ = self.service.core.send(CoreMessage::Settings(Box::new(new.settings)));
--- a/src/net/process/startup.rs
+++ b/src/net/process/startup.rs
@@ -256,10 +256,10 @@
 
         let budget = DescriptorBudget::new(descriptors);
         let nodes = Rc::new(node_client(&sockets, budget.nodes));
-        let timeouts = CallTimeouts { call: sockets.count_wait, late: late_timeout(&quota) };
+        let timeouts = CallTimeouts { call: sockets.counter_timeout, late: late_timeout(&quota) };
         let counter = CounterClient::new(
             counter_address,
-            sockets.dial_timeout,
+            sockets.connect_timeout,
             timeouts,
             budget.counter,
             core_sender.clone(),
@@ -273,7 +273,7 @@
         );
         let (discovery, discovery_address) = watch::channel(fields.discovery);
         let options = WatchOptions {
-            connect_timeout: sockets.dial_timeout,
+            connect_timeout: sockets.connect_timeout,
             revision,
             replicas: settings.replicas,
             seed,
@@ -296,8 +296,8 @@
 }
 
 fn node_client(sockets: &SocketSettings, max_connections: usize) -> UpstreamClient {
-    let idle_timeout = sockets.conn_idle.saturating_sub(IDLE_MARGIN).max(sockets.conn_idle / 2);
-    UpstreamClient::new(sockets.dial_timeout, idle_timeout, max_connections)
+    let idle_timeout = sockets.host_idle_timeout.saturating_sub(IDLE_MARGIN).max(sockets.host_idle_timeout / 2);
+    UpstreamClient::new(sockets.connect_timeout, idle_timeout, max_connections)
 }
 
 /// How long late answers of the counter are listened for: only the guard uses them.
--- a/src/quota/settings.rs
+++ b/src/quota/settings.rs
@@ -64,14 +64,14 @@
         let probation = record.number("watch", default.mode.probation_secs, (0.1, 60.0));
         let settings = QuotaSettings {
             is_guarded: record.flag("guard", default.is_guarded),
-            partitions: record.whole("parts", default.partitions, (1, 64)),
-            max_entries: record.whole("counts_most", default.max_entries as u32, (16, 1_000_000)) as usize,
+            partitions: record.integer("parts", default.partitions, (1, 64)),
+            max_entries: record.integer("counts_most", default.max_entries as u32, (16, 1_000_000)) as usize,
             resend_secs: record.number("retell", default.resend_secs, (0.1, 60.0)),
             share_decay_secs: record.number("fade", default.share_decay_secs, (1.0, 600.0)),
             late_answer_secs: record.number("late", default.late_answer_secs, (0.0, 10.0)),
             compares_meter: record.flag("witness", default.compares_meter),
             breaker: BreakerSettings {
-                failures: record.whole("failures", default.breaker.failures, (1, 100)),
+                failures: record.integer("failures", default.breaker.failures, (1, 100)),
                 first_wait_secs: first_wait,
                 max_wait_secs: record
                     .number("last_trial", default.breaker.max_wait_secs, (0.01, 60.0))
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -14,11 +14,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SocketSettings {
     /// Timeout of a connect.
-    pub dial_timeout: Duration,
+    pub connect_timeout: Duration,
     /// Idle time after which hosts close a connection.
-    pub conn_idle: Duration,
+    pub host_idle_timeout: Duration,
     /// Timeout of a call to the quota counter.
-    pub count_wait: Duration,
+    pub counter_timeout: Duration,
     /// The longest `Retry-After` that clients respect.
     pub max_retry_after: Duration,
 }
@@ -47,9 +47,9 @@
 pub fn read(value: Value) -> Result<(Settings, SocketSettings), SettingsError> {
     let wire: WireSettings = serde_json::from_value(value).map_err(SettingsError)?;
     let sockets = SocketSettings {
-        dial_timeout: duration_from_secs(wire.limits.dial_timeout_s),
-        conn_idle: duration_from_secs(wire.limits.conn_idle_s),
-        count_wait: duration_from_secs(wire.family_info.count_wait_s),
+        connect_timeout: duration_from_secs(wire.limits.dial_timeout_s),
+        host_idle_timeout: duration_from_secs(wire.limits.conn_idle_s),
+        counter_timeout: duration_from_secs(wire.family_info.count_wait_s),
         max_retry_after: duration_from_secs(wire.limits.max_retry_after_s),
     };
     Ok((wire.into_settings(), sockets))
