--- a/src/net/fleet.rs
+++ b/src/net/fleet.rs
@@ -1,14 +1,20 @@
-//! The carrier of the copies: datagrams for who is there, a listener for the other gatekeepers, and a round every so
-//! often in which a few of them are asked, over HTTP/1.1 on the codec already here, bodies in postcard. It owns the one
-//! replica and the one view of the members. It must never hold the core up, speak to a gatekeeper of another fleet or
-//! version, or let one peer take more than the bounds.
+//! Transport of replication among the gatekeepers of a fleet, and of the division of ceilings.
 //!
-//! `POST /fleet/v2/exchange`: the asker says up to which change of each origin it holds everything, and what it wrote
-//! itself; the answer says the same of the other one and holds what the asker lacks. 409 with one line: of another
-//! fleet or version, or under a name that another living process has.
-//! `POST /fleet/v2/budget`: a request to the one that divides hard ceilings, and its answer ([`super::budgets`]).
+//! Owns the local [`Replica`] and [`Membership`], and connects them with sockets: datagrams carry the membership
+//! protocol, a listener serves the other gatekeepers, and gossip rounds exchange rows with a few random members over
+//! HTTP/1.1, with bodies in postcard.
+//!
+//! `POST /fleet/v2/exchange`: the request carries the digest of the requester's replica and the rows that it wrote
+//! itself; the response carries the responder's digest and the rows that the requester lacks. Status 409, with a
+//! one-line reason: the message belongs to another fleet or protocol version, or its sender uses the name of another
+//! running process. `POST /fleet/v2/budget`: a grant request to the leader that divides ceilings ([`super::budgets`]).
+//!
+//! Invariants:
+//! - the core is never blocked: it is reached only through its queue;
+//! - messages of another fleet or protocol version change nothing;
+//! - connections, message sizes and the rate of sent rows are bounded, whatever a peer does.
 
-use super::budgets::{Budgets, BUDGET_AT};
+use super::budgets::{Budgets, BUDGET_PATH};
 use super::core::CoreMessage;
 use super::outcome::ExchangeOutcome;
 use super::upstream::{ExchangeOptions, Peer, Request, UpstreamClient, MAX_BODY_BYTES};
@@ -35,390 +41,444 @@
 use whinstall::fleet::FleetSettings;
 use whinstall::{LocalState, RemoteState};
 
-const EXCHANGE_AT: &str = "/fleet/v2/exchange";
-/// Who asks, for whoever traces a link.
-const FROM: HeaderName = HeaderName::from_static("fleet-from");
-/// A peer has this many rounds to answer, and no less than the second figure.
-const ROUNDS_TO_ANSWER: f64 = 5.0;
-const ANSWER_LEAST: Duration = Duration::from_millis(250);
-/// Connections of other gatekeepers at a time, and as many to them.
-const GUESTS: usize = 24;
-/// Descriptors that all of this holds at the most.
-pub const DESCRIPTORS: usize = 2 + 2 * GUESTS;
-/// A connection that nothing went over for so long is closed: in a large fleet the next exchange is with another one.
-const IDLE: Duration = Duration::from_secs(1);
-/// In a fleet of more than this a connection to the divider is closed after each request: it has all of them to hear.
-const FEW: usize = 16;
-/// A guest's connection ends after this.
-const GUEST_MOST: Duration = Duration::from_secs(30);
-/// Rows of a message at the most: they fit in its bounds.
-const ROWS_MOST: usize = 1200;
-/// How long it has lived is written so often in the time for which a copy is fresh.
-const BEATS: f64 = 4.0;
-/// A judgement of a node is written again this often, in seconds, while only its evidence is newer.
-const JUDGED_S: f64 = 3.0;
-/// What is out of date is looked for this often, in seconds.
-const SWEEP_S: f64 = 0.5;
-/// The same reason to turn something away is logged once in so long.
-const REFUSED_AGAIN: Duration = Duration::from_secs(10);
-/// As it ends, so many are told what it wrote last, and have so long to hear it.
-const LAST_TOLD: usize = 4;
-const LAST_WAIT: Duration = Duration::from_millis(250);
+const EXCHANGE_PATH: &str = "/fleet/v2/exchange";
+/// Header with the name of the requesting gatekeeper, for link tracing; the responder does not read it.
+const FROM_HEADER: HeaderName = HeaderName::from_static("fleet-from");
+/// Timeout of an exchange, in gossip rounds.
+const EXCHANGE_TIMEOUT_ROUNDS: f64 = 5.0;
+/// Lower bound of the timeouts of an exchange and of a connect, for short gossip rounds.
+const MIN_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Maximum number of inbound connections from other gatekeepers, and of outbound ones to them.
+const MAX_CONNECTIONS: usize = 24;
+/// Descriptors reserved for the fleet: the two sockets, and the connections in both directions.
+pub const RESERVED_DESCRIPTORS: usize = 2 + 2 * MAX_CONNECTIONS;
+/// Idle outbound connections are closed after this: in a large fleet the next exchange is with another member.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// In a fleet with more live members than this, connections to the leader are closed after each request: the leader
+/// accepts [`MAX_CONNECTIONS`], and every member sends requests to it.
+const MAX_MEMBERS_FOR_KEEP_ALIVE: usize = 16;
+/// Maximum age of an inbound connection.
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(30);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Pause after a failed receive of a datagram.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(1);
+/// Attempts to find a port that is free for TCP and UDP, if the port is up to the system.
+const MAX_PORT_ATTEMPTS: u32 = 16;
+/// Size of the receive buffer for datagrams.
+const DATAGRAM_BUFFER_BYTES: usize = 2048;
+/// Maximum number of rows in a message, so that it stays within [`MAX_BODY_BYTES`].
+const MAX_ROWS_PER_MESSAGE: usize = 1200;
+/// Number of heartbeats within the lag up to which a replica counts as fresh.
+const HEARTBEATS_PER_MAX_LAG: f64 = 4.0;
+/// Interval in seconds at which the health of a node is recorded again if only the age of its evidence changed.
+const HEALTH_REFRESH_SECS: f64 = 3.0;
+/// Interval in seconds at which expired rows are removed.
+const SWEEP_INTERVAL_SECS: f64 = 0.5;
+/// Interval at which rejections for the same reason are logged.
+const REJECTION_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Maximum number of different reasons that are logged within that interval.
+const MAX_REJECTION_REASONS: usize = 64;
+/// Maximum number of members whose lag is logged.
+const MAX_LOGGED_LAGS: usize = 64;
+/// Number of members that a stopping process sends its last rows to.
+const LEAVE_PEERS: usize = 4;
+/// Timeout of each step of leaving the fleet.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// Version of this gatekeeper's rows up to which a member has acknowledged all of them.
+#[derive(Clone, Copy)]
+struct AcknowledgedVersion {
+    /// Incarnation of the member that acknowledged; another one starts without rows.
+    incarnation: u64,
+    version: u64,
+}
 
-/// What is held, and with whom it is kept.
+/// This gatekeeper's membership in its fleet.
 pub struct Fleet {
     settings: FleetSettings,
-    /// Gatekeepers that the platform says there are.
-    replicas: u32,
+    /// Configured number of gatekeepers in the fleet.
+    fleet_size: u32,
     me: Origin,
-    born: f64,
+    /// Start of this process, in Unix seconds.
+    started_at: f64,
     replica: RefCell<Replica>,
     members: RefCell<Membership>,
+    /// Present if ceilings are divided by demand.
     budgets: Option<Budgets>,
     socket: UdpSocket,
-    /// Up to which of this one's changes each member held everything, as it last answered, and which life of it.
-    known: RefCell<HashMap<SocketAddr, (u64, u64)>>,
-    /// Members that answered last time they were asked; those that are being asked.
+    acknowledged: RefCell<HashMap<SocketAddr, AcknowledgedVersion>>,
+    /// Members whose last exchange succeeded.
     answering: RefCell<BTreeSet<SocketAddr>>,
-    asking: RefCell<BTreeSet<SocketAddr>>,
-    /// Those that were given up and are not told of yet.
-    down: RefCell<Vec<(Instant, Member)>>,
-    pace: RefCell<TokenBucket>,
-    turn: Cell<usize>,
-    swept: Cell<f64>,
-    refused: RefCell<HashMap<String, Instant>>,
-    exchanger: UpstreamClient,
-    queue: CoreSender,
-    guests: Cell<usize>,
+    /// Members with an exchange in flight; there is at most one per member.
+    in_exchange: RefCell<BTreeSet<SocketAddr>>,
+    /// Members that were declared down and are not logged yet, with the time of the event.
+    pending_down: RefCell<Vec<(Instant, Member)>>,
+    send_limit: RefCell<TokenBucket>,
+    /// Counts responses; rotates the origin whose rows come first when a response cannot hold all.
+    response_count: Cell<usize>,
+    swept_at: Cell<f64>,
+    /// When each reason of a rejection was last logged.
+    logged_rejections: RefCell<HashMap<String, Instant>>,
+    client: UpstreamClient,
+    core: CoreSender,
+    inbound_connections: Cell<usize>,
     clock: super::core::Clock,
     rng: RefCell<fastrand::Rng>,
 }
 
-/// The sockets of a fleet: both at the same address.
+/// Opens the TCP listener and the UDP socket of a fleet member, both on the same port.
 ///
 /// # Errors
-/// What the system says of the address.
-pub async fn open(at: SocketAddr) -> std::io::Result<(TcpListener, UdpSocket)> {
-    let mut tries = 0;
+/// The address cannot be bound. With port 0, further ports are tried if a port is free for TCP only.
+pub async fn open(address: SocketAddr) -> std::io::Result<(TcpListener, UdpSocket)> {
+    let mut attempts = 0;
     loop {
-        let listener = TcpListener::bind(at).await?;
+        let listener = TcpListener::bind(address).await?;
         match UdpSocket::bind(listener.local_addr()?).await {
             Ok(socket) => return Ok((listener, socket)),
-            // Any port will do, and this one is another's for datagrams.
-            Err(_) if at.port() == 0 && tries < 16 => tries += 1,
+            // The system selected a TCP port that is taken for UDP.
+            Err(_) if address.port() == 0 && attempts < MAX_PORT_ATTEMPTS => attempts += 1,
             Err(error) => return Err(error),
         }
     }
 }
 
 impl Fleet {
-    /// This life of the gatekeeper of this name, in this fleet of so many.
+    /// Membership of the gatekeeper `name` in a fleet of `fleet_size`; the present time becomes its incarnation.
+    /// `local_address` is the address of `socket`, which is advertised unless the settings name another one.
     pub fn new(
         settings: FleetSettings,
-        (name, replicas): (&str, u32),
+        (name, fleet_size): (&str, u32),
         seed: u64,
         clock: super::core::Clock,
-        (socket, at): (UdpSocket, SocketAddr),
-        queue: CoreSender,
+        (socket, local_address): (UdpSocket, SocketAddr),
+        core: CoreSender,
     ) -> Rc<Self> {
-        let born = clock.now();
-        let me = Origin { name: Arc::from(name), incarnation: born.as_micros() as u64 };
-        let (born, life) = (born.as_secs_f64(), me.incarnation);
+        let start_time = clock.now();
+        let me = Origin { name: Arc::from(name), incarnation: start_time.as_micros() as u64 };
+        let (started_at, incarnation) = (start_time.as_secs_f64(), me.incarnation);
         let member = Member {
             name: Arc::clone(&me.name),
-            incarnation: life,
+            incarnation,
             rejoin_count: 0,
-            address: settings.advertise.unwrap_or(at),
+            address: settings.advertise.unwrap_or(local_address),
         };
-        let times = SwimTimings {
+        let timings = SwimTimings {
             probe_interval_secs: settings.probe_interval_secs,
             suspicion_timeout_secs: settings.suspicion_timeout_secs,
             forget_after_secs: settings.forget_after_secs,
         };
         let (cluster, seeds) = (&settings.cluster, settings.seeds.clone());
-        let members = Membership::new(born, cluster, member, seeds, times, seed ^ life);
-        let dial = Duration::from_secs_f64(settings.gossip_interval_secs).max(ANSWER_LEAST);
-        let bounds = ReplicaLimits {
+        let members = Membership::new(started_at, cluster, member, seeds, timings, seed ^ incarnation);
+        let connect_timeout =
+            Duration::from_secs_f64(settings.gossip_interval_secs).max(MIN_EXCHANGE_TIMEOUT);
+        let limits = ReplicaLimits {
             max_lag_secs: settings.max_lag_secs,
             forget_after_secs: settings.forget_after_secs,
             ..ReplicaLimits::default()
         };
         Rc::new(Fleet {
-            replica: RefCell::new(Replica::new(me.clone(), bounds)),
-            budgets: settings.budgets.as_ref().map(|b| Budgets::new(b, &me, clock.now(), replicas)),
+            replica: RefCell::new(Replica::new(me.clone(), limits)),
+            budgets: settings.budgets.as_ref().map(|b| Budgets::new(b, &me, clock.now(), fleet_size)),
             members: RefCell::new(members),
             socket,
-            exchanger: UpstreamClient::new(dial, IDLE, GUESTS),
-            pace: RefCell::new(TokenBucket::new(born, settings.bytes_per_sec)),
+            client: UpstreamClient::new(connect_timeout, IDLE_TIMEOUT, MAX_CONNECTIONS),
+            send_limit: RefCell::new(TokenBucket::new(started_at, settings.bytes_per_sec)),
             me,
-            replicas,
-            born,
+            fleet_size,
+            started_at,
             settings,
-            known: RefCell::default(),
+            acknowledged: RefCell::default(),
             answering: RefCell::default(),
-            asking: RefCell::default(),
-            down: RefCell::default(),
-            turn: Cell::new(seed as usize % 1024),
-            swept: Cell::new(born),
-            refused: RefCell::default(),
-            queue,
-            guests: Cell::new(0),
+            in_exchange: RefCell::default(),
+            pending_down: RefCell::default(),
+            response_count: Cell::new(seed as usize % 1024),
+            swept_at: Cell::new(started_at),
+            logged_rejections: RefCell::default(),
+            core,
+            inbound_connections: Cell::new(0),
             clock,
             rng: RefCell::new(fastrand::Rng::with_seed(seed ^ 0x5eed)),
         })
     }
 
+    /// The present time in Unix seconds.
     fn now(&self) -> f64 {
         self.clock.now().as_secs_f64()
     }
 
-    fn message(&self, pieces: Vec<Delta>) -> Bytes {
+    /// Encodes a message with these deltas and the digest of the local replica.
+    fn encode_message(&self, deltas: Vec<Delta>) -> Bytes {
         let from = self.members.borrow().local_member().clone();
-        let message = Message { from, digest: self.replica.borrow().digest(), deltas: pieces };
+        let message = Message { from, digest: self.replica.borrow().digest(), deltas };
         message.encode(&self.settings.cluster).into()
     }
 
-    /// A message as it came, or why it is none of this fleet's.
-    fn read(&self, body: &[u8]) -> Result<Message, String> {
+    /// Decodes a message of another gatekeeper of this fleet. The error is the reason for its rejection.
+    fn decode_message(&self, body: &[u8]) -> Result<Message, String> {
         let message = Message::decode(body, &self.settings.cluster)?;
         if message.from.name == self.me.name && message.from.incarnation != self.me.incarnation {
-            return Err(format!("{:?} is taken by another process that lives", message.from.name));
+            return Err(format!(
+                "gatekeeper name {:?} is already used by another running process",
+                message.from.name
+            ));
         }
         Ok(message)
     }
 
-    /// Takes a message over; up to where its sender holds everything.
+    /// Merges a message into the local replica. Returns the digest of its sender.
     fn merge(&self, message: Message) -> Digest {
         let (now, mut replica) = (self.now(), self.replica.borrow_mut());
         replica.observe_digest(&message.digest);
-        for piece in message.deltas {
-            replica.merge(now, piece);
+        for delta in message.deltas {
+            replica.merge(now, delta);
         }
         message.digest
     }
 
-    /// Says why something was turned away, once in a while for each reason.
-    fn turned_away(&self, why: &str) {
-        let mut refused = self.refused.borrow_mut();
-        refused.retain(|_, at| at.elapsed() < REFUSED_AGAIN);
-        if !refused.contains_key(why) && refused.len() < 64 {
-            refused.insert(why.to_owned(), Instant::now());
-            tracing::warn!(why, "fleet: a message is turned away");
+    /// Logs the rejection of a message, each reason at most once per [`REJECTION_LOG_INTERVAL`].
+    fn log_rejection(&self, reason: &str) {
+        let mut logged = self.logged_rejections.borrow_mut();
+        logged.retain(|_, at| at.elapsed() < REJECTION_LOG_INTERVAL);
+        if !logged.contains_key(reason) && logged.len() < MAX_REJECTION_REASONS {
+            logged.insert(reason.to_owned(), Instant::now());
+            tracing::warn!(reason, "fleet: message rejected");
         }
     }
 
-    /// Sends what the protocol of members wants sent, and tells what has changed.
-    fn flush(&self) {
-        let (outbound, news) = {
+    /// Sends the pending datagrams of the membership protocol and handles its events.
+    fn flush_membership(&self) {
+        let (outbound, events) = {
             let mut members = self.members.borrow_mut();
             (members.take_outbound(), members.take_events())
         };
         for (to, datagram) in outbound {
-            // One that does not go is one that is lost on the way.
+            // The protocol tolerates lost datagrams, so a failed send is not retried.
             let _ = self.socket.try_send_to(&datagram, to);
         }
-        for news in news {
-            let there = self.members.borrow().live_members().len();
-            match news {
+        for event in events {
+            let live_members = self.members.borrow().live_members().len();
+            match event {
                 MembershipEvent::Up(m) => {
-                    tracing::info!(member = &*m.name, at = %m.address, there, "fleet: a member is there")
+                    tracing::info!(member = &*m.name, address = %m.address, live_members, "fleet: member joined")
                 }
                 MembershipEvent::Down(m) => {
-                    self.known.borrow_mut().remove(&m.address);
+                    self.acknowledged.borrow_mut().remove(&m.address);
                     self.answering.borrow_mut().remove(&m.address);
-                    // Its last row, where there is one, may come a little later than this.
-                    self.down.borrow_mut().push((Instant::now(), m));
+                    // Logged later: the row that says that the member has left may arrive after this event.
+                    self.pending_down.borrow_mut().push((Instant::now(), m));
                 }
                 MembershipEvent::Rejoined => {
-                    tracing::warn!(there, "fleet: was given up by the others, and is back")
+                    tracing::warn!(
+                        live_members,
+                        "fleet: declared down by other members while running, rejoined"
+                    )
                 }
             }
         }
     }
 
-    /// Tells of those that were given up a moment ago: gone, or left, as they said.
-    fn tell_down(&self) {
-        let (wait, there) = (self.within(), self.members.borrow().live_members().len());
-        self.down.borrow_mut().retain(|(since, m)| {
-            let ripe = since.elapsed() >= wait;
-            if ripe {
+    /// Logs members that were declared down an exchange timeout ago: as left if they announced it, else as down.
+    fn log_pending_down(&self) {
+        let (delay, live_members) = (self.exchange_timeout(), self.members.borrow().live_members().len());
+        self.pending_down.borrow_mut().retain(|(since, m)| {
+            let is_due = since.elapsed() >= delay;
+            if is_due {
                 match self.replica.borrow().has_left(&m.origin()) {
                     true => {
-                        tracing::info!(member = &*m.name, at = %m.address, there, "fleet: a member has left")
+                        tracing::info!(member = &*m.name, address = %m.address, live_members, "fleet: member left by a regular shutdown")
                     }
                     false => {
-                        tracing::warn!(member = &*m.name, at = %m.address, there, "fleet: a member is gone")
+                        tracing::warn!(member = &*m.name, address = %m.address, live_members, "fleet: member down without a regular shutdown")
                     }
                 }
             }
-            !ripe
+            !is_due
         });
     }
 
-    /// Keeps up who is there, for as long as the program runs.
-    pub async fn datagrams(self: Rc<Self>) {
-        let mut bytes = [0; 2048];
+    /// Runs the membership protocol for as long as the program runs.
+    pub async fn run_membership(self: Rc<Self>) {
+        let mut buffer = [0; DATAGRAM_BUFFER_BYTES];
         loop {
             self.members.borrow_mut().run_due_timers(self.now());
-            self.flush();
+            self.flush_membership();
             let wait = Duration::from_secs_f64(
                 (self.members.borrow().next_timer_at() - self.now()).clamp(0.001, 1.0),
             );
-            let Ok(came) = tokio::time::timeout(wait, self.socket.recv_from(&mut bytes)).await else {
+            let Ok(received) = tokio::time::timeout(wait, self.socket.recv_from(&mut buffer)).await else {
                 continue;
             };
-            match came {
+            match received {
                 Ok((count, _)) => {
-                    let heard = self.members.borrow_mut().handle_datagram(self.now(), &bytes[..count]);
-                    if let Err(why) = heard {
-                        self.turned_away(&why);
+                    let handled = self.members.borrow_mut().handle_datagram(self.now(), &buffer[..count]);
+                    if let Err(reason) = handled {
+                        self.log_rejection(&reason);
                     }
                 }
-                // Told of a datagram of ours that met nobody.
-                Err(_) => tokio::time::sleep(Duration::from_millis(1)).await,
+                // Usually an ICMP error for an earlier datagram to a port on which nothing listens.
+                Err(_) => tokio::time::sleep(RECEIVE_RETRY_DELAY).await,
             }
         }
     }
 
-    /// Listens for the others, for as long as the program runs.
-    pub async fn listen(self: Rc<Self>, listener: TcpListener) {
-        let answer = {
+    /// Serves the other gatekeepers for as long as the program runs. Connections above [`MAX_CONNECTIONS`] are closed
+    /// at once.
+    pub async fn run_listener(self: Rc<Self>, listener: TcpListener) {
+        let respond = {
             let fleet = Rc::clone(&self);
             move |request: actix_http::Request| {
                 let fleet = Rc::clone(&fleet);
-                async move { Ok::<_, Infallible>(fleet.answer(request).await) }
+                async move { Ok::<_, Infallible>(fleet.respond(request).await) }
             }
         };
-        let factory = HttpService::<TcpStream, _, _>::build().h1(fn_service(answer)).tcp();
+        let factory = HttpService::<TcpStream, _, _>::build().h1(fn_service(respond)).tcp();
         let Ok(service) = factory.new_service(()).await else { return };
         loop {
             let stream = match listener.accept().await {
-                Ok((stream, _)) if self.guests.get() < GUESTS => stream,
+                Ok((stream, _)) if self.inbound_connections.get() < MAX_CONNECTIONS => stream,
                 Ok(_) => continue,
                 Err(error) => {
-                    tracing::warn!(%error, "fleet: accept failed");
-                    tokio::time::sleep(Duration::from_millis(50)).await;
+                    tracing::warn!(%error, "fleet: connection of another gatekeeper not accepted");
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
             let _ = stream.set_nodelay(true);
-            self.guests.set(self.guests.get() + 1);
+            self.inbound_connections.set(self.inbound_connections.get() + 1);
             let (connection, fleet) = (service.call(stream), Rc::clone(&self));
             actix_rt::spawn(async move {
-                let _ = tokio::time::timeout(GUEST_MOST, connection).await;
-                fleet.guests.set(fleet.guests.get() - 1);
+                let _ = tokio::time::timeout(MAX_CONNECTION_AGE, connection).await;
+                fleet.inbound_connections.set(fleet.inbound_connections.get() - 1);
             });
         }
     }
 
-    async fn answer(&self, mut request: actix_http::Request) -> Response<Bytes> {
-        let said = |status, text: String| Response::with_body(status, Bytes::from(text));
-        let budget = request.path() == BUDGET_AT && self.budgets.is_some();
-        if !(budget || request.path() == EXCHANGE_AT) || *request.method() != Method::POST {
-            return said(StatusCode::NOT_FOUND, "no such call".into());
+    /// Responds to a request of another gatekeeper.
+    async fn respond(&self, mut request: actix_http::Request) -> Response<Bytes> {
+        let text = |status, text: String| Response::with_body(status, Bytes::from(text));
+        let is_budget = request.path() == BUDGET_PATH && self.budgets.is_some();
+        if !(is_budget || request.path() == EXCHANGE_PATH) || *request.method() != Method::POST {
+            let paths = match self.budgets {
+                Some(_) => format!("{EXCHANGE_PATH} and {BUDGET_PATH}"),
+                None => EXCHANGE_PATH.to_owned(),
+            };
+            return text(StatusCode::NOT_FOUND, format!("not found: only POST to {paths} is served"));
         }
         let (mut payload, mut body) = (request.take_payload(), BytesMut::new());
-        while let Some(Ok(part)) = payload.next().await {
-            if body.len() + part.len() > MAX_BODY_BYTES {
-                return said(StatusCode::PAYLOAD_TOO_LARGE, "message too long".into());
+        while let Some(Ok(chunk)) = payload.next().await {
+            if body.len() + chunk.len() > MAX_BODY_BYTES {
+                let reason = format!("message exceeds {MAX_BODY_BYTES} bytes");
+                return text(StatusCode::PAYLOAD_TOO_LARGE, reason);
             }
-            body.extend_from_slice(&part);
+            body.extend_from_slice(&chunk);
         }
-        if let Some(budgets) = self.budgets.as_ref().filter(|_| budget) {
+        if let Some(budgets) = self.budgets.as_ref().filter(|_| is_budget) {
             return match wire::decode(&body, &self.settings.cluster) {
-                Ok(asked) => {
-                    let answer = budgets.answer(self.clock.now(), &asked);
-                    Response::with_body(StatusCode::OK, wire::encode(&answer, &self.settings.cluster).into())
+                Ok(request) => {
+                    let response = budgets.handle_request(self.clock.now(), &request);
+                    Response::with_body(
+                        StatusCode::OK,
+                        wire::encode(&response, &self.settings.cluster).into(),
+                    )
                 }
-                Err(why) => {
-                    self.turned_away(&why);
-                    said(StatusCode::CONFLICT, why)
+                Err(reason) => {
+                    self.log_rejection(&reason);
+                    text(StatusCode::CONFLICT, reason)
                 }
             };
         }
-        match self.read(&body) {
+        match self.decode_message(&body) {
             Ok(message) => {
                 let digest = self.merge(message);
-                Response::with_body(StatusCode::OK, self.lacked(&digest))
+                Response::with_body(StatusCode::OK, self.missing_rows(&digest))
             }
-            Err(why) => {
-                self.turned_away(&why);
-                said(StatusCode::CONFLICT, why)
+            Err(reason) => {
+                self.log_rejection(&reason);
+                text(StatusCode::CONFLICT, reason)
             }
         }
     }
 
-    /// What one who holds `theirs` lacks, within what may be sent now.
-    fn lacked(&self, theirs: &Digest) -> Bytes {
-        let (now, mut pace) = (self.now(), self.pace.borrow_mut());
-        let most = pace.available_rows(now, ROWS_MOST);
-        self.turn.set(self.turn.get().wrapping_add(1));
-        let (pieces, _) = self.replica.borrow().deltas_for(now, theirs, most, self.turn.get());
-        let rows = pieces.iter().map(|piece| piece.rows.len()).sum();
-        let message = self.message(pieces);
-        pace.charge(rows, message.len());
+    /// A message with the rows that a replica with this digest lacks, within the send limit.
+    fn missing_rows(&self, digest: &Digest) -> Bytes {
+        let (now, mut send_limit) = (self.now(), self.send_limit.borrow_mut());
+        let max_rows = send_limit.available_rows(now, MAX_ROWS_PER_MESSAGE);
+        self.response_count.set(self.response_count.get().wrapping_add(1));
+        let (deltas, _) = self.replica.borrow().deltas_for(now, digest, max_rows, self.response_count.get());
+        let rows = deltas.iter().map(|delta| delta.rows.len()).sum();
+        let message = self.encode_message(deltas);
+        send_limit.charge(rows, message.len());
         message
     }
 
-    /// Asks one member for what is not here, and tells it what this one wrote itself.
-    async fn ask(self: Rc<Self>, member: Member, within: Duration) {
-        let at = member.address;
-        if !self.asking.borrow_mut().insert(at) {
-            return; // it has not answered the last question yet
+    /// Exchanges rows with a member: sends the rows written here and receives those that are missing here. Does
+    /// nothing while an earlier exchange with the member is in flight.
+    async fn exchange_with(self: Rc<Self>, member: Member, timeout: Duration) {
+        let address = member.address;
+        if !self.in_exchange.borrow_mut().insert(address) {
+            return;
         }
-        let peer = Peer { name: at.to_string().into(), address: at };
-        let known = self
-            .known
+        let peer = Peer { name: address.to_string().into(), address };
+        let acknowledged = self
+            .acknowledged
             .borrow()
-            .get(&at)
-            .filter(|known| known.0 == member.incarnation)
-            .map_or(0, |known| known.1);
-        let mut request = self.request(EXCHANGE_AT);
-        let own = self.replica.borrow().own_delta_after(self.now(), known);
-        request.body = self.message(own.into_iter().collect());
-        let read = self.exchange(&peer, request, within).await.and_then(|body| self.read(&body));
-        self.asking.borrow_mut().remove(&at);
-        let answered = match read {
+            .get(&address)
+            .filter(|acknowledged| acknowledged.incarnation == member.incarnation)
+            .map_or(0, |acknowledged| acknowledged.version);
+        let mut request = self.request(EXCHANGE_PATH);
+        let own = self.replica.borrow().own_delta_after(self.now(), acknowledged);
+        request.body = self.encode_message(own.into_iter().collect());
+        let response = self.send(&peer, request, timeout).await.and_then(|body| self.decode_message(&body));
+        self.in_exchange.borrow_mut().remove(&address);
+        let answered = match response {
             Ok(message) => {
-                let life = message.from.incarnation;
-                let upto = self.merge(message).get(&self.me).copied().unwrap_or(0);
-                self.known.borrow_mut().insert(at, (life, upto));
+                let incarnation = message.from.incarnation;
+                let version = self.merge(message).get(&self.me).copied().unwrap_or(0);
+                let acknowledged = AcknowledgedVersion { incarnation, version };
+                self.acknowledged.borrow_mut().insert(address, acknowledged);
                 true
             }
-            Err(why) => {
-                self.known.borrow_mut().remove(&at);
-                if self.answering.borrow().contains(&at) {
-                    tracing::warn!(member = &*member.name, peer = %at, why, "fleet: a peer does not answer");
+            Err(reason) => {
+                self.acknowledged.borrow_mut().remove(&address);
+                if self.answering.borrow().contains(&address) {
+                    tracing::warn!(member = &*member.name, %address, reason, "fleet: exchange with member failed");
                 }
                 false
             }
         };
         let mut answering = self.answering.borrow_mut();
-        let before = if answered { !answering.insert(at) } else { answering.remove(&at) };
-        if answered && !before {
-            tracing::info!(member = &*member.name, peer = %at, answering = answering.len(), "fleet: a peer answers");
+        let was_answering = if answered { !answering.insert(address) } else { answering.remove(&address) };
+        if answered && !was_answering {
+            tracing::info!(member = &*member.name, %address, answering = answering.len(), "fleet: exchanges with member succeed");
         }
     }
 
-    fn request(&self, at: &'static str) -> Request {
-        let mut request = Request::plain(Method::POST, PathAndQuery::from_static(at));
+    /// A request to another gatekeeper, without a body.
+    fn request(&self, path: &'static str) -> Request {
+        let mut request = Request::plain(Method::POST, PathAndQuery::from_static(path));
         if let Ok(name) = HeaderValue::from_str(&self.me.name) {
-            request.headers.push((FROM, name));
+            request.headers.push((FROM_HEADER, name));
         }
         request
     }
 
-    async fn exchange(&self, peer: &Peer, request: Request, within: Duration) -> Result<Bytes, String> {
-        let bounds = ExchangeOptions::timeout(within);
-        match self.exchanger.exchange(peer, request, bounds, std::future::pending()).await {
-            (ExchangeOutcome::Answered, Some(reply)) => Ok(reply.body),
-            (_, Some(reply)) => Err(String::from_utf8_lossy(&reply.body).into_owned()),
-            (end, None) => Err(format!("{end:?}")),
+    /// Sends a request and returns the body of the response. The error is the reason why there is none.
+    async fn send(&self, peer: &Peer, request: Request, timeout: Duration) -> Result<Bytes, String> {
+        let options = ExchangeOptions::timeout(timeout);
+        match self.client.exchange(peer, request, options, std::future::pending()).await {
+            (ExchangeOutcome::Answered, Some(response)) => Ok(response.body),
+            (_, Some(response)) => {
+                Err(format!("rejected by the member: {}", String::from_utf8_lossy(&response.body)))
+            }
+            (outcome, None) => Err(format!("no response: {outcome:?}")),
         }
     }
 
-    /// The one that divides, as far as is known here: of those that are there the one with the least name.
-    fn divider(&self) -> Member {
+    /// The member that grant requests are sent to: the live member with the least name. Members may differ in their
+    /// view of it; that a share is granted by one leader at a time is ensured by the allocator.
+    fn leader_candidate(&self) -> Member {
         let members = self.members.borrow();
         let others = members.live_members().into_iter().filter(|m| m.name != self.me.name);
         others
@@ -427,145 +487,149 @@
             .unwrap_or_else(|| members.local_member().clone())
     }
 
-    /// Asks the divider for parts of ceilings, where these are divided, for as long as the program runs.
-    pub async fn budget_rounds(self: Rc<Self>) {
+    /// Requests shares of ceilings from the leader for as long as the program runs. Returns at once if ceilings are
+    /// not divided by demand.
+    pub async fn run_budget_requests(self: Rc<Self>) {
         let Some(budgets) = &self.budgets else { return };
-        let _ = self.queue.send(CoreMessage::DivideCeilings(budgets.floor()));
+        let _ = self.core.send(CoreMessage::DivideCeilings(budgets.floor()));
         loop {
             let jitter = 0.8 + 0.2 * self.rng.borrow_mut().f64();
-            tokio::time::sleep(budgets.every().mul_f64(jitter)).await;
-            self.budget_round(budgets).await;
+            tokio::time::sleep(budgets.request_interval().mul_f64(jitter)).await;
+            self.request_shares(budgets).await;
         }
     }
 
-    async fn budget_round(&self, budgets: &Budgets) {
-        let divider = self.divider();
-        let asked = budgets.ask(self.clock.now(), &divider);
-        let answer = if divider.name == self.me.name {
-            Some(budgets.answer(self.clock.now(), &asked))
+    /// Sends one grant request and passes the shares in its response to the core.
+    async fn request_shares(&self, budgets: &Budgets) {
+        let leader = self.leader_candidate();
+        let grant_request = budgets.next_request(self.clock.now(), &leader);
+        let response = if leader.name == self.me.name {
+            Some(budgets.handle_request(self.clock.now(), &grant_request))
         } else {
-            let peer = Peer { name: divider.address.to_string().into(), address: divider.address };
-            let mut request = self.request(BUDGET_AT);
-            if self.members.borrow().live_members().len() > FEW {
+            let peer = Peer { name: leader.address.to_string().into(), address: leader.address };
+            let mut request = self.request(BUDGET_PATH);
+            if self.members.borrow().live_members().len() > MAX_MEMBERS_FOR_KEEP_ALIVE {
                 request.headers.push((CONNECTION, HeaderValue::from_static("close")));
             }
-            request.body = wire::encode(&asked, &self.settings.cluster).into();
-            let body = self.exchange(&peer, request, budgets.every()).await;
+            request.body = wire::encode(&grant_request, &self.settings.cluster).into();
+            let body = self.send(&peer, request, budgets.request_interval()).await;
             body.and_then(|body| wire::decode(&body, &self.settings.cluster)).ok()
         };
-        if let Some(parts) = answer.and_then(|answer| budgets.answered(self.clock.now(), &answer)) {
-            let _ = self.queue.send(CoreMessage::AssignedCeilings(parts));
+        let shares = response.and_then(|response| budgets.handle_response(self.clock.now(), &response));
+        if let Some(shares) = shares {
+            let _ = self.core.send(CoreMessage::AssignedCeilings(shares));
         }
     }
 
-    fn within(&self) -> Duration {
-        Duration::from_secs_f64(self.settings.gossip_interval_secs * ROUNDS_TO_ANSWER).max(ANSWER_LEAST)
+    fn exchange_timeout(&self) -> Duration {
+        Duration::from_secs_f64(self.settings.gossip_interval_secs * EXCHANGE_TIMEOUT_ROUNDS)
+            .max(MIN_EXCHANGE_TIMEOUT)
     }
 
-    /// Some of the members that are there, at random.
-    fn some(&self, most: usize) -> Vec<Member> {
+    /// At most `count` live members other than this one, at random.
+    fn random_members(&self, count: usize) -> Vec<Member> {
         let mut members = self.members.borrow().live_members();
         members.retain(|m| m.name != self.me.name);
         self.rng.borrow_mut().shuffle(&mut members);
-        members.truncate(most);
+        members.truncate(count);
         members
     }
 
-    /// Writes what this gatekeeper itself knows, and hands it what the others wrote.
-    fn note(&self, now: f64, known: LocalState) {
+    /// Records the state of the core in the local replica, and passes the state of the other gatekeepers to the core.
+    fn exchange_with_core(&self, now: f64, local: LocalState) {
         if let Some(budgets) = &self.budgets {
-            budgets.wants(&known.ceiling_demand);
+            budgets.set_demands(&local.ceiling_demand);
         }
         let mut replica = self.replica.borrow_mut();
-        let keep = ReplicaLimits::default().retention_secs;
-        if now - self.born
-            >= replica.last_heartbeat().map_or(0.0, |lived| lived + self.settings.max_lag_secs / BEATS)
-        {
-            replica.record(now, Key::Heartbeat, RowValue::Heartbeat(now - self.born), keep);
+        let retention_secs = ReplicaLimits::default().retention_secs;
+        let uptime = now - self.started_at;
+        let heartbeat_interval = self.settings.max_lag_secs / HEARTBEATS_PER_MAX_LAG;
+        if uptime >= replica.last_heartbeat().map_or(0.0, |last| last + heartbeat_interval) {
+            replica.record(now, Key::Heartbeat, RowValue::Heartbeat(uptime), retention_secs);
         }
-        for s in known.usage {
-            let said = RowValue::Usage { units: s.units, acknowledged: s.acknowledged_units };
-            replica.record(now, Key::Usage(s.customer, s.window), said, s.expires_at - now);
+        for usage in local.usage {
+            let value = RowValue::Usage { units: usage.units, acknowledged: usage.acknowledged_units };
+            replica.record(now, Key::Usage(usage.customer, usage.window), value, usage.expires_at - now);
         }
-        for (node, judged) in known.host_health {
-            replica.record_health(now, node, judged, JUDGED_S);
+        for (node, health) in local.host_health {
+            replica.record_health(now, node, health, HEALTH_REFRESH_SECS);
         }
-        if now - self.swept.get() > SWEEP_S {
-            self.swept.set(now);
-            let alive = self.members.borrow().live_members().into_iter().map(|m| m.name).collect();
-            replica.sweep(now, &alive);
+        if now - self.swept_at.get() > SWEEP_INTERVAL_SECS {
+            self.swept_at.set(now);
+            let live = self.members.borrow().live_members().into_iter().map(|m| m.name).collect();
+            replica.sweep(now, &live);
         }
-        let told = replica.remotely_observed_nodes();
-        let unmet = known.unobserved_hosts.into_iter().filter(|(node, _)| told.contains(node));
-        let judged = unmet.filter_map(|(node, started)| {
-            let (judged, age) = replica.remote_health(now, &node, started)?;
-            Some((node, judged, age))
+        let observed = replica.remotely_observed_nodes();
+        let unobserved_here = local.unobserved_hosts.into_iter().filter(|(node, _)| observed.contains(node));
+        let host_health = unobserved_here.filter_map(|(node, started_at)| {
+            let (health, age) = replica.remote_health(now, &node, started_at)?;
+            Some((node, health, age))
         });
-        let judged = judged.collect();
-        let fresh = replica.fresh_fraction(now, self.replicas);
-        let copies =
-            RemoteState { usage: replica.take_changed_usage(), host_health: judged, fresh_fraction: fresh };
-        let _ = self.queue.send(CoreMessage::ReplicatedState(Box::new(copies)));
+        let host_health = host_health.collect();
+        let fresh_fraction = replica.fresh_fraction(now, self.fleet_size);
+        let remote = RemoteState { usage: replica.take_changed_usage(), host_health, fresh_fraction };
+        let _ = self.core.send(CoreMessage::ReplicatedState(Box::new(remote)));
     }
 
-    /// Asks the core what it knows; `false` where there is none any more.
-    async fn look(&self) -> bool {
-        let (to, known) = oneshot::channel();
-        let _ = self.queue.send(CoreMessage::ReadLocalState(to));
-        let Ok(known) = known.await else { return false };
-        self.note(self.now(), known);
+    /// Reads the state of the core and exchanges it with the replica. Returns `false` if the core has ended.
+    async fn sync_with_core(&self) -> bool {
+        let (sender, local) = oneshot::channel();
+        let _ = self.core.send(CoreMessage::ReadLocalState(sender));
+        let Ok(local) = local.await else { return false };
+        self.exchange_with_core(self.now(), local);
         true
     }
 
-    /// Keeps the copies equal, and tells the core what others spent and saw, for as long as the program runs.
-    pub async fn rounds(self: Rc<Self>) {
-        let (mut told, round) = (Instant::now(), self.settings.gossip_interval_secs);
+    /// Runs gossip rounds until the core has ended: each one exchanges state with the core, and rows with a few
+    /// members.
+    pub async fn run_gossip(self: Rc<Self>) {
+        let (mut logged_at, round) = (Instant::now(), self.settings.gossip_interval_secs);
         loop {
             let jitter = 0.8 + 0.4 * self.rng.borrow_mut().f64();
             tokio::time::sleep(Duration::from_secs_f64(round * jitter)).await;
-            if !self.look().await {
+            if !self.sync_with_core().await {
                 return;
             }
-            self.tell_down();
-            // One after the other: two that are asked at once would both send the same rows.
-            let apart = Duration::from_secs_f64(round / f64::from(self.settings.fanout));
-            for (nth, member) in (0u32..).zip(self.some(self.settings.fanout as usize)) {
-                if self.asking.borrow().len() < GUESTS {
+            self.log_pending_down();
+            // Exchanges of a round are spread over it: concurrent ones would both transfer the same rows.
+            let spacing = Duration::from_secs_f64(round / f64::from(self.settings.fanout));
+            for (nth, member) in (0u32..).zip(self.random_members(self.settings.fanout as usize)) {
+                if self.in_exchange.borrow().len() < MAX_CONNECTIONS {
                     let fleet = Rc::clone(&self);
                     actix_rt::spawn(async move {
-                        tokio::time::sleep(apart * nth).await;
-                        let within = fleet.within();
-                        fleet.ask(member, within).await;
+                        tokio::time::sleep(spacing * nth).await;
+                        let timeout = fleet.exchange_timeout();
+                        fleet.exchange_with(member, timeout).await;
                     });
                 }
             }
-            if told.elapsed().as_secs_f64() > self.settings.log_interval_secs {
-                told = Instant::now();
-                self.tell(self.now());
+            if logged_at.elapsed().as_secs_f64() > self.settings.log_interval_secs {
+                logged_at = Instant::now();
+                self.log_state(self.now());
             }
         }
     }
 
-    /// How things stand, for operators.
-    fn tell(&self, now: f64) {
+    /// Logs the state of replication and of divided ceilings; `whinstall report` reads these lines.
+    fn log_state(&self, now: f64) {
         if let Some(budgets) = &self.budgets {
-            budgets.tell(self.clock.now());
+            budgets.log_state(self.clock.now());
         }
         let replica = self.replica.borrow();
-        let standing: BTreeMap<_, _> =
+        let states: BTreeMap<_, _> =
             self.members.borrow().member_states().into_iter().map(|(m, s)| (m.name, s)).collect();
-        let count = |which| standing.values().filter(|s| **s == which).count();
+        let count = |state| states.values().filter(|s| **s == state).count();
         let others = || replica.lags(now).filter(|lag| *lag.origin != self.me);
-        // A life that is over does not lag: what it wrote is here, or it is lost.
-        let last: BTreeMap<_, _> = others().map(|lag| (Arc::clone(&lag.origin.name), lag)).collect();
-        let living =
-            || last.values().filter(|lag| standing.get(&lag.origin.name) != Some(&MemberState::Down));
-        let worst = living().max_by(|a, b| a.seconds.total_cmp(&b.seconds));
-        let (tally, (rows, sum)) = (replica.merge_stats(), replica.usage_checksum());
+        // Only the latest incarnation of each member can still catch up: rows of earlier ones that no replica holds
+        // are lost.
+        let latest: BTreeMap<_, _> = others().map(|lag| (Arc::clone(&lag.origin.name), lag)).collect();
+        let live = || latest.values().filter(|lag| states.get(&lag.origin.name) != Some(&MemberState::Down));
+        let worst = live().max_by(|a, b| a.seconds.total_cmp(&b.seconds));
+        let (stats, (rows, sum)) = (replica.merge_stats(), replica.usage_checksum());
         let (oldest, oldest_s) = worst.map_or(("", 0.0), |lag| (&*lag.origin.name, lag.seconds));
-        let lags: Vec<String> = last
+        let lags: Vec<String> = latest
             .iter()
-            .take(64)
+            .take(MAX_LOGGED_LAGS)
             .map(|(name, lag)| match (lag.has_left, lag.seconds.is_finite()) {
                 (true, _) => format!("{name}:left"),
                 (_, true) => format!("{name}:{:.2}/{}", lag.seconds, lag.missing_versions),
@@ -577,15 +641,15 @@
             suspected = count(MemberState::Suspected),
             down = count(MemberState::Down),
             answering = self.answering.borrow().len(),
-            fresh = format!("{:.2}", replica.fresh_fraction(now, self.replicas)),
+            fresh = format!("{:.2}", replica.fresh_fraction(now, self.fleet_size)),
             origins = replica.lags(now).count(),
             rows,
             sum = format!("{sum:016x}"),
             judged = replica.remotely_observed_nodes().len(),
-            taken = tally.applied,
-            known = tally.already_known,
-            refused = tally.rejected,
-            missing = living().map(|lag| lag.missing_versions).sum::<u64>(),
+            taken = stats.applied,
+            known = stats.already_known,
+            refused = stats.rejected,
+            missing = live().map(|lag| lag.missing_versions).sum::<u64>(),
             oldest,
             oldest_s = format!("{oldest_s:.2}"),
             lag = lags.join(","),
@@ -593,22 +657,24 @@
         );
     }
 
-    /// This process ends: what it wrote last, and that it ends, is told to a few, and they tell the others.
+    /// Leaves the fleet at a regular shutdown: sends the last rows, and the row that announces the departure, to a few
+    /// members, which spread them. Each step is bounded by [`LEAVE_TIMEOUT`].
     pub async fn leave(self: Rc<Self>) {
-        let _ = tokio::time::timeout(LAST_WAIT, self.look()).await;
+        let _ = tokio::time::timeout(LEAVE_TIMEOUT, self.sync_with_core()).await;
         self.replica.borrow_mut().record(
             self.now(),
             Key::Left,
             RowValue::Left,
             ReplicaLimits::default().retention_secs,
         );
-        let told = self.some(LAST_TOLD).into_iter().map(|member| Rc::clone(&self).ask(member, LAST_WAIT));
-        futures_util::future::join_all(told).await;
+        let peers = self.random_members(LEAVE_PEERS).into_iter();
+        let exchanges = peers.map(|member| Rc::clone(&self).exchange_with(member, LEAVE_TIMEOUT));
+        futures_util::future::join_all(exchanges).await;
         if let Some(budgets) = &self.budgets {
             budgets.leave();
-            let _ = tokio::time::timeout(LAST_WAIT, self.budget_round(budgets)).await;
+            let _ = tokio::time::timeout(LEAVE_TIMEOUT, self.request_shares(budgets)).await;
         }
         self.members.borrow_mut().leave(self.now());
-        self.flush();
+        self.flush_membership();
     }
 }
--- a/src/net/process/startup.rs
+++ b/src/net/process/startup.rs
@@ -168,7 +168,7 @@
 fn service_descriptors(fields: &Configuration, has_operator: bool, has_fleet: bool) -> usize {
     let operator = operator::RESERVED_DESCRIPTORS + hot_restart::RESERVED_DESCRIPTORS;
     let mut reserved = if has_operator { operator } else { 0 };
-    reserved += if has_fleet { fleet::DESCRIPTORS } else { 0 };
+    reserved += if has_fleet { fleet::RESERVED_DESCRIPTORS } else { 0 };
     fields.limits.sockets.saturating_sub(reserved).max(MIN_DESCRIPTORS)
 }
 
@@ -296,7 +296,8 @@
 }
 
 fn node_client(sockets: &SocketSettings, max_connections: usize) -> UpstreamClient {
-    let idle_timeout = sockets.host_idle_timeout.saturating_sub(IDLE_MARGIN).max(sockets.host_idle_timeout / 2);
+    let idle_timeout =
+        sockets.host_idle_timeout.saturating_sub(IDLE_MARGIN).max(sockets.host_idle_timeout / 2);
     UpstreamClient::new(sockets.connect_timeout, idle_timeout, max_connections)
 }
 
@@ -347,10 +348,10 @@
         tracing::info!(fleet = %address, seeds = settings.seeds.len(), "replication among gatekeepers enabled");
         let core = self.service.core.clone();
         let fleet = Fleet::new(settings, member, seed, self.clock, (socket, address), core);
-        actix_rt::spawn(Rc::clone(&fleet).listen(listener));
-        actix_rt::spawn(Rc::clone(&fleet).datagrams());
-        actix_rt::spawn(Rc::clone(&fleet).rounds());
-        actix_rt::spawn(Rc::clone(&fleet).budget_rounds());
+        actix_rt::spawn(Rc::clone(&fleet).run_listener(listener));
+        actix_rt::spawn(Rc::clone(&fleet).run_membership());
+        actix_rt::spawn(Rc::clone(&fleet).run_gossip());
+        actix_rt::spawn(Rc::clone(&fleet).run_budget_requests());
         Ok(fleet)
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -495,13 +495,13 @@
     fleet.members[3].signal("KILL");
     fleet.members[3].exit();
     for n in [0, 1, 2, 4] {
-        fleet.members[n].logged(&["a member is gone", "member=\"g3\""]);
+        fleet.members[n].logged(&["member down without a regular shutdown", "member=\"g3\""]);
     }
     fleet.wait_for_members(&[0, 1, 2, 4], 3, "0.75");
     fleet.members[2].sigterm();
     assert!(fleet.members[2].exit().success());
     for n in [0, 1, 4] {
-        fleet.members[n].logged(&["a member has left", "member=\"g2\""]);
+        fleet.members[n].logged(&["member left by a regular shutdown", "member=\"g2\""]);
     }
     fleet.wait_for_members(&[0, 1, 4], 2, "0.75");
     for n in [3, 2] {
@@ -524,7 +524,7 @@
     wait(2.0);
     for n in ALL {
         let log = fleet.members[n].log_so_far();
-        assert!(log.iter().all(|l| !l.contains("a member is gone")), "{log:?}");
+        assert!(log.iter().all(|l| !l.contains("member down without a regular shutdown")), "{log:?}");
     }
     fleet.wait_for_members(&ALL, 4, "1.00");
 }
@@ -536,12 +536,12 @@
     fleet.wait_for_members(&ALL, 4, "1.00");
     fleet.members[2].signal("STOP");
     for n in [0, 1, 3, 4] {
-        fleet.members[n].logged(&["a member is gone", "member=\"g2\""]);
+        fleet.members[n].logged(&["member down without a regular shutdown", "member=\"g2\""]);
     }
     let customer = new_customer();
     assert!(fleet.use_quota(0, customer) >= 1);
     fleet.members[2].signal("CONT");
-    fleet.members[2].logged(&["given up by the others, and is back"]);
+    fleet.members[2].logged(&["declared down by other members while running, rejoined"]);
     fleet.wait_for_members(&ALL, 4, "1.00");
     fleet.wait_for_rows(&ALL, 1);
 }
@@ -825,7 +825,7 @@
 #[test]
 fn messages_of_another_fleet_are_rejected() {
     let fleet = Fleet::with_clusters(true, Counter::Silent, 0.02, ["cluj", "cluj", "cluj", "cluj", "arad"]);
-    fleet.members[0].logged(&["a message is turned away", "g4", "arad"]);
+    fleet.members[0].logged(&["fleet: message rejected", "g4", "arad"]);
     fleet.wait_for_members(&[0, 1, 2, 3], 3, "0.75");
     let customer = new_customer();
     assert!(fleet.use_quota(4, customer) >= 1 && fleet.use_quota(0, customer) >= 1);
