--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core: the one task that owns the decision module ([`Gateway`]), the sessions and all timers.
 //!
 //! The core is an actor: it receives messages through one queue ([`CoreMessage`]) and acts through the [`Transport`].
-//! It performs no I/O itself and is independent of HTTP and JSON.
+//! The core performs no I/O itself and is independent of HTTP and JSON.
 
 mod actions;
 mod clock;
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Answers the readiness check, denies a request beyond the connection limit, rejects an invalid request, or submits
-    /// a valid one to the core and waits for the result.
+    /// Answers the readiness check, denies a request beyond the connection limit, rejects an invalid request, or
+    /// submits a valid one to the core and waits for the result.
     async fn respond(&mut self, request: IncomingRequest) -> Result<OutgoingResponse, Disconnected> {
         let IncomingRequest { head, body } = request;
         if head.path() == READY_PATH {
@@ -132,7 +132,7 @@
 }
 
 fn rejection(error: &RequestError) -> OutgoingResponse {
-    tracing::debug!(reason = error.reason, "request rejected");
+    tracing::debug!(status = error.status.as_u16(), reason = error.reason, "request rejected");
     let body = Bytes::from_static(error.reason.as_bytes());
     OutgoingResponse { head: Response::build(error.status), body, keep_alive: false }
 }
--- a/src/net/downstream/http_stream.rs
+++ b/src/net/downstream/http_stream.rs
@@ -134,8 +134,8 @@
         Ok(())
     }
 
-    /// Whether the connection is open and the kernel holds no unread bytes. The runtime may not have been notified yet of
-    /// a request that has just arrived; closing the connection would lose that request.
+    /// Whether the connection is open and the kernel holds no unread bytes. The runtime may not have been notified yet
+    /// of a request that has just arrived; closing the connection would lose that request.
     fn has_no_unread_bytes(&self) -> bool {
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
--- a/src/net/downstream/serving_state.rs
+++ b/src/net/downstream/serving_state.rs
@@ -24,8 +24,8 @@
 }
 
 impl ServingState {
-    /// Whether the transition from this state to `new` is allowed. `Draining` and `HandedOver` cannot return to `Active`
-    /// or `Standby`. A transition to the current state is not allowed, so that the time of entry is kept.
+    /// Whether the transition from this state to `new` is allowed. `Draining` and `HandedOver` cannot return to
+    /// `Active` or `Standby`. A transition to the current state is not allowed, so that the time of entry is kept.
     pub fn can_transition_to(&self, new: &ServingState) -> bool {
         let is_same = std::mem::discriminant(self) == std::mem::discriminant(new);
         let is_ending = matches!(self, ServingState::Draining | ServingState::HandedOver { .. });
--- a/src/net/endpoints/schedule.rs
+++ b/src/net/endpoints/schedule.rs
@@ -67,8 +67,8 @@
         (BACKOFF_PER_GATEKEEPER * self.replicas).min(MAX_START_DELAY).mul_f64(self.rng.f64())
     }
 
-    /// Records a list and returns whether it may be applied. Changes with a lower revision than the current one come from
-    /// another incarnation of discovery and are relative to an unknown list, so the full list is requested next.
+    /// Records a list and returns whether it may be applied. Changes with a lower revision than the current one come
+    /// from another incarnation of discovery and are relative to an unknown list, so the full list is requested next.
     pub(super) fn on_list(&mut self, list: &EndpointList) -> bool {
         let is_restarted = !list.all && self.revision.is_some_and(|held| list.rev < held);
         (self.revision, self.failures) = (Some(list.rev).filter(|_| !is_restarted), 0);
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -73,13 +73,17 @@
 }
 
 /// Requests the listening socket of the process that serves at `address`. `None` if no process serves there, if the
-/// serving process does not respond within [`SEND_TIMEOUT`], or if a gatekeeper of the same name serves another address.
+/// serving process does not respond within [`SEND_TIMEOUT`], or if a gatekeeper of the same name serves another
+/// address.
 pub fn request_listener(path: &Path, address: SocketAddr) -> Option<(Predecessor, std::net::TcpListener)> {
     let stream = std::os::unix::net::UnixStream::connect(path).ok()?;
     match receive_checked(&stream, address) {
         Ok(listener) => Some((Predecessor { stream: UnixStream::from_std(stream).ok()? }, listener)),
         Err(error) => {
-            tracing::warn!(%error, "no listening socket received from the serving process: opening another one at the same address");
+            tracing::warn!(
+                %error,
+                "no listening socket received from the serving process: opening a new one"
+            );
             None
         }
     }
@@ -122,8 +126,8 @@
 
 impl Predecessor {
     /// Waits for the handover. `None` if the serving process exits without one, if the length exceeds
-    /// [`MAX_HANDOVER_BYTES`], or if the body does not arrive within [`SEND_TIMEOUT`]. A handover that cannot be decoded
-    /// counts as empty.
+    /// [`MAX_HANDOVER_BYTES`], or if the body does not arrive within [`SEND_TIMEOUT`]. A handover that cannot be
+    /// decoded counts as empty.
     pub async fn receive_handover(&mut self) -> Option<Handover> {
         let mut length = [0; 4];
         self.stream.read_exact(&mut length).await.ok()?;
--- a/src/net/upstream/codec.rs
+++ b/src/net/upstream/codec.rs
@@ -164,8 +164,14 @@
             (None, false) if head.status != StatusCode::OK => Ok(BodyFraming::UntilClose),
             // Only if the peer announced the close: otherwise a truncated body would count as complete.
             (None, false) if announces_close(head) => Ok(BodyFraming::UntilClose),
-            framing => {
-                tracing::debug!(?framing, max_body_bytes = MAX_BODY_BYTES, headers = ?head.headers, "upstream response rejected: ambiguous framing, or body over the limit");
+            (content_length, has_transfer_encoding) => {
+                tracing::debug!(
+                    ?content_length,
+                    has_transfer_encoding,
+                    max_body_bytes = MAX_BODY_BYTES,
+                    headers = ?head.headers,
+                    "upstream response rejected: ambiguous framing, or body longer than the limit"
+                );
                 Err(ExchangeError::InvalidResponse)
             }
         }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -101,8 +101,8 @@
 }
 
 impl UpstreamClient {
-    /// Creates a client with at most `max_connections` connections, each established within `connect_timeout` and closed
-    /// after `idle_timeout` without use.
+    /// Creates a client with at most `max_connections` connections, each established within `connect_timeout` and
+    /// closed after `idle_timeout` without use.
     pub fn new(connect_timeout: Duration, idle_timeout: Duration, max_connections: usize) -> Self {
         let pool = ConnectionPool::new(max_connections, idle_timeout);
         let config = ServiceConfigBuilder::new().keep_alive(KeepAlive::Os).build();
