--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -78,7 +78,7 @@
         self
     }
 
-    /// Handles messages and timers until all senders are dropped.
+    /// Handles messages and timers until the program exits.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<CoreMessage<T>>) {
         loop {
             let next_timer = self.next_timer();
--- a/src/net/downstream/connection_table.rs
+++ b/src/net/downstream/connection_table.rs
@@ -1,4 +1,4 @@
-//! Table of the open client connections, and eviction of idle ones near the connection limit.
+//! Table of the open client connections, and their eviction from half of the connection limit on.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -63,6 +63,7 @@
     busy: Cell<usize>,
     /// Notified when a connection is removed.
     closed: Notify,
+    /// Evictions for the next log line.
     evictions: Cell<EvictionLog>,
 }
 
@@ -128,7 +129,7 @@
         if is_due {
             tracing::info!(
                 connections = pending + 1,
-                "evicted idle client connections near the connection limit"
+                "evicted client connections without an accepted request: at least half of the limit is in use"
             );
         }
         self.evictions.set(if is_due {
--- a/src/net/downstream/tests.rs
+++ b/src/net/downstream/tests.rs
@@ -67,20 +67,20 @@
     String::from_utf8_lossy(&bytes[..count]).into_owned()
 }
 
-/// At the connection limit, idle connections are evicted first and unused ones next. Connections with an accepted
-/// request must not be evicted, and a connection beyond the limit gets a response with `Retry-After`.
+/// New connections, whose first request may be in transit, are evicted only at the connection limit and after idle ones.
+/// Connections with an accepted request are never evicted, and a request beyond the limit is denied with `Retry-After`.
 #[test]
-fn idle_connections_are_evicted_then_unused_ones_and_never_one_with_an_accepted_request() {
+fn idle_connections_are_evicted_then_new_ones_and_never_one_with_an_accepted_request() {
     actix_rt::System::new().block_on(async {
         let mut fixture = Fixture::start(2).await;
         let started = Instant::now();
         let mut idle = fixture.connect_and_write(READY).await;
         assert!(read(&mut idle).await.starts_with("HTTP/1.1 503"));
-        let mut unused = fixture.connect().await;
+        let mut new = fixture.connect().await;
         // At half of the limit the idle connection is evicted.
         assert_eq!(read(&mut idle).await, "");
         let (mut accepted, mut sessions) = (Vec::new(), Vec::new());
-        for evicted in [&mut idle, &mut unused] {
+        for evicted in [&mut idle, &mut new] {
             let client = fixture.connect_and_write(REQUEST).await;
             let session = fixture.next_session().await;
             assert_eq!(read(evicted).await, "");
--- a/src/net/endpoints/tests.rs
+++ b/src/net/endpoints/tests.rs
@@ -13,7 +13,8 @@
 
 /// A fleet that starts at once must not overload discovery. The simulated discovery handles 20 requests per second in
 /// order of arrival and rejects a request that has waited for more than 2 s, after the work on it. With a fixed retry
-/// interval of 100 ms, a hundred gatekeepers keep the queue full for good, and hardly any request is answered in time.
+/// interval of 100 ms, a hundred gatekeepers that start at once send ten requests per second for good, and hardly any
+/// of them is ever answered.
 #[test]
 fn a_fleet_that_starts_at_once_is_answered_by_a_slow_discovery() {
     for replicas in [3, 30, 100, 300] {
