--- a/src/net/core/mod.rs
+++ b/src/net/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core: the one task that owns the decision module ([`Gateway`]), the sessions and all timers.
 //!
 //! The core is an actor: it receives messages through one queue ([`CoreMessage`]) and acts through the [`Transport`].
-//! It performs no I/O itself and is independent of HTTP and JSON.
+//! The core performs no I/O itself and is independent of HTTP and JSON.
 
 mod actions;
 mod clock;
@@ -78,7 +78,7 @@
         self
     }
 
-    /// Handles messages and timers until all senders are dropped.
+    /// Handles messages and timers until the program exits.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<CoreMessage<T>>) {
         loop {
             let next_timer = self.next_timer();
