--- a/src/net/process/cli.rs
+++ b/src/net/process/cli.rs
@@ -139,7 +139,7 @@
     };
     match text {
         Ok(text) => {
-            print!("{}", report::of_log(&text));
+            print!("{}", report::summarize(&text));
             ExitCode::SUCCESS
         }
         Err(e) => fail(&format_args!("{}: {e}", log.display())),
--- a/src/net/report.rs
+++ b/src/net/report.rs
@@ -1,5 +1,5 @@
 //! The log line about the quota counter ([`CounterLog`]), and `whinstall report`, which summarizes a log
-//! ([`of_log`]).
+//! ([`summarize`]).
 //!
 //! Logs of older versions of the program must remain readable: the texts and fields that the summaries look for are
 //! part of the log's format.
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use whinstall::quota::{CounterReport, Mode};
 
-/// A fault that lasts is logged again at this interval.
+/// Interval at which the report is logged again while a partition is not healthy.
 const REPEAT_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Logs the quota counter's report when a partition's mode changes, and repeatedly while one is not healthy.
@@ -36,21 +36,21 @@
             let text = serde_json::to_string(&report).unwrap_or_default();
             // `counter_summary` finds these lines by their text and field.
             if is_healthy {
-                tracing::info!(report = %text, "counter in step again");
+                tracing::info!(report = %text, "counter in normal operation again: all partitions healthy");
             } else {
-                tracing::warn!(report = %text, "counter in trouble");
+                tracing::warn!(report = %text, "counter in degraded operation: at least one partition not healthy");
             }
         }
         self.modes = modes;
     }
 }
 
-/// What a log says about the quota counter and about replication among gatekeepers: the changes, and the last state.
-pub fn of_log(text: &str) -> String {
-    counter_summary::of_log(text) + &fleet_summary::of_log(text)
+/// Summarizes a log: the changes and the last state of the quota counter and of replication among gatekeepers.
+pub fn summarize(text: &str) -> String {
+    counter_summary::summarize(text) + &fleet_summary::summarize(text)
 }
 
-/// The time at the start of a log line.
-fn time(line: &str) -> &str {
+/// The timestamp at the start of a log line.
+fn timestamp(line: &str) -> &str {
     line.split_whitespace().next().unwrap_or("")
 }
--- a/src/net/report/counter_summary.rs
+++ b/src/net/report/counter_summary.rs
@@ -1,16 +1,16 @@
-//! What a log says about the quota counter.
+//! Summary of the quota counter from a log.
 
-use super::time;
+use super::timestamp;
 use std::fmt::Write;
 use whinstall::quota::{CounterReport, Mode};
 
-/// Text that the lines with a report have in common.
+/// Text that all lines with a report contain, in logs of every version.
 const LINE_TEXT: &str = "counter in ";
 /// The field with the report as JSON, the last one on its line.
 const REPORT_FIELD: &str = "report=";
 
 /// The changes of partitions' modes, and the last report as a table.
-pub(super) fn of_log(text: &str) -> String {
+pub(super) fn summarize(text: &str) -> String {
     let mut out = String::new();
     let mut modes: Vec<String> = Vec::new();
     let mut last: Option<CounterReport> = None;
@@ -21,16 +21,16 @@
             unreadable += 1;
             continue;
         };
-        write_changes(&mut out, time(line), &modes, &report);
+        write_changes(&mut out, timestamp(line), &modes, &report);
         modes = report.partitions.iter().map(|p| p.mode.clone()).collect();
         last = Some(report);
     }
     if unreadable > 0 {
-        let _ = writeln!(out, "{unreadable} line(s) could not be read");
+        let _ = writeln!(out, "{unreadable} counter line(s) skipped: no valid JSON in `{REPORT_FIELD}`");
     }
     match last {
         Some(last) => write_table(&mut out, &last),
-        None => out.push_str("the counter has been in step all along\n"),
+        None => out.push_str("no fault of the quota counter was logged\n"),
     }
     out
 }
@@ -40,7 +40,7 @@
     for (n, part) in report.partitions.iter().enumerate() {
         let was = modes.get(n).map_or(Mode::Healthy.name(), String::as_str);
         if was != part.mode {
-            let _ = writeln!(out, "{time} part {}: {was} -> {}", part.partition, part.mode);
+            let _ = writeln!(out, "{time} partition {}: {was} -> {}", part.partition, part.mode);
         }
     }
 }
@@ -48,13 +48,13 @@
 fn write_table(out: &mut String, report: &CounterReport) {
     let _ = writeln!(
         out,
-        "{:>4}  {:<9} {:>7}  {:>12} {:>12} {:>8} {:>6} {:>8}",
-        "part", "mode", "for s", "on trust now", "on trust all", "spoilt", "late", "retold"
+        "{:>9}  {:<9} {:>7}  {:>14} {:>16} {:>11} {:>6} {:>8}",
+        "partition", "mode", "for s", "unverified now", "unverified total", "implausible", "late", "resent"
     );
     for p in &report.partitions {
         let _ = writeln!(
             out,
-            "{:>4}  {:<9} {:>7.1}  {:>12.1} {:>12.1} {:>8} {:>6} {:>8.1}",
+            "{:>9}  {:<9} {:>7.1}  {:>14.1} {:>16.1} {:>11} {:>6} {:>8.1}",
             p.partition,
             p.mode,
             p.secs_in_mode,
@@ -65,10 +65,12 @@
             p.resent_units
         );
     }
-    let held = report.counted_fraction.map_or("not told".to_string(), |h| format!("{:.0}%", 100.0 * h));
+    let counted = report.counted_fraction.map_or("unknown, too little was metered".to_string(), |fraction| {
+        format!("{:.0}%", 100.0 * fraction)
+    });
     let _ = writeln!(
         out,
-        "{} counts kept, {} left alone; totals hold of the metered use: {held}",
+        "{} counter entries kept, {} of them with an open circuit breaker; metered use that totals hold: {counted}",
         report.entries, report.open_breakers
     );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -586,7 +586,7 @@
     // The silence of the counter is detected under a first load, whose overshoot is not checked.
     let warm_up = Load::start(&fleet, 4, WINDOW_STARTED);
     for n in ALL {
-        fleet.members[n].logged(&["counter in trouble"]);
+        fleet.members[n].logged(&["counter in degraded operation"]);
     }
     warm_up.audit(&fleet);
     let mut results = Vec::new();
@@ -658,7 +658,8 @@
     let mut detected_after = BTreeMap::new();
     while detected_after.len() < MEMBERS && start.elapsed() < BOUND {
         for n in ALL {
-            let reports_split = |line: &String| line.contains("counter in trouble") && line.contains("split");
+            let reports_split =
+                |line: &String| line.contains("counter in degraded operation") && line.contains("split");
             if fleet.members[n].log_so_far().iter().any(reports_split) {
                 detected_after.entry(n).or_insert(start.elapsed());
             }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -299,7 +299,7 @@
     assert!(admitted <= max_units && admitted >= RATE, "{admitted} admitted, bound {max_units}");
     assert!(ok * 10 >= all * 9, "light customers: {ok} of {all}");
     for gatekeeper in &f.gatekeepers {
-        gatekeeper.logged(&["counter in step again"]);
+        gatekeeper.logged(&["counter in normal operation again"]);
     }
     let logs = f.logs();
     assert!(logs.iter().all(|log| !log.iter().any(|l| l.contains("overdue"))));
@@ -312,13 +312,13 @@
     f.drive(3.0, |t, counter| {
         counter.set(if t >= 1.0 { Behaviour::Unresponsive } else { Behaviour::Healthy });
     });
-    let line = f.gatekeepers[0].logged(&["counter in trouble", "\"mode\":\"lost\""]);
+    let line = f.gatekeepers[0].logged(&["counter in degraded operation", "\"mode\":\"lost\""]);
     let log = Gatekeeper::settings_file(&line);
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_whinstall")).arg("report").arg(&log).output();
     let out = out.expect("whinstall runs");
     let summary = String::from_utf8_lossy(&out.stdout).into_owned();
-    assert!(out.status.success() && summary.contains("part 0: in step -> lost"), "{summary}");
-    assert!(summary.contains("on trust"), "{summary}");
+    assert!(out.status.success() && summary.contains("partition 0: in step -> lost"), "{summary}");
+    assert!(summary.contains("unverified now"), "{summary}");
 }
 
 /// Answers that come after the timeout are used for the lower bound that they prove, and the mode is late, not lost.
@@ -329,7 +329,7 @@
         counter.set(if t >= 2.0 { Behaviour::Late } else { Behaviour::Healthy });
     });
     for gatekeeper in &f.gatekeepers {
-        let line = gatekeeper.logged(&["counter in trouble", "\"mode\":\"late\""]);
+        let line = gatekeeper.logged(&["counter in degraded operation", "\"mode\":\"late\""]);
         assert!(!line.contains("\"late\":0,"), "late answers were used: {line}");
     }
     let admitted = f.admitted(HEAVY, start, (2.0, 6.0));
@@ -348,7 +348,7 @@
     let rejected = outcomes.iter().filter(|o| o.sent_secs < 11.0 && !o.is_served()).count();
     assert_eq!(rejected, 0, "all are inside their quota");
     let resent = |gatekeeper: &Gatekeeper| {
-        let line = gatekeeper.logged(&["counter in trouble", "\"mode\":\"lost\""]);
+        let line = gatekeeper.logged(&["counter in degraded operation", "\"mode\":\"lost\""]);
         let units =
             line.split("\"retold\":").nth(1).and_then(|x| x.split(['}', ',']).next()?.parse::<f64>().ok());
         units.expect("a number")
