--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -6,11 +6,11 @@
 /// An error in a settings file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigError {
-    /// Its position.
+    /// Position in the file.
     pub at: Pos,
     /// The field, by its path from the top; empty for a syntax error.
     pub field: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
--- a/src/config/grammar.rs
+++ b/src/config/grammar.rs
@@ -49,11 +49,11 @@
 /// A field of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
-    /// Its label.
+    /// The label.
     pub label: String,
     /// Where the label starts.
     pub at: Pos,
-    /// Its value.
+    /// The value.
     pub node: Node,
 }
 
@@ -141,9 +141,9 @@
         })
         .collect();
     match expected.as_slice() {
-        [] => "not understood".into(),
-        [one] => format!("expected {one}"),
-        many => format!("expected {}", many.join(" or ")),
+        [] => "invalid syntax".into(),
+        [single] => format!("expected {single}"),
+        several => format!("expected {}", several.join(" or ")),
     }
 }
 
@@ -309,8 +309,8 @@
     ErrMode::Cut(ContextError::new().add_context(i, &i.checkpoint(), context))
 }
 
-/// Gives a message the lifetime that winnow's context needs. It leaks at most one message per parse, for it ends
-/// the parse.
+/// Gives a message the static lifetime that winnow's context requires. At most one message is leaked per parse,
+/// because the error ends the parse.
 fn leak(message: String) -> &'static str {
     Box::leak(message.into_boxed_str())
 }
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -1,6 +1,6 @@
 //! Typed access to the records of a settings file: types, defaults, ranges and enumerations. Every error is
-//! reported with position and field, and a field that no reader asked for is one, too: it is a typo until
-//! shown otherwise.
+//! reported with position and field. A field that no reader asked for is an error, too, because it is most
+//! likely a typo.
 
 use super::error::ErrorList;
 use super::grammar::{Field, Node, Pos, Value};
@@ -91,7 +91,7 @@
 
     /// Reports that a required field is missing or empty.
     pub fn missing(&self, name: &str) {
-        self.error_at(self.at, name, "must be given");
+        self.error_at(self.at, name, "required field is missing");
     }
 
     /// Reports an error about this record as a whole, such as one under a label that it must not have.
@@ -131,7 +131,7 @@
         let x = self.number(name, f64::from(default), f64::from(min)..=f64::from(max));
         if x.fract() != 0.0 {
             if let Some(node) = self.node(name) {
-                self.error(node, name, format!("{x} must be a whole number"));
+                self.error(node, name, format!("{x} must be an integer"));
             }
             return default;
         }
@@ -172,7 +172,7 @@
             Some(c) => c.1,
             None => {
                 let names: Vec<String> = choices.iter().map(|c| format!("\"{}\"", c.0)).collect();
-                self.error(node, name, format!("\"{word}\" is none of {}", names.join(", ")));
+                self.error(node, name, format!("\"{word}\" is invalid: must be one of {}", names.join(", ")));
                 default
             }
         }
@@ -213,7 +213,7 @@
         for (text, at) in self.texts(name) {
             match text.parse() {
                 Ok(parsed) => out.push((parsed, at)),
-                Err(_) => self.error_at(at, name, format!("\"{text}\" is no {expected}")),
+                Err(_) => self.error_at(at, name, format!("\"{text}\" is not a valid {expected}")),
             }
         }
         out
@@ -238,7 +238,7 @@
     pub fn finish(self) {
         let known = self.known.borrow();
         for f in self.fields.iter().filter(|f| !known.contains(&f.label)) {
-            self.errors.push(f.at, &self.path(&f.label), "is no known field");
+            self.errors.push(f.at, &self.path(&f.label), "unknown field");
         }
     }
 }
--- a/src/config/reader_tests.rs
+++ b/src/config/reader_tests.rs
@@ -25,8 +25,12 @@
     let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
     assert_eq!(messages.len(), 3, "{messages:?}");
     assert!(messages[0].starts_with("1:4: x: 11 is out of range"), "{}", messages[0]);
-    assert!(messages[1].starts_with("2:7: mode: \"zones\" is none of"), "{}", messages[1]);
-    assert!(messages[2].starts_with("3:1: y: is no known field"), "{}", messages[2]);
+    assert!(
+        messages[1].starts_with("2:7: mode: \"zones\" is invalid: must be one of \"zone\", \"networks\""),
+        "{}",
+        messages[1]
+    );
+    assert!(messages[2].starts_with("3:1: y: unknown field"), "{}", messages[2]);
     let (_, _, errors) = read("x: \"3\"");
     assert!(errors[0].message.contains("must be a number, not text"));
 }
@@ -35,7 +39,7 @@
 fn references_are_resolved_and_circular_ones_reported() {
     assert_eq!(read("base: {n: 4}\nx: base.n").0, 4.0);
     let (_, _, errors) = read("x: nowhere.y");
-    assert!(errors[0].message.contains("names no field"), "{errors:?}");
+    assert!(errors[0].message.contains("has no field `nowhere.y`"), "{errors:?}");
     let (_, _, errors) = read("a: b\nb: a\nx: a");
-    assert!(errors.iter().all(|e| e.message.contains("circle")), "{errors:?}");
+    assert!(errors.iter().all(|e| e.message.contains("circular reference")), "{errors:?}");
 }
--- a/src/config/resolve.rs
+++ b/src/config/resolve.rs
@@ -60,8 +60,8 @@
     fn follow(&mut self, reference: &Node, target: &[String], path: &str) -> Value {
         let name = target.join(".");
         let message = match self.find(target) {
-            _ if self.active.contains(&name) => format!("`{name}` refers to itself in a circle"),
-            None => format!("`{name}` names no field"),
+            _ if self.active.contains(&name) => format!("circular reference: `{name}` refers to itself"),
+            None => format!("undefined reference: the file has no field `{name}`"),
             Some(node) => {
                 self.active.push(name);
                 let resolved = self.resolve(node, path);
--- a/src/fleet/site/tests.rs
+++ b/src/fleet/site/tests.rs
@@ -151,9 +151,9 @@
         ("weight: 2", "weight: 0", "weight: must be above 0"),
         ("part: 0.5", "part: 0.6", "add up to 1.1"),
         ("refuse: 2", "refuse: 1", "\"beyond\" already has this place"),
-        ("capacity: 100, ", "", "sites.site.cluj.capacity: must be given"),
+        ("capacity: 100, ", "", "sites.site.cluj.capacity: required field is missing"),
         ("capacity: 100", "capacity: 0", "out of range"),
-        ("refuse: 2", "refus: 2", "is no known field"),
+        ("refuse: 2", "refus: 2", "unknown field"),
     ] {
         assert!(FILE.contains(valid), "{valid}");
         let messages: Vec<String> = OperatorSettings::load(&FILE.replacen(valid, invalid, 1))
--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -21,24 +21,25 @@
 use std::time::{Duration, Instant};
 use whinstall::CounterKey;
 
-/// Connections at the most, whatever the limits. The counter accepts 32 and may still count some that were just
-/// closed.
+/// Maximum number of connections, whatever the limits. The counter accepts 32 and may still count some that were
+/// just closed.
 pub const MAX_CONNECTIONS: usize = 24;
-/// Idle connections are closed after this; the counter closes them after 10 s or less.
+/// Idle connections are closed after this, before the counter closes them after 10 s or less.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Timed-out calls that are still listened for, at the most: a silent counter must not hold all connections.
+/// Maximum number of timed-out calls that are still listened for: an unresponsive counter must not occupy all
+/// connections.
 const MAX_LATE_CALLS: usize = 8;
-/// Bound on the amount of a call, either way.
+/// Bound on the absolute amount of a call.
 const MAX_AMOUNT: f64 = 1e9;
-/// Bound on the life of a counter name, in milliseconds.
+/// Upper bound of the expiry of a counter entry, in milliseconds.
 const MAX_EXPIRY_MS: u128 = 60_000;
 
-/// How long the answer to a call is waited for.
+/// Timeouts of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimeouts {
-    /// A call times out after this, its time in the queue included.
+    /// Time after which a call times out, including its time in the queue.
     pub call: Duration,
-    /// A late answer is listened for so much longer.
+    /// Additional time for which a late answer is listened for.
     pub late: Duration,
 }
 
@@ -84,7 +85,7 @@
         }))
     }
 
-    /// Sends further calls to this address. Calls in flight end where they began.
+    /// Sends further calls to this address. Calls in flight complete at the previous one.
     pub fn set_address(&self, address: SocketAddr) {
         self.0.address.set(address);
         self.0.client.retain_idle(|_, leads_to| leads_to == address);
@@ -95,7 +96,7 @@
         self.0.call_timeout.set(timeout);
     }
 
-    /// The HTTP client, for its connection limit and count.
+    /// The HTTP client; it holds the limit and the number of connections.
     pub fn upstream(&self) -> &UpstreamClient {
         &self.0.client
     }
@@ -114,7 +115,7 @@
         actix_rt::spawn(async move {
             let mut next = Some(call);
             while let Some(QueuedCall { call, queued }) = next {
-                // Reported as it stands if the task panics: the call may have been added.
+                // If the task panics, the call is reported as lost in transit: it may have been added.
                 let mut report = ReportOnDrop::new(&queue, queued, ExchangeOutcome::ConnectionLost);
                 (report.outcome, report.total) = execute(&queue.inner, &call, queued).await;
                 drop(report);
@@ -132,7 +133,7 @@
 
 impl Drop for NameQueue {
     fn drop(&mut self) {
-        // Empty unless the task panicked; what is left was never sent.
+        // Empty unless the task panicked; the calls left were never sent.
         let left = self.inner.queues.borrow_mut().remove(&self.name);
         for call in left.into_iter().flatten() {
             drop(ReportOnDrop::new(self, call.queued, ExchangeOutcome::NotAttempted));
@@ -140,7 +141,7 @@
     }
 }
 
-/// Reports a call's outcome when it is dropped, thus exactly once.
+/// Reports the outcome of a call when dropped, and thus exactly once.
 struct ReportOnDrop<'a> {
     queue: &'a NameQueue,
     queued: Instant,
@@ -163,12 +164,12 @@
     }
 }
 
-/// Executes a call until it is answered or times out. After a timeout with the last byte possibly written, a task of
-/// its own listens for the answer a while longer: it proves that the call was added.
+/// Executes a call until it is answered or times out. After a timeout, a separate task listens for a late answer,
+/// which proves that the call was added.
 async fn execute(inner: &Rc<Inner>, call: &CounterCall, queued: Instant) -> (ExchangeOutcome, f64) {
     let timeout = inner.call_timeout.get().saturating_sub(queued.elapsed());
     if timeout.is_zero() {
-        // It spent all its time in the queue and was never sent.
+        // The timeout expired in the queue, and the call was never sent.
         return (ExchangeOutcome::TimedOut { written: false }, 0.0);
     }
     let Some(target) = target(call) else { return (ExchangeOutcome::NotAttempted, 0.0) };
@@ -190,7 +191,7 @@
             let _ = late_call.0.core.send(CoreMessage::CountedLate { name, total, elapsed });
         }
     });
-    // If it is not written yet it may still be: the amount must not be added again.
+    // The request may still be written after the timeout: the amount must not be added again.
     (ExchangeOutcome::TimedOut { written: true }, 0.0)
 }
 
--- a/src/net/counter/tests.rs
+++ b/src/net/counter/tests.rs
@@ -4,10 +4,10 @@
 /// Totals must come back in call order: on two connections the later call of a name could overtake the earlier one.
 #[test]
 fn calls_of_one_name_wait_for_each_other_and_for_no_other_name() {
-    let (say, first) = held();
+    let (send_reply, first) = held();
     let first = std::sync::Mutex::new(Some(first));
     let peer = Scripted::start(move |call| match call.start.contains("/a?by=1&") {
-        true => first.lock().expect("whole").take().unwrap_or(Reply::Hangup),
+        true => first.lock().expect("not poisoned").take().unwrap_or(Reply::Hangup),
         false => Reply::Ok("7"),
     });
     actix_rt::System::new().block_on(async {
@@ -27,15 +27,15 @@
         let mut reported = Vec::new();
         for _ in 0..3 {
             let Some(CoreMessage::Counted { name, outcome, total, .. }) = messages.recv().await else {
-                panic!("no answer")
+                panic!("the outcome of a call is expected")
             };
             if reported.is_empty() {
-                say.send("1".into()).expect("the counter hears");
+                send_reply.send("1".into()).expect("the counter waits for it");
             }
             reported.push(format!("{} {outcome:?} {total}", name.0));
         }
         assert_eq!(reported, ["b Answered 7", "a Answered 1", "a Answered 7"]);
-        // Whatever was answered was seen, but on two connections in no order.
+        // The counter has received every answered call, but the order between connections is not defined.
         let mut seen = peer.requests();
         seen.retain(|call| call.contains("/a?"));
         let calls = ["1", "-2.5"].map(|by| format!("POST /counters/a?by={by}&expire_ms=4000 []"));
@@ -47,7 +47,7 @@
 /// reported as late, once.
 #[test]
 fn a_call_answered_after_its_timeout_is_reported_twice_and_sent_once() {
-    let (say, reply) = held();
+    let (send_reply, reply) = held();
     let peer = Scripted::start(move |_| reply.clone());
     actix_rt::System::new().block_on(async {
         let (core, mut messages) = tokio::sync::mpsc::unbounded_channel();
@@ -56,11 +56,13 @@
             CounterClient::new(peer.address, late, CallTimeouts { call: wait, late }, MAX_CONNECTIONS, core);
         let name = CounterKey("a".into());
         counter.call(CounterCall { name, amount: 1.0, expiry: Duration::from_secs(4) });
-        let Some(CoreMessage::Counted { outcome, .. }) = messages.recv().await else { panic!("no outcome") };
+        let Some(CoreMessage::Counted { outcome, .. }) = messages.recv().await else {
+            panic!("the outcome of the call is expected")
+        };
         assert_eq!(outcome, ExchangeOutcome::TimedOut { written: true });
-        say.send("9".into()).expect("the counter hears");
+        send_reply.send("9".into()).expect("the counter waits for it");
         let Some(CoreMessage::CountedLate { name, total, .. }) = messages.recv().await else {
-            panic!("no answer")
+            panic!("the outcome of a call is expected")
         };
         assert_eq!((&*name.0, total), ("a", 9.0));
         assert!(messages.try_recv().is_err(), "nothing more");
--- a/src/net/operator.rs
+++ b/src/net/operator.rs
@@ -17,15 +17,15 @@
 use tokio::sync::{oneshot, OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// Connections at a time. One more closes the oldest: a deliberate command is complete within milliseconds.
+/// Maximum number of connections. A further one closes the oldest: operators' commands complete within milliseconds.
 const MAX_CONNECTIONS: usize = 8;
 /// Descriptors reserved for the endpoint: connections, its listener, and its thread's poller.
 pub const RESERVED_DESCRIPTORS: usize = MAX_CONNECTIONS + 8;
-/// The longest line, in bytes.
+/// Maximum length of a line, in bytes.
 const MAX_LINE_BYTES: usize = 128;
-/// Time to send a complete line.
+/// Time within which an operator must send a complete line.
 const READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time to take the response.
+/// Time within which an operator must receive the response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which input is discarded after the response, so that unread bytes do not reset the connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(100);
@@ -46,7 +46,7 @@
 pub struct Status {
     /// Whether this process has been able to serve at any time so far.
     pub can_serve: AtomicBool,
-    /// Whether it is on standby.
+    /// Whether this process is on standby.
     pub is_standby: AtomicBool,
 }
 
@@ -97,7 +97,7 @@
         let (stream, _) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
-                tracing::warn!(%error, "operator endpoint: accept failed");
+                tracing::warn!(%error, "operator endpoint: connection not accepted");
                 tokio::time::sleep(ACCEPT_RETRY).await;
                 continue;
             }
@@ -121,7 +121,7 @@
     _permit: OwnedSemaphorePermit,
 }
 
-/// What an operator sent.
+/// Input of an operator.
 enum Line {
     Complete(Vec<u8>),
     TooLong,
--- a/src/net/process/cli.rs
+++ b/src/net/process/cli.rs
@@ -23,10 +23,10 @@
     /// are chosen regardless of zone health. Read again at SIGHUP; an invalid file then changes nothing.
     #[arg(long, global = true, value_name = "FILE")]
     halls: Option<PathBuf>,
-    /// Settings of the quota counter's guard (as `deploy/quota.cue`). Without it, its defaults. Read at startup.
+    /// Settings of the quota counter's guard (as `deploy/quota.cue`). Without it, defaults apply. Read at startup.
     #[arg(long, global = true, value_name = "FILE")]
     quota: Option<PathBuf>,
-    /// Settings of replication among gatekeepers (docs/replication.md). Without it there is none.
+    /// Settings of replication among gatekeepers (docs/replication.md). Without it there is no replication.
     #[arg(long, global = true, value_name = "FILE")]
     fleet: Option<PathBuf>,
 }
@@ -41,8 +41,9 @@
         /// The file, as `deploy/halls.cue`.
         file: PathBuf,
     },
-    /// What the loss of each site, and of each two, leads to by an operators' file (docs/sites.md): the use of each
-    /// survivor and what is refused. Exits with 1 where a loss cannot be carried by the order given.
+    /// Plan the loss of each site, and of each pair of sites, by an operators' settings file (docs/sites.md): prints
+    /// the utilization of the remaining sites and the load that is rejected. Exits with 1 if a loss cannot be carried
+    /// by the configured shed order.
     Plan {
         /// The file, as `deploy/sites.cue`.
         file: PathBuf,
--- a/src/net/process/configuration.rs
+++ b/src/net/process/configuration.rs
@@ -14,16 +14,16 @@
 /// Environment variable with the operator endpoint's address, where the configuration does not have it.
 const OPERATOR_VARIABLE: &str = "ROUTER_OPERATOR";
 
-/// The configuration's fields, but for the settings object.
+/// The fields of the configuration. The settings object is parsed separately.
 #[derive(Deserialize)]
 pub(super) struct Configuration {
     pub(super) name: String,
     pub(super) listen: SocketAddr,
     pub(super) discovery: SocketAddr,
     pub(super) counter: Option<SocketAddr>,
-    /// Address of the operator endpoint. With it, hot restart is available, too.
+    /// Address of the operator endpoint. Hot restart is available only if there is one.
     pub(super) operator: Option<SocketAddr>,
-    /// Hexadecimal.
+    /// Seed of random choices, a hexadecimal number of 64 bits.
     pub(super) seed: String,
     pub(super) limits: Limits,
     /// The endpoint list to start with.
@@ -33,11 +33,11 @@
 
 #[derive(Deserialize, Clone, Copy, PartialEq)]
 pub(super) struct Limits {
-    /// Descriptors at the most.
+    /// Maximum number of descriptors.
     pub(super) sockets: usize,
 }
 
-/// The fields that only a restart changes.
+/// The fields that take effect only at a restart.
 #[derive(PartialEq)]
 pub(super) struct FixedFields {
     name: String,
@@ -50,7 +50,8 @@
         FixedFields { name: self.name.clone(), listen: self.listen, limits: self.limits }
     }
 
-    /// Address of the quota counter. Without one in the configuration none is called, and any address will do.
+    /// Address of the quota counter. Without one in the configuration the counter is never called, and the address
+    /// of discovery stands in for it.
     pub(super) fn counter_address(&self) -> SocketAddr {
         self.counter.unwrap_or(self.discovery)
     }
@@ -64,7 +65,7 @@
     }
 }
 
-/// `ROUTER_OPERATOR` is not an address.
+/// The value of `ROUTER_OPERATOR` is not an address.
 #[derive(Debug)]
 pub(super) struct OperatorVariableError {
     value: String,
@@ -73,7 +74,7 @@
 
 impl fmt::Display for OperatorVariableError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{OPERATOR_VARIABLE}: {}: {}", self.value, self.source)
+        write!(f, "{OPERATOR_VARIABLE}: {:?} is not an address: {}", self.value, self.source)
     }
 }
 
@@ -83,9 +84,9 @@
     }
 }
 
-/// A valid configuration in all its forms.
+/// A validated configuration.
 pub(super) struct LoadedConfiguration {
-    /// The JSON document, to compare with at a reload.
+    /// The JSON document; a reload compares the new one with it.
     pub(super) document: Value,
     pub(super) fields: Configuration,
     /// Settings of the decision module.
@@ -124,7 +125,7 @@
         let (settings, sockets) = settings::read(fields.settings.clone())
             .map_err(|e| ConfigurationError::Settings(e.to_string()))?;
         if fields.limits.sockets < MIN_DESCRIPTORS {
-            return Err(ConfigurationError::TooFewSockets);
+            return Err(ConfigurationError::TooFewSockets(fields.limits.sockets));
         }
         if settings.uses_counter && fields.counter.is_none() {
             return Err(ConfigurationError::NoCounterAddress);
@@ -140,7 +141,8 @@
     Parse(serde_json::Error),
     /// The settings object is invalid, or lacks what the one in force has; the text names the field.
     Settings(String),
-    TooFewSockets,
+    /// `limits.sockets`, which is less than [`MIN_DESCRIPTORS`].
+    TooFewSockets(usize),
     NoCounterAddress,
 }
 
@@ -150,9 +152,11 @@
             ConfigurationError::Read(source) => source.fmt(f),
             ConfigurationError::Parse(source) => source.fmt(f),
             ConfigurationError::Settings(message) => f.write_str(message),
-            ConfigurationError::TooFewSockets => write!(f, "limits.sockets is under {MIN_DESCRIPTORS}"),
+            ConfigurationError::TooFewSockets(sockets) => {
+                write!(f, "limits.sockets: {sockets} is too low, at least {MIN_DESCRIPTORS} are required")
+            }
             ConfigurationError::NoCounterAddress => {
-                f.write_str("the settings allow a counter, but there is no 'counter' address")
+                f.write_str("counter: missing, but settings.familyInfo.mayCount is true")
             }
         }
     }
--- a/src/net/process/descriptors.rs
+++ b/src/net/process/descriptors.rs
@@ -2,12 +2,12 @@
 
 use crate::net::counter::MAX_CONNECTIONS as MAX_COUNTER_CONNECTIONS;
 
-/// The fewest descriptors that a gatekeeper can work with.
+/// Minimum number of descriptors for a gatekeeper.
 pub(super) const MIN_DESCRIPTORS: usize = 128;
-/// Descriptors reserved for everything but clients, nodes and the counter: files, the poller, discovery, slack.
+/// Descriptors reserved for files, the poller and discovery, with a margin.
 pub(super) const RESERVED_DESCRIPTORS: usize = 32;
 
-/// Connections at the most, by peer.
+/// Maximum number of connections, by kind of peer.
 #[derive(Debug, PartialEq)]
 pub(super) struct DescriptorBudget {
     pub(super) clients: usize,
--- a/src/net/process/error.rs
+++ b/src/net/process/error.rs
@@ -33,7 +33,10 @@
         address: SocketAddr,
         source: io::Error,
     },
-    Operator(io::Error),
+    Operator {
+        address: SocketAddr,
+        source: io::Error,
+    },
     /// The core's task ended, by a panic.
     CoreEnded,
 }
@@ -41,20 +44,22 @@
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StartError::ConfigPathUnset => f.write_str("ROUTER_CONFIG is not set"),
+            StartError::ConfigPathUnset => f.write_str("environment variable ROUTER_CONFIG is not set: it must name the configuration file"),
             StartError::Configuration { path, source } => write!(f, "{}: {source}", path.display()),
             StartError::SettingsFile(source) => source.fmt(f),
-            StartError::Seed(source) => write!(f, "seed: {source}"),
+            StartError::Seed(source) => write!(f, "configuration: seed is not a hexadecimal number of 64 bits: {source}"),
             StartError::OperatorVariable(source) => source.fmt(f),
             StartError::FleetWithOperator => f.write_str(
                 "--fleet cannot be combined with an operator endpoint: after a hot restart, use known to both \
                  processes would be counted twice",
             ),
-            StartError::Listen { address, source } => write!(f, "{address}: {source}"),
-            StartError::Signal { name, source } => write!(f, "{name}: {source}"),
-            StartError::Fleet { address, source } => write!(f, "fleet: {address}: {source}"),
-            StartError::Operator(source) => write!(f, "operator: {source}"),
-            StartError::CoreEnded => f.write_str("the core has ended"),
+            StartError::Listen { address, source } => write!(f, "cannot listen for clients on {address}: {source}"),
+            StartError::Signal { name, source } => write!(f, "cannot register a handler for {name}: {source}"),
+            StartError::Fleet { address, source } => write!(f, "fleet: cannot listen on {address}: {source}"),
+            StartError::Operator { address, source } => {
+                write!(f, "cannot start the operator endpoint on {address}: {source}")
+            },
+            StartError::CoreEnded => f.write_str("the core task ended by a panic: no request can be decided on any more"),
         }
     }
 }
@@ -69,7 +74,7 @@
             StartError::Listen { source, .. }
             | StartError::Signal { source, .. }
             | StartError::Fleet { source, .. }
-            | StartError::Operator(source) => Some(source),
+            | StartError::Operator { source, .. } => Some(source),
             StartError::ConfigPathUnset | StartError::FleetWithOperator | StartError::CoreEnded => None,
         }
     }
--- a/src/net/process/reload.rs
+++ b/src/net/process/reload.rs
@@ -11,22 +11,22 @@
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 
-/// What a reload changes, and what it compares with.
+/// Targets of a reload, and the configuration that it replaces.
 pub(super) struct Reload {
     pub(super) path: PathBuf,
     pub(super) fixed: FixedFields,
     /// The configuration in force.
     pub(super) in_force: Value,
     pub(super) service: Service,
-    /// Where discovery is.
+    /// Address of discovery, for the watch.
     pub(super) discovery: watch::Sender<SocketAddr>,
-    /// The file with settings of zones, if there is one.
+    /// Path of the zone settings, if there are any.
     pub(super) zones_file: Option<PathBuf>,
 }
 
 impl Reload {
     /// Reloads at each SIGHUP, for as long as the program runs. Sessions, the decision module's state and calls in
-    /// flight are not affected, and a file that is not valid as a whole changes nothing.
+    /// flight are not affected, and an invalid file changes nothing.
     pub(super) async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             self.reload_zones();
@@ -59,16 +59,16 @@
         let counter = new.fields.counter_address();
         self.service.counter.set_address(counter);
         self.discovery.send_if_modified(|at| std::mem::replace(at, discovery) != discovery);
-        let retuned = new.document["settings"] != self.in_force["settings"];
-        if retuned {
+        let settings_changed = new.document["settings"] != self.in_force["settings"];
+        if settings_changed {
             self.service.counter.set_call_timeout(new.sockets.counter_timeout);
             let rules = RequestRules::from_settings(&new.settings);
             self.service.listener.update_rules(rules, new.sockets.max_retry_after);
             let _ = self.service.core.send(CoreMessage::Settings(Box::new(new.settings)));
         }
-        tracing::info!(%discovery, %counter, retuned, "SIGHUP: configuration reloaded");
+        tracing::info!(%discovery, %counter, settings_changed, "SIGHUP: configuration reloaded");
         if new.fields.fixed_fields() != self.fixed {
-            tracing::warn!("SIGHUP: name, listen or limits differ: they take effect at a restart");
+            tracing::warn!("SIGHUP: changes of name, listen and limits take effect at a restart only");
         }
         self.in_force = new.document;
     }
--- a/src/net/process/service.rs
+++ b/src/net/process/service.rs
@@ -1,4 +1,4 @@
-//! The running service as a whole: its descriptors, its start after another process, and its end.
+//! The running service: division of descriptors, takeover from a predecessor, handover and drain.
 
 use super::descriptors::{DescriptorBudget, MIN_DESCRIPTORS};
 use crate::net::core::CoreMessage;
@@ -14,13 +14,13 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// A drain lasts at least this: after SIGTERM new connections come for up to 0.4 s, and requests that come within
-/// 0.7 s are to be served.
+/// Minimum duration of a drain: after SIGTERM, clients open connections for up to 0.4 s, and requests that arrive
+/// within 0.7 s must be served.
 const MIN_DRAIN: Duration = Duration::from_millis(750);
-/// Interval at which a draining process checks whether it is done.
+/// Interval at which a draining process checks for remaining connections and requests.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The parts of the service that begin and end together; clones share them.
+/// The parts of the service that start and stop together; clones share them.
 #[derive(Clone)]
 pub(super) struct Service {
     pub(super) listener: Rc<Listener>,
@@ -32,7 +32,7 @@
 }
 
 impl Service {
-    /// Divides so many descriptors anew.
+    /// Divides this number of descriptors among clients, nodes and the counter.
     fn set_descriptors(&self, descriptors: usize) {
         let budget = DescriptorBudget::new(descriptors.max(MIN_DESCRIPTORS));
         self.listener.set_max_connections(budget.clients);
@@ -40,7 +40,7 @@
         self.counter.upstream().set_max_connections(budget.counter);
     }
 
-    /// Connections to clients, nodes and the counter.
+    /// Number of open connections to clients, nodes and the counter.
     fn open_connections(&self) -> usize {
         self.listener.open_connections()
             + self.nodes.open_connections()
@@ -61,10 +61,12 @@
         tracing::info!("waiting for the handover from the serving process");
         match predecessor.receive_handover().await {
             Some(handover) => self.take_over(handover, &status),
-            None => tracing::warn!("the serving process exited without a handover: taking over"),
+            None => {
+                tracing::warn!("the serving process exited without a handover: serving without its state")
+            }
         }
         actix_rt::spawn(Rc::clone(&self.listener).serve(socket));
-        // Accepting does not wait for it: once the old process has exited, all descriptors are this one's.
+        // Accepting does not wait for the exit of the old process. After it, all descriptors belong to this one.
         actix_rt::spawn(async move {
             predecessor.confirm().await;
             tracing::info!("the old process has exited");
@@ -82,7 +84,8 @@
         }
     }
 
-    /// Hands over to the successor and returns whether it accepts from now on; otherwise this process must go on.
+    /// Hands over to the successor. Returns whether the successor accepts connections from now on; if not, this
+    /// process must continue to serve.
     pub(super) async fn hand_over(&self, successor: &Successor) -> bool {
         let is_standby = matches!(self.listener.state(), ServingState::Standby { .. });
         self.listener.set_state(ServingState::HandedOver { since: Instant::now() });
@@ -106,7 +109,7 @@
         }
     }
 
-    /// Without a handover: serves what this process accepted and what comes shortly after the signal.
+    /// Without a handover: serves what this process has accepted, and what arrives within [`MIN_DRAIN`].
     pub(super) async fn drain(&self) {
         self.listener.set_state(ServingState::Draining);
         tokio::time::sleep(MIN_DRAIN).await;
--- a/src/net/process/settings_file.rs
+++ b/src/net/process/settings_file.rs
@@ -40,7 +40,7 @@
             SettingsFileError::Read { file, source } => write!(f, "{}: {source}", file.display()),
             SettingsFileError::Invalid { file, first, more: 0 } => write!(f, "{}:{first}", file.display()),
             SettingsFileError::Invalid { file, first, more } => {
-                write!(f, "{}:{first} (and {more} more: `whinstall check` names them)", file.display())
+                write!(f, "{}:{first} (and {more} more errors, listed by `whinstall check`)", file.display())
             }
             SettingsFileError::MissingRecord { file, record } => {
                 write!(f, "{}: no `{record}` record", file.display())
--- a/src/net/process/startup.rs
+++ b/src/net/process/startup.rs
@@ -31,14 +31,14 @@
 use whinstall::zone_failover::ZoneFailoverSettings;
 use whinstall::{Gateway, ListScope, Settings};
 
-/// Discovery sends a new process its changes within this, if there are any.
+/// Time within which discovery sends a new process the changes of the endpoint list, if there are any.
 const DISCOVERY_SYNC_TIMEOUT: Duration = Duration::from_millis(700);
 /// Interval at which a new process checks whether it can serve.
 const CAN_SERVE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Idle connections to nodes are closed so long before the nodes close them.
+/// Idle connections to nodes are closed this long before the nodes would close them.
 const IDLE_MARGIN: Duration = Duration::from_secs(3);
 
-/// All that the service is started with.
+/// Inputs of the service at startup.
 pub(super) struct ServeOptions {
     /// Path of the configuration.
     pub(super) path: PathBuf,
@@ -62,10 +62,10 @@
     }
 }
 
-/// Starts the service and runs it until it is terminated by a signal.
+/// Starts the service and runs it until a signal terminates it.
 ///
 /// # Errors
-/// It cannot start, or the core has ended.
+/// The service cannot start, or the core task has ended.
 pub(super) async fn serve(options: ServeOptions) -> Result<(), StartError> {
     let ServeOptions { path, configuration, zones, quota, fleet } = options;
     let LoadedConfiguration { document, fields, settings, sockets } = configuration;
@@ -103,8 +103,8 @@
     let status = Arc::new(operator::Status::default());
     let (commands, mut received_commands) = mpsc::unbounded_channel();
     if let Some(address) = operator_address {
-        let address =
-            operator::start(address, Arc::clone(&status), commands.clone()).map_err(StartError::Operator)?;
+        let address = operator::start(address, Arc::clone(&status), commands.clone())
+            .map_err(|source| StartError::Operator { address, source })?;
         tracing::info!(operator = %address, "operator endpoint listening");
         actix_rt::spawn(watch_can_serve(running.endpoints, Arc::clone(&status)));
     }
@@ -164,7 +164,7 @@
     status.can_serve.store(true, Ordering::Relaxed);
 }
 
-/// Descriptors for clients, nodes and the counter, besides what is reserved for the optional parts.
+/// Descriptors for clients, nodes and the counter: the limit less those reserved for optional parts.
 fn service_descriptors(fields: &Configuration, has_operator: bool, has_fleet: bool) -> usize {
     let operator = operator::RESERVED_DESCRIPTORS + hot_restart::RESERVED_DESCRIPTORS;
     let mut reserved = if has_operator { operator } else { 0 };
@@ -192,14 +192,14 @@
     }
 }
 
-/// The clients' listening socket, its own or the serving process's.
+/// The listening socket for clients: opened here, or received from the serving process.
 struct ClientSocket {
     listener: tokio::net::TcpListener,
     /// A duplicate to send to a further process.
     duplicate: std::net::TcpListener,
     address: SocketAddr,
     predecessor: Option<Predecessor>,
-    /// Where processes of this gatekeeper meet, if hot restart is available.
+    /// Path of the Unix socket for hot restart, if that is available.
     hot_restart_path: Option<PathBuf>,
 }
 
@@ -223,7 +223,7 @@
     }
 }
 
-/// What the service is made from.
+/// Inputs that the parts of the service are built from.
 struct Parts {
     fields: Configuration,
     settings: Settings,
@@ -238,7 +238,7 @@
 struct Running {
     service: Service,
     endpoints: Rc<EndpointTable>,
-    /// Tells the watch where discovery is.
+    /// Address of discovery, for the watch.
     discovery: watch::Sender<SocketAddr>,
     core_task: JoinHandle<()>,
     clock: Clock,
@@ -301,7 +301,7 @@
     UpstreamClient::new(sockets.connect_timeout, idle_timeout, max_connections)
 }
 
-/// How long late answers of the counter are listened for: only the guard uses them.
+/// Additional time for which late answers of the counter are listened for: only the guard uses them.
 fn late_timeout(quota: &QuotaSettings) -> Duration {
     if quota.is_guarded {
         Duration::from_secs_f64(quota.late_answer_secs)
@@ -334,7 +334,7 @@
 }
 
 impl Running {
-    /// Starts replication with other gatekeepers, as this member of a fleet of so many.
+    /// Starts replication with the other gatekeepers. `member` is the name of this one and the size of the fleet.
     async fn start_fleet(
         &self,
         settings: FleetSettings,
--- a/src/net/zone_failover.rs
+++ b/src/net/zone_failover.rs
@@ -14,9 +14,9 @@
 
 /// Time constant of the offered rate, in seconds.
 const RATE_TIME_CONSTANT_SECS: f64 = 2.0;
-/// Relative change of a host's factor from which on new weights are published.
+/// Relative change of a host's factor above which new weights are published.
 const FACTOR_CHANGE: f64 = 0.02;
-/// Absolute change of a share from which on new weights are published.
+/// Absolute change of a share at which new weights are published.
 const SHARE_CHANGE: f64 = FACTOR_CHANGE / 4.0;
 /// A share below one by less than this counts as one.
 const SHARE_EPSILON: f64 = 1e-9;
@@ -82,9 +82,9 @@
 /// The gatekeeper whose load is distributed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Gatekeeper {
-    /// The zone label of its main settings.
+    /// Zone label of the gatekeeper in its main settings.
     pub zone_label: String,
-    /// Its number in the fleet, from 0.
+    /// Index of the gatekeeper in the fleet, from 0.
     pub ordinal: u32,
     /// Number of gatekeepers in the fleet.
     pub fleet_size: u32,
@@ -275,9 +275,9 @@
 /// hosts keep their capacity (factor 1); only an ejected zone receives nothing, and a recovering one its usable
 /// fraction. Otherwise the factor of a zone is its share of the load over its share of the capacity.
 ///
-/// Shares alone, which confine every gatekeeper to its local zone while that is healthy, lowered service on a day
-/// with dying hosts from 0.92 to 0.76 in a measurement: the zones had different sizes, and the gatekeepers were
-/// spread unevenly over them.
+/// Shares alone would confine every gatekeeper to its local zone while that is healthy. With zones of different
+/// sizes, and gatekeepers spread unevenly over them, that lowers the served fraction: from 0.92 to 0.76 on a day
+/// with failing hosts.
 fn zone_factors(plan: &LoadPlan, capacity: &[f64], local_takes_all: bool) -> Vec<f64> {
     let total_capacity: f64 = capacity.iter().sum();
     let factor = |(zone, &capacity): (&ZoneLoad, &f64)| match zone.state {
--- a/src/net/zone_failover_tests.rs
+++ b/src/net/zone_failover_tests.rs
@@ -64,8 +64,8 @@
 }
 
 /// Guards the spillover limit against a feedback that lifts it: requests rejected as unassigned are not dispatched,
-/// so with dispatches alone the fleet looked less utilized the more was rejected, and the spillover returned
-/// (the remaining zones ran at full utilization through an outage at 75% load, with a limit of 85%).
+/// so if only dispatches count as offered load, the fleet looks less utilized the more is rejected, and the spillover
+/// returns (through an outage at 75% load, the remaining zones run at full utilization despite a limit of 85%).
 #[test]
 fn rejected_requests_count_as_offered_load() {
     let mut b = balancer(
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' settings file as a whole: the records that it may hold, each read by the subsystem that it
+//! The operators' settings file: the records that it may hold, each read by the subsystem that it
 //! configures. A record that no subsystem knows is an error.
 
 use crate::config::{self, ConfigError};
@@ -38,19 +38,19 @@
     pub fn describe(&self) -> String {
         let zone_failover = match &self.zone_failover {
             Some(zone_failover) => zone_failover.describe(),
-            None => "no halls: nodes are chosen as without this file\n".into(),
+            None => "no record halls: nodes are selected regardless of zone health\n".into(),
         };
         let counter = match &self.counter {
             Some(counter) => counter.describe(),
-            None => format!("counter by default: {}", QuotaSettings::default().describe()),
+            None => format!("no record counter, defaults apply: {}", QuotaSettings::default().describe()),
         };
         let fleet = match &self.fleet {
             Some(fleet) => fleet.describe(),
-            None => "no fleet: no gatekeeper talks to another\n".into(),
+            None => "no record fleet: no replication among gatekeepers\n".into(),
         };
         let sites = match &self.sites {
             Some(sites) => sites.describe(),
-            None => "no sites: nothing is planned for the loss of one\n".into(),
+            None => "no record sites: the loss of a site is not planned\n".into(),
         };
         zone_failover + &counter + &fleet + &sites
     }
--- a/src/operators_tests.rs
+++ b/src/operators_tests.rs
@@ -11,5 +11,5 @@
     let errors = OperatorSettings::load("conter: { parts: 2 }\ncounter: { parts: 65 }").unwrap_err();
     let messages: Vec<String> = errors.iter().map(ToString::to_string).collect();
     assert_eq!(messages.len(), 2, "{messages:?}");
-    assert!(messages[0].contains("conter: is no known field"), "{messages:?}");
+    assert!(messages[0].contains("conter: unknown field"), "{messages:?}");
 }
--- a/src/quota/settings_tests.rs
+++ b/src/quota/settings_tests.rs
@@ -14,5 +14,5 @@
         QuotaSettings::load(invalid).unwrap_err().iter().map(ToString::to_string).collect();
     assert_eq!(errors.len(), 4, "{errors:?}");
     assert!(errors[0].starts_with("2:10: counter.parts: 0 is out of range"), "{errors:?}");
-    assert!(errors[3].contains("counter.pats: is no known field"), "{errors:?}");
+    assert!(errors[3].contains("counter.pats: unknown field"), "{errors:?}");
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -60,18 +60,18 @@
 pub struct ReplaceError {
     /// The first field at fault, by its path.
     pub field: String,
-    /// What is wrong with it.
+    /// The reason why it is rejected.
     pub reason: ReplaceErrorReason,
 }
 
-/// What is wrong with a field of a configuration that should replace the one in force.
+/// Why a field of a configuration prevents it from replacing the one in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplaceErrorReason {
     /// The configuration in force has the field, the new one does not.
     Missing,
-    /// Its type differs from the one in force.
+    /// The type of the field differs from the one in force.
     TypeChanged,
-    /// It must be a number above 0.
+    /// The value must be a number above 0.
     NotPositive,
     /// The list must not be empty.
     Empty,
@@ -79,7 +79,7 @@
     Unnamed,
     /// The name of a class is used more than once.
     DuplicateName(String),
-    /// It is none of the known kinds of idempotency.
+    /// The value is not a known kind of idempotency.
     UnknownIdempotency,
 }
 
@@ -94,12 +94,14 @@
         f.write_str(&self.field)?;
         match &self.reason {
             ReplaceErrorReason::Missing => f.write_str(": missing"),
-            ReplaceErrorReason::TypeChanged => f.write_str(": of another kind than before"),
-            ReplaceErrorReason::NotPositive => f.write_str(": no number above 0"),
-            ReplaceErrorReason::Empty => f.write_str(": none"),
-            ReplaceErrorReason::Unnamed => Ok(()),
-            ReplaceErrorReason::DuplicateName(name) => write!(f, ": {name:?} stands twice"),
-            ReplaceErrorReason::UnknownIdempotency => f.write_str(": no such effect"),
+            ReplaceErrorReason::TypeChanged => f.write_str(": type differs from the one in force"),
+            ReplaceErrorReason::NotPositive => f.write_str(": must be a number above 0"),
+            ReplaceErrorReason::Empty => f.write_str(": must not be empty"),
+            ReplaceErrorReason::Unnamed => f.write_str(": must be a non-empty string"),
+            ReplaceErrorReason::DuplicateName(name) => write!(f, ": duplicate name {name:?}"),
+            ReplaceErrorReason::UnknownIdempotency => {
+                f.write_str(": must be \"repeatable\", \"once\" or \"by_key\"")
+            }
         }
     }
 }
--- a/src/zone_failover/tests.rs
+++ b/src/zone_failover/tests.rs
@@ -95,7 +95,7 @@
     let messages = errors.join("\n");
     for expected in [
         "must be above 0",
-        "is no IP network",
+        "is not a valid IP network",
         "overlaps 10.0.0.0/16",
         "out of range",
         "has no networks",
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -367,16 +367,16 @@
         (but(&moved, r#", "hardLimitS": 4.0"#, ""), "settings.classes[0].hardLimitS: missing"),
         (
             but(&moved, r#""hardLimitS": 4.0"#, r#""hardLimitS": 0"#),
-            "settings.classes[0].hardLimitS: no number",
+            "settings.classes[0].hardLimitS: must be a number above 0",
         ),
         (but(&moved, r#""hardLimitS": 6.0"#, r#""hardLimitS": "6 s""#), "settings.classes[1].hardLimitS"),
         (but(&moved, r#""hardLimitS": 6.0"#, r#""hardLimitS": null"#), "settings.classes[1].hardLimitS"),
         (
             but(&moved, r#""maxAttempts": 5"#, r#""maxAttempts": -1"#),
-            "settings.limits.maxAttempts: no number",
+            "settings.limits.maxAttempts: must be a number above 0",
         ),
         (but(&moved, r#""maxAttempts": 5"#, r#""maxAttempts": "many""#), "settings.limits.maxAttempts"),
-        (but(&moved, r#""name": "issue""#, r#""name": "preview""#), "stands twice"),
+        (but(&moved, r#""name": "issue""#, r#""name": "preview""#), "duplicate name \"preview\""),
         (but(&moved, "\"once\"", "\"twice\""), "settings.classes[1].idempotency"),
     ];
     for (n, (file, field)) in wrong.into_iter().enumerate() {
--- a/tests/zone_failover.rs
+++ b/tests/zone_failover.rs
@@ -72,7 +72,7 @@
     let invalid = check("halls: {\n  key: \"racks\"\n  hall: { a: { networks: [\"10.0.0.0/8\"] }, b: { networks: [\"10.1.0.0/16\"] } }\n}\n");
     assert_eq!(invalid.status.code(), Some(1));
     let stderr = String::from_utf8_lossy(&invalid.stderr);
-    assert!(stderr.contains(":2:8: halls.key: \"racks\" is none of"), "{stderr}");
+    assert!(stderr.contains(":2:8: halls.key: \"racks\" is invalid: must be one of"), "{stderr}");
     assert!(stderr.contains("overlaps 10.0.0.0/8 of hall \"a\""), "{stderr}");
 }
 
