--- a/crates/gateway/src/cli/check.rs
+++ b/crates/gateway/src/cli/check.rs
@@ -1,11 +1,11 @@
-//! `check`: tells what a settings file or a configuration call would put in force, or what is wrong with it.
+//! `check`: validates a settings file, whose effective values it prints, or the body of a configuration call.
 
 use super::CommandError;
 use crate::configuration::{self, change};
 use crate::settings::Settings;
 
-/// Checks the configuration call in the file `config`, or else the settings in the file `settings`, or else those that
-/// `WHINSTALL_NODE_FILE` names.
+/// Checks the configuration call in the file `config`. Without `config`, checks the settings file `settings`, which
+/// defaults to the one that `WHINSTALL_NODE_FILE` names.
 pub(super) fn run(settings: Option<String>, config: Option<String>) -> Result<(), CommandError> {
     match config {
         Some(path) => check_configuration(path),
@@ -13,7 +13,7 @@
     }
 }
 
-/// Checks a call on its own: what it may contradict in a running system can't be known here.
+/// Checks a configuration call without a running system, so conflicts with its present configuration are not detected.
 fn check_configuration(path: String) -> Result<(), CommandError> {
     let body = match std::fs::read(&path) {
         Ok(body) => body,
@@ -23,7 +23,7 @@
         .and_then(|items| change::validate_change(&Default::default(), &items));
     match checked {
         Ok(items) => {
-            println!("{path}: {} items, valid on their own", items.len());
+            println!("{path}: {} items, valid; conflicts with a running system are not checked", items.len());
             Ok(())
         }
         Err(error) => Err(CommandError::Configuration(path, error)),
--- a/crates/gateway/src/cli/export.rs
+++ b/crates/gateway/src/cli/export.rs
@@ -1,6 +1,6 @@
-//! `export`: the items on a disk as the body of one configuration call, for a new system to import. The disk is of a
-//! member of a core that is lost for good, or of the program before the replicated log. It is copied and never changed,
-//! and every item on it is exported, removed ones too.
+//! `export`: converts the items on a disk to the body of one configuration call that a new system can import. The disk
+//! belongs to a member of a permanently lost core, or to a release before the replicated log. The command works on a copy
+//! of the disk and exports every item, including removed ones.
 
 use super::CommandError;
 use crate::configuration::{ConfigItem, ConfigState, ItemKind, ItemSet};
@@ -12,18 +12,18 @@
 use serde_json::{json, Map, Value};
 use std::path::{Path, PathBuf};
 
-/// Why a disk can't be exported.
+/// Failure to export a disk. Nothing on the disk was changed.
 #[derive(Debug, displaydoc::Display)]
 pub enum ExportError {
-    /// the data folder: {0}
+    /// failed to copy the data folder: {0}
     Io(std::io::Error),
-    /// the database: {0}
+    /// failed to read the database: {0}
     Database(rusqlite::Error),
-    /// what is there can't be read: {0}
+    /// corrupt data on the disk: {0}
     Corrupt(String),
-    /// the disk of a member: {0}
+    /// failed to open the disk of a member: {0}
     Replica(StorageError),
-    /// {0} holds no disk of a core machine
+    /// {0} contains neither replica.sqlite nor toolroom.sqlite
     NoDisk(String),
 }
 
@@ -50,11 +50,11 @@
     }
 }
 
-/// A temporary folder, removed when this is dropped.
+/// A temporary folder, which is removed on drop.
 struct TemporaryCopy(PathBuf);
 
 impl TemporaryCopy {
-    /// Copies those of the files that exist.
+    /// Copies the named files, as far as they exist, to a new temporary folder.
     fn of(folder: &Path, names: &[&str]) -> Result<Self, ExportError> {
         let name = format!("whinstall-export-{}-{:x}", std::process::id(), fastrand::u64(..));
         let copy = TemporaryCopy(std::env::temp_dir().join(name));
@@ -74,12 +74,12 @@
     }
 }
 
-/// The items of a disk, as the body of a call.
+/// The exported items of a disk.
 #[derive(Debug)]
 pub struct Export {
     /// The body of the configuration call.
     pub call: Value,
-    /// What the disk is, and up to which index its entries are known to be committed.
+    /// Description of the disk, with the index up to which its entries are known to be committed.
     pub origin: Value,
 }
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// Runs the command: prints the call, or writes it to the file `out`; the origin goes to standard error.
+/// Runs the command: prints the call or writes it to the file `out`, and prints the origin to standard error.
 pub(super) fn run(data: Option<String>, out: Option<String>) -> Result<(), CommandError> {
     let data = data.ok_or(CommandError::MissingDataFolder)?;
     let export = match export(data.as_ref()) {
@@ -108,7 +108,8 @@
     Ok(())
 }
 
-/// Reads a copy of the disk in `folder`. No process may be running on it: the copy could be torn.
+/// Exports a copy of the disk in `folder`. No process may use the disk meanwhile; otherwise the copy could be
+/// inconsistent.
 pub fn export(folder: &Path) -> Result<Export, ExportError> {
     if folder.join(LEGACY_DATABASE_FILE).try_exists()? {
         return export_legacy(folder);
@@ -119,8 +120,9 @@
     Err(ExportError::NoDisk(folder.display().to_string()))
 }
 
-/// The disk of a member: its snapshot and its whole log. A disk alone can't tell which entries after the snapshot are
-/// committed: whatever was acknowledged is in the longest log of any majority of the members.
+/// Exports the disk of a member: the snapshot and the complete log. A single disk does not show which entries after the
+/// snapshot are committed, so all of them are applied. Every acknowledged entry is in the most up-to-date log of any
+/// majority of the members.
 fn export_member(folder: &Path) -> Result<Export, ExportError> {
     let copy = TemporaryCopy::of(folder, &[DATABASE_FILE, WAL_FILE])?;
     let (store, stored) = ReplicaStore::open(&copy.0, false).map_err(ExportError::Replica)?;
@@ -173,7 +175,7 @@
     }
 }
 
-/// The disk of the program before the replicated log.
+/// Exports the disk of a release before the replicated log.
 fn export_legacy(folder: &Path) -> Result<Export, ExportError> {
     let (wal, journal) = (format!("{LEGACY_DATABASE_FILE}-wal"), format!("{LEGACY_DATABASE_FILE}-journal"));
     let copy = TemporaryCopy::of(folder, &[LEGACY_DATABASE_FILE, &wal, &journal])?;
@@ -192,12 +194,13 @@
     Ok(Export { call: import_call(&items), origin })
 }
 
-/// The body of the call that sets the present items and removes the removed ones, each in its stored version.
+/// Builds the body of the call that sets all active items and removes all removed items, each with its stored version.
 pub fn import_call(items: &ItemSet) -> Value {
     let mut upsert = items.to_json();
     let mut remove: Map<String, Value> = Map::new();
     for kind in [ItemKind::Route, ItemKind::Tenant, ItemKind::Service, ItemKind::Saturation] {
-        // A field that was sent as null can't be told from none in columns.
+        // The column format can't distinguish a null field from a missing one, so items with null fields are written as
+        // objects.
         if kind != ItemKind::Saturation
             && items.active_items(kind).any(|(_, body)| body.to_map().values().any(Value::is_null))
         {
--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -1,4 +1,4 @@
-//! Recovery when most of the core is lost for good: the export of a remaining disk, imported by a new core.
+//! Tests of the recovery after the loss of a majority of the core: export of a remaining disk and import by a new core.
 
 use crate::cli::export::{export, ExportError};
 use crate::configuration::parse_change;
@@ -15,7 +15,7 @@
     pub(crate) core: CoreNode,
     store: ReplicaStore,
     now: f64,
-    replies: Vec<(u16, Value)>,
+    responses: Vec<(u16, Value)>,
 }
 
 impl SingleCore {
@@ -25,9 +25,9 @@
         settings.ip = [10, 0, 1, 1].into();
         (settings.seeds, settings.cold_start) = (vec![(settings.ip, 80).into()], true);
         settings.tolerance.machines = 0;
-        let (store, held) = ReplicaStore::open(data, settings.is_first_seed()).expect("a disk");
-        let core = CoreNode::new(1000.0, settings, held).expect("a core");
-        let mut machine = SingleCore { core, store, now: 1000.0, replies: Vec::new() };
+        let (store, stored) = ReplicaStore::open(data, settings.is_first_seed()).expect("a disk");
+        let core = CoreNode::new(1000.0, settings, stored).expect("a core");
+        let mut machine = SingleCore { core, store, now: 1000.0, responses: Vec::new() };
         let mut out = Vec::new();
         machine.core.start(&mut out);
         machine.carry_out(out);
@@ -46,31 +46,31 @@
     }
 
     fn carry_out(&mut self, effects: Vec<Effect>) {
-        let puts: Vec<WriteBatch> = effects
+        let batches: Vec<WriteBatch> = effects
             .iter()
             .filter_map(|e| match e {
-                Effect::Persist(put) => Some(put.clone()),
+                Effect::Persist(batch) => Some(batch.clone()),
                 _ => None,
             })
             .collect();
-        let replies = effects.into_iter().filter_map(|e| match e {
+        let responses = effects.into_iter().filter_map(|e| match e {
             Effect::Respond(_, status, body) => Some((status, body)),
             _ => None,
         });
-        self.replies.extend(replies);
-        if let Some(last) = puts.last().map(|p| p.sequence) {
-            self.store.write(&puts).expect("written");
+        self.responses.extend(responses);
+        if let Some(last) = batches.last().map(|b| b.sequence) {
+            self.store.write(&batches).expect("written");
             self.event(Event::Persisted(last));
         }
     }
 
-    /// The response to a call, after one more tick, in which the log may be compacted.
+    /// Returns the response to a call after one more tick, in which the log may be compacted.
     pub(crate) fn call(&mut self, command: ApiCommand) -> (u16, Value) {
-        self.replies.clear();
+        self.responses.clear();
         self.event(Event::ApiCall(1, command));
         self.now += TICK_SECS;
         self.event(Event::Tick);
-        self.replies.pop().unwrap_or((0, Value::Null))
+        self.responses.pop().unwrap_or((0, Value::Null))
     }
 
     pub(crate) fn amend(&mut self, body: &Value) -> u16 {
@@ -86,7 +86,7 @@
     json!({ "upsert": { "service_set": all } })
 }
 
-/// Fills a disk: a snapshot, a log after it, changed and removed items. Returns the last response to a read.
+/// Fills a disk with a snapshot, a log after it, and changed and removed items. Returns the last response to a read.
 fn fill_disk(data: &Path) -> Value {
     let mut machine = SingleCore::start(data);
     for round in 0..600 {
@@ -104,8 +104,8 @@
     }});
     expect_that!(machine.amend(&drop), eq(200));
     let raft = &machine.core.raft;
-    let (entries, behind) = (raft.entry_count(), raft.snapshot_index());
-    expect_that!((entries, behind), (gt(10), gt(100)), "a snapshot, and a log after it");
+    let (entries, snapshot_index) = (raft.entry_count(), raft.snapshot_index());
+    expect_that!((entries, snapshot_index), (gt(10), gt(100)), "a snapshot, and a log after it");
     machine.call(ApiCommand::Read).1
 }
 
@@ -114,9 +114,9 @@
     let (old, new) = (Folder::new("old"), Folder::new("new"));
     let exported_state = fill_disk(&old.0);
     let files = || [DATABASE_FILE, WAL_FILE].map(|n| std::fs::read(old.0.join(n)).expect("a file"));
-    let was = files();
+    let before = files();
     let exported = export(&old.0).expect("exported");
-    expect_that!(files() == was, eq(true), "the disk stays as it was");
+    expect_that!(files() == before, eq(true), "the disk is unchanged");
     let origin = &exported.origin;
     expect_that!(origin["committed_up_to_at_least"].as_u64(), some(gt(100)));
     expect_that!(origin["last_index"].as_u64(), some(gt(600)));
@@ -130,7 +130,7 @@
     let (status, state) = machine.call(ApiCommand::Read);
     expect_that!(status, eq(200));
     expect_that!(state, eq(&exported_state));
-    // Again, as after a lost response.
+    // The import is repeated, as after a lost response.
     expect_that!(machine.call(ApiCommand::Amend(call)).0, eq(200));
     // Late calls of older versions change nothing, and restore no removed item.
     expect_that!(machine.amend(&services(&[service(9, 410), service(3, 4)])), eq(200));
@@ -138,7 +138,7 @@
         "service_ref": "s0", "cutoff": "900ms", "revision": "r7" });
     expect_that!(machine.amend(&json!({ "upsert": { "route_set": [route] } })), eq(200));
     expect_that!(machine.call(ApiCommand::Read).1, eq(&exported_state));
-    // A stored version can't get another content.
+    // A stored version is rejected with different content.
     let other = json!({ "label": "s3", "probe_path": "/other", "revision": "r564" });
     expect_that!(machine.amend(&services(&[other])), eq(409));
     // New versions are accepted.
@@ -146,42 +146,42 @@
 }
 
 #[gtest]
-fn a_torn_or_foreign_disk_is_rejected() {
+fn a_truncated_or_unrelated_disk_is_rejected() {
     let old = Folder::new("torn");
     fill_disk(&old.0);
     let (database, log) = (old.0.join(DATABASE_FILE), old.0.join(WAL_FILE));
-    let whole = [std::fs::read(&database).expect("a file"), std::fs::read(&log).expect("a file")];
-    let expect_rejected = |what: &str, why: &str| {
+    let intact = [std::fs::read(&database).expect("a file"), std::fs::read(&log).expect("a file")];
+    let expect_rejected = |case: &str, error_part: &str| {
         let error = export(&old.0).err().map(|e| e.to_string()).unwrap_or_default();
-        expect_that!(error, contains_substring(why), "{what}");
+        expect_that!(error, contains_substring(error_part), "{case}");
     };
-    let put = |database_bytes: &[u8], log_bytes: &[u8]| {
+    let write = |database_bytes: &[u8], log_bytes: &[u8]| {
         std::fs::write(&database, database_bytes).expect("written");
         std::fs::write(&log, log_bytes).expect("written");
     };
     std::fs::remove_file(&log).expect("removed");
     expect_rejected("no write-ahead log", "without");
-    put(&[], &whole[1]);
+    write(&[], &intact[1]);
     expect_rejected("cut to nothing", "cut to nothing");
-    put(&whole[0][..whole[0].len() / 2], &[]);
+    write(&intact[0][..intact[0].len() / 2], &[]);
     expect_that!(export(&old.0).is_err(), eq(true), "cut in half");
-    put(b"some other file, long enough to have a head of machine hundred bytes, which a database begins with, and more", &[]);
+    write(b"some other file, long enough to have a head of machine hundred bytes, which a database begins with, and more", &[]);
     expect_rejected("no database", "not a database");
-    // A page is overwritten: rejected, except for pages that hold nothing.
-    put(&whole[0], &[]);
-    let unharmed = export(&old.0).expect("exported").to_string();
-    let mut refusals = 0;
-    for page in 0..whole[0].len() / 4096 {
-        let mut bytes = whole[0].clone();
+    // A disk with an overwritten page is rejected, unless the page holds no data.
+    write(&intact[0], &[]);
+    let expected = export(&old.0).expect("exported").to_string();
+    let mut rejections = 0;
+    for page in 0..intact[0].len() / 4096 {
+        let mut bytes = intact[0].clone();
         bytes[page * 4096..(page + 1) * 4096].fill(0x5a);
-        put(&bytes, &[]);
+        write(&bytes, &[]);
         match export(&old.0) {
-            Ok(export) => expect_that!(export.to_string(), eq(&unharmed), "page {page}"),
-            Err(_) => refusals += 1,
+            Ok(export) => expect_that!(export.to_string(), eq(&expected), "page {page}"),
+            Err(_) => rejections += 1,
         }
     }
-    expect_that!(refusals, gt(5));
-    put(&whole[0], &whole[1]);
+    expect_that!(rejections, gt(5));
+    write(&intact[0], &intact[1]);
     expect_that!(export(&old.0).is_ok(), eq(true));
     std::fs::remove_file(&database).expect("removed");
     expect_that!(export(&old.0).err(), some(matches_pattern!(ExportError::NoDisk(_))));
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -1,5 +1,5 @@
-//! The command line: runs a role, or one of the commands `check`, `status` and `export`. Results go to standard output,
-//! everything else to standard error. Exit codes: 0 done, 1 failed, 2 called wrongly.
+//! The command line: runs a role, or one of the commands `check`, `status` and `export`. Results are written to standard
+//! output, everything else to standard error. Exit codes: 0 success, 1 failure, 2 invalid command line.
 
 mod check;
 pub mod export;
@@ -18,30 +18,32 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-const USAGE: &str = "whinstall-gateway ROLE
+const USAGE: &str = "whinstall-gateway ROLE|COMMAND [OPTIONS]
 
 Roles:
-    edge     serves clients by the configuration, and finds workers and configuration at the core
-    core     keeps the configuration on its disk, the list of workers and the counter of quotas
-    check    reads a settings file or, with --config, the body of a configuration call, and tells what is wrong
-    status   asks a core machine at its control address (--at) who is of the core, who leads, in which term, how far each
-             is, and who is out and why; prints it as JSON
-    export   prints the items on the disk of a core machine that does not run, those that were dropped too, as the body
-             of one configuration call for a new core, and on standard error what the disk is. For a core of which
-             most is lost for good, and for disks of the program before the replicated log; how to go on is in
-             docs/system-operators.md
+    edge     serves clients according to the configuration, which it receives from the core with the list of workers
+    core     replicates the configuration on disk, and keeps the list of workers and the quota counters
 
-The settings file is named by WHINSTALL_NODE_FILE. RUST_LOG sets how much is logged (info).";
+Commands:
+    check    validates a settings file or, with --config, the body of a configuration call, and reports the first error
+    status   queries a core machine at its control address (--at) and prints the state of the core as JSON: its members,
+             the leader and the term, the replication progress of each member, and which members are out and why
+    export   reads the disk of a stopped core machine and prints all items on it, including removed ones, as the body of
+             one configuration call for a new core; a description of the disk goes to standard error. Use it if a
+             majority of the core is permanently lost, and for disks of releases before the replicated log. The recovery
+             procedure is in docs/system-operators.md
 
-/// The exit code of a command line that can't be understood.
+WHINSTALL_NODE_FILE names the settings file. RUST_LOG sets the log filter (default: info).";
+
+/// The exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
-/// Why a command failed. The text goes to standard error as it is.
+/// Failure of a command. The text is printed to standard error as it stands.
 #[derive(Debug, displaydoc::Display)]
 pub enum CommandError {
-    /// whinstall-gateway: status needs --at ADDRESS, such as 10.0.0.4:8080
+    /// whinstall-gateway: status requires --at with an IP address and a port, such as 10.0.0.4:8080
     MissingAddress,
-    /// whinstall-gateway: export needs --data DIR
+    /// whinstall-gateway: export requires --data with the data folder of a core machine
     MissingDataFolder,
     /// {0}
     Settings(SettingsError),
@@ -79,17 +81,22 @@
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optflag("h", "help", "print this");
+    options.optflag("h", "help", "print this help");
     options.optflag("V", "version", "print the version");
-    options.optopt("", "settings", "check: a settings file", "FILE");
-    options.optopt("", "config", "check: a configuration call's body, as JSON", "FILE");
+    options.optopt(
+        "",
+        "settings",
+        "check: the settings file to validate instead of the one in WHINSTALL_NODE_FILE",
+        "FILE",
+    );
+    options.optopt("", "config", "check: the JSON body of a configuration call to validate", "FILE");
     options.optopt("", "at", "status: the control address of a core machine", "ADDRESS");
-    options.optopt("", "data", "export: the folder of the disk (data_path)", "DIR");
-    options.optopt("", "out", "export: written here instead of printed", "FILE");
+    options.optopt("", "data", "export: the data folder of the core machine (data_path)", "DIR");
+    options.optopt("", "out", "export: write to this file instead of standard output", "FILE");
     options
 }
 
-/// Runs the program with the arguments of this process.
+/// Runs the program with the command-line arguments of this process.
 pub fn run() -> ExitCode {
     let options = options();
     let usage_error = |error: &str| {
@@ -118,11 +125,11 @@
             eprintln!("{error}");
             error.exit_code()
         }
-        None => run_role(name).unwrap_or_else(|| usage_error(&format!("no role {name}"))),
+        None => run_role(name).unwrap_or_else(|| usage_error(&format!("unknown role or command: {name}"))),
     }
 }
 
-/// Runs the command of this name, if there is one.
+/// Runs the command with this name; `None` if there is no such command.
 fn run_command(name: &str, arguments: &Matches) -> Option<Result<(), CommandError>> {
     let option = |name| arguments.opt_str(name);
     match name {
@@ -133,7 +140,7 @@
     }
 }
 
-/// Runs the role of this name, if there is one, until the process is asked to end.
+/// Runs the role with this name until the process receives a signal to end; `None` if there is no such role.
 pub fn run_role(name: &str) -> Option<ExitCode> {
     Role::from_name(name).map(runtime::run)
 }
--- a/crates/gateway/src/cli/status.rs
+++ b/crates/gateway/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `status`: asks a core machine at its control address for the state of the core, and prints it as indented JSON.
+//! `status`: queries a core machine at its control address for the state of the core and prints it as indented JSON.
 
 use super::CommandError;
 use serde_json::Value;
@@ -6,19 +6,19 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The machine must accept the connection, and send something, within this.
+/// Timeout of connecting, and of each single read of the response.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why there is no state to print. The question changes nothing, and may be repeated.
+/// Failure to query the state of the core. The query changes nothing and may be retried.
 #[derive(Debug, displaydoc::Display)]
 pub enum StatusError {
-    /// {0}
+    /// connection failed: {0}
     Connection(std::io::Error),
-    /// no answer
+    /// connection closed before a complete response head
     NoResponse,
-    /// {0}
+    /// unexpected status line: {0}
     Rejected(String),
-    /// {0}
+    /// response body is not JSON: {0}
     NotJson(serde_json::Error),
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Prints the state of the core as the machine at `at`, an address and a port, sees it.
+/// Prints the state of the core as seen by the machine at `at`, an IP address and a port.
 pub(super) fn run(at: Option<String>) -> Result<(), CommandError> {
     let address = at.and_then(|at| at.parse().ok()).ok_or(CommandError::MissingAddress)?;
     let state = fetch(address).map_err(|error| CommandError::Status(address, error))?;
--- a/crates/gateway/src/cli/stored_data_tests.rs
+++ b/crates/gateway/src/cli/stored_data_tests.rs
@@ -1,6 +1,6 @@
-//! Guards what earlier builds of the program stored: two small disks, committed as files, are opened, read, led from and
-//! written on; their records are also encoded again, to the same bytes, so that an earlier build can read what this one
-//! writes. A change of name in the code must not be seen here. How the disks were made: `write_the_disks` below.
+//! Tests of compatibility with data stored by earlier builds. Two small disks, committed as files, are opened and read, and
+//! a leader is run on them. Their records are also encoded again to the same bytes, so that an earlier build can read
+//! data written by this one. Renamed identifiers must not change the stored form. `write_the_disks` created the disks.
 
 use super::export_tests::SingleCore;
 use crate::cli::export::export;
@@ -27,7 +27,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/stored-data").join(name)
 }
 
-/// A copy of a committed disk, under the file names that are literally those of earlier builds.
+/// A copy of a committed disk. The file names are literals, as earlier builds wrote them.
 fn copy(name: &str, test: &str) -> Folder {
     let folder = Folder::new(&format!("stored-{name}-{test}"));
     for file in ["replica.sqlite", "replica.sqlite-wal"] {
@@ -68,25 +68,25 @@
     EdgeCeilings { node: node.into(), incarnation, ceilings }
 }
 
-/// All, of one gatekeeper and of another.
-fn whole_shares() -> ShareCeilings {
-    let gates = vec![
+/// A full update with the ceilings of two edges.
+fn full_ceilings() -> ShareCeilings {
+    let edges = vec![
         edge_ceilings("edge-1", 11, &[("t1", 2.5), ("t2", 0.75)]),
         edge_ceilings("edge-2", 22, &[("t1", 5.0)]),
     ];
-    ShareCeilings { term: 1, sequence: 3, edges: gates, is_full: true, ended_edges: vec![] }
+    ShareCeilings { term: 1, sequence: 3, edges, is_full: true, ended_edges: vec![] }
 }
 
-/// What changed since.
-fn changed_shares() -> ShareCeilings {
-    let gates = vec![edge_ceilings("edge-1", 11, &[("t1", 3.5), ("t2", 0.0)])];
-    ShareCeilings { term: 1, sequence: 4, edges: gates, is_full: false, ended_edges: vec!["edge-2".into()] }
+/// An incremental update after [`full_ceilings`].
+fn incremental_ceilings() -> ShareCeilings {
+    let edges = vec![edge_ceilings("edge-1", 11, &[("t1", 3.5), ("t2", 0.0)])];
+    ShareCeilings { term: 1, sequence: 4, edges, is_full: false, ended_edges: vec!["edge-2".into()] }
 }
 
-/// Both together, as the next holder of the counter took them over.
-fn kept_shares() -> ShareCeilings {
-    let gates = vec![edge_ceilings("edge-1", 11, &[("t1", 3.5)])];
-    ShareCeilings { term: 2, sequence: 1, edges: gates, is_full: true, ended_edges: vec![] }
+/// The full update with which the next quota leader takes over both earlier updates.
+fn taken_over_ceilings() -> ShareCeilings {
+    let edges = vec![edge_ceilings("edge-1", 11, &[("t1", 3.5)])];
+    ShareCeilings { term: 2, sequence: 1, edges, is_full: true, ended_edges: vec![] }
 }
 
 fn shares(shares: ShareCeilings) -> EntryPayload<LogCommand> {
@@ -118,44 +118,48 @@
     json!({ "remove": { "route_set": [{ "label": "r1", "revision": "r8" }], "service_set": [{ "label": "s3", "revision": "r9" }] } })
 }
 
-// How the disks were made.
+// Creation of the disks.
 
-/// What a core did, in a disk of its own; the records of shares and of members as a leader of several would write them.
-fn written_on(folder: &Path, bodies: Vec<EntryPayload<LogCommand>>) {
-    let (mut store, held) = ReplicaStore::open(folder, false).expect("opens");
-    let last = held.raft_state.entries.last().expect("a log");
+/// Appends these payloads to the log on a disk. They include ceilings and members as the leader of several machines would
+/// write them.
+fn append_to_log(folder: &Path, payloads: Vec<EntryPayload<LogCommand>>) {
+    let (mut store, stored) = ReplicaStore::open(folder, false).expect("opens");
+    let last = stored.raft_state.entries.last().expect("a log");
     let (term, next) = (last.term, last.index + 1);
     let entries =
-        bodies.into_iter().zip(next..).map(|(payload, index)| Entry { term, index, payload }).collect();
+        payloads.into_iter().zip(next..).map(|(payload, index)| Entry { term, index, payload }).collect();
     store
         .write(&[WriteBatch { log_writes: vec![LogWrite::Append(entries)], ..WriteBatch::default() }])
         .expect("written");
 }
 
-fn called(machine: &mut SingleCore, bodies: &[Value]) {
+fn amend_all(machine: &mut SingleCore, bodies: &[Value]) {
     for body in bodies {
         assert_eq!(machine.amend(body), 200, "{body}");
     }
 }
 
-/// The same records in a small new disk.
-fn put_down(from: &Path, to: &Path) -> LoadedState {
-    let (_, held) = ReplicaStore::open(from, false).expect("opens");
+/// Writes the records of a disk to a new disk, which is smaller.
+fn copy_records(from: &Path, to: &Path) -> LoadedState {
+    let (_, stored) = ReplicaStore::open(from, false).expect("opens");
     let _ = std::fs::remove_dir_all(to);
     std::fs::create_dir_all(to).expect("a folder");
     let (mut store, _) = ReplicaStore::open(to, true).expect("opens");
-    let snapshot =
-        held.raft_state.snapshot.clone().map(|snapshot| LogWrite::Snapshot { snapshot, replaces_log: true });
-    let mut writes = vec![LogWrite::HardState { term: held.raft_state.term, vote: held.raft_state.vote }];
+    let snapshot = stored
+        .raft_state
+        .snapshot
+        .clone()
+        .map(|snapshot| LogWrite::Snapshot { snapshot, replaces_log: true });
+    let mut writes = vec![LogWrite::HardState { term: stored.raft_state.term, vote: stored.raft_state.vote }];
     writes.extend(snapshot);
-    writes.push(LogWrite::Append(held.raft_state.entries.clone()));
+    writes.push(LogWrite::Append(stored.raft_state.entries.clone()));
     store
-        .write(&[WriteBatch { log_writes: writes, workers: held.workers.clone(), ..WriteBatch::default() }])
+        .write(&[WriteBatch { log_writes: writes, workers: stored.workers.clone(), ..WriteBatch::default() }])
         .expect("written");
-    held
+    stored
 }
 
-fn worked(machine: &mut SingleCore) {
+fn add_workers(machine: &mut SingleCore) {
     for worker in [
         worker("w-settled", "s1", 1, WorkerPhase::Serving, 7),
         worker("w-decaying", "s2", 2, WorkerPhase::Draining, 9),
@@ -166,82 +170,82 @@
     assert_eq!(machine.call(ApiCommand::Departure("w-left".into())).0, 200);
 }
 
-/// Not a check, and not one that is left out: this made the committed disks, by the program of commit 884c06e, before its
-/// types were renamed. It writes nothing unless STORED_DATA_TO names a folder:
-/// `STORED_DATA_TO=... cargo test -p <this package> write_the_disks -- --ignored`. The committed files must stay as that
-/// build wrote them: made anew by a later build they would guard nothing.
+/// This is a generator, not a skipped test. It created the committed disks at commit 884c06e, before the types were
+/// renamed, and writes nothing unless STORED_DATA_TO names a folder:
+/// `STORED_DATA_TO=FOLDER cargo test -p <this package> write_the_disks -- --ignored`. The committed files must stay as
+/// that build wrote them; files written by a later build would not test compatibility with earlier ones.
 #[test]
 #[ignore = "makes the fixtures, checks nothing: run by hand with STORED_DATA_TO"]
 fn write_the_disks() {
     let Some(to) = std::env::var_os("STORED_DATA_TO").map(PathBuf::from) else { return };
     let folder = Folder::new("write-log-only");
     let mut machine = SingleCore::start(&folder.0);
-    called(&mut machine, &[first_call(), service("s3", 4), service("s3", 5), drop_all()]);
-    worked(&mut machine);
-    let stood = machine.call(ApiCommand::Read).1;
+    amend_all(&mut machine, &[first_call(), service("s3", 4), service("s3", 5), drop_all()]);
+    add_workers(&mut machine);
+    let state_before = machine.call(ApiCommand::Read).1;
     drop(machine);
-    let bodies = vec![
+    let payloads = vec![
         EntryPayload::ConfChange([me(), other()].into()),
-        shares(whole_shares()),
-        shares(changed_shares()),
+        shares(full_ceilings()),
+        shares(incremental_ceilings()),
         EntryPayload::ConfChange([me()].into()),
     ];
-    written_on(&folder.0, bodies);
-    put_down(&folder.0, &to.join(LOG_ONLY));
-    tell(&to.join(LOG_ONLY), &stood);
+    append_to_log(&folder.0, payloads);
+    copy_records(&folder.0, &to.join(LOG_ONLY));
+    write_expected(&to.join(LOG_ONLY), &state_before);
 
     let folder = Folder::new("write-snapshot");
     let mut machine = SingleCore::start(&folder.0);
-    called(&mut machine, &[first_call(), service("s3", 4), drop_all()]);
-    // Nearly up to a snapshot: several versions of a few items.
+    amend_all(&mut machine, &[first_call(), service("s3", 4), drop_all()]);
+    // Several versions of a few items fill the log almost up to the next snapshot.
     let mut version = 1;
     let mut next = |machine: &mut SingleCore| {
         version += 1;
         assert!(version < 5000, "no snapshot");
-        called(machine, &[service(["s4", "s5"][version as usize % 2], version)]);
+        amend_all(machine, &[service(["s4", "s5"][version as usize % 2], version)]);
     };
     while machine.core.raft.entry_count() < 500 {
         next(&mut machine);
     }
     drop(machine);
-    written_on(&folder.0, vec![shares(whole_shares()), shares(changed_shares())]);
-    // The next holder of the counter takes the ceilings over, and a snapshot is written before they lapse.
+    append_to_log(&folder.0, vec![shares(full_ceilings()), shares(incremental_ceilings())]);
+    // The next quota leader takes the ceilings over, and a snapshot is written before they expire.
     let mut machine = SingleCore::start(&folder.0);
     while machine.core.raft.snapshot_index() == 0 {
         next(&mut machine);
     }
     let remove = json!({ "remove": { "service_set": [{ "label": "s4", "revision": "r9000" }] } });
-    called(&mut machine, &[service("s5", 9000), remove, service("s6", 1)]);
-    worked(&mut machine);
-    let stood = machine.call(ApiCommand::Read).1;
+    amend_all(&mut machine, &[service("s5", 9000), remove, service("s6", 1)]);
+    add_workers(&mut machine);
+    let state_before = machine.call(ApiCommand::Read).1;
     drop(machine);
-    put_down(&folder.0, &to.join(SNAPSHOT));
-    tell(&to.join(SNAPSHOT), &stood);
+    copy_records(&folder.0, &to.join(SNAPSHOT));
+    write_expected(&to.join(SNAPSHOT), &state_before);
 }
 
-fn tell(to: &Path, stood: &Value) {
-    let told = |name: &str, value: &Value| {
+fn write_expected(to: &Path, state_before: &Value) {
+    let write = |name: &str, value: &Value| {
         std::fs::write(to.join(name), serde_json::to_string_pretty(value).expect("JSON") + "\n")
             .expect("written");
     };
-    told("expected.json", stood);
+    write("expected.json", state_before);
     let exported = export(to).expect("exported");
-    told("export.json", &exported.call);
-    told("export-origin.json", &exported.origin);
+    write("export.json", &exported.call);
+    write("export-origin.json", &exported.origin);
 }
 
-// What is checked.
+// Tests.
 
-/// Guards names of files: a disk under another name would be taken for none.
+/// Guards the file names of a disk. A disk with other file names would be treated as missing.
 #[gtest]
-fn files_of_a_disk_have_the_names_that_they_had() {
+fn the_file_names_of_a_disk_are_unchanged() {
     expect_that!(DATABASE_FILE, eq("replica.sqlite"));
     expect_that!(WAL_FILE, eq("replica.sqlite-wal"));
     expect_that!(LEGACY_DATABASE_FILE, eq("toolroom.sqlite"));
     expect_that!(bootstrap_marker::MARKER_FILE, eq("replica.bootstrap"));
 }
 
-fn workers_held() -> Vec<Worker> {
+fn stored_workers() -> Vec<Worker> {
     vec![
         worker("w-decaying", "s2", 2, WorkerPhase::Draining, 9),
         worker("w-settled", "s1", 1, WorkerPhase::Serving, 7),
@@ -251,17 +255,17 @@
 #[gtest]
 fn a_stored_log_is_read_as_it_was_written() {
     let folder = copy(LOG_ONLY, "read");
-    let (_, held) = ReplicaStore::open(&folder.0, false).expect("opens");
-    expect_that!((held.disk_id, held.is_new), eq((0, false)));
-    expect_that!((held.raft_state.term, held.raft_state.vote), eq((1, Some(me()))));
-    expect_that!(held.raft_state.snapshot, none());
-    expect_that!(held.workers, eq(&workers_held()));
-    let log = &held.raft_state.entries;
-    let places: Vec<_> = log.iter().map(|e| (e.index, e.term)).collect();
+    let (_, stored) = ReplicaStore::open(&folder.0, false).expect("opens");
+    expect_that!((stored.disk_id, stored.is_new), eq((0, false)));
+    expect_that!((stored.raft_state.term, stored.raft_state.vote), eq((1, Some(me()))));
+    expect_that!(stored.raft_state.snapshot, none());
+    expect_that!(stored.workers, eq(&stored_workers()));
+    let log = &stored.raft_state.entries;
+    let positions: Vec<_> = log.iter().map(|e| (e.index, e.term)).collect();
     let expected: Vec<_> = std::iter::once((1, 0)).chain((2..=11).map(|index| (index, 1))).collect();
-    expect_that!(places, eq(&expected));
-    let bodies: Vec<_> = log.iter().map(|e| e.payload.clone()).collect();
-    assert_that!(bodies, len(eq(11)));
+    expect_that!(positions, eq(&expected));
+    let payloads: Vec<_> = log.iter().map(|e| e.payload.clone()).collect();
+    assert_that!(payloads, len(eq(11)));
     let service = |label: &str, version, body: Option<Value>| ConfigItem {
         kind: ItemKind::Service,
         label: label.into(),
@@ -276,15 +280,15 @@
     let dropped = ConfigItem { kind: ItemKind::Route, label: "r1".into(), version: 8, body: None };
     let dropped =
         EntryPayload::Command(LogCommand::Configure(Arc::new(vec![dropped, service("s3", 9, None)])));
-    expect_that!(bodies[0], eq(&EntryPayload::ConfChange([me()].into())));
-    expect_that!(bodies[1], eq(&EntryPayload::TermStart));
-    // The first of a holder of the counter: nobody has a share.
+    expect_that!(payloads[0], eq(&EntryPayload::ConfChange([me()].into())));
+    expect_that!(payloads[1], eq(&EntryPayload::TermStart));
+    // The first update of a quota leader is full and has no ceilings.
     let none = ShareCeilings { term: 1, sequence: 1, edges: vec![], is_full: true, ended_edges: vec![] };
-    expect_that!(bodies[2], eq(&shares(none)));
+    expect_that!(payloads[2], eq(&shares(none)));
     let named = |item: &ConfigItem| (item.kind, item.label.clone(), item.version);
-    match &bodies[3] {
-        EntryPayload::Command(LogCommand::Configure(order)) => expect_that!(
-            order.iter().map(named).collect::<Vec<_>>(),
+    match &payloads[3] {
+        EntryPayload::Command(LogCommand::Configure(change)) => expect_that!(
+            change.iter().map(named).collect::<Vec<_>>(),
             unordered_elements_are![
                 eq(&(ItemKind::Route, "r1".to_string(), 1)),
                 eq(&(ItemKind::Route, "r2".to_string(), 1)),
@@ -294,33 +298,33 @@
                 eq(&(ItemKind::Saturation, "".to_string(), 2)),
             ]
         ),
-        other => expect_that!(other, eq(&EntryPayload::TermStart), "the first order"),
+        other => expect_that!(other, eq(&EntryPayload::TermStart), "the first change"),
     }
-    expect_that!(bodies[4], eq(&sent(4)));
-    expect_that!(bodies[5], eq(&sent(5)));
-    expect_that!(bodies[6], eq(&dropped));
-    expect_that!(bodies[7], eq(&EntryPayload::ConfChange([me(), other()].into())));
-    expect_that!(bodies[8], eq(&shares(whole_shares())));
-    expect_that!(bodies[9], eq(&shares(changed_shares())));
-    expect_that!(bodies[10], eq(&EntryPayload::ConfChange([me()].into())));
+    expect_that!(payloads[4], eq(&sent(4)));
+    expect_that!(payloads[5], eq(&sent(5)));
+    expect_that!(payloads[6], eq(&dropped));
+    expect_that!(payloads[7], eq(&EntryPayload::ConfChange([me(), other()].into())));
+    expect_that!(payloads[8], eq(&shares(full_ceilings())));
+    expect_that!(payloads[9], eq(&shares(incremental_ceilings())));
+    expect_that!(payloads[10], eq(&EntryPayload::ConfChange([me()].into())));
 }
 
 #[gtest]
 fn a_stored_snapshot_is_read_as_it_was_written() {
     let folder = copy(SNAPSHOT, "read");
-    let (_, held) = ReplicaStore::open(&folder.0, false).expect("opens");
-    expect_that!((held.disk_id, held.is_new), eq((0, false)));
-    expect_that!((held.raft_state.term, held.raft_state.vote), eq((2, Some(me()))));
-    expect_that!(held.workers, eq(&workers_held()));
-    let snapshot = held.raft_state.snapshot.expect("a snapshot");
+    let (_, stored) = ReplicaStore::open(&folder.0, false).expect("opens");
+    expect_that!((stored.disk_id, stored.is_new), eq((0, false)));
+    expect_that!((stored.raft_state.term, stored.raft_state.vote), eq((2, Some(me()))));
+    expect_that!(stored.workers, eq(&stored_workers()));
+    let snapshot = stored.raft_state.snapshot.expect("a snapshot");
     expect_that!((snapshot.index, snapshot.term, snapshot.data.len()), eq((513, 2, 8002)));
     expect_that!(snapshot.voters, eq(&[me()].into()));
-    let log = &held.raft_state.entries;
+    let log = &stored.raft_state.entries;
     let ends = (log.first().map(|e| (e.index, e.term)), log.last().map(|e| (e.index, e.term)), log.len());
     expect_that!(ends, eq((Some((514, 2)), Some((516, 2)), 3)));
     let state = decode_snapshot_config(&snapshot.data).expect("a state");
     expect_that!(state.last_change_index(), eq(513));
-    // Dropped ones too.
+    // The state includes removed items.
     let items: Vec<_> = state.all_items().map(|i| (i.kind, &*i.label, i.version, i.body.is_some())).collect();
     let expected = [
         (ItemKind::Route, "r1", 8, false),
@@ -334,13 +338,14 @@
         (ItemKind::Saturation, "", 2, true),
     ];
     expect_that!(items, eq(&expected));
-    // One byte of format, the length of the shares, they, and the state: all of it as it would be written now.
+    // The snapshot consists of one byte for the format, the length of the ceilings, the ceilings, and the state. Each
+    // part equals its present encoding.
     let (head, rest) = snapshot.data.split_at(5);
     let length = u32::from_be_bytes(head[1..].try_into().expect("four bytes")) as usize;
     expect_that!(head[0], eq(1));
-    let told: Option<Arc<ShareCeilings>> = rmp_serde::from_slice(&rest[..length]).expect("shares");
-    expect_that!(told, some(eq(&Arc::new(kept_shares()))));
-    expect_that!(rmp_serde::to_vec(&told).expect("encoded"), eq(&rest[..length]));
+    let ceilings: Option<Arc<ShareCeilings>> = rmp_serde::from_slice(&rest[..length]).expect("shares");
+    expect_that!(ceilings, some(eq(&Arc::new(taken_over_ceilings()))));
+    expect_that!(rmp_serde::to_vec(&ceilings).expect("encoded"), eq(&rest[..length]));
     expect_that!(
         state.encode() == rest[length..],
         eq(true),
@@ -348,15 +353,16 @@
     );
 }
 
-/// An earlier build must be able to read what this one writes, too: the same records give the same bytes.
+/// Guards the ability of an earlier build to read data written by this one. The same records are encoded to the same
+/// bytes.
 #[gtest]
-fn what_is_stored_is_encoded_to_the_bytes_stored() {
+fn stored_records_are_encoded_to_the_stored_bytes() {
     fn bytes(record: &impl Serialize) -> Vec<u8> {
         rmp_serde::to_vec(record).expect("encoded")
     }
     for name in [LOG_ONLY, SNAPSHOT] {
         let folder = copy(name, "bytes");
-        let (store, held) = ReplicaStore::open(&folder.0, false).expect("opens");
+        let (store, stored) = ReplicaStore::open(&folder.0, false).expect("opens");
         drop(store);
         let db = Connection::open(folder.0.join("replica.sqlite")).expect("opens");
         db.pragma_update(None, "locking_mode", "EXCLUSIVE").expect("set");
@@ -365,51 +371,55 @@
             let rows = rows.query_map([], |row| row.get(0)).expect(sql);
             rows.map(|blob| blob.expect(sql)).collect()
         };
-        let votes: Vec<_> = held.raft_state.vote.iter().map(bytes).collect();
+        let votes: Vec<_> = stored.raft_state.vote.iter().map(bytes).collect();
         expect_that!(votes, len(eq(1)));
         expect_that!(blobs("SELECT vote FROM meta"), eq(&votes), "{name}: the vote");
-        let entries: Vec<_> = held.raft_state.entries.iter().map(|e| bytes(&e.payload)).collect();
+        let entries: Vec<_> = stored.raft_state.entries.iter().map(|e| bytes(&e.payload)).collect();
         expect_that!(blobs("SELECT entry FROM log ORDER BY idx"), eq(&entries), "{name}: the log");
-        let members: Vec<_> = held.raft_state.snapshot.iter().map(|s| bytes(&s.voters)).collect();
+        let members: Vec<_> = stored.raft_state.snapshot.iter().map(|s| bytes(&s.voters)).collect();
         expect_that!(blobs("SELECT members FROM snapshot"), eq(&members), "{name}: the members");
-        let workers: Vec<_> = held.workers.iter().map(bytes).collect();
+        let workers: Vec<_> = stored.workers.iter().map(bytes).collect();
         expect_that!(blobs("SELECT worker FROM workers ORDER BY id"), eq(&workers), "{name}: the workers");
     }
 }
 
 #[gtest]
-fn a_core_goes_on_from_a_stored_disk() {
+fn a_core_continues_from_a_stored_disk() {
     for (name, changed, past) in [(LOG_ONLY, "s1", ("s3", 5)), (SNAPSHOT, "s5", ("s5", 5))] {
         let folder = copy(name, "lead");
         let mut machine = SingleCore::start(&folder.0);
-        let stood = committed(name, "expected.json");
-        expect_that!(machine.call(ApiCommand::Read), eq(&(200, stood.clone())), "{name}");
-        // What is dropped stays so; a version that is held stays one content.
+        let state_before = committed(name, "expected.json");
+        expect_that!(machine.call(ApiCommand::Read), eq(&(200, state_before.clone())), "{name}");
+        // A removed item stays removed, and a stored version is rejected with different content.
         let old = json!({ "upsert": { "service_set": [{ "label": "s3", "probe_path": "/h4", "revision": "r4" }] } });
         expect_that!(machine.amend(&old), eq(200), "{name}");
-        let twin = json!({ "upsert": { "tenant_set": [{ "label": "t1", "credentials": ["k9"], "rate_per_s": 1, "revision": "r3" }] } });
-        expect_that!(machine.amend(&twin), eq(409), "{name}");
-        expect_that!(machine.call(ApiCommand::Read), eq(&(200, stood.clone())), "{name}");
-        // That of a version that was overtaken, too.
+        let conflicting = json!({ "upsert": { "tenant_set": [{ "label": "t1", "credentials": ["k9"], "rate_per_s": 1, "revision": "r3" }] } });
+        expect_that!(machine.amend(&conflicting), eq(409), "{name}");
+        expect_that!(machine.call(ApiCommand::Read), eq(&(200, state_before.clone())), "{name}");
+        // A superseded version is also rejected with different content.
         let other = json!({ "label": past.0, "probe_path": "/other", "revision": format!("r{}", past.1) });
         expect_that!(machine.amend(&json!({ "upsert": { "service_set": [other] } })), eq(409), "{name}");
         expect_that!(machine.amend(&service(past.0, past.1)), eq(200), "{name}");
-        expect_that!(machine.call(ApiCommand::Read), eq(&(200, stood.clone())), "{name}");
-        // A further order is taken, and is there after a start.
+        expect_that!(machine.call(ApiCommand::Read), eq(&(200, state_before.clone())), "{name}");
+        // A further change is accepted and survives a restart.
         expect_that!(machine.amend(&service(changed, 9999)), eq(200), "{name}");
         let now = machine.call(ApiCommand::Read);
         expect_that!(now.0, eq(200));
-        expect_that!(now.1, not(eq(&stood)), "{name}");
+        expect_that!(now.1, not(eq(&state_before)), "{name}");
         let fields = machine.core.configuration.state.body(ItemKind::Service, changed);
         let read = |field: &str| fields.as_ref().and_then(|f| f[field].as_str().map(str::to_owned));
         expect_that!(read("probe_path"), some(eq("/h9999")), "{name}");
         drop(machine);
-        expect_that!(SingleCore::start(&folder.0).call(ApiCommand::Read), eq(&now), "{name}: after a start");
+        expect_that!(
+            SingleCore::start(&folder.0).call(ApiCommand::Read),
+            eq(&now),
+            "{name}: after a restart"
+        );
     }
 }
 
 #[gtest]
-fn a_stored_disk_is_exported_as_it_was() {
+fn a_stored_disk_is_exported_unchanged() {
     for name in [LOG_ONLY, SNAPSHOT] {
         let folder = copy(name, "export");
         let exported = export(&folder.0).expect("exported");
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,6 @@
-//! whinstall as a whole API gateway: one program with two roles. The `edge` role ([`data_plane`]) serves clients, the
-//! `core` role ([`control_plane`]) keeps the configuration, the workers and the quota counter. docs/ARCHITECTURE.md has
-//! the layers, and which module may use which.
+//! An API gateway and load balancer in one program with two roles. The `edge` role ([`data_plane`]) serves clients; the
+//! `core` role ([`control_plane`]) replicates the configuration, the list of workers and the quota counters.
+//! docs/ARCHITECTURE.md describes the layers and which module may depend on which.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/gateway/src/runtime/core_server.rs
+++ b/crates/gateway/src/runtime/core_server.rs
@@ -1,5 +1,5 @@
-//! The driver of the core role: the sockets, the disk and the clock around the state machine in
-//! [`crate::control_plane`], which decides everything.
+//! The driver of the core role. It connects the state machine in [`crate::control_plane`], which makes all decisions, to
+//! sockets, the disk and the clock.
 
 mod control_api;
 #[cfg(test)]
@@ -25,26 +25,26 @@
 use tokio::sync::oneshot;
 use tokio::time::{Interval, MissedTickBehavior};
 
-/// Bodies of calls in flight may take the process's memory divided by this.
+/// Divisor of the process's memory limit that gives the memory for bodies of API calls in flight.
 const BODY_MEMORY_DIVISOR: usize = 8;
-/// Time between two attempts to open a disk in trouble.
+/// Delay after a failed attempt to open the disk.
 const DISK_RETRY: Duration = Duration::from_millis(200);
-/// After SIGTERM calls in flight are answered and the lead is handed over for so long at the most.
+/// Maximum time after SIGTERM for responding to calls in flight and transferring the leadership.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(900);
-/// What was just sent gets so long to leave before the process ends.
+/// Delay before the process ends in which the last messages are written to the sockets.
 const FLUSH_TIME: Duration = Duration::from_millis(30);
 
-/// A running core machine: the state machine, and what carries out its effects.
+/// A running core machine: the state machine and the resources on which its effects are executed.
 struct CoreServer {
     core: RefCell<CoreNode>,
     clock: Clock,
-    /// Links that this process opened to other core machines.
+    /// Outgoing links to other core machines.
     links: PeerLinks,
-    /// Outgoing messages on the connections that others opened.
+    /// Queues of outgoing messages on incoming connections.
     inbound: RefCell<HashMap<ConnectionId, UnboundedSender<PeerMessage>>>,
-    /// Calls that wait for the state machine's response.
+    /// API calls that wait for the state machine's response.
     calls: RefCell<HashMap<u64, oneshot::Sender<ApiResponse>>>,
-    /// Batches for the thread that writes the disk.
+    /// Queue of write batches for the thread that writes the disk.
     disk: blocking::Sender<WriteBatch>,
     next_call: Cell<u64>,
     body_budget: Rc<BodyBudget>,
@@ -52,12 +52,12 @@
 }
 
 impl CoreServer {
-    /// Feeds an event into the state machine, and carries out the effects.
+    /// Passes an event to the state machine and executes the resulting effects.
     fn handle(self: &Rc<Self>, event: Event) {
         self.update(|core, now, effects| core.handle(now, event, effects));
     }
 
-    /// Changes the state machine, and carries out the effects.
+    /// Runs `change` on the state machine and executes the resulting effects.
     fn update(self: &Rc<Self>, change: impl FnOnce(&mut CoreNode, f64, &mut Vec<Effect>)) {
         let mut effects = Vec::new();
         change(&mut self.core.borrow_mut(), self.clock.now(), &mut effects);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Opens a link to another core machine, whose messages become events.
+    /// Opens a link to another core machine. Messages from the link are passed to the state machine as events.
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
         let events =
@@ -95,7 +95,7 @@
         self.links.open(ip, events.for_peer(ip, move |event| this.handle(event)));
     }
 
-    /// Accepts connections of edges and other core machines, for ever.
+    /// Accepts connections of edges and other core machines; never returns.
     async fn accept_peers(self: Rc<Self>, listener: TcpListener) {
         let (opening, server) = (Rc::clone(&self), self);
         let opened = move |connection| {
@@ -114,26 +114,26 @@
         peer_link::listen(listener, opened, on_event).await;
     }
 
-    fn leads(&self) -> bool {
+    fn has_leadership(&self) -> bool {
         self.core.borrow().has_leadership_to_transfer()
     }
 }
 
-/// What happens in time: ticks, and finished writes.
-struct Timeline {
+/// The source of timer events and of completed disk writes.
+struct EventSource {
     ticks: Interval,
-    /// Numbers of the batches that are on the disk.
+    /// Sequence numbers of the batches that are synced to the disk.
     synced: UnboundedReceiver<u64>,
 }
 
-impl Timeline {
+impl EventSource {
     fn new(synced: UnboundedReceiver<u64>) -> Self {
         let mut ticks = tokio::time::interval(Duration::from_secs_f64(TICK_SECS));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        Timeline { ticks, synced }
+        EventSource { ticks, synced }
     }
 
-    /// The next event. May be dropped while it waits: nothing is lost.
+    /// Waits for the next event. The returned future may be dropped while it waits; no event is lost.
     async fn next(&mut self) -> Event {
         tokio::select! {
             _ = self.ticks.tick() => Event::Tick,
@@ -142,7 +142,8 @@
     }
 }
 
-/// Opens the disk. One that is in trouble is retried for ever; one whose content can't be used is not.
+/// Opens the disk. Errors of the file system or the database are retried without limit; invalid content is returned as an
+/// error at once.
 async fn open_disk(data: &Path, is_first_seed: bool) -> Result<(ReplicaStore, LoadedState), StorageError> {
     loop {
         match ReplicaStore::open(data, is_first_seed) {
@@ -155,12 +156,13 @@
     }
 }
 
-/// Runs the core role until the process is asked to end.
+/// Runs the core role until the process receives a signal to end.
 ///
-/// Fails if a setting is missing, a signal handler can't be installed, an address can't be bound, or the disk holds
-/// what can't be read. A disk in trouble is no failure: it is retried until it can be opened or the process is to end.
+/// Fails if a setting is missing, a signal handler can't be installed, an address can't be bound, or the content of the
+/// disk is invalid. Errors of the file system or the database while the disk is opened are retried until it can be opened
+/// or the process receives a signal to end.
 pub async fn run(mut settings: Settings) -> Result<(), RunError> {
-    // Before anything else: an unhandled signal would end the process with all that it has begun.
+    // Signal handlers are installed first: an unhandled signal would end the process without a graceful shutdown.
     let mut signals = SignalListener::new().map_err(RunError::Signals)?;
     let clock = Clock::start();
     let missing = RunError::MissingSetting;
@@ -178,14 +180,14 @@
     };
     log_start(&settings, &stored);
     let peer_address = (settings.ip, settings.internal_port);
-    let (server, mut timeline) = start(clock, settings, store, stored)?;
+    let (server, mut event_source) = start(clock, settings, store, stored)?;
     let peer_listener = TcpListener::bind(peer_address).await.map_err(RunError::Listen)?;
     let control_listener = TcpListener::bind(control_address).await.map_err(RunError::Listen)?;
     server.update(|core, _, effects| core.start(effects));
     tokio::task::spawn_local(Rc::clone(&server).accept_peers(peer_listener));
     tokio::task::spawn_local(control_api::serve(Rc::clone(&server), control_listener));
-    run_until_shutdown(&server, &mut timeline, &mut signals).await?;
-    shut_down(&server, &mut timeline).await;
+    run_until_shutdown(&server, &mut event_source, &mut signals).await?;
+    shut_down(&server, &mut event_source).await;
     Ok(())
 }
 
@@ -203,13 +205,13 @@
     );
 }
 
-/// Makes the server from what the disk holds, and starts the thread that writes to it.
+/// Creates the server from the state loaded from the disk, and starts the thread that writes to the disk.
 fn start(
     clock: Clock,
     settings: Settings,
     store: ReplicaStore,
     stored: LoadedState,
-) -> Result<(Rc<CoreServer>, Timeline), RunError> {
+) -> Result<(Rc<CoreServer>, EventSource), RunError> {
     let links = PeerLinks::new(settings.internal_port);
     let body_budget = BodyBudget::new(settings.memory_bytes as usize / BODY_MEMORY_DIVISOR);
     let core = CoreNode::new(clock.now(), settings, stored).map_err(RunError::Snapshot)?;
@@ -228,18 +230,18 @@
         body_budget,
         is_shutting_down: Cell::new(false),
     });
-    Ok((server, Timeline::new(synced)))
+    Ok((server, EventSource::new(synced)))
 }
 
-/// The run loop. Fails once the state machine says that it can't go on.
+/// Runs the event loop until a signal to end. Fails once the state machine reports a fatal error.
 async fn run_until_shutdown(
     server: &Rc<CoreServer>,
-    timeline: &mut Timeline,
+    event_source: &mut EventSource,
     signals: &mut SignalListener,
 ) -> Result<(), RunError> {
     loop {
         tokio::select! {
-            event = timeline.next() => server.handle(event),
+            event = event_source.next() => server.handle(event),
             signal = signals.next() => match signal {
                 ProcessSignal::Reload(settings) => {
                     server.update(|core, _, effects| core.apply_settings(*settings, effects));
@@ -254,18 +256,26 @@
     }
 }
 
-/// The graceful shutdown: hands the lead over and answers the calls in flight, for [`SHUTDOWN_TIMEOUT`] at the most.
-async fn shut_down(server: &Rc<CoreServer>, timeline: &mut Timeline) {
-    tracing::info!(calls = server.calls.borrow().len(), leads = server.leads(), "core role draining");
+/// Shuts down gracefully: transfers the leadership and responds to the calls in flight, within [`SHUTDOWN_TIMEOUT`].
+async fn shut_down(server: &Rc<CoreServer>, event_source: &mut EventSource) {
+    tracing::info!(
+        calls = server.calls.borrow().len(),
+        leads = server.has_leadership(),
+        "core role draining"
+    );
     server.is_shutting_down.set(true);
     server.handle(Event::Shutdown);
     let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, async {
-        while !server.calls.borrow().is_empty() || server.leads() {
-            let event = timeline.next().await;
+        while !server.calls.borrow().is_empty() || server.has_leadership() {
+            let event = event_source.next().await;
             server.handle(event);
         }
         tokio::time::sleep(FLUSH_TIME).await;
     })
     .await;
-    tracing::info!(calls = server.calls.borrow().len(), leads = server.leads(), "core role stopping");
+    tracing::info!(
+        calls = server.calls.borrow().len(),
+        leads = server.has_leadership(),
+        "core role stopping"
+    );
 }
--- a/crates/gateway/src/runtime/core_server/control_api.rs
+++ b/crates/gateway/src/runtime/core_server/control_api.rs
@@ -1,5 +1,5 @@
-//! The calls of workers and operators: HTTP connections on the control address, decoded into commands for the state
-//! machine, whose responses go back as JSON.
+//! The HTTP API for workers and operators on the control address. Calls are decoded into commands for the state machine,
+//! whose responses are returned as JSON.
 
 use super::CoreServer;
 use crate::configuration::parse_change;
@@ -19,33 +19,33 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Bounds on a call.
+/// Limits on an API call.
 const LIMITS: RequestLimits = RequestLimits {
     max_head_bytes: 16 * 1024,
     max_body_bytes: 16 * 1024 * 1024,
     head_timeout: Duration::from_secs(3),
     body_timeout: Duration::from_secs(10),
 };
-/// A connection is closed once it has been idle for so long.
+/// Idle time after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// What a call gets that this process can't answer any more: its caller retries at another core machine.
+/// Error text of the response to a call during shutdown. The caller retries at another core machine.
 const SHUTTING_DOWN: &str = "ending";
 
 const AMEND_PATH: &str = "/whinstall/configuration/amend";
 const READ_PATH: &str = "/whinstall/configuration/read";
 const STATUS_PATH: &str = "/whinstall/core";
 const JOURNAL_PATH: &str = "/whinstall/journal";
-/// Followed by a worker's id, `/`, and `heartbeat` or `departure`.
+/// Prefix of the paths `ID/heartbeat` and `ID/departure`, where `ID` is the id of a worker.
 const INSTANCES_PREFIX: &str = "/whinstall/instances/";
 
-/// A worker's capacity if its heartbeat doesn't say: requests at a time.
+/// Capacity of a worker whose heartbeat does not state one, in concurrent requests.
 const DEFAULT_CAPACITY: u32 = 1;
 
-/// The state machine's response to a call.
+/// The state machine's response to an API call.
 pub(super) struct ApiResponse {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub(super) status: u16,
-    /// The body, as JSON.
+    /// The JSON body.
     pub(super) body: Value,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Why a call can't be decoded. Its caller gets the text with status 400; nothing was run.
+/// Failure to decode an API call. The caller receives the text with status 400, and no command was executed.
 #[derive(Debug, PartialEq, displaydoc::Display)]
 pub(super) enum DecodeError {
     /// an instance without an id
@@ -79,7 +79,7 @@
     }
 }
 
-/// Accepts connections for ever.
+/// Accepts connections to the control address; never returns.
 pub(super) async fn serve(server: Rc<CoreServer>, listener: TcpListener) {
     let config = http_server::service_config();
     loop {
@@ -89,7 +89,7 @@
 }
 
 impl CoreServer {
-    /// Serves one call after the other, until the connection ends, is idle for too long, or this process shuts down.
+    /// Serves calls one after another until the connection ends, is idle for too long, or this process shuts down.
     async fn serve_connection(self: Rc<Self>, mut connection: Connection) {
         while let Ok(Ok(())) = timeout(IDLE_TIMEOUT, connection.wait_readable()).await {
             let mut response = match connection.read_request(&LIMITS, &self.body_budget).await {
@@ -101,7 +101,7 @@
                     response
                 }
             };
-            // The caller of a process that shuts down is to know that its connection ends.
+            // During shutdown the response announces that the connection is closed after it.
             if self.is_shutting_down.get() {
                 response.head.force_close();
             }
@@ -112,15 +112,17 @@
         }
     }
 
-    /// Passes a call to the state machine, and waits for its response. A call that comes while this process shuts down
-    /// is not passed on: it may take longer than this process lives.
+    /// Passes a call to the state machine and waits for the response. A call that arrives during shutdown is rejected,
+    /// because the process may end before the call completes.
     async fn serve_call(self: &Rc<Self>, head: &Request, body: &[u8]) -> OutgoingResponse {
         let response = if self.is_shutting_down.get() {
             ApiResponse::shutting_down()
         } else {
             let command = match decode_call(head, body) {
                 Ok(Some(command)) => command,
-                Ok(None) => return text_response(StatusCode::NOT_FOUND, "no such call"),
+                Ok(None) => {
+                    return text_response(StatusCode::NOT_FOUND, "no endpoint with this method and path")
+                }
                 Err(error) => {
                     tracing::warn!(%error, path = head.path(), "rejected a malformed call");
                     ApiCommand::Malformed(error.to_string())
@@ -141,10 +143,11 @@
     }
 }
 
-/// The command of a call by its method, path and body; `None` if there is no such call.
+/// Decodes a call into a command by its method, path and body; `None` if no endpoint matches.
 pub(super) fn decode_call(head: &Request, body: &[u8]) -> Result<Option<ApiCommand>, DecodeError> {
     if matches_endpoint(head, Method::POST, AMEND_PATH) {
-        // The state machine responds to an unreadable one too: it does so only in contact with most of the core.
+        // An invalid change is passed on as well, because the state machine responds only while it is in contact with a
+        // majority of the core.
         let change = parse_change(body);
         return Ok(Some(change.map_or_else(|e| ApiCommand::InvalidChange(e.to_string()), ApiCommand::Amend)));
     }
@@ -171,7 +174,7 @@
     }
 }
 
-/// The worker that a heartbeat describes. Of several faults one is reported, always the same.
+/// Decodes the worker that a heartbeat describes. Fields are checked in a fixed order, and the first fault is reported.
 fn decode_heartbeat(id: &str, body: &JsonNode) -> Result<Worker, JsonPathError> {
     let address = body.required("address")?;
     let socket = address.as_str()?.parse();
--- a/crates/gateway/src/runtime/core_server/control_api_tests.rs
+++ b/crates/gateway/src/runtime/core_server/control_api_tests.rs
@@ -1,4 +1,4 @@
-//! Which command a call stands for, and what the caller of a malformed one is told.
+//! Tests of the decoding of API calls and of the error messages for malformed ones.
 
 use super::control_api::{decode_call, DecodeError};
 use crate::control_plane::ApiCommand;
@@ -36,7 +36,7 @@
         (Method::GET, "/whinstall/instances/i-1/departure"),
         (Method::POST, "/whinstall/instances/i-1"),
         (Method::POST, "/whinstall/instances/i-1/other"),
-        (Method::POST, "/elsewhere"),
+        (Method::POST, "/unknown"),
     ] {
         expect_that!(decoded(method.clone(), path), none(), "{method} {path}");
     }
@@ -62,7 +62,7 @@
 }
 
 #[gtest]
-fn a_malformed_heartbeat_is_told_its_first_fault() {
+fn the_first_fault_of_a_malformed_heartbeat_is_reported() {
     let path = "/whinstall/instances/i-1/heartbeat";
     for (body, fault) in [
         ("{}", "$.address: missing"),
--- a/crates/gateway/src/runtime/edge_loop.rs
+++ b/crates/gateway/src/runtime/edge_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop of an edge: feeds the state machine with events and the time, and carries out the effects it asks for.
-//! Used by the edge role and by the capacity tool's simulated edges.
+//! The event loop of an edge. It passes events and the current time to the state machine and executes the returned
+//! effects. The edge role and the simulated edges of the capacity tool use it.
 
 use crate::data_plane::{EdgeNode, Effect, Event};
 use crate::runtime::Clock;
@@ -8,33 +8,34 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// The shortest wait between two ticks, and the precision with which a tick counts as due earlier than planned: seconds.
+/// Minimum wait between two ticks, in seconds. A running wait is interrupted only if the next tick becomes due earlier by
+/// more than this.
 const MIN_TICK_WAIT_S: f64 = 1e-3;
 
-/// An edge's state machine, its clock and the timer of its next tick.
+/// The state machine of an edge with its clock and the timer of its next tick.
 pub struct EdgeLoop {
     /// The state machine.
     pub node: RefCell<EdgeNode>,
-    /// The clock whose time the state machine is given.
+    /// The clock that provides the time for the state machine.
     pub clock: Clock,
-    /// Until when [`EdgeLoop::wait_for_tick`] sleeps: seconds of `clock`.
+    /// Time until which [`EdgeLoop::wait_for_tick`] sleeps, in seconds of `clock`.
     next_tick: Cell<f64>,
-    /// Wakes that sleep when a tick becomes due earlier.
+    /// Interrupts the sleep of [`EdgeLoop::wait_for_tick`] when a tick becomes due earlier.
     wake: Notify,
 }
 
 impl EdgeLoop {
-    /// A loop that has not ticked yet.
+    /// Creates a loop that has not ticked yet.
     pub fn new(node: EdgeNode, clock: Clock) -> Self {
         EdgeLoop { node: RefCell::new(node), clock, next_tick: Cell::new(0.0), wake: Notify::new() }
     }
 
-    /// Whether the edge can serve clients now.
+    /// Whether the edge can currently serve clients.
     pub fn is_ready(&self) -> bool {
         self.node.borrow().is_ready(self.clock.now())
     }
 
-    /// Runs `change` on the state machine with the current time and returns the effects to carry out.
+    /// Runs `change` on the state machine with the current time and returns the effects to execute.
     fn update(&self, change: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>)) -> Vec<Effect> {
         let mut effects = Vec::new();
         let now = self.clock.now();
@@ -46,7 +47,7 @@
         effects
     }
 
-    /// Sleeps until a tick is due. Returns by how much it is late, in seconds.
+    /// Sleeps until a tick is due. Returns the delay of the wake-up in seconds.
     async fn wait_for_tick(&self) -> f64 {
         let now = self.clock.now();
         let next = self.node.borrow().next_wakeup(now);
@@ -59,28 +60,28 @@
     }
 }
 
-/// What drives an [`EdgeLoop`]: holds the sockets, and carries out the effects on them.
+/// The driver of an [`EdgeLoop`]: owns the sockets and executes the effects on them.
 pub trait EdgeDriver: Sized {
-    /// The loop that is driven.
+    /// The loop that this driver runs.
     fn edge(&self) -> &EdgeLoop;
 
-    /// Carries out one effect. It may feed further events into the loop.
+    /// Executes one effect, which may pass further events to the loop.
     fn carry_out(self: &Rc<Self>, effect: Effect);
 
-    /// Changes the state machine, and carries out the effects.
+    /// Runs `change` on the state machine and executes the resulting effects.
     fn update(self: &Rc<Self>, change: impl FnOnce(&mut EdgeNode, f64, &mut Vec<Effect>)) {
         for effect in self.edge().update(change) {
             self.carry_out(effect);
         }
     }
 
-    /// Feeds an event into the state machine, and carries out the effects.
+    /// Passes an event to the state machine and executes the resulting effects.
     fn handle(self: &Rc<Self>, event: Event) {
         self.update(|node, now, effects| node.handle(now, event, effects));
     }
 }
 
-/// Ticks for ever. After each tick `ticked` runs with the seconds by which that tick was late.
+/// Runs the ticks; never returns. After each tick, `ticked` is called with the delay of that tick in seconds.
 pub async fn run_ticks<D: EdgeDriver>(driver: Rc<D>, mut ticked: impl FnMut(&D, f64)) {
     let mut late = 0.0;
     loop {
--- a/crates/gateway/src/runtime/edge_server.rs
+++ b/crates/gateway/src/runtime/edge_server.rs
@@ -1,5 +1,5 @@
-//! The driver of the edge role: the sockets and the clock around the state machine in [`crate::data_plane`]. All
-//! decisions on requests are the state machine's; rejected here is only what the configuration does not allow.
+//! The driver of the edge role. It connects the state machine in [`crate::data_plane`] to sockets and the clock. The
+//! state machine makes all decisions on requests; the driver rejects only requests that the configuration does not allow.
 
 mod client_connections;
 mod dispatch;
@@ -25,26 +25,27 @@
 use tokio::sync::watch;
 use whinstall::RequestId;
 
-/// Request bodies in flight may take the process's memory divided by this.
+/// Divisor of the process's memory limit that gives the memory for request bodies in flight.
 const BODY_MEMORY_DIVISOR: usize = 4;
-/// Descriptors kept back for everything but clients' and workers' connections: files, links to peers, listeners.
+/// Number of file descriptors reserved for files, links to peers and listeners, and thus not available for connections
+/// of clients and to workers.
 const RESERVED_DESCRIPTORS: usize = 300;
-/// Clients and workers together get at least so many descriptors, whatever the settings say.
+/// Minimum number of file descriptors for connections of clients and to workers together, regardless of the settings.
 const MIN_DESCRIPTORS: usize = 64;
 
-/// A running edge: the state machine, and what carries out its effects.
+/// A running edge: the state machine and the resources on which its effects are executed.
 struct EdgeServer {
     edge: EdgeLoop,
-    /// Links to core machines.
+    /// Outgoing links to core machines.
     links: PeerLinks,
-    /// Requests whose client waits, or of which an attempt is in flight.
+    /// Requests whose client is waiting or that have an attempt in flight.
     pending: RefCell<HashMap<RequestId, PendingRequest>>,
     upstreams: UpstreamPool,
     load_reports: LoadReportSocket,
     next_request: Cell<u64>,
-    /// Set once the process drains: when idle client connections are closed.
+    /// Time at which idle client connections are closed; `None` until the process drains.
     closes_idle_at: watch::Sender<Option<Instant>>,
-    /// Client connections that are open.
+    /// Number of open client connections.
     client_connections: Cell<usize>,
     max_client_connections: usize,
     body_budget: Rc<BodyBudget>,
@@ -60,8 +61,8 @@
             Effect::Connect(ip) => self.connect(ip),
             Effect::Disconnect(ip) => self.links.close(ip),
             Effect::Send(ip, message) => self.links.send(ip, message),
-            Effect::Dispatch { id, attempt, worker, address, timeout_secs: within } => {
-                let timeout = Duration::from_secs_f64(within.max(0.0));
+            Effect::Dispatch { id, attempt, worker, address, timeout_secs } => {
+                let timeout = Duration::from_secs_f64(timeout_secs.max(0.0));
                 self.dispatch(id, attempt, worker, address, timeout);
             }
             Effect::CancelAttempt(id, attempt) => self.cancel_attempt(&id, attempt),
@@ -75,7 +76,7 @@
 }
 
 impl EdgeServer {
-    /// Opens a link to a core machine, whose messages become events.
+    /// Opens a link to a core machine. Messages from the link are passed to the state machine as events.
     fn connect(self: &Rc<Self>, ip: IpAddr) {
         let this = Rc::clone(self);
         let events =
@@ -83,7 +84,7 @@
         self.links.open(ip, events.for_peer(ip, move |event| this.handle(event)));
     }
 
-    /// Ticks for ever, and closes upstream connections that have been idle for too long.
+    /// Runs the ticks and closes upstream connections that have been idle for too long; never returns.
     async fn run_ticks(self: Rc<Self>) {
         let mut swept_at = Instant::now();
         run_ticks(self, |server, _| {
@@ -95,7 +96,7 @@
         .await;
     }
 
-    /// Feeds the load reports of other edges into the state machine, for ever.
+    /// Passes the load reports of other edges to the state machine; never returns.
     async fn receive_load_reports(self: Rc<Self>) {
         self.load_reports
             .receive(|received| {
@@ -107,17 +108,19 @@
     }
 }
 
-/// A number that no earlier run of this process on any machine had: nanoseconds of the epoch, mixed with chance.
+/// Creates a number that distinguishes this run of the process from all others on any machine: nanoseconds since the
+/// epoch combined with a random number.
 fn new_incarnation() -> u64 {
     SystemTime::UNIX_EPOCH.elapsed().map_or(0, |d| d.as_nanos() as u64) ^ fastrand::u64(..)
 }
 
-/// Runs the edge role until the process is asked to end.
+/// Runs the edge role until the process receives a signal to end.
 ///
-/// Fails before the first client is served: if a setting is missing, a signal handler can't be installed, or an
-/// address can't be bound.
+/// Fails before the first client is served if a setting is missing, a signal handler can't be installed, or an address
+/// can't be bound.
 pub async fn run(settings: Settings) -> Result<(), RunError> {
-    // Before anybody can connect: an unhandled signal would end the process with all of its connections.
+    // Signal handlers are installed before any client can connect: an unhandled signal would end the process together
+    // with all of its connections.
     let mut signals = SignalListener::new().map_err(RunError::Signals)?;
     let missing = RunError::MissingSetting;
     let front_address = settings.front_address.ok_or(missing("network.endpoints.front_http"))?;
@@ -137,10 +140,10 @@
     Ok(())
 }
 
-/// Makes the server; it accepts no connection yet.
+/// Creates the server, which does not accept connections yet.
 async fn start(settings: Settings) -> Result<Rc<EdgeServer>, RunError> {
     let incarnation = new_incarnation();
-    tracing::info!(node = settings.node, life = incarnation, "edge role starting");
+    tracing::info!(node = settings.node, incarnation, "edge role starting");
     let port = settings.internal_port;
     let descriptors = settings.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DESCRIPTORS);
     let body_budget = BodyBudget::new(settings.memory_bytes as usize / BODY_MEMORY_DIVISOR);
--- a/crates/gateway/src/runtime/edge_server/client_connections.rs
+++ b/crates/gateway/src/runtime/edge_server/client_connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: the accept loop, and the life of one connection from request to request.
+//! Client connections: the accept loop, and the request loop of each connection.
 
 use super::EdgeServer;
 use crate::data_plane::requests::FinalResponse;
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// A request's body must be complete within this.
+/// Time within which a request body must be complete, counted from the end of the head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// `Retry-After`, in seconds, of a request that this edge can't take yet: its configuration may be here by then, or
-/// memory for the body free.
+/// Value of `Retry-After`, in seconds, for a request that this edge can't accept yet because it has no configuration or
+/// no free memory for the body.
 const RETRY_AFTER_S: f64 = 0.25;
 
-/// One of the connections counted in [`EdgeServer::client_connections`].
+/// Counts a connection in [`EdgeServer::client_connections`] until it is dropped.
 struct CountedConnection(Rc<EdgeServer>);
 
 impl CountedConnection {
@@ -33,7 +33,8 @@
     }
 }
 
-/// Accepts clients' connections for ever. Beyond the limit one is closed unread: its client may safely retry elsewhere.
+/// Accepts client connections; never returns. A connection beyond the limit is closed before anything is read, so its
+/// client may retry at another edge.
 pub(super) async fn accept(server: Rc<EdgeServer>, listener: TcpListener) {
     let config = http_server::service_config();
     loop {
@@ -51,7 +52,7 @@
 }
 
 impl EdgeServer {
-    /// The limits on a request, by the configuration in force.
+    /// The limits on a request according to the active configuration.
     fn request_limits(&self) -> RequestLimits {
         let node = self.edge.node.borrow();
         let saturation = &node.active_config.client_limits;
@@ -63,13 +64,14 @@
         }
     }
 
-    /// Serves one request after the other, until the connection ends, is idle for too long, or this process drains.
+    /// Serves requests one after another until the connection ends, is idle for too long, or this process drains.
     async fn serve_connection(self: Rc<Self>, mut connection: Connection) {
         let mut closes_idle_at = self.closes_idle_at.subscribe();
         loop {
             let idle_timeout = || self.edge.node.borrow().active_config.client_limits.idle_timeout;
             if connection.wait_idle(idle_timeout, &mut closes_idle_at).await == IdleOutcome::Close {
-                // Dropped, not drained: a request that comes now must not be read, or its client can't repeat it.
+                // The connection is dropped without reading: the client can safely repeat a request that arrives now only
+                // if no byte of it is read.
                 return;
             }
             let limits = self.request_limits();
@@ -91,7 +93,7 @@
     }
 }
 
-/// The response to what is no acceptable request; the connection ends with it.
+/// The response to a request that can't be accepted. The connection is closed after it.
 fn rejection(status: StatusCode, why: &'static str) -> OutgoingResponse {
     let mut response = text_response(status, why);
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -101,5 +103,5 @@
     response
 }
 
-/// The final response while this edge has no configuration yet.
+/// The final response to requests while this edge has no configuration yet.
 pub(super) const NOT_CONFIGURED: FinalResponse = FinalResponse::NotExecuted(RETRY_AFTER_S);
--- a/crates/gateway/src/runtime/edge_server/dispatch.rs
+++ b/crates/gateway/src/runtime/edge_server/dispatch.rs
@@ -1,4 +1,4 @@
-//! Upstream attempts: sends a pending request to the worker that the state machine chose, and reports how it ended.
+//! Upstream attempts: sends a pending request to the worker that the state machine selected, and reports the outcome.
 
 use super::EdgeServer;
 use crate::data_plane::requests::AttemptReport;
@@ -11,8 +11,8 @@
 use whinstall::{Ending, HostId, RequestId};
 
 impl EdgeServer {
-    /// Starts an attempt at a worker, which ends with the worker's complete response, a failure, after `timeout`, or
-    /// when it is cancelled. Never repeated here: whether it may be retried is the state machine's decision.
+    /// Starts an attempt at a worker. The attempt ends with the worker's complete response, with a failure, after
+    /// `timeout`, or when it is cancelled. The driver never retries it: the state machine decides on retries.
     pub(super) fn dispatch(
         self: &Rc<Self>,
         id: RequestId,
@@ -42,8 +42,8 @@
         });
     }
 
-    /// Tells the state machine how an attempt ended. `outcome` is `None` if it was cancelled: the worker may have run
-    /// the request, to an unknown extent.
+    /// Reports the outcome of an attempt to the state machine. `outcome` is `None` if the attempt was cancelled; the worker
+    /// may then have executed the request wholly or in part.
     fn attempt_ended(
         self: &Rc<Self>,
         id: &RequestId,
@@ -51,26 +51,26 @@
         worker: &HostId,
         outcome: Option<AttemptOutcome>,
     ) {
-        let (ending, succeeded) = match outcome {
+        let (ending, response_ok) = match outcome {
             None => (Ending::Cancelled, None),
             Some(outcome) => {
                 if outcome.misdirected {
                     self.update(|node, now, effects| node.on_misdirected(now, worker, effects));
                 }
-                let succeeded = outcome.response.is_some().then_some(outcome.ending == Ending::Ok);
+                let response_ok = outcome.response.is_some().then_some(outcome.ending == Ending::Ok);
                 if let Some(request) = self.pending.borrow_mut().get_mut(id) {
                     request.attempts.remove(&attempt);
                     request.responses.extend(outcome.response.map(|response| (attempt, response)));
                 }
-                (outcome.ending, succeeded)
+                (outcome.ending, response_ok)
             }
         };
-        let report = AttemptReport { id, attempt, worker, ending, response_ok: succeeded };
+        let report = AttemptReport { id, attempt, worker, ending, response_ok };
         self.update(|node, now, effects| node.on_attempt_end(now, report, effects));
         self.forget_if_finished(id);
     }
 
-    /// Cancels an attempt: dropping its sender ends the task that waits for it.
+    /// Cancels an attempt by dropping its sender, which ends the task of the attempt.
     pub(super) fn cancel_attempt(&self, id: &RequestId, attempt: u32) {
         let cancel = self.pending.borrow_mut().get_mut(id).and_then(|r| r.attempts.remove(&attempt));
         drop(cancel);
--- a/crates/gateway/src/runtime/edge_server/readiness.rs
+++ b/crates/gateway/src/runtime/edge_server/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's readiness check: 200 while this edge can serve clients, 503 while it can't or drains.
+//! The readiness endpoint for the platform: 200 while this edge can serve clients, 503 while it can't or is draining.
 
 use super::EdgeServer;
 use crate::transport::http_server::{self, text_response, Connection, RequestLimits};
@@ -9,17 +9,17 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// Bounds on a readiness request.
+/// Limits on a readiness request.
 const LIMITS: RequestLimits = RequestLimits {
     max_head_bytes: 8192,
     max_body_bytes: 1024,
     head_timeout: Duration::from_secs(2),
     body_timeout: Duration::from_secs(2),
 };
-/// A connection is closed once it has been idle for so long.
+/// Idle time after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Accepts the platform's connections for ever.
+/// Accepts the platform's connections; never returns.
 pub(super) async fn serve(server: Rc<EdgeServer>, listener: TcpListener) {
     let config = http_server::service_config();
     loop {
@@ -29,7 +29,8 @@
     }
 }
 
-/// Answers every request on a connection, whatever its method and path, until it ends or is idle for too long.
+/// Responds to every request on a connection, regardless of method and path, until the connection ends or is idle for too
+/// long.
 async fn serve_connection(server: Rc<EdgeServer>, mut connection: Connection) {
     while let Ok(Ok(())) = timeout(IDLE_TIMEOUT, connection.wait_readable()).await {
         let Ok(_) = connection.read_request(&LIMITS, &server.body_budget).await else { return };
--- a/crates/gateway/src/runtime/edge_server/request.rs
+++ b/crates/gateway/src/runtime/edge_server/request.rs
@@ -1,5 +1,5 @@
-//! A client's request in phases: its route, its tenant, its attempt id, its deadline, the request to forward, and the
-//! final response. Each phase may end the request with a response of its own; nothing has been sent to a worker then.
+//! The phases of a client's request: route, tenant, attempt id, deadline, the forwarded request, and the final response.
+//! Each phase up to the deadline may end the request with an error response; nothing has been sent to a worker by then.
 
 use super::client_connections::NOT_CONFIGURED;
 use super::EdgeServer;
@@ -19,42 +19,43 @@
 use tokio::sync::oneshot;
 use whinstall::RequestId;
 
-/// How long a client waits that does not say so in `X-Remaining-Ms`.
+/// Time that a client without `X-Remaining-Ms` is assumed to wait for its response.
 const DEFAULT_CLIENT_WAIT: Duration = Duration::from_secs(30);
-/// No client is taken to wait for longer.
+/// Maximum time that any client is assumed to wait for its response.
 const MAX_CLIENT_WAIT: Duration = Duration::from_secs(600);
-/// The shortest `Retry-After`: seconds.
+/// Minimum value of `Retry-After`, in seconds.
 const MIN_RETRY_AFTER_S: f64 = 0.001;
 
-/// Client's headers that are not forwarded, besides those of its connection: its credentials, and what this edge sets.
+/// Request headers that are removed in addition to the hop-by-hop headers: the client's credentials, and headers that
+/// this edge sets.
 const NOT_FORWARDED: [&str; 5] =
     ["proxy-authorization", "expect", "api-key", "x-tenant", "x-target-instance"];
-/// Headers that are forwarded even if `Connection` names them.
+/// Request headers that are forwarded even if `Connection` names them.
 const ALWAYS_FORWARDED: [&str; 2] = ["host", "x-attempt-id"];
 
-/// What a client gets in the end.
+/// The final response to a client.
 pub(super) enum ClientResponse {
     /// A worker's complete response.
     Upstream(UpstreamResponse),
-    /// One of this edge's own.
+    /// A response that this edge generates.
     Local(FinalResponse),
 }
 
-/// A request that the state machine knows.
+/// A request that has been passed to the state machine.
 pub(super) struct PendingRequest {
-    /// What each of its attempts sends.
+    /// The request that each attempt sends.
     pub(super) forward: Rc<ForwardedRequest>,
-    /// Its tenant's name.
+    /// Name of the tenant; `None` if the request needs no key.
     pub(super) tenant: Option<Arc<str>>,
-    /// To the client's connection; `None` once it has its response or has left.
+    /// Sends the response to the client's connection; `None` once the response is sent or the client has disconnected.
     client: Option<oneshot::Sender<ClientResponse>>,
-    /// Workers' responses by attempt, until the state machine has chosen one.
+    /// Workers' responses by attempt, kept until the state machine selects one.
     pub(super) responses: HashMap<u32, UpstreamResponse>,
-    /// Attempts in flight: dropping a sender cancels the attempt.
+    /// Attempts in flight. Dropping a sender cancels the attempt.
     pub(super) attempts: HashMap<u32, oneshot::Sender<()>>,
 }
 
-/// A request that passed all phases before it is forwarded.
+/// A request that passed all phases before forwarding.
 struct AcceptedRequest {
     route: Arc<Route>,
     tenant: Option<Arc<Tenant>>,
@@ -63,7 +64,7 @@
 }
 
 impl EdgeServer {
-    /// Serves a request. `None`: its client has left, and gets no response.
+    /// Serves a request. Returns `None` if the client has disconnected, so there is no response to send.
     pub(super) async fn serve_request(
         self: &Rc<Self>,
         received: ReceivedRequest,
@@ -104,7 +105,7 @@
         })
     }
 
-    /// The phases up to forwarding. `Err`: the response that ends the request.
+    /// Runs the phases up to forwarding. The error is the response that ends the request.
     fn accept_request(&self, head: &Request) -> Result<AcceptedRequest, OutgoingResponse> {
         let config = Arc::clone(&self.edge.node.borrow().active_config);
         if !self.edge.node.borrow().is_configured() {
@@ -115,8 +116,8 @@
         Ok(AcceptedRequest { route, tenant, attempt_id: attempt_id(head)?, client_wait: client_wait(head) })
     }
 
-    /// The request as workers get it. Its deadline is the earliest of the client's, the route's and, while this process
-    /// drains, the end of the process.
+    /// Builds the request that is sent to workers. The deadline is the earliest of the client's deadline, the route's
+    /// deadline and, while this process drains, the end of the process.
     fn forwarded_request(
         &self,
         head: &Request,
@@ -145,7 +146,7 @@
         RequestId(number.to_string().into())
     }
 
-    /// Passes the state machine's final response to the client, if it still waits.
+    /// Passes the state machine's final response to the client if the client is still waiting.
     pub(super) fn resolve(&self, id: &RequestId, response: FinalResponse) {
         let mut pending = self.pending.borrow_mut();
         let Some(request) = pending.get_mut(id) else { return };
@@ -160,7 +161,7 @@
         }
     }
 
-    /// The client closed its connection before it had a response.
+    /// Handles a client that closed its connection before it received a response.
     fn client_left(self: &Rc<Self>, id: &RequestId) {
         if let Some(request) = self.pending.borrow_mut().get_mut(id) {
             request.client = None;
@@ -169,25 +170,25 @@
         self.forget_if_finished(id);
     }
 
-    /// Forgets a request once nobody waits for it and the state machine has forgotten it.
+    /// Removes a request once no client waits for it and the state machine has removed it.
     pub(super) fn forget_if_finished(&self, id: &RequestId) {
         let mut pending = self.pending.borrow_mut();
-        let nobody_waits = pending.get(id).is_some_and(|request| request.client.is_none());
-        if nobody_waits && !self.edge.node.borrow().is_pending(id) {
+        let is_unclaimed = pending.get(id).is_some_and(|request| request.client.is_none());
+        if is_unclaimed && !self.edge.node.borrow().is_pending(id) {
             pending.remove(id);
         }
     }
 }
 
-/// The route by host and path; 404 if there is none.
+/// Finds the route by host and path. Fails with 404 if there is none.
 fn find_route(config: &ActiveConfig, head: &Request) -> Result<Arc<Route>, OutgoingResponse> {
     let host = head.headers().get("host").and_then(|h| h.to_str().ok()).unwrap_or_default();
     let route = config.match_route(host, head.path()).cloned();
-    route.ok_or_else(|| text_response(StatusCode::NOT_FOUND, "no route"))
+    route.ok_or_else(|| text_response(StatusCode::NOT_FOUND, "no route matches the host and path"))
 }
 
-/// The tenant by the one `Api-Key`; `None` if the route, or the whole configuration, needs no key; 401 if the key is
-/// missing, unknown, or one of several.
+/// Finds the tenant by its `Api-Key`; `None` if the route or the entire configuration needs no key. Fails with 401 if the
+/// key is missing, unknown or repeated.
 fn authenticate(
     config: &ActiveConfig,
     route: &Route,
@@ -199,27 +200,28 @@
     let mut keys = head.headers().get_all("api-key");
     let key = keys.next().and_then(|key| key.to_str().ok());
     let tenant = key.and_then(|key| config.tenant_by_credential(key)).filter(|_| keys.next().is_none());
-    let unknown = || text_response(StatusCode::UNAUTHORIZED, "unknown key");
+    let unknown = || text_response(StatusCode::UNAUTHORIZED, "Api-Key is missing, repeated or unknown");
     tenant.map(|tenant| Some(Arc::clone(tenant))).ok_or_else(unknown)
 }
 
-/// The one `X-Attempt-Id`. 400 if it is missing, empty, or one of several: no response could be matched to the request.
+/// Returns the `X-Attempt-Id`. Fails with 400 if it is missing, empty or repeated, because no response could be matched
+/// to the request.
 fn attempt_id(head: &Request) -> Result<HeaderValue, OutgoingResponse> {
     let mut ids = head.headers().get_all("x-attempt-id");
     match (ids.next(), ids.next()) {
         (Some(id), None) if !id.as_bytes().trim_ascii().is_empty() => Ok(id.clone()),
-        _ => Err(text_response(StatusCode::BAD_REQUEST, "not one X-Attempt-Id")),
+        _ => Err(text_response(StatusCode::BAD_REQUEST, "exactly one non-empty X-Attempt-Id is required")),
     }
 }
 
-/// How long the client waits from now on, by `X-Remaining-Ms`.
+/// Time that the client waits from now on, according to `X-Remaining-Ms`.
 fn client_wait(head: &Request) -> Duration {
     let stated = head.headers().get("x-remaining-ms").and_then(|v| v.to_str().ok()?.trim().parse().ok());
     let stated = stated.and_then(|ms: f64| Duration::try_from_secs_f64(ms / 1e3).ok());
     stated.unwrap_or(DEFAULT_CLIENT_WAIT).min(MAX_CLIENT_WAIT)
 }
 
-/// A worker's response, as the client gets it.
+/// Converts a worker's response for the client.
 fn upstream_response(response: UpstreamResponse) -> OutgoingResponse {
     let mut head = Response::build(response.status);
     for (name, value) in response.headers.iter() {
@@ -228,14 +230,22 @@
     OutgoingResponse { head, body: response.body }
 }
 
-/// A response that is not a worker's. `Retry-After` only where the request was not run.
+/// Builds a response that this edge generates. `Retry-After` is set only if the request was not executed.
 fn local_response(response: FinalResponse) -> OutgoingResponse {
     let (status, retry_after, text) = match response {
-        FinalResponse::RateLimited(after) => (StatusCode::TOO_MANY_REQUESTS, Some(after), "beyond the quota"),
-        FinalResponse::NotExecuted(after) => {
-            (StatusCode::SERVICE_UNAVAILABLE, Some(after), "not run: come back")
+        FinalResponse::RateLimited(after) => (
+            StatusCode::TOO_MANY_REQUESTS,
+            Some(after),
+            "tenant quota exceeded; the request was not executed",
+        ),
+        FinalResponse::NotExecuted(after) => (
+            StatusCode::SERVICE_UNAVAILABLE,
+            Some(after),
+            "request was not executed; retry after the time in Retry-After",
+        ),
+        FinalResponse::TimedOut => {
+            (StatusCode::GATEWAY_TIMEOUT, None, "no upstream response before the request deadline")
         }
-        FinalResponse::TimedOut => (StatusCode::GATEWAY_TIMEOUT, None, "no answer in time"),
         FinalResponse::UpstreamFailed | FinalResponse::Upstream(_) => {
             (StatusCode::BAD_GATEWAY, None, "failed")
         }
--- a/crates/gateway/src/runtime/load_reports.rs
+++ b/crates/gateway/src/runtime/load_reports.rs
@@ -1,4 +1,5 @@
-//! Load reports between edges: one datagram each, lost without notice where the network or a buffer is full.
+//! Load reports between edges. Each report is one datagram, which is lost without notice if the network or a buffer is
+//! full.
 
 use crate::protocol::LoadReport;
 use std::io;
@@ -6,18 +7,18 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// The longest datagram: bytes.
+/// Maximum length of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65536;
-/// After a failed read the socket rests for so long.
+/// Delay after a failed read.
 const READ_RETRY: Duration = Duration::from_millis(5);
 
 /// A datagram from another edge.
 pub struct ReceivedReport {
-    /// Its sender.
+    /// Address of the sender.
     pub from: IpAddr,
-    /// Its length in bytes.
+    /// Length of the datagram in bytes.
     pub length: usize,
-    /// The report in it; `None` if it can't be decoded.
+    /// The decoded report; `None` if the datagram can't be decoded.
     pub report: Option<LoadReport>,
 }
 
@@ -28,13 +29,13 @@
 }
 
 impl LoadReportSocket {
-    /// Binds the socket. Fails if the address is not this machine's or the port is taken.
+    /// Binds the socket. Fails if the address does not belong to this machine or the port is in use.
     pub async fn bind(ip: IpAddr, port: u16) -> io::Result<Self> {
         Ok(LoadReportSocket { socket: UdpSocket::bind((ip, port)).await?, port })
     }
 
-    /// Sends a report to each of these edges, without waiting. Returns the length of a datagram in bytes; `None` if the
-    /// report can't be encoded and nothing was sent. A lost datagram is not sent again: the next report replaces it.
+    /// Sends a report to each of these edges without waiting. Returns the length of a datagram in bytes, or `None` if the
+    /// report can't be encoded and nothing was sent. A lost datagram is not resent, because the next report replaces it.
     pub fn send(&self, to: &[IpAddr], report: &LoadReport) -> Option<usize> {
         let bytes = rmp_serde::to_vec(report).ok()?;
         for ip in to {
@@ -43,7 +44,7 @@
         Some(bytes.len())
     }
 
-    /// Passes every datagram that arrives to `received`, for ever.
+    /// Passes every received datagram to `received`; never returns.
     pub async fn receive(&self, mut received: impl FnMut(ReceivedReport)) {
         let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
         loop {
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! Runs the roles: the drivers hold the sockets, the disk, the clock and the signals around the state machines of
-//! [`crate::control_plane`] and [`crate::data_plane`].
+//! Runs the roles. The drivers connect the state machines of [`crate::control_plane`] and [`crate::data_plane`] to
+//! sockets, the disk, the clock and signals.
 
 pub mod core_server;
 pub mod edge_loop;
@@ -17,22 +17,22 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// Why a role ends before it is asked to. None of these goes away by a retry in the same process.
+/// A fatal error that ends a role. None of these can be resolved by a retry in the same process.
 #[derive(Debug, displaydoc::Display)]
 pub enum RunError {
     /// settings: {0}
     Settings(SettingsError),
-    /// settings: {0} is missing
+    /// settings: required setting {0} is missing
     MissingSetting(&'static str),
-    /// can't start the runtime: {0}
+    /// failed to start the asynchronous runtime: {0}
     Runtime(std::io::Error),
-    /// can't listen: {0}
+    /// failed to bind a socket: {0}
     Listen(std::io::Error),
-    /// no signals: {0}
+    /// failed to install a signal handler: {0}
     Signals(std::io::Error),
-    /// the disk: {0}
+    /// storage: {0}
     Storage(StorageError),
-    /// the state in a snapshot can't be read: {0}
+    /// failed to decode the state in a snapshot: {0}
     Snapshot(SnapshotError),
 }
 
@@ -48,7 +48,8 @@
     }
 }
 
-/// The time at which a clock starts: seconds. Far enough from 0 that a state machine may subtract its longest span.
+/// Time at which a clock starts, in seconds. Larger than the longest time span that a state machine subtracts from the
+/// current time.
 const CLOCK_START_S: f64 = 1000.0;
 
 /// A monotonic clock, in seconds.
@@ -56,28 +57,28 @@
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at [`CLOCK_START_S`].
     pub fn start() -> Self {
         Clock(Instant::now())
     }
 
-    /// The time in seconds: 1000 at the start, and never near 0.
+    /// The current time in seconds; at least [`CLOCK_START_S`].
     pub fn now(&self) -> f64 {
         CLOCK_START_S + self.0.elapsed().as_secs_f64()
     }
 }
 
-/// What a process does.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Serves clients: the data plane.
     Edge,
-    /// Keeps the state of the control plane.
+    /// Replicates the state of the control plane.
     Core,
 }
 
 impl Role {
-    /// The role of this name on the command line.
+    /// Returns the role that has this name on the command line.
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
             "edge" => Some(Role::Edge),
@@ -87,7 +88,7 @@
     }
 }
 
-/// Runs a role until the process is asked to end. Logs JSON lines to standard error, as much as `RUST_LOG` says.
+/// Runs a role until the process receives a signal to end. Logs JSON lines to standard error, filtered by `RUST_LOG`.
 pub fn run(role: Role) -> ExitCode {
     start_logging();
     let started = Settings::load().map_err(RunError::Settings).and_then(|settings| {
--- a/crates/gateway/src/runtime/signals.rs
+++ b/crates/gateway/src/runtime/signals.rs
@@ -1,41 +1,41 @@
-//! What a process is asked to do while it runs: signals, and a settings file that changes without one. Settings that
-//! can't be used, or that somebody is still writing, change nothing.
+//! Requests to a running process: signals, and changes of the settings file, which is also polled. Invalid settings, and
+//! a file that is still being written, leave the active settings unchanged.
 
 use crate::settings::Settings;
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::time::{Interval, MissedTickBehavior};
 
-/// How often the settings file is looked at.
+/// Interval at which the settings file is polled.
 const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a process is asked to do.
+/// A request to the running process.
 pub enum ProcessSignal {
-    /// Use these settings from now on.
+    /// Replace the active settings with these.
     Reload(Box<Settings>),
-    /// End, gracefully.
+    /// Shut down gracefully.
     Shutdown,
 }
 
-/// When a file was changed, and its length; `None`: there is no such file.
+/// Modification time and length of a file; `None` if the file does not exist.
 pub type FileStamp = Option<(SystemTime, u64)>;
 
-/// Tells when a polled file has changed. It has once two polls in a row see the same stamp: a file may be written in
-/// steps, and the first half of a settings file can be valid on its own.
+/// Detects changes of a polled file. A change is reported once two consecutive polls see the same new stamp: a file may
+/// be written in steps, and the first half of a settings file can be valid on its own.
 pub struct FileWatch {
-    /// The stamp as the file was loaded last.
+    /// Stamp of the file when it was last loaded.
     loaded: FileStamp,
-    /// The stamp at the last poll.
+    /// Stamp of the file at the last poll.
     last: FileStamp,
 }
 
 impl FileWatch {
-    /// Watches a file that was just loaded.
+    /// Starts to watch a file that was just loaded.
     pub fn new(stamp: FileStamp) -> Self {
         FileWatch { loaded: stamp, last: stamp }
     }
 
-    /// Notes the stamp of a poll. Returns whether the file is to be loaded now; it then counts as loaded.
+    /// Records the stamp of a poll. Returns whether the file must be loaded now, and then marks it as loaded.
     pub fn observe(&mut self, stamp: FileStamp) -> bool {
         let is_stable = std::mem::replace(&mut self.last, stamp) == stamp;
         let has_changed = is_stable && stamp != self.loaded;
@@ -45,7 +45,7 @@
         has_changed
     }
 
-    /// Notes that the file is loaded now, whatever was observed.
+    /// Records that the file is loaded now, regardless of earlier polls.
     pub fn mark_loaded(&mut self, stamp: FileStamp) {
         *self = FileWatch::new(stamp);
     }
@@ -61,7 +61,7 @@
 }
 
 impl SignalListener {
-    /// Listens from now on. Fails if a signal handler can't be installed.
+    /// Starts to listen. Fails if a signal handler can't be installed.
     pub fn new() -> std::io::Result<Self> {
         let mut polls = tokio::time::interval(WATCH_INTERVAL);
         polls.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -74,8 +74,8 @@
         })
     }
 
-    /// Waits for the next request to this process. Settings that can't be used are logged and passed over. May be
-    /// dropped while it waits: no signal is lost.
+    /// Waits for the next request to this process. Invalid settings are logged and ignored. The returned future may be
+    /// dropped while it waits; no signal is lost.
     pub async fn next(&mut self) -> ProcessSignal {
         loop {
             tokio::select! {
--- a/crates/gateway/src/runtime/signals_tests.rs
+++ b/crates/gateway/src/runtime/signals_tests.rs
@@ -1,4 +1,4 @@
-//! When a settings file that changes without a signal is read.
+//! Tests of the detection of a changed settings file without a signal.
 
 use crate::runtime::signals::{FileStamp, FileWatch};
 use googletest::prelude::*;
@@ -11,21 +11,21 @@
 #[gtest]
 fn a_changed_file_is_loaded_once_it_is_stable() {
     let mut watch = FileWatch::new(at(0, 100));
-    expect_that!(watch.observe(at(0, 100)), eq(false), "it did not change");
-    // Written in steps: also two within the same moment of the disk's clock.
+    expect_that!(watch.observe(at(0, 100)), eq(false), "the file is unchanged");
+    // The file is written in steps, two of which fall on the same modification time.
     for stamp in [at(10, 0), at(10, 40), at(11, 80), at(12, 120)] {
         expect_that!(watch.observe(stamp), eq(false), "{stamp:?}");
     }
     expect_that!(watch.observe(at(12, 120)), eq(true));
     expect_that!(watch.observe(at(12, 120)), eq(false), "once only");
-    // Away while it is replaced, and back as another.
+    // The file is missing while it is replaced.
     expect_that!(watch.observe(None), eq(false));
     expect_that!(watch.observe(at(13, 120)), eq(false));
     expect_that!(watch.observe(at(13, 120)), eq(true));
-    // A signal tells at once: nothing is left to be read after it.
+    // A signal loads the file at once, so no load is due afterwards.
     expect_that!(watch.observe(at(14, 120)), eq(false));
     watch.mark_loaded(at(14, 120));
     expect_that!(watch.observe(at(14, 120)), eq(false));
-    // Away for good: said once.
+    // The removal of the file is reported once.
     expect_that!([watch.observe(None), watch.observe(None), watch.observe(None)], eq([false, true, false]));
 }
--- a/crates/gateway/src/transport/hop_by_hop.rs
+++ b/crates/gateway/src/transport/hop_by_hop.rs
@@ -1,8 +1,9 @@
-//! Headers that concern one connection only (RFC 9110, section 7.6.1), which a proxy does not pass on.
+//! Hop-by-hop headers, which apply to a single connection and which a proxy must not forward (RFC 9110, section 7.6.1).
 
 use actix_http::header::{HeaderMap, CONNECTION};
 
-/// Those that each connection has for itself, in requests and responses alike. `content-length` is set anew.
+/// Hop-by-hop headers of requests and responses. `content-length` is among them because the codec sets it for each
+/// forwarded message.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -15,8 +16,8 @@
     "content-length",
 ];
 
-/// Removes the headers of one connection: the well-known ones, those that its `Connection` header names, and `others`.
-/// Those in `kept`, by their lower-case names, stay even if `Connection` names them.
+/// Removes the well-known hop-by-hop headers, the headers that a `Connection` header names, and `others`. Headers in
+/// `kept`, given by their lower-case names, stay even if `Connection` names them.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap, others: &[&str], kept: &[&str]) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
--- a/crates/gateway/src/transport/http_server.rs
+++ b/crates/gateway/src/transport/http_server.rs
@@ -1,5 +1,6 @@
-//! The server's side of an HTTP/1.1 connection, on actix-http's codec: complete requests in, complete responses out, one
-//! at a time. A request that is cut, late, too long or ambiguous is never handed on.
+//! The server side of an HTTP/1.1 connection, built on the codec of actix-http. Complete requests are read and complete
+//! responses are written, one at a time. A request that is truncated, late, too long or ambiguous is never returned to
+//! the caller.
 
 use actix_codec::{Decoder, Encoder};
 use actix_http::body::BodySize;
@@ -19,67 +20,67 @@
 use tokio::sync::watch;
 use tokio::time::{timeout, Instant};
 
-/// After a response that ends a connection, what the client still sends is read and dropped for so long...
+/// Time for which bytes from the client are read and dropped after the final response on a connection. Closing a
+/// connection that has unread bytes resets it, and the reset can discard the response before the client reads it.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// ...and up to so many bytes. A connection that is closed over unread bytes is reset, which can cost its client the
-/// response.
+/// Maximum number of bytes that are read and dropped within [`LINGER_TIMEOUT`].
 const LINGER_MAX_BYTES: usize = 1024 * 1024;
-/// Each write of a response must make progress within this.
+/// Timeout of each single write of a response; a write must accept at least one byte within this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// An idle connection is held open for so much longer than its idle timeout: its client counts from when it had the
-/// last response.
+/// Time added to the idle timeout of a connection. The client starts its own idle timer when it receives the last
+/// response, which is later than the start of this timer.
 const IDLE_SLACK: Duration = Duration::from_millis(500);
-/// A connection that was just opened gets so much time for its first request, also while this process drains.
+/// Minimum time that a new connection has for its first request, also while this process drains.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_secs(1);
-/// While a request is served, so many bytes of the next ones are read ahead: bytes.
+/// Maximum number of bytes of pipelined requests that are read ahead while a request is served.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
-/// Room made in the buffer before each read: bytes.
+/// Minimum free capacity of the read buffer before each read, in bytes.
 const READ_BYTES: usize = 2048;
-/// Room for a response's head: bytes. A longer one makes the buffer grow.
+/// Initial buffer capacity for the head of a response, in bytes. A longer head makes the buffer grow.
 const RESPONSE_HEAD_BYTES: usize = 384;
 
 /// Limits on a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestLimits {
-    /// The longest head: bytes.
+    /// Maximum length of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// The longest body: bytes.
+    /// Maximum length of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// A head must be complete within this.
+    /// Time within which the request head must be complete, counted from the start of the read.
     pub head_timeout: Duration,
-    /// A body must be complete within this after its head.
+    /// Time within which the request body must be complete, counted from the end of the head.
     pub body_timeout: Duration,
 }
 
 /// A complete request.
 pub struct ReceivedRequest {
-    /// Its head.
+    /// Request line and headers.
     pub head: Request,
-    /// Its body; `None` if it has none, which is not the same as an empty one.
+    /// The body; `None` if the request has no body, which differs from a body of zero bytes.
     pub body: Option<Bytes>,
-    /// Its part of the [`BodyBudget`], to be kept for as long as the body.
+    /// The reservation in the [`BodyBudget`]; it must be kept for as long as the body.
     pub reservation: BodyReservation,
 }
 
-/// The memory that the bodies of all requests in flight may take together.
+/// Limits the memory that the bodies of all requests in flight use together.
 pub struct BodyBudget {
     max_bytes: usize,
     used_bytes: Cell<usize>,
 }
 
 impl BodyBudget {
-    /// A budget of so many bytes.
+    /// A budget of `max_bytes`.
     pub fn new(max_bytes: usize) -> Rc<Self> {
         Rc::new(BodyBudget { max_bytes, used_bytes: Cell::new(0) })
     }
 
-    /// Reserves so many bytes; 503 if they are not free.
+    /// Reserves memory. Fails with 503 if fewer than `bytes` are free; the request may be retried.
     fn reserve(self: &Rc<Self>, bytes: usize) -> Result<BodyReservation, HttpError> {
         let used_bytes = self.used_bytes.get().saturating_add(bytes);
         if used_bytes > self.max_bytes {
             return Err(HttpError::Rejected(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "no room for the body: not run",
+                "memory for request bodies is exhausted; the request was not executed",
             ));
         }
         self.used_bytes.set(used_bytes);
@@ -87,7 +88,7 @@
     }
 }
 
-/// A part of a [`BodyBudget`], freed when this is dropped.
+/// Memory reserved in a [`BodyBudget`]; it is released on drop.
 pub struct BodyReservation {
     budget: Rc<BodyBudget>,
     bytes: usize,
@@ -99,10 +100,10 @@
     }
 }
 
-/// Why there is no request, or why a response was not taken.
+/// Failure to read a request or to write a response.
 #[derive(Debug, PartialEq, displaydoc::Display)]
 pub enum HttpError {
-    /// the connection has ended
+    /// connection closed
     ConnectionClosed,
     /// {0}: {1}
     Rejected(StatusCode, &'static str),
@@ -110,21 +111,21 @@
 
 impl std::error::Error for HttpError {}
 
-/// The configuration of all connections.
+/// The actix-http configuration of all connections.
 pub fn service_config() -> ServiceConfig {
     ServiceConfigBuilder::new().keep_alive(KeepAlive::Os).build()
 }
 
-/// Whether a connection is open and nothing can be read on it. Asks the operating system: the runtime may not know yet
-/// of what has just come.
+/// Whether a connection is open and has no bytes to read. This peeks at the socket because the runtime may not have
+/// processed the latest readiness event yet.
 pub fn is_idle(stream: &TcpStream) -> bool {
     let peeked = socket2::SockRef::from(stream).peek(&mut [std::mem::MaybeUninit::uninit()]);
     peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-/// A stream that can tell, without reading, whether anything could be read.
+/// A stream that reports, without consuming bytes, whether bytes can be read.
 pub trait IdleProbe {
-    /// Whether the stream is open and nothing can be read on it.
+    /// Whether the stream is open and has no bytes to read.
     fn is_idle(&self) -> bool;
 }
 
@@ -134,12 +135,12 @@
     }
 }
 
-/// Why a wait for the next request ended.
+/// The result of waiting for the next request on a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum IdleOutcome {
-    /// A request has begun.
+    /// The first byte of a request has arrived.
     RequestStarted,
-    /// The connection has ended or is to be closed now. No request on it is unanswered.
+    /// The connection has ended or must be closed now. Every request on it has been answered.
     Close,
 }
 
@@ -147,11 +148,11 @@
 pub struct Connection<S = TcpStream> {
     stream: S,
     codec: Codec,
-    /// What was read and not decoded yet.
+    /// Bytes that are read but not decoded yet.
     buffer: BytesMut,
-    /// Whether any request was read on it.
+    /// Whether a request has been read on this connection.
     has_served: bool,
-    /// Whether the request to be answered is a `HEAD`.
+    /// Whether the current request is a `HEAD`, whose response has no body.
     is_head_request: bool,
 }
 
@@ -164,9 +165,10 @@
 }
 
 impl<S: AsyncRead + AsyncWrite + IdleProbe + Unpin> Connection<S> {
-    /// Waits for the next request. `idle_timeout` tells how long the connection may be idle by the configuration in
-    /// force; the longest value since the wait began counts. Once `closes_at` holds a moment, a connection that was
-    /// ever used is closed then, if it is idle.
+    /// Waits for the next request. `idle_timeout` returns the idle timeout of the current configuration; the longest
+    /// value since the wait began applies, because the client may not know of a shorter one. Once `closes_at` holds a
+    /// time, an idle connection is closed at that time; a connection without a request so far has at least
+    /// [`FIRST_REQUEST_GRACE`].
     pub async fn wait_idle(
         &mut self,
         idle_timeout: impl Fn() -> Duration,
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Whether no byte of a further request has come.
+    /// Whether no byte of a further request has arrived.
     fn is_idle(&self) -> bool {
         self.buffer.is_empty() && self.stream.is_idle()
     }
@@ -213,7 +215,7 @@
         Connection { stream, codec, buffer: BytesMut::new(), has_served: false, is_head_request: false }
     }
 
-    /// Waits for the first byte of a request. Fails if the connection ends.
+    /// Waits for the first byte of a request. Fails if the connection closes.
     pub async fn wait_readable(&mut self) -> Result<(), HttpError> {
         while self.buffer.is_empty() {
             self.read_more().await?;
@@ -221,7 +223,7 @@
         Ok(())
     }
 
-    /// Reads some bytes into the buffer. Fails if the connection ends.
+    /// Reads available bytes into the buffer. Fails if the connection closes.
     async fn read_more(&mut self) -> Result<(), HttpError> {
         self.buffer.reserve(READ_BYTES);
         match self.stream.read_buf(&mut self.buffer).await {
@@ -230,23 +232,29 @@
         }
     }
 
-    /// Reads the next request. The memory of its body is reserved from `budget`: all of it at once if the client states
-    /// a length, or else chunk by chunk.
+    /// Reads the next request. The memory for the body is reserved in `budget`: the stated `Content-Length` at once, or
+    /// each chunk separately if the length is not known in advance.
     ///
-    /// Fails if the connection ends first, or the request is malformed or beyond `limits` or the budget. After a
-    /// failure nothing more can be read on the connection; a rejected request was not run.
+    /// Fails if the connection closes first, if the request is malformed, or if it exceeds `limits` or the budget. After
+    /// a failure nothing more can be read on the connection. A rejected request was not executed and may be retried.
     pub async fn read_request(
         &mut self,
         limits: &RequestLimits,
         budget: &Rc<BodyBudget>,
     ) -> Result<ReceivedRequest, HttpError> {
         (self.has_served, self.is_head_request) = (true, false);
-        let late = HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, "not whole in time");
+        let late = HttpError::Rejected(
+            StatusCode::REQUEST_TIMEOUT,
+            "request head incomplete when the head timeout expired",
+        );
         let head = timeout(limits.head_timeout, self.read_head(limits)).await.map_err(|_| late)??;
         self.is_head_request = head.method() == Method::HEAD;
         if self.codec.message_type() == MessageType::Stream {
-            // A tunnel, whose end can't be told.
-            return Err(HttpError::Rejected(StatusCode::BAD_REQUEST, "no tunnels"));
+            // A tunnel has no end that the server could detect, so no further request can follow.
+            return Err(HttpError::Rejected(
+                StatusCode::BAD_REQUEST,
+                "CONNECT and Upgrade are not supported",
+            ));
         }
         let stated_length: Option<u64> =
             head.headers().get(CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.trim().parse().ok());
@@ -265,16 +273,28 @@
             Some(_) => Ok(()),
             None => budget.reserve(bytes).map(|reservation| reservations.push(reservation)),
         });
-        let late = HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, "body not whole in time");
+        let late = HttpError::Rejected(
+            StatusCode::REQUEST_TIMEOUT,
+            "request body incomplete when the body timeout expired",
+        );
         let body = timeout(limits.body_timeout, reading).await.map_err(|_| late)??;
         drop(reservations);
         Ok(ReceivedRequest { reservation: budget.reserve(body.len())?, head, body: Some(body) })
     }
 
-    /// Reads the head of a request: 431 if it is too long, 400 if it is not HTTP or its target is ambiguous.
+    /// Reads the head of a request. Fails with 431 if the head is too long, and with 400 if it is malformed or has an
+    /// ambiguous target.
     async fn read_head(&mut self, limits: &RequestLimits) -> Result<Request, HttpError> {
-        let too_long = HttpError::Rejected(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE, "head too long");
-        let bad_target = || HttpError::Rejected(StatusCode::BAD_REQUEST, "no such target");
+        let too_long = HttpError::Rejected(
+            StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
+            "request head exceeds the size limit",
+        );
+        let bad_target = || {
+            HttpError::Rejected(
+                StatusCode::BAD_REQUEST,
+                "invalid request target: expected a path without a fragment",
+            )
+        };
         loop {
             if has_fragment(&self.buffer) {
                 return Err(bad_target());
@@ -285,13 +305,17 @@
                 Ok(None) if self.buffer.len() <= limits.max_head_bytes => self.read_more().await?,
                 Ok(None) | Err(ParseError::TooLarge) => return Err(too_long),
                 Ok(Some(Message::Chunk(_))) | Err(_) => {
-                    return Err(HttpError::Rejected(StatusCode::BAD_REQUEST, "not HTTP"))
+                    return Err(HttpError::Rejected(
+                        StatusCode::BAD_REQUEST,
+                        "malformed HTTP/1.1 request head",
+                    ))
                 }
             }
         }
     }
 
-    /// Reads the body of a request; `reserve` is called with the length of each chunk before it is kept.
+    /// Reads the body of a request. `reserve` is called with the length of each chunk before the chunk is stored, and its
+    /// failure ends the read.
     async fn read_body(
         &mut self,
         limits: &RequestLimits,
@@ -310,14 +334,17 @@
                 }
                 Ok(None) => self.read_more().await?,
                 Ok(Some(Message::Item(_))) | Err(_) => {
-                    return Err(HttpError::Rejected(StatusCode::BAD_REQUEST, "body not whole"))
+                    return Err(HttpError::Rejected(
+                        StatusCode::BAD_REQUEST,
+                        "malformed request body: invalid chunked encoding",
+                    ))
                 }
             }
         }
     }
 
-    /// Resolves when the client closes the connection. Requests that it sends ahead are kept, up to 64 KiB; beyond that
-    /// a disconnect is not noticed.
+    /// Resolves when the client closes the connection. Pipelined requests are buffered up to [`MAX_READ_AHEAD_BYTES`];
+    /// once the buffer is full, a disconnect is not detected.
     pub async fn client_disconnected(&mut self) {
         while self.buffer.len() < MAX_READ_AHEAD_BYTES {
             if self.read_more().await.is_err() {
@@ -327,13 +354,13 @@
         std::future::pending().await
     }
 
-    /// Writes the response to the request that was read last. Returns whether another request may be read on the
-    /// connection. Fails if the client does not take it; how much of it the client got is unknown.
+    /// Writes the response to the last request read. Returns whether another request may be read on the connection.
+    /// Fails if the client does not accept the response; how much of it the client received is then unknown.
     pub async fn respond(&mut self, response: OutgoingResponse) -> Result<bool, HttpError> {
         let OutgoingResponse { mut head, body } = response;
         let mut out = BytesMut::with_capacity(RESPONSE_HEAD_BYTES + body.len());
         let head = head.message_body(()).map_err(|_| HttpError::ConnectionClosed)?;
-        // A body after such a head would be taken for the next response.
+        // The client would parse a body after such a head as the next response.
         let has_no_body = matches!(head.status(), StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let (size, body) = match self.is_head_request || has_no_body {
             true => (BodySize::None, Bytes::new()),
@@ -354,7 +381,8 @@
         Ok(true)
     }
 
-    /// Closes the connection so that the client gets all that was written: reads on for a while, and drops it.
+    /// Closes the connection in such a way that the client receives everything that was written: shuts down the write
+    /// side, then reads and drops bytes for up to [`LINGER_TIMEOUT`].
     pub async fn close_gracefully(&mut self) {
         let _ = self.stream.shutdown().await;
         let _ = timeout(LINGER_TIMEOUT, async {
@@ -371,18 +399,19 @@
     }
 }
 
-/// A body beyond [`RequestLimits::max_body_bytes`].
-const BODY_TOO_LONG: HttpError = HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
+/// Rejects a body longer than [`RequestLimits::max_body_bytes`].
+const BODY_TOO_LONG: HttpError =
+    HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, "request body exceeds the size limit");
 
-/// Whether the request line has a fragment, such as `/a#b`. Clients keep fragments to themselves; the parser drops them,
-/// and a worker would get another target than the client sent.
+/// Whether the request line contains a fragment, such as `/a#b`. Clients must not send fragments. The parser removes
+/// them, so a worker would receive a different target from the one that the client sent.
 fn has_fragment(bytes: &[u8]) -> bool {
     let start = bytes.iter().position(|b| !matches!(b, b'\r' | b'\n')).unwrap_or(bytes.len());
     let mut request_line = bytes[start..].iter().take_while(|b| **b != b'\n');
     request_line.any(|b| *b == b'#')
 }
 
-/// Whether the request line has a path, or the `*` that stands for none. A host alone is for `CONNECT` only.
+/// Whether the request line has a path or `*`. A target that consists of an authority alone is valid for `CONNECT` only.
 fn has_target(request: &Request) -> bool {
     let uri = request.uri();
     request.method() == Method::CONNECT || uri.scheme().is_some() || uri.authority().is_none()
@@ -390,18 +419,18 @@
 
 /// A response to be written.
 pub struct OutgoingResponse {
-    /// Status and headers.
+    /// Status and headers of the response.
     pub head: ResponseBuilder,
     /// The complete body.
     pub body: Bytes,
 }
 
-/// A response whose body is a text.
+/// A response with a plain-text body.
 pub fn text_response(status: StatusCode, text: &'static str) -> OutgoingResponse {
     OutgoingResponse { head: Response::build(status), body: Bytes::from_static(text.as_bytes()) }
 }
 
-/// A response whose body is JSON. A `status` that is no HTTP status becomes 500.
+/// A response with a JSON body. An invalid HTTP `status` becomes 500.
 pub fn json_response(status: u16, body: &serde_json::Value) -> OutgoingResponse {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut head = Response::build(status);
@@ -409,7 +438,7 @@
     OutgoingResponse { head, body: Bytes::from(body.to_string()) }
 }
 
-/// Whether a request has this method and path.
+/// Whether a request has the given method and path.
 pub fn matches_endpoint(request: &Request, method: Method, path: &str) -> bool {
     request.method() == method && request.path() == path
 }
--- a/crates/gateway/src/transport/http_server/tests.rs
+++ b/crates/gateway/src/transport/http_server/tests.rs
@@ -1,5 +1,5 @@
-//! Requests cut at every byte, pipelined and smuggled; responses that must leave no bytes behind; idle connections. In
-//! memory, on tokio's paused clock.
+//! Tests of server connections: requests truncated or split at every byte, pipelining, request smuggling, responses
+//! without a body, and idle connections. They run in memory on tokio's paused clock.
 
 use super::*;
 use googletest::prelude::*;
@@ -29,7 +29,7 @@
     (client, Connection::from_stream(server, &service_config()))
 }
 
-/// What is compared of a request: method, target, body.
+/// The compared parts of a request: method, target and body.
 type Summary = (String, String, Option<Bytes>);
 
 async fn read_next(connection: &mut Connection<DuplexStream>) -> Result<Summary, HttpError> {
@@ -37,7 +37,7 @@
     Ok((request.head.method().to_string(), request.head.uri().to_string(), request.body))
 }
 
-/// The requests that are read from these pieces, up to the first error.
+/// Sends these pieces and returns the requests read from them and the first error.
 async fn read_all(pieces: &[&[u8]]) -> (Vec<Summary>, HttpError) {
     let (mut client, mut connection) = connected();
     let send = async move {
@@ -60,7 +60,7 @@
     tokio::join!(send, read).1
 }
 
-/// Valid requests, with the target and the body that are read of each.
+/// Valid requests with the expected target and body of each.
 const REQUESTS: [(&str, &str, Option<&str>); 8] = [
     ("GET /a?b=%20c HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: id-1\r\n\r\n", "/a?b=%20c", None),
     ("POST /b HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello", "/b", Some("hello")),
@@ -92,14 +92,14 @@
         let seen = |all: Vec<Summary>| all.into_iter().map(|(_, uri, body)| (uri, body)).collect::<Vec<_>>();
         for cut in 0..=bytes.len() {
             cuts += 1;
-            // In two pieces...
+            // The bytes arrive in two pieces.
             let (all, error) = run_paused(read_all(&[&bytes[..cut], &bytes[cut..]]));
             assert_that!(
                 (seen(all), error),
                 eq(&(expected.clone(), HttpError::ConnectionClosed)),
                 "cut at {cut}"
             );
-            // ...and ended in the middle: what is incomplete is not served.
+            // The connection ends within the bytes: an incomplete request is not returned.
             let (all, error) = run_paused(read_all(&[&bytes[..cut]]));
             let complete = ends.iter().filter(|end| **end <= cut).count();
             assert_that!(
@@ -111,7 +111,7 @@
         let single: Vec<&[u8]> = bytes.chunks(1).collect();
         assert_that!(seen(run_paused(read_all(&single)).0), eq(&expected));
     }
-    println!("{cuts} cuts");
+    println!("{cuts} splits");
 }
 
 #[gtest]
@@ -123,8 +123,8 @@
                 client.write_all(&text.as_bytes()[..cut]).await.expect("taken");
                 (read_next(&mut connection).await, Instant::now())
             });
-            let late = matches!(result.0, Err(HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, _)));
-            assert_that!(late, eq(true), "{:?} at {cut}", result.0);
+            let timed_out = matches!(result.0, Err(HttpError::Rejected(StatusCode::REQUEST_TIMEOUT, _)));
+            assert_that!(timed_out, eq(true), "{:?} at {cut}", result.0);
         }
     }
 }
@@ -187,11 +187,11 @@
         let bad = matches!(error, HttpError::Rejected(StatusCode::BAD_REQUEST, _));
         expect_that!(bad, eq(true), "{error:?}: {chunks:?}");
     }
-    // What stands where trailers may stand is dropped with them.
+    // Bytes in the place of trailers are dropped with the trailers.
     let (all, error) = run_paused(read_all(&[format!("{chunked}0\r\nX: {inner}").as_bytes()]));
     expect_that!(all, elements_are![eq(&("POST".to_owned(), "/a".to_owned(), Some(Bytes::new())))]);
     expect_that!(error, eq(&HttpError::ConnectionClosed));
-    println!("{} heads, 12 chunkings", cases.len());
+    println!("{} request heads, 12 chunked bodies", cases.len());
 }
 
 #[gtest]
@@ -212,7 +212,7 @@
     }
 }
 
-/// All that a client receives until its connection ends.
+/// Returns all bytes that a client receives until its connection ends.
 async fn receive_all(mut client: DuplexStream) -> String {
     let mut all = Vec::new();
     let _ = client.read_to_end(&mut all).await;
@@ -269,7 +269,7 @@
         let take = async {
             client.write_all(b"TP/1.1\r\nHost: h\r\n\r\n").await.expect("taken");
             let mut all = Vec::new();
-            // Something every four seconds: over half a minute for the response.
+            // The client reads 16 bytes every four seconds, so the response takes longer than `WRITE_TIMEOUT` in total.
             loop {
                 tokio::time::sleep(Duration::from_secs(4)).await;
                 if !client.read_buf(&mut all).await.is_ok_and(|n| n > 0) {
@@ -289,12 +289,12 @@
         let (mut client, mut connection) = connected();
         client.write_all(REQUESTS[1].0.as_bytes()).await.expect("taken");
         expect_that!(read_next(&mut connection).await.map(|r| r.1), ok(eq("/b")));
-        // It sends its next request, in two pieces, while it waits: that is no leaving.
+        // A pipelined request that arrives in two pieces during the wait is not a disconnect.
         let (first, second) = REQUESTS[3].0.as_bytes().split_at(70);
         for piece in [first, second] {
             client.write_all(piece).await.expect("taken");
-            let left = timeout(Duration::from_secs(1), connection.client_disconnected()).await;
-            expect_that!(left, err(anything()));
+            let disconnected = timeout(Duration::from_secs(1), connection.client_disconnected()).await;
+            expect_that!(disconnected, err(anything()));
         }
         let keeps_open = connection.respond(text_response(StatusCode::OK, "")).await;
         expect_that!(keeps_open, ok(eq(&true)));
@@ -308,9 +308,9 @@
     });
 }
 
-/// Waits for a request on an idle connection, used before or not. `idle` is the idle timeout from each moment on,
-/// `ends_at` when the process closes idle connections, `sends_at` when the client sends a byte: all in milliseconds.
-/// Returns the outcome, and after how many milliseconds it came.
+/// Waits for a request on an idle connection. `used`: whether the connection has served a request before. `idle`: pairs
+/// of a start time and the idle timeout from then on. `ends_at`: when the process closes idle connections. `sends_at`:
+/// when the client sends a byte. All times are in milliseconds. Returns the outcome and its time in milliseconds.
 fn wait_idle(
     used: bool,
     idle: &[(u64, u64)],
@@ -356,7 +356,7 @@
 #[gtest]
 fn an_idle_connection_is_kept_for_its_idle_timeout_and_slack() {
     let slack = IDLE_SLACK.as_millis();
-    // A request that begins within the idle timeout is read.
+    // A request that starts within the idle timeout is read.
     for at in [0, 1, 12_000, 14_999, 15_000] {
         expect_that!(
             wait_idle(true, &[(0, 15_000)], None, Some(at)),
@@ -364,22 +364,23 @@
         );
     }
     expect_that!(wait_idle(true, &[(0, 15_000)], None, None), eq(&(IdleOutcome::Close, 15_000 + slack)));
-    // The timeout is raised meanwhile: the new one counts. It is lowered: the client may not know yet.
+    // A timeout that is raised during the wait applies at once. A lowered one does not, because the client may not know
+    // it yet.
     let raised = [(0, 15_000), (9_000, 30_000)];
     expect_that!(wait_idle(true, &raised, None, Some(24_000)), eq(&(IdleOutcome::RequestStarted, 24_000)));
-    let (over, at) = wait_idle(true, &raised, None, None);
-    expect_that!((over, at), eq(&(IdleOutcome::Close, 30_000 + slack)));
+    let (outcome, at) = wait_idle(true, &raised, None, None);
+    expect_that!((outcome, at), eq(&(IdleOutcome::Close, 30_000 + slack)));
     expect_that!(
         wait_idle(true, &[(0, 15_000), (2_000, 5_000)], None, Some(12_000)).0,
         eq(&IdleOutcome::RequestStarted)
     );
-    // The process drains: an idle connection is closed when it is time, and not before.
+    // While the process drains, an idle connection is closed at the given time and not earlier.
     expect_that!(
         wait_idle(true, &[(0, 15_000)], Some(2_600), Some(2_599)),
         eq(&(IdleOutcome::RequestStarted, 2_599))
     );
     expect_that!(wait_idle(true, &[(0, 15_000)], Some(2_600), None), eq(&(IdleOutcome::Close, 2_600)));
-    // A connection that was just opened gets time for its first request.
+    // A new connection has `FIRST_REQUEST_GRACE` for its first request.
     expect_that!(
         wait_idle(false, &[(0, 15_000)], Some(0), Some(900)),
         eq(&(IdleOutcome::RequestStarted, 900))
@@ -390,7 +391,7 @@
     );
 }
 
-/// Guards the request behind one that ends in trailers: they are dropped, and the next one is read completely.
+/// Guards the request after one that ends in trailers. The trailers are dropped, and the next request is read completely.
 #[gtest]
 fn trailers_are_dropped_and_the_next_request_follows() {
     let chunked = "PUT /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n";
@@ -405,7 +406,7 @@
     }
 }
 
-/// Guards a body that is refused for its length: its client is not told to send it first.
+/// Guards against asking a client with `100 Continue` for a body that is then rejected for its length.
 #[gtest]
 fn expect_100_continue_is_decided_before_the_body_is_sent() {
     for (length, result) in [("64", "HTTP/1.1 100 Continue\r\n\r\n"), ("65", "")] {
@@ -416,8 +417,8 @@
             );
             client.write_all(head.as_bytes()).await.expect("taken");
             let read = timeout(Duration::from_secs(1), read_next(&mut connection)).await;
-            let refused = matches!(read, Ok(Err(HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, _))));
-            expect_that!(refused, eq(result.is_empty()), "{length}");
+            let rejected = matches!(read, Ok(Err(HttpError::Rejected(StatusCode::PAYLOAD_TOO_LARGE, _))));
+            expect_that!(rejected, eq(result.is_empty()), "{length}");
             drop(connection);
             receive_all(client).await
         });
--- a/crates/gateway/src/transport/mod.rs
+++ b/crates/gateway/src/transport/mod.rs
@@ -1,4 +1,5 @@
-//! Sockets: HTTP connections of clients and API callers, connections to workers, links to peers.
+//! Transport over TCP: HTTP connections of clients and API callers, pooled connections to workers, and links between the
+//! gateway's own processes.
 
 mod hop_by_hop;
 pub mod http_server;
--- a/crates/gateway/src/transport/peer_link.rs
+++ b/crates/gateway/src/transport/peer_link.rs
@@ -1,5 +1,5 @@
-//! Links between the system's own processes: TCP connections that carry [`PeerMessage`]s. A link that goes down is
-//! opened again by the side that opened it; messages of one connection are never delivered on the next.
+//! Links between the gateway's own processes: TCP connections that carry [`PeerMessage`]s. The side that opened a link
+//! reconnects it when it goes down. Messages queued for one connection are never delivered on the next.
 
 use crate::protocol::{self, PeerMessage};
 use bytes::BytesMut;
@@ -15,44 +15,46 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::timeout;
 
-/// The first attempt to connect is given up after this: a machine without power does not refuse it, and may be back
-/// soon...
+/// Timeout of the first attempt to connect. A machine without power does not refuse connections and may be back soon, so
+/// the first timeouts are short.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// ...each further one after twice as long, up to this: the machine may also be far away.
+/// Upper bound of the timeout to connect, which doubles with each attempt that times out. A distant machine may need
+/// more than [`MIN_CONNECT_TIMEOUT`] to answer.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Time between two attempts to connect.
+/// Delay between two attempts to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// A connection on which nothing comes for so long is given up. Peers ping each other more often.
+/// A connection on which no byte is received for this time is closed. Peers ping each other more often than this.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(1600);
-/// Time between two attempts to accept a connection, where none can be accepted.
+/// Delay after a failed attempt to accept a connection.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// A buffer that grew beyond this is freed once it is empty: complete configurations are long and rare. Bytes.
-const MAX_KEPT_BUFFER: usize = 64 * 1024;
-/// Room made in a buffer before each read: bytes.
+/// Capacity in bytes above which an empty buffer is freed. Complete configurations are long but rare, so their buffers
+/// are not kept.
+const MAX_KEPT_BUFFER_BYTES: usize = 64 * 1024;
+/// Minimum free capacity of the read buffer before each read, in bytes.
 const READ_BYTES: usize = 4096;
 
-/// What happens on a link.
+/// A change of a link's state, or a message received on it.
 pub enum LinkEvent {
-    /// A connection is up.
+    /// The connection is established.
     Up,
-    /// A message came.
+    /// A message was received.
     Received(PeerMessage),
-    /// The connection is down.
+    /// The connection has ended.
     Down,
 }
 
-/// Makes the events of a state machine out of those of its links.
+/// Maps [`LinkEvent`]s to the events of a state machine.
 pub struct LinkEventMapper<E> {
-    /// For [`LinkEvent::Up`].
+    /// Maps [`LinkEvent::Up`].
     pub up: fn(IpAddr) -> E,
-    /// For [`LinkEvent::Received`].
+    /// Maps [`LinkEvent::Received`].
     pub received: fn(IpAddr, PeerMessage) -> E,
-    /// For [`LinkEvent::Down`].
+    /// Maps [`LinkEvent::Down`].
     pub down: fn(IpAddr) -> E,
 }
 
 impl<E> LinkEventMapper<E> {
-    /// The callback for the link to this machine; `handle` gets the mapped events.
+    /// The callback for the link to the machine `ip`; it passes the mapped events to `handle`.
     pub fn for_peer(self, ip: IpAddr, mut handle: impl FnMut(E)) -> impl FnMut(LinkEvent) {
         move |event| {
             handle(match event {
@@ -71,7 +73,7 @@
     let _ = socket.set_tcp_user_timeout(Some(RECEIVE_TIMEOUT));
 }
 
-/// Receives and sends messages on a connection until it ends, or nothing comes for [`RECEIVE_TIMEOUT`].
+/// Receives and sends messages on a connection until it ends or no byte is received for [`RECEIVE_TIMEOUT`].
 async fn run_connection(
     stream: TcpStream,
     outgoing: &mut UnboundedReceiver<PeerMessage>,
@@ -85,7 +87,7 @@
     }
 }
 
-/// Decodes messages until the connection ends, which is an error like any other.
+/// Decodes messages until the connection ends or a message can't be decoded; both are returned as errors.
 async fn receive_messages(
     mut reader: OwnedReadHalf,
     mut received: impl FnMut(PeerMessage),
@@ -97,7 +99,7 @@
         {
             received(message);
         }
-        if buffer.is_empty() && buffer.capacity() > MAX_KEPT_BUFFER {
+        if buffer.is_empty() && buffer.capacity() > MAX_KEPT_BUFFER_BYTES {
             buffer = BytesMut::new();
         }
         buffer.reserve(READ_BYTES);
@@ -108,7 +110,7 @@
     }
 }
 
-/// Sends messages until their queue is closed: all that wait in one write.
+/// Sends messages until their queue is closed. All queued messages are combined into one write.
 async fn send_messages(
     mut writer: OwnedWriteHalf,
     outgoing: &mut UnboundedReceiver<PeerMessage>,
@@ -121,14 +123,14 @@
             bytes.extend(protocol::encode(&message));
         }
         writer.write_all(&bytes).await?;
-        if bytes.capacity() > MAX_KEPT_BUFFER {
+        if bytes.capacity() > MAX_KEPT_BUFFER_BYTES {
             bytes = Vec::new();
         }
     }
     Ok(())
 }
 
-/// Keeps a connection to `address` open until the queue of outgoing messages is closed.
+/// Keeps a connection to `address` open, reconnecting after failures, until the queue of outgoing messages is closed.
 async fn keep_connected(
     address: SocketAddr,
     mut outgoing: UnboundedReceiver<PeerMessage>,
@@ -142,7 +144,7 @@
             _ => MIN_CONNECT_TIMEOUT,
         };
         if let Ok(Ok(stream)) = connected {
-            // Messages for an earlier connection are stale.
+            // Messages queued for an earlier connection are stale.
             while outgoing.try_recv().is_ok() {}
             if outgoing.is_closed() {
                 return;
@@ -160,7 +162,7 @@
     }
 }
 
-/// Accepts the next connection. A failure, such as too few descriptors, is logged and retried.
+/// Accepts the next connection. A failure, such as a lack of file descriptors, is logged and retried.
 pub async fn accept_connection(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -179,20 +181,20 @@
     is_up: Rc<Cell<bool>>,
 }
 
-/// The links that this process keeps open to core machines.
+/// The outgoing links of this process to core machines.
 pub struct PeerLinks {
     links: RefCell<HashMap<IpAddr, OutgoingLink>>,
     port: u16,
 }
 
 impl PeerLinks {
-    /// No links yet. `port` is the internal port of all core machines.
+    /// Creates a set without links. `port` is the internal port of all core machines.
     pub fn new(port: u16) -> Self {
         PeerLinks { links: RefCell::default(), port }
     }
 
-    /// Keeps a link to this machine open from now on, and passes what happens on it to `on_event`. Does nothing if it
-    /// is kept open already.
+    /// Opens a link to the machine `ip`, keeps it open, and passes its events to `on_event`. Does nothing if the link
+    /// exists already.
     pub fn open(&self, ip: IpAddr, mut on_event: impl FnMut(LinkEvent) + 'static) {
         if self.links.borrow().contains_key(&ip) {
             return;
@@ -211,12 +213,14 @@
         tokio::task::spawn_local(keep_connected(SocketAddr::new(ip, self.port), outgoing, on_event));
     }
 
-    /// Closes the link to this machine for good: its task ends with the queue of outgoing messages.
+    /// Closes the link to the machine `ip` and removes it. The link's task ends when the queue of outgoing messages is
+    /// closed.
     pub fn close(&self, ip: IpAddr) {
         self.links.borrow_mut().remove(&ip);
     }
 
-    /// Sends a message to this machine. Dropped if the link is not up; lost if it goes down before it is written.
+    /// Sends a message to the machine `ip`. The message is dropped if the link is not up, and lost if the link goes down
+    /// before the message is written.
     pub fn send(&self, ip: IpAddr, message: PeerMessage) {
         if let Some(link) = self.links.borrow().get(&ip).filter(|link| link.is_up.get()) {
             let _ = link.sender.send(message);
@@ -224,8 +228,8 @@
     }
 }
 
-/// Accepts links of other processes, for ever. Each gets a number; `opened` makes the queue of its outgoing messages,
-/// and `on_event` gets what happens on it.
+/// Accepts links from other processes; never returns. Each link is numbered. `opened` creates the queue of its outgoing
+/// messages, and `on_event` receives its events.
 pub async fn listen(
     listener: TcpListener,
     mut opened: impl FnMut(u64) -> UnboundedReceiver<PeerMessage>,
--- a/crates/gateway/src/transport/upstream_pool.rs
+++ b/crates/gateway/src/transport/upstream_pool.rs
@@ -1,6 +1,6 @@
-//! Connections to workers: one attempt of a request at a time on each, and those that are idle. An attempt writes the
-//! request at most once, takes nothing but the complete response to that request, and leaves a connection to further
-//! requests only if nothing on it is unread.
+//! The pool of connections to workers. Each connection carries one attempt of a request at a time. An attempt writes the
+//! request at most once, accepts only the complete response to that request, and returns the connection to the pool only
+//! if it has no unread bytes.
 
 pub mod exchange;
 #[cfg(test)]
@@ -26,61 +26,67 @@
 use tokio::time::timeout;
 use whinstall::Ending;
 
-/// A connection must come up within this: a worker that is down does not refuse it.
+/// Timeout of connecting to a worker. A worker whose machine is down does not refuse connections.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How often idle connections are checked.
+/// Interval between two checks of the idle connections.
 pub const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a connection may be idle before a request is sent on it, while it is unknown when workers close theirs.
+/// Maximum idle time of a connection that a non-idempotent request may use, while the keep-alive time of the workers is
+/// unknown.
 const DEFAULT_MAX_IDLE: Duration = Duration::from_millis(2500);
-/// The same for idempotent requests.
+/// Maximum idle time of a connection that an idempotent request may use, while the keep-alive time of the workers is
+/// unknown.
 const DEFAULT_MAX_IDLE_IDEMPOTENT: Duration = Duration::from_secs(10);
-/// Where it is known when the worker closes it: the fraction of that time for which a connection may be idle before a
-/// request is sent on it. The worker may close it just then, and nobody knows whether it ran the request...
+/// Maximum idle time of a connection that a non-idempotent request may use, as a fraction of the worker's keep-alive
+/// time. If the worker closes the connection while the request is sent, it is unknown whether the worker executed the
+/// request, and the request can't be retried.
 const MAX_IDLE_FRACTION: f64 = 0.7;
-/// ...which does not matter to idempotent ones.
+/// Maximum idle time of a connection that an idempotent request may use, as a fraction of the worker's keep-alive time.
+/// The fraction is larger because an idempotent request can be retried.
 const MAX_IDLE_FRACTION_IDEMPOTENT: f64 = 0.9;
-/// A connection that ends earlier than this has not ended for being idle.
+/// Shortest idle time after which the end of a connection is taken for an idle timeout of the worker. An earlier end has
+/// another cause.
 const MIN_OBSERVED_IDLE: Duration = Duration::from_millis(500);
-/// How many of the last attempt ids are remembered of each connection.
+/// Number of recent attempt ids that are remembered for each connection.
 const REMEMBERED_IDS: usize = 16;
 
-/// A client's request, to be sent to workers in any number of attempts.
+/// A client's request in the form in which it is sent to workers, in one or more attempts.
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The request method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and the query.
     pub uri: Uri,
-    /// Its headers, without those of the client's connection and the API key.
+    /// The headers, without hop-by-hop headers and the API key.
     pub headers: HeaderMap,
-    /// Its body; `None` if it has none.
+    /// The body; `None` if the request has no body.
     pub body: Option<Bytes>,
-    /// Its `X-Attempt-Id`, which the worker's response must name.
+    /// The `X-Attempt-Id`, which the worker's response must repeat.
     pub id: HeaderValue,
-    /// Whether it may run more than once.
+    /// Whether the request may be executed more than once.
     pub is_idempotent: bool,
-    /// When nobody waits for its response any more.
+    /// Time after which no client waits for the response.
     pub deadline: Instant,
 }
 
 /// A worker's complete response.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its headers, without those of the connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// How an attempt ended. Whether it may be retried follows from `ending` and [`ForwardedRequest::is_idempotent`].
+/// The outcome of an attempt. Whether the request may be retried follows from `ending` and
+/// [`ForwardedRequest::is_idempotent`].
 #[derive(Debug)]
 pub struct AttemptOutcome {
-    /// The outcome, in the terms of the decision library.
+    /// The outcome in the terms of the decision library.
     pub ending: Ending,
-    /// The worker's response, if it may be passed on to the client.
+    /// The worker's response, if it may be forwarded to the client.
     pub response: Option<UpstreamResponse>,
-    /// Whether another worker answered at this address (421).
+    /// Whether another worker responded at this address (status 421).
     pub misdirected: bool,
 }
 
@@ -90,7 +96,7 @@
     }
 }
 
-/// One of the connections counted in [`UpstreamPool::open`].
+/// Counts a connection in [`UpstreamPool::open`] until it is dropped.
 struct OpenConnection(Rc<Cell<usize>>);
 
 impl OpenConnection {
@@ -110,15 +116,15 @@
     stream: TcpStream,
     #[expect(dead_code, reason = "counts the connection until it is dropped")]
     open: OpenConnection,
-    /// Hashes of the ids of the last requests on it. Another attempt under one of them uses another connection: a late
-    /// second response to the first would be taken for its own.
+    /// Hashes of the ids of the last requests on this connection. Another attempt with one of these ids must use another
+    /// connection; otherwise a late duplicate response to the first attempt would be accepted for the second.
     recent_ids: VecDeque<u64>,
 }
 
 struct IdleConnection {
     connection: UpstreamConnection,
     since: Instant,
-    /// How long the worker keeps it, as far as it said so.
+    /// Keep-alive time that the worker announced; `None` if it announced none.
     keep_alive: Option<Duration>,
 }
 
@@ -128,22 +134,23 @@
     hasher.finish()
 }
 
-/// The connections to workers.
+/// The pool of connections to workers.
 pub struct UpstreamPool {
-    /// Idle connections by worker, in the order in which they became idle.
+    /// Idle connections by worker, ordered by the time at which they became idle.
     idle: RefCell<HashMap<Arc<str>, Vec<IdleConnection>>>,
-    /// How many are open, in use or idle.
+    /// Number of open connections, in use or idle.
     open: Rc<Cell<usize>>,
     max_open: usize,
-    /// The shortest time after which a worker was seen to close an idle connection.
+    /// Shortest idle time after which a worker was observed to close a connection.
     observed_keep_alive: Cell<Option<Duration>>,
     config: ServiceConfig,
-    /// How many connections were opened so far.
+    /// Number of connections opened since the start of the process, including failed attempts.
     pub connections_opened: Cell<u64>,
 }
 
 impl UpstreamPool {
-    /// A pool that closes idle connections to stay at `max_open` connections. Those in use are not bounded.
+    /// Creates a pool that closes idle connections to stay within `max_open` connections. The number of connections in
+    /// use is not limited.
     pub fn new(max_open: usize) -> Self {
         UpstreamPool {
             idle: RefCell::default(),
@@ -155,7 +162,7 @@
         }
     }
 
-    /// When the worker closes this connection, as far as anything is known of that.
+    /// Idle time after which the worker is expected to close this connection: announced or observed; `None` if neither.
     fn keep_alive_of(&self, idle: &IdleConnection) -> Option<Duration> {
         idle.keep_alive.or(self.observed_keep_alive.get())
     }
@@ -171,7 +178,7 @@
         idle.since.elapsed() < max_idle && is_idle(&idle.connection.stream)
     }
 
-    /// Takes the idle connection to `worker` that was used last, of those on which this request may be sent.
+    /// Takes the most recently used idle connection to `worker` on which this request may be sent.
     fn checkout(&self, worker: &Arc<str>, forward: &ForwardedRequest) -> Option<UpstreamConnection> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(worker)?;
@@ -182,7 +189,7 @@
         Some(idle.remove(newest).connection)
     }
 
-    /// Takes a connection back, unless anything came on it or the worker does not keep it.
+    /// Returns a connection to the pool, unless it has unread bytes or the worker does not keep it open.
     fn check_in(&self, worker: &Arc<str>, connection: UpstreamConnection, keep_alive: Option<Duration>) {
         if is_idle(&connection.stream) && keep_alive.is_none_or(|keep_alive| !keep_alive.is_zero()) {
             let idle = IdleConnection { connection, since: Instant::now(), keep_alive };
@@ -190,13 +197,13 @@
         }
     }
 
-    /// Closes the idle connections to a worker.
+    /// Closes all idle connections to a worker.
     pub fn close_idle(&self, worker: &str) {
         self.idle.borrow_mut().remove(worker);
     }
 
-    /// Drops the idle connections that workers closed or soon will, and learns from the former how long they keep them.
-    /// To be called every [`IDLE_SWEEP_INTERVAL`].
+    /// Drops the idle connections that workers have closed or are about to close. The idle time of a connection closed by
+    /// a worker updates the observed keep-alive time. Must be called every [`IDLE_SWEEP_INTERVAL`].
     pub fn sweep_idle(&self) {
         self.idle.borrow_mut().retain(|_, idle| {
             idle.retain(|idle| {
@@ -213,11 +220,12 @@
         });
     }
 
-    /// Sends a request once and waits for the complete response, for at most `time_limit`. `may_send` is asked at the
-    /// last moment before the first byte is written.
+    /// Sends a request once and waits for the complete response, for at most `time_limit`. `may_send` is called
+    /// immediately before the first byte is written.
     ///
-    /// `ConnectFailed` and `NotSent`: nothing was written, and the request may be sent elsewhere. `Full`: the worker says
-    /// that it did not run the request. After every other failure it may have run.
+    /// After `ConnectFailed` and `NotSent` nothing was written and the request may be sent to another worker. `Full`
+    /// means that the worker declares that it did not execute the request. After every other failure the worker may have
+    /// executed it.
     pub async fn attempt(
         &self,
         worker: &Arc<str>,
@@ -274,7 +282,7 @@
         }
     }
 
-    /// Opens a connection; `None` if it does not come up within [`CONNECT_TIMEOUT`].
+    /// Opens a connection; `None` if connecting fails or takes longer than [`CONNECT_TIMEOUT`].
     async fn connect(&self, address: SocketAddr) -> Option<UpstreamConnection> {
         if self.open.get() >= self.max_open {
             self.close_longest_idle();
--- a/crates/gateway/src/transport/upstream_pool/exchange.rs
+++ b/crates/gateway/src/transport/upstream_pool/exchange.rs
@@ -1,5 +1,5 @@
-//! One exchange on a connection to a worker: the request out, its response in, and what that means. A response counts
-//! only if it is complete and names the request in `X-Attempt-Id`.
+//! One exchange on a connection to a worker: writes the request, reads the response and classifies the outcome. A
+//! response is accepted only if it is complete and repeats the request's `X-Attempt-Id`.
 
 use super::{AttemptOutcome, ForwardedRequest, UpstreamResponse};
 use crate::transport::remove_hop_by_hop;
@@ -15,30 +15,30 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use whinstall::Ending;
 
-/// The longest body of a response: bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
-/// Headers of a response that are not passed on, besides those of its connection: the client gets this edge's own date.
+/// Response headers that are removed in addition to the hop-by-hop headers. The edge sets its own `date`.
 const NOT_FORWARDED: [&str; 1] = ["date"];
-/// Headers that are passed on even if `Connection` names them.
+/// Response headers that are forwarded even if `Connection` names them.
 const ALWAYS_FORWARDED: [&str; 3] = ["x-attempt-id", "x-server-seal", "x-not-executed"];
 
-/// Room for a request's head: bytes. A longer one makes the buffer grow.
+/// Initial buffer capacity for the head of a request, in bytes. A longer head makes the buffer grow.
 const REQUEST_HEAD_BYTES: usize = 512;
-/// Room of the buffer that a response is read into: bytes. A longer one makes it grow.
+/// Initial capacity of the buffer that a response is read into, in bytes. A longer response makes the buffer grow.
 const RESPONSE_BUFFER_BYTES: usize = 2048;
-/// Room made in that buffer before each read: bytes.
+/// Minimum free capacity of the read buffer before each read, in bytes.
 const READ_BYTES: usize = 4096;
-/// What the whole seconds of a `Keep-Alive` header may hide: seconds.
+/// Seconds subtracted from the timeout of a `Keep-Alive` header, which is rounded to whole seconds.
 const KEEP_ALIVE_ROUNDING_S: f64 = 0.5;
 
-/// Why there is no response. Only after [`ExchangeError::NotSent`] is it sure that the worker did not run the request.
+/// Failure of an exchange. Only [`ExchangeError::NotSent`] guarantees that the worker did not execute the request.
 #[derive(Debug, PartialEq, displaydoc::Display)]
 pub enum ExchangeError {
-    /// no byte of the request was sent
+    /// request not sent: the connection accepted no byte of it
     NotSent,
-    /// the connection ended or broke
+    /// connection lost before the response was complete
     ConnectionLost,
-    /// what came is no response that may be passed on
+    /// upstream response invalid: it can't be forwarded
     InvalidResponse,
 }
 
@@ -55,24 +55,24 @@
 pub struct ExchangeResult {
     /// The response to the request.
     pub response: UpstreamResponse,
-    /// How long the worker keeps the connection, as far as it said so.
+    /// Keep-alive time that the worker announced; `None` if it announced none.
     pub keep_alive: Option<Duration>,
-    /// Whether another request may be sent on the connection: nothing on it is known to be unread.
+    /// Whether another request may be sent on the connection, which is the case if it has no known unread bytes.
     pub is_reusable: bool,
 }
 
-/// Which request a response belongs to, by the id that it names.
+/// The request that a response belongs to, according to its `X-Attempt-Id`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseOwner {
-    /// The one that waits on the connection.
+    /// The request that is waiting on this connection.
     ThisRequest,
-    /// An earlier one: it came late, or twice.
+    /// An earlier request: the response is late or a duplicate.
     OtherRequest,
-    /// Unknown: it names none, or several.
+    /// Unknown: the response has no id, an empty one, or several.
     Unidentified,
 }
 
-/// Which request a response with this head belongs to, on a connection where the request of this id waits.
+/// Determines the request that a response with this head belongs to, where `id` is the id of the waiting request.
 pub fn response_owner(head: &ResponseHead, id: &HeaderValue) -> ResponseOwner {
     let mut named = head.headers.get_all("x-attempt-id");
     match (named.next(), named.next()) {
@@ -83,15 +83,16 @@
     }
 }
 
-/// Whether a complete response with this head may be believed. A success must carry the worker's `X-Server-Seal` and not
-/// claim that the request was not run; no response may be encoded, which the client did not ask for.
+/// Whether a complete response with this head is acceptable. A successful response must carry the worker's
+/// `X-Server-Seal` and must not claim with `X-Not-Executed` that the request was not executed. A response with
+/// `Content-Encoding` is not acceptable.
 pub fn is_acceptable(head: &ResponseHead) -> bool {
     let has = |name: &str| head.headers.contains_key(name);
     let is_consistent = !head.status.is_success() || has("x-server-seal") && !has("x-not-executed");
     is_consistent && !head.headers.contains_key(CONTENT_ENCODING)
 }
 
-/// Encodes a request for `worker`. `None` if a header value can't be written.
+/// Encodes a request for `worker`; `None` if a header value can't be encoded.
 pub fn encode(
     codec: &mut ClientCodec,
     forward: &ForwardedRequest,
@@ -120,8 +121,8 @@
     Some(out)
 }
 
-/// Writes an encoded request and waits for its complete response. `written` is set once any byte has gone out; it is
-/// valid also if this is dropped half way.
+/// Writes an encoded request and waits for the complete response to it. `written` is set once any byte is written, and
+/// stays valid if the returned future is dropped before it completes.
 pub async fn exchange<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     codec: ClientCodec,
@@ -143,7 +144,7 @@
     let is_complete = tokio::select! {
         biased;
         is_complete = &mut write => is_complete,
-        // A worker may reject a request before it has read all of it.
+        // A worker may reject a request before it has read the complete request.
         early = &mut response => {
             let early = early.map(|result| ExchangeResult { is_reusable: false, ..result });
             return if written.get() { early } else { Err(ExchangeError::NotSent) };
@@ -152,12 +153,12 @@
     if !written.get() {
         return Err(ExchangeError::NotSent);
     }
-    // Also after a write that broke off: the worker may have responded to the part that it got.
+    // The response is awaited even after a failed write: the worker may have responded to the part that it received.
     let result = response.await?;
     Ok(ExchangeResult { is_reusable: result.is_reusable && is_complete, ..result })
 }
 
-/// Reads some bytes into `buffer`. Fails if the connection ends.
+/// Reads available bytes into `buffer`. Fails if the connection closes.
 async fn read_more<R: AsyncRead + Unpin>(stream: &mut R, buffer: &mut BytesMut) -> Result<(), ExchangeError> {
     buffer.reserve(READ_BYTES);
     match stream.read_buf(buffer).await? {
@@ -166,7 +167,7 @@
     }
 }
 
-/// Reads the response to the request of this id; complete responses to other requests ahead of it are discarded.
+/// Reads the response to the request with this id. Complete responses to other requests before it are discarded.
 async fn receive<R: AsyncRead + Unpin>(
     mut codec: ClientCodec,
     stream: &mut R,
@@ -186,7 +187,7 @@
             ResponseOwner::OtherRequest => return Err(ExchangeError::InvalidResponse),
             ResponseOwner::Unidentified => {
                 let status = response.head.status.as_u16();
-                tracing::warn!(status, "rejected an upstream response that names no request");
+                tracing::warn!(status, "rejected an upstream response without exactly one X-Attempt-Id");
                 return Err(ExchangeError::InvalidResponse);
             }
         }
@@ -202,17 +203,18 @@
     Ok(ExchangeResult { response: UpstreamResponse { status, headers, body }, keep_alive, is_reusable })
 }
 
-/// A complete response, to whichever request.
+/// A complete response to any request.
 struct CompleteResponse {
     head: ResponseHead,
     body: Bytes,
-    /// Whether it is certain where it began and ended.
+    /// Whether the start and the end of the response in the byte stream are certain.
     is_delimited: bool,
-    /// The codec for the response after it.
+    /// The codec for the next response on the connection.
     codec: ClientCodec,
 }
 
-/// Reads one complete response. One whose end would be the end of the connection is invalid: it may have been cut.
+/// Reads one complete response. A response that is delimited only by the end of the connection is invalid, because
+/// truncation can't be detected.
 async fn read_response<R: AsyncRead + Unpin>(
     mut codec: ClientCodec,
     stream: &mut R,
@@ -222,7 +224,7 @@
     let has_no_body = codec.message_type() == MessageType::None;
     let is_chunked = is_chunked(&head)?;
     if matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) {
-        // A 304 may state the length that a body would have: whether one follows can't be told.
+        // A 304 may state the length of the body that it omits, so it is uncertain whether a body follows.
         let is_delimited = is_delimited && has_no_body;
         return Ok(CompleteResponse { head, body: Bytes::new(), is_delimited, codec });
     }
@@ -250,7 +252,8 @@
     Ok(CompleteResponse { head, body: body.freeze(), is_delimited, codec })
 }
 
-/// Reads heads up to one that is not informational (1xx). Returns also whether it is certain where that one began.
+/// Reads heads until one is not informational (1xx). Returns that head and whether its start in the byte stream is
+/// certain.
 async fn read_final_head<R: AsyncRead + Unpin>(
     codec: &mut ClientCodec,
     stream: &mut R,
@@ -258,14 +261,14 @@
 ) -> Result<(ResponseHead, bool), ExchangeError> {
     let mut is_delimited = true;
     loop {
-        // Empty lines ahead of a head are skipped; they may be the end of something else.
+        // The codec skips empty lines before a head; they may be the end of another message.
         is_delimited &= !matches!(buffer.first(), Some(b'\r' | b'\n'));
         match codec.decode(buffer).map_err(|_| ExchangeError::InvalidResponse)? {
             None => read_more(stream, buffer).await?,
             Some(head) if head.status == StatusCode::SWITCHING_PROTOCOLS => {
                 return Err(ExchangeError::InvalidResponse)
             }
-            // An informational one has no body, whatever it says.
+            // An informational response has no body; one that announces a body makes the stream ambiguous.
             Some(head) if head.status.is_informational() => {
                 if codec.message_type() != MessageType::None {
                     return Err(ExchangeError::InvalidResponse);
@@ -276,7 +279,7 @@
     }
 }
 
-/// Whether a response comes in chunks; an error if its headers contradict each other on its length.
+/// Whether a response uses the chunked transfer coding. Fails if its headers contradict each other on its length.
 fn is_chunked(head: &ResponseHead) -> Result<bool, ExchangeError> {
     let lengths = head.headers.get_all(CONTENT_LENGTH).count();
     let mut encodings = head.headers.get_all(TRANSFER_ENCODING);
@@ -287,26 +290,26 @@
     }
 }
 
-/// The time in `Keep-Alive: timeout=5`, less what its whole seconds may hide.
+/// Parses the timeout of a `Keep-Alive` header, such as `timeout=5`, and subtracts [`KEEP_ALIVE_ROUNDING_S`].
 fn parse_keep_alive(value: &str) -> Option<Duration> {
     let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     let seconds: f64 = timeout.trim().parse().ok()?;
     Duration::try_from_secs_f64((seconds - KEEP_ALIVE_ROUNDING_S).max(0.0)).ok()
 }
 
-/// What a complete response means. 421 and `X-Not-Executed`: not run. A 408, 429 or 503 without that would promise a
-/// client that its request was not run, and is not passed on.
+/// Classifies a complete response. Status 421 or `X-Not-Executed` means that the request was not executed. A 408, 429 or
+/// 503 without `X-Not-Executed` is not forwarded, because it would tell the client that the request was not executed.
 pub fn classify(response: UpstreamResponse) -> AttemptOutcome {
     let status = response.status.as_u16();
     let misdirected = response.status == StatusCode::MISDIRECTED_REQUEST;
     if misdirected || response.headers.contains_key("x-not-executed") {
         return AttemptOutcome { ending: Ending::Full, response: None, misdirected };
     }
-    let promises_not_run = matches!(status, 408 | 429 | 503);
+    let implies_not_executed = matches!(status, 408 | 429 | 503);
     let ending = match status {
-        200..=499 if !promises_not_run => Ending::Ok,
+        200..=499 if !implies_not_executed => Ending::Ok,
         _ => Ending::Error,
     };
-    let response = Some(response).filter(|_| !promises_not_run);
+    let response = Some(response).filter(|_| !implies_not_executed);
     AttemptOutcome { ending, response, misdirected }
 }
--- a/crates/gateway/src/transport/upstream_pool/pool_tests.rs
+++ b/crates/gateway/src/transport/upstream_pool/pool_tests.rs
@@ -1,5 +1,5 @@
-//! Connections to a worker on loopback that must not be reused: after surplus bytes, an end, a cancelled attempt, a change
-//! of the worker behind the address.
+//! Tests of the pool with a worker on loopback. A connection must not be reused after surplus bytes, after its end, after
+//! a cancelled attempt, or when another worker takes over the address.
 
 use super::tests::{forwarded_request, good_response, run_local, surplus_response, StreamEnd};
 use super::*;
@@ -10,11 +10,11 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// A worker on loopback, and a pool whose attempts go to it.
+/// A worker on loopback and a pool that sends attempts to it.
 struct TestWorker {
     listener: TcpListener,
     pool: UpstreamPool,
-    /// The number of the next request, from which its id is made.
+    /// Number of the next request, which is part of its attempt id.
     next_id: Cell<u32>,
 }
 
@@ -33,7 +33,7 @@
         self.send_as(&format!("id-{number}"), name, body).await
     }
 
-    /// The same under this id.
+    /// Sends a request with this attempt id.
     async fn send_as(&self, id: &str, name: &str, body: usize) -> AttemptOutcome {
         let body = (body > 0).then(|| Bytes::from(vec![b'x'; body]));
         let id = HeaderValue::from_str(id).expect("an id");
@@ -45,7 +45,7 @@
     }
 }
 
-/// Reads one complete request without a body. Its id.
+/// Reads one complete request without a body and returns its attempt id.
 async fn read_request(stream: &mut TcpStream) -> String {
     let mut received = BytesMut::new();
     while !received.ends_with(b"\r\n\r\n") {
@@ -56,13 +56,13 @@
     id.expect("an id").to_owned()
 }
 
-/// Reads a request and gives it a good response.
+/// Reads a request and sends a valid response.
 async fn respond_to_next(stream: &mut TcpStream) {
     let id = read_request(stream).await;
     stream.write_all(good_response_to(&id).as_bytes()).await.expect("taken");
 }
 
-/// The result of `client` while the worker serves, which does not end by itself.
+/// Returns the result of `client`, with `worker` running meanwhile; `worker` must not end by itself.
 async fn while_serving<T>(worker: impl Future<Output = ()>, client: impl Future<Output = T>) -> T {
     tokio::select! {
         result = client => result,
@@ -70,7 +70,7 @@
     }
 }
 
-/// A good response to the request of this id.
+/// A valid response to the request with this attempt id.
 fn good_response_to(id: &str) -> String {
     good_response().replace("id-1", id)
 }
@@ -82,8 +82,8 @@
 
 #[gtest]
 fn a_connection_with_unread_bytes_or_closed_is_not_reused() {
-    // What the worker does with its connection after a good response, and whether it gets another request on it.
-    for (behind, ends, again) in [
+    // The bytes that the worker sends after a valid response, how the connection ends, and whether it is reused.
+    for (suffix, end, is_reused) in [
         ("", None, true),
         ("x", None, false),
         ("HTTP/1.1 200 OK\r\nX-Attempt-Id: id-1\r\n", None, false),
@@ -92,13 +92,13 @@
     ] {
         let opened = run_local(async {
             let worker = TestWorker::listen().await;
-            let turn = Notify::new();
+            let step_done = Notify::new();
             let serve = async {
                 let mut first = worker.accept().await;
                 respond_to_next(&mut first).await;
-                turn.notified().await;
-                first.write_all(behind.as_bytes()).await.expect("taken");
-                let mut first = match ends {
+                step_done.notified().await;
+                first.write_all(suffix.as_bytes()).await.expect("taken");
+                let mut first = match end {
                     None => Some(first),
                     Some(StreamEnd::Reset) => {
                         first.set_zero_linger().expect("set");
@@ -110,9 +110,9 @@
                         None
                     }
                 };
-                turn.notify_one();
+                step_done.notify_one();
                 let other = async {
-                    match first.as_mut().filter(|_| again) {
+                    match first.as_mut().filter(|_| is_reused) {
                         Some(first) => {
                             respond_to_next(first).await;
                         }
@@ -127,19 +127,19 @@
             };
             let client = async {
                 expect_that!(body_or_ending(&worker.send("i-1", 0).await), eq("papers"));
-                turn.notify_one();
+                step_done.notify_one();
                 tokio::task::yield_now().await;
-                turn.notified().await;
+                step_done.notified().await;
                 expect_that!(
                     body_or_ending(&worker.send("i-1", 0).await),
                     eq("papers"),
-                    "after {behind:?}, {ends:?}"
+                    "after {suffix:?}, {end:?}"
                 );
                 worker.pool.connections_opened.get()
             };
             while_serving(serve, client).await
         });
-        expect_that!(opened, eq(if again { 1 } else { 2 }), "after {behind:?}, {ends:?}");
+        expect_that!(opened, eq(if is_reused { 1 } else { 2 }), "after {suffix:?}, {end:?}");
     }
 }
 
@@ -176,7 +176,7 @@
             let mut first = worker.accept().await;
             read_request(&mut first).await;
             received.notify_one();
-            // Its client has gone: the connection ends, and what is said on it reaches nobody.
+            // The attempt was cancelled, so the connection ends and a late response on it reaches no request.
             let mut rest = Vec::new();
             expect_that!(first.read_to_end(&mut rest).await, ok(eq(&0)));
             let _ = first.write_all(surplus_response().as_bytes()).await;
@@ -232,7 +232,7 @@
             let full =
                 "HTTP/1.1 503 Full\r\nX-Attempt-Id: id-1\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
             first.write_all(full.as_bytes()).await.expect("taken");
-            // It stays open and reads no more.
+            // The connection stays open, and the worker reads nothing more.
             std::future::pending::<()>().await;
         };
         let outcome = while_serving(serve, worker.send("i-1", 32 << 20)).await;
@@ -240,14 +240,14 @@
     });
 }
 
-/// Guards what may run once: refused by the only worker, it goes there again, and the worker's second word on the first
-/// attempt ("not run") would be taken for its word on the second, which runs.
+/// Guards a request that may be executed only once. Its only worker rejects it, and it is retried there. A duplicate of
+/// the first response ("not executed") must not be accepted for the second attempt, which the worker executes.
 #[gtest]
 fn a_late_second_response_is_never_matched_to_a_retry() {
     let full = |id: &str| {
         format!("HTTP/1.1 503 Full\r\nX-Attempt-Id: {id}\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
     };
-    // So many other requests in between on the same connection.
+    // Number of other requests on the same connection between the two attempts.
     for between in [0, 1, 3] {
         run_local(async {
             let worker = TestWorker::listen().await;
@@ -293,11 +293,11 @@
     }
 }
 
-/// Guards connections that a worker keeps for no time at all, and those that rested for longer than it keeps them: the
-/// next request goes out on another one, also on an older one that is still good.
+/// Guards against requests on a connection that the worker does not keep open. After `Keep-Alive: timeout=0` the next
+/// request uses another connection; after a longer timeout the connection is reused.
 #[gtest]
 fn a_connection_is_not_reused_beyond_its_keep_alive() {
-    for (keeps, again) in
+    for (keep_alive, is_reused) in
         [("timeout=0", false), ("timeout=5", true), ("timeout=30, max=9", true), ("max=9", true)]
     {
         run_local(async {
@@ -306,10 +306,10 @@
                 for _ in 0..2 {
                     let mut stream = worker.accept().await;
                     let id = read_request(&mut stream).await;
-                    let response =
-                        good_response_to(&id).replace("OK\r\n", &format!("OK\r\nKeep-Alive: {keeps}\r\n"));
+                    let response = good_response_to(&id)
+                        .replace("OK\r\n", &format!("OK\r\nKeep-Alive: {keep_alive}\r\n"));
                     stream.write_all(response.as_bytes()).await.expect("taken");
-                    if again {
+                    if is_reused {
                         respond_to_next(&mut stream).await;
                     }
                 }
@@ -319,7 +319,11 @@
                 for _ in 0..2 {
                     expect_that!(body_or_ending(&worker.send("i-1", 0).await), eq("papers"));
                 }
-                expect_that!(worker.pool.connections_opened.get(), eq(if again { 1 } else { 2 }), "{keeps}");
+                expect_that!(
+                    worker.pool.connections_opened.get(),
+                    eq(if is_reused { 1 } else { 2 }),
+                    "{keep_alive}"
+                );
             };
             while_serving(serve, client).await;
         });
