--- a/crates/gateway/src/transport/upstream_pool/tests.rs
+++ b/crates/gateway/src/transport/upstream_pool/tests.rs
@@ -1,4 +1,5 @@
-//! Workers' responses cut, ended and stalled at every byte, surplus ones, and what is no valid response.
+//! Tests of an exchange with a worker: responses split, truncated and stalled at every byte, responses to other requests,
+//! and invalid responses.
 
 use super::exchange::*;
 use super::*;
@@ -11,19 +12,19 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// What a worker's connection does after the last scripted piece.
+/// The behaviour of a worker's connection after the last scripted piece.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StreamEnd {
     Close,
     Reset,
-    Silence,
+    Stall,
 }
 
-/// A scripted worker: what can be read of it, piece by piece, and how many bytes it accepts.
+/// A scripted worker connection: the pieces that can be read from it, and the number of bytes that it accepts.
 struct ScriptedWorker {
     pieces: VecDeque<Bytes>,
     end: StreamEnd,
-    /// Bytes that it accepts before the connection breaks.
+    /// Number of bytes that the connection accepts before it breaks.
     accepts_bytes: usize,
     received: Vec<u8>,
 }
@@ -41,7 +42,7 @@
             }
             (None, StreamEnd::Close) => Poll::Ready(Ok(())),
             (None, StreamEnd::Reset) => Poll::Ready(Err(Error::from(ErrorKind::ConnectionReset))),
-            (None, StreamEnd::Silence) => Poll::Pending,
+            (None, StreamEnd::Stall) => Poll::Pending,
         }
     }
 }
@@ -87,7 +88,7 @@
     }
 }
 
-/// What is compared of a response: status, body, whether the connection may be reused.
+/// The compared parts of a result: status, body, and whether the connection may be reused.
 type Summary = (u16, String, bool);
 
 struct ExchangeRunner {
@@ -95,7 +96,7 @@
 }
 
 impl ExchangeRunner {
-    /// The result of one exchange; `Ok(None)`: it still waits.
+    /// Runs one exchange. `Ok(None)` means that it still waits for the worker.
     fn play(
         &self,
         method: Method,
@@ -118,16 +119,16 @@
         worker: &mut ScriptedWorker,
     ) -> (std::result::Result<Option<Summary>, ExchangeError>, bool) {
         let mut codec = ClientCodec::new(self.config.clone());
-        let out = encode(&mut codec, forward, Some("t1"), "i-1").expect("it can be written");
+        let out = encode(&mut codec, forward, Some("t1"), "i-1").expect("an encodable request");
         let written = Cell::new(false);
         let result = {
             let mut exchange = std::pin::pin!(exchange(worker, codec, out, &forward.id, &written));
-            // What is scripted is there at once: what is not ready after this waits for ever.
+            // All scripted pieces are available at once, so an exchange that is not ready after one poll waits forever.
             exchange.as_mut().poll(&mut Context::from_waker(std::task::Waker::noop()))
         };
         let result = match result {
             Poll::Pending => Ok(None),
-            Poll::Ready(Err(broken)) => Err(broken),
+            Poll::Ready(Err(error)) => Err(error),
             Poll::Ready(Ok(ExchangeResult { response, is_reusable, .. })) => {
                 let body = String::from_utf8_lossy(&response.body).into_owned();
                 Ok(Some((response.status.as_u16(), body, is_reusable)))
@@ -157,7 +158,7 @@
     format!("HTTP/1.1 200 OK\r\n{id}Transfer-Encoding: chunked\r\n\r\n2\r\n{a}\r\n4;x=y\r\n{b}\r\n0\r\n\r\n")
 }
 
-/// Valid responses to the request, and what is to be read of each. They may come after surplus ones.
+/// Valid responses to the request with the expected result of each. Some follow responses to other requests.
 fn valid_responses() -> Vec<(&'static str, Method, String, Summary)> {
     let seen = |status, body: &str, reusable| (status, body.to_owned(), reusable);
     let get = || Method::GET;
@@ -241,7 +242,7 @@
             seen(200, "papers", false),
         ),
         (
-            "a surplus refusal first",
+            "a surplus rejection first",
             get(),
             "HTTP/1.1 503 Full\r\nX-Attempt-Id: id-0\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
                 .to_owned()
@@ -264,16 +265,16 @@
         for (what, method, text, seen) in valid_responses() {
             let bytes = text.as_bytes();
             for cut in 0..=bytes.len() {
-                for end in [StreamEnd::Close, StreamEnd::Reset, StreamEnd::Silence] {
+                for end in [StreamEnd::Close, StreamEnd::Reset, StreamEnd::Stall] {
                     cuts += 2;
-                    // Whole, in two pieces...
+                    // The complete response arrives in two pieces.
                     let result = runner.play(method.clone(), &[&bytes[..cut], &bytes[cut..]], end);
                     assert_that!(result, ok(some(eq(&seen))), "{what}, cut at {cut}, {end:?}");
-                    // ...and ended before its end: never a response.
+                    // The response is truncated, which is never accepted.
                     let result = runner.play(method.clone(), &[&bytes[..cut]], end);
                     match end {
                         _ if cut == bytes.len() => assert_that!(result, ok(some(eq(&seen)))),
-                        StreamEnd::Silence => assert_that!(result, ok(none()), "{what}, silent at {cut}"),
+                        StreamEnd::Stall => assert_that!(result, ok(none()), "{what}, stalled at {cut}"),
                         _ => assert_that!(
                             result,
                             err(eq(&ExchangeError::ConnectionLost)),
@@ -281,37 +282,34 @@
                         ),
                     }
                 }
-                // In three pieces.
+                // The complete response arrives in three pieces.
                 for second in cut..=bytes.len().min(cut + 40) {
                     cuts += 1;
                     let pieces = [&bytes[..cut], &bytes[cut..second], &bytes[second..]];
-                    assert_that!(
-                        runner.play(method.clone(), &pieces, StreamEnd::Silence),
-                        ok(some(eq(&seen)))
-                    );
+                    assert_that!(runner.play(method.clone(), &pieces, StreamEnd::Stall), ok(some(eq(&seen))));
                 }
             }
             let single: Vec<&[u8]> = bytes.chunks(1).collect();
             assert_that!(
-                runner.play(method.clone(), &single, StreamEnd::Silence),
+                runner.play(method.clone(), &single, StreamEnd::Stall),
                 ok(some(eq(&seen))),
                 "{what}"
             );
-            // Whatever comes close behind it is not unread on a connection that is used again.
-            for behind in [
+            // A connection with further bytes after the response is not reused.
+            for suffix in [
                 surplus_response(),
                 good_response(),
                 "\r\n".into(),
                 "x".into(),
                 "HTTP/1.1 100 C\r\n\r\n".into(),
             ] {
-                let all = text.clone() + &behind;
+                let all = text.clone() + &suffix;
                 let (status, body, _) = seen.clone();
-                let result = runner.play(method.clone(), &[all.as_bytes()], StreamEnd::Silence);
-                assert_that!(result, ok(some(eq(&(status, body, false)))), "{what}, then {behind}");
+                let result = runner.play(method.clone(), &[all.as_bytes()], StreamEnd::Stall);
+                assert_that!(result, ok(some(eq(&(status, body, false)))), "{what}, then {suffix}");
             }
         }
-        println!("{} responses, {cuts} cuts", valid_responses().len());
+        println!("{} responses, {cuts} splits", valid_responses().len());
     });
 }
 
@@ -323,12 +321,24 @@
         ("no id", head(&format!("X-Server-Seal: s\r\n{six}")) + "papers"),
         ("an empty id", head(&format!("X-Attempt-Id:\r\nX-Server-Seal: s\r\n{six}")) + "papers"),
         ("two ids", head(&format!("X-Attempt-Id: id-0\r\n{THIS_REQUEST}{six}")) + "papers"),
-        ("two ids, ours first", head(&format!("{THIS_REQUEST}X-Attempt-Id: id-0\r\n{six}")) + "papers"),
-        ("more than our id", head(&format!("X-Attempt-Id: id-11\r\nX-Server-Seal: s\r\n{six}")) + "papers"),
-        ("no stamp", head(&format!("X-Attempt-Id: id-1\r\n{six}")) + "papers"),
-        ("not run and yet well", head(&format!("{THIS_REQUEST}X-Not-Executed: 1\r\n{six}")) + "papers"),
-        ("a refusal of nobody", "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n".into()),
-        ("a 421 of nobody", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n".into()),
+        (
+            "two ids, this request's first",
+            head(&format!("{THIS_REQUEST}X-Attempt-Id: id-0\r\n{six}")) + "papers",
+        ),
+        (
+            "an id with a matching prefix",
+            head(&format!("X-Attempt-Id: id-11\r\nX-Server-Seal: s\r\n{six}")) + "papers",
+        ),
+        ("no seal", head(&format!("X-Attempt-Id: id-1\r\n{six}")) + "papers"),
+        (
+            "a success with X-Not-Executed",
+            head(&format!("{THIS_REQUEST}X-Not-Executed: 1\r\n{six}")) + "papers",
+        ),
+        (
+            "a rejection without an id",
+            "HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n".into(),
+        ),
+        ("a 421 without an id", "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n".into()),
         ("encoded", head(&format!("{THIS_REQUEST}Content-Encoding: gzip\r\n{six}")) + "papers"),
         ("no length", head(THIS_REQUEST) + "papers"),
         ("no length in HTTP/1.0", head(THIS_REQUEST).replace("HTTP/1.1", "HTTP/1.0") + "papers"),
@@ -366,7 +376,7 @@
             "a surplus one without a length",
             format!("HTTP/1.1 200 OK\r\n{OTHER_REQUEST}\r\n") + &good_response(),
         ),
-        ("bytes left by another", "ers".to_owned() + &good_response()),
+        ("the rest of a body", "ers".to_owned() + &good_response()),
         ("the rest of a head", format!("Seal: s\r\n{six}\r\npapers") + &good_response()),
         ("nonsense", "nonsense\r\n\r\n".into()),
         ("binary", "\0\u{1}\u{2}\r\n\r\n".into()),
@@ -378,11 +388,11 @@
         for (what, text) in &bad {
             let bytes = text.as_bytes();
             for cut in 0..=bytes.len() {
-                for end in [StreamEnd::Close, StreamEnd::Reset, StreamEnd::Silence] {
+                for end in [StreamEnd::Close, StreamEnd::Reset, StreamEnd::Stall] {
                     cuts += 2;
                     let result = runner.play(Method::GET, &[&bytes[..cut], &bytes[cut..]], end);
                     match end {
-                        StreamEnd::Silence => {
+                        StreamEnd::Stall => {
                             assert_that!(result, not(ok(some(anything()))), "{what}, cut at {cut}")
                         }
                         _ => assert_that!(result, err(anything()), "{what}, cut at {cut}, {end:?}"),
@@ -392,13 +402,13 @@
                 }
             }
         }
-        println!("{} that are none, {cuts} cuts", bad.len());
+        println!("{} invalid responses, {cuts} splits", bad.len());
     });
 }
 
 #[gtest]
 fn surplus_bytes_never_reach_the_next_request() {
-    // What was left on a connection by the request before, at each byte of it, and then the response to this request.
+    // The rest of a response to the previous request, from each of its bytes on, precedes the response to this request.
     with_runner(|runner| {
         let mut cuts = 0;
         for left in [
@@ -410,11 +420,12 @@
                 cuts += 1;
                 let all = left[from..].to_owned() + &good_response();
                 let result = runner.play(Method::GET, &[all.as_bytes()], StreamEnd::Close);
-                let ours = result.as_ref().is_ok_and(|t| t.as_ref().is_some_and(|t| t.1 == "papers" && !t.2));
-                assert_that!(ours || result.is_err(), eq(true), "{result:?} from {from} of {left}");
+                let is_expected =
+                    result.as_ref().is_ok_and(|t| t.as_ref().is_some_and(|t| t.1 == "papers" && !t.2));
+                assert_that!(is_expected || result.is_err(), eq(true), "{result:?} from {from} of {left}");
             }
         }
-        println!("{cuts} cuts");
+        println!("{cuts} positions");
     });
 }
 
@@ -442,7 +453,7 @@
                 if accepts_bytes == 0 { ExchangeError::NotSent } else { ExchangeError::ConnectionLost };
             expect_that!(result, err(eq(&expected)), "{accepts_bytes}");
             expect_that!((written, cut.received.len()), eq((accepts_bytes > 0, accepts_bytes)));
-            // The response of a worker that rejects it before it has read all of it is received.
+            // A rejection that the worker sends before it has read the complete request is received.
             let mut cut = worker(accepts_bytes, rejection.into());
             let (result, _) = runner.send(&forward, &mut cut);
             match accepts_bytes {
@@ -450,7 +461,7 @@
                 _ => expect_that!(result, ok(some(eq(&(503, String::new(), false))))),
             }
         }
-        println!("{} cuts", complete.received.len());
+        println!("{} positions", complete.received.len());
     });
 }
 
@@ -461,13 +472,14 @@
         let mut pieces = vec![b"HTTP/1.1 200 OK\r\n".as_slice()];
         pieces.extend(std::iter::repeat_n(line.as_bytes(), 1000));
         expect_that!(
-            runner.play(Method::GET, &pieces, StreamEnd::Silence),
+            runner.play(Method::GET, &pieces, StreamEnd::Stall),
             err(eq(&ExchangeError::InvalidResponse))
         );
     });
 }
 
-/// Guards what a worker runs: method, target and headers as the client wrote them, to the byte, or a refusal.
+/// Guards against a worker executing a request that differs from the client's. Method, target and headers are forwarded
+/// byte for byte, or the request is rejected.
 #[gtest]
 fn a_request_reaches_the_worker_unchanged_or_not_at_all() {
     let targets = [
@@ -496,7 +508,7 @@
         "/a?b#c",
         "a",
     ];
-    let (mut passed, mut refused) = (0, Vec::new());
+    let (mut passed, mut rejected) = (0, Vec::new());
     for method in ["GET", "POST", "PURGE", "get", "M-SEARCH", "OPTIONS"] {
         for target in targets {
             let text = format!(
@@ -522,12 +534,12 @@
                 encode(&mut ClientCodec::new(http_server::service_config()), &forward, None, "i-1")
             });
             let Some(result) = result else {
-                refused.push(target);
+                rejected.push(target);
                 continue;
             };
             let result = String::from_utf8_lossy(&result).into_owned();
             let lines: Vec<&str> = result.lines().collect();
-            // A host may stand ahead of the path.
+            // An absolute target has a scheme and a host before the path.
             let path = target.strip_prefix("http://h").unwrap_or(target);
             expect_that!(lines[0], eq(&*format!("{method} {path} HTTP/1.1")), "{target}");
             let of = |name: &str| {
@@ -542,9 +554,9 @@
             passed += 1;
         }
     }
-    refused.sort_unstable();
-    refused.dedup();
+    rejected.sort_unstable();
+    rejected.dedup();
     expect_that!(passed, eq(6 * 18));
-    let strange = ["/a#b", "/a?b#c", "/a?q=\"s\"", "/a?\u{e4}=\u{20ac}", "/\u{e4}", "a"];
-    expect_that!(refused, eq(&strange));
+    let unsupported = ["/a#b", "/a?b#c", "/a?q=\"s\"", "/a?\u{e4}=\u{20ac}", "/\u{e4}", "a"];
+    expect_that!(rejected, eq(&unsupported));
 }
