--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -157,9 +157,9 @@
             Some(ceiling) => configuration.replace(
                 "\"mostAtOnce\": 10.0",
                 &format!(
-                    "\"mostAtOnce\": 1000.0, \"ceilingRate\": {ceiling}, \"ceilingBurst\": {}, \"tolerance\": {}",
-                    CEILING_BURST, CEILING_TOLERANCE
-                ),
+ "\"mostAtOnce\": 1000.0, \"ceilingRate\": {ceiling}, \"ceilingBurst\": {}, \"tolerance\": {}",
+ CEILING_BURST, CEILING_TOLERANCE
+ ),
             ),
             None => configuration,
         };
@@ -168,15 +168,15 @@
         }
         let round = if self.extra_settings.contains("round:") { "" } else { ", round: 0.03" };
         let settings = format!(
-            "fleet: {{ cluster: {:?}, listen: \"127.0.0.1:0\", advertise: {:?}, seeds: [{:?}, {:?}], fresh: 0.4, \
+ "fleet: {{ cluster: {:?}, listen: \"127.0.0.1:0\", advertise: {:?}, seeds: [{:?}, {:?}], fresh: 0.4, \
              probe: 0.15, suspect: 0.5, tell: 0.05{}{} }}",
-            self.cluster[n],
-            self.proxies[n].address.to_string(),
-            self.proxies[0].address.to_string(),
-            self.proxies[1].address.to_string(),
-            round,
-            self.extra_settings,
-        );
+ self.cluster[n],
+ self.proxies[n].address.to_string(),
+ self.proxies[0].address.to_string(),
+ self.proxies[1].address.to_string(),
+ round,
+ self.extra_settings,
+ );
         let file = Gatekeeper::write_settings_file(&settings);
         let (member, startup_log) =
             Gatekeeper::start_and_take_log(&configuration, &["--fleet", file.to_str().expect("UTF-8")]);
@@ -495,13 +495,13 @@
     fleet.members[3].signal("KILL");
     fleet.members[3].wait_for_exit();
     for n in [0, 1, 2, 4] {
-        fleet.members[n].wait_for_log(&["a member is gone", "member=\"g3\""]);
+        fleet.members[n].wait_for_log(&["member down without a regular shutdown", "member=\"g3\""]);
     }
     fleet.wait_for_members(&[0, 1, 2, 4], 3, "0.75");
     fleet.members[2].sigterm();
     assert!(fleet.members[2].wait_for_exit().success());
     for n in [0, 1, 4] {
-        fleet.members[n].wait_for_log(&["a member has left", "member=\"g2\""]);
+        fleet.members[n].wait_for_log(&["member left by a regular shutdown", "member=\"g2\""]);
     }
     fleet.wait_for_members(&[0, 1, 4], 2, "0.75");
     for n in [3, 2] {
@@ -524,7 +524,7 @@
     wait(2.0);
     for n in ALL {
         let log = fleet.members[n].take_log();
-        assert!(log.iter().all(|l| !l.contains("a member is gone")), "{log:?}");
+        assert!(log.iter().all(|l| !l.contains("member down without a regular shutdown")), "{log:?}");
     }
     fleet.wait_for_members(&ALL, 4, "1.00");
 }
@@ -536,12 +536,12 @@
     fleet.wait_for_members(&ALL, 4, "1.00");
     fleet.members[2].signal("STOP");
     for n in [0, 1, 3, 4] {
-        fleet.members[n].wait_for_log(&["a member is gone", "member=\"g2\""]);
+        fleet.members[n].wait_for_log(&["member down without a regular shutdown", "member=\"g2\""]);
     }
     let customer = new_customer();
     assert!(fleet.use_quota(0, customer) >= 1);
     fleet.members[2].signal("CONT");
-    fleet.members[2].wait_for_log(&["given up by the others, and is back"]);
+    fleet.members[2].wait_for_log(&["declared down by other members while running, rejoined"]);
     fleet.wait_for_members(&ALL, 4, "1.00");
     fleet.wait_for_rows(&ALL, 1);
 }
@@ -586,7 +586,7 @@
     // The silence of the counter is detected under a first load, whose overshoot is not checked.
     let warm_up = Load::start(&fleet, 4, WINDOW_STARTED);
     for n in ALL {
-        fleet.members[n].wait_for_log(&["counter in trouble"]);
+        fleet.members[n].wait_for_log(&["counter in degraded operation"]);
     }
     warm_up.audit(&fleet);
     let mut results = Vec::new();
@@ -658,7 +658,8 @@
     let mut detected_after = BTreeMap::new();
     while detected_after.len() < MEMBERS && start.elapsed() < BOUND {
         for n in ALL {
-            let reports_split = |line: &String| line.contains("counter in trouble") && line.contains("split");
+            let reports_split =
+                |line: &String| line.contains("counter in degraded operation") && line.contains("split");
             if fleet.members[n].take_log().iter().any(reports_split) {
                 detected_after.entry(n).or_insert(start.elapsed());
             }
@@ -816,9 +817,9 @@
         let (off, on, both) =
             (run(false, ""), run(true, DEFAULT_INTERVAL), run(true, DEFAULT_INTERVAL_DIVIDED));
         println!(
-            "microseconds per request: {:.0} without ({}), {:.0} with replication ({}, {:.2}), {:.0} with budgets in addition ({}, {:.2})",
-            off.0, off.1, on.0, on.1, on.0 / off.0, both.0, both.1, both.0 / off.0
-        );
+ "microseconds per request: {:.0} without ({}), {:.0} with replication ({}, {:.2}), {:.0} with budgets in addition ({}, {:.2})",
+ off.0, off.1, on.0, on.1, on.0 / off.0, both.0, both.1, both.0 / off.0
+ );
     }
 }
 
@@ -826,7 +827,7 @@
 #[test]
 fn messages_of_another_fleet_are_rejected() {
     let fleet = Fleet::with_clusters(true, Counter::Silent, 0.02, ["cluj", "cluj", "cluj", "cluj", "arad"]);
-    fleet.members[0].wait_for_log(&["a message is turned away", "g4", "arad"]);
+    fleet.members[0].wait_for_log(&["fleet: message rejected", "g4", "arad"]);
     fleet.wait_for_members(&[0, 1, 2, 3], 3, "0.75");
     let customer = new_customer();
     assert!(fleet.use_quota(4, customer) >= 1 && fleet.use_quota(0, customer) >= 1);
