--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -346,7 +346,7 @@
     let after = replaced(&before, r#""name": "preview", "aimS": 1.2"#, r#""name": "draft", "aimS": 2.5"#);
     let after = replaced(&after, "repeatable", "once");
     let after = replaced(&after, r#""maxAttempts": 5"#, r#""maxAttempts": 1"#);
-    operated.gatekeeper.sighup(&after, "retuned=true");
+    operated.gatekeeper.sighup(&after, "settings_changed=true");
     let draft = |id: &str| {
         let head = headers(id, "draft", "4");
         let text = format!("POST /draft?client=00000000b4d65522 HTTP/1.1\r\n{head}Content-Length: 0\r\n\r\n");
