--- a/src/net/downstream/tests.rs
+++ b/src/net/downstream/tests.rs
@@ -67,8 +67,9 @@
     String::from_utf8_lossy(&bytes[..count]).into_owned()
 }
 
-/// New connections, whose first request may be in transit, are evicted only at the connection limit and after idle ones.
-/// Connections with an accepted request are never evicted, and a request beyond the limit is denied with `Retry-After`.
+/// New connections, whose first request may be in transit, are evicted only at the connection limit and after idle
+/// ones. Connections with an accepted request are never evicted, and a request beyond the limit is denied with
+/// `Retry-After`.
 #[test]
 fn idle_connections_are_evicted_then_new_ones_and_never_one_with_an_accepted_request() {
     actix_rt::System::new().block_on(async {
