--- a/src/bin/whinstall-model/main.rs
+++ b/src/bin/whinstall-model/main.rs
@@ -1,5 +1,5 @@
-//! The fleet in simulated time, for sizes that sockets don't reach: a table of figures by size, as text or CSV. It
-//! drives the program's own pure parts and must never decide anything in their place.
+//! Simulations of a fleet in simulated time, for sizes beyond what processes on one machine can show: a table of results
+//! by fleet size, as text or CSV. All decisions are made by the program's own code.
 //!
 //! `whinstall-model copies --sizes 10,100` and `whinstall-model budgets --sizes 10,100`: the figures of
 //! docs/replication.md and docs/budgets.md.
@@ -9,54 +9,54 @@
 
 use std::time::Duration;
 
-/// What this thread took of a CPU so far: what else runs on the machine does not count.
-fn cpu() -> Duration {
+/// CPU time used by this thread so far. Other processes on the machine do not affect it.
+fn cpu_time() -> Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Duration::new(now.tv_sec as u64, now.tv_nsec as u32)
 }
 
 #[derive(clap::Parser)]
-#[command(name = "whinstall-model", version, about = "A model of a fleet of gatekeepers in simulated time")]
+#[command(name = "whinstall-model", version, about = "Simulates a fleet of gatekeepers")]
 struct Cli {
     #[command(subcommand)]
-    of: Of,
+    command: Command,
 }
 
 #[derive(clap::Args)]
 struct Table {
-    /// Sizes of fleets, one line each.
+    /// Fleet sizes; the table has one line for each.
     #[arg(long, value_delimiter = ',', default_value = "10,30,100")]
     sizes: Vec<usize>,
-    /// Seconds in a steady state.
+    /// Simulated seconds of the steady state.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Commas in place of columns.
+    /// Print CSV instead of aligned columns.
     #[arg(long)]
     csv: bool,
 }
 
 #[derive(clap::Subcommand)]
-enum Of {
-    /// Copies: what they cost each member, how old they are, and how a cut of half and a restart are mended.
+enum Command {
+    /// Replication: its cost per member, the lag of replicas, and recovery from a partition and from a restart.
     Copies {
         #[command(flatten)]
         table: Table,
-        /// Part of datagrams that is lost.
+        /// Fraction of datagrams that are lost.
         #[arg(long, default_value_t = 0.01)]
         lost: f64,
-        /// Where chance begins.
+        /// Seed of the random number generator.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Ceilings that are divided: what is served by even shares, divided, and by one brain; messages; after seven in ten
-    /// are killed.
+    /// Division of ceilings: the fraction served with even shares, with shares by demand, and with one shared bucket; the
+    /// cost of messages; and recovery after 70% of the gatekeepers are killed.
     Budgets {
         #[command(flatten)]
         table: Table,
-        /// Part of its even share that each has whatever happens.
+        /// Fraction of its even share that each gatekeeper has without a grant.
         #[arg(long, default_value_t = 0.5)]
         floor: f64,
-        /// Seconds after which demand moves to other gatekeepers.
+        /// Interval in seconds at which demand moves to other gatekeepers.
         #[arg(long, default_value_t = 10.0)]
         turn: f64,
     },
@@ -74,13 +74,15 @@
 }
 
 fn main() {
-    match <Cli as clap::Parser>::parse().of {
-        Of::Copies { table, lost, seed } => {
-            print(&table, &fleet::Figures::NAMES, |size| fleet::play(size, seed, lost, table.seconds).row());
+    match <Cli as clap::Parser>::parse().command {
+        Command::Copies { table, lost, seed } => {
+            print(&table, &fleet::Figures::COLUMNS, |size| {
+                fleet::simulate(size, seed, lost, table.seconds).row()
+            });
         }
-        Of::Budgets { table, floor, turn } => {
-            print(&table, &budgets::Figures::NAMES, |size| {
-                budgets::play(size, (floor, turn), table.seconds).row()
+        Command::Budgets { table, floor, turn } => {
+            print(&table, &budgets::Figures::COLUMNS, |size| {
+                budgets::simulate(size, (floor, turn), table.seconds).row()
             });
         }
     }
--- a/src/bin/whinstall-simhost/main.rs
+++ b/src/bin/whinstall-simhost/main.rs
@@ -1,5 +1,5 @@
-//! Runs the decisions on the simulator's wire: batches on standard input, replies on standard output, one
-//! [`Gateway`] for each instance. Decides nothing.
+//! Adapter for the simulator: reads batches of events from standard input and writes the actions that they lead to
+//! to standard output, with one [`Gateway`] for each simulated instance. All decisions are made by the [`Gateway`].
 
 mod wire;
 
@@ -9,70 +9,81 @@
 use std::process::ExitCode;
 use std::time::Duration;
 use whinstall::{Action, Gateway};
-use wire::{line, message, Line, Message};
+use wire::{parse, reply, Input, Reply};
 
 /// The instances of this process and the batch being read.
 #[derive(Default)]
 struct Adapter {
     instances: BTreeMap<u64, Gateway>,
+    /// Time and round of the batch, while one is being read.
     batch: Option<(Duration, u64)>,
+    /// Actions of the batch by instance, in the order of the events.
     actions: Vec<(u64, Vec<Action>)>,
-    named: BTreeSet<String>,
+    /// Unknown events that were reported.
+    reported_unknown: BTreeSet<String>,
 }
 
-fn put<W: Write>(out: &mut W, line: &Line) -> Result<(), String> {
+fn write_line<W: Write>(out: &mut W, line: &Reply) -> Result<(), String> {
     serde_json::to_writer(&mut *out, line).map_err(|e| e.to_string())?;
     out.write_all(b"\n").map_err(|e| e.to_string())
 }
 
 impl Adapter {
-    /// Takes one line of input; a batch's last line writes its reply.
-    fn take<W: Write>(&mut self, text: &str, out: &mut W) -> Result<(), String> {
+    /// Handles one line of input. The last line of a batch writes the replies.
+    fn handle_line<W: Write>(&mut self, text: &str, out: &mut W) -> Result<(), String> {
         let value: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let what = value.get("what").and_then(Value::as_str).ok_or("no 'what'")?.to_owned();
+        let what =
+            value.get("what").and_then(Value::as_str).ok_or("event without the field 'what'")?.to_owned();
         match (what.as_str(), self.batch) {
             ("Sync", None) => {
                 let now = value.get("simTimeS").and_then(Value::as_f64);
-                let now = now.and_then(|s| Duration::try_from_secs_f64(s).ok()).ok_or("no clock")?;
-                let round = value.get("round").and_then(Value::as_u64).ok_or("no round")?;
+                let now = now
+                    .and_then(|s| Duration::try_from_secs_f64(s).ok())
+                    .ok_or("Sync: 'simTimeS' is missing or not a time")?;
+                let round = value
+                    .get("round")
+                    .and_then(Value::as_u64)
+                    .ok_or("Sync: 'round' is missing or not an integer")?;
                 self.batch = Some((now, round));
                 Ok(())
             }
-            ("Sync", Some(_)) => Err("a batch without its end".into()),
-            (_, None) => Err("an event outside a batch".into()),
+            ("Sync", Some(_)) => Err("Sync within an unfinished batch".into()),
+            (_, None) => Err(format!("event '{what}' outside a batch")),
             ("OverToYou", Some((_, round))) => {
                 for (gateway, actions) in self.actions.drain(..) {
                     for action in &actions {
-                        put(out, &line(gateway, action))?;
+                        write_line(out, &reply(gateway, action))?;
                     }
                 }
                 self.batch = None;
-                put(out, &Line::Eor { round })?;
+                write_line(out, &Reply::Eor { round })?;
                 out.flush().map_err(|e| e.to_string())
             }
-            (_, Some((now, _))) => self.event(now, &what, value),
+            (_, Some((now, _))) => self.handle_event(now, &what, value),
         }
     }
 
-    fn event(&mut self, now: Duration, what: &str, value: Value) -> Result<(), String> {
-        let gateway = value.get("gateway").and_then(Value::as_u64).ok_or("no 'gateway'")?;
-        match message(what, value)? {
-            Message::Start(seed, settings) => {
+    fn handle_event(&mut self, now: Duration, what: &str, value: Value) -> Result<(), String> {
+        let gateway = value.get("gateway").and_then(Value::as_u64);
+        let gateway = gateway.ok_or_else(|| format!("{what}: 'gateway' is missing or not an integer"))?;
+        let not_running = || format!("{what}: gateway {gateway} is not running");
+        match parse(what, value)? {
+            Input::Start(seed, settings) => {
                 self.instances.insert(gateway, Gateway::new(*settings, seed));
             }
-            Message::PowerOff => {
-                // What a dead instance decided in this batch is void with it.
-                self.instances.remove(&gateway).ok_or("an instance that never started")?;
+            Input::PowerOff => {
+                // Actions that the instance decided on in this batch are discarded with it.
+                self.instances.remove(&gateway).ok_or_else(not_running)?;
                 self.actions.retain(|(id, _)| *id != gateway);
             }
-            Message::Event(event) => {
-                let instance = self.instances.get_mut(&gateway).ok_or("an instance that never started")?;
+            Input::Event(event) => {
+                let instance = self.instances.get_mut(&gateway).ok_or_else(not_running)?;
                 let mut actions = Vec::new();
                 instance.handle(now, event, &mut actions);
                 self.actions.push((gateway, actions));
             }
-            Message::Unknown => {
-                if self.named.insert(what.to_owned()) {
+            Input::Unknown => {
+                if self.reported_unknown.insert(what.to_owned()) {
                     eprintln!("whinstall-simhost: unknown event '{what}' skipped");
                 }
             }
@@ -94,11 +105,11 @@
         if read == 0 {
             return match adapter.batch {
                 None => Ok(()),
-                Some(_) => Err(format!("line {number}: a batch without its end")),
+                Some(_) => Err(format!("line {number}: input ended within an unfinished batch")),
             };
         }
         if !text.trim().is_empty() {
-            adapter.take(&text, &mut out).map_err(|e| format!("line {number}: {e}"))?;
+            adapter.handle_line(&text, &mut out).map_err(|e| format!("line {number}: {e}"))?;
         }
     }
 }
--- a/src/bin/whinstall-simhost/wire.rs
+++ b/src/bin/whinstall-simhost/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: serde types and their conversion from and to the library's. Decides nothing.
+//! Wire format of the simulator: its serde types, and their conversion from and to the types of the library.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use whinstall::settings::{self, duration_from_secs};
 use whinstall::*;
 
-/// An enum value by its wire code; an unknown code counts as one that may have run.
+/// The ending for a wire code. An unknown code is an error after which the request may have been executed.
 fn ending(code: i64) -> Ending {
     match code {
         0 => Ending::Ok,
@@ -100,15 +100,15 @@
     }
 }
 
-/// One line of a batch, addressed to an instance.
-pub enum Message {
+/// A line of input, addressed to an instance.
+pub enum Input {
     /// An instance starts.
     Start(u64, Box<Settings>),
     /// An instance was killed.
     PowerOff,
     /// An event for the library.
     Event(Event),
-    /// A name that this wire does not hold.
+    /// An event that this adapter does not know.
     Unknown,
 }
 
@@ -116,20 +116,23 @@
     serde_json::from_value(value).map_err(|e| e.to_string())
 }
 
-/// Reads the body of the event called `what`.
-pub fn message(what: &str, value: Value) -> Result<Message, String> {
+/// Parses the event `what`.
+///
+/// # Errors
+/// The event lacks a required value, or one has the wrong type.
+pub fn parse(what: &str, value: Value) -> Result<Input, String> {
     let id = |job: String| RequestId(Arc::from(job));
     let host_id = |host: String| HostId(Arc::from(host));
     let event = match what {
         "Start" => {
             let w: WireStart = read(value)?;
             let seed = w.init_seed.as_u64().or_else(|| w.init_seed.as_i64().map(|s| s as u64));
-            return Ok(Message::Start(
-                seed.ok_or("'initSeed' is no integer")?,
+            return Ok(Input::Start(
+                seed.ok_or("Start: 'initSeed' is missing or not an integer of 64 bits")?,
                 Box::new(settings::read(w.boot_info).map_err(|e| e.to_string())?.0),
             ));
         }
-        "PowerOff" => return Ok(Message::PowerOff),
+        "PowerOff" => return Ok(Input::PowerOff),
         "Members" => {
             let w: WireMembers = read(value)?;
             let scope = match w.scope.as_str() {
@@ -137,7 +140,7 @@
                 "replace" => ListScope::Replace,
                 "restored" => ListScope::Restored,
                 "unavailable" => ListScope::Unavailable,
-                other => return Err(format!("unknown scope '{other}'")),
+                other => return Err(format!("Members: unknown scope '{other}'")),
             };
             Event::Hosts { scope, entries: w.hosts.into_iter().map(host_entry).collect() }
         }
@@ -171,7 +174,7 @@
                 request_done: w.done_flag,
                 elapsed: duration_from_secs(w.delay_seen_s),
                 cost: w.cost,
-                // One more than the percentage; 0: none.
+                // The wire value is the percentage plus one; 0 stands for none.
                 metered: Some((w.metered - 1.0) / 100.0).filter(|part| *part >= 0.0),
             }
         }
@@ -191,15 +194,15 @@
             }
         }
         "TimeoutFired" => Event::Timer { token: read::<WireTimer>(value)?.cookie },
-        _ => return Ok(Message::Unknown),
+        _ => return Ok(Input::Unknown),
     };
-    Ok(Message::Event(event))
+    Ok(Input::Event(event))
 }
 
-/// One line of a reply.
+/// A line of output.
 #[derive(Serialize)]
 #[serde(tag = "what", rename_all_fields = "camelCase")]
-pub enum Line<'a> {
+pub enum Reply<'a> {
     Deliver {
         gateway: u64,
         job: &'a str,
@@ -250,25 +253,25 @@
     },
 }
 
-/// The wire's line for an action of an instance.
-pub fn line(gateway: u64, action: &Action) -> Line<'_> {
+/// The line of output for an action of an instance.
+pub fn reply(gateway: u64, action: &Action) -> Reply<'_> {
     match action {
         Action::Send { id, host, timeout } => {
-            Line::Deliver { gateway, job: &id.0, host: &host.0, try_for_s: timeout.map(|t| t.as_secs_f64()) }
+            Reply::Deliver { gateway, job: &id.0, host: &host.0, try_for_s: timeout.map(|t| t.as_secs_f64()) }
         }
-        Action::Cancel { id, attempt } => Line::CallOff { gateway, job: &id.0, send_no: *attempt },
+        Action::Cancel { id, attempt } => Reply::CallOff { gateway, job: &id.0, send_no: *attempt },
         Action::Refuse { id, retry_after } => {
-            Line::TurnAway { gateway, job: &id.0, stay_away_s: retry_after.map(|s| s.as_secs_f64()) }
+            Reply::TurnAway { gateway, job: &id.0, stay_away_s: retry_after.map(|s| s.as_secs_f64()) }
         }
-        Action::Fail { id } => Line::EndFailed { gateway, job: &id.0 },
+        Action::Fail { id } => Reply::EndFailed { gateway, job: &id.0 },
         Action::AddToCounter { name, amount, ttl } => {
-            Line::Bump { gateway, ttl_s: ttl.as_secs_f64(), counter: &name.0, amount: *amount }
+            Reply::Bump { gateway, ttl_s: ttl.as_secs_f64(), counter: &name.0, amount: *amount }
         }
-        Action::Probe { host } => Line::Test { gateway, host: &host.0 },
-        Action::CloseIdle { host } => Line::CloseIdle { gateway, host: &host.0 },
+        Action::Probe { host } => Reply::Test { gateway, host: &host.0 },
+        Action::CloseIdle { host } => Reply::CloseIdle { gateway, host: &host.0 },
         Action::SetTimer { after, token } => {
-            Line::SetTimer { gateway, after_s: after.as_secs_f64(), cookie: token }
+            Reply::SetTimer { gateway, after_s: after.as_secs_f64(), cookie: token }
         }
-        Action::Subscribe => Line::Watch { gateway, on: true },
+        Action::Subscribe => Reply::Watch { gateway, on: true },
     }
 }
--- a/src/config/grammar.rs
+++ b/src/config/grammar.rs
@@ -96,7 +96,7 @@
 pub struct SyntaxError {
     /// Where parsing stopped.
     pub at: Pos,
-    /// What was expected there.
+    /// Description of what was expected there.
     pub message: String,
 }
 
--- a/src/net/counter.rs
+++ b/src/net/counter.rs
@@ -1,9 +1,8 @@
 //! Client of the quota counter.
 //!
 //! Calls for one counter name are sent one after another, so that totals come back in call order; other names do
-//! not wait for them. A call whose timeout has expired is listened for a while longer, on its own connection, and
-//! a late answer is reported separately. A call is never repeated, and one that may have been added is never
-//! reported as one that was not.
+//! not wait for them. After its timeout, a call keeps its connection for a limited time, and a late answer is reported
+//! separately. A call is never repeated, and one that may have been added is never reported as not added.
 
 #[cfg(test)]
 mod tests;
--- a/src/net/operator.rs
+++ b/src/net/operator.rs
@@ -1,7 +1,8 @@
 //! The operator endpoint: staff send one line per connection and get one line back.
 //!
-//! It runs on a thread of its own, so that it responds whatever the load, and serves few connections at a time. It
-//! never waits for the core: it reports the status that the process last recorded, and passes commands on.
+//! The endpoint runs on a separate thread, so that it responds under any load, and serves at most
+//! [`MAX_CONNECTIONS`] connections. It never waits for the core: it reports the last recorded status and forwards
+//! commands.
 
 #[cfg(test)]
 mod tests;
--- a/src/net/process/cli.rs
+++ b/src/net/process/cli.rs
@@ -20,9 +20,9 @@
     #[command(subcommand)]
     command: Option<Command>,
     /// Settings of zones (as `deploy/halls.cue`): tiers, bounded spill, slow start after a loss. Without it, nodes
-    /// are chosen regardless of zone health. Read again at SIGHUP; an invalid file then changes nothing.
-    #[arg(long, global = true, value_name = "FILE")]
-    halls: Option<PathBuf>,
+    /// are selected regardless of zone health. Read again at SIGHUP; an invalid file then changes nothing.
+    #[arg(long = "halls", global = true, value_name = "FILE")]
+    zones: Option<PathBuf>,
     /// Settings of the quota counter's guard (as `deploy/quota.cue`). Without it, defaults apply. Read at startup.
     #[arg(long, global = true, value_name = "FILE")]
     quota: Option<PathBuf>,
@@ -78,7 +78,7 @@
 /// `whinstall serve`.
 fn serve(cli: &Cli) -> Result<(), StartError> {
     init_logging();
-    let zones = cli.halls.as_deref().map(ZoneSettings::read).transpose()?;
+    let zones = cli.zones.as_deref().map(ZoneSettings::read).transpose()?;
     let quota = cli.quota.as_deref().map(|file| settings_file::read_record(file, "counter", |o| o.counter));
     let quota = quota.transpose()?.unwrap_or_default();
     let fleet = cli.fleet.as_deref().map(|file| settings_file::read_record(file, "fleet", |o| o.fleet));
--- a/src/net/zone_failover.rs
+++ b/src/net/zone_failover.rs
@@ -264,14 +264,14 @@
     }
 }
 
-/// Whether the local zone takes the whole load.
+/// Whether the local zone takes all load.
 fn local_takes_all(plan: &LoadPlan, local: Option<usize>) -> bool {
     local.and_then(|zone| plan.zones.get(zone)).is_some_and(|zone| zone.share >= 1.0 - SHARE_EPSILON)
 }
 
 /// Factor on the capacity of each zone's hosts.
 ///
-/// While the local zone takes the whole load, the decision module's own preference for local hosts applies, and
+/// While the local zone takes all load, the decision module's own preference for local hosts applies, and
 /// hosts keep their capacity (factor 1); only an ejected zone receives nothing, and a recovering one its usable
 /// fraction. Otherwise the factor of a zone is its share of the load over its share of the capacity.
 ///
--- a/src/operators_tests.rs
+++ b/src/operators_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of whole settings files.
+//! Tests of complete settings files.
 
 use super::*;
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -19,7 +19,7 @@
     pub host_idle_timeout: Duration,
     /// Timeout of a call to the quota counter.
     pub counter_timeout: Duration,
-    /// The longest `Retry-After` that clients respect.
+    /// Longest `Retry-After` that clients respect.
     pub max_retry_after: Duration,
 }
 
