--- a/src/fleet/settings_tests.rs
+++ b/src/fleet/settings_tests.rs
@@ -46,7 +46,7 @@
         ("budgets: { term: 1, margin: 1 }", "longer than `margin`"),
         ("budgets: { term: 0 }", "term"),
         ("budgets: { margin: 0 }", "margin"),
-        ("budgets: { flor: 1 }", "no known field"),
+        ("budgets: { flor: 1 }", "unknown field"),
     ] {
         let messages: Vec<String> = read(invalid).unwrap_err().iter().map(ToString::to_string).collect();
         assert!(messages[0].starts_with("2:") && messages[0].contains(expected), "{invalid}: {messages:?}");
