--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -30,7 +30,7 @@
             return;
         }
         let n = edges[self.rng.usize(0..edges.len())];
-        let request = self.auditor.asked(self.now, n, self.edges[n].incarnation, key, path);
+        let request = self.auditor.request_sent(self.now, n, self.edges[n].incarnation, key, path);
         let id = RequestId(request.to_string().into());
         let incarnation = self.edges[n].incarnation;
         self.request_numbers.insert((n, incarnation, id.clone()), request);
@@ -52,7 +52,7 @@
             );
         });
         if turned {
-            self.auditor.turned_back(request);
+            self.auditor.request_unroutable(request);
         }
     }
 
@@ -118,7 +118,7 @@
     pub fn answered(&mut self, n: usize, incarnation: u64, id: RequestId, answer: FinalResponse) {
         if let Some(request) = self.request_numbers.get(&(n, incarnation, id)) {
             let calm = self.now > self.edges[n].faulty_until;
-            self.auditor.answered(self.now, *request, &answer, calm);
+            self.auditor.request_answered(self.now, *request, &answer, calm);
         }
     }
 }
--- a/crates/simulation/src/control_calls.rs
+++ b/crates/simulation/src/control_calls.rs
@@ -34,7 +34,7 @@
             }
             CallOrigin::Read { .. } => ApiCommand::Read,
             CallOrigin::PrimaryRead => {
-                self.auditor.reads(self.now);
+                self.auditor.final_read_sent(self.now);
                 ApiCommand::Read
             }
         };
@@ -88,14 +88,14 @@
             self.read_answered(call.id, body);
         }
         if let (CallOrigin::PrimaryRead, 200) = (&call.by, status) {
-            self.auditor.read_back(body);
+            self.auditor.final_read_answered(body);
         }
         if let (CallOrigin::Heartbeat(n), 200) = (&call.by, status) {
             if self.workers[*n].phase == WorkerPhase::Draining
                 && self.workers[*n].drain_acknowledged_at.is_none()
             {
                 self.workers[*n].drain_acknowledged_at = Some(self.now);
-                self.auditor.leaving(&self.workers[*n].id, self.now);
+                self.auditor.drain_acknowledged(&self.workers[*n].id, self.now);
             }
         }
         if let (CallOrigin::PrimaryChange(items), 200) = (&call.by, status) {
--- a/crates/simulation/src/operator_sessions.rs
+++ b/crates/simulation/src/operator_sessions.rs
@@ -30,7 +30,7 @@
     pub fn operator_turn(&mut self, turn: OperatorStep) {
         match turn {
             // Services that orders name must stand.
-            OperatorStep::Next(_) if !self.auditor.begun() => {
+            OperatorStep::Next(_) if !self.auditor.has_acknowledged_changes() => {
                 self.schedule_after(0.2, SimulationEvent::OperatorTurn(turn))
             }
             OperatorStep::Next(operator) => self.issue_change(operator),
--- a/crates/simulation/src/primary_operator.rs
+++ b/crates/simulation/src/primary_operator.rs
@@ -87,9 +87,9 @@
         let items = parse_change(body.to_string().as_bytes()).expect("a valid call");
         for item in items.iter().filter(|i| i.kind == ItemKind::Route && i.label == "r-flip") {
             let service = item.body.as_ref().map(|b| b.route_services().concat());
-            self.auditor.sent(item.version, &service.unwrap_or_default());
+            self.auditor.flip_sent(item.version, &service.unwrap_or_default());
         }
-        self.auditor.told(&items);
+        self.auditor.removals_requested(&items);
         self.operator.waits = Some(self.now);
         let core = self.operator.core + self.rng.usize(0..3);
         self.call(core, CallOrigin::PrimaryChange(items));
--- a/crates/simulation/src/trials.rs
+++ b/crates/simulation/src/trials.rs
@@ -6,10 +6,10 @@
 use super::severe_faults::SevereFault;
 use super::{DeploymentPlan, SimulationEvent, World};
 
-/// Faults and when they come.
+/// Faults of a simulated day, each with its time in simulated seconds.
 pub type FaultSchedule = Vec<(f64, Fault)>;
 
-/// A deployment whose control side is under way all day, its traffic light.
+/// A deployment with three concurrent operators that change the configuration all day, and little client traffic.
 pub fn control(cores: usize, losses: usize) -> DeploymentPlan {
     let operator_load = OperatorLoad {
         operators: 3,
@@ -31,22 +31,22 @@
     }
 }
 
-/// A severe fault at this time.
+/// Schedules a severe fault at `at` simulated seconds.
 pub fn severe(at: f64, severe: SevereFault) -> (f64, Fault) {
     (at, Fault::Severe(severe))
 }
 
-/// A core node cut off with a edge node, workers and an operator on its side.
+/// Partitions `cores`, with one edge node, two workers and one operator on their side, from everyone else.
 pub fn cut(at: f64, cores: &[usize], way: Direction, secs: f64) -> (f64, Fault) {
     severe(at, SevereFault::Partition { cut: Partition::side(cores, &[0], &[0, 4], &[1], way), secs })
 }
 
-/// Killed with its disk for good or for a while.
+/// Kills a core node, wipes its disk, and restarts it on an empty disk after `down` seconds.
 pub fn wiped(at: f64, core: usize, down: f64) -> (f64, Fault) {
     (at, Fault::KillCore { core, down, power: true, wipe: true })
 }
 
-/// Plays one day with these faults, and makes the final checks.
+/// Plays one day with these faults and runs the checks of the end of the day.
 pub fn play(seed: u64, plan: DeploymentPlan, days: &[(f64, Fault)]) -> World {
     let mut world = World::new(seed, plan);
     for (at, fault) in days {
@@ -56,55 +56,59 @@
     world.play(length - 4.0);
     world.request_final_reads();
     world.play(length);
-    world.auditor.close();
+    world.auditor.check_end_of_day();
     world.check_history();
     if let Some(at) = world.invariants.pending_snapshot_crashes.first() {
-        world
-            .auditor
-            .violations
-            .push(format!("STORY: no loss came at {at:?}, of {:?}", world.invariants.snapshot_stages));
+        world.auditor.violations.push(format!(
+            "SCENARIO: the stage of the scheduled crash {at:?} was never reached; stages reached: {:?}",
+            world.invariants.snapshot_stages
+        ));
     }
     world
 }
 
-/// The middle and the longest of the times that repairs took.
-pub fn times(took: &mut [f64]) -> String {
+/// Summarizes how long repairs took: their number, the median and the longest.
+pub fn repair_time_summary(took: &mut [f64]) -> String {
     took.sort_by(f64::total_cmp);
-    let (middle, most) = (took.get(took.len() / 2), took.last());
-    let tell = |s: Option<&f64>| s.map_or("-".into(), |s| format!("{s:.2} s"));
-    format!("{} starts until all is held again: {}, longest {}", took.len(), tell(middle), tell(most))
+    let (median, longest) = (took.get(took.len() / 2), took.last());
+    let seconds = |s: Option<&f64>| s.map_or("-".into(), |s| format!("{s:.2} s"));
+    format!("{} core repairs: median {}, longest {}", took.len(), seconds(median), seconds(longest))
 }
 
-/// Plays a scenario on each seed; all that is broken is told, with the seeds. Returned: how many orders were confirmed.
+/// Plays a scenario on each seed and returns the number of confirmed changes. Panics with a summary of the violations
+/// and their seeds if any seed violated an invariant.
 pub fn trial(
     seeds: std::ops::Range<u64>,
-    story: impl Fn(u64, &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule),
+    scenario: impl Fn(u64, &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule),
 ) -> usize {
-    trial_with(seeds, story, |_| None)
+    trial_with(seeds, scenario, |_| None)
 }
 
-/// The same; `more` tells what else is broken.
+/// Plays a scenario as [`trial`] does, with `extra_check` as a further check at the end of each day.
 pub fn trial_with(
     seeds: std::ops::Range<u64>,
-    story: impl Fn(u64, &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule),
-    more: impl Fn(&World) -> Option<String>,
+    scenario: impl Fn(u64, &mut fastrand::Rng) -> (DeploymentPlan, FaultSchedule),
+    extra_check: impl Fn(&World) -> Option<String>,
 ) -> usize {
     let (mut failed, many) = (Vec::new(), seeds.end - seeds.start);
     let (mut confirmed, mut reads, mut took) = (0, 0, Vec::new());
     for seed in seeds {
-        let (plan, days) = story(seed, &mut fastrand::Rng::with_seed(seed));
+        let (plan, days) = scenario(seed, &mut fastrand::Rng::with_seed(seed));
         let mut world = play(seed, plan, &days);
-        let found = more(&world);
+        let found = extra_check(&world);
         world.auditor.violations.extend(found);
         if std::env::var_os("TWICE").is_some() {
-            let (plan, days) = story(seed, &mut fastrand::Rng::with_seed(seed));
+            let (plan, days) = scenario(seed, &mut fastrand::Rng::with_seed(seed));
             let again = play(seed, plan, &days);
-            let told = &world.auditor.violations
+            let common = &world.auditor.violations
                 [..again.auditor.violations.len().min(world.auditor.violations.len())];
-            assert_eq!(told, again.auditor.violations, "seed {seed} differs when played again");
+            assert_eq!(
+                common, again.auditor.violations,
+                "seed {seed} is not deterministic: its second run differs"
+            );
             assert_eq!(
                 world.operator_records.answers, again.operator_records.answers,
-                "seed {seed} differs when played again"
+                "seed {seed} is not deterministic: its second run differs"
             );
         }
         confirmed += world.operator_records.orders.iter().filter(|o| o.confirmed_at.is_some()).count();
@@ -114,25 +118,30 @@
             failed.push((seed, world.auditor.violations));
         }
     }
-    println!("{many} seeds, {confirmed} orders confirmed, {reads} reads, {} seeds failed", failed.len());
-    println!("{}", times(&mut took));
-    assert!(failed.is_empty(), "{}", told(&failed, many));
+    println!("{many} seeds, {confirmed} changes confirmed, {reads} reads, {} seeds failed", failed.len());
+    println!("{}", repair_time_summary(&mut took));
+    assert!(failed.is_empty(), "{}", violation_summary(&failed, many));
     confirmed
 }
 
-/// How many broke what, and the first of each kind.
-pub fn told(failed: &[(u64, Vec<String>)], many: u64) -> String {
+/// Summarizes violations by kind (the first word of the text): the number of seeds, the first seed and its violation.
+pub fn violation_summary(failed: &[(u64, Vec<String>)], many: u64) -> String {
     let mut kinds = std::collections::BTreeMap::<&str, (u32, u64, &String)>::new();
-    for (seed, broken) in failed {
+    for (seed, violations) in failed {
         let mut seen = std::collections::BTreeSet::new();
-        for text in broken {
+        for text in violations {
             let kind = text.split([' ', ':']).next().unwrap_or_default();
             if seen.insert(kind) {
                 kinds.entry(kind).or_insert((0, *seed, text)).0 += 1;
             }
         }
     }
-    let kinds =
-        kinds.iter().map(|(kind, (n, seed, text))| format!("  {kind} on {n} seeds, first {seed}: {text}"));
-    format!("{} of {many} seeds broke a rule\n{}", failed.len(), kinds.collect::<Vec<_>>().join("\n"))
+    let kinds = kinds
+        .iter()
+        .map(|(kind, (n, seed, text))| format!("  {kind} on {n} seeds, first on seed {seed}: {text}"));
+    format!(
+        "{} of {many} seeds violated an invariant\n{}",
+        failed.len(),
+        kinds.collect::<Vec<_>>().join("\n")
+    )
 }
--- a/crates/simulation/src/workers.rs
+++ b/crates/simulation/src/workers.rs
@@ -130,7 +130,7 @@
         }
         let edge = &self.edges[hit.edge];
         let in_touch = self.now > edge.faulty_until && self.now > self.unsettled_until;
-        self.auditor.arrives(self.now, &hit, &self.workers[there].id, in_touch);
+        self.auditor.attempt_arrived(self.now, &hit, &self.workers[there].id, in_touch);
         let w = &mut self.workers[there];
         if w.busy < SLOTS {
             self.run(there, hit);
@@ -145,7 +145,7 @@
         self.workers[n].busy += 1;
         let edge = &self.edges[hit.edge];
         let calm = self.now > edge.faulty_until && self.now > self.unsettled_until;
-        self.auditor.runs(self.now, &hit, SERVICES[self.workers[n].service], calm);
+        self.auditor.attempt_started(self.now, &hit, SERVICES[self.workers[n].service], calm);
         let work = 0.03 + 0.06 * self.rng.f64();
         self.schedule_after(work, SimulationEvent::WorkerFinishes(n, hit));
     }
--- a/crates/simulation/tests/scenarios/basic_faults.rs
+++ b/crates/simulation/tests/scenarios/basic_faults.rs
@@ -14,7 +14,7 @@
     world.play(length - 3.0);
     world.request_final_reads();
     world.play(length);
-    world.auditor.close();
+    world.auditor.check_end_of_day();
     world
 }
 
@@ -40,7 +40,7 @@
         run_seeds(0..6, &DeploymentPlan { lost_answers: 0.0, quota: 40.0, ..DeploymentPlan::default() }, &[])
     {
         for key in ["key-big", "key-free", "key-small"] {
-            expect_that!(world.auditor.served_of_owed(5.0, 20.0, key), ge(0.97), "{key}");
+            expect_that!(world.auditor.served_fraction_within_quota(5.0, 20.0, key), ge(0.97), "{key}");
         }
     }
 }
@@ -50,7 +50,7 @@
     for world in
         run_seeds(10..20, &DeploymentPlan::default(), &[(8.0, Fault::TenantSurge { times: 10.0, secs: 8.0 })])
     {
-        expect_that!(world.auditor.served(8.0, 16.0, "key-free"), ge(0.9));
+        expect_that!(world.auditor.served_fraction(8.0, 16.0, "key-free"), ge(0.9));
     }
 }
 
@@ -76,7 +76,7 @@
     ];
     for world in run_seeds(50..60, &DeploymentPlan::default(), &faults) {
         // Edge nodes serve on with what they know, within their shares.
-        expect_that!(world.auditor.served(9.0, 11.0, "key-free"), ge(0.9));
+        expect_that!(world.auditor.served_fraction(9.0, 11.0, "key-free"), ge(0.9));
     }
 }
 
@@ -84,7 +84,7 @@
 fn partitioned_edge_keeps_serving_tenants_within_quota() {
     let faults = [(8.0, Fault::PartitionEdge { edge: 0, secs: 10.0 })];
     for world in run_seeds(70..94, &DeploymentPlan { quota: 60.0, ..DeploymentPlan::default() }, &faults) {
-        expect_that!(world.auditor.served(8.0, 18.0, "key-big"), ge(0.93));
+        expect_that!(world.auditor.served_fraction(8.0, 18.0, "key-big"), ge(0.93));
     }
 }
 
@@ -93,7 +93,7 @@
     for (seeds, lost) in [(80..86, 0), (90..96, 1), (100..106, 2)] {
         let fault = Fault::PowerOffAll { down: 1.0, wipe: vec![lost] };
         for world in run_seeds(seeds, &DeploymentPlan::default(), &[(12.0, fault)]) {
-            expect_that!(world.auditor.served(16.0, 20.0, "key-free"), ge(0.8));
+            expect_that!(world.auditor.served_fraction(16.0, 20.0, "key-free"), ge(0.8));
         }
     }
 }
@@ -116,7 +116,7 @@
         (15.5, Fault::KillCore { core: 2, down: 1.5, power: true, wipe: true }),
     ];
     for world in run_seeds(120..130, &DeploymentPlan::default(), &faults) {
-        expect_that!(world.auditor.served(6.0, 20.0, "key-free"), ge(0.93));
+        expect_that!(world.auditor.served_fraction(6.0, 20.0, "key-free"), ge(0.93));
     }
 }
 
@@ -142,7 +142,7 @@
         (11.0, Fault::CrashWorker { worker: 5, dark: false }),
     ];
     for world in run_seeds(160..172, &DeploymentPlan::default(), &faults) {
-        expect_that!(world.auditor.served(12.0, 20.0, "key-free"), ge(0.85));
+        expect_that!(world.auditor.served_fraction(12.0, 20.0, "key-free"), ge(0.85));
     }
 }
 
--- a/crates/simulation/tests/scenarios/worst_days.rs
+++ b/crates/simulation/tests/scenarios/worst_days.rs
@@ -9,7 +9,7 @@
 use whinstall_simulation::operators::OperatorLoad;
 use whinstall_simulation::partitions::{Direction, Participant, Partition};
 use whinstall_simulation::severe_faults::SevereFault;
-use whinstall_simulation::trials::{control, play, severe, told, trial, FaultSchedule};
+use whinstall_simulation::trials::{control, play, severe, trial, violation_summary, FaultSchedule};
 use whinstall_simulation::{DeploymentPlan, World};
 
 /// What comes back counts as lost for so long: seconds, as the settings have it.
@@ -405,5 +405,5 @@
         result.settled_secs,
         result.failed.len()
     );
-    assert!(result.failed.is_empty(), "{}", told(&result.failed, run.seed_count));
+    assert!(result.failed.is_empty(), "{}", violation_summary(&result.failed, run.seed_count));
 }
