--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -34,15 +34,15 @@
         let id = RequestId(request.to_string().into());
         let incarnation = self.edges[n].incarnation;
         self.request_numbers.insert((n, incarnation, id.clone()), request);
-        let mut turned = false;
+        let mut unroutable = false;
         self.edge_call(n, |edge, now, out| {
             let view = Arc::clone(&edge.active_config);
             let Some(route) = view.match_route("shop.example:80", path).cloned() else {
-                turned = true;
+                unroutable = true;
                 return;
             };
             let Some(tenant) = view.tenant_by_credential(key).cloned() else {
-                turned = true;
+                unroutable = true;
                 return;
             };
             edge.on_request(
@@ -51,7 +51,7 @@
                 out,
             );
         });
-        if turned {
+        if unroutable {
             self.auditor.request_unroutable(request);
         }
     }
@@ -103,13 +103,13 @@
             self.open_attempts.insert((hit.edge, hit.incarnation, hit.id.clone(), hit.attempt));
             return self.schedule_after(0.05, SimulationEvent::AttemptEnded(hit, ending, misdirected));
         }
-        let whole = (ending == Ending::Ok).then_some(true);
+        let response_ok = (ending == Ending::Ok).then_some(true);
         self.edge_call(hit.edge, |edge, now, out| {
             if misdirected {
                 edge.on_misdirected(now, &hit.host, out);
             }
             let (id, attempt, worker) = (&hit.id, hit.attempt, &hit.host);
-            let report = AttemptReport { id, attempt, worker, ending, response_ok: whole };
+            let report = AttemptReport { id, attempt, worker, ending, response_ok };
             edge.on_attempt_end(now, report, out);
         });
     }
--- a/crates/simulation/src/edge_invariants.rs
+++ b/crates/simulation/src/edge_invariants.rs
@@ -1,6 +1,6 @@
 //! Invariants of edge nodes: when one may be ready, and which versions of the configuration it may and must serve.
 
-use super::invariants::{ExpectedVersion, CONTACT, EVERY};
+use super::invariants::{ExpectedVersion, CHECK_INTERVAL_SECS, CONTACT_SECS};
 use super::operators::{content, ChangeValidity};
 use super::partitions::Participant;
 use super::World;
@@ -34,7 +34,7 @@
         self.check_edge_readiness(&observed, &mut violations);
         self.check_edge_progress(&observed, &mut violations);
         let now = self.now;
-        let in_touch = |since: &HashMap<usize, f64>| since.get(&n).is_some_and(|at| now - *at > CONTACT);
+        let in_touch = |since: &HashMap<usize, f64>| since.get(&n).is_some_and(|at| now - *at > CONTACT_SECS);
         let in_touch_settled = in_touch(&self.invariants.edge_reach_since);
         let in_touch_outer = in_touch(&self.invariants.edge_outer_since);
         for (_, due) in
@@ -145,7 +145,7 @@
     pub(crate) fn confirmed_orders(&self, since: f64, ago: f64) -> Vec<ExpectedVersion> {
         let mut newest: BTreeMap<usize, (u64, f64)> = BTreeMap::new();
         for o in self.operator_records.orders.iter().filter(|o| o.validity == ChangeValidity::Proper) {
-            let at = o.confirmed_at.filter(|at| *at >= since && self.now - at > ago + EVERY);
+            let at = o.confirmed_at.filter(|at| *at >= since && self.now - at > ago + CHECK_INTERVAL_SECS);
             let Some(at) = at else { continue };
             for label in &o.labels {
                 let held = newest.entry(*label).or_insert((o.version, at));
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,7 +1,7 @@
-//! The faults that a scenario may hold, and the simulated disk: what is synced, what is in flight, and what a loss of power
-//! or of the disk leaves.
+//! The faults that a scenario may inject, and the simulated disk: which writes are synced, which are in flight, and which
+//! survive a loss of power or of the disk.
 
-use super::invariants::CONTACT;
+use super::invariants::CONTACT_SECS;
 use super::network::NodeRef;
 use super::severe_faults::SevereFault;
 use super::world::TenantSurge;
@@ -14,105 +14,105 @@
 
 /// A fault that is injected into a simulated day.
 ///
-/// Fields that recur: `secs` is how long it lasts and `down` after how many seconds a process comes back; `power` means
-/// that unsynced writes may be lost, `wipe` that the disk is lost, `dark` that the other ends hear nothing of it.
+/// Fields that recur: `secs` is the duration of the fault in seconds, `down` the number of seconds until the process restarts;
+/// `power` means that unsynced writes may be lost, `wipe` that the disk is lost, `dark` that peers get no connection reset.
 #[allow(missing_docs)] // The fields are explained above.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Killed; back after so many seconds. `power`: unsynced writes go; `wipe`: the disk, too.
+    /// A core node is killed and restarts after `down` seconds.
     KillCore { core: usize, down: f64, power: bool, wipe: bool },
     /// An edge node is killed.
     KillEdge { edge: usize, down: f64 },
-    /// The first so many are killed at once; `dark`: those at the other ends hear nothing of it.
+    /// The first `edges` edge nodes are killed at once.
     KillManyEdges { edges: usize, down: f64, dark: bool },
-    /// Cut off from the other core nodes.
+    /// A core node is partitioned from the other core nodes; `one_way`: only its outgoing packets are lost.
     PartitionCore { core: usize, secs: f64, one_way: bool },
-    /// Cut off from the core.
+    /// An edge node is partitioned from all core nodes.
     PartitionEdge { edge: usize, secs: f64 },
-    /// No write of the disk completes for a while.
+    /// No write to a core node's disk completes for `secs` seconds.
     StallDisk { core: usize, secs: f64 },
-    /// A process does not run for a while.
+    /// A process is paused for `secs` seconds.
     Freeze { who: NodeRef, secs: f64 },
     /// All core processes are killed at the same moment.
     KillAllCores { down: f64 },
     /// Every machine loses power; the disks of some are lost.
     PowerOffAll { down: f64, wipe: Vec<usize> },
-    /// A worker is killed, for good.
+    /// A worker is killed and never restarts.
     CrashWorker { worker: usize, dark: bool },
-    /// Says that it leaves, and leaves.
+    /// A worker announces its drain and leaves.
     DrainWorker { worker: usize },
-    /// What operators call their worst days.
+    /// A fault that combines several failures or waits for a condition.
     Severe(SevereFault),
-    /// One tenant sends this many times its usual.
+    /// One tenant sends `times` times its usual load.
     TenantSurge { times: f64, secs: f64 },
 }
 
 /// A core node's disk.
 #[derive(Default)]
 pub struct SimulatedDisk {
-    /// What is synced.
+    /// State that is synced: a restart after any crash finds it.
     pub held: LoadedState,
     /// Writes that are not synced yet, in order.
     pub writing: Vec<WriteBatch>,
-    /// What is there of a snapshot that is not written yet.
+    /// Chunks of a snapshot that were written before the snapshot itself is committed.
     ahead: Option<(SnapshotId, Vec<u8>)>,
-    /// Does the database stand?
-    made: bool,
-    /// Is it being made?
-    making: bool,
-    /// Is the mark of the first start there, and is it synced?
-    mark: Option<bool>,
-    /// When the writes so far are synced.
+    /// Whether the database exists.
+    is_created: bool,
+    /// Whether the database is being created.
+    is_creating: bool,
+    /// The bootstrap marker: `None` if absent, otherwise whether it is synced.
+    bootstrap_marker: Option<bool>,
+    /// Time at which all writes issued so far are synced.
     pub free_at: f64,
     /// No write completes before this time.
     pub stalled_until: f64,
-    /// It takes no more bytes until then, whatever is restarted.
+    /// The disk is full until this time; a restart of the process does not change that.
     pub full_until: f64,
 }
 
-/// Bytes of snapshots in a put: what takes longer than a sync.
-pub fn size(put: &WriteBatch) -> usize {
-    let part = put.snapshot_chunk.as_ref().map(|p| (p.offset as usize, p.data.len()));
-    let whole = put.log_writes.iter().map(|w| match w {
+/// Number of snapshot bytes in a write batch, which take time beyond that of a sync.
+pub fn snapshot_bytes(put: &WriteBatch) -> usize {
+    let chunk_bytes = put.snapshot_chunk.as_ref().map(|p| (p.offset as usize, p.data.len()));
+    let full_bytes = put.log_writes.iter().map(|w| match w {
         LogWrite::Snapshot { snapshot, .. } => snapshot.data.len(),
         _ => 0,
     });
-    part.map_or(0, |p| p.1) + whole.sum::<usize>()
+    chunk_bytes.map_or(0, |p| p.1) + full_bytes.sum::<usize>()
 }
 
 impl SimulatedDisk {
-    /// What a process that starts finds; a new disk gets its identity first.
+    /// Returns the state that a starting process loads; a new disk gets its identity first.
     pub fn open(&mut self, first: bool, rng: &mut fastrand::Rng) -> LoadedState {
-        self.held.is_new = !std::mem::replace(&mut self.made, true);
+        self.held.is_new = !std::mem::replace(&mut self.is_created, true);
         if self.held.is_new {
-            self.held.disk_id = if first || self.mark.is_some() { 0 } else { rng.u64(1..) };
+            self.held.disk_id = if first || self.bootstrap_marker.is_some() { 0 } else { rng.u64(1..) };
         }
-        (self.making, self.mark) = (false, None);
+        (self.is_creating, self.bootstrap_marker) = (false, None);
         self.held.clone()
     }
 
-    /// Begins to make the database, if there is none.
-    pub fn makes(&mut self) -> bool {
-        self.making = !self.made;
-        self.making
+    /// Starts to create the database if none exists; returns whether it did.
+    pub fn start_creation(&mut self) -> bool {
+        self.is_creating = !self.is_created;
+        self.is_creating
     }
 
-    /// Until when it takes nothing, if so.
-    pub fn hangs(&self, now: f64) -> Option<f64> {
+    /// Time until which the disk completes no write, if it is stalled or full at `now`.
+    pub fn blocked_until(&self, now: f64) -> Option<f64> {
         Some(self.stalled_until.max(self.full_until)).filter(|until| *until > now)
     }
 
-    /// All up to this write is synced.
-    pub fn land(&mut self, put: u64) {
+    /// Marks all writes up to this sequence number as synced.
+    pub fn sync_up_to(&mut self, put: u64) {
         let (done, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.writing).into_iter().partition(|w| w.sequence <= put);
         self.writing = rest;
         for put in done {
-            self.take(put);
+            self.apply(put);
         }
     }
 
-    fn take(&mut self, put: WriteBatch) {
+    fn apply(&mut self, put: WriteBatch) {
         for worker in put.workers {
             self.held.workers.retain(|w| w.id != worker.id);
             self.held.workers.extend(Some(worker).filter(|w| w.phase <= WorkerPhase::Draining));
@@ -128,7 +128,7 @@
                 }
                 LogWrite::Snapshot { snapshot, replaces_log } => {
                     raft.entries.retain(|e| !replaces_log && e.index > snapshot.index);
-                    // What was put ahead is not written again: it counts as it is.
+                    // Chunks written ahead are not written again: the snapshot keeps them as they are on the disk.
                     let of = SnapshotId { index: snapshot.index, term: snapshot.term };
                     let ahead = self.ahead.take().filter(|a| a.0 == of && a.1.len() <= snapshot.data.len());
                     let mut data = ahead.map(|a| a.1).unwrap_or_default();
@@ -145,19 +145,19 @@
         }
     }
 
-    /// The process is gone: of what was not synced each write is there or not; after a loss of power none may be.
+    /// Ends the process. After a loss of power only a random prefix of the unsynced writes survives; after a kill all do.
     pub fn crash(&mut self, power: bool, wipe: bool, rng: &mut fastrand::Rng) {
         for put in std::mem::take(&mut self.writing) {
             if !power || rng.bool() {
-                self.take(put);
+                self.apply(put);
             } else {
                 break;
             }
         }
         (self.free_at, self.stalled_until, self.ahead) = (0.0, 0.0, None);
-        self.making = false;
-        if self.mark == Some(false) && power && rng.bool() {
-            self.mark = None;
+        self.is_creating = false;
+        if self.bootstrap_marker == Some(false) && power && rng.bool() {
+            self.bootstrap_marker = None;
         }
         if wipe {
             *self = SimulatedDisk::default();
@@ -166,7 +166,7 @@
 }
 
 impl World {
-    /// Its disk is ready: the process begins.
+    /// Starts a core node's state machine once its disk is ready.
     pub(super) fn start_core(&mut self, n: usize, settings: Settings) {
         let node = &mut self.cores[n];
         let held = node.disk.open(settings.is_first_seed(), &mut self.rng);
@@ -180,27 +180,28 @@
         self.schedule_after(control_plane::TICK_SECS, SimulationEvent::CoreTick(n, incarnation));
     }
 
-    /// A step in the making of a new disk is done: the mark is there, is synced, the database stands.
-    pub(super) fn advance_disk_creation(&mut self, n: usize, incarnation: u64, told: bool) {
+    /// Completes a step in the creation of a new disk: the bootstrap marker is written, is synced, the database exists.
+    /// `cold_start` is whether the process was started as part of the bootstrap of the whole system.
+    pub(super) fn advance_disk_creation(&mut self, n: usize, incarnation: u64, cold_start: bool) {
         let node = &mut self.cores[n];
-        if node.incarnation != incarnation || !node.disk.making {
+        if node.incarnation != incarnation || !node.disk.is_creating {
             return;
         }
-        match node.disk.mark {
-            None if told => node.disk.mark = Some(false),
-            Some(false) => node.disk.mark = Some(true),
+        match node.disk.bootstrap_marker {
+            None if cold_start => node.disk.bootstrap_marker = Some(false),
+            Some(false) => node.disk.bootstrap_marker = Some(true),
             _ => {
-                let settings = Settings { cold_start: told, ..self.settings(NodeRef::Core(n)) };
+                let settings = Settings { cold_start, ..self.settings(NodeRef::Core(n)) };
                 return self.start_core(n, settings);
             }
         }
         self.schedule_after(
             self.plan.disk_creation_step,
-            SimulationEvent::CreatingDisk(n, incarnation, told),
+            SimulationEvent::CreatingDisk(n, incarnation, cold_start),
         );
     }
 
-    /// The rules that a edge node keeps while it is in touch wait for so long.
+    /// Suspends the checks that apply to an edge node in contact with the core, for `secs` seconds.
     pub fn mark_edge_faulty_for(&mut self, edge: usize, secs: f64) {
         let faulty_until = &mut self.edges[edge].faulty_until;
         *faulty_until = faulty_until.max(self.now + secs);
@@ -212,7 +213,7 @@
             Fault::KillCore { core, down, power, wipe } => {
                 self.kill(NodeRef::Core(*core), *power);
                 self.cores[*core].disk.crash(*power, *wipe, &mut self.rng);
-                self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT);
+                self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT_SECS);
                 self.schedule_after(*down, SimulationEvent::Boot(NodeRef::Core(*core)));
             }
             Fault::KillEdge { edge, down } => self.kill_edge(*edge, *down, false),
@@ -222,26 +223,26 @@
             Fault::PartitionCore { core, secs, one_way } => {
                 self.links.cut_core(*core, *one_way, true);
                 self.mark_core_disturbed();
-                self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT);
+                self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT_SECS);
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::PartitionEdge { edge, secs } => {
                 self.links.cut_edge(*edge, true);
-                self.mark_edge_faulty_for(*edge, secs + CONTACT);
+                self.mark_edge_faulty_for(*edge, secs + CONTACT_SECS);
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
             Fault::StallDisk { core, secs } => {
                 self.cores[*core].disk.stalled_until = self.now + secs;
                 self.mark_core_disturbed();
-                self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT);
+                self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT_SECS);
             }
             Fault::Freeze { who, secs } => {
                 self.set_frozen(*who, true);
                 match who {
                     NodeRef::Core(_) => {
-                        self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT)
+                        self.unsettled_until = self.unsettled_until.max(self.now + secs + CONTACT_SECS)
                     }
-                    NodeRef::Edge(n) => self.mark_edge_faulty_for(*n, secs + CONTACT),
+                    NodeRef::Edge(n) => self.mark_edge_faulty_for(*n, secs + CONTACT_SECS),
                 }
                 self.schedule_after(*secs, SimulationEvent::Repair(fault.clone()));
             }
@@ -261,19 +262,19 @@
 
     fn kill_edge(&mut self, n: usize, down: f64, dark: bool) {
         self.kill(NodeRef::Edge(n), dark);
-        self.mark_edge_faulty_for(n, down + CONTACT);
+        self.mark_edge_faulty_for(n, down + CONTACT_SECS);
         self.schedule_after(down, SimulationEvent::Boot(NodeRef::Edge(n)));
     }
 
-    /// Kills the processes of all listed core nodes: one that was removed, or was lost for good, has none that could come
-    /// back.
+    /// Kills the processes of all listed core nodes. Nodes that were removed or lost for good are left out, because they
+    /// must not restart.
     fn kill_all_cores(&mut self, down: f64) {
         for n in self.listed_cores() {
             self.kill(NodeRef::Core(n), false);
             self.cores[n].disk.crash(false, false, &mut self.rng);
             self.schedule_after(down, SimulationEvent::Boot(NodeRef::Core(n)));
         }
-        self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT);
+        self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT_SECS);
     }
 
     /// Every machine loses power; the disks in `wipe` are lost.
@@ -287,10 +288,10 @@
         for n in 0..self.edges.len() {
             self.kill_edge(n, down, true);
         }
-        self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT);
+        self.unsettled_until = self.unsettled_until.max(self.now + down + CONTACT_SECS);
     }
 
-    /// Stops a process, or lets it run again with the events that it missed.
+    /// Pauses a process, or resumes it and delivers the events that arrived meanwhile.
     pub fn set_frozen(&mut self, who: NodeRef, frozen: bool) {
         match who {
             NodeRef::Core(n) => {
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariants of the control plane: whether the core is settled, which node is isolated, and who may respond with what.
-//! It looks at responses, readiness and served configurations, never into a core node.
+//! Invariants of the control plane: whether the core is settled, which node is isolated, and which responses a node may
+//! give. The checks use responses, readiness and served configurations only, never a core node's internal state.
 
 use super::history::{self, Write};
 use super::operators::ChangeValidity;
@@ -8,80 +8,84 @@
 use super::{SimulationEvent, World};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-pub(crate) const EVERY: f64 = 0.1;
-/// As the settings have them: seconds.
-pub(crate) const CONTACT: f64 = 3.0;
-pub(crate) const ACK: f64 = 5.0;
-pub(crate) const SETTLE: f64 = 2.5;
-/// An unsettled core stretches `settle` by this at the most, where most of it runs and is joined all the while.
-pub(crate) const STRETCH: f64 = 8.0;
-/// A machine that is cut off may go on as before for so long: seconds.
-pub(crate) const LEASE: f64 = 2.0;
-/// A counter that answers, then another, then the first again within this: two at once. Seconds.
-pub(crate) const OVERLAP: f64 = 0.5;
+/// Seconds between two checks of the invariants.
+pub(crate) const CHECK_INTERVAL_SECS: f64 = 0.1;
+/// The setting `contact`: seconds after a disturbance until nodes must have found each other again.
+pub(crate) const CONTACT_SECS: f64 = 3.0;
+/// The setting `ack_bound`: seconds within which a settled core answers a change.
+pub(crate) const ACK_BOUND_SECS: f64 = 5.0;
+/// The setting `settle`: seconds from the confirmation of a change until edge nodes serve it.
+pub(crate) const SETTLE_BOUND_SECS: f64 = 2.5;
+/// Seconds by which `settle` is extended while the core is unsettled but a majority stays connected.
+pub(crate) const UNSETTLED_ALLOWANCE_SECS: f64 = 8.0;
+/// Seconds for which an isolated core node may keep responding as before.
+pub(crate) const LEASE_SECS: f64 = 2.0;
+/// If a quota leader responds, then another, then the first again within this many seconds, two were active at once.
+pub(crate) const LEADER_OVERLAP_SECS: f64 = 0.5;
 
-/// A register, the number that is to be served by, since when.
+/// A register, the version that must be served, and the time since when.
 pub(crate) type ExpectedVersion = (usize, u64, f64);
 
-/// What is remembered.
+/// Observations that the checks keep from one check to the next.
 #[derive(Default)]
 pub struct InvariantMonitor {
-    /// When the core was last touched: kills, starts, cuts, pauses.
+    /// Time of the last disturbance of the core: a kill, start, partition or pause.
     pub disturbed_at: f64,
     pub(crate) settled_since: Option<f64>,
     pub(crate) isolated_since: BTreeMap<usize, f64>,
-    /// When each operator came to reach most of the core.
+    /// Time since when each operator has reached the whole connected majority of the core.
     pub(crate) reach_since: HashMap<usize, f64>,
     pub(crate) edge_reach_since: HashMap<usize, f64>,
-    /// The same, settled or not; and since when most of the core is joined.
+    /// Time since when each edge node has reached a connected majority, whether the core is settled or not.
     pub(crate) edge_outer_since: HashMap<usize, f64>,
+    /// Time since when a majority of the core has been connected.
     pub(crate) majority_since: Option<f64>,
-    /// The highest number that any life of a edge node served by.
+    /// Highest version of each register that any incarnation of an edge node served, by edge node and register.
     pub(crate) served_ever: HashMap<(usize, usize), u64>,
-    /// Lives of edge nodes that heard a core node that was not cut off.
+    /// Incarnations of edge nodes that were contacted by a core node that was not isolated.
     pub(crate) edges_in_contact: HashSet<(usize, u64)>,
-    /// Numbers that edge nodes served by.
+    /// Versions that edge nodes served, by edge node, incarnation and register.
     pub(crate) served: HashMap<(usize, u64, usize), u64>,
     pub(crate) contents: HashMap<(usize, u64), u64>,
     pub(crate) overdue_changes: HashSet<usize>,
-    /// What was reported already, so that it is reported once.
+    /// Violations that were reported, so that each is reported once.
     pub reported: HashSet<(u64, String)>,
-    /// Who answered as the counter lately.
+    /// Core nodes that responded as the quota leader, in order, each with the time of its last response.
     pub(crate) quota_leaders: Vec<(f64, usize)>,
-    /// Those that came lately: since when they are in touch with most of the core.
+    /// Core nodes that were added and have not had `resync` seconds of contact with a majority, with the start of the contact.
     pub joining: BTreeMap<usize, f64>,
-    /// When those that were removed were gone.
+    /// Time at which each removed core node ended.
     pub removed_at: BTreeMap<usize, f64>,
-    /// Operators' lists of the core, by when each came to be.
+    /// Operators' lists of core nodes, each with the time from which it applies.
     pub core_lists: Vec<(f64, Vec<usize>)>,
-    /// Losses that wait for a moment of a snapshot.
+    /// Crashes that wait for a stage of a snapshot.
     pub pending_snapshot_crashes: Vec<super::severe_faults::SnapshotCrash>,
-    /// How often each moment of a snapshot came, and how many losses came at one.
+    /// How often each stage of a snapshot was reached.
     pub snapshot_stages: BTreeMap<usize, u64>,
     /// How many crashes came at a stage of a snapshot.
     pub snapshot_crashes: u64,
-    /// What waits for the next order to be confirmed, until then.
+    /// Crash that waits for the next confirmed change, with the time at which it is dropped.
     pub armed_crash: Option<(f64, PendingCrash)>,
     /// How often another node responded as the quota leader.
     pub quota_leader_changes: u64,
-    /// Who counted in each term: machine and life.
+    /// Core node and incarnation that was the quota leader in each term.
     pub(crate) quota_leader_by_term: BTreeMap<u64, (usize, u64)>,
     /// Seconds for which the core was settled.
     pub settled_for: f64,
 }
 
 impl InvariantMonitor {
-    /// Who answered last as the counter.
+    /// The core node that last responded as the quota leader.
     pub fn quota_leader(&self) -> Option<usize> {
         self.quota_leaders.last().map(|c| c.1)
     }
 
-    /// Did this one ever answer as the counter?
+    /// Whether this core node ever responded as the quota leader.
     pub fn was_quota_leader(&self, core: usize) -> bool {
         self.quota_leaders.iter().any(|c| c.1 == core)
     }
 
-    /// This content was seen under this number of a register.
+    /// NUMBER: a version of a register has one content. Records the content that was seen under this version.
     pub fn check_content(
         &mut self,
         now: f64,
@@ -94,48 +98,50 @@
         let held = *self.contents.entry((label, version)).or_insert(content);
         if held != content && self.reported.insert((content, format!("number {label}"))) {
             violations.push(format!(
-                "NUMBER {now:.3}: x-{label}=r{version} holds {content} as {seen}, {held} before"
+                "NUMBER {now:.3}: x-{label}=r{version} has content {content} as {seen}, {held} earlier"
             ));
         }
     }
 }
 
 impl World {
-    /// A core node answers an operator.
+    /// ISOLATED: an isolated core node answers operators with 503 or 307 only.
     pub fn operator_answered(&mut self, core: usize, status: u16) {
         let now = self.now;
-        if let Some(for_s) = self.isolated_for(core).filter(|s| *s > LEASE + EVERY) {
+        if let Some(for_s) = self.isolated_for(core).filter(|s| *s > LEASE_SECS + CHECK_INTERVAL_SECS) {
             if status != 503 && status != 307 {
-                let text = format!("APART {now:.3}: core {core}, cut off for {for_s:.3} s, answers {status}");
+                let text =
+                    format!("ISOLATED {now:.3}: core {core}, isolated for {for_s:.3} s, answers {status}");
                 self.auditor.violations.push(text);
             }
         }
     }
 
-    /// A core node answers a worker's call: one that is cut off can't tell those who send to it.
+    /// Checks a response to a worker's call: an isolated core node must not acknowledge, because it can't notify the edge
+    /// nodes that send to the worker.
     pub fn worker_answered(&mut self, core: usize, status: u16) {
         self.check_handout(core, Some("a worker's acknowledgement").filter(|_| status == 200));
     }
 
-    /// A core node hands something out that only one in touch with most may.
+    /// ISOLATED: an isolated core node sends nothing that requires contact with a majority.
     pub fn check_handout(&mut self, core: usize, what: Option<&str>) {
         let now = self.now;
         let Some(what) = what else { return };
-        if let Some(for_s) = self.isolated_for(core).filter(|s| *s > LEASE + EVERY) {
-            let text = format!("APART {now:.3}: core {core}, cut off for {for_s:.3} s, hands out {what}");
+        if let Some(for_s) = self.isolated_for(core).filter(|s| *s > LEASE_SECS + CHECK_INTERVAL_SECS) {
+            let text = format!("ISOLATED {now:.3}: core {core}, isolated for {for_s:.3} s, sends {what}");
             self.auditor.violations.push(text);
         }
     }
 
-    /// A core node answers a edge node as the counter.
+    /// COUNTER: checks a response of a core node as the quota leader.
     pub fn quota_leader_responded(&mut self, core: usize, term: u64) {
-        // One machine a term, and none answers once a later one has.
+        // Each term has at most one quota leader, and none responds after the leader of a later term has.
         let incarnation = self.cores[core].incarnation;
         let held = *self.invariants.quota_leader_by_term.entry(term).or_insert((core, incarnation));
         let newest = self.invariants.quota_leader_by_term.keys().next_back().copied().unwrap_or(term);
         if held != (core, incarnation) || newest > term {
             let text = format!(
-                "COUNTER {:.3}: core {core} counts in term {term}, {held:?} did, {newest} is the newest",
+                "COUNTER {:.3}: core {core} responds as quota leader of term {term}, held by {held:?} (core, incarnation); newest term {newest}",
                 self.now
             );
             self.auditor.violations.push(text);
@@ -147,10 +153,11 @@
         }
         self.invariants.quota_leader_changes += 1;
         if let [.., (before, first), _] = seen[..] {
-            if first == core && now - before < OVERLAP {
-                self.auditor
-                    .violations
-                    .push(format!("COUNTER {now:.3}: cores {core} and {} at once", seen[seen.len() - 1].1));
+            if first == core && now - before < LEADER_OVERLAP_SECS {
+                self.auditor.violations.push(format!(
+                    "COUNTER {now:.3}: cores {core} and {} are quota leaders at once",
+                    seen[seen.len() - 1].1
+                ));
             }
         }
         seen.push((now, core));
@@ -158,14 +165,14 @@
 
     /// Checks the core and each edge node, and schedules the next check.
     pub fn check_invariants(&mut self) {
-        self.schedule_after(EVERY, SimulationEvent::InvariantCheck);
+        self.schedule_after(CHECK_INTERVAL_SECS, SimulationEvent::InvariantCheck);
         let (now, most) = (self.now, self.connected_majority());
         self.update_joining_cores(most.as_ref());
-        let settled = most.is_some() && now > self.invariants.disturbed_at + CONTACT;
+        let settled = most.is_some() && now > self.invariants.disturbed_at + CONTACT_SECS;
         match settled {
             true => {
                 self.invariants.settled_since.get_or_insert(now);
-                self.invariants.settled_for += EVERY;
+                self.invariants.settled_for += CHECK_INTERVAL_SECS;
             }
             false => self.invariants.settled_since = None,
         }
@@ -176,10 +183,10 @@
             }
         }
         for operator in 0..=self.plan.operator_load.operators {
-            let whole = |most: &BTreeSet<usize>| {
+            let reaches_all = |most: &BTreeSet<usize>| {
                 most.iter().all(|n| self.can_exchange(Participant::Operator(operator), Participant::Core(*n)))
             };
-            match most.as_ref().is_some_and(whole) {
+            match most.as_ref().is_some_and(reaches_all) {
                 true => drop(self.invariants.reach_since.entry(operator).or_insert(now)),
                 false => drop(self.invariants.reach_since.remove(&operator)),
             }
@@ -188,9 +195,9 @@
             self.invariants.majority_since.or(Some(now)).filter(|_| most.is_some());
         self.check_response_times();
         let due = (
-            self.confirmed_orders(0.0, SETTLE),
+            self.confirmed_orders(0.0, SETTLE_BOUND_SECS),
             match self.invariants.majority_since {
-                Some(since) => self.confirmed_orders(since, SETTLE + STRETCH),
+                Some(since) => self.confirmed_orders(since, SETTLE_BOUND_SECS + UNSETTLED_ALLOWANCE_SECS),
                 None => Vec::new(),
             },
         );
@@ -199,7 +206,7 @@
         }
     }
 
-    /// A proper order has its answer in time, in one stretch in which the core is settled.
+    /// ACK: a valid change gets its response within `ACK_BOUND_SECS` of uninterrupted contact with a settled core.
     pub(crate) fn check_response_times(&mut self) {
         let Some(settled) = self.invariants.settled_since else { return };
         let mut waiting = std::mem::take(&mut self.operator_records.waiting);
@@ -207,34 +214,35 @@
         for n in waiting.clone() {
             let o = &self.operator_records.orders[n];
             let rival = o.rival.map(|r| &self.operator_records.orders[r]);
-            // Of two under one number one is owed an answer.
+            // Of two changes with one version only the first must get a response.
             let beaten = rival.is_some_and(|r| !r.unanswered() || r.began < o.began);
             if o.validity == ChangeValidity::Invalid || beaten {
                 continue;
             }
             let Some(reach) = self.invariants.reach_since.get(&(o.operator + 1)) else { continue };
             let since = o.began.max(settled).max(*reach);
-            if self.now > since + ACK + 0.05 && self.invariants.overdue_changes.insert(n) {
+            if self.now > since + ACK_BOUND_SECS + 0.05 && self.invariants.overdue_changes.insert(n) {
                 let (now, began) = (self.now, o.began);
-                self.auditor
-                    .violations
-                    .push(format!("ACK {now:.3}: order {n} of {began:.3} has no answer since {since:.3}"));
+                self.auditor.violations.push(format!(
+                    "ACK {now:.3}: change {n} sent at {began:.3} has no response since {since:.3}"
+                ));
             }
         }
         self.operator_records.waiting = waiting;
         let reach = self.invariants.reach_since.get(&0).copied();
         if let Some((began, reach)) = self.operator.waits.zip(reach) {
             let since = began.max(settled).max(reach).max(self.lost_responses.until);
-            if self.now > since + ACK + 0.05 && self.invariants.overdue_changes.insert(usize::MAX) {
+            if self.now > since + ACK_BOUND_SECS + 0.05 && self.invariants.overdue_changes.insert(usize::MAX)
+            {
                 let now = self.now;
                 self.auditor
                     .violations
-                    .push(format!("ACK {now:.3}: the change of {began:.3} has no answer since {since:.3}"));
+                    .push(format!("ACK {now:.3}: the primary operator's change of {began:.3} has no response since {since:.3}"));
             }
         }
     }
 
-    /// What can be told at the end: the history as a whole.
+    /// Checks at the end of the day that the whole history is linearizable (HISTORY) and that an operator could read (UNREAD).
     pub fn check_history(&mut self) {
         if self.plan.operator_load.operators == 0 {
             return;
@@ -253,7 +261,7 @@
             self.auditor.violations.push(format!("HISTORY: {why}"));
         }
         if !self.operator_records.read_at_end {
-            self.auditor.violations.push("UNREAD: no operator could read at the end".into());
+            self.auditor.violations.push("UNREAD: no operator got a response to its final read".into());
         }
     }
 }
--- a/crates/simulation/src/node.rs
+++ b/crates/simulation/src/node.rs
@@ -97,7 +97,7 @@
                 node.frozen = false;
                 node.backlog.clear();
                 node.first_start = false;
-                if self.plan.disk_creation_step > 0.0 && node.disk.makes() {
+                if self.plan.disk_creation_step > 0.0 && node.disk.start_creation() {
                     let making = SimulationEvent::CreatingDisk(n, node.incarnation, settings.cold_start);
                     return self.schedule_after(self.plan.disk_creation_step, making);
                 }
@@ -167,7 +167,7 @@
                 control_plane::Effect::Persist(put) => {
                     self.snapshot_written(n, &put);
                     let (incarnation, sync) = (self.cores[n].incarnation, self.plan.sync);
-                    let takes = sync + faults::size(&put) as f64 / self.plan.disk_rate;
+                    let takes = sync + faults::snapshot_bytes(&put) as f64 / self.plan.disk_rate;
                     let disk = &mut self.cores[n].disk;
                     let number = put.sequence;
                     disk.writing.push(put);
@@ -184,11 +184,11 @@
         if node.incarnation != incarnation || node.core.is_none() {
             return;
         }
-        if let Some(until) = node.disk.hangs(now) {
+        if let Some(until) = node.disk.blocked_until(now) {
             let at = until + self.plan.sync;
             return self.schedule_at(at, SimulationEvent::DiskDone(n, incarnation, put));
         }
-        node.disk.land(put);
+        node.disk.sync_up_to(put);
         self.core_event(n, control_plane::Event::Persisted(put));
     }
 
--- a/crates/simulation/src/operators.rs
+++ b/crates/simulation/src/operators.rs
@@ -1,26 +1,25 @@
-//! Concurrent operators: how much they do, the changes that they sent, and what they heard. They know only what comes back
-//! on their sockets.
+//! Concurrent operators: their load, the changes that they sent and the responses that they received. Operators know only
+//! what arrives on their connections.
 
 use crate::history::{Held, Read};
 use whinstall_gateway::configuration::{parse_change, ConfigItem};
 
-/// How much operators do.
+/// The load that the concurrent operators generate.
 #[derive(Clone, Debug)]
 pub struct OperatorLoad {
     /// How many operators there are.
     pub operators: usize,
-    /// Orders that one has under way at once.
+    /// Number of changes that one operator has in flight at once.
     pub at_once: usize,
-    /// Orders in all, conflicting changes not counted.
+    /// Total number of changes, conflicting changes not counted.
     pub orders: usize,
     /// When the first changes are sent.
     pub from: f64,
     /// No change is sent after this time.
     pub until: f64,
-    /// Seconds between an answer and the next order, at the most.
+    /// Maximum seconds between a response and the operator's next change.
     pub pause: f64,
-    /// Parts of the orders: with a conflicting change of other content, whose answer is lost, sent again when confirmed, invalid,
-    /// with a key that another order gives to another tenant.
+    /// Fraction of the changes that get a conflicting change with the same version and other content.
     pub twin_fraction: f64,
     /// Fraction of the responses that are lost on their way.
     pub lost_fraction: f64,
@@ -30,15 +29,15 @@
     pub invalid_fraction: f64,
     /// Fraction of the changes whose key another change gives to another tenant.
     pub shared_key_fraction: f64,
-    /// Part of the orders that are under way at two machines from the start.
+    /// Fraction of the changes that are sent to two core nodes at once.
     pub duplicate_fraction: f64,
     /// How many registers the changes write.
     pub labels: usize,
-    /// Seconds between two reads of one operator; 0: none but the last.
+    /// Seconds between two reads of one operator; 0 means only the final read.
     pub reads: f64,
-    /// Operators have learned which machines run, and call those first.
+    /// Whether operators know which core nodes run and call those first.
     pub learned: bool,
-    /// Bytes that a proper order's first item has besides.
+    /// Bytes of an additional field in the first item of a valid change.
     pub note: usize,
 }
 
@@ -68,15 +67,15 @@
 /// What a core node should make of a change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ChangeValidity {
-    /// It is valid, and is confirmed unless a rival was.
+    /// Valid: confirmed unless its rival was.
     Proper,
-    /// Names a service that is nowhere.
+    /// Names a service that does not exist.
     Invalid,
-    /// Proper by itself; its key goes to another tenant by its rival.
+    /// Valid by itself, but its rival gives the same key to another tenant.
     SharedKey,
 }
 
-/// An order, and what was heard of it.
+/// A change that was sent, and the responses to it.
 #[derive(Clone, Debug)]
 pub struct SentChange {
     /// The operator that sent it.
@@ -85,42 +84,42 @@
     pub validity: ChangeValidity,
     /// The registers that it writes.
     pub labels: Vec<usize>,
-    /// Its version.
+    /// The version of its items.
     pub version: u64,
-    /// Differs from that of all other orders.
+    /// The content of its items, unique among all changes.
     pub content: u64,
-    /// Its items.
+    /// The items that it writes.
     pub items: Vec<ConfigItem>,
     /// When it was first sent.
     pub began: f64,
-    /// When a 200 first left a core node.
+    /// When a core node first sent a 200.
     pub accepted_at: Option<f64>,
-    /// When its operator first heard a 200.
+    /// When its operator first received a 200.
     pub confirmed_at: Option<f64>,
-    /// When a core node first refused it.
+    /// When a core node first rejected it, and with which status.
     pub rejected: Option<(f64, u16)>,
-    /// The other one under the same number, or with the same key.
+    /// The other change with the same version or the same key.
     pub rival: Option<usize>,
-    /// Was no answer heard yet?
+    /// Whether its operator has received no definite response yet.
     pub open: bool,
-    /// Whether its operator stopped asking.
+    /// Whether its operator stopped retrying.
     pub given_up: bool,
     pub(crate) attempts: u32,
 }
 
 impl SentChange {
-    /// Did no clear answer leave the core yet? One that is lost on its way counts as an answer.
+    /// Whether the core sent no definite response yet. A response that is lost on the network counts as sent.
     pub fn unanswered(&self) -> bool {
         self.accepted_at.is_none() && self.rejected.is_none() && !self.given_up
     }
 }
 
-/// What an operator is to do.
+/// The next action of an operator.
 #[derive(Clone, Debug)]
 pub enum OperatorStep {
     /// This operator sends its next change.
     Next(usize),
-    /// This change is sent once more.
+    /// This change is sent again.
     Again(usize),
     /// This operator reads.
     Read(usize),
@@ -135,13 +134,13 @@
     pub reads: Vec<Read>,
     /// Whether an operator read after the last change.
     pub read_at_end: bool,
-    /// What answers to reads on their way say, by call.
+    /// Contents of responses to reads that are in transit, by call.
     pub heard: std::collections::HashMap<u64, Vec<Held>>,
-    /// Orders without a clear answer.
+    /// Changes without a definite response.
     pub waiting: Vec<usize>,
     pub(crate) version: u64,
     pub(crate) issued: usize,
-    /// How many answers to changes left the core.
+    /// Number of responses to changes that the core sent.
     pub answers: u64,
 }
 
@@ -186,7 +185,7 @@
     parse_change(body.to_string().as_bytes()).expect("a readable call")
 }
 
-/// The registers that a read tells, by label; contents from the prefixes.
+/// The registers that a read returned, by label. The content is encoded in the path prefix.
 pub fn registers(labels: usize, body: &serde_json::Value) -> Vec<Held> {
     let list = &body["route_set"];
     let at = |name: &str| list["columns"].as_array().and_then(|c| c.iter().position(|c| c == name));
@@ -203,7 +202,7 @@
     held
 }
 
-/// The content that a prefix stands for.
+/// The content that is encoded in a path prefix.
 pub fn content(prefix: &str) -> Option<u64> {
     prefix.trim_end_matches('/').rsplit('/').next()?.parse().ok()
 }
--- a/crates/simulation/src/partitions.rs
+++ b/crates/simulation/src/partitions.rs
@@ -36,7 +36,7 @@
 }
 
 impl Partition {
-    /// These core nodes with a edge node, two workers and an operator on their side.
+    /// These core nodes with an edge node, two workers and an operator on their side.
     pub fn side(
         cores: &[usize],
         edges: &[usize],
--- a/crates/simulation/src/repair_times.rs
+++ b/crates/simulation/src/repair_times.rs
@@ -53,7 +53,7 @@
             (0..self.cores.len()).filter(|m| self.cores[*m].listed && self.cores[*m].core.is_none()).count();
         let many = 1 + down > self.plan.losses;
         // Full as well as slow: what a disk takes no bytes of can't be held, whatever is restarted on it.
-        let hangs = self.cores[n].disk.hangs(self.now).is_some();
+        let hangs = self.cores[n].disk.blocked_until(self.now).is_some();
         if most.is_none() || many || self.cores[n].frozen || hangs {
             (repair.since, repair.target) = (self.now, self.committed());
         }
--- a/crates/simulation/src/severe_faults.rs
+++ b/crates/simulation/src/severe_faults.rs
@@ -1,5 +1,5 @@
-//! The operators' worst days: partitions between sides, replaced nodes, restarts beside a partitioned node, slow and full
-//! disks. Steps of the wall clock are not among them, because no state machine reads it.
+//! Severe faults: partitions between groups, replaced nodes, restarts next to a partitioned node, slow and full disks.
+//! Steps of the wall clock are not simulated, because no state machine reads it.
 
 use super::faults::Fault;
 use super::network::NodeRef;
@@ -9,66 +9,68 @@
 use super::{SimulationEvent, World};
 use whinstall_gateway::control_plane;
 
-/// A fault of the operators' worst days.
+/// A fault that combines several failures or waits for a condition.
 ///
-/// Fields that recur: `secs` is how long it lasts, `down` after how many seconds a process comes back and `later` after how
-/// many a successor starts; `power` means that unsynced writes may be lost, `wipe` that disks are lost, `seeds` are the
+/// Fields that recur: `secs` is the duration in seconds, `down` the number of seconds until a process restarts, `later` the
+/// number until a successor starts; `power` means that unsynced writes may be lost, `wipe` that disks are lost, `seeds` are the
 /// nodes in the new `seed_list`, `part` is a fraction.
 #[allow(missing_docs)] // The fields are explained above.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SevereFault {
     /// A partition between these sides.
     Partition { cut: Partition, secs: f64 },
-    /// Cut off is whichever core node answered last as the counter, with some of the others' callers.
+    /// The core node that last responded as the quota leader is partitioned, with these callers on its side.
     PartitionQuotaLeader { edges: Vec<usize>, workers: Vec<usize>, operators: Vec<usize>, secs: f64 },
-    /// The same, from all others or from the next core node only, one way or both.
+    /// The quota leader is partitioned from all others, or with `pair` from the next core node only.
     PartitionLeader { way: Direction, pair: bool, secs: f64 },
-    /// Killed, back with a `seed_list` of these.
+    /// A core node is killed and restarts with `seeds` as its `seed_list`.
     RestartCore { core: usize, down: f64, power: bool, wipe: bool, seeds: Vec<usize> },
-    /// The same for an edge node.
+    /// An edge node is killed and restarts with `seeds` as its `seed_list`.
     RestartEdge { edge: usize, down: f64, seeds: Vec<usize> },
-    /// SIGTERM, gone within a second; a successor with an empty disk at a new address starts so much later.
+    /// A core node gets SIGTERM and ends within a second; a successor with an empty disk at a new address starts `later`
+    /// seconds after the signal.
     ReplaceCore { core: usize, later: f64 },
-    /// The same for whichever answered last as the counter.
+    /// `ReplaceCore` for the core node that last responded as the quota leader.
     ReplaceQuotaLeader { later: f64 },
-    /// A spare at a new address.
+    /// A core node with an empty disk starts at a new address.
     AddCore,
-    /// SIGTERM, gone within a second, for good.
+    /// A core node gets SIGTERM, ends within a second and never returns.
     RemoveCore { core: usize },
-    /// The same for whichever answered last as the counter.
+    /// `RemoveCore` for the core node that last responded as the quota leader.
     RemoveQuotaLeader,
-    /// Loses power with its disk for good: no successor.
+    /// A core node loses power and its disk for good and gets no successor.
     LoseCore { core: usize },
-    /// Syncs take so long for a while.
+    /// Each sync of a core node's disk takes `each` seconds, for `secs` seconds.
     SlowDisk { core: usize, each: f64, secs: f64 },
-    /// As `Blackout`, right after the next order is confirmed, at times with the disk of the machine that confirmed it.
+    /// `Blackout` right after the next change is confirmed; one disk is lost, at least half of the time that of
+    /// the node that confirmed the change.
     BlackoutAfterAck { down: f64, edges: bool },
-    /// Some lose power at a moment of the next snapshot.
+    /// Nodes lose power at a stage of a snapshot.
     AtSnapshot(SnapshotCrash),
-    /// The machine that confirms the next order loses power right after, and `more` others; its disk, too, if `wipe`.
+    /// The core node that confirms the next change and `more` others lose power right after, with their disks if `wipe`.
     CrashAfterAck { down: f64, wipe: bool, more: usize },
-    /// SIGTERM, gone within a second, back with its disk so much later.
+    /// A core node gets SIGTERM, ends within a second and restarts with its disk `down` seconds later.
     RestartGracefully { core: usize, down: f64 },
-    /// Loses power with its disk for good; a successor at a new address starts so much later.
+    /// A core node loses power and its disk for good; a successor at a new address starts `later` seconds after.
     LoseAndReplaceCore { core: usize, later: f64 },
-    /// The settings of these name other seeds; read while they run.
+    /// Running nodes reload settings that name other seeds.
     ReloadSettings { who: Vec<NodeRef>, seeds: Vec<usize> },
-    /// A part of the answers to operators is lost for a while.
+    /// The fraction `part` of the responses to operators is lost for `secs` seconds.
     LoseResponses { part: f64, secs: f64 },
-    /// A part of a machine's connections are reset.
+    /// The fraction `part` of a node's connections is reset.
     ResetConnections { who: NodeRef, part: f64 },
-    /// Gets a fifth of its time for a while.
+    /// A core node runs only a fifth of the time for `secs` seconds.
     Throttle { core: usize, secs: f64 },
-    /// The disk takes no more bytes for a while, whatever is restarted.
+    /// A core node's disk is full for `secs` seconds, also across restarts of the process.
     DiskFull { core: usize, secs: f64 },
-    /// This, at whichever core node answered last as the counter.
+    /// Another fault, redirected to the core node that last responded as the quota leader.
     AtQuotaLeader(Box<Fault>),
-    /// All core nodes lose power, and all edge nodes if `edges`; some disks are lost.
+    /// All core nodes lose power, and all edge nodes if `edges`; the disks of the core nodes in `wipe` are lost.
     Blackout { down: f64, wipe: Vec<usize>, edges: bool },
 }
 
 impl Fault {
-    /// The same at this core node.
+    /// Redirects the fault to the core node `at`; faults without a target stay as they are.
     fn at(mut self, at: usize) -> Self {
         match &mut self {
             Fault::KillCore { core, .. }
@@ -107,7 +109,7 @@
         self.mark_core_disturbed();
     }
 
-    /// Injects a fault of the operators' worst days.
+    /// Injects a severe fault now, and schedules its end.
     pub fn inject_severe_fault(&mut self, severe: SevereFault) {
         match severe {
             SevereFault::Partition { cut, secs } => self.cut(cut, secs),
--- a/crates/simulation/src/snapshot_crashes.rs
+++ b/crates/simulation/src/snapshot_crashes.rs
@@ -1,49 +1,48 @@
-//! Crashes that wait for a moment: a stage of a snapshot, or the confirmation of a change.
+//! Crashes that are triggered by an event: a stage of a snapshot, or the confirmation of a change.
 
 use super::faults::Fault;
 use super::network::NodeRef;
 use super::severe_faults::SevereFault;
 use super::{SimulationEvent, World};
 
-/// What happens to a snapshot.
+/// A stage in the processing of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SnapshotStage {
-    /// A part of it is on its way to a machine's disk, ahead of it.
+    /// A chunk is being written to a disk before the snapshot is committed.
     ChunkWritten,
-    /// It is itself, and the log is cut with it.
+    /// The snapshot is being committed and the log is compacted up to it.
     LogCompacted,
-    /// A piece of it is on its way to another machine.
+    /// A chunk is in transit to another core node.
     ChunkSent,
 }
 
-/// Who loses power then.
+/// The core nodes that lose power.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CrashTarget {
-    /// Whose snapshot it is, or whose disk: that machine.
+    /// The node that sends the snapshot or writes it to its disk.
     Owner,
-    /// To whom it is sent.
+    /// The node that receives the snapshot.
     Receiver,
-    /// The whole core.
+    /// All core nodes.
     All,
 }
 
-/// A loss of power at a moment of a snapshot.
+/// A loss of power at a stage of a snapshot.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SnapshotCrash {
-    /// The stage at which it comes.
+    /// The stage that triggers the crash.
     pub stage: SnapshotStage,
-    /// The so-manieth time that it comes, from now.
+    /// Which occurrence of the stage triggers the crash, counted from 1.
     pub nth: usize,
     /// Who loses power.
     pub target: CrashTarget,
-    /// f64,
-    /// How long those stay down, in seconds.
+    /// Seconds until the crashed nodes restart.
     pub down: f64,
-    /// Once those are back, `resync_bound` later, the next machine loses its disk.
+    /// Whether the next core node loses its disk `resync_bound` after the restart.
     pub wipe_next: bool,
 }
 
-/// What waits for an order to be confirmed.
+/// A crash that is triggered by the confirmation of a change.
 #[allow(missing_docs)] // The fields are as in SevereFault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PendingCrash {
@@ -54,7 +53,7 @@
 }
 
 impl World {
-    /// Something of a snapshot goes to a disk.
+    /// Detects the snapshot stages in a write batch that goes to a disk.
     pub fn snapshot_written(&mut self, n: usize, put: &whinstall_gateway::storage::WriteBatch) {
         let cut = put
             .log_writes
@@ -68,7 +67,7 @@
         self.snapshot_stage_reached(stage, n, n);
     }
 
-    /// Something is said on a connection: a piece of a snapshot?
+    /// Detects a snapshot chunk among the messages sent on a connection.
     pub fn snapshot_chunk_sent(
         &mut self,
         key: super::network::LinkKey,
@@ -97,7 +96,7 @@
         self.invariants.pending_snapshot_crashes = waiting;
         let Some(SnapshotCrash { target, down, wipe_next, .. }) = due else { return };
         self.invariants.snapshot_crashes += 1;
-        // Somewhere in the write, or on the way.
+        // The crash comes at a random point during the write or the transfer.
         let late = 0.01 * self.rng.f64();
         let core = if target == CrashTarget::Receiver { receiver } else { owner };
         let lost = match target {
@@ -114,18 +113,18 @@
         }
     }
 
-    pub(crate) fn arm_crash(&mut self, trap: PendingCrash) {
-        self.invariants.armed_crash = Some((self.now + 2.5, trap));
+    pub(crate) fn arm_crash(&mut self, crash: PendingCrash) {
+        self.invariants.armed_crash = Some((self.now + 2.5, crash));
     }
 
-    /// An order is confirmed: was a fault waiting for that?
+    /// Triggers the armed crash, if any, after a core node confirmed a change.
     pub fn change_acknowledged(&mut self, core: usize) {
-        let Some((until, trap)) = self.invariants.armed_crash.take() else { return };
+        let Some((until, crash)) = self.invariants.armed_crash.take() else { return };
         let listed = self.listed_cores();
         if self.now > until || !listed.contains(&core) {
             return;
         }
-        let (down, edges) = match trap {
+        let (down, edges) = match crash {
             PendingCrash::Blackout { down, edges } => (down, edges),
             PendingCrash::Hit { down, wipe, more } => {
                 let others = listed.into_iter().filter(|n| *n != core).take(more);
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -235,8 +235,8 @@
                 SimulationEvent::Fault(fault) => self.inject_fault(fault),
                 SimulationEvent::Repair(fault) => self.end_fault(fault),
                 SimulationEvent::Boot(who) => self.boot(who),
-                SimulationEvent::CreatingDisk(n, incarnation, told) => {
-                    self.advance_disk_creation(n, incarnation, told)
+                SimulationEvent::CreatingDisk(n, incarnation, cold_start) => {
+                    self.advance_disk_creation(n, incarnation, cold_start)
                 }
                 SimulationEvent::InvariantCheck => self.check_invariants(),
                 SimulationEvent::OperatorTurn(turn) => self.operator_turn(turn),
--- a/crates/simulation/tests/scenarios/bootstrap.rs
+++ b/crates/simulation/tests/scenarios/bootstrap.rs
@@ -80,7 +80,7 @@
     });
 }
 
-/// Guards a edge node that connects before the core knows that it has heard of every worker, where a service that a route
+/// Guards an edge node that connects before the core knows that it has heard of every worker, where a service that a route
 /// names has none: it has to hear later that nothing is lacking.
 #[gtest]
 fn edge_is_ready_when_a_service_has_no_worker() {
--- a/crates/simulation/tests/scenarios/long_days.rs
+++ b/crates/simulation/tests/scenarios/long_days.rs
@@ -135,7 +135,7 @@
                 )
             }
             3 => {
-                // Restarted in the middle of its cut, with a edge node beside it.
+                // Restarted in the middle of its cut, with an edge node beside it.
                 let seeds = vec![core];
                 let edge_seeds = seeds.clone();
                 days.push(severe(at + 3.0, SevereFault::RestartCore { core, down: 0.5, power, wipe, seeds }));
--- a/crates/simulation/tests/scenarios/misbehaving_core.rs
+++ b/crates/simulation/tests/scenarios/misbehaving_core.rs
@@ -63,5 +63,5 @@
 fn monitor_detects_rejections_by_a_partitioned_leader() {
     let (plan, days) = (busy_plan(0.5), leader_partitioned());
     expect_that!(violation_kinds(None, &plan, &days), is_empty());
-    expect_that!(violation_kinds(Some(Misbehaviour::LeaderRefuses), &plan, &days), contains(eq("APART")));
+    expect_that!(violation_kinds(Some(Misbehaviour::LeaderRefuses), &plan, &days), contains(eq("ISOLATED")));
 }
--- a/crates/simulation/tests/scenarios/partitions.rs
+++ b/crates/simulation/tests/scenarios/partitions.rs
@@ -76,7 +76,7 @@
     });
 }
 
-/// A edge node's seeds begin with the one that is cut off, and it reaches only that one.
+/// An edge node's seeds begin with the one that is cut off, and it reaches only that one.
 fn edge_beside_partitioned_core(seed: u64, unlimited: bool) -> (DeploymentPlan, Vec<(f64, Fault)>) {
     let core = seed as usize % 3;
     let seeds = vec![core, (core + 1) % 3, (core + 2) % 3];
--- a/crates/simulation/tests/scenarios/quota_counter.rs
+++ b/crates/simulation/tests/scenarios/quota_counter.rs
@@ -21,7 +21,7 @@
         let mut at = from;
         while at < to {
             for key in ["key-big", "key-free"] {
-                // What the counter owes is that it denies nothing. A edge node's decision module may still refuse some (503):
+                // What the counter owes is that it denies nothing. An edge node's decision module may still refuse some (503):
                 // seeds 5081 and 5088 of the last scenario had three such of twenty in a second, and no 429.
                 let denied = world.auditor.rate_limited_fraction(at, at + 1.0, key);
                 expect_that!(denied, le(0.05), "{key} of world {n} from {at} on");
--- a/crates/simulation/tests/scenarios/worst_days.rs
+++ b/crates/simulation/tests/scenarios/worst_days.rs
@@ -69,7 +69,7 @@
                 self.add(0.0, SevereFault::PartitionQuotaLeader { edges, workers, operators, secs: long });
             }
             3 => {
-                // Restarted in the middle of its cut, with a edge node beside it that knows no other.
+                // Restarted in the middle of its cut, with an edge node beside it that knows no other.
                 self.add(0.0, cut(long));
                 self.add(2.0, restart(core, wipe, secs.min(2.0)));
                 self.add(3.0, SevereFault::RestartEdge { edge, down: 0.5, seeds: vec![core] });
