--- a/crates/simulation/src/auditor.rs
+++ b/crates/simulation/src/auditor.rs
@@ -25,7 +25,7 @@
 
 /// Checks what workers, clients and operators see, and records each violation as a line of text.
 pub struct Auditor {
-    asked: Vec<AuditedRequest>,
+    requests: Vec<AuditedRequest>,
     quotas: HashMap<&'static str, f64>,
     /// Start times of request executions at workers, by the tenant's key.
     runs: HashMap<&'static str, Vec<f64>>,
@@ -51,7 +51,7 @@
     /// An auditor that knows the tenants' quotas from the plan.
     pub fn new(plan: &DeploymentPlan) -> Self {
         Auditor {
-            asked: Vec::new(),
+            requests: Vec::new(),
             quotas: HashMap::from([("key-big", plan.quota), ("key-small", 6.0)]),
             runs: HashMap::new(),
             retries: HashMap::new(),
@@ -68,13 +68,13 @@
 
     /// Records a client's request and returns its number.
     pub fn request_sent(&mut self, at: f64, _: usize, _: u64, key: &'static str, path: &'static str) -> u64 {
-        self.asked.push(AuditedRequest { at, key, path, runs: 0, answer: None, arrivals: 0 });
-        self.asked.len() as u64 - 1
+        self.requests.push(AuditedRequest { at, key, path, runs: 0, answer: None, arrivals: 0 });
+        self.requests.len() as u64 - 1
     }
 
     /// Records that an edge node found no route or no tenant for this request.
     pub fn request_unroutable(&mut self, request: u64) {
-        self.asked[request as usize].answer = Some(404);
+        self.requests[request as usize].answer = Some(404);
     }
 
     /// Forgets an incarnation of an edge node that ended.
@@ -113,7 +113,7 @@
     /// Records that an attempt reached a worker. DRAIN: no attempt arrives more than `DRAIN_BOUND_SECS` after the worker's
     /// drain was acknowledged, unless the edge node is out of contact with the core.
     pub fn attempt_arrived(&mut self, now: f64, hit: &WorkerAttempt, worker: &str, in_touch: bool) {
-        let asked = &mut self.asked[hit.request as usize];
+        let asked = &mut self.requests[hit.request as usize];
         asked.arrivals += 1;
         if asked.arrivals > 1 {
             self.retries.entry(asked.path).or_default().push(now);
@@ -130,7 +130,7 @@
     /// Records that a worker started a request. TWICE: a request with effects runs at most once. REFUSED: none runs after
     /// a 429 or 503 response. CONFIG: the service is one that the configuration allowed.
     pub fn attempt_started(&mut self, now: f64, hit: &WorkerAttempt, service: &str, calm: bool) {
-        let asked = &mut self.asked[hit.request as usize];
+        let asked = &mut self.requests[hit.request as usize];
         asked.runs += 1;
         let effectful = asked.path != "/read/x";
         if effectful && asked.runs > 1 {
@@ -176,7 +176,7 @@
     /// Counts requests by the status of their response; status 0 stands for requests without a response.
     pub fn statuses(&self) -> BTreeMap<u16, u64> {
         let mut all = BTreeMap::new();
-        for asked in &self.asked {
+        for asked in &self.requests {
             *all.entry(asked.answer.unwrap_or(0)).or_default() += 1;
         }
         all
@@ -184,7 +184,7 @@
 
     /// Number of items acknowledged to the primary operator, and number of request executions at workers.
     pub fn counts(&self) -> (usize, u64) {
-        (self.acknowledged_items.len(), self.asked.iter().map(|a| u64::from(a.runs)).sum())
+        (self.acknowledged_items.len(), self.requests.iter().map(|a| u64::from(a.runs)).sum())
     }
 
     /// Records an edge node's response to a request. A request gets one response, within its time limit, and none that ran
@@ -194,9 +194,9 @@
         now: f64,
         request: u64,
         answer: &FinalResponse,
-        ran_all_the_while: bool,
+        edge_ran_throughout: bool,
     ) {
-        let asked = &mut self.asked[request as usize];
+        let asked = &mut self.requests[request as usize];
         let status = match answer {
             FinalResponse::Upstream(_) => 200,
             FinalResponse::RateLimited(_) => 429,
@@ -210,7 +210,7 @@
         if asked.path != "/read/x" && asked.runs > 0 && matches!(status, 429 | 503) {
             self.violations.push(format!("REFUSED {now:.3}: request {request} has run and gets {status}"));
         }
-        if ran_all_the_while && now - asked.at > 1.05 {
+        if edge_ran_throughout && now - asked.at > 1.05 {
             self.violations.push(format!(
                 "{now:.3}: request {request} is answered after {:.3} s, limit 1.05 s",
                 now - asked.at
@@ -230,14 +230,14 @@
 
     /// Fraction of a tenant's requests between two times that the quota rejected (429).
     pub fn rate_limited_fraction(&self, from: f64, to: f64, key: &str) -> f64 {
-        let all = self.asked.iter().filter(|a| a.at >= from && a.at < to && a.key == key);
+        let all = self.requests.iter().filter(|a| a.at >= from && a.at < to && a.key == key);
         let (no, all) = all.fold((0, 0), |(no, all), a| (no + u32::from(a.answer == Some(429)), all + 1));
         f64::from(no) / f64::from(all.max(1))
     }
 
     /// Fraction of a tenant's requests between two times that were served (200).
     pub fn served_fraction(&self, from: f64, to: f64, key: &str) -> f64 {
-        let all = self.asked.iter().filter(|a| a.at >= from && a.at < to && a.key == key);
+        let all = self.requests.iter().filter(|a| a.at >= from && a.at < to && a.key == key);
         let (ok, all) = all.fold((0, 0), |(ok, all), a| (ok + u32::from(a.answer == Some(200)), all + 1));
         f64::from(ok) / f64::from(all.max(1))
     }
@@ -245,18 +245,18 @@
     /// Fraction served among the requests that a single token bucket with the tenant's quota admits.
     pub fn served_fraction_within_quota(&self, from: f64, to: f64, key: &str) -> f64 {
         let quota = self.quotas.get(key).copied().unwrap_or(f64::INFINITY);
-        let (mut bucket, mut last, mut ok, mut owed) = (quota, 0.0, 0, 0);
-        for asked in self.asked.iter().filter(|a| a.key == key) {
+        let (mut bucket, mut last, mut ok, mut admitted) = (quota, 0.0, 0, 0);
+        for asked in self.requests.iter().filter(|a| a.key == key) {
             bucket = (bucket + quota * (asked.at - last)).min(quota);
             last = asked.at;
             let passes = bucket >= 1.0;
             bucket -= f64::from(u8::from(passes));
             if asked.at >= from && asked.at < to {
-                owed += u32::from(passes);
+                admitted += u32::from(passes);
                 ok += u32::from(asked.answer == Some(200));
             }
         }
-        f64::from(ok) / f64::from(owed.max(1))
+        f64::from(ok) / f64::from(admitted.max(1))
     }
 
     /// Highest number of requests that ran in any quota horizon, as a fraction of the allowed number, over all tenants.
@@ -284,10 +284,11 @@
             for at in retries {
                 let within = |t: f64| t >= *at && t < at + RETRY_WINDOW_SECS;
                 let count = retries.iter().filter(|t| within(**t)).count() as f64;
-                let asked = self.asked.iter().filter(|a| a.path == *path && within(a.at)).count() as f64;
+                let asked = self.requests.iter().filter(|a| a.path == *path && within(a.at)).count() as f64;
                 if count > 0.2 * asked + 62.0 {
-                    self.violations
-                        .push(format!("BUDGET {at:.3}: {count} retries in {RETRY_WINDOW_SECS} s for {asked} requests on {path}"));
+                    self.violations.push(format!(
+                        "BUDGET {at:.3}: {count} retries in {RETRY_WINDOW_SECS} s for {asked} requests on {path}"
+                    ));
                     break;
                 }
             }
--- a/crates/simulation/tests/scenarios/bootstrap.rs
+++ b/crates/simulation/tests/scenarios/bootstrap.rs
@@ -45,7 +45,7 @@
 }
 
 /// Seconds per step in the creation of a disk.
-const MAKING: f64 = 0.025;
+const DISK_STEP_SECS: f64 = 0.025;
 
 /// Kills core nodes, or cuts their power, at least `from` seconds after their start. Their restarts are no longer marked as
 /// part of the bootstrap.
@@ -66,8 +66,16 @@
         rng.shuffle(&mut hit);
         // One, two or all nodes stop. The bootstrap marker is synced by the time it must survive a loss of power.
         hit.truncate([1, 2, cores][seed as usize / 6 % 3]);
-        let days = stopped(rng, &hit, 2.0 * MAKING + 0.001);
-        (DeploymentPlan { disk_creation_step: MAKING, start_spread: 0.0, length: 24.0, ..plan(cores) }, days)
+        let days = stopped(rng, &hit, 2.0 * DISK_STEP_SECS + 0.001);
+        (
+            DeploymentPlan {
+                disk_creation_step: DISK_STEP_SECS,
+                start_spread: 0.0,
+                length: 24.0,
+                ..plan(cores)
+            },
+            days,
+        )
     });
 }
 
@@ -77,7 +85,15 @@
         let cores = 3 + seed as usize % 4;
         let hit = rng.usize(0..3);
         let days = stopped(rng, &[hit], 0.0);
-        (DeploymentPlan { disk_creation_step: MAKING, start_spread: 0.0, length: 24.0, ..plan(cores) }, days)
+        (
+            DeploymentPlan {
+                disk_creation_step: DISK_STEP_SECS,
+                start_spread: 0.0,
+                length: 24.0,
+                ..plan(cores)
+            },
+            days,
+        )
     });
 }
 
--- a/crates/simulation/tests/scenarios/core_repair.rs
+++ b/crates/simulation/tests/scenarios/core_repair.rs
@@ -7,7 +7,7 @@
 use whinstall_simulation::{DeploymentPlan, SimulationEvent, World};
 
 /// The setting `resync_bound`, in seconds.
-const RESYNC: f64 = 4.0;
+const RESYNC_SECS: f64 = 4.0;
 
 fn plan(cores: usize, losses: usize) -> DeploymentPlan {
     DeploymentPlan { length: 32.0, ..control(cores, losses) }
@@ -26,7 +26,7 @@
     trial(13_000..13_009, |seed, rng| {
         let first = seed as usize % 3;
         let down = 0.5 + rng.f64();
-        let each = down + RESYNC + 0.1;
+        let each = down + RESYNC_SECS + 0.1;
         let lost = |n: usize| wiped(6.0 + n as f64 * each, (first + n) % 3, down);
         (plan(3, 1), (0..4).map(lost).collect())
     });
@@ -37,7 +37,7 @@
     trial(13_100..13_109, |seed, rng| {
         let first = seed as usize % 3;
         let down = 0.5 + rng.f64();
-        let dark = blackout(6.0 + down + RESYNC + 0.1, &[(first + 1 + rng.usize(0..2)) % 3], rng.bool());
+        let dark = blackout(6.0 + down + RESYNC_SECS + 0.1, &[(first + 1 + rng.usize(0..2)) % 3], rng.bool());
         (plan(3, 1), vec![wiped(6.0, first, down), dark])
     });
 }
@@ -47,7 +47,7 @@
     trial(13_200..13_209, |seed, rng| {
         let first = seed as usize % 3;
         let later = 2.0 * rng.f64();
-        let after = 6.0 + later + RESYNC + 0.1;
+        let after = 6.0 + later + RESYNC_SECS + 0.1;
         (plan(3, 1), vec![replace(6.0, first, later), wiped(after, (first + 1) % 3, 1.0)])
     });
 }
@@ -56,7 +56,7 @@
 fn all_three_cores_replaced_in_turn_then_one_lost() {
     trial(13_300..13_306, |_, rng| {
         let later = 1.5 * rng.f64();
-        let each = later + RESYNC + 0.1;
+        let each = later + RESYNC_SECS + 0.1;
         let mut days: Vec<_> = (0..3).map(|n| replace(6.0 + n as f64 * each, n, later)).collect();
         days.push(severe(6.0 + 3.0 * each, SevereFault::LoseCore { core: 3 + rng.usize(0..3) }));
         (DeploymentPlan { length: 40.0, ..plan(3, 1) }, days)
@@ -69,7 +69,7 @@
         let (one, later) = (rng.usize(0..5), 1.0 + rng.f64());
         let other = (one + 1 + rng.usize(0..4)) % 5;
         let kept: Vec<usize> = (0..5).filter(|n| *n != one && *n != other).collect();
-        let (gap, after) = (1.5 * rng.f64(), 6.0 + 1.5 + 2.0 + RESYNC + 0.2);
+        let (gap, after) = (1.5 * rng.f64(), 6.0 + 1.5 + 2.0 + RESYNC_SECS + 0.2);
         let dark = blackout(after, &[kept[rng.usize(0..3)], 5], false);
         (plan(5, 2), vec![replace(6.0, one, later), replace(6.0 + gap, other, later), dark])
     });
@@ -81,9 +81,12 @@
         let core = seed as usize % 3;
         let days = vec![
             severe(6.0, SevereFault::AddCore),
-            severe(6.5 + RESYNC, SevereFault::RemoveCore { core }),
-            severe(11.7 + RESYNC, SevereFault::LoseCore { core: (core + 1) % 3 }),
-            (16.5 + RESYNC, Fault::KillCore { core: 3, down: 0.5 + rng.f64(), power: false, wipe: false }),
+            severe(6.5 + RESYNC_SECS, SevereFault::RemoveCore { core }),
+            severe(11.7 + RESYNC_SECS, SevereFault::LoseCore { core: (core + 1) % 3 }),
+            (
+                16.5 + RESYNC_SECS,
+                Fault::KillCore { core: 3, down: 0.5 + rng.f64(), power: false, wipe: false },
+            ),
         ];
         (plan(3, 1), days)
     });
@@ -96,8 +99,8 @@
         let away = seed as usize % 3;
         let days = vec![
             (5.0, Fault::KillCore { core: away, down: 6.0, power: false, wipe: false }),
-            replace(11.0 + RESYNC + 0.1, (away + 1) % 3, 0.5 * rng.f64()),
-            wiped(16.0 + 2.0 * RESYNC, (away + 2) % 3, 1.0),
+            replace(11.0 + RESYNC_SECS + 0.1, (away + 1) % 3, 0.5 * rng.f64()),
+            wiped(16.0 + 2.0 * RESYNC_SECS, (away + 2) % 3, 1.0),
         ];
         (DeploymentPlan { length: 36.0, ..plan(3, 1) }, days)
     });
@@ -108,7 +111,7 @@
     // All nodes lose power, one also its disk, while changes are in flight; soon after, this happens again.
     trial(13_700..13_709, |seed, rng| {
         let first = seed as usize % 3;
-        let second = 6.0 + 1.2 + RESYNC + 0.1;
+        let second = 6.0 + 1.2 + RESYNC_SECS + 0.1;
         (plan(3, 1), vec![blackout(6.0, &[first], false), blackout(second, &[rng.usize(0..3)], true)])
     });
 }
@@ -119,8 +122,11 @@
         let leaves = |at, rng: &mut fastrand::Rng| {
             severe(at, SevereFault::ReplaceQuotaLeader { later: 0.8 * rng.f64() })
         };
-        let days =
-            vec![leaves(6.0, rng), leaves(6.8 + RESYNC + 0.1, rng), wiped(17.0, 3 + rng.usize(0..2), 1.0)];
+        let days = vec![
+            leaves(6.0, rng),
+            leaves(6.8 + RESYNC_SECS + 0.1, rng),
+            wiped(17.0, 3 + rng.usize(0..2), 1.0),
+        ];
         (plan(3, 1), days)
     });
 }
@@ -138,12 +144,12 @@
 
 /// A core node loses power while its disk is full, and restarts on the full disk.
 fn started_on_a_full_disk(core: usize) -> FaultSchedule {
-    let full = SevereFault::DiskFull { core, secs: FULL };
+    let full = SevereFault::DiskFull { core, secs: FULL_SECS };
     vec![severe(6.0, full), (6.6, Fault::KillCore { core, down: 0.5, power: true, wipe: false })]
 }
 
 /// Seconds for which the disk is full, longer than a repair may take.
-const FULL: f64 = 7.0;
+const FULL_SECS: f64 = 7.0;
 
 #[gtest]
 fn core_started_on_a_full_disk_repairs_once_space_is_free() {
@@ -160,7 +166,7 @@
         for (at, fault) in started_on_a_full_disk(core) {
             world.schedule_at(at, SimulationEvent::Fault(fault));
         }
-        world.play(6.0 + FULL);
+        world.play(6.0 + FULL_SECS);
         expect_that!(
             world.auditor.violations,
             is_empty(),
@@ -168,7 +174,7 @@
         );
         // With a bound of 0 s every repair is late, so the first check reports it.
         world.plan.resync = 0.0;
-        world.play(6.0 + FULL + 0.5);
+        world.play(6.0 + FULL_SECS + 0.5);
         let late = format!("core {core} has not completed its repair");
         let is_reported = world.auditor.violations.first().is_some_and(|text| text.contains(&late));
         expect_true!(is_reported, "seed {seed}: {:?}", world.auditor.violations);
--- a/crates/simulation/tests/scenarios/status_reports.rs
+++ b/crates/simulation/tests/scenarios/status_reports.rs
@@ -14,11 +14,11 @@
 }
 
 /// The status report of the leader.
-fn leading(world: &World) -> Option<Value> {
+fn leader_status(world: &World) -> Option<Value> {
     (0..world.cores.len()).filter_map(|n| status(world, n)).find(|s| s["role"] == "leader")
 }
 
-fn of<'a>(report: &'a Value, list: &str, address: &str) -> Vec<&'a Value> {
+fn entries_for<'a>(report: &'a Value, list: &str, address: &str) -> Vec<&'a Value> {
     let all = report[list].as_array().into_iter().flatten();
     all.filter(|m| m["address"] == address).collect()
 }
@@ -27,7 +27,7 @@
 fn healthy_cores_report_the_same_status() {
     let mut world = World::new(10_500, control(3, 1));
     world.play(10.0);
-    let leader = leading(&world).expect("a leader");
+    let leader = leader_status(&world).expect("a leader");
     expect_that!(leader["whole"], eq(&Value::Bool(true)));
     expect_that!(leader["others"].as_array().map(Vec::len), some(eq(2)));
     for other in leader["others"].as_array().into_iter().flatten() {
@@ -58,30 +58,30 @@
 fn stopped_member_is_reported_with_its_reason() {
     let mut world = World::new(10_501, control(3, 1));
     world.play(8.0);
-    let leader = leading(&world).expect("a leader");
+    let leader = leader_status(&world).expect("a leader");
     let lost = (0..3).find(|n| format!("core-{n}") != leader["me"]["node_name"]).expect("a follower");
     let fault = Fault::KillCore { core: lost, down: 100.0, power: false, wipe: false };
     world.schedule_at(8.0, SimulationEvent::Fault(fault));
     world.play(13.0);
-    let report = leading(&world).expect("a leader");
+    let report = leader_status(&world).expect("a leader");
     let address = format!("10.0.1.{}", lost + 1);
     expect_that!(report["whole"], eq(&Value::Bool(false)));
-    let seen = of(&report, "others", &address);
+    let seen = entries_for(&report, "others", &address);
     expect_that!(seen, len(eq(1)));
     expect_that!(seen[0]["state"].as_str(), some(eq("out")));
     expect_that!(seen[0]["why"].as_str(), some(contains_substring("no connection")));
     expect_that!(seen[0]["repair"].as_str(), some(contains_substring("stays a member until")));
     expect_that!(seen[0]["since_s"].as_f64(), some(all![gt(4.0), lt(5.5)]));
-    let member = of(&report, "members", &address);
+    let member = entries_for(&report, "members", &address);
     expect_that!(member[0]["connected"], eq(&Value::Bool(false)));
-    expect_that!(report["attached"], eq(&Value::Bool(true)), "two of three go on");
+    expect_that!(report["attached"], eq(&Value::Bool(true)), "the other two nodes keep a majority");
 }
 
 #[gtest]
 fn lost_disk_is_reported_until_repaired() {
     let mut world = World::new(10_502, control(3, 1));
     world.play(8.0);
-    let leader = leading(&world).expect("a leader");
+    let leader = leader_status(&world).expect("a leader");
     let lost = (0..3).find(|n| format!("core-{n}") != leader["me"]["node_name"]).expect("a follower");
     world.schedule_at(
         8.0,
@@ -92,7 +92,7 @@
     while world.now < 16.0 {
         let next = world.now + 0.01;
         world.play(next);
-        for report in leading(&world).iter().flat_map(|l| of(l, "others", &address)) {
+        for report in leader_status(&world).iter().flat_map(|l| entries_for(l, "others", &address)) {
             let word = |key: &str| report[key].as_str().unwrap_or_default().to_owned();
             let state = (word("disk"), word("state"));
             if !states.contains(&state) {
@@ -105,9 +105,9 @@
     for seen in [(true, "out"), (false, "catching up"), (false, "votes")] {
         expect_that!(words.contains(&seen), eq(true), "{seen:?} of {words:?}");
     }
-    let report = leading(&world).expect("a leader");
+    let report = leader_status(&world).expect("a leader");
     expect_that!(report["whole"], eq(&Value::Bool(true)));
-    let member = of(&report, "members", &address);
+    let member = entries_for(&report, "members", &address);
     expect_that!(member, len(eq(1)));
     expect_that!(member[0]["disk"].as_str(), some(not(eq("0"))));
 }
--- a/crates/simulation/tests/scenarios/worst_days.rs
+++ b/crates/simulation/tests/scenarios/worst_days.rs
@@ -12,7 +12,7 @@
 use whinstall_simulation::{DeploymentPlan, World};
 
 /// The setting `resync_bound`: seconds for which a node that returns counts as lost.
-const RESYNC: f64 = 4.0;
+const RESYNC_SECS: f64 = 4.0;
 /// Kinds of [`Draw::main`].
 const KINDS: usize = 26;
 
@@ -33,11 +33,11 @@
         self.days.push(severe(self.at + after, fault));
     }
 
-    fn some(&mut self) -> usize {
+    fn random_core(&mut self) -> usize {
         self.listed[self.rng.usize(0..self.listed.len())]
     }
 
-    fn span(&mut self, from: f64, to: f64) -> f64 {
+    fn random_secs(&mut self, from: f64, to: f64) -> f64 {
         from + (to - from) * self.rng.f64()
     }
 
@@ -49,7 +49,8 @@
 
     /// Draws a fault that may lose state; returns the seconds until the next such fault may come.
     fn draw_fault(&mut self, kind: usize) -> f64 {
-        let (core, secs, long) = (self.some(), self.span(0.3, 4.5), self.span(6.0, 20.0));
+        let (core, secs, long) =
+            (self.random_core(), self.random_secs(0.3, 4.5), self.random_secs(6.0, 20.0));
         let (edge, power, wipe) = (self.rng.usize(0..self.edges), self.rng.bool(), self.rng.bool());
         let way = [Direction::Both, Direction::Both, Direction::Out, Direction::In][self.rng.usize(0..4)];
         let worker = self.rng.usize(0..6);
@@ -89,7 +90,7 @@
                     (0..self.edges).map(NodeRef::Edge).chain(self.listed.iter().map(|n| NodeRef::Core(*n)));
                 self.add(1.0, SevereFault::ReloadSettings { who: who.collect(), seeds: seeds.clone() });
                 for edge in 0..self.edges {
-                    let down = self.span(0.2, 1.0);
+                    let down = self.random_secs(0.2, 1.0);
                     self.add(2.0, SevereFault::RestartEdge { edge, down, seeds: seeds.clone() });
                 }
             }
@@ -106,7 +107,7 @@
                 return long.max(8.0);
             }
             6 if !stays => {
-                let later = self.span(0.0, 2.0);
+                let later = self.random_secs(0.0, 2.0);
                 self.add(0.0, SevereFault::ReplaceCore { core, later });
                 self.record_replacement(core);
                 return 1.0 + later;
@@ -114,13 +115,13 @@
             7 if !stays => {
                 // Planned replacement: the successor starts first.
                 self.add(0.0, SevereFault::AddCore);
-                let joined = RESYNC + self.span(0.1, 1.0);
+                let joined = RESYNC_SECS + self.random_secs(0.1, 1.0);
                 self.add(joined, SevereFault::RemoveCore { core });
                 self.record_replacement(core);
                 return joined + 1.0;
             }
             8 if !stays => {
-                let later = self.span(0.0, 2.0);
+                let later = self.random_secs(0.0, 2.0);
                 self.add(0.0, SevereFault::LoseAndReplaceCore { core, later });
                 self.record_replacement(core);
                 return later;
@@ -166,7 +167,7 @@
             }
             23 => {
                 // Rolling restart by SIGTERM.
-                let (each, down) = (self.span(1.5, 3.5), self.span(0.1, 1.0));
+                let (each, down) = (self.random_secs(1.5, 3.5), self.random_secs(0.1, 1.0));
                 for (n, core) in self.listed.clone().into_iter().enumerate() {
                     self.add(each * n as f64, SevereFault::RestartGracefully { core, down });
                 }
@@ -175,7 +176,7 @@
             24 if self.losses > 1 => {
                 // As many nodes at once as may be lost.
                 for core in std::iter::once(core).chain(others).take(self.losses) {
-                    let late = self.span(0.0, 0.3);
+                    let late = self.random_secs(0.0, 0.3);
                     self.days.push((self.at + late, kill(core, secs, wipe)));
                 }
             }
@@ -189,9 +190,9 @@
 
     /// Draws a fault that loses no state of the core.
     fn draw_harmless_fault(&mut self) -> (f64, Fault) {
-        let (core, secs) = (self.some(), self.span(0.3, 4.0));
+        let (core, secs) = (self.random_core(), self.random_secs(0.3, 4.0));
         let (edge, dark) = (self.rng.usize(0..self.edges), self.rng.bool());
-        let part = self.span(0.2, 1.0);
+        let part = self.random_secs(0.2, 1.0);
         let who = if dark { NodeRef::Core(core) } else { NodeRef::Edge(edge) };
         let fault = match self.rng.usize(0..8) {
             0 | 1 => Fault::Severe(SevereFault::LoseResponses { part: 0.7, secs: 2.0 * secs }),
@@ -230,7 +231,7 @@
     let mut draw = Draw { rng, edges: plan.edges, losses, listed, next: cores, days: Vec::new(), at };
     for kind in kinds.into_iter().chain([10 + at.to_bits() as usize % 4]) {
         let lasts = draw.draw_fault(kind);
-        draw.at += lasts + RESYNC + 0.1 + draw.rng.f64();
+        draw.at += lasts + RESYNC_SECS + 0.1 + draw.rng.f64();
     }
     let end = draw.at;
     draw.at = 4.0;
