--- a/crates/gateway/src/cli/export_tests.rs
+++ b/crates/gateway/src/cli/export_tests.rs
@@ -162,7 +162,7 @@
     std::fs::remove_file(&log).expect("removed");
     expect_rejected("no write-ahead log", "without");
     write(&[], &intact[1]);
-    expect_rejected("cut to nothing", "cut to nothing");
+    expect_rejected("empty database", "replica.sqlite is empty (0 bytes)");
     write(&intact[0][..intact[0].len() / 2], &[]);
     expect_that!(export(&old.0).is_err(), eq(true), "cut in half");
     write(b"some other file, long enough to have a head of machine hundred bytes, which a database begins with, and more", &[]);
--- a/crates/gateway/src/consensus/election.rs
+++ b/crates/gateway/src/consensus/election.rs
@@ -25,7 +25,7 @@
 }
 
 impl<C: Clone> Raft<C> {
-    /// Waits for a leader anew: for the election timeout and up to twice that.
+    /// Restarts the election timer, at a pseudo-random time between one and two election timeouts from now.
     pub(super) fn reset_election_deadline(&mut self, now: Millis) {
         // Pseudo-random, so that votes are seldom split (Raft paper, 5.2), but the same in every run: drawn
         // by member, term and time.
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Drops what belongs to the leader of one term.
+    /// Discards the state that belongs to the leader of one term.
     fn forget_leader(&mut self) {
         self.leader_id = None;
         self.verified_index = 0;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The leader hands its leadership over to this member.
+    /// Handles [`Message::TimeoutNow`]: the leader transfers its leadership to this member.
     pub(super) fn handle_timeout_now(&mut self, now: Millis, term: Term) {
         if term == self.term && !self.is_leader() && self.voters().contains(&self.id) {
             self.campaign(now, true);
@@ -142,8 +142,8 @@
     }
 
     /// Whether a leader other than `candidate` may rely on this member not voting: then a request has no
-    /// effect, not even on the term. A leader that stands as a candidate for a later term relies on nothing
-    /// any more.
+    /// effect, not even on the term. A leader that campaigns for a later term no longer relies
+    /// on its lease.
     fn is_bound_to_leader(&self, now: Millis, candidate: NodeId) -> bool {
         let hears_other = self.hears_leader(now)
             && self.leader_id != Some(candidate)
@@ -184,7 +184,8 @@
         self.count_votes(now);
     }
 
-    /// With the votes of a majority: a PreVote leads to the election, an election to the leadership.
+    /// If a majority has granted its votes, starts the election after a PreVote, or becomes leader after an
+    /// election.
     fn count_votes(&mut self, now: Millis) {
         let Role::Candidate { is_pre_vote, votes } = &self.role else { return };
         let (is_pre_vote, voters) = (*is_pre_vote, self.voters());
--- a/crates/gateway/src/consensus/follower.rs
+++ b/crates/gateway/src/consensus/follower.rs
@@ -30,8 +30,8 @@
 }
 
 impl<C: Clone> Raft<C> {
-    /// Follows the sender of a leader's message, unless its term is over: then it learns the newer one.
-    /// Whether the message is to be handled.
+    /// Follows the sender of a leader's message. A sender of an earlier term is informed of the newer term
+    /// instead. Returns whether the message is to be handled.
     pub(super) fn accept_leader(
         &mut self,
         now: Millis,
@@ -55,7 +55,7 @@
             self.step_down(now, term);
         }
         if self.vote != Some(from) && !self.has_fault(InjectedFault::FollowWithoutVote) {
-            // After a restart the vote tells which leader may rely on this member (`is_bound_by_restart`).
+            // After a restart the vote shows which leader may rely on this member (`is_bound_by_restart`).
             // Changing it within the term is safe: a majority has voted for this leader, so no other
             // candidate can win the term.
             self.set_hard_state(term, Some(from));
@@ -112,9 +112,9 @@
         }
     }
 
-    /// Says that the entry before the leader's is not in this log, and where the leader should go back to:
-    /// the end of this log if that is before it, else the commit index, up to which both logs surely are
-    /// equal.
+    /// Rejects entries because the one before them is not in this log, with a hint where the leader should
+    /// resume: the end of this log if that is before it, else the commit index, up to which both logs surely
+    /// are equal.
     fn reject_entries(&mut self, now: Millis, to: NodeId, prev_log: LogPosition) {
         let before_prev = prev_log.index.saturating_sub(1);
         let last_index = self.log.last_index();
@@ -129,7 +129,7 @@
         self.send(to, message);
     }
 
-    /// Tells the leader how much of its log is on this disk.
+    /// Reports to the leader up to which index its log is on this disk.
     pub(super) fn acknowledge_log(&mut self, now: Millis, to: NodeId) {
         let message = Message::AppendEntriesResponse {
             term: self.term,
@@ -145,7 +145,7 @@
         let SnapshotChunk { last_included, voters, offset, total_bytes, data } = chunk;
         let LogPosition { index, term } = last_included;
         if index <= self.commit_index && !self.has_fault(InjectedFault::InstallOlderSnapshot) {
-            // Nothing new: up to the commit index this log is the leader's.
+            // The snapshot is not newer than the commit index, up to which this log is equal to the leader's.
             self.verified_index = self.verified_index.max(self.commit_index);
             return self.acknowledge_log(now, from);
         }
@@ -155,7 +155,7 @@
             *incoming = fresh();
         }
         if incoming.data.len() as u64 == offset {
-            // Reserved at once: growing chunk by chunk would copy the data again and again.
+            // The memory is reserved in one step: growing it with each chunk would copy the data repeatedly.
             let missing = total_bytes.saturating_sub(offset);
             incoming.data.reserve_exact(missing.min(MAX_SNAPSHOT_RESERVATION) as usize);
             incoming.data.extend_from_slice(&data);
--- a/crates/gateway/src/consensus/injected_fault.rs
+++ b/crates/gateway/src/consensus/injected_fault.rs
@@ -1,7 +1,6 @@
 //! Deliberate violations of the protocol, for tests only.
 
-/// A rule that the protocol code breaks on request. Tests inject each one to show that they detect its
-/// violation.
+/// A violation of a protocol rule that can be injected. Tests inject each one to show that they detect it.
 #[cfg_attr(not(test), allow(dead_code))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedFault {
@@ -17,7 +16,7 @@
     AckBeforeSync,
     /// A received snapshot is installed although it is older than the commit index.
     InstallOlderSnapshot,
-    /// A machine that lost its disk keeps its identity and votes on.
+    /// A machine that lost its disk keeps its identity and continues to vote.
     ReuseIdAfterDiskLoss,
     /// A vote is granted to a candidate whose log is less up to date.
     IgnoreLogRecency,
--- a/crates/gateway/src/consensus/injected_fault_tests.rs
+++ b/crates/gateway/src/consensus/injected_fault_tests.rs
@@ -1,5 +1,5 @@
 //! Injected faults that break liveness or stability, not safety: each is injected, and its test must notice.
-//! The model finds the others (`model/injected_faults.rs`).
+//! The model finds the others (`model/injected_fault_tests.rs`).
 
 use super::tests::apply_writes;
 use super::*;
@@ -29,7 +29,7 @@
     now: Millis,
     rafts: Vec<Raft<u64>>,
     cut_off: Vec<usize>,
-    /// Who was sent a `TimeoutNow`.
+    /// The members that were sent a `TimeoutNow`.
     timeout_now_sent_to: Vec<NodeId>,
 }
 
@@ -128,7 +128,7 @@
     assert!(!isolated_leader_steps_down(Some(InjectedFault::SkipCheckQuorum)));
 }
 
-/// Whether a leadership transfer waits until its target has the whole log, and then succeeds.
+/// Whether a leadership transfer waits until its target has the complete log, and then succeeds.
 fn transfer_waits_for_the_target(fault: Option<InjectedFault>) -> bool {
     let mut nodes = ThreeNodes::new(fault);
     let leader = nodes.leader();
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn leadership_is_transferred_only_to_a_member_with_the_whole_log() {
+fn leadership_is_transferred_only_to_a_member_with_the_complete_log() {
     assert!(transfer_waits_for_the_target(None));
     assert!(!transfer_waits_for_the_target(Some(InjectedFault::TransferToLaggingFollower)));
 }
--- a/crates/gateway/src/consensus/leader.rs
+++ b/crates/gateway/src/consensus/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: replication of entries and snapshots, and what is committed.
+//! The leader: replication of entries and snapshots, and commitment.
 //!
 //! Commitment (Raft paper, 5.3 and 5.4.2): an entry of the leader's own term is committed once it is durable
 //! on a majority; entries of earlier terms are committed only together with one of these, since a majority of
@@ -118,12 +118,12 @@
         let Some(latest) = self.log.snapshot.clone() else { return };
         let (term, chunk_bytes) = (self.term, self.config.snapshot_chunk_bytes as u64);
         let window_bytes = self.config.max_chunks_in_flight as u64 * chunk_bytes;
-        let patience = CHUNK_RETRY_HEARTBEATS * self.config.heartbeat_interval;
+        let chunk_retry_timeout = CHUNK_RETRY_HEARTBEATS * self.config.heartbeat_interval;
         let Role::Leader(leader) = &mut self.role else { return };
         let heartbeat_seq = leader.heartbeat_seq;
         let Some(progress) = leader.peers.get_mut(&to) else { return };
         let transfer = progress.transfer.get_or_insert_with(|| SnapshotTransfer::new(now, latest));
-        transfer.rewind_if_stuck(now, patience);
+        transfer.rewind_if_stuck(now, chunk_retry_timeout);
         let total_bytes = transfer.total_bytes();
         let window_end = transfer.acked_bytes + window_bytes;
         let mut messages = Vec::new();
@@ -152,9 +152,9 @@
         }
     }
 
-    /// Notes the contact that a response proves: it confirms the leadership as of the sending of the
-    /// broadcast that it names. Whether the response is to be handled: it is one to this leader, in this
-    /// term.
+    /// Records the contact that a response proves: it confirms the leadership as of the sending of the
+    /// broadcast that it names. Returns whether the response is for this leader in this
+    /// term, and so is to be handled.
     pub(super) fn accept_response(
         &mut self,
         now: Millis,
@@ -204,7 +204,7 @@
                 progress.transfer = None;
             }
         } else {
-            // The hint may be late: what the follower has acknowledged it never loses.
+            // The hint may be delayed: a follower never loses entries that it has acknowledged.
             progress.next_index = (index + 1).clamp(progress.match_index + 1, last_index + 1);
             progress.transfer = None;
         }
--- a/crates/gateway/src/consensus/leader_transfer.rs
+++ b/crates/gateway/src/consensus/leader_transfer.rs
@@ -1,13 +1,13 @@
 //! Leadership transfer (dissertation, 3.10).
 //!
-//! The leader stops taking proposals, waits until the target has its whole log, and tells it to start an
-//! election. That election disregards the lease, so the leader gives its lease up for the rest of its
-//! leadership.
+//! The leader stops taking proposals, waits until the target has its complete log, and then sends it
+//! [`Message::TimeoutNow`] to start an election. That election disregards the lease, so the leader gives its
+//! lease up for the rest of its leadership.
 
 use super::raft::Role;
 use super::{InjectedFault, Message, Millis, NodeId, Raft};
 
-/// A transfer that is going on.
+/// A transfer in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LeaderTransfer {
     pub target: NodeId,
@@ -15,8 +15,9 @@
 }
 
 impl<C: Clone> Raft<C> {
-    /// Hands the leadership to the most up-to-date voter that is heard: this process ends, or its disk is
-    /// stalled. Has no effect on a member that is not the leader, or if nobody can take it.
+    /// Transfers the leadership to the most up-to-date voter that was heard recently, because this process
+    /// ends or its disk is stalled. Has no effect on a member that is not the leader, or if no voter is
+    /// available.
     pub fn transfer_leadership(&mut self, now: Millis) {
         let voters = self.voters();
         let election_timeout = self.config.election_timeout;
@@ -32,8 +33,8 @@
         self.issue_writes(now);
     }
 
-    /// Tells the target of a transfer to start its election, once it has the whole log: before, it could not
-    /// win.
+    /// Sends `TimeoutNow` to the target of a transfer once its log is complete: with entries missing it could
+    /// not win the election.
     pub(super) fn send_timeout_now(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let Some(LeaderTransfer { target, .. }) = leader.transfer else { return };
--- a/crates/gateway/src/consensus/lease.rs
+++ b/crates/gateway/src/consensus/lease.rs
@@ -1,4 +1,4 @@
-//! What leader and followers may rely on, and for how long.
+//! Leader leases: the guarantees that a leader and its followers have, and how long they last.
 //!
 //! A voter that hears from a leader grants no vote within the election timeout after that (dissertation,
 //! 4.2.3 and 6.4.1), so a leader that was in contact with a majority knows that no other leader is elected
@@ -10,8 +10,8 @@
 use super::{InjectedFault, Millis, Raft};
 
 impl<C: Clone> Raft<C> {
-    /// Whether this member is surely the only leader now, has committed in its term, and so may act for the
-    /// whole system.
+    /// Whether this member is certainly the only leader now and has committed in its term, so that it may act
+    /// for the entire system.
     pub fn holds_lease(&self, now: Millis) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         // The target of a leadership transfer is elected without regard to this lease.
@@ -23,9 +23,9 @@
     /// Whether the state that this member has applied is current, so that it may be handed out to nodes that
     /// have none.
     ///
-    /// On a leader: it has committed in its term, and is in contact with a quorum. On others: the same was
-    /// true of the leader within the election timeout (by the echoed clock), and every entry that the leader
-    /// reported as committed is applied here.
+    /// A leader's state is current if it has committed in its term and is in contact with a quorum. Another
+    /// member's state is current if the leader was in this condition within the election timeout (by the
+    /// echoed clock), and every entry that the leader reported as committed is applied here.
     pub fn has_current_state(&self, now: Millis) -> bool {
         match &self.role {
             Role::Leader(leader) => {
@@ -72,9 +72,9 @@
         now < self.started_at + self.config.election_timeout && !voted_for_self
     }
 
-    /// Whether this member was leader or candidate before its start, so lately that nobody else leads yet.
-    /// Its own lease ended with the earlier process, so it need not wait for an election timeout before it
-    /// stands again.
+    /// Whether this member was leader or candidate before its start, so recently that no other member leads
+    /// yet. This member's own lease ended with the earlier process, so it need not wait for an election
+    /// timeout before it campaigns again.
     pub(super) fn may_resume_leadership(&self, now: Millis) -> bool {
         now < self.started_at + self.config.election_timeout
             && self.vote == Some(self.id)
--- a/crates/gateway/src/consensus/membership.rs
+++ b/crates/gateway/src/consensus/membership.rs
@@ -11,12 +11,12 @@
 use super::{EntryPayload, Index, InjectedFault, Millis, NodeId, Raft, RaftConfig, VoterSet};
 use std::collections::BTreeMap;
 
-/// A learner that was silent for this many voter removal timeouts is forgotten.
+/// A learner that was silent for this many voter removal timeouts is removed.
 const LEARNER_TIMEOUT_FACTOR: Millis = 4;
 
 impl<C: Clone> Raft<C> {
-    /// A core machine announces itself with its current disk: it hears no leader. A leader replicates to it
-    /// from now on, and makes it a voter once it has caught up.
+    /// Handles the announcement of a core machine that hears no leader, with its current disk. A leader
+    /// replicates to this member from now on, and makes it a voter once it has caught up.
     pub fn join(&mut self, now: Millis, id: NodeId) {
         if id == self.id {
             return;
@@ -25,7 +25,7 @@
         self.departing.remove(&id);
         let Role::Leader(leader) = &mut self.role else { return };
         leader.current_disks.insert(id.ip, id.disk);
-        // Learners that were earlier disks of the same machine don't come back.
+        // Earlier disks of the same machine can't return, so they are no longer learners.
         let voters = self.log.configuration().voters;
         leader.peers.retain(|peer, _| peer.ip != id.ip || *peer == id || voters.contains(peer));
         let is_known = leader.peers.contains_key(&id);
@@ -39,8 +39,8 @@
         self.issue_writes(now);
     }
 
-    /// A member announces that its process ends: it may be removed at once, without waiting for the removal
-    /// timeout. Remembered on every member, for whoever leads in that time.
+    /// Handles the announcement of a member that its process ends: the member may be removed at once, without
+    /// waiting for the removal timeout. Every member keeps this, because any of them may become the leader.
     pub fn leave(&mut self, now: Millis, id: NodeId) {
         self.departing.retain(|_, until| now < *until);
         if id != self.id {
@@ -52,7 +52,7 @@
         self.issue_writes(now);
     }
 
-    /// Begins the next configuration change, if one is due and none is going on.
+    /// Begins the next configuration change, if one is due and none is in progress.
     pub(super) fn change_configuration(&mut self, now: Millis) {
         if !self.may_change_configuration() {
             return;
@@ -152,8 +152,8 @@
         if self.is_superseded(id) && self.is_silent(id, self.config.election_timeout) {
             return true;
         }
-        // Of two voters one that departs leaves the other able to go on; one that is merely silent may be cut
-        // off, and then both would go on.
+        // With two voters, one that departs can be removed, and the other continues alone. One that is only
+        // silent may be cut off, and then both would continue as separate clusters.
         let leaves_enough =
             self.voters.len() > self.config.min_voters || self.voters.len() == 2 && self.is_departing(id);
         leaves_enough && (self.is_silent(id, self.config.voter_removal_timeout) || self.is_departing(id))
--- a/crates/gateway/src/consensus/message.rs
+++ b/crates/gateway/src/consensus/message.rs
@@ -29,7 +29,7 @@
     RequestVoteResponse {
         /// The requested term if the vote is granted; else the responder's term.
         term: Term,
-        /// As in the request.
+        /// Whether the request was a PreVote.
         pre_vote: bool,
         /// Whether the vote is granted.
         granted: bool,
@@ -96,7 +96,7 @@
         term: Term,
         /// The newest `heartbeat_seq` that the responder has seen in this term.
         heartbeat_seq: u64,
-        /// Which snapshot.
+        /// Index of the last entry that the snapshot covers.
         last_included_index: Index,
         /// The next byte that is wanted: all before it has been received.
         next_offset: u64,
--- a/crates/gateway/src/consensus/model/actions.rs
+++ b/crates/gateway/src/consensus/model/actions.rs
@@ -1,4 +1,4 @@
-//! What an action does.
+//! Effects of the actions.
 
 use super::time::age;
 use super::*;
@@ -21,7 +21,7 @@
 }
 
 impl Action {
-    /// The machine whose [`Raft`] is called; `None` for actions that are more, or other, than one call.
+    /// The machine whose [`Raft`] is called; `None` for actions that are not exactly one call.
     fn calling_machine(&self) -> Option<usize> {
         match self {
             Action::FinishWrite(m)
@@ -43,7 +43,8 @@
 }
 
 impl ClusterModel {
-    /// Performs an action; the machine whose outputs are due, or `None` if the action is not possible.
+    /// Performs an action. Returns the machine whose outputs are to be performed, or `None` if the action is
+    /// not possible.
     pub(super) fn perform(&self, state: &mut ClusterState, action: &Action) -> Option<usize> {
         match action {
             Action::Deliver(position) => self.deliver(state, *position, false),
--- a/crates/gateway/src/consensus/model/injected_fault_tests.rs
+++ b/crates/gateway/src/consensus/model/injected_fault_tests.rs
@@ -6,7 +6,7 @@
 use super::starts::{settled, settled_with_clocks, third_lags, third_needs_snapshot};
 use super::*;
 
-/// An injected fault, or a lease that is too long, and the violation that must come of it.
+/// An injected fault, or a lease that is too long, and the violation that must result.
 struct FaultCase {
     name: &'static str,
     expected: Violation,
@@ -130,17 +130,18 @@
     model.starting_from(state)
 }
 
-/// The first machine has an entry of a term that came to nothing, after one that it does not know to be
+/// The first machine has an uncommitted entry of an ended term, after an entry that it does not know to be
 /// committed.
 fn stale_tail() -> ClusterModel {
     let model = ClusterModel { max_term: 4, candidates: &[], ..at_once(BROADCASTS) };
     let state = model.elect(model.new_cluster(), 0, ALL_MACHINES);
-    let tells_no_commit = |m: &Message<u8>| !matches!(m, Message::AppendEntries { leader_commit: 3.., .. });
+    let announces_no_commit =
+        |m: &Message<u8>| !matches!(m, Message::AppendEntries { leader_commit: 3.., .. });
     let state = model.after(state, &[Action::Campaign(1)]);
-    let state = script::drop_messages(model.settle_matching(state, ALL_MACHINES, tells_no_commit));
+    let state = script::drop_messages(model.settle_matching(state, ALL_MACHINES, announces_no_commit));
     let state = model.settle_matching(model.after(state, &[Action::Campaign(0)]), &[0, 2], is_vote);
     let state = script::drop_messages(state);
-    // The first attempt comes to nothing: that term is over.
+    // The first campaign has no effect, because its term is over.
     let state = model.after(state, &[Action::Campaign(1), Action::Campaign(1)]);
     let state = model.settle_and_drop_rest(state, &[1, 2]);
     model.starting_from(state)
--- a/crates/gateway/src/consensus/model/invariants.rs
+++ b/crates/gateway/src/consensus/model/invariants.rs
@@ -1,4 +1,4 @@
-//! What must never happen, and the checks that notice it.
+//! The invariants, and the checks that detect violations.
 
 use super::{ClusterState, Machine};
 use crate::consensus::*;
@@ -14,7 +14,7 @@
     /// State Machine Safety (5.4.3): two entries were applied at one index.
     CommittedDiffers,
     AppliedOutOfOrder,
-    /// A message claims what is not on its sender's disk.
+    /// A message claims state that is not on its sender's disk.
     SentBeforeSync,
     /// A leader began a configuration change before the previous one was committed.
     OverlappingConfChanges,
--- a/crates/gateway/src/consensus/model/mod.rs
+++ b/crates/gateway/src/consensus/model/mod.rs
@@ -10,7 +10,7 @@
 //! | --- | --- |
 //! | `actions`, `outputs`, `network` | one step: an action, what the machine puts out, the messages in flight |
 //! | `time` | keeps times, sequence numbers and write numbers from growing |
-//! | `invariants` | what must never happen |
+//! | `invariants` | the invariants and their checks |
 //! | `state_space` | which actions are possible; the properties |
 //! | `script`, `starts` | states to start a search from, reached by given steps |
 //! | `search`, `random_walk` | the two ways through the state space |
@@ -119,7 +119,7 @@
     message: Message<u8>,
 }
 
-/// A state of the whole cluster, and what was observed on the way to it.
+/// A state of the cluster, and the observations on the path to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ClusterState {
     machines: Vec<Arc<Machine>>,
@@ -137,7 +137,7 @@
 enum Action {
     /// Deliver the message at this position of the network.
     Deliver(usize),
-    /// Deliver it, and keep it in flight.
+    /// Deliver the message at this position, and keep it in flight.
     DeliverDuplicate(usize),
     FinishWrite(usize),
     Campaign(usize),
@@ -146,17 +146,17 @@
     Read(usize),
     Crash {
         machine: usize,
-        /// So many of the unfinished writes reach the disk.
+        /// Number of the unfinished writes that reach the disk.
         kept_writes: usize,
     },
     LoseDisk(usize),
-    /// A machine hears that another one is there, with this disk.
+    /// A machine receives the announcement of another one, with this disk.
     Join {
         machine: usize,
         joining: usize,
         disk: u64,
     },
-    /// A leader changes the configuration if it sees reason to, while another machine is silent.
+    /// A leader changes the configuration if a change is due, while another machine is silent.
     ChangeConfiguration {
         leader: usize,
         silent: Option<usize>,
@@ -170,14 +170,14 @@
 #[derive(Clone, Debug)]
 struct ClusterModel {
     machine_count: usize,
-    /// So many of the machines are the initial voters.
+    /// Number of the machines that are initial voters.
     seed_count: usize,
     min_voters: usize,
-    /// Nobody campaigns beyond this term.
+    /// Highest term in which a machine campaigns.
     max_term: Term,
-    /// No leader appends beyond this index.
+    /// Highest index at which a leader appends.
     max_index: Index,
-    /// Messages in flight from one machine to another; of more, the oldest is lost.
+    /// Maximum number of messages in flight from one machine to another; beyond it the oldest is lost.
     max_in_flight: usize,
     budget: Budget,
     /// With clocks: the machine whose clock runs at two thirds of the others' speed.
@@ -282,7 +282,7 @@
         let mut raft = Raft::new(NOW, id, persisted.clone(), self.raft_config());
         raft.inject_fault(self.injected_fault);
         if !(is_restart && self.slow_clock.is_some()) {
-            // Long ago: the time since the start binds it to nobody.
+            // The start is long past, so it no longer keeps the machine from voting.
             raft.started_at = 0;
         }
         let snapshot = persisted.snapshot.as_ref();
--- a/crates/gateway/src/consensus/model/outputs.rs
+++ b/crates/gateway/src/consensus/model/outputs.rs
@@ -1,4 +1,4 @@
-//! What a machine puts out after an action, and the checks on it.
+//! Performs the outputs of a machine after an action, and checks the invariants.
 
 use super::invariants::{check_applied, check_leader, check_snapshot};
 use super::network::is_redundant;
--- a/crates/gateway/src/consensus/model/random_walk.rs
+++ b/crates/gateway/src/consensus/model/random_walk.rs
@@ -1,15 +1,15 @@
-//! Random walks through the state space, far beyond what a search reaches.
+//! Random walks through the state space, to states that are too deep for an exhaustive search.
 
 use super::*;
 use stateright::Model;
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// Of 256 steps, so many deliver a message or finish a write, if there is one: work is more frequent than
-/// faults.
+/// Steps out of 256 that deliver a message or finish a write, if there is one: deliveries and writes are more
+/// frequent than faults.
 const WORK_STEPS_OF_256: u8 = 160;
 
-/// What walks came by.
+/// Protocol events that random walks covered.
 #[derive(Debug, Default)]
 pub(super) struct Coverage {
     pub committed_entries: usize,
@@ -48,7 +48,7 @@
     actions: Vec<Action>,
 }
 
-/// One random walk of so many steps: where it ends, or the violation that it came to.
+/// Performs one random walk of `steps` steps; returns the last state, or the first violation.
 pub(super) fn random_walk(
     model: &ClusterModel,
     seed: u64,
@@ -79,7 +79,7 @@
     Ok(state)
 }
 
-/// A walk for each seed: what they came by, or the first violation.
+/// Performs one random walk per seed; returns their coverage, or the first violation.
 pub(super) fn random_walks(
     model: &ClusterModel,
     seeds: Range<u64>,
--- a/crates/gateway/src/consensus/model/random_walk_tests.rs
+++ b/crates/gateway/src/consensus/model/random_walk_tests.rs
@@ -16,7 +16,10 @@
             random_walks(&model, 0..seeds, STEPS).unwrap_or_else(|found| panic!("{name}: {found:#?}"));
         let seconds = start.elapsed().as_secs_f64();
         println!("walks, {name}: {seeds} of {STEPS} steps, {seconds:.1} s, {coverage:?}");
-        assert!(coverage.committed_entries > 0 && coverage.terms > 0, "{name}: nothing happens");
+        assert!(
+            coverage.committed_entries > 0 && coverage.terms > 0,
+            "{name}: no entry committed: {coverage:?}"
+        );
     }
 }
 
@@ -36,8 +39,8 @@
     leaders.max_by_key(|m| state.machines[*m].raft.term())
 }
 
-/// Faults are over and all machines reach each other. Checks that the cluster comes to rest: with one leader,
-/// all machines voters, and all of them caught up.
+/// Checks that without faults, with all machines reachable, the cluster becomes stable: one leader, all
+/// machines are voters, and all of them are caught up.
 fn comes_to_rest(model: &ClusterModel, state: ClusterState) -> Result<(), String> {
     let mut state = drop_messages(state);
     for _ in 0..20 {
--- a/crates/gateway/src/consensus/model/repair_tests.rs
+++ b/crates/gateway/src/consensus/model/repair_tests.rs
@@ -52,7 +52,7 @@
     for _ in 0..4 {
         let repaired = state.machines[1].raft.id();
         if !state.machines[2].raft.voters().contains(&repaired) {
-            // It hears no leader, and announces itself.
+            // The repaired machine hears no leader, so it announces itself.
             state = settle(state, &[join(2)]);
         }
         state = settle(state, &[Action::Broadcast(2), change(2)]);
--- a/crates/gateway/src/consensus/model/script.rs
+++ b/crates/gateway/src/consensus/model/script.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl ClusterModel {
-    /// These actions, one after the other.
+    /// Performs these actions, one after the other.
     pub(super) fn after(&self, state: ClusterState, actions: &[Action]) -> ClusterState {
         actions.iter().fold(state, |state, action| {
             self.step(&ClusterState { budget: Budget::SCRIPT, ..state }, action).expect("possible")
--- a/crates/gateway/src/consensus/model/search.rs
+++ b/crates/gateway/src/consensus/model/search.rs
@@ -30,7 +30,7 @@
         panic!("{name}: {:?} after {:#?}", path.last_state().violation, path.clone().into_actions());
     }
     for property in reached {
-        assert!(discoveries.contains_key(property), "{name}: never reached: {property}");
+        assert!(discoveries.contains_key(property), "{name}: property not reached: {property}");
     }
 }
 
--- a/crates/gateway/src/consensus/model/starts.rs
+++ b/crates/gateway/src/consensus/model/starts.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// The first machine leads in term 1, and nothing is under way.
+/// The first machine leads in term 1, and no message or write is in progress.
 pub(super) fn settled(model: ClusterModel) -> ClusterModel {
     let state = model.elect(model.new_cluster(), 0, ALL_MACHINES);
     model.starting_from(state)
@@ -23,7 +23,7 @@
     settled(ClusterModel { slow_clock: Some(0), writes_finish_at_once: true, ..model })
 }
 
-/// And the first machine has committed a command that the third has not heard of.
+/// As [`settled`], after the first machine has committed a command that the third has not received.
 pub(super) fn third_lags(model: ClusterModel) -> ClusterModel {
     let model = settled(model);
     let state = model.after(model.start_state(), &[Action::Propose(0)]);
@@ -31,7 +31,7 @@
     model.starting_from(state)
 }
 
-/// And the first machine has compacted that command: the third needs a snapshot.
+/// As [`third_lags`], after the first machine has compacted that command, so that the third needs a snapshot.
 pub(super) fn third_needs_snapshot(budget: Budget, model: ClusterModel) -> ClusterModel {
     let model = third_lags(ClusterModel { budget, ..model });
     let state = model.after(model.start_state(), &[Action::Compact(0)]);
--- a/crates/gateway/src/consensus/model/state_space.rs
+++ b/crates/gateway/src/consensus/model/state_space.rs
@@ -67,7 +67,7 @@
 }
 
 impl ClusterModel {
-    /// What any member may do.
+    /// Adds the actions that are possible for any member.
     fn member_actions(&self, state: &ClusterState, m: usize, actions: &mut Vec<Action>) {
         let (budget, machine) = (&state.budget, &state.machines[m]);
         let raft = &machine.raft;
@@ -91,7 +91,7 @@
         }
     }
 
-    /// What a leader may do besides.
+    /// Adds the actions that are possible only for a leader.
     fn leader_actions(&self, state: &ClusterState, m: usize, actions: &mut Vec<Action>) {
         let (budget, raft) = (&state.budget, &state.machines[m].raft);
         let Role::Leader(leader) = &raft.role else { return };
--- a/crates/gateway/src/consensus/output.rs
+++ b/crates/gateway/src/consensus/output.rs
@@ -1,4 +1,4 @@
-//! What a [`super::Raft`] asks its driver to do.
+//! Outputs: the actions that a [`super::Raft`] requests from its driver.
 
 use super::message::Message;
 use super::types::{Entry, NodeId, Snapshot, Term};
@@ -8,7 +8,7 @@
 /// Number of a read of this process, from 1.
 pub type ReadId = u64;
 
-/// An action for the driver, which performs them in the order in which they come out.
+/// An action for the driver, which performs the actions in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output<C> {
     /// Write all of these atomically and in this order, sync, then call [`super::Raft::on_persisted`] with
@@ -24,10 +24,10 @@
     Send {
         /// The receiver.
         to: NodeId,
-        /// What to send.
+        /// The message.
         message: Message<C>,
     },
-    /// This entry is committed: apply it. Entries come in log order, each once in the life of a process.
+    /// This entry is committed: apply it. Entries come in log order, each once per process.
     Apply(Entry<C>),
     /// Replace the state machine's state by this one, which is newer than all that was applied.
     InstallSnapshot(Snapshot),
@@ -45,7 +45,7 @@
         /// The candidate or leader that has this member's vote in the term.
         vote: Option<NodeId>,
     },
-    /// Entries. Whatever the stored log has from the first one's index on is dropped.
+    /// Entries to append. Stored entries from the index of the first one on are dropped.
     Append(Vec<Entry<C>>),
     /// A snapshot. Stored entries up to its index are dropped.
     Snapshot {
--- a/crates/gateway/src/consensus/persistence.rs
+++ b/crates/gateway/src/consensus/persistence.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// The writes of a member, from their making until they are durable.
+/// The writes of a member, from their creation until they are durable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct WriteQueue<C> {
     /// Writes of the input that is being handled: the next batch.
@@ -158,7 +158,7 @@
     fn first_changed_index(&self, write: &LogWrite<C>) -> Option<Index> {
         match write {
             LogWrite::Append(entries) => entries.first().map(|entry| entry.index),
-            // Until the snapshot is durable the disk holds nothing that is known to be the leader's.
+            // Until the snapshot is durable no entry on the disk is known to be the leader's.
             LogWrite::Snapshot { replaces_log: true, .. }
                 if !self.has_fault(InjectedFault::AckSnapshotBeforeSync) =>
             {
--- a/crates/gateway/src/consensus/progress.rs
+++ b/crates/gateway/src/consensus/progress.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of one peer.
+//! Replication progress of a peer, as the leader knows it.
 
 use super::{Index, Millis, NodeId, Snapshot};
 
@@ -19,7 +19,7 @@
     pub heard_at: Millis,
     /// The peer's clock, as of its latest response.
     pub follower_clock: Option<Millis>,
-    /// The snapshot that is being sent to it.
+    /// The snapshot transfer to this peer that is in progress.
     pub transfer: Option<SnapshotTransfer>,
 }
 
@@ -38,8 +38,8 @@
     }
 }
 
-/// A snapshot transfer. It goes on with the same snapshot until the peer has it, also if the leader compacts
-/// meanwhile: else frequent compaction would keep a slow peer from ever finishing.
+/// A snapshot transfer. The transfer continues with the same snapshot even if the leader compacts meanwhile:
+/// otherwise frequent compaction would keep a slow peer from ever finishing.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct SnapshotTransfer {
     pub snapshot: Snapshot,
@@ -60,21 +60,23 @@
         self.snapshot.data.len() as u64
     }
 
-    /// Sends again what is not acknowledged if nothing was for longer than `patience`: chunks were lost.
-    pub fn rewind_if_stuck(&mut self, now: Millis, patience: Millis) {
-        if now > self.progress_at + patience {
+    /// Rewinds to the first unacknowledged byte if there was no progress for longer than `retry_timeout`:
+    /// chunks were lost.
+    pub fn rewind_if_stuck(&mut self, now: Millis, retry_timeout: Millis) {
+        if now > self.progress_at + retry_timeout {
             (self.sent_bytes, self.progress_at) = (self.acked_bytes, now);
         }
     }
 
-    /// The peer says which byte it wants next.
+    /// Handles a response with the offset of the next byte that the peer needs.
     pub fn acknowledge(&mut self, now: Millis, next_offset: u64) {
         if next_offset > self.acked_bytes {
             self.acked_bytes = next_offset;
             self.progress_at = now;
             self.sent_bytes = self.sent_bytes.max(next_offset);
         } else if next_offset < self.acked_bytes {
-            // The peer lost what it had, by a restart: go on from there.
+            // The peer restarted and lost the chunks that it had received: continue at the offset it asks
+            // for.
             self.acked_bytes = next_offset;
             self.sent_bytes = next_offset;
             self.progress_at = now;
@@ -87,10 +89,10 @@
 pub struct PeerStatus {
     /// The peer.
     pub id: NodeId,
-    /// Whether it votes; else it is a learner.
+    /// Whether the peer is a voter; otherwise it is a learner.
     pub is_voter: bool,
-    /// Its log is durable and equal to the leader's up to here.
+    /// The peer's log is durable and equal to the leader's up to this index.
     pub match_index: Index,
-    /// Milliseconds since its last response.
+    /// Milliseconds since the peer's last response.
     pub silent_for: Millis,
 }
--- a/crates/gateway/src/consensus/raft.rs
+++ b/crates/gateway/src/consensus/raft.rs
@@ -1,5 +1,5 @@
-//! A member of the replicated log: its state, its inputs, and what others may ask of it. The rules of the
-//! protocol are in the sibling modules, one concern each.
+//! A member of the replicated log: state, inputs and accessors. The rules of the protocol are in the sibling
+//! modules, one concern each.
 
 use super::election::VoteRequest;
 use super::follower::{IncomingSnapshot, SnapshotChunk};
@@ -20,7 +20,7 @@
     Follower,
     /// Collects votes.
     Candidate {
-        /// Of a PreVote: the term is not raised yet, and the votes bind nobody.
+        /// Whether this is a PreVote: the term is not raised yet, and the votes bind no voter.
         is_pre_vote: bool,
         /// The voters that granted their vote; includes this member once its own vote is durable.
         votes: BTreeSet<NodeId>,
@@ -54,8 +54,8 @@
     pub(super) quorum_confirmed_at: Option<Millis>,
     /// The highest commit index that a leader has announced; may be ahead of this log.
     pub(super) leader_commit: Index,
-    /// The log is equal to that of this term's leader up to here. Entries beyond it may be of a term that
-    /// came to nothing, so they don't count as committed whatever the leader's commit index is.
+    /// The log is equal to that of this term's leader up to here. Entries beyond it may be uncommitted ones
+    /// of an earlier leader, so they don't count as committed whatever the leader's commit index is.
     pub(super) verified_index: Index,
     /// A snapshot of this term's leader, of which not all chunks have come.
     pub(super) incoming_snapshot: Option<IncomingSnapshot>,
@@ -67,13 +67,13 @@
     pub(super) election_deadline: Millis,
     pub(super) write_queue: WriteQueue<C>,
     pub(super) last_read_id: ReadId,
-    /// What the driver has not taken yet.
+    /// Outputs that the driver has not taken yet.
     pub(super) outputs: Vec<Output<C>>,
     pub(super) injected_fault: Option<InjectedFault>,
 }
 
 impl<C: Clone> Raft<C> {
-    /// A member that starts from what its disk holds; an empty state for a new one.
+    /// Creates a member from the state on its disk; a new member has an empty state.
     ///
     /// A snapshot in it is taken for applied: the driver restores the state machine from it.
     pub fn new(now: Millis, id: NodeId, persisted: PersistedState<C>, config: RaftConfig) -> Self {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// What this leader knows of each peer, voter or not; empty on other members.
+    /// Replication status of each peer, voter or learner; empty if this member is not the leader.
     pub fn peer_statuses(&self, now: Millis) -> Vec<PeerStatus> {
         let Role::Leader(leader) = &self.role else { return Vec::new() };
         let voters = self.voters();
--- a/crates/gateway/src/consensus/tests/cluster.rs
+++ b/crates/gateway/src/consensus/tests/cluster.rs
@@ -74,7 +74,7 @@
     incarnation: u64,
     applied: Vec<AppliedCommand>,
     applied_values: HashSet<u64>,
-    /// So many of the confirmed values were found by an earlier read of this process.
+    /// Number of confirmed values that an earlier read of this process has already found.
     checked: usize,
     disk_stalled_until: Millis,
     cut_off_until: Millis,
@@ -101,7 +101,7 @@
     read: ReadId,
 }
 
-/// The machines, the network between them, and what was observed.
+/// The machines, the network between them, and the observations that the checks need.
 pub(super) struct Cluster {
     now: Millis,
     pub rng: fastrand::Rng,
@@ -112,7 +112,7 @@
     /// Values whose commitment was confirmed to the client, oldest first.
     confirmed: Vec<u64>,
     proposals: Vec<Proposal>,
-    /// How many values were confirmed when a read began.
+    /// Number of values that were confirmed when each read began.
     reads: HashMap<ReadKey, usize>,
     leaders: HashMap<Term, NodeId>,
 }
@@ -237,7 +237,11 @@
         assert_eq!(first, applied, "two entries at {}", entry.index);
         if let Some(value) = value {
             let machine = &mut self.machines[m];
-            assert!(machine.applied.last().is_none_or(|a| a.index < entry.index), "applied out of order");
+            assert!(
+                machine.applied.last().is_none_or(|a| a.index < entry.index),
+                "entry {} applied out of order",
+                entry.index
+            );
             machine.applied.push(AppliedCommand { index: entry.index, value });
             machine.applied_values.insert(value);
             let position = LogPosition { index: entry.index, term: entry.term };
@@ -255,7 +259,7 @@
                 assert_eq!(committed, value, "snapshot differs at {index}");
             }
         }
-        assert!(commands.len() >= self.machines[m].applied.len(), "goes back by a snapshot");
+        assert!(commands.len() >= self.machines[m].applied.len(), "a snapshot replaces a newer state");
         self.machines[m].applied_values = commands.iter().map(|a| a.value).collect();
         self.machines[m].applied = commands;
     }
@@ -267,7 +271,10 @@
             let machine = &mut self.machines[m];
             let unchecked = &self.confirmed[machine.checked.min(confirmed)..confirmed];
             let missing = unchecked.iter().find(|v| !machine.applied_values.contains(v));
-            assert!(missing.is_none(), "a read lacks {missing:?}, confirmed before it");
+            assert!(
+                missing.is_none(),
+                "a read does not see value {missing:?}, which was confirmed before the read"
+            );
             machine.checked = machine.checked.max(confirmed);
         }
     }
@@ -366,7 +373,10 @@
         }
         self.perform_outputs(m);
         let running = self.machines.iter().filter_map(|machine| machine.raft.as_ref());
-        assert!(running.filter(|raft| raft.holds_lease(now)).count() <= 1, "two leases at {now}");
+        assert!(
+            running.filter(|raft| raft.holds_lease(now)).count() <= 1,
+            "two members have a lease at {now} ms"
+        );
     }
 
     fn run_until(&mut self, end: Millis) {
@@ -389,17 +399,29 @@
         self.proposed = 0;
         self.run_until(at + RECOVERY_SPAN);
         let state = || self.describe();
-        assert!(self.confirmed.len() > confirmed, "nothing is confirmed {context} at {at}: {}", state());
+        assert!(
+            self.confirmed.len() > confirmed,
+            "no proposal confirmed within {RECOVERY_SPAN} ms after {at} ms, {context}: {}",
+            state()
+        );
         let leading = |m: &Machine| m.raft.as_ref().is_some_and(|raft| raft.is_leader());
         let leader = self.machines.iter().find(|m| leading(m)).expect("leads");
         let voters = leader.raft.as_ref().expect("leads").voters();
         let live: Vec<NodeId> =
             self.machines.iter().filter_map(|m| m.raft.as_ref()).map(|r| r.id()).collect();
         let gone = voters.iter().filter(|id| !live.contains(id)).count();
-        assert!(live.iter().all(|id| voters.contains(id)), "not all vote {context}: {}", state());
-        assert!(gone == 0 || voters.len() <= CONFIG.min_voters, "lost members vote {context}: {}", state());
+        assert!(
+            live.iter().all(|id| voters.contains(id)),
+            "a running member is not a voter {context}: {}",
+            state()
+        );
+        assert!(
+            gone == 0 || voters.len() <= CONFIG.min_voters,
+            "{gone} lost members are still voters {context}: {}",
+            state()
+        );
         let applied: HashSet<u64> = leader.applied.iter().map(|a| a.value).collect();
-        assert!(self.confirmed.iter().all(|v| applied.contains(v)), "confirmed and lost {context}");
+        assert!(self.confirmed.iter().all(|v| applied.contains(v)), "a confirmed value is lost {context}");
     }
 
     fn describe(&self) -> String {
--- a/crates/gateway/src/consensus/tests/mod.rs
+++ b/crates/gateway/src/consensus/tests/mod.rs
@@ -1,7 +1,7 @@
 //! Randomised runs of a small cluster, by seed: messages that are delayed, lost and reordered, disks that
 //! stall, processes that are killed, disks that are lost, machines that are cut off. Checked throughout: what
-//! is committed is the same everywhere and for good, reads are linearizable, and nobody holds a lease beside
-//! another.
+//! is committed is the same on all machines permanently, reads are linearizable, and no member holds a lease
+//! beside another.
 
 mod cluster;
 
@@ -85,7 +85,7 @@
     for output in follower.take_outputs() {
         match output {
             Output::Persist { writes, .. } => apply_writes(&mut persisted, writes),
-            Output::Send { .. } => panic!("it responds before its vote is on disk"),
+            Output::Send { .. } => panic!("the member responds before its vote is on disk"),
             _ => {}
         }
     }
@@ -98,14 +98,17 @@
         raft.term() == 6
     };
     assert!(!accepts_candidate(20_100, id(2)), "the leader may still rely on this member");
-    assert!(accepts_candidate(20_100, id(0)), "a leader that stands again relies on nothing");
-    assert!(accepts_candidate(20_000 + CONFIG.election_timeout, id(2)), "nobody relies on it for longer");
-    // Nor does it stand itself before that, unless its vote is its own.
+    assert!(accepts_candidate(20_100, id(0)), "a leader that campaigns again no longer relies on its lease");
+    assert!(
+        accepts_candidate(20_000 + CONFIG.election_timeout, id(2)),
+        "no leader relies on this member after an election timeout"
+    );
+    // The member itself does not campaign before that, unless it voted for itself.
     let mut bound = Raft::<u64>::new(20_000, id(1), persisted.clone(), CONFIG);
     bound.tick(20_100);
     assert!(bound.take_outputs().is_empty());
     persisted.vote = Some(id(1));
     let mut unbound = Raft::<u64>::new(20_000, id(1), persisted, CONFIG);
     unbound.tick(20_100);
-    assert_eq!(unbound.take_outputs().len(), 2, "it asks both others at once");
+    assert_eq!(unbound.take_outputs().len(), 2, "the member asks both others for their votes at once");
 }
--- a/crates/gateway/src/consensus/types.rs
+++ b/crates/gateway/src/consensus/types.rs
@@ -26,8 +26,8 @@
 pub struct NodeId {
     /// The machine's address.
     pub ip: IpAddr,
-    /// Tells this disk from earlier ones of the same machine; 0 for the disks of the seed members at the
-    /// first start.
+    /// Distinguishes this disk from earlier ones of the same machine; 0 for the disks of the seed members at
+    /// the first start.
     pub disk: u64,
 }
 
@@ -73,11 +73,11 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry<C> {
-    /// Term of the leader that created it.
+    /// Term of the leader that created this entry.
     pub term: Term,
-    /// Its position.
+    /// Position of this entry in the log.
     pub index: Index,
-    /// Its content.
+    /// Content of this entry.
     pub payload: EntryPayload<C>,
 }
 
@@ -94,7 +94,7 @@
     pub data: Bytes,
 }
 
-/// What was on disk when the process started.
+/// The state on disk when the process started.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PersistedState<C> {
     /// The latest term that was written.
--- a/crates/gateway/src/storage/bootstrap_marker_tests.rs
+++ b/crates/gateway/src/storage/bootstrap_marker_tests.rs
@@ -1,5 +1,5 @@
-//! The first start interrupted at each of its steps: a seed of the whole system's first start resumes as one, and no
-//! other node does.
+//! Interruptions at each step of the system's first start: an interrupted seed resumes the bootstrap with identity 0,
+//! and no other node gets that identity.
 
 use crate::storage::bootstrap_marker::MARKER_FILE;
 use crate::storage::tests::Folder;
@@ -26,13 +26,13 @@
     names
 }
 
-/// Interrupted anywhere between the marker and the renaming of the database, by a kill or a loss of power, whatever the
-/// marker holds: the seed keeps identity 0.
+/// A seed keeps identity 0 if a kill or a loss of power interrupts it anywhere between the creation of the marker and
+/// the renaming of the database, whatever bytes the marker contains.
 #[gtest]
 fn interrupted_bootstrap_resumes_with_identity_zero() {
-    let whole = Folder::new("marked-whole");
-    open(&whole, false);
-    let base = std::fs::read(whole.0.join(DATABASE_FILE)).expect("a file");
+    let complete = Folder::new("marked-complete");
+    open(&complete, false);
+    let base = std::fs::read(complete.0.join(DATABASE_FILE)).expect("a file");
     for marker in [&b""[..], b"\0\0\0\0", b"\xff\x07"] {
         for (step, wal) in [(None, false), (Some(0), false), (Some(4096), false), (Some(base.len()), true)] {
             let folder = Folder::new("has_marker");
@@ -53,11 +53,11 @@
     }
 }
 
-/// The marker exists before any file of the database, and stays while the database can't be created.
+/// The marker is created before any file of the database, and is kept if creating the database fails.
 #[gtest]
 fn marker_is_created_before_the_database() {
     let folder = Folder::new("marker-first");
-    // A folder of that name keeps the database from being created.
+    // A folder with the name of the temporary database makes the creation fail.
     let obstacle = folder.0.join("replica.making");
     std::fs::create_dir(&obstacle).expect("a folder");
     expect_that!(ReplicaStore::open(&folder.0, false).is_err(), eq(true));
@@ -70,7 +70,7 @@
     expect_that!(open(&folder, false).disk_id, eq(0));
 }
 
-/// Identity 0 is never given to a disk that is not one of the first start.
+/// Identity 0 is given only to a seed's disk at the first start of the system.
 #[gtest]
 fn identity_zero_needs_a_marker_and_no_database() {
     // Power was lost before the marker was synced, or the disk was lost later: the folder is empty.
@@ -81,7 +81,7 @@
     }
     let drawn = open(&folder, false).disk_id;
     expect_that!(drawn, not(eq(0)));
-    // A marker beside a database (its removal was not durable): the database counts, the marker is removed.
+    // A marker beside a database (the removal was not durable) has no effect and is removed.
     write_file(&folder, MARKER_FILE, b"");
     let loaded = open(&folder, false);
     expect_that!((loaded.disk_id, loaded.is_new), eq((drawn, false)));
@@ -91,16 +91,16 @@
     expect_that!(file_names(&folder), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
 }
 
-/// A disk that is refused neither gains nor loses a marker.
+/// A refused disk keeps its files: the marker is neither created nor removed.
 #[gtest]
 fn refused_disk_leaves_the_marker_unchanged() {
-    let whole = Folder::new("refused-whole");
-    open(&whole, true);
+    let complete = Folder::new("refused-complete");
+    open(&complete, true);
     for has_marker in [false, true] {
         for broken in [LEGACY_DATABASE_FILE, DATABASE_FILE, WAL_FILE] {
             let folder = Folder::new("refused-has_marker");
             match broken {
-                DATABASE_FILE => copy_file(&whole, &folder, DATABASE_FILE),
+                DATABASE_FILE => copy_file(&complete, &folder, DATABASE_FILE),
                 name => write_file(&folder, name, b"something"),
             }
             if has_marker {
--- a/crates/gateway/src/storage/create.rs
+++ b/crates/gateway/src/storage/create.rs
@@ -8,14 +8,15 @@
 use std::path::Path;
 use std::time::SystemTime;
 
-/// The database while it is created.
+/// Name of the database until its creation is complete.
 const TEMPORARY_DATABASE: &str = "replica.making";
-/// Files of a creation that was interrupted: the database, and the journals that SQLite may put beside it.
+/// Files that an interrupted creation may leave: the database, and the journals that SQLite may create beside it.
 const TEMPORARY_FILES: [&str; 4] =
     [TEMPORARY_DATABASE, "replica.making-wal", "replica.making-journal", "replica.making-shm"];
 
-/// Creates the database with the disk's identity, and its empty write-ahead log. Whatever interrupts it, a database
-/// under [`DATABASE_FILE`] is complete and has its log beside it; the caller still has to sync the folder.
+/// Creates the database with the disk's identity, and its empty write-ahead log. Even if this is interrupted, a
+/// database named [`DATABASE_FILE`] is complete and its write-ahead log exists. The caller has to sync the folder
+/// afterwards.
 pub(super) fn create_database(folder: &Path, disk_id: u64) -> Result<(), StorageError> {
     remove_temporary_files(folder)?;
     let temporary = folder.join(TEMPORARY_DATABASE);
@@ -23,7 +24,7 @@
     db.pragma_update(None, "locking_mode", "EXCLUSIVE")?;
     db.pragma_update(None, "journal_mode", "MEMORY")?;
     schema::create_tables(&db, disk_id)?;
-    // The mode is in the header of the database itself, so nothing is in a write-ahead log yet.
+    // The journal mode is written to the header of the database, so the write-ahead log is still empty.
     db.pragma_update(None, "journal_mode", "WAL")?;
     db.close().map_err(|(_, e)| e)?;
     File::open(&temporary)?.sync_all()?;
@@ -48,7 +49,8 @@
     File::open(folder)?.sync_all()
 }
 
-/// An identity that no disk had before, on any machine; never 0, which is that of the seeds' first disks.
+/// A random 64-bit identity for a new disk, practically unique among all disks. Never 0, which identifies the first
+/// disks of the seeds.
 pub(super) fn new_disk_id() -> u64 {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |d| d.as_nanos());
     RandomState::new().hash_one((now, std::process::id(), fastrand::u64(..))).max(1)
--- a/crates/gateway/src/storage/error.rs
+++ b/crates/gateway/src/storage/error.rs
@@ -1,82 +1,76 @@
-//! Why a core's disk can't be used.
+//! Errors of a core node's disk.
 
 use super::schema::StoredRecord;
 use super::{DATABASE_FILE, WAL_FILE};
 use crate::consensus::{Index, Term};
 
-/// Why the database can't be opened, read or written.
+/// Failure to open, read or write the database.
 ///
-/// [`Database`](StorageError::Database) and [`DataFolder`](StorageError::DataFolder) may pass (a disk that is full, a
-/// file that is locked) and can be retried. All others stay until somebody looks at the disk, or are a fault of the
-/// caller ([`write`](super::ReplicaStore::write) refuses what it could not read back).
+/// [`Database`](StorageError::Database) and [`DataFolder`](StorageError::DataFolder) may be temporary (the disk is
+/// full, a file is locked) and can be retried. All others persist until an operator repairs or replaces the disk, or
+/// are errors of the caller: [`write`](super::ReplicaStore::write) refuses data that could not be read back.
 #[derive(Debug, displaydoc::Display)]
 #[ignore_extra_doc_attributes]
 pub enum StorageError {
-    /// the database: {0}
+    /// database error: {0}
     ///
     /// An error of SQLite.
     Database(rusqlite::Error),
-    /// the data folder: {0}
+    /// data folder error: {0}
     ///
     /// An error of the file system beside SQLite: creating, renaming or syncing files.
     DataFolder(std::io::Error),
-    /// the disk's format is {0}, of another version of this program
+    /// the disk's format is {0}, which this version of the program does not support
     UnsupportedFormat(i64),
-    /// {0} is of the program before the replicated log; see `whinstall-gateway export` for how its items are taken over
+    /// {0} is a database of a release before the replicated log; use `whinstall-gateway export` to migrate its items
     LegacyDatabase(String),
-    /// the disk holds what can't be read: {present} without {missing}
+    /// corrupt data on the disk: found {present} without {missing}
     ///
-    /// Database and write-ahead log belong together: one alone was copied or lost.
+    /// The database is usable only with its write-ahead log; only one of the two was copied, or one was lost.
     MissingFile {
         /// The file that is there.
         present: &'static str,
         /// The file that is not.
         missing: &'static str,
     },
-    /// the disk holds what can't be read: replica.sqlite is cut to nothing
+    /// corrupt data on the disk: replica.sqlite is empty (0 bytes)
     EmptyDatabase,
-    /// the disk holds what can't be read: replica.sqlite is in journal mode {0}
+    /// corrupt data on the disk: replica.sqlite is in journal mode {0}, expected wal
     JournalMode(String),
-    /// the disk holds what can't be read: no identity
+    /// corrupt data on the disk: no identity, table meta is empty
     MissingIdentity,
-    /// the disk holds what can't be read: {column} {value}
+    /// corrupt data on the disk: {column} is negative: {value}
     ///
-    /// A negative number where only 0 and above are written.
+    /// All numbers are written as 0 or above, except for the disk's identity.
     NegativeNumber {
-        /// What the number is.
+        /// Meaning of the number.
         column: &'static str,
         /// The number.
         value: i64,
     },
-    /// the disk holds what can't be read: {0} is too high
+    /// number out of range: {0} exceeds the largest SQLite integer, 9223372036854775807
     ///
-    /// SQLite has 63 bits for it.
+    /// SQLite's integers are signed, so 63 bits are available.
     NumberTooLarge(u64),
-    /// the disk holds what can't be read: index {0}
-    ///
-    /// Too large to number a snapshot's rows by it.
+    /// number out of range: snapshot index {0} is too large to derive row numbers from it
     IndexTooLarge(Index),
-    /// the disk holds what can't be read: {0}
-    ///
-    /// A record can't be encoded.
+    /// write refused: failed to encode a record: {0}
     Encode(rmp_serde::encode::Error),
-    /// the disk holds what can't be read: {record}: {source}
+    /// corrupt data on the disk: failed to decode {record}: {source}
     Decode {
-        /// Which record.
+        /// The record.
         record: StoredRecord,
-        /// What is wrong with it.
+        /// The decoder's error.
         source: rmp_serde::decode::Error,
     },
-    /// the disk holds what can't be read: entry {index} of the log comes after {previous}
-    ///
-    /// Found on the disk: the log has a gap.
+    /// corrupt data on the disk: the log is not contiguous, entry {index} follows index {previous}
     GapInLog {
         /// The entry found.
         index: Index,
         /// The entry before it, or the snapshot's index.
         previous: Index,
     },
-    /// the disk holds what can't be read: term {term} of entry {index} comes after {previous}
+    /// corrupt data on the disk: term {term} of entry {index} is lower than the preceding term {previous}
     TermDecreases {
         /// The entry's term.
         term: Term,
@@ -85,9 +79,9 @@
         /// The term of the entry before it, or of the snapshot.
         previous: Term,
     },
-    /// the disk holds what can't be read: entry {index} for a log of {snapshot_index} to {last_index}
+    /// write refused: can't append entry {index} to a log with snapshot index {snapshot_index}, last index {last_index}
     ///
-    /// Refused at writing: the append would leave a gap, or reach into the snapshot.
+    /// The append would leave a gap, or replace entries that the snapshot covers.
     AppendOutOfRange {
         /// The first entry to append.
         index: Index,
@@ -96,44 +90,44 @@
         /// Index of the last entry.
         last_index: Index,
     },
-    /// the disk holds what can't be read: entry {index} in the place of {expected}
+    /// write refused: an append contains entry {index} where entry {expected} is expected
     ///
-    /// Refused at writing: the entries of one append are not consecutive.
+    /// The entries of one append must be consecutive.
     NonConsecutiveAppend {
         /// The entry given.
         index: Index,
         /// The entry that should be there.
         expected: Index,
     },
-    /// the disk holds what can't be read: a snapshot of {index} after {current}
+    /// write refused: the snapshot at index {index} is older than the stored one at index {current}
     ///
-    /// Refused at writing: it is older than the snapshot that is stored, and does not replace the log.
+    /// Only a snapshot that replaces the log may be older than the stored one.
     SnapshotGoesBack {
         /// The new snapshot's index.
         index: Index,
-        /// Index of the stored one.
+        /// Index of the stored snapshot.
         current: Index,
     },
-    /// the disk holds what can't be read: a snapshot of {0} bytes
+    /// corrupt data on the disk: the snapshot's size is negative: {0} bytes
     InvalidSnapshotSize(i64),
-    /// the disk holds what can't be read: part {0} of the snapshot is missing
+    /// corrupt data on the disk: part {0} of the snapshot is missing
     MissingSnapshotRow(i64),
-    /// the disk holds what can't be read: {found} bytes of a snapshot of {expected}
+    /// corrupt data on the disk: the snapshot has {found} bytes, expected {expected}
     SnapshotSizeMismatch {
-        /// Bytes in its rows.
+        /// Bytes in the snapshot's rows.
         found: usize,
-        /// Bytes that it should have.
+        /// Size that is stored with the snapshot.
         expected: usize,
     },
 }
 
 impl StorageError {
-    /// Only one of the two files is there.
+    /// The database exists, but not its write-ahead log.
     pub(super) fn database_without_wal() -> Self {
         StorageError::MissingFile { present: DATABASE_FILE, missing: WAL_FILE }
     }
 
-    /// Only one of the two files is there.
+    /// The write-ahead log exists, but not its database.
     pub(super) fn wal_without_database() -> Self {
         StorageError::MissingFile { present: WAL_FILE, missing: DATABASE_FILE }
     }
--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -1,28 +1,27 @@
-//! The disk of a core node, in SQLite: the disk's identity, term and vote, the replicated log, its snapshot, and the
-//! workers last known. One thread writes ([`ReplicaStore::spawn_writer`]); whoever waits for a write is told once it is
-//! synced.
+//! Durable storage of a core node, in SQLite: the disk's identity, term and vote, the replicated log, its snapshot, and
+//! the last known workers. One thread writes ([`ReplicaStore::spawn_writer`]) and reports each write once it is synced.
 //!
-//! Two guarantees: nothing is reported as written before it is synced, and a disk that can't be read is refused, never
-//! taken for an empty one (an empty disk may vote again in a term in which it has voted).
+//! Two guarantees: nothing is reported as written before it is synced, and an unreadable disk is refused, never treated
+//! as an empty one (an empty disk may vote again in a term in which it has already voted).
 //!
 //! # Crash safety
 //!
-//! The fault model is a loss of power. Of writes that were not synced each may, independently, be present, missing or
-//! torn; a file that was created, renamed or removed without a sync of its folder may or may not be so. Why the
-//! guarantees hold nevertheless:
+//! The fault model is a loss of power. Each write that was not synced may, independently, be present, missing or torn;
+//! the creation, renaming or removal of a file without a sync of its folder may or may not be durable. The guarantees
+//! hold under this model for the following reasons:
 //!
 //! - **Creation** (`create.rs`). A database is created under a temporary name, with its identity, and synced; then the
 //!   empty write-ahead log is created and synced, then the folder. Only then the database is renamed to
 //!   [`DATABASE_FILE`], and the folder is synced again. So a database of that name is complete and has its write-ahead
-//!   log beside it, and no rollback journal ever belongs to that name. Nothing was reported of a file under the
-//!   temporary name, so it is removed.
+//!   log beside it, and no rollback journal ever belongs to that name. No write to a file under the temporary name has
+//!   been reported, so such a file can be removed.
 //! - **The write-ahead log is never removed or recreated** (no checkpoint on close, no change of the journal mode), so
 //!   an old one can't reappear, and a database without one is refused.
 //! - **Commits.** A commit is synced in the write-ahead log. Pages are copied to the database only after that. The
 //!   write-ahead log is restarted only after the database is synced, with other salts and with its header synced first.
 //!   Its truncation needs no sync: frames behind the end carry the previous salts.
-//! - **Restart.** What a killed process wrote without syncing it is found at the next start; it is synced, with the
-//!   folder, before anybody is told of it.
+//! - **Restart.** Data that a killed process wrote without syncing it may be present at the next start. This data and
+//!   the folder are synced before the data is returned to the caller.
 
 pub mod bootstrap_marker;
 #[cfg(test)]
@@ -48,20 +47,20 @@
 use rusqlite::Connection;
 use snapshots::StagedSnapshot;
 
-/// The database's file in the data folder.
+/// Name of the database in the data folder.
 pub const DATABASE_FILE: &str = "replica.sqlite";
-/// Its write-ahead log, as SQLite names it.
+/// Name of the database's write-ahead log; SQLite derives it from that of the database.
 pub const WAL_FILE: &str = "replica.sqlite-wal";
-/// The database of the program before the replicated log; a folder that has it is refused.
+/// Name of the database of releases before the replicated log; a folder that contains it is refused.
 pub const LEGACY_DATABASE_FILE: &str = "toolroom.sqlite";
 
-/// What the disk held when it was opened.
+/// State of the disk when it was opened.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadedState {
     /// Identity of the disk, for [`NodeId::disk`](crate::consensus::NodeId::disk). Synced before it is returned; 0 only
     /// on the seeds' disks of the first start.
     pub disk_id: u64,
-    /// Was the database created by this opening?
+    /// Whether the database was created by this opening.
     pub is_new: bool,
     /// Term, vote, snapshot and log.
     pub raft_state: PersistedState<LogCommand>,
@@ -85,21 +84,21 @@
 }
 
 /// Bytes of a snapshot that is still being encoded or received, written ahead so that installing it is a short write.
-/// They count for nothing until [`LogWrite::Snapshot`] installs it, and are deleted if it never does.
+/// Staged bytes have no effect until [`LogWrite::Snapshot`] installs their snapshot; otherwise they are deleted later.
 #[derive(Clone, Debug)]
 pub struct SnapshotChunk {
     /// The snapshot that the bytes belong to.
     pub snapshot: SnapshotId,
-    /// Offset of the first byte; those before it were in earlier chunks. 0 starts over.
+    /// Offset of the first byte. The bytes before it are in earlier chunks; 0 discards these and starts over.
     pub offset: u64,
-    /// A multiple of [`SNAPSHOT_CHUNK_BYTES`] of them.
+    /// The bytes; the length is a multiple of [`SNAPSHOT_CHUNK_BYTES`].
     pub data: Bytes,
 }
 
-/// Something to write, all of it or nothing.
+/// Writes that reach the disk atomically: all of them or none.
 #[derive(Clone, Debug, Default)]
 pub struct WriteBatch {
-    /// Rises from batch to batch; reported when the batch is synced.
+    /// Increases from batch to batch; reported when the batch is synced.
     pub sequence: u64,
     /// Writes of the replicated log, carried out in this order.
     pub log_writes: Vec<LogWrite<LogCommand>>,
@@ -109,12 +108,12 @@
     pub snapshot_chunk: Option<SnapshotChunk>,
 }
 
-/// What the stored log reaches from and to.
+/// First and last position of the stored log.
 #[derive(Clone, Copy, Debug)]
 struct LogBounds {
     /// Index of the snapshot; 0: none.
     snapshot_index: Index,
-    /// Index of the last entry, or of the snapshot if there is no entry behind it.
+    /// Index of the last entry, or of the snapshot if no entry follows it.
     last_index: Index,
 }
 
@@ -126,19 +125,19 @@
     }
 }
 
-/// The database in a data folder, open for this process alone.
+/// The database in a data folder, locked exclusively by this process.
 pub struct ReplicaStore {
     db: Connection,
     log_bounds: LogBounds,
     staged: Option<StagedSnapshot>,
-    /// A write failed: nothing is staged until a snapshot is installed, which makes room.
+    /// Set after a failed write: the disk may be full, so nothing is staged until installing a snapshot frees space.
     staging_paused: bool,
-    /// No row of `snapshot_part` is stale; false where that is not known.
+    /// Whether `snapshot_part` is known to contain no stale row.
     no_stale_chunks: bool,
 }
 
 impl ReplicaStore {
-    /// Limits the size of the database, as a disk that is full does.
+    /// Limits the size of the database to simulate a full disk.
     #[cfg(test)]
     pub(crate) fn limit_pages(&self, pages: u32) {
         let _ = self.db.pragma_update(None, "max_page_count", pages);
--- a/crates/gateway/src/storage/read.rs
+++ b/crates/gateway/src/storage/read.rs
@@ -1,4 +1,4 @@
-//! Reading everything that a database holds, and refusing what no correct write can have left.
+//! Reads the content of a database, and refuses content that no correct write can have produced.
 
 use super::schema::{decode, from_sql_integer, stored_snapshot_row_range, StoredRecord, SCHEMA_VERSION};
 use super::{LoadedState, StorageError};
@@ -24,14 +24,14 @@
     size: i64,
 }
 
-/// An entry's position in the log; also that of the snapshot which precedes the log.
+/// Position of an entry in the log, or of the snapshot that precedes the log.
 #[derive(Clone, Copy, Default)]
 struct LogPosition {
     index: Index,
     term: Term,
 }
 
-/// Reads the whole state. [`LoadedState::is_new`] is left false.
+/// Reads the complete state. [`LoadedState::is_new`] is always false.
 pub(super) fn load(db: &Connection) -> Result<LoadedState, StorageError> {
     let meta = load_meta(db)?.ok_or(StorageError::MissingIdentity)?;
     if meta.format != SCHEMA_VERSION {
@@ -78,7 +78,7 @@
     Ok(Some(Snapshot { index, term, voters: members, data: data.freeze() }))
 }
 
-/// Joins the rows of the snapshot of this index, which has so many bytes.
+/// Joins the rows of the snapshot at `index`; fails if a row is missing or the total is not `size` bytes.
 fn load_snapshot_data(db: &Connection, index: Index, size: usize) -> Result<BytesMut, StorageError> {
     let range = stored_snapshot_row_range(db, index)?;
     let mut query =
@@ -99,7 +99,7 @@
     }
 }
 
-/// The entries behind the snapshot, which must follow it and each other without a gap.
+/// Reads the entries after the snapshot; fails if their indexes are not contiguous or a term decreases.
 fn load_log(db: &Connection, snapshot: LogPosition) -> Result<Vec<Entry<LogCommand>>, StorageError> {
     let mut query = db.prepare("SELECT idx, term, entry FROM log ORDER BY idx")?;
     let mut rows = query.query([])?;
--- a/crates/gateway/src/storage/snapshots.rs
+++ b/crates/gateway/src/storage/snapshots.rs
@@ -1,10 +1,9 @@
-//! Snapshots on the disk. A large one is written in chunks ahead of the write that installs it ("staged"), so that
-//! installing it is short and log entries never wait for megabytes.
+//! Snapshots on the disk. A large snapshot is staged: written in chunks ahead of the write that installs it, so that
+//! the installation is short and log entries never wait for megabytes of snapshot data.
 //!
-//! Staged rows have numbers of their own (see [`snapshot_row_range`]) and count for nothing until
-//! [`LogWrite::Snapshot`](crate::consensus::LogWrite::Snapshot) names their snapshot: reading takes only rows in the
-//! range of the installed one. Rows of snapshots that were replaced or never installed are stale; each write deletes a
-//! few.
+//! Staged rows are in the row range of their own snapshot (see [`snapshot_row_range`]) and have no effect until
+//! [`LogWrite::Snapshot`](crate::consensus::LogWrite::Snapshot) installs it: loading reads only rows in the range of
+//! the installed snapshot. Rows of snapshots that were replaced or never installed are stale; each write deletes a few.
 
 use super::schema::{encode, snapshot_row_range, stored_snapshot_row_range, to_sql_integer};
 use super::schema::{ROWS_PER_SNAPSHOT, SNAPSHOT_CHUNK_BYTES};
@@ -12,7 +11,7 @@
 use crate::consensus::{Index, Snapshot};
 use rusqlite::params;
 
-/// What is on the disk of a snapshot that is not installed yet.
+/// The part of a snapshot that is on the disk before its installation.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StagedSnapshot {
     snapshot: SnapshotId,
@@ -21,10 +20,10 @@
 }
 
 impl ReplicaStore {
-    /// Writes a chunk ahead. A chunk that doesn't continue what is staged is ignored: staging only saves time, and
-    /// installing writes whatever is not there.
+    /// Stages a chunk. A chunk that does not continue the staged bytes is ignored: staging is only an optimization, and
+    /// the installation writes all bytes that are not staged.
     pub(super) fn stage_chunk(&mut self, chunk: &SnapshotChunk) -> Result<(), StorageError> {
-        // A chunk at offset 0 starts over, whatever is staged.
+        // A chunk at offset 0 starts over and discards the bytes staged before.
         let continued = self.staged.filter(|s| chunk.offset > 0 && s.snapshot == chunk.snapshot);
         let staged_bytes = continued.map_or(0, |s| s.bytes);
         let index = chunk.snapshot.index;
@@ -35,7 +34,7 @@
         {
             return Ok(());
         }
-        // What was staged of another snapshot has become stale.
+        // Rows that were staged before are stale unless this chunk continues them.
         self.no_stale_chunks &= continued.is_some();
         self.staged = None;
         self.insert_rows(index, staged_bytes, &chunk.data)?;
@@ -44,8 +43,8 @@
         Ok(())
     }
 
-    /// Installs a snapshot: the log up to its index goes (all of it if `replaces_log`), and what is not staged of its
-    /// data is written.
+    /// Installs a snapshot: deletes the log up to the snapshot's index (all of it if `replaces_log`), and writes the
+    /// bytes that are not staged.
     pub(super) fn install_snapshot(
         &mut self,
         snapshot: &Snapshot,
@@ -61,7 +60,7 @@
         let id = SnapshotId { index: *index, term: *term };
         let staged = self.staged.take().filter(|s| s.snapshot == id && s.bytes <= data.len() as u64);
         let staged_bytes = staged.map_or(0, |s| s.bytes);
-        // Deletions come first: they make room for what is written.
+        // Deletions come first, to free space for the rows that are written.
         let last_deleted = if replaces_log { i64::MAX } else { to_sql_integer(*index)? };
         self.execute("DELETE FROM log WHERE idx <= ?1", params![last_deleted])?;
         if staged_bytes == 0 {
@@ -77,7 +76,7 @@
         Ok(())
     }
 
-    /// Writes a snapshot's bytes from this offset on.
+    /// Writes bytes of a snapshot as rows; `offset`, a multiple of [`SNAPSHOT_CHUNK_BYTES`], is that of the first byte.
     fn insert_rows(&self, index: Index, offset: u64, data: &[u8]) -> Result<(), StorageError> {
         let first = snapshot_row_range(index)?.start + (offset / SNAPSHOT_CHUNK_BYTES as u64) as i64;
         for (row, data) in (first..).zip(data.chunks(SNAPSHOT_CHUNK_BYTES)) {
@@ -86,8 +85,8 @@
         Ok(())
     }
 
-    /// Deletes the rows that reading would take for rows of the installed snapshot: those behind its end in its range
-    /// (an earlier one of the same index was longer), and those from 0 on (unnumbered, of an early build).
+    /// Deletes the rows that loading would mistake for rows of the installed snapshot: rows of its range after its end
+    /// (of an earlier, longer snapshot at the same index), and rows numbered from 0 (written by early builds).
     fn delete_overlapping_rows(&self, index: Index, size: usize) -> Result<(), StorageError> {
         let range = snapshot_row_range(index)?;
         let end = range.start + size.div_ceil(SNAPSHOT_CHUNK_BYTES) as i64;
@@ -95,7 +94,7 @@
         self.execute("DELETE FROM snapshot_part WHERE part < ?1", params![ROWS_PER_SNAPSHOT as i64])
     }
 
-    /// Deletes up to so many rows that belong neither to the installed snapshot nor to the staged one.
+    /// Deletes at most `max_rows` rows that belong neither to the installed snapshot nor to the staged one.
     pub(super) fn delete_stale_rows(&mut self, max_rows: i64) -> Result<(), StorageError> {
         if self.no_stale_chunks {
             return Ok(());
--- a/crates/gateway/src/storage/tests.rs
+++ b/crates/gateway/src/storage/tests.rs
@@ -1,5 +1,5 @@
-//! The store against a model in memory, and against every way in which a loss of power may leave its files; and the
-//! items of a disk of the program before the replicated log, exported and sent again.
+//! Tests of the store against a model in memory and against files as a loss of power may leave them, and of exporting
+//! and importing the items of a disk of a release before the replicated log.
 
 use crate::cli::export::{export, import_call, ExportError};
 use crate::configuration::{parse_change, ConfigItem, ItemFields, ItemKind, ItemSet};
@@ -20,7 +20,7 @@
 
 impl Folder {
     pub(crate) fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("whinstall-ledger-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("whinstall-storage-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         Folder(folder)
@@ -88,7 +88,7 @@
     LoadedState { is_new: true, ..open(folder).1 }
 }
 
-/// The meaning of a batch, implemented as simply as possible.
+/// Reference implementation of a batch's effect, as simple as possible.
 fn apply_to_model(loaded: &mut LoadedState, batch: &WriteBatch) {
     for write in &batch.log_writes {
         match write.clone() {
@@ -114,13 +114,13 @@
     loaded.workers.sort_by(|a, b| a.id.cmp(&b.id));
 }
 
-/// A random batch that a node in this state may write.
+/// Generates a random batch that a node in this state may write.
 fn random_batch(rng: &mut fastrand::Rng, loaded: &LoadedState, max_bytes: usize) -> WriteBatch {
     let start = loaded.raft_state.snapshot.as_ref().map_or((0, 0), |s| (s.index, s.term));
     let last = loaded.raft_state.entries.last().map_or(start, |e| (e.index, e.term));
     let mut batch = WriteBatch::default();
     let term = loaded.raft_state.term.max(last.1).max(1);
-    // Bytes by index, so that staged chunks agree with the snapshot.
+    // The bytes depend only on the index, so that staged chunks agree with the snapshot.
     let snapshot = |rng: &mut fastrand::Rng, index, term| Snapshot {
         index,
         term,
@@ -137,7 +137,7 @@
             ));
         }
         1 => batch.log_writes.push(LogWrite::HardState { term: term + 1, vote: Some(node(rng.u64(..4))) }),
-        // A snapshot of its own; the log up to it is compacted.
+        // The node takes a snapshot; the log up to its index is compacted.
         2 | 3 if !loaded.raft_state.entries.is_empty() => {
             let many = loaded.raft_state.entries.len();
             let at = &loaded.raft_state.entries[if rng.bool() { many - 1 } else { rng.usize(..many) }];
@@ -201,18 +201,18 @@
     }
 }
 
-/// A file of which later writes reached the disk in part, each whole, torn or not at all; the first `whole` bytes are
-/// as after them.
-fn torn_file(rng: &mut fastrand::Rng, old: &[u8], new: &[u8], whole: usize) -> Vec<u8> {
+/// Builds a file as a loss of power may leave it: each part of the change from `old` to `new` is present, torn or
+/// missing. The first `synced_len` bytes are always those of `new`.
+fn torn_file(rng: &mut fastrand::Rng, old: &[u8], new: &[u8], synced_len: usize) -> Vec<u8> {
     let keep = [old.len(), new.len(), old.len().max(new.len())][rng.usize(..3)];
-    let mut file = new[..whole].to_vec();
+    let mut file = new[..synced_len].to_vec();
     while file.len() < keep {
         let to = (file.len() + rng.usize(1..9000)).min(keep);
         let from = match rng.u8(..3) {
             0 => old,
             _ => new,
         };
-        // What was never written reads as zeros.
+        // Bytes that were never written read as zeros.
         let there = from.len().clamp(file.len(), to);
         file.extend_from_slice(from.get(file.len()..there).unwrap_or(&[]));
         file.resize(to, 0);
@@ -220,13 +220,13 @@
     file
 }
 
-/// Bytes of the write-ahead log's header, which is synced before what follows.
-const WAL_HEAD: usize = 32;
+/// Size of the write-ahead log's header, which is synced before the frames after it are written.
+const WAL_HEADER_BYTES: usize = 32;
 
 /// A synced batch survives a loss of power during the next one: during an append, an overwrite by a new leader, a
 /// compaction, a leader's snapshot, and a checkpoint of the write-ahead log to the database.
 #[gtest]
-fn power_loss_keeps_each_batch_whole_or_absent() {
+fn batches_are_atomic_after_power_loss() {
     let (mut checkpoints, mut restarts, mut after, mut before) = (0, 0, 0, 0);
     for seed in 0..4 {
         let (mut rng, folder) = (fastrand::Rng::with_seed(seed), Folder::new(&format!("power{seed}")));
@@ -245,10 +245,10 @@
             store.write(&[batch]).expect("writes");
             let (current, new) = (&model, (folder.file(DATABASE_FILE), folder.file(WAL_FILE)));
             let at = format!("seed {seed} step {step}");
-            let head = new.1.len().min(WAL_HEAD);
+            let head = new.1.len().min(WAL_HEADER_BYTES);
             if old.1.get(..head) != new.1.get(..head) {
                 restarts += 1;
-                // Only the header is new: the log was restarted, its content is in the database.
+                // Only the header is new: the write-ahead log was restarted after a checkpoint to the database.
                 let wal = [&new.1[..head], old.1.get(head..).unwrap_or(&[])].concat();
                 assert_that!(load_copy(&old.0, &wal) == previous, eq(true), "{at}: head");
             }
@@ -271,17 +271,17 @@
     expect_that!([checkpoints, restarts, after, before], each(gt(9)));
 }
 
-/// A database under its name has its identity and its write-ahead log; before the renaming nothing was reported, so the
-/// creation starts over.
+/// A database under its final name has an identity and a write-ahead log. Before the renaming no write has been
+/// reported, so an interrupted creation starts over.
 #[gtest]
 fn power_loss_during_creation_leaves_a_complete_database_or_none() {
-    let whole = Folder::new("made");
-    let (_, made) = ReplicaStore::open(&whole.0, false).expect("opens");
-    expect_that!(made.is_new, eq(true));
-    expect_that!(made.disk_id, not(eq(0)));
-    let base = whole.file(DATABASE_FILE);
-    expect_that!(whole.names(), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
-    // Interrupted anywhere before the renaming: partial files of any size, with and without the empty log.
+    let complete = Folder::new("created");
+    let (_, created) = ReplicaStore::open(&complete.0, false).expect("opens");
+    expect_that!(created.is_new, eq(true));
+    expect_that!(created.disk_id, not(eq(0)));
+    let base = complete.file(DATABASE_FILE);
+    expect_that!(complete.names(), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
+    // An interruption before the renaming leaves partial files of any size, with or without the empty write-ahead log.
     for (step, wal) in [0, 18, 512, 4096, base.len()].into_iter().zip([false, true].into_iter().cycle()) {
         let folder = Folder::new("midway");
         for name in ["replica.making", "replica.making-wal", "replica.making-journal"] {
@@ -292,24 +292,24 @@
         }
         let (_, loaded) = ReplicaStore::open(&folder.0, false).expect("opens");
         expect_that!(loaded.is_new, eq(true));
-        expect_that!([0, made.disk_id].contains(&loaded.disk_id), eq(false));
+        expect_that!([0, created.disk_id].contains(&loaded.disk_id), eq(false));
         expect_that!(folder.names(), elements_are![eq(DATABASE_FILE), eq(WAL_FILE)]);
         expect_that!(ReplicaStore::open(&folder.0, true).expect("opens").1.disk_id, eq(loaded.disk_id));
     }
-    // Killed just after the renaming.
+    // A kill just after the renaming leaves a complete database.
     let folder = Folder::new("named");
     std::fs::write(folder.0.join(DATABASE_FILE), &base).expect("a file");
     std::fs::write(folder.0.join(WAL_FILE), []).expect("a file");
     let (_, loaded) = ReplicaStore::open(&folder.0, true).expect("opens");
-    expect_that!((loaded.disk_id, loaded.is_new), eq((made.disk_id, false)));
+    expect_that!((loaded.disk_id, loaded.is_new), eq((created.disk_id, false)));
     expect_that!(ReplicaStore::open(&Folder::new("seed").0, true).expect("opens").1.disk_id, eq(0));
 }
 
-/// A damaged disk is never taken for an empty one, and never changed.
+/// A damaged disk is refused, never treated as an empty one, and left unchanged.
 #[gtest]
 fn unreadable_disk_is_refused_and_unchanged() {
-    let whole = Folder::new("readable");
-    let (mut store, _) = open(&whole.0);
+    let complete = Folder::new("readable");
+    let (mut store, _) = open(&complete.0);
     let voters = [node(1)].into();
     let snapshot = Snapshot { index: 3, term: 2, voters, data: vec![7; 200_000].into() };
     let entries = (1..10).map(|i| entry(i, 2 + i / 5, 40)).collect();
@@ -317,14 +317,14 @@
     store.write(&[batch_of(writes)]).expect("writes");
     drop(store);
     let corruptions = [
-        ("DELETE FROM log WHERE idx = 6", "entry 7 of the log comes after 5"),
-        ("DELETE FROM log WHERE idx = 4", "entry 5 of the log comes after 3"),
-        ("DELETE FROM snapshot", "entry 4 of the log comes after 0"),
-        ("UPDATE log SET term = 1 WHERE idx = 5", "term 1 of entry 5 comes after 2"),
+        ("DELETE FROM log WHERE idx = 6", "the log is not contiguous, entry 7 follows index 5"),
+        ("DELETE FROM log WHERE idx = 4", "the log is not contiguous, entry 5 follows index 3"),
+        ("DELETE FROM snapshot", "the log is not contiguous, entry 4 follows index 0"),
+        ("UPDATE log SET term = 1 WHERE idx = 5", "term 1 of entry 5 is lower than the preceding term 2"),
         ("UPDATE log SET entry = x'c1' WHERE idx = 9", "entry 9"),
         ("UPDATE log SET entry = 5 WHERE idx = 9", "nvalid"),
         ("DELETE FROM snapshot_part WHERE part = 3 * 1048576", "part 0"),
-        ("DELETE FROM snapshot_part WHERE part = 3 * 1048576 + 3", "bytes of a snapshot of 200000"),
+        ("DELETE FROM snapshot_part WHERE part = 3 * 1048576 + 3", "bytes, expected 200000"),
         ("UPDATE meta SET vote = x'c1'", "the vote"),
         ("INSERT INTO workers VALUES ('a', x'c1')", "a worker"),
         ("DELETE FROM meta", "no identity"),
@@ -333,15 +333,15 @@
     ];
     let assert_refused = |folder: &Folder, why: &str| {
         let files = || folder.names().into_iter().map(|n| (folder.file(&n), n)).collect::<Vec<_>>();
-        let was = files();
+        let files_before = files();
         let found = ReplicaStore::open(&folder.0, true).err().map(|e| e.to_string());
         expect_that!(found, some(contains_substring(why)));
-        expect_that!(files() == was, eq(true), "{why}");
+        expect_that!(files() == files_before, eq(true), "{why}");
     };
     for (sql, why) in corruptions {
         let folder = Folder::new("broken");
         for name in [DATABASE_FILE, WAL_FILE] {
-            std::fs::write(folder.0.join(name), whole.file(name)).expect("a copy");
+            std::fs::write(folder.0.join(name), complete.file(name)).expect("a copy");
         }
         let db = Connection::open(folder.0.join(DATABASE_FILE)).expect("opens");
         db.pragma_update(None, "locking_mode", "EXCLUSIVE").expect("set");
@@ -355,17 +355,17 @@
         std::fs::write(folder.0.join(name), bytes).expect("a file");
         folder
     };
-    assert_refused(&alone(DATABASE_FILE, &whole.file(DATABASE_FILE)), "replica.sqlite without");
-    assert_refused(&alone(WAL_FILE, &whole.file(WAL_FILE)), "replica.sqlite-wal without");
+    assert_refused(&alone(DATABASE_FILE, &complete.file(DATABASE_FILE)), "replica.sqlite without");
+    assert_refused(&alone(WAL_FILE, &complete.file(WAL_FILE)), "replica.sqlite-wal without");
     let empty = alone(DATABASE_FILE, &[]);
-    std::fs::write(empty.0.join(WAL_FILE), whole.file(WAL_FILE)).expect("a copy");
-    assert_refused(&empty, "cut to nothing");
-    let rubbish = alone(DATABASE_FILE, &[9; 8192]);
-    std::fs::write(rubbish.0.join(WAL_FILE), []).expect("a file");
-    assert_refused(&rubbish, "not a database");
+    std::fs::write(empty.0.join(WAL_FILE), complete.file(WAL_FILE)).expect("a copy");
+    assert_refused(&empty, "replica.sqlite is empty (0 bytes)");
+    let not_sqlite = alone(DATABASE_FILE, &[9; 8192]);
+    std::fs::write(not_sqlite.0.join(WAL_FILE), []).expect("a file");
+    assert_refused(&not_sqlite, "not a database");
 }
 
-/// A failed write is not reported, leaves nothing, and does not leave the connection unusable.
+/// A failed write returns an error, leaves no data on the disk, and leaves the connection usable.
 #[gtest]
 fn failed_write_leaves_no_trace_and_can_be_retried() {
     let folder = Folder::new("refused");
@@ -373,15 +373,15 @@
     let small = |index| batch_of(vec![LogWrite::Append(vec![entry(index, 1, 50)])]);
     apply_to_model(&mut model, &small(1));
     store.write(&[small(1)]).expect("writes");
-    // The disk gets full within the transaction, after writes that fitted.
+    // The disk becomes full within the transaction, after some writes succeeded.
     store.limit_pages(12);
     let large = batch_of(vec![LogWrite::Append(vec![entry(3, 1, 500_000)])]);
     for _ in 0..3 {
         expect_that!(store.write(&[small(2), large.clone()]), err(anything()));
     }
     apply_to_model(&mut model, &small(2));
-    store.write(&[small(2)]).expect("what fits is written at once");
-    // A number that is too large is refused, and so is a log that could not be read back.
+    store.write(&[small(2)]).expect("a write that fits succeeds without a retry");
+    // A number that is out of range is refused, and so is a log that could not be read back.
     let snapshot = |index| Snapshot { index, term: 1, voters: [node(1)].into(), data: vec![1].into() };
     for wrong in [
         vec![LogWrite::HardState { term: u64::MAX, vote: None }],
@@ -428,7 +428,7 @@
     assert_that!(reopened_state(&folder.0) == model, eq(true));
 }
 
-/// 6,000 changes take about as much disk as 600, whatever snapshots were written.
+/// 6,000 changes with snapshots in between take less than 1.5 times the disk space of 600.
 #[gtest]
 fn disk_usage_stays_bounded() {
     let folder = Folder::new("bounded");
@@ -450,7 +450,8 @@
     expect_that!(sizes[9], lt(sizes[0] * 3 / 2));
 }
 
-/// A disk of the program before the replicated log; its process was killed, so part of it is in the write-ahead log.
+/// Creates a disk of a release before the replicated log, as a killed process leaves it: with data in the write-ahead
+/// log.
 fn create_legacy_database(folder: &Path, items: &ItemSet) -> Connection {
     let db = Connection::open(folder.join(LEGACY_DATABASE_FILE)).expect("opens");
     db.pragma_update(None, "locking_mode", "EXCLUSIVE").expect("set");
@@ -470,7 +471,7 @@
     db
 }
 
-/// What operators sent survives the change of programs.
+/// Configuration items keep their content through the upgrade from a release before the replicated log.
 #[gtest]
 fn legacy_items_survive_export_and_import_unchanged() {
     let sent = json!({
@@ -482,7 +483,7 @@
                   "mixture": [{ "service_ref": "s1", "gain": 0.25 }, { "service_ref": "s2", "gain": 3 }] },
             ],
             "tenant_set": [{ "label": "t1", "credentials": ["k1", "k2"], "rate_per_s": 10.5, "revision": "r3" }],
-            // One with a null of its own.
+            // A field whose value is null.
             "service_set": [{ "label": "s1", "probe_path": "/h", "conn_limit": null, "revision": "r8" },
                 { "label": "s2", "revision": "r18446744073709551615" }],
             "saturation": { "body_max_bytes": 1000, "idle_cutoff": null, "revision": "r2" },
@@ -497,15 +498,15 @@
     let folder = Folder::new("earlier");
     let db = create_legacy_database(&folder.0, &items);
     let files = || folder.names().into_iter().map(|n| (folder.file(&n), n)).collect::<Vec<_>>();
-    let was = files();
-    expect_that!(was, len(eq(2)));
+    let files_before = files();
+    expect_that!(files_before, len(eq(2)));
     let printed = export(&folder.0).expect("exported").to_string();
     let refused = ReplicaStore::open(&folder.0, true).err();
     expect_that!(
         refused,
         some(matches_pattern!(StorageError::LegacyDatabase(contains_substring(LEGACY_DATABASE_FILE))))
     );
-    expect_that!(files() == was, eq(true), "the disk stays as it was");
+    expect_that!(files() == files_before, eq(true), "the disk is unchanged");
     drop(db);
     let mut again = ItemSet::default();
     for item in parse_change(printed.as_bytes()).expect("readable") {
@@ -523,39 +524,63 @@
     expect_that!(export(&folder.0).err(), some(matches_pattern!(ExportError::NoDisk(_))));
 }
 
-/// Operators and their runbooks know these texts.
+/// Operators and runbooks match these texts.
 #[gtest]
 fn error_texts_are_pinned() {
-    let unreadable = |error: StorageError, what: &str| {
-        expect_that!(error.to_string(), eq(&format!("the disk holds what can't be read: {what}")));
+    let corrupt = |error: StorageError, cause: &str| {
+        expect_that!(error.to_string(), eq(&format!("corrupt data on the disk: {cause}")));
     };
-    unreadable(StorageError::database_without_wal(), "replica.sqlite without replica.sqlite-wal");
-    unreadable(StorageError::wal_without_database(), "replica.sqlite-wal without replica.sqlite");
-    unreadable(StorageError::EmptyDatabase, "replica.sqlite is cut to nothing");
-    unreadable(StorageError::JournalMode("off".into()), "replica.sqlite is in journal mode off");
-    unreadable(StorageError::MissingIdentity, "no identity");
-    unreadable(StorageError::NegativeNumber { column: "term", value: -1 }, "term -1");
-    unreadable(StorageError::NumberTooLarge(u64::MAX), "18446744073709551615 is too high");
-    unreadable(StorageError::IndexTooLarge(5), "index 5");
-    unreadable(StorageError::GapInLog { index: 7, previous: 5 }, "entry 7 of the log comes after 5");
+    let out_of_range = |error: StorageError, cause: &str| {
+        expect_that!(error.to_string(), eq(&format!("number out of range: {cause}")));
+    };
+    let refused = |error: StorageError, cause: &str| {
+        expect_that!(error.to_string(), eq(&format!("write refused: {cause}")));
+    };
+    corrupt(StorageError::database_without_wal(), "found replica.sqlite without replica.sqlite-wal");
+    corrupt(StorageError::wal_without_database(), "found replica.sqlite-wal without replica.sqlite");
+    corrupt(StorageError::EmptyDatabase, "replica.sqlite is empty (0 bytes)");
+    corrupt(StorageError::JournalMode("off".into()), "replica.sqlite is in journal mode off, expected wal");
+    corrupt(StorageError::MissingIdentity, "no identity, table meta is empty");
+    corrupt(StorageError::NegativeNumber { column: "term", value: -1 }, "term is negative: -1");
+    out_of_range(
+        StorageError::NumberTooLarge(u64::MAX),
+        "18446744073709551615 exceeds the largest SQLite integer, 9223372036854775807",
+    );
+    out_of_range(
+        StorageError::IndexTooLarge(5),
+        "snapshot index 5 is too large to derive row numbers from it",
+    );
+    corrupt(
+        StorageError::GapInLog { index: 7, previous: 5 },
+        "the log is not contiguous, entry 7 follows index 5",
+    );
     let decreases = StorageError::TermDecreases { term: 1, index: 5, previous: 2 };
-    unreadable(decreases, "term 1 of entry 5 comes after 2");
+    corrupt(decreases, "term 1 of entry 5 is lower than the preceding term 2");
     let range = StorageError::AppendOutOfRange { index: 4, snapshot_index: 1, last_index: 2 };
-    unreadable(range, "entry 4 for a log of 1 to 2");
-    unreadable(StorageError::NonConsecutiveAppend { index: 5, expected: 4 }, "entry 5 in the place of 4");
-    unreadable(StorageError::SnapshotGoesBack { index: 1, current: 2 }, "a snapshot of 1 after 2");
-    unreadable(StorageError::InvalidSnapshotSize(-3), "a snapshot of -3 bytes");
-    unreadable(StorageError::MissingSnapshotRow(2), "part 2 of the snapshot is missing");
+    refused(range, "can't append entry 4 to a log with snapshot index 1, last index 2");
+    refused(
+        StorageError::NonConsecutiveAppend { index: 5, expected: 4 },
+        "an append contains entry 5 where entry 4 is expected",
+    );
+    refused(
+        StorageError::SnapshotGoesBack { index: 1, current: 2 },
+        "the snapshot at index 1 is older than the stored one at index 2",
+    );
+    corrupt(StorageError::InvalidSnapshotSize(-3), "the snapshot's size is negative: -3 bytes");
+    corrupt(StorageError::MissingSnapshotRow(2), "part 2 of the snapshot is missing");
     let size = StorageError::SnapshotSizeMismatch { found: 1, expected: 2 };
-    unreadable(size, "1 bytes of a snapshot of 2");
+    corrupt(size, "the snapshot has 1 bytes, expected 2");
     let source = rmp_serde::from_slice::<u8>(b"").expect_err("empty");
     let text = source.to_string();
-    unreadable(StorageError::Decode { record: StoredRecord::Vote, source }, &format!("the vote: {text}"));
+    corrupt(
+        StorageError::Decode { record: StoredRecord::Vote, source },
+        &format!("failed to decode the vote: {text}"),
+    );
     let records = [StoredRecord::Worker, StoredRecord::SnapshotMembers, StoredRecord::LogEntry(9)];
     expect_that!(
         records.map(|r| r.to_string()),
         elements_are![eq("a worker"), eq("the snapshot's members"), eq("entry 9")]
     );
     let format = StorageError::UnsupportedFormat(9).to_string();
-    expect_that!(format, eq("the disk's format is 9, of another version of this program"));
+    expect_that!(format, eq("the disk's format is 9, which this version of the program does not support"));
 }
--- a/crates/gateway/src/storage/write.rs
+++ b/crates/gateway/src/storage/write.rs
@@ -1,4 +1,4 @@
-//! Writing batches: each call of [`ReplicaStore::write`] is one transaction, synced when it returns.
+//! Writes batches: each call of [`ReplicaStore::write`] is one transaction, synced when it returns.
 
 use super::schema::{encode, to_sql_integer};
 use super::{LogBounds, ReplicaStore, StorageError, WriteBatch};
@@ -7,15 +7,15 @@
 use crate::protocol::LogCommand;
 use rusqlite::params;
 
-/// Stale snapshot rows that are deleted with one write, so that no write has to wait for the deletion of a whole
+/// Maximum number of stale snapshot rows that one write deletes, so that no write waits for the deletion of an entire
 /// snapshot.
 const STALE_ROWS_PER_WRITE: i64 = 4;
 
 impl ReplicaStore {
     /// Writes the batches, in order, in one transaction that is synced when this returns.
     ///
-    /// After an error none of it is on the disk, and the same call can be repeated. A log that would have a gap is
-    /// refused: it could not be opened again.
+    /// After an error no part of the batches is on the disk, and the same call can be repeated. Writes that would leave
+    /// a gap in the log are refused, because a log with a gap can't be opened again.
     pub fn write(&mut self, batches: &[WriteBatch]) -> Result<(), StorageError> {
         self.roll_back_if_open()?;
         self.execute("BEGIN IMMEDIATE", params![])?;
@@ -26,7 +26,7 @@
             .and_then(|()| self.execute("COMMIT", params![]));
         if written.is_err() {
             self.log_bounds = bounds_before;
-            // The disk may be full: give up what is staged, and delete it to make room for the retry.
+            // The disk may be full: discard the staged rows, and delete them to free space for the retry.
             (self.staged, self.staging_paused, self.no_stale_chunks) = (None, true, false);
             self.roll_back_if_open()?;
             self.delete_stale_rows(i64::MAX)?;
@@ -34,7 +34,7 @@
         written
     }
 
-    /// A rollback that the disk refused leaves the transaction open.
+    /// Rolls back an open transaction. One stays open if an earlier rollback failed.
     fn roll_back_if_open(&self) -> Result<(), StorageError> {
         if !self.db.is_autocommit() {
             self.db.execute_batch("ROLLBACK")?;
@@ -51,8 +51,8 @@
                     self.execute("UPDATE meta SET term = ?1, vote = ?2", params)?;
                 }
                 LogWrite::Append(entries) => self.append(entries)?,
-                LogWrite::Snapshot { snapshot, replaces_log: whole } => {
-                    self.install_snapshot(snapshot, *whole)?
+                LogWrite::Snapshot { snapshot, replaces_log } => {
+                    self.install_snapshot(snapshot, *replaces_log)?
                 }
             }
         }
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Appends consecutive entries; those that are there from the first one's index on are replaced.
+    /// Appends consecutive entries. Existing entries from the first new index on are deleted.
     fn append(&mut self, entries: &[Entry<LogCommand>]) -> Result<(), StorageError> {
         let Some(first) = entries.first() else { return Ok(()) };
         let LogBounds { snapshot_index, last_index } = self.log_bounds;
--- a/crates/gateway/src/storage/writer_thread.rs
+++ b/crates/gateway/src/storage/writer_thread.rs
@@ -1,19 +1,19 @@
-//! The thread that writes: batches that have queued up meanwhile go into one transaction.
+//! The writer thread: batches that are queued during a write go into the next transaction together.
 
 use super::{ReplicaStore, WriteBatch};
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// Wait before a failed write is retried.
+/// Delay before a failed write is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// One warning for this many failures in a row, beginning with the first.
+/// One warning is logged for this many consecutive failures, beginning with the first.
 const FAILURES_PER_WARNING: u32 = 10;
 
 impl ReplicaStore {
-    /// Moves the store to a thread of its own that writes all batches sent to it, in order. After each synced
-    /// transaction `on_synced` gets the [`sequence`](WriteBatch::sequence) of its last batch. A write that fails is
-    /// retried until it succeeds: nothing is ever skipped or reported early. The thread ends when the sender is dropped
-    /// and everything sent is synced.
+    /// Moves the store to a dedicated thread that writes all batches sent to it, in order. After each synced
+    /// transaction the thread calls `on_synced` with the [`sequence`](WriteBatch::sequence) of the last batch. A failed
+    /// write is retried until it succeeds, so no batch is skipped or reported early. The thread ends once the sender is
+    /// dropped and all sent batches are synced.
     pub fn spawn_writer(mut self, on_synced: impl Fn(u64) + Send + 'static) -> mpsc::Sender<WriteBatch> {
         let (sender, receiver) = mpsc::channel::<WriteBatch>();
         std::thread::spawn(move || {
