--- a/crates/gateway/src/storage/mod.rs
+++ b/crates/gateway/src/storage/mod.rs
@@ -19,7 +19,7 @@
 //!   an old one can't reappear, and a database without one is refused.
 //! - **Commits.** A commit is synced in the write-ahead log. Pages are copied to the database only after that. The
 //!   write-ahead log is restarted only after the database is synced, with other salts and with its header synced first.
-//!   Its truncation needs no sync: frames behind the end carry the previous salts.
+//!   Truncating the write-ahead log needs no sync: frames behind the end carry the previous salts.
 //! - **Restart.** Data that a killed process wrote without syncing it may be present at the next start. This data and
 //!   the folder are synced before the data is returned to the caller.
 
