--- a/crates/gateway/src/configuration/active_config.rs
+++ b/crates/gateway/src/configuration/active_config.rs
@@ -1,5 +1,5 @@
-//! The view of the configuration that an edge node serves requests by: routes by host and longest path prefix, tenants
-//! by credential, limits on clients. It is immutable; after a change a new one is built from the [`ActiveItem`]s, one
+//! The view of the configuration that an edge node serves requests with: routes by host and longest path prefix, tenants
+//! by credential, client limits. A view is immutable; after a change a new one is built from the [`ActiveItem`]s, one
 //! per configuration item, which hold no JSON.
 
 use super::change::tenant_credentials;
@@ -13,37 +13,37 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Of a route without `target`.
+/// Latency target of a route without `target`.
 const DEFAULT_LATENCY_TARGET: Duration = Duration::from_secs(1);
-/// Without `header_max_bytes`.
+/// Limit on a request's head if the configuration has no `header_max_bytes`.
 const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
-/// Without `body_max_bytes`.
+/// Limit on a request's body if the configuration has no `body_max_bytes`.
 const DEFAULT_MAX_BODY_BYTES: usize = 1024 * 1024;
-/// Without `header_deadline`.
+/// Time limit for a request's head if the configuration has no `header_deadline`.
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Without `idle_cutoff`.
+/// Idle time of a client connection if the configuration has no `idle_cutoff`.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// A route: which service handles requests of a host and path, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route, unique among routes.
     pub label: Arc<str>,
-    /// A path must begin with this; begins and ends with a slash.
+    /// Prefix of the paths that the route matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// May a request be executed more than once, so that it may be retried after it was sent?
+    /// Whether a request may be executed more than once, and so be retried after it was sent to a worker.
     pub is_idempotent: bool,
-    /// Upper bound on the time until the response; `None`: that of the client alone.
+    /// Upper bound on the time until the response; `None`: only the client's own limit applies.
     pub timeout: Option<Duration>,
-    /// A response within this has its full value.
+    /// A response within this time has its full value to the client.
     pub latency_target: Duration,
     /// Priority in load shedding; 0 is the highest.
     pub priority: u32,
-    /// Services that its requests go to, with their relative weights.
+    /// Services that the route's requests go to, with their relative weights.
     pub service_weights: Vec<(Arc<str>, f64)>,
-    /// Most attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u32,
-    /// Are requests without a credential accepted?
+    /// Whether requests without a credential are accepted.
     pub allows_anonymous: bool,
     version: u64,
 }
@@ -57,48 +57,48 @@
             remaining -= w.1;
             remaining < 0.0
         });
-        // Rounding may leave `remaining` at 0 or above.
+        // Rounding may leave `remaining` at 0 or above; then the last service with a weight is taken.
         picked.or(self.service_weights.iter().rev().find(|w| w.1 > 0.0)).map(|w| &w.0)
     }
 }
 
-/// A tenant: who sends a request, by its credential.
+/// A tenant: the customer that a request is attributed to by its credential.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant, unique among tenants.
     pub label: Arc<str>,
-    /// Overrides the route's priority.
+    /// Priority in load shedding that replaces the route's; `None`: the route's applies.
     pub priority: Option<u32>,
     /// Sustained requests per second; 0: no limit.
     pub requests_per_sec: f64,
-    /// Requests that may come on top of the sustained rate.
+    /// Burst allowance in requests, in addition to the sustained rate.
     pub burst: f64,
     version: u64,
 }
 
-/// Limits on clients' connections and requests.
+/// Limits on client connections and requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// Most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// A request's head must be complete within this.
+    /// Time within which a request's head must be complete.
     pub header_timeout: Duration,
-    /// An idle connection is closed after this.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
-/// The view that requests are served by. Maps are shared between views, so that a clone is cheap.
+/// The view that requests are served with. Maps are shared between views, so that a clone is cheap.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ActiveConfig {
-    /// By host in lower case; longest prefix first.
+    /// Routes by hostname in lower case, the longest prefix first.
     routes_by_host: Arc<HashMap<Arc<str>, Vec<Arc<Route>>>>,
     tenants_by_credential: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
     tenants_by_label: Arc<HashMap<Arc<str>, Arc<Tenant>>>,
-    /// Must requests have a credential? True if there is any tenant; routes may be exempt.
+    /// Whether requests need a credential: true if there is any tenant. Routes with `allows_anonymous` are exempt.
     pub requires_credentials: bool,
-    /// Limits on clients.
+    /// The client limits.
     pub client_limits: ClientLimits,
 }
 
@@ -114,21 +114,22 @@
     body.get(name).and_then(Value::as_str).and_then(parse_duration)
 }
 
-/// What requests are served by of one active item: a tenth of the item's memory (a JSON object takes some 2 KB).
+/// The part of an active item that is needed to serve requests. It takes a tenth of the memory of the item, whose JSON
+/// object takes about 2 KB.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ActiveItem {
-    /// A route, with its host in lower case.
+    /// A route, with its hostname in lower case.
     Route(Arc<str>, Arc<Route>),
     /// A tenant, with its credentials.
     Tenant(Arc<Tenant>, Box<[Arc<str>]>),
-    /// A service; nothing of its item is needed.
+    /// A service; serving requests needs none of its fields.
     Service,
-    /// Limits on clients.
+    /// The client limits.
     Saturation(Box<ClientLimits>),
 }
 
 impl ActiveItem {
-    /// Converts an item; `None`: it is removed.
+    /// Converts an item; `None` if the item is removed.
     pub fn from_item(item: &ConfigItem) -> Option<Self> {
         let body = &item.body.as_ref()?.to_map();
         Some(match item.kind {
@@ -188,7 +189,7 @@
         hosts.entry(Arc::clone(host)).or_default().push(Arc::clone(route));
     }
     for routes in hosts.values_mut() {
-        // The longest prefix first; of equal ones the newer route.
+        // The longest prefix comes first; among equal prefixes, the route with the higher version.
         let rank = |r: &Route| (Reverse(r.path_prefix.len()), Reverse(r.version));
         routes.sort_by(|a, b| rank(a).cmp(&rank(b)).then_with(|| a.label.cmp(&b.label)));
     }
@@ -197,14 +198,15 @@
 
 type TenantMap = HashMap<Arc<str>, Arc<Tenant>>;
 
-/// By credential, and by name.
+/// Indexes the tenants by credential and by name.
 fn group_tenants(mut tenants: Vec<(&Arc<Tenant>, &[Arc<str>])>) -> (TenantMap, TenantMap) {
     let mut by_credential = HashMap::with_capacity(tenants.iter().map(|t| t.1.len()).sum());
     let mut by_label = HashMap::with_capacity(tenants.len());
     tenants.sort_by(|(a, _), (b, _)| (a.version, &a.label).cmp(&(b.version, &b.label)));
     for (tenant, keys) in tenants {
         by_label.insert(Arc::clone(&tenant.label), Arc::clone(tenant));
-        // Should two tenants have one credential, the newer version gets it, at every node.
+        // If two tenants have the same credential, it belongs to the one with the higher version. Sorting by version
+        // makes every node decide alike.
         for credential in keys {
             by_credential.insert(Arc::clone(credential), Arc::clone(tenant));
         }
@@ -243,7 +245,7 @@
         ActiveConfig::from_items(items.iter())
     }
 
-    /// The view of these items, in any order, each name once; removed ones are ignored.
+    /// The view of these items, which may come in any order but have each name once. Removed items are ignored.
     #[cfg(test)]
     pub fn from_items<'a>(items: impl Iterator<Item = &'a ConfigItem>) -> Self {
         let active: Vec<ActiveItem> = items.filter_map(ActiveItem::from_item).collect();
@@ -256,9 +258,9 @@
         ActiveConfig::default().with_changed_kinds(items, &BTreeSet::from(all))
     }
 
-    /// The view after a change: the `changed` kinds are rebuilt from `items` (all active items, as for
-    /// [`from_active_items`](ActiveConfig::from_active_items)), the others are shared with this view. Equal to a full
-    /// rebuild if `changed` has the kind of every item that changed.
+    /// The view after a change. The `changed` kinds are rebuilt from `items`, which are all active items, as for
+    /// [`from_active_items`](ActiveConfig::from_active_items); the other kinds are shared with this view. The result
+    /// equals a full rebuild if `changed` contains the kind of every item that changed.
     pub fn with_changed_kinds<'a>(
         &self,
         items: impl Iterator<Item = &'a ActiveItem>,
@@ -289,15 +291,15 @@
         view
     }
 
-    /// The route of a request: of the host's routes that with the longest matching prefix. `host` may have a port and
-    /// any case.
+    /// The route of a request: the one with the longest matching prefix among the host's routes. `host` may include a
+    /// port and is compared without regard to case.
     pub fn match_route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let without_port = host.rsplit_once(':').filter(|(_, port)| port.bytes().all(|b| b.is_ascii_digit()));
         let name = without_port.map_or(host, |(name, _)| name).to_ascii_lowercase();
         self.routes_by_host.get(name.as_str())?.iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
-    /// The tenant that has a credential.
+    /// The tenant that a credential belongs to.
     pub fn tenant_by_credential(&self, credential: &str) -> Option<&Arc<Tenant>> {
         self.tenants_by_credential.get(credential)
     }
--- a/crates/gateway/src/configuration/change.rs
+++ b/crates/gateway/src/configuration/change.rs
@@ -1,5 +1,5 @@
-//! Parsing of an operator's request, and the rules that a configuration must satisfy. [`parse_change`] checks each item
-//! by itself; [`find_violations`] checks the rules between items. Nothing is put in force here.
+//! Parses an operator's request and states the rules that a configuration must satisfy. [`parse_change`] checks each
+//! item by itself; [`find_violations`] checks the rules between items. Nothing is applied here.
 
 use super::item::{ConfigItem, ItemKind, ItemSet};
 use crate::json_path::{JsonNode, JsonPathError};
@@ -10,64 +10,74 @@
 /// Upper bound of a route's `cutoff` and `target`.
 const MAX_ROUTE_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Why a request is rejected. Paths begin at `$`, the root of the request.
+/// Why a request is rejected (HTTP 400 or 409). Paths in the texts begin at `$`, the root of the request.
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
 #[ignore_extra_doc_attributes]
 pub enum ChangeError {
-    /// unreadable: {0}
+    /// invalid request: {0}
     ///
-    /// Not JSON, or a value of another type than the field must have.
+    /// The request is not JSON, or a field is missing or has a value of the wrong type.
     Unreadable(JsonPathError),
-    /// {0}: unknown list
+    /// unknown item set {0:?}: expected route_set, tenant_set, service_set or saturation
     ///
-    /// A set of items that there is not.
+    /// The name of the set in the request.
     UnknownList(String),
-    /// {path}: {values} values for {columns} columns
+    /// {path}: record has {values} values for {columns} columns
     RecordLengthMismatch {
         /// Path of the record.
         path: String,
-        /// How many values it has.
+        /// Number of values in the record.
         values: usize,
-        /// How many columns its set has.
+        /// Number of columns of the record's set.
         columns: usize,
     },
-    /// {path}: the column {column} comes twice
+    /// {path}: duplicate column {column:?}
     DuplicateColumn {
         /// Path of the set.
         path: String,
-        /// Name of the column.
+        /// Name of the duplicate column.
         column: String,
     },
-    /// {0}: neither a service nor a mixture
+    /// {0}: route has neither service_ref nor mixture
     ///
-    /// The path of a route; so for the next four.
+    /// The path of the route.
     MissingService(String),
-    /// {0}: gains add up to 0
+    /// {0}: the gains of the mixture add up to 0
+    ///
+    /// The path of the route.
     ZeroTotalGain(String),
-    /// {0}: over ten minutes
+    /// {0}: exceeds the limit of 600 s
+    ///
+    /// The path of the route's `cutoff` or `target`. The limit is `MAX_ROUTE_TIMEOUT`.
     DurationTooLong(String),
-    /// {0}: neither idempotent nor effectful
+    /// {0}: route_class must be idempotent or effectful
+    ///
+    /// The path of the route.
     UnknownRouteClass(String),
-    /// {0}: does not begin and end with a slash
+    /// {0}: path_prefix must begin and end with a slash
+    ///
+    /// The path of the route.
     InvalidPathPrefix(String),
-    /// route {route} names the unknown service {service}
+    /// route {route:?} refers to unknown service {service:?}
     UnknownService {
         /// Name of the route.
         route: String,
-        /// Name of the service, which does not exist or would be removed.
+        /// Name of the service, which does not exist or would be removed by the change.
         service: String,
     },
-    /// tenants {0} and {1} share a key
+    /// tenants {0:?} and {1:?} have the same credential
     ///
-    /// Names of the tenants.
+    /// The names of the tenants.
     SharedCredential(String, String),
-    /// {set} {label:?}: r{version} has another content
+    /// {set} {label:?}: conflicting content for version r{version}
+    ///
+    /// The version was confirmed with different content, or the change has it twice with different content.
     VersionContentMismatch {
         /// The operator's name of the item's set.
         set: &'static str,
         /// Name of the item.
         label: String,
-        /// Its version, which was confirmed with another content.
+        /// Version of the item.
         version: u64,
     },
 }
@@ -80,7 +90,7 @@
     }
 }
 
-/// The items of an operator's request, each validated by itself.
+/// Parses the items of an operator's request and checks each by itself. Rules between items are not checked here.
 pub fn parse_change(body: &[u8]) -> Result<Vec<ConfigItem>, ChangeError> {
     let value = crate::json_path::parse(body)?;
     let root = JsonNode::root(&value);
@@ -95,7 +105,7 @@
     Ok(items)
 }
 
-/// Calls `parse` for each set of items in an object; one that is null is left out.
+/// Calls `parse` for each set of items in an object. A set that is null counts as absent.
 fn for_each_set(
     sets: &JsonNode,
     mut parse: impl FnMut(ItemKind, &JsonNode) -> Result<(), ChangeError>,
@@ -136,8 +146,8 @@
     })
 }
 
-/// Calls `visit` for each row of a set, with the row as an object and its path in the request. A set is a list of
-/// objects, or has `columns` and `records`; a null in a record is a field that is left out.
+/// Calls `visit` for each row of a set, with the row as an object and its path in the request. A set is either a list
+/// of objects or an object with `columns` and `records`; a null in a record means that the field is absent.
 fn for_each_row(
     set: &JsonNode,
     mut visit: impl FnMut(&Value, String) -> Result<(), ChangeError>,
@@ -168,7 +178,8 @@
     Ok(())
 }
 
-/// `path`: of the item in the request; the paths in `item` begin at the item.
+/// Parses and checks one item. `path` is the item's path in the request; the paths in `item` begin at the item, so those
+/// in errors are prefixed with `path`.
 fn parse_item(kind: ItemKind, item: &JsonNode, path: String) -> Result<ConfigItem, ChangeError> {
     let parse = || -> Result<ConfigItem, ChangeError> {
         let version = item.required("revision")?.as_version()?;
@@ -183,13 +194,13 @@
         Ok(ConfigItem { kind, label: label.into(), version, body: Some(item.object()?.into()) })
     };
     parse().map_err(|error| match error {
-        ChangeError::Unreadable(error) => ChangeError::Unreadable(within(&path, error)),
+        ChangeError::Unreadable(error) => ChangeError::Unreadable(prefix_path(&path, error)),
         error => error,
     })
 }
 
-/// Replaces the root `$` of an item's path by the item's path in the request.
-fn within(path: &str, error: JsonPathError) -> JsonPathError {
+/// Replaces the root `$` of a path within an item by `path`, the item's path in the request.
+fn prefix_path(path: &str, error: JsonPathError) -> JsonPathError {
     match error {
         error if path.is_empty() => error,
         JsonPathError::Missing(at) => JsonPathError::Missing(format!("{path}{}", &at[1..])),
@@ -263,8 +274,8 @@
     Ok(())
 }
 
-/// Validates a change against a whole configuration: rejected is what it would newly violate, not what was violated
-/// before. Returns the items that would change anything.
+/// Validates a change against a complete configuration. A change is rejected only for violations that it introduces, not
+/// for those that exist already. Returns the items of the change that would have an effect.
 pub fn validate_change(current: &ItemSet, change: &[ConfigItem]) -> Result<Vec<ConfigItem>, ChangeError> {
     let mut after = current.clone();
     let effective: Vec<ConfigItem> = change.iter().filter(|i| after.merge((*i).clone())).cloned().collect();
@@ -278,8 +289,8 @@
     }
 }
 
-/// The rules between items that a configuration violates: every service that a route names exists, and no two tenants
-/// have the same credential.
+/// Violations of the rules between items: every service that a route refers to exists, and no two tenants have the same
+/// credential.
 pub fn find_violations(items: &ItemSet) -> Vec<ChangeError> {
     let mut violations = Vec::new();
     for (label, body) in items.active_items(ItemKind::Route) {
@@ -301,7 +312,7 @@
     violations
 }
 
-/// The services that a route names: those of its `mixture`, or its `service_ref`.
+/// The services that a route refers to: those of its `mixture`, or else its `service_ref`.
 pub fn route_services(route: &Map<String, Value>) -> Vec<&str> {
     let mixture = route.get("mixture").and_then(Value::as_array).into_iter().flatten();
     let mut services: Vec<&str> = mixture.filter_map(|s| s.get("service_ref")?.as_str()).collect();
--- a/crates/gateway/src/configuration/item.rs
+++ b/crates/gateway/src/configuration/item.rs
@@ -36,13 +36,13 @@
 /// One version of an item. Serialized by position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigItem {
-    /// What it configures.
+    /// Kind of the item.
     pub kind: ItemKind,
-    /// Its name, unique within its kind.
+    /// Name of the item, unique within its kind.
     pub label: String,
-    /// Its version (the operator's `revision`); higher ones replace lower ones.
+    /// Version of the item (the operator's `revision`); a higher version replaces a lower one.
     pub version: u64,
-    /// Its fields as they were sent; `None`: the item is removed.
+    /// Fields of the item as they were sent; `None`: the item is removed.
     pub body: Option<ItemFields>,
 }
 
--- a/crates/gateway/src/configuration/mod.rs
+++ b/crates/gateway/src/configuration/mod.rs
@@ -1,9 +1,9 @@
-//! The operator's configuration: routes, tenants, services and limits on clients, each a named item with a version of
-//! its own.
+//! The operator's configuration: routes, tenants, services and client limits, each a named item with its own version.
 //!
-//! [`parse_change`] reads a request of an operator into a [`ConfigChange`], which becomes an entry of the replicated
-//! log; [`ConfigState`] applies it at each core node; [`replica::ConfigReplica`] follows the active items at each edge
-//! node, and [`ActiveConfig`] is the view that requests are served by. No I/O, no clock.
+//! [`parse_change`] parses an operator's request into a [`ConfigChange`], which becomes an entry of the replicated log.
+//! [`ConfigState`] applies that entry at each core node. [`replica::ConfigReplica`] holds the active items at each edge
+//! node, and [`ActiveConfig`] is the read-only view that the data plane serves requests with. This module does no I/O
+//! and reads no clock.
 
 pub mod active_config;
 pub mod change;
--- a/crates/gateway/src/configuration/replica.rs
+++ b/crates/gateway/src/configuration/replica.rs
@@ -5,14 +5,14 @@
 use super::item::{ConfigItem, ItemKind};
 use std::collections::BTreeMap;
 
-/// What became of an update.
+/// Outcome of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaUpdate {
-    /// It is in force now.
+    /// The update is in force now.
     Applied,
-    /// It, or a newer one, was in force already.
+    /// This update or a newer one was in force already; nothing changed.
     Stale,
-    /// Changes before it are missing; the core must send a full update.
+    /// Earlier changes are missing, so nothing changed; the core must send a full update.
     Gap,
 }
 
--- a/crates/gateway/src/configuration/state.rs
+++ b/crates/gateway/src/configuration/state.rs
@@ -89,7 +89,7 @@
 struct SupersededVersion {
     version: u64,
     hash: u64,
-    /// Its number in the order in which versions of all names were superseded.
+    /// Position in the order in which versions of all names were superseded.
     sequence: u64,
 }
 
@@ -102,7 +102,7 @@
     hash: u64,
     /// Lower versions that were confirmed, rising.
     history: VecDeque<SupersededVersion>,
-    /// It isn't known which versions up to this one were confirmed, except those in `history`.
+    /// Highest forgotten version: up to it, only the versions in `history` are known to have been confirmed.
     forgotten_up_to: Option<u64>,
 }
 
--- a/crates/gateway/src/configuration/state/encoding.rs
+++ b/crates/gateway/src/configuration/state/encoding.rs
@@ -210,7 +210,7 @@
         ConfigState::decode_bounded(bytes, MAX_SUPERSEDED_VERSIONS)
     }
 
-    /// The same for a state that remembers so many superseded versions.
+    /// Decodes a state that remembers at most `max_superseded` superseded versions; otherwise as [`ConfigState::decode`].
     pub fn decode_bounded(bytes: &[u8], max_superseded: usize) -> Result<ConfigState, ConfigStateError> {
         let mut decoder = StateDecoder::with_history_limit(max_superseded);
         let mut rest = bytes;
--- a/crates/gateway/src/configuration/state/history.rs
+++ b/crates/gateway/src/configuration/state/history.rs
@@ -5,11 +5,11 @@
 
 /// What is remembered of one version of a name.
 pub(super) enum Recollection {
-    /// It was confirmed, with a content of this hash.
+    /// The version was confirmed, with content of this hash.
     Confirmed(u64),
-    /// It was not confirmed.
+    /// The version was not confirmed.
     NeverConfirmed,
-    /// It may or may not have been confirmed.
+    /// The version is older than the history; whether it was confirmed is not known.
     Forgotten,
 }
 
--- a/crates/gateway/src/protocol/message.rs
+++ b/crates/gateway/src/protocol/message.rs
@@ -16,7 +16,7 @@
         node: String,
         /// Incarnation of its process: differs for every start.
         incarnation: u64,
-        /// Its address, zone and region.
+        /// The node's address, zone and region.
         location: NodeLocation,
         /// Whether it runs the core role; otherwise the edge role.
         is_core: bool,
@@ -45,7 +45,7 @@
     },
     /// Core to edge: the answer to a [`PeerMessage::Ping`].
     Pong {
-        /// Who holds the quota lease, if known.
+        /// Address of the core node that holds the quota lease, if known.
         quota_leader: Option<IpAddr>,
         /// Edge nodes seen lately; 0 while not known yet.
         edge_count: u32,
--- a/crates/gateway/src/protocol/node_location.rs
+++ b/crates/gateway/src/protocol/node_location.rs
@@ -6,11 +6,11 @@
 /// Address and failure domains of a node.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct NodeLocation {
-    /// Its address, which identifies a core node among the others.
+    /// Address of the node, which identifies a core node among the others.
     pub ip: IpAddr,
-    /// Its zone; empty while only the address is known.
+    /// Zone of the node; empty while only the address is known.
     pub zone: String,
-    /// Its region; empty while only the address is known.
+    /// Region of the node; empty while only the address is known.
     pub region: String,
 }
 
--- a/crates/gateway/src/protocol/operator.rs
+++ b/crates/gateway/src/protocol/operator.rs
@@ -26,7 +26,7 @@
     /// The change is rejected for good, with this HTTP status and reason.
     #[serde(rename = "Refused")]
     Rejected(u16, String),
-    /// It is not known whether the change will be committed: the caller retries (HTTP 503).
+    /// Whether the change will be committed is unknown: the caller retries (HTTP 503).
     #[serde(rename = "Unclear")]
     Undetermined(String),
     /// A read is answered by the state as of this log index, or a later one.
--- a/crates/gateway/src/protocol/quota.rs
+++ b/crates/gateway/src/protocol/quota.rs
@@ -60,7 +60,7 @@
     pub window_total: f32,
     /// The edge node may charge up to this many units in its incarnation.
     pub charge_limit: i64,
-    /// Its standing share for the time when no leader can be reached: units a second.
+    /// Standing share of the edge node, spent while no leader can be reached: units a second.
     pub standing_share: f32,
     /// Milliseconds until units are available again; 0 while some are.
     pub retry_after_ms: u32,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -53,11 +53,12 @@
     pub retry_window: Duration,
     /// Retries that are allowed in any window, however few requests it has.
     pub retry_slack: f64,
-    /// Tenants' quotas hold in every span of this length...
+    /// Length of the span in which a tenant's quota holds: its admitted requests stay within the quota times
+    /// `1 + quota_overshoot`, plus `quota_margin`.
     pub quota_horizon: Duration,
-    /// ...but for this fraction of the quota...
+    /// Fraction of the quota by which a tenant may exceed it in one `quota_horizon`.
     pub quota_overshoot: f64,
-    /// ...and so many requests.
+    /// Requests by which a tenant may exceed the quota in one `quota_horizon`, in addition to `quota_overshoot`.
     pub quota_margin: f64,
 }
 
