--- a/crates/gateway/src/data_plane/quota_admission/sync.rs
+++ b/crates/gateway/src/data_plane/quota_admission/sync.rs
@@ -177,7 +177,7 @@
     }
 
     /// Abandons the pending sync, because its receiver does not lead the quota counter or the link to it is lost. The next
-    /// sync follows within [`RETRY_DELAY_SECS`].
+    /// sync follows within `RETRY_DELAY_SECS`.
     pub fn on_leader_lost(&mut self, now: f64) {
         if self.pending_sync.take().is_some() {
             self.next_regular_sync_at = self.next_regular_sync_at.min(now + RETRY_DELAY_SECS);
--- a/crates/gateway/src/runtime/mod.rs
+++ b/crates/gateway/src/runtime/mod.rs
@@ -57,12 +57,12 @@
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Starts a clock at [`CLOCK_START_S`].
+    /// Starts a clock at `CLOCK_START_S`.
     pub fn start() -> Self {
         Clock(Instant::now())
     }
 
-    /// The current time in seconds; at least [`CLOCK_START_S`].
+    /// The current time in seconds; at least `CLOCK_START_S`.
     pub fn now(&self) -> f64 {
         CLOCK_START_S + self.0.elapsed().as_secs_f64()
     }
--- a/crates/gateway/src/transport/http_server.rs
+++ b/crates/gateway/src/transport/http_server.rs
@@ -168,7 +168,7 @@
     /// Waits for the next request. `idle_timeout` returns the idle timeout of the current configuration; the longest
     /// value since the wait began applies, because the client may not know of a shorter one. Once `closes_at` holds a
     /// time, an idle connection is closed at that time; a connection without a request so far has at least
-    /// [`FIRST_REQUEST_GRACE`].
+    /// `FIRST_REQUEST_GRACE`.
     pub async fn wait_idle(
         &mut self,
         idle_timeout: impl Fn() -> Duration,
@@ -343,7 +343,7 @@
         }
     }
 
-    /// Resolves when the client closes the connection. Pipelined requests are buffered up to [`MAX_READ_AHEAD_BYTES`];
+    /// Resolves when the client closes the connection. Pipelined requests are buffered up to `MAX_READ_AHEAD_BYTES`;
     /// once the buffer is full, a disconnect is not detected.
     pub async fn client_disconnected(&mut self) {
         while self.buffer.len() < MAX_READ_AHEAD_BYTES {
@@ -382,7 +382,7 @@
     }
 
     /// Closes the connection in such a way that the client receives everything that was written: shuts down the write
-    /// side, then reads and drops bytes for up to [`LINGER_TIMEOUT`].
+    /// side, then reads and drops bytes for up to `LINGER_TIMEOUT`.
     pub async fn close_gracefully(&mut self) {
         let _ = self.stream.shutdown().await;
         let _ = timeout(LINGER_TIMEOUT, async {
