--- a/crates/gateway/src/configuration/change.rs
+++ b/crates/gateway/src/configuration/change.rs
@@ -14,15 +14,15 @@
 #[derive(Clone, Debug, PartialEq, displaydoc::Display)]
 #[ignore_extra_doc_attributes]
 pub enum ChangeError {
-    /// invalid request: {0}
+    /// unreadable: {0}
     ///
     /// The request is not JSON, or a field is missing or has a value of the wrong type.
     Unreadable(JsonPathError),
-    /// unknown item set {0:?}: expected route_set, tenant_set, service_set or saturation
+    /// {0}: unknown list
     ///
     /// The name of the set in the request.
     UnknownList(String),
-    /// {path}: record has {values} values for {columns} columns
+    /// {path}: {values} values for {columns} columns
     RecordLengthMismatch {
         /// Path of the record.
         path: String,
@@ -31,45 +31,45 @@
         /// Number of columns of the record's set.
         columns: usize,
     },
-    /// {path}: duplicate column {column:?}
+    /// {path}: the column {column} comes twice
     DuplicateColumn {
         /// Path of the set.
         path: String,
         /// Name of the duplicate column.
         column: String,
     },
-    /// {0}: route has neither service_ref nor mixture
+    /// {0}: neither a service nor a mixture
     ///
     /// The path of the route.
     MissingService(String),
-    /// {0}: the gains of the mixture add up to 0
+    /// {0}: gains add up to 0
     ///
     /// The path of the route.
     ZeroTotalGain(String),
-    /// {0}: exceeds the limit of 600 s
+    /// {0}: over ten minutes
     ///
     /// The path of the route's `cutoff` or `target`. The limit is `MAX_ROUTE_TIMEOUT`.
     DurationTooLong(String),
-    /// {0}: route_class must be idempotent or effectful
+    /// {0}: neither idempotent nor effectful
     ///
     /// The path of the route.
     UnknownRouteClass(String),
-    /// {0}: path_prefix must begin and end with a slash
+    /// {0}: does not begin and end with a slash
     ///
     /// The path of the route.
     InvalidPathPrefix(String),
-    /// route {route:?} refers to unknown service {service:?}
+    /// route {route} names the unknown service {service}
     UnknownService {
         /// Name of the route.
         route: String,
         /// Name of the service, which does not exist or would be removed by the change.
         service: String,
     },
-    /// tenants {0:?} and {1:?} have the same credential
+    /// tenants {0} and {1} share a key
     ///
     /// The names of the tenants.
     SharedCredential(String, String),
-    /// {set} {label:?}: conflicting content for version r{version}
+    /// {set} {label:?}: r{version} has another content
     ///
     /// The version was confirmed with different content, or the change has it twice with different content.
     VersionContentMismatch {
--- a/crates/gateway/src/configuration/tests.rs
+++ b/crates/gateway/src/configuration/tests.rs
@@ -61,12 +61,12 @@
                 r[7] = json!([{ "service_ref": "s1", "gain": 3 }, { "service_ref": "s2", "gain": -1 }])
             }),
         ),
-        ("exceeds the limit of 600 s", with(&|r| r[4] = json!("600001ms"))),
+        ("over ten minutes", with(&|r| r[4] = json!("600001ms"))),
         ("hostname", with(&|r| r[1] = json!(""))),
-        ("must be idempotent or effectful", with(&|r| r[3] = json!("odd"))),
-        ("neither service_ref nor mixture", with(&|r| r[11] = Value::Null)),
+        ("neither idempotent", with(&|r| r[3] = json!("odd"))),
+        ("neither a service", with(&|r| r[11] = Value::Null)),
         (
-            "have the same credential",
+            "share a key",
             json!({ "upsert": { "tenant_set": { "columns": ["label", "credentials", "revision"],
             "records": [["t9", ["k3"], "r9"]] } } }),
         ),
@@ -104,7 +104,7 @@
             .into(),
         r#"{"remove":{"tenant_set":[{"label":"t1","revision":"r1","revision":"r2"}]}}"#.into(),
     ] {
-        expect_that!(read(&text), err(contains_substring("duplicate")), "{text}");
+        expect_that!(read(&text), err(contains_substring("comes twice")), "{text}");
     }
     // Everything else that JSON can express is read.
     let all = r#"{"a":[null,true,false,0,-1,18446744073709551615,-9223372036854775808,1.5,1e300,"x\u00e4\n",{},[]]}"#;
@@ -255,15 +255,15 @@
 fn error_texts_are_pinned() {
     let (path, column) = ("$.upsert".to_string(), "label".to_string());
     let duplicate = ChangeError::DuplicateColumn { path: path.clone(), column };
-    expect_that!(duplicate.to_string(), eq(r#"$.upsert: duplicate column "label""#));
+    expect_that!(duplicate.to_string(), eq("$.upsert: the column label comes twice"));
     let length = ChangeError::RecordLengthMismatch { path: path.clone(), values: 1, columns: 2 };
-    expect_that!(length.to_string(), eq("$.upsert: record has 1 values for 2 columns"));
+    expect_that!(length.to_string(), eq("$.upsert: 1 values for 2 columns"));
     let unknown = ChangeError::UnknownService { route: "r1".into(), service: "s1".into() };
-    expect_that!(unknown.to_string(), eq(r#"route "r1" refers to unknown service "s1""#));
+    expect_that!(unknown.to_string(), eq("route r1 names the unknown service s1"));
     let mismatch = ChangeError::VersionContentMismatch { set: "tenant_set", label: "t1".into(), version: 7 };
-    expect_that!(mismatch.to_string(), eq(r#"tenant_set "t1": conflicting content for version r7"#));
+    expect_that!(mismatch.to_string(), eq(r#"tenant_set "t1": r7 has another content"#));
     let shared = ChangeError::SharedCredential("t1".into(), "t2".into());
-    expect_that!(shared.to_string(), eq(r#"tenants "t1" and "t2" have the same credential"#));
+    expect_that!(shared.to_string(), eq("tenants t1 and t2 share a key"));
     expect_that!(
         [
             ChangeError::UnknownList(path.clone()),
@@ -275,12 +275,12 @@
         ]
         .map(|e| e.to_string()),
         elements_are![
-            eq(r#"unknown item set "$.upsert": expected route_set, tenant_set, service_set or saturation"#),
-            eq("$.upsert: route has neither service_ref nor mixture"),
-            eq("$.upsert: the gains of the mixture add up to 0"),
-            eq("$.upsert: exceeds the limit of 600 s"),
-            eq("$.upsert: route_class must be idempotent or effectful"),
-            eq("$.upsert: path_prefix must begin and end with a slash"),
+            eq("$.upsert: unknown list"),
+            eq("$.upsert: neither a service nor a mixture"),
+            eq("$.upsert: gains add up to 0"),
+            eq("$.upsert: over ten minutes"),
+            eq("$.upsert: neither idempotent nor effectful"),
+            eq("$.upsert: does not begin and end with a slash"),
         ]
     );
     let inconsistent = ConfigStateError::Inconsistent { set: "tenant_set", label: "t1".into() };
--- a/crates/gateway/src/json_path.rs
+++ b/crates/gateway/src/json_path.rs
@@ -191,7 +191,7 @@
         let mut object = Map::new();
         while let Some((name, UniqueFields(value))) = fields.next_entry::<String, UniqueFields>()? {
             if object.contains_key(&name) {
-                return Err(A::Error::custom(format!("duplicate field {name:?}")));
+                return Err(A::Error::custom(format!("{name:?} comes twice")));
             }
             object.insert(name, value);
         }
